--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -21,7 +21,7 @@
 
 from .common import machine, ratios, row, timed
 
-VALUE = 60     # bytes of a value; a ledger's records are 10 to 100
+VALUE = 60  # bytes of a value; a ledger's records are 10 to 100
 NAMES = count()
 
 
@@ -62,14 +62,22 @@
                 base.execute("begin")
                 base.executemany("insert or replace into pairs values (?, ?)", [op[:2] for op in batch])
                 base.execute("commit")
+
             took = timed(lambda: [write(batch) for batch in told])
             base.close()
             return took
+
         aim = "at most 1.3" if size >= 100 else ""
-        row(f"time to make {size} a batch lasting, over a raw write and flush",
-            ratios(lambda ours=ours, raw=raw: (ours(), raw())), aim)
-        row(f"time to make {size} a batch lasting, over sqlite3 (WAL, full)",
-            ratios(lambda ours=ours, sqlite=sqlite: (ours(), sqlite())), "below 1")
+        row(
+            f"time to make {size} a batch lasting, over a raw write and flush",
+            ratios(lambda ours=ours, raw=raw: (ours(), raw())),
+            aim,
+        )
+        row(
+            f"time to make {size} a batch lasting, over sqlite3 (WAL, full)",
+            ratios(lambda ours=ours, sqlite=sqlite: (ours(), sqlite())),
+            "below 1",
+        )
 
 
 FULL_SCAN = """
@@ -91,7 +99,7 @@
 """
 RESIDENT = """
 print(next(line for line in open('/proc/self/status') if line.startswith('VmRSS')).split()[1])
-"""   # not the peak: a process starts with its parent's
+"""  # not the peak: a process starts with its parent's
 
 PLAIN = """
 import sys, time, random
@@ -125,26 +133,44 @@
     store.close()
     key = batch[-1][0].decode()
     empty, base = script(PLAIN)
-    row("time to open 1,000,000 records, 100,000 live, over a full scan", ratios(
-        lambda: (script(OPENED, path, key)[0] - empty, script(FULL_SCAN, plain)[0] - empty)), "at most 0.25")
-    row("memory of the same, over a dict of the same keys", ratios(
-        lambda: (script(OPENED, path, key)[1] - base, script(FULL_SCAN, plain)[1] - base)), "at most 1.5")
+    row(
+        "time to open 1,000,000 records, 100,000 live, over a full scan",
+        ratios(lambda: (script(OPENED, path, key)[0] - empty, script(FULL_SCAN, plain)[0] - empty)),
+        "at most 0.25",
+    )
+    row(
+        "memory of the same, over a dict of the same keys",
+        ratios(lambda: (script(OPENED, path, key)[1] - base, script(FULL_SCAN, plain)[1] - base)),
+        "at most 1.5",
+    )
     reopened = Store(Folder(path), time.time)
     table = {key: value for key, value in reopened.scan()}
     keys = dice.sample(sorted(table), 20_000)
-    row("one get of a random key, over one of a dict", ratios(
-        lambda: (timed(lambda: [reopened.get(key) for key in keys]),
-                 timed(lambda: [table[key] for key in keys]))))
+    row(
+        "one get of a random key, over one of a dict",
+        ratios(
+            lambda: (
+                timed(lambda: [reopened.get(key) for key in keys]),
+                timed(lambda: [table[key] for key in keys]),
+            )
+        ),
+    )
     absent = [b"w/worker-%08dx" % k for k in range(20_000)]
-    row("one get of an absent key, over one of a dict", ratios(
-        lambda: (timed(lambda: [reopened.get(key) for key in absent]),
-                 timed(lambda: [table.get(key) for key in absent]))))
+    row(
+        "one get of an absent key, over one of a dict",
+        ratios(
+            lambda: (
+                timed(lambda: [reopened.get(key) for key in absent]),
+                timed(lambda: [table.get(key) for key in absent]),
+            )
+        ),
+    )
     reopened.close()
 
 
 def space(folder):
     """Bytes kept over bytes of what is live, and written over told, at three shares of overwriting."""
-    shares = ("no key twice", 10 ** 9), ("half overwritten", 60_000), ("nine in ten overwritten", 10_000)
+    shares = ("no key twice", 10**9), ("half overwritten", 60_000), ("nine in ten overwritten", 10_000)
     for name, keys in shares:
         _, store = fresh(folder)
         told, dice = 0, random.Random(5)
@@ -165,6 +191,7 @@
 
 def slices(folder):
     """The longest slices of background work, and turns with and without it."""
+
     def turns(background):
         path = os.path.join(folder, f"s{next(NAMES)}")
         port = Folder(path)
@@ -185,12 +212,18 @@
                     steps.append(time.perf_counter() - before)
         store.close()
         return sorted(took), sorted(steps)
+
     found = [turns(True) for _ in range(5)]
     at = [steps[int(len(steps) * 0.999)] * 1000 for _, steps in found]
-    row("background work in one turn, ms at 999 of 1,000",
-        f"{sorted(at)[2]:.2f} ({min(at):.2f} to {max(at):.2f})", "below 2")
-    row("turns that write, with background work over without", ratios(
-        lambda: (sum(turns(True)[0]), sum(turns(False)[0]))))
+    row(
+        "background work in one turn, ms at 999 of 1,000",
+        f"{sorted(at)[2]:.2f} ({min(at):.2f} to {max(at):.2f})",
+        "below 2",
+    )
+    row(
+        "turns that write, with background work over without",
+        ratios(lambda: (sum(turns(True)[0]), sum(turns(False)[0]))),
+    )
 
 
 def main():
@@ -204,7 +237,7 @@
         for name, measure in plan_of.items():
             if told.only in (None, name):
                 measure(folder)
-    assert plan.SEAL_BYTES > 1 << 20   # measured with the limits that are shipped
+    assert plan.SEAL_BYTES > 1 << 20  # measured with the limits that are shipped
 
 
 if __name__ == "__main__":
--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -55,9 +55,15 @@
     waits = [dice.choice([0.15, 0.5, 1.6, 5.0, 10.0]) * (0.8 + 0.4 * dice.random()) for _ in range(997)]
     for standing in (100, 1_000, 10_000, 100_000):
         steps = max(100_000, 3 * standing)
-        row(f"{standing} timers standing: the wheel's time over the heap's",
-            ratios(lambda s=standing, n=steps: (timed(lambda: wheel_day(n, s, waits)),
-                                                timed(lambda: heap_day(n, s, waits)))))
+        row(
+            f"{standing} timers standing: the wheel's time over the heap's",
+            ratios(
+                lambda s=standing, n=steps: (
+                    timed(lambda: wheel_day(n, s, waits)),
+                    timed(lambda: heap_day(n, s, waits)),
+                )
+            ),
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/turn.py
+++ b/benchmarks/turn.py
@@ -20,12 +20,23 @@
 
 from .common import machine, ratios, row
 
-OPERATIONS = [{"name": name, "kind": kind, "latency_objective": 1.0, "integration_timeout": 4.0,
-               "billed_value": value} for name, kind, value in (("look", door.IDEMPOTENT, 1.0),
-                                                                ("pay", door.SIDE_EFFECTING, 5.0))]
-FACTS = {"operations": OPERATIONS, "managers": 1, "cycle": 1.0, "warm_after": 10.0, "cold_from": 0.25,
-         "drain_grace": 3.0, "usual_retry": 0, "most_waiting": 200_000, "message_head": 8,
-         "load_fields": ["busy"], "lines_per_second": 100_000.0}
+OPERATIONS = [
+    {"name": name, "kind": kind, "latency_objective": 1.0, "integration_timeout": 4.0, "billed_value": value}
+    for name, kind, value in (("look", door.IDEMPOTENT, 1.0), ("pay", door.SIDE_EFFECTING, 5.0))
+]
+FACTS = {
+    "operations": OPERATIONS,
+    "managers": 1,
+    "cycle": 1.0,
+    "warm_after": 10.0,
+    "cold_from": 0.25,
+    "drain_grace": 3.0,
+    "usual_retry": 0,
+    "most_waiting": 200_000,
+    "message_head": 8,
+    "load_fields": ["busy"],
+    "lines_per_second": 100_000.0,
+}
 WORKERS = 40
 FLEETS = ((400, 30, 100), (640, 120, 60), (1600, 200, 40))  # proxies, workers, turns; slices as in turns
 INTAKE = 150  # report lines a second that the settings of a large fleet let in
@@ -46,8 +57,12 @@
 
 def module_at(revision: str) -> types.ModuleType:
     """The module that holds Manager as it stood at a revision: one file once, a package since."""
-    listed = subprocess.run(["git", "ls-tree", "--name-only", revision, "bramblewood/policy/"],
-                            capture_output=True, check=True, text=True).stdout.split()
+    listed = subprocess.run(
+        ["git", "ls-tree", "--name-only", revision, "bramblewood/policy/"],
+        capture_output=True,
+        check=True,
+        text=True,
+    ).stdout.split()
     if listed:
         folder = tempfile.mkdtemp()
         os.mkdir(os.path.join(folder, "policy_before"))
@@ -63,8 +78,9 @@
     return module
 
 
-def day(proxies: int, turns: int, folder: str | None, workers: int = WORKERS, make=Manager,
-        thin: int = 4) -> float:
+def day(
+    proxies: int, turns: int, folder: str | None, workers: int = WORKERS, make=Manager, thin: int = 4
+) -> float:
     """Seconds that the turns of a seeded day take, in all; with a ledger where there is a folder.
 
     One line of thin comes in each turn; make is what to call for a manager.
@@ -84,8 +100,10 @@
             gone = door.ListedWorker(f"w{turn // 20 % workers}", door.DRAINING)
             events.append(door.WorkersListed((gone,), False, False, 2 + turn))
         events += [door.SliceHeat(n, "look", 3 + n % 5, 0, 1.0) for n in range(turn % thin, proxies, thin)]
-        events += [door.WorkerHeard(f"w{k}", "a", 20, 0, 0.2, 1.0, {"busy": 0.4 + 0.01 * (k % 9)})
-                   for k in range(turn % thin, workers, thin)]
+        events += [
+            door.WorkerHeard(f"w{k}", "a", 20, 0, 0.2, 1.0, {"busy": 0.4 + 0.01 * (k % 9)})
+            for k in range(turn % thin, workers, thin)
+        ]
         events += [door.MarkAnswered(p, mark, 0.2) for mark in marks for p in range(proxies)]
         events.append(door.TimerDue("turn"))
         began = time.perf_counter()
@@ -116,14 +134,22 @@
         before = module_at(told.against).Manager
         for proxies, workers, turns in FLEETS:
             thin = max(4 * (proxies + workers) // INTAKE, 4)
-            row(f"turns with {proxies} proxies, {workers} workers, now over {told.against}", ratios(
-                lambda size=(proxies, turns, None, workers), thin=thin: (
-                    day(*size, Manager, thin), day(*size, before, thin))))
+            row(
+                f"turns with {proxies} proxies, {workers} workers, now over {told.against}",
+                ratios(
+                    lambda size=(proxies, turns, None, workers), thin=thin: (
+                        day(*size, Manager, thin),
+                        day(*size, before, thin),
+                    )
+                ),
+            )
         return
     for proxies, turns in ((150, 200), (400, 100), (4000, 24)):
+
         def pair(proxies=proxies, turns=turns):
             with tempfile.TemporaryDirectory(dir=told.folder, prefix=".bench-") as folder:
                 return day(proxies, turns, folder), day(proxies, turns, None)
+
         row(f"turns with {proxies} proxies and slices, ledger on over off", ratios(pair))
 
 
--- a/bramblewood/__main__.py
+++ b/bramblewood/__main__.py
@@ -12,8 +12,19 @@
 signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
 
 # the gateway's commands; what they need is not imported by the manager
-ROOMS = ("desk", "archive", "config", "roll", "holds", "sessions", "explain", "shelf", "lab", "members",
-         "withdraw")
+ROOMS = (
+    "desk",
+    "archive",
+    "config",
+    "roll",
+    "holds",
+    "sessions",
+    "explain",
+    "shelf",
+    "lab",
+    "members",
+    "withdraw",
+)
 
 
 def gateway(words: list[str]) -> bool:
@@ -27,12 +38,15 @@
     """The installed command."""
     if gateway(sys.argv[1:]):
         doors = {}
-        if sys.argv[1:] == ["desk"]:   # before the rest is imported, which takes tenths of a second
+        if sys.argv[1:] == ["desk"]:  # before the rest is imported, which takes tenths of a second
             from .catalogue.doors import open_early
+
             doors = open_early(("Front", "ReadyProbe"))
         from .cli.rooms import rooms
+
         rooms(prog_name="bramblewood", obj=doors)
     from .cli.app import main
+
     sys.exit(main())
 
 
--- a/bramblewood/adapter/host.py
+++ b/bramblewood/adapter/host.py
@@ -20,8 +20,9 @@
     def view(self, fields: dict):
         if fields["form"] == FAILED:
             return door.ListFailed()
-        return door.WorkersListed(self.lists[fields["list"]], fields["form"] in (COMPLETE, CACHED),
-                                  fields["form"] == CACHED)
+        return door.WorkersListed(
+            self.lists[fields["list"]], fields["form"] in (COMPLETE, CACHED), fields["form"] == CACHED
+        )
 
     def batch(self, now: float, messages: list[tuple[str, dict, str]]) -> list[bytes]:
         """Answer one batch; events reach each manager in the order in which they came."""
@@ -47,8 +48,11 @@
         replies = []
         for who, events in waiting.items():
             try:
-                orders = [ORDERS[type(order)](order) for order in self.managers[who].handle(now, events)
-                          if type(order) not in UNSAID]
+                orders = [
+                    ORDERS[type(order)](order)
+                    for order in self.managers[who].handle(now, events)
+                    if type(order) not in UNSAID
+                ]
             except Exception as problem:  # whatever the module raises is reported, never swallowed
                 orders = [("bug", {"what": f"{type(problem).__name__}: {problem}"})]
             replies += [encode(name, {"who": who, **fields}) for name, fields in orders]
--- a/bramblewood/adapter/wire.py
+++ b/bramblewood/adapter/wire.py
@@ -9,8 +9,14 @@
 
 EVERY_TABLE = 65535
 STATES = {2: door.READY, 0: door.DRAINING, 1: door.GONE}
-ENDINGS = {100: "answered", 301: "errored", 302: "rate-limited", 303: "timed-out", 304: "unreachable",
-           305: "broken"}
+ENDINGS = {
+    100: "answered",
+    301: "errored",
+    302: "rate-limited",
+    303: "timed-out",
+    304: "unreachable",
+    305: "broken",
+}
 
 
 class Malformed(Exception):
@@ -25,7 +31,7 @@
         raise Malformed(f"{where}: not JSON: {problem}") from None
     if not isinstance(message, dict) or len(message) != 1:
         raise Malformed(f"{where}: expected an object with one key, the message's name")
-    (name, fields), = message.items()
+    ((name, fields),) = message.items()
     if not isinstance(fields, dict):
         raise Malformed(f"{where}: fields of {name} are not an object")
     return name, fields
@@ -33,31 +39,49 @@
 
 def load_of(fields: dict) -> dict:
     """A load report in our words; values we do not know are skipped."""
-    return {LOAD_WORDS[k][0]: v * LOAD_WORDS[k][1] for k, v in (fields.get("health_info") or {}).items()
-            if k in LOAD_WORDS and isinstance(v, (int, float))}
+    return {
+        LOAD_WORDS[k][0]: v * LOAD_WORDS[k][1]
+        for k, v in (fields.get("health_info") or {}).items()
+        if k in LOAD_WORDS and isinstance(v, (int, float))
+    }
 
 
 def entry_of(item: dict) -> door.ListedWorker:
     started = item.get("boot_time") or None
-    return door.ListedWorker(item["worker"], STATES[item["health"]], item.get("w", 0),
-                             item.get("rack_zone", ""), item.get("cluster", 0),
-                             item.get("class_of_host", ""), started and started / MS)
+    return door.ListedWorker(
+        item["worker"],
+        STATES[item["health"]],
+        item.get("w", 0),
+        item.get("rack_zone", ""),
+        item.get("cluster", 0),
+        item.get("class_of_host", ""),
+        started and started / MS,
+    )
 
 
 EVENTS: dict[str, Callable[[dict], Any]] = {
     "installed": lambda f: door.MarkAnswered(f["edge"], f["gen"], f["time_taken"] / MS),
-    "heard": lambda f: door.WorkerHeard(f["worker"], f.get("rack_zone", ""), f["n"], f.get("bad", 0),
-                                        f.get("time_taken", 0) / MS, f["over"] / MS, load_of(f)),
+    "heard": lambda f: door.WorkerHeard(
+        f["worker"],
+        f.get("rack_zone", ""),
+        f["n"],
+        f.get("bad", 0),
+        f.get("time_taken", 0) / MS,
+        f["over"] / MS,
+        load_of(f),
+    ),
     "wakeup": lambda f: door.TimerDue(f["nonce"]),
     "held": lambda f: door.LineHeld(f["table"], f["worker"], f["w"]),
-    "ping_result": lambda f: door.Probed(f["worker"], ENDINGS.get(f["how"], "unknown"),
-                                         f.get("time_taken", 0) / MS, load_of(f)),
+    "ping_result": lambda f: door.Probed(
+        f["worker"], ENDINGS.get(f["how"], "unknown"), f.get("time_taken", 0) / MS, load_of(f)
+    ),
     "weight_seen": lambda f: door.SliceHeat(f["table"], f["class"], f["n"], f.get("bad", 0), f["over"] / MS),
     "traffic": lambda f: door.ProxyTraffic(f["edge"], f["class"], f["n"], f.get("bad", 0), f["over"] / MS),
     "mail": lambda f: door.PeerNote(f["origin_peer"], bytes.fromhex(f["msg"])),
     "disconnected": lambda f: door.ProxyLeft(f["edge"]),
-    "enrolled": lambda f: door.ProxyJoined(f["edge"], f.get("rack_zone", ""), f.get("w", 0),
-                                            f.get("flag", False)),
+    "enrolled": lambda f: door.ProxyJoined(
+        f["edge"], f.get("rack_zone", ""), f.get("w", 0), f.get("flag", False)
+    ),
     "handed": lambda f: door.SliceGiven(f["table"], f.get("flag", False)),
 }
 
@@ -74,8 +98,15 @@
     door.SetLine: lambda o: ("set_weight", {"table": o.table, "worker": o.worker, "w": o.weight}),
     door.ClearTable: lambda o: ("reset_table", {"table": o.table}),
     door.BindProxy: lambda o: ("hand_table", {"only": bits(o.operations), "table": o.table, "edge": o.proxy}),
-    door.Admit: lambda o: ("ration", {"retry_mode": o.retry, "only": bits(o.operations),
-                                      "table": table_number(o.table), "allowance": o.level}),
+    door.Admit: lambda o: (
+        "ration",
+        {
+            "retry_mode": o.retry,
+            "only": bits(o.operations),
+            "table": table_number(o.table),
+            "allowance": o.level,
+        },
+    ),
     door.Withdraw: lambda o: ("pull", {"flag": o.out, "worker": o.worker}),
     door.Mark: lambda o: ("seal", {"gen": o.number, "flag": o.everyone}),
     door.Wake: lambda o: ("sleep", {"delay": o.after * MS, "nonce": o.token}),
--- a/bramblewood/archive/health.py
+++ b/bramblewood/archive/health.py
@@ -93,9 +93,7 @@
         return {life: one for life, one in told.items() if life in known}
 
 
-def judged(
-    value: dict | None, told: dict[str, list], seen: dict[str, list]
-) -> tuple[dict | None, bool]:
+def judged(value: dict | None, told: dict[str, list], seen: dict[str, list]) -> tuple[dict | None, bool]:
     """The table with these judgements; what changes gets the new version, less it where a worker is back.
 
     seen: what stood when it was judged. Where another archive has judged since, this changes nothing.
--- a/bramblewood/archive/leaves.py
+++ b/bramblewood/archive/leaves.py
@@ -34,9 +34,7 @@
         if number in self.rounds:
             self.rounds[number][1][peer] = epoch
 
-    def confirmed(
-        self, now: float, number: int, voters: Collection[str], epoch: int, contact: bool
-    ) -> bool:
+    def confirmed(self, now: float, number: int, voters: Collection[str], epoch: int, contact: bool) -> bool:
         """Whether a majority of the voters of this epoch holds it; contact: whether a majority was heard
         within a word's time, which also says that these still are the voters.
         """
--- a/bramblewood/cli/enquiries.py
+++ b/bramblewood/cli/enquiries.py
@@ -140,7 +140,9 @@
 @CONTROL
 @BOOT
 def config_put(file: str, control: str | None, boot: str | None) -> None:
-    """Put a configuration; safe to repeat. Exit codes: 0 taken, 1 refused, 2 nobody answers or faulty file.
+    """Put a configuration; safe to repeat.
+
+    Exit codes: 0 taken, 1 refused, 2 nobody answers or faulty file.
     """
     status, body = call(
         controls(control, boot), "PUT", "/bramblewood/config", json.dumps(read_config(file)).encode()
@@ -164,7 +166,9 @@
 @BOOT
 @JSON
 def config_diff(file: str, other: str | None, control: str | None, boot: str | None, as_json: bool) -> None:
-    """What FILE would change in OTHER, or in the configuration in force. Exit codes: 0 nothing, 1 something.
+    """What FILE would change in OTHER, or in the configuration in force.
+
+    Exit codes: 0 nothing, 1 something.
     """
     new, old = (
         routes_of(read_config(file), file),
--- a/bramblewood/cli/manager.py
+++ b/bramblewood/cli/manager.py
@@ -11,9 +11,13 @@
 from ..net.transport.connection import spelled
 from .words import fail
 
-OPERATOR = "BRAMBLEWOOD_OPERATOR"   # names the operator's file where the option does not
-OPERATORS_FILE = typer.Option(None, "--operator", metavar="FILE",
-                              help=f"the operator's file; else the one that {OPERATOR} names, else none")
+OPERATOR = "BRAMBLEWOOD_OPERATOR"  # names the operator's file where the option does not
+OPERATORS_FILE = typer.Option(
+    None,
+    "--operator",
+    metavar="FILE",
+    help=f"the operator's file; else the one that {OPERATOR} names, else none",
+)
 
 
 def read(path: str | None = None) -> charter.Charter:
@@ -29,6 +33,7 @@
     if not path:
         return None
     from ..operator import bylaws
+
     try:
         return bylaws.load(path)
     except bylaws.Faulty as problem:
@@ -38,6 +43,7 @@
 def serve(operator: str = OPERATORS_FILE) -> None:
     """Run one manager in the foreground, as the configuration that EDGE_CONFIG names tells it."""
     from ..net.program.service import Service
+
     told, bylaws = read(), read_bylaws(operator)
     logs.begin()
     try:
@@ -47,18 +53,27 @@
     raise typer.Exit(service.serve())
 
 
-def check(path: str = typer.Argument(None, help="the configuration; else the one of EDGE_CONFIG"),
-          operator: str = OPERATORS_FILE) -> None:
+def check(
+    path: str = typer.Argument(None, help="the configuration; else the one of EDGE_CONFIG"),
+    operator: str = OPERATORS_FILE,
+) -> None:
     """Read a configuration and say what it would listen on and dial, or what is wrong with it."""
     told, bylaws = read(path), read_bylaws(operator)
     try:
         known = len(roster.read(told.known, cached=True)[1].workers) if told.known else 0
     except Unreadable as problem:
         fail(f"known: {problem}")
-    rows = {"name": told.name, "listen": told.listen, "discovery": told.discovery, "relay": told.relay,
-            "messages between managers at": told.peer_listen, "managers to message": len(told.peers),
-            "descriptors": told.descriptors, "known workers": known,
-            "operations": ", ".join(operation["name"] for operation in told.facts["operations"])}
+    rows = {
+        "name": told.name,
+        "listen": told.listen,
+        "discovery": told.discovery,
+        "relay": told.relay,
+        "messages between managers at": told.peer_listen,
+        "managers to message": len(told.peers),
+        "descriptors": told.descriptors,
+        "known workers": known,
+        "operations": ", ".join(operation["name"] for operation in told.facts["operations"]),
+    }
     if bylaws:
         rows["operator's file"] = bylaws.path
         store = bylaws.store._asdict() if bylaws.store else {}
--- a/bramblewood/cli/store.py
+++ b/bramblewood/cli/store.py
@@ -6,8 +6,10 @@
 
 from .words import DONE, FOLDER, FOUND, JSON, fail, out, progress, reading, shown
 
-app = typer.Typer(help="A folder of the embedded store. Exit codes: 0 done, 1 damage found or no such key, "
-                       "2 faulty words, or a folder that can't be used.")
+app = typer.Typer(
+    help="A folder of the embedded store. Exit codes: 0 done, 1 damage found or no such key, "
+    "2 faulty words, or a folder that can't be used."
+)
 
 
 def opened(folder: str, new: bool = False):
@@ -18,6 +20,7 @@
     from ..store.port import Folder
     from ..store.recovery import Refused
     from ..store.store import Store
+
     try:
         if not new:
             tools.must_be(folder)
@@ -41,10 +44,12 @@
 def info(folder: str = FOLDER, as_json: bool = JSON) -> None:
     """How much the folder holds, and in which files."""
     from ..store import tools
+
     found = reading(folder, tools.info)
     rows = [f"{name}: {value}" for name, value in found.items() if name != "files"]
-    rows += [f"  {file['name']}  {file['kind']}  {file['bytes']} bytes  {file['holds']}"
-             for file in found["files"]]
+    rows += [
+        f"  {file['name']}  {file['kind']}  {file['bytes']} bytes  {file['holds']}" for file in found["files"]
+    ]
     out(found, as_json, rows)
 
 
@@ -52,34 +57,45 @@
 def check(folder: str = FOLDER, as_json: bool = JSON) -> None:
     """Read every byte and name each damaged record by file and offset; changes nothing."""
     from ..store import tools
+
     found = reading(folder, lambda port: tools.check(port, progress))
-    rows = [f"{d['file']} at {d['offset']}: {d['what']}{'' if d['lost'] else ' (nothing lost)'}"
-            for d in found["damaged"]]
+    rows = [
+        f"{d['file']} at {d['offset']}: {d['what']}{'' if d['lost'] else ' (nothing lost)'}"
+        for d in found["damaged"]
+    ]
     rows += [f"never promised: {what}" for what in found["dropped"]]
     rows += [f"not the store's: {name}" for name in found["strangers"]]
     lost = any(damage["lost"] for damage in found["damaged"])
-    rows.append(f"{found['keys']} keys, {found['files']} files, {found['bytes']} bytes: " + (
-        "data was lost" if lost else "damaged, nothing lost" if found["damaged"] else "sound"))
+    rows.append(
+        f"{found['keys']} keys, {found['files']} files, {found['bytes']} bytes: "
+        + ("data was lost" if lost else "damaged, nothing lost" if found["damaged"] else "sound")
+    )
     out(found, as_json, rows)
     raise typer.Exit(FOUND if found["damaged"] else DONE)
 
 
 @app.command("list")
-def list_keys(folder: str = FOLDER, prefix: str = typer.Argument("", help="only keys that begin so"),
-              values: bool = typer.Option(False, "--values", help="values too"),
-              as_json: bool = JSON) -> None:
+def list_keys(
+    folder: str = FOLDER,
+    prefix: str = typer.Argument("", help="only keys that begin so"),
+    values: bool = typer.Option(False, "--values", help="values too"),
+    as_json: bool = JSON,
+) -> None:
     """The keys in order, one a line."""
     from ..store import tools
+
     for key, value in reading(folder, lambda port: tools.pairs(port, prefix.encode())):
         row = {"key": shown(key)} | ({"value": shown(value)} if values else {})
         out(row, as_json, ["\t".join(row.values())])
 
 
 @app.command()
-def get(folder: str = FOLDER, key: str = typer.Argument(..., help="the whole key"),
-        as_json: bool = JSON) -> None:
+def get(
+    folder: str = FOLDER, key: str = typer.Argument(..., help="the whole key"), as_json: bool = JSON
+) -> None:
     """The value of one key."""
     from ..store import tools
+
     try:
         value = reading(folder, lambda port: tools.value(port, key.encode()))
     except tools.Unreadable as problem:
@@ -108,10 +124,14 @@
 
 
 @app.command()
-def export(folder: str = FOLDER, file: str = typer.Argument(..., help="written whole, or not at all"),
-           as_json: bool = JSON) -> None:
+def export(
+    folder: str = FOLDER,
+    file: str = typer.Argument(..., help="written whole, or not at all"),
+    as_json: bool = JSON,
+) -> None:
     """Write all keys and values to one checksummed file; the manager may go on meanwhile."""
     from ..store import tools
+
     try:
         count = tools.export(reading(folder, tools.operations_of), file, progress)
     except OSError as problem:
@@ -121,13 +141,17 @@
 
 
 @app.command("import")
-def import_file(file: str = typer.Argument(..., help="what export wrote"),
-                folder: str = typer.Argument(..., help="a new folder"), as_json: bool = JSON) -> None:
+def import_file(
+    file: str = typer.Argument(..., help="what export wrote"),
+    folder: str = typer.Argument(..., help="a new folder"),
+    as_json: bool = JSON,
+) -> None:
     """Make a new store of an exported file."""
     from ..store import tools
+
     try:
         tools.must_be_new(folder)
-        batches = tools.exported(file)   # all of it is read and checked before anything is made
+        batches = tools.exported(file)  # all of it is read and checked before anything is made
     except (OSError, tools.Unfit) as problem:
         fail(problem if isinstance(problem, tools.Unfit) else f"{problem.filename}: {problem.strerror}")
     count = fill(folder, batches, "importing")
@@ -135,10 +159,14 @@
 
 
 @app.command()
-def repair(folder: str = FOLDER, new: str = typer.Argument(..., help="a new folder for what is sound"),
-           as_json: bool = JSON) -> None:
+def repair(
+    folder: str = FOLDER,
+    new: str = typer.Argument(..., help="a new folder for what is sound"),
+    as_json: bool = JSON,
+) -> None:
     """Write what is sound to a new folder and say what is not; the old one is left alone."""
     from ..store import tools
+
     try:
         tools.must_be_new(new)
     except tools.Unfit as problem:
@@ -148,4 +176,3 @@
     told = {"keys": found.count, "lost": found.lost}
     out(told, as_json, [f"{found.count} keys written to {new}", *(f"lost: {what}" for what in found.lost)])
     raise typer.Exit(FOUND if found.lost else DONE)
-
--- a/bramblewood/cli/words.py
+++ b/bramblewood/cli/words.py
@@ -22,6 +22,7 @@
     """What a reading of a store's folder gives; it changes nothing, and a manager may go on meanwhile."""
     from ..store import tools
     from ..store.recovery import Refused
+
     try:
         return tools.reading(folder, what)
     except (Refused, OSError) as problem:
@@ -50,4 +51,5 @@
         return
     from rich.console import Console
     from rich.progress import track
+
     yield from track(steps, what, total, console=Console(stderr=True), transient=True)
--- a/bramblewood/desk/program.py
+++ b/bramblewood/desk/program.py
@@ -259,9 +259,7 @@
 
     def report(self, now: float) -> None:
         scribe = self.contact.scribe
-        if scribe is not None and self.links.send(
-            scribe, self.steering.report(now - self.reported_at, now)
-        ):
+        if scribe is not None and self.links.send(scribe, self.steering.report(now - self.reported_at, now)):
             self.reported_at = now
 
     # --- the platform
--- a/bramblewood/facts.py
+++ b/bramblewood/facts.py
@@ -7,10 +7,19 @@
 from . import interface as door
 
 MS = 1000.0  # the settings' times are in milliseconds
-EFFECTS = {"read_like": door.IDEMPOTENT, "idempotency_key": door.FINGERPRINTED,
-           "non_idempotent": door.SIDE_EFFECTING}
-LOAD_WORDS = {"cpu": ("busy", 1.0), "waiting": ("queued", 1.0), "active": ("held", 1.0),
-              "avg_ms": ("mean_time", 1 / MS), "rps": ("rate", 1.0), "err_rps": ("errored_rate", 1.0)}
+EFFECTS = {
+    "read_like": door.IDEMPOTENT,
+    "idempotency_key": door.FINGERPRINTED,
+    "non_idempotent": door.SIDE_EFFECTING,
+}
+LOAD_WORDS = {
+    "cpu": ("busy", 1.0),
+    "waiting": ("queued", 1.0),
+    "active": ("held", 1.0),
+    "avg_ms": ("mean_time", 1 / MS),
+    "rps": ("rate", 1.0),
+    "err_rps": ("errored_rate", 1.0),
+}
 
 
 def figure(value: Any) -> float:
@@ -61,8 +70,12 @@
     ("retry_wait", "specifics", "try_aims", figure),
     ("intake", "specifics", "intake_per_s", figure),
     ("pick", "specifics", "lb_method", lambda v: {"lottery": "weighted", "wheel": "even"}.get(v, v)),
-    ("levels", "specifics", "throttle_by",
-     lambda v: {"ratio": "share", "rps": "rate", "silent": "none"}.get(v, v)),
+    (
+        "levels",
+        "specifics",
+        "throttle_by",
+        lambda v: {"ratio": "share", "rps": "rate", "silent": "none"}.get(v, v),
+    ),
     ("standing_lines", "specifics", "default_size", figure),
     ("home_only", "specifics", "home_only", PLAIN),
     ("stays_away_after", "specifics", "ejects", figure),
@@ -106,8 +119,13 @@
 
 def operation_of(c: dict, writes: bool) -> dict:
     return {
-        "name": c["name"], "kind": EFFECTS.get(c["effect"], door.SIDE_EFFECTING),
-        "latency_objective": figure(c["objective"]) / MS, "integration_timeout": figure(c["deadline"]) / MS,
-        "billed_value": figure(c["importance"]), "late_value": c.get("late_worth", 0.0),
+        "name": c["name"],
+        "kind": EFFECTS.get(c["effect"], door.SIDE_EFFECTING),
+        "latency_objective": figure(c["objective"]) / MS,
+        "integration_timeout": figure(c["deadline"]) / MS,
+        "billed_value": figure(c["importance"]),
+        "late_value": c.get("late_worth", 0.0),
         "group": {"cell": "pool"}.get(c.get("dedup_scope"), c.get("dedup_scope", "")),
-        "window": c.get("window", 0.0) / MS, "writes": writes}
+        "window": c.get("window", 0.0) / MS,
+        "writes": writes,
+    }
--- a/bramblewood/interface.py
+++ b/bramblewood/interface.py
@@ -14,8 +14,10 @@
 
 # --- events ---------------------------------------------------------------------------------------------
 
+
 class ListedWorker(NamedTuple):
     """One worker of a list; started is None when that was long ago."""
+
     worker: str
     state: str
     weight: float = 1.0
@@ -27,6 +29,7 @@
 
 class WorkersListed(NamedTuple):
     """The list of workers: complete (all others are gone), as last held before a start, or changes only."""
+
     workers: tuple
     complete: bool = False
     cached: bool = False
@@ -39,6 +42,7 @@
 
 class WorkerHeard(NamedTuple):
     """What the proxies of one zone met at a worker; load is the worker's latest load report, if any."""
+
     worker: str
     zone: str
     tries: int
@@ -50,6 +54,7 @@
 
 class SliceHeat(NamedTuple):
     """Invocations of one operation that came for a slice."""
+
     slice: int
     operation: str
     invocations: int
@@ -59,6 +64,7 @@
 
 class ProxyTraffic(NamedTuple):
     """Invocations of one operation that came to a proxy, where there are no slices."""
+
     proxy: int
     operation: str
     invocations: int
@@ -68,6 +74,7 @@
 
 class Probed(NamedTuple):
     """The end of a probe: answered, errored, rate-limited, timed-out, unreachable, broken, unknown."""
+
     worker: str
     ending: str
     took: float
@@ -76,6 +83,7 @@
 
 class MarkAnswered(NamedTuple):
     """A proxy has applied the message that carried this mark, and all before it."""
+
     proxy: int
     mark: int
     took: float
@@ -83,6 +91,7 @@
 
 class ProxyJoined(NamedTuple):
     """A proxy's stream stands; fresh: it holds only what it started with."""
+
     proxy: int
     zone: str
     rate: float
@@ -91,17 +100,20 @@
 
 class ProxyLeft(NamedTuple):
     """A proxy's stream broke; it may be dead or still follow what it holds."""
+
     proxy: int
 
 
 class SliceGiven(NamedTuple):
     """The store put a slice into this manager's charge, or took it away; its lines follow."""
+
     slice: int
     ours: bool
 
 
 class LineHeld(NamedTuple):
     """One line of a slice's table as the store holds it."""
+
     slice: int
     worker: str
     weight: float
@@ -109,11 +121,13 @@
 
 class WithdrawalHeld(NamedTuple):
     """An earlier life of this manager withdrew a worker, and some proxies may still keep off it."""
+
     worker: str
 
 
 class DoubtHeld(NamedTuple):
     """An earlier life doubted a worker, until then (unix time); how often it had been doubted by then."""
+
     worker: str
     until: float
     doubts: int
@@ -121,24 +135,42 @@
 
 class PeerNote(NamedTuple):
     """A short message from another manager."""
+
     manager: int
     payload: bytes
 
 
 class TimerDue(NamedTuple):
     """A timer asked for with Wake is due."""
+
     token: str
 
 
-Event = Union[WorkersListed, ListFailed, WorkerHeard, SliceHeat, ProxyTraffic, Probed, MarkAnswered,
-              ProxyJoined, ProxyLeft, SliceGiven, LineHeld, WithdrawalHeld, DoubtHeld, PeerNote,
-              TimerDue]
+Event = Union[
+    WorkersListed,
+    ListFailed,
+    WorkerHeard,
+    SliceHeat,
+    ProxyTraffic,
+    Probed,
+    MarkAnswered,
+    ProxyJoined,
+    ProxyLeft,
+    SliceGiven,
+    LineHeld,
+    WithdrawalHeld,
+    DoubtHeld,
+    PeerNote,
+    TimerDue,
+]
 
 
 # --- orders ---------------------------------------------------------------------------------------------
 
+
 class SetLine(NamedTuple):
     """One line of a table: a worker and its weight, 0 to take the line out."""
+
     table: int
     worker: str
     weight: float
@@ -146,11 +178,13 @@
 
 class ClearTable(NamedTuple):
     """Take all lines and levels out of a table."""
+
     table: int
 
 
 class BindProxy(NamedTuple):
     """Where there are no slices: put a proxy on a table, for operations at these positions (none: all)."""
+
     proxy: int
     table: int
     operations: tuple = ()
@@ -158,6 +192,7 @@
 
 class Admit(NamedTuple):
     """How much of some operations (positions; none: all) is let in at a table, and when proxies try again."""
+
     table: int
     operations: tuple
     level: float
@@ -166,29 +201,34 @@
 
 class Withdraw(NamedTuple):
     """Keep joined proxies from a worker whatever their tables say, or let them go there again."""
+
     worker: str
     out: bool
 
 
 class Mark(NamedTuple):
     """Number this answer's messages, so that each proxy tells when it has applied its own."""
+
     number: int
     everyone: bool = False
 
 
 class Wake(NamedTuple):
     """Ask for a TimerDue after so many seconds."""
+
     after: float
     token: str
 
 
 class Probe(NamedTuple):
     """Test a worker from this manager's zone."""
+
     worker: str
 
 
 class TellPeer(NamedTuple):
     """Send a short message to one manager, or to all (None)."""
+
     manager: int | None
     payload: bytes
 
@@ -199,11 +239,13 @@
 
 class FollowList(NamedTuple):
     """Subscribe to the list's changes, or stop."""
+
     on: bool = True
 
 
 class Doubted(NamedTuple):
     """A worker is out of use until then (unix time), for the so manyth time; told, not asked of anyone."""
+
     worker: str
     until: float
     doubts: int
@@ -211,10 +253,24 @@
 
 class Log(NamedTuple):
     """One line for the people on call."""
+
     text: str
 
 
-Order = Union[SetLine, ClearTable, BindProxy, Admit, Withdraw, Mark, Wake, Probe, TellPeer, AskList,
-              FollowList, Doubted, Log]
+Order = Union[
+    SetLine,
+    ClearTable,
+    BindProxy,
+    Admit,
+    Withdraw,
+    Mark,
+    Wake,
+    Probe,
+    TellPeer,
+    AskList,
+    FollowList,
+    Doubted,
+    Log,
+]
 
 Facts = Mapping[str, Any]  # what a manager is told at its start; docs/design.md names what the module reads
--- a/bramblewood/ledger/memory.py
+++ b/bramblewood/ledger/memory.py
@@ -14,15 +14,16 @@
 from .records import Admitted, Closed, Doubt, Lines, Record, Withdrawn
 from .rules import Promise
 
-NUMBERS = 65536      # marks go round in so many
-ANSWERABLE = 4096    # marks of this life to which an answer still counts; older ones are long void
-NOTES = 32           # notes kept for the log in one turn
+NUMBERS = 65536  # marks go round in so many
+ANSWERABLE = 4096  # marks of this life to which an answer still counts; older ones are long void
+NOTES = 32  # notes kept for the log in one turn
 
 
 class Outcome(NamedTuple):
     """A turn's orders in their order, each with whether it may only go with what it rests on on the disc."""
+
     orders: list[tuple[door.Order, bool]]
-    first: bool      # whether any record of the turn should be on the disc before the others too
+    first: bool  # whether any record of the turn should be on the disc before the others too
 
     @property
     def free(self) -> list[door.Order]:
@@ -45,27 +46,32 @@
         self.doubts: dict[str, Doubt] = {}
         self.lines: dict[int, Lines] = {}
         self.life = records.Life(0, 0.0, 0.0, 0, 0.0, 0, 0)
-        self.changed: dict[bytes, tuple[Record | None, float]] = {}   # by key: record, when it expires
-        self.classes: set[str] = set()      # of what changed in this turn
+        self.changed: dict[bytes, tuple[Record | None, float]] = {}  # by key: record, when it expires
+        self.classes: set[str] = set()  # of what changed in this turn
         self.notes: list[str] = []
-        self.ready: set[str] = set()        # told ready to the module
-        self.proved: set[str] = set()       # of those: as told live, in this life
-        self.spoke = False                  # whether discovery has told anything live in this life
+        self.ready: set[str] = set()  # told ready to the module
+        self.proved: set[str] = set()  # of those: as told live, in this life
+        self.spoke = False  # whether discovery has told anything live in this life
         # named ready and not believed, and since when discovery itself does so
         self.kept_out: dict[str, tuple[door.ListedWorker, float | None]] = {}
-        self.marks: dict[int, int] = {}     # sent in this life: the module's number by the relay's
-        self.taken = 0                      # the last mark used
-        self.waiting: dict[tuple, tuple[door.Order, float, str]] = {}    # orders put off: till when, and why
-        self.unsent: set[tuple[int, int]] = set()   # further tries that still wait for the disc
-        self.standing: set[int] = set()     # slices that the news of this life named as they were remembered
+        self.marks: dict[int, int] = {}  # sent in this life: the module's number by the relay's
+        self.taken = 0  # the last mark used
+        self.waiting: dict[tuple, tuple[door.Order, float, str]] = {}  # orders put off: till when, and why
+        self.unsent: set[tuple[int, int]] = set()  # further tries that still wait for the disc
+        self.standing: set[int] = set()  # slices that the news of this life named as they were remembered
 
     # --- records
 
     def load(self, pairs: Iterable[tuple[bytes, bytes]]) -> list[str]:
         """Take in what a store holds; what could not be used."""
         odd = []
-        places = {b"w": self.closed, b"a": self.admitted, b"o": self.withdrawn, b"d": self.doubts,
-                  b"s": self.lines}
+        places = {
+            b"w": self.closed,
+            b"a": self.admitted,
+            b"o": self.withdrawn,
+            b"d": self.doubts,
+            b"s": self.lines,
+        }
         for key, value in pairs:
             if key.startswith(b"\0"):
                 continue
@@ -88,8 +94,10 @@
         """What is to be written for this turn: keys, values (None: delete), expiries (unix time, 0: none)."""
         changed, self.changed = self.changed, {}
         self.classes.clear()
-        return [(key, None if record is None else records.value_of(record), expiry)
-                for key, (record, expiry) in changed.items()]
+        return [
+            (key, None if record is None else records.value_of(record), expiry)
+            for key, (record, expiry) in changed.items()
+        ]
 
     def say(self, text: str) -> None:
         if len(self.notes) < NOTES:
@@ -106,14 +114,21 @@
         was = self.life
         down = rules.downtime(was.alive, now)
         careful = rules.careful_until(bool(damaged), was.careful_until, now, self.operations)
-        self.renew("careful" if damaged else "life", number=was.number + 1, began=now, alive=now,
-                   careful_until=careful)
+        self.renew(
+            "careful" if damaged else "life",
+            number=was.number + 1,
+            began=now,
+            alive=now,
+            careful_until=careful,
+        )
         self.taken = was.marks + rules.SKIPPED if was.number else first_mark
         if was.number and now < was.alive:
             self.say(f"the clock was set back by {was.alive - now:.1f} s between two lives: ages count as 0")
         if careful > now:
-            self.say(f"records were damaged: for {careful - now:.1f} s no further tries of operations with "
-                     "effects, and no new use of workers that discovery has not named while others serve")
+            self.say(
+                f"records were damaged: for {careful - now:.1f} s no further tries of operations with "
+                "effects, and no new use of workers that discovery has not named while others serve"
+            )
         if was.number and rules.outlived(down, self.facts.get("lease")):
             if self.admitted or self.lines:
                 self.say(f"down for {down:.1f} s: levels and tables remembered are no longer counted on")
@@ -127,27 +142,34 @@
                 del self.doubts[name]
                 self.note("doubt", records.worker_key(b"d", name), None)
         if self.closed:
-            self.say(f"remembered as closed: {', '.join(sorted(self.closed)[:8])}"
-                     f"{' and others' if len(self.closed) > 8 else ''}")
+            self.say(
+                f"remembered as closed: {', '.join(sorted(self.closed)[:8])}"
+                f"{' and others' if len(self.closed) > 8 else ''}"
+            )
         return self.opening(now)
 
     def opening(self, now: float) -> list[door.Event]:
         """What a module that knows nothing is told behind its first list."""
-        doubts = [door.DoubtHeld(name, now + rules.doubt_left(doubt.until, doubt.at, now), doubt.doubts)
-                  for name, doubt in sorted(self.doubts.items())]
+        doubts = [
+            door.DoubtHeld(name, now + rules.doubt_left(doubt.until, doubt.at, now), doubt.doubts)
+            for name, doubt in sorted(self.doubts.items())
+        ]
         return [*doubts, *(door.WithdrawalHeld(name) for name in sorted(self.withdrawn))]
 
     def alive(self, now: float) -> None:
         """Told about once a second: this life goes on; what was kept for long enough is let go."""
         self.renew("life trails", alive=max(now, self.life.began))
-        for kind, held, over in ((b"d", self.doubts, lambda doubt: doubt.until < now),
-                                 (b"o", self.withdrawn, lambda out: out.at + self.keep < now)):
+        for kind, held, over in (
+            (b"d", self.doubts, lambda doubt: doubt.until < now),
+            (b"o", self.withdrawn, lambda out: out.at + self.keep < now),
+        ):
             for name in [name for name, record in held.items() if over(record)]:
                 del held[name]
                 self.note("closed trails", records.worker_key(kind, name), None)
         oldest = next(iter(self.closed), None)
-        while oldest is not None and (self.closed[oldest].at + self.keep < now
-                                      or len(self.closed) > rules.MOST_CLOSED):
+        while oldest is not None and (
+            self.closed[oldest].at + self.keep < now or len(self.closed) > rules.MOST_CLOSED
+        ):
             del self.closed[oldest]
             self.note("closed trails", records.worker_key(b"w", oldest), None)
             oldest = next(iter(self.closed), None)
@@ -186,7 +208,7 @@
             entries.append(self.entry(now, entry, event.version, live))
         if live:
             named = {entry.worker for entry in event.workers}
-            all_told = event.complete or not self.spoke   # the first tells all since the list held before
+            all_told = event.complete or not self.spoke  # the first tells all since the list held before
             self.proved = set(self.ready) if all_told else (self.proved | named) & self.ready
             self.spoke = True
             if event.version > self.life.version:
@@ -203,7 +225,7 @@
         was = self.closed.get(entry.worker)
         if entry.state != door.READY:
             self.kept_out.pop(entry.worker, None)
-            if live or was is None:   # a list from before a start may be older than what is remembered
+            if live or was is None:  # a list from before a start may be older than what is remembered
                 self.close(now, entry, version)
             return entry
         if was is not None:
@@ -224,11 +246,15 @@
         self.proved.discard(entry.worker)
         started = entry.started if entry.started is not None else was.started if was else None
         if was is None or (was.state, was.started) != (entry.state, started) or version > was.version:
-            self.closed.pop(entry.worker, None)   # the order is by when it was told
+            self.closed.pop(entry.worker, None)  # the order is by when it was told
             self.closed[entry.worker] = Closed(entry.state, started, version, now)
             same = was is not None and (was.state, was.started) == (entry.state, started)
-            self.note("closed trails" if same else "closed worker", records.worker_key(b"w", entry.worker),
-                      self.closed[entry.worker], now + self.keep)
+            self.note(
+                "closed trails" if same else "closed worker",
+                records.worker_key(b"w", entry.worker),
+                self.closed[entry.worker],
+                now + self.keep,
+            )
 
     def open(self, now: float, entry: door.ListedWorker, why: str) -> None:
         if self.closed.pop(entry.worker, None):
@@ -238,8 +264,11 @@
 
     def insisting(self, now: float) -> door.WorkersListed | None:
         """Those that discovery has named ready for so long that it is believed against what is remembered."""
-        due = [entry for entry, since in self.kept_out.values() if since is not None
-               and rules.insists(since, now)]
+        due = [
+            entry
+            for entry, since in self.kept_out.values()
+            if since is not None and rules.insists(since, now)
+        ]
         for entry in due:
             del self.kept_out[entry.worker]
             self.open(now, entry, "discovery keeps to it")
@@ -250,7 +279,7 @@
         was = self.lines.pop(number, None)
         order = was.given if was else 0
         if ours and was and was.at < self.life.began and number not in self.standing:
-            self.standing.add(number)   # told at the start, as it stood: not given anew
+            self.standing.add(number)  # told at the start, as it stood: not given anew
         else:
             for operation in range(len(self.operations)):
                 self.forget_admitted(number, operation)
@@ -302,8 +331,9 @@
                     going.append((self.mark(order), False))
                 case _:
                     going.append((order, False))
-        first = any(rules.PROMISES[kind][0] is not Promise.TRAILS for kind in self.classes
-                    if kind in rules.PROMISES)
+        first = any(
+            rules.PROMISES[kind][0] is not Promise.TRAILS for kind in self.classes if kind in rules.PROMISES
+        )
         return Outcome(going, first)
 
     def mark(self, order: door.Mark) -> door.Mark:
@@ -321,11 +351,11 @@
     def stands(self, table: int, operation: int) -> Admitted | None:
         """What is remembered of an operation at a table: its own record, or a later one for all slices."""
         everywhere = self.admitted.get((door.ALL_SLICES, operation))
-        if table == door.ALL_SLICES:   # for all of them only if none was given since
+        if table == door.ALL_SLICES:  # for all of them only if none was given since
             return everywhere if everywhere and everywhere.given >= self.life.given else None
         own = self.admitted.get((table, operation))
         if everywhere and table in self.lines and self.lines[table].given > everywhere.given:
-            everywhere = None   # the slice was given after that
+            everywhere = None  # the slice was given after that
         return max((found for found in (own, everywhere) if found), key=lambda found: found.at, default=None)
 
     def admit(self, now: float, order: door.Admit, going: list) -> None:
@@ -336,16 +366,26 @@
                 return
         parts: dict[str, list[int]] = {}
         for k in order.operations or range(len(self.operations)):
-            found = rules.judge_try(self.operations[k]["kind"], order.level, order.retry,
-                                    self.stands(order.table, k), self.usual, self.life.number,
-                                    self.life.careful_until, now, (order.table, k) in self.unsent)
+            found = rules.judge_try(
+                self.operations[k]["kind"],
+                order.level,
+                order.retry,
+                self.stands(order.table, k),
+                self.usual,
+                self.life.number,
+                self.life.careful_until,
+                now,
+                (order.table, k) in self.unsent,
+            )
             parts.setdefault(found.verdict, []).append(k)
             self.waiting.pop(("try", order.table, k), None)
             if found.verdict == "waits":
                 one = door.Admit(order.table, (k,), order.level, order.retry)
                 self.waiting["try", order.table, k] = one, found.until, found.why
-                self.say(f"{self.operations[k]['name']} at table {order.table} gets no further tries for "
-                         f"{found.until - now:.1f} s: {found.why}")
+                self.say(
+                    f"{self.operations[k]['name']} at table {order.table} gets no further tries for "
+                    f"{found.until - now:.1f} s: {found.why}"
+                )
             elif found.verdict != "stands":
                 record = Admitted(order.level, order.retry, False, now, self.life.number, self.life.given)
                 self.admitted[order.table, k] = record
@@ -365,8 +405,11 @@
         again, rest = {}, []
         for k in order.operations or range(len(self.operations)):
             was = self.admitted.get((door.ALL_SLICES, k))
-            if was and was.life != self.life.number and (
-                    self.operations[k]["kind"] != door.IDEMPOTENT and order.retry > self.usual):
+            if (
+                was
+                and was.life != self.life.number
+                and (self.operations[k]["kind"] != door.IDEMPOTENT and order.retry > self.usual)
+            ):
                 for number, lines in self.lines.items():
                     if lines.given > was.given:
                         again.setdefault(number, []).append(k)
@@ -391,9 +434,10 @@
             return False
         table = self.lines.get(order.table)
         if order.weight > 0:
-            off = table is not None and rules.uses_unproved(table.lines, order.worker, self.proved,
-                                                            self.ready, self.spoke)
-        else:   # nothing makes way for a line that waits, but a closed worker's line: a proved one serves
+            off = table is not None and rules.uses_unproved(
+                table.lines, order.worker, self.proved, self.ready, self.spoke
+            )
+        else:  # nothing makes way for a line that waits, but a closed worker's line: a proved one serves
             off = order.worker in self.ready and any(kept[:2] == key[:2] for kept in self.waiting)
         if off:
             self.waiting[key] = order, self.life.careful_until, "its worker is not proved to be open"
@@ -404,8 +448,17 @@
         found = []
         for key, (order, until, _) in list(self.waiting.items()):
             line = isinstance(order, door.SetLine)
-            if now >= until or line and (order.worker in self.proved if order.weight else not any(
-                    other[:2] == key[:2] and kept[0].weight for other, kept in self.waiting.items())):
+            if (
+                now >= until
+                or line
+                and (
+                    order.worker in self.proved
+                    if order.weight
+                    else not any(
+                        other[:2] == key[:2] and kept[0].weight for other, kept in self.waiting.items()
+                    )
+                )
+            ):
                 del self.waiting[key]
                 if not line or order.worker in self.ready or not order.weight:
                     found.append(order)
@@ -420,8 +473,11 @@
                     if was and (was.level, was.retry) == (order.level, order.retry) and not was.carried:
                         self.admitted[table, k] = msgspec.structs.replace(was, carried=True)
                         effects = self.operations[k]["kind"] != door.IDEMPOTENT and order.retry > self.usual
-                        self.note("try carried out" if effects else "level", records.admit_key(table, k),
-                                  self.admitted[table, k])
+                        self.note(
+                            "try carried out" if effects else "level",
+                            records.admit_key(table, k),
+                            self.admitted[table, k],
+                        )
             case door.SetLine(table, worker, weight):
                 self.held(now, table, worker, weight)
 
@@ -439,9 +495,11 @@
             said.append("not remembered as closed: the configuration's list and discovery hold")
         else:
             start = f" than {closed.started:.3f}" if closed.started is not None else ""
-            said.append(f"told {closed.state} {now - closed.at:.0f} s ago in version {closed.version}: it "
-                        "stays out until discovery names it ready in a later version or with a later "
-                        f"start{start}, or keeps to it for {rules.INSISTING:.0f} s, or nobody else can serve")
+            said.append(
+                f"told {closed.state} {now - closed.at:.0f} s ago in version {closed.version}: it "
+                "stays out until discovery names it ready in a later version or with a later "
+                f"start{start}, or keeps to it for {rules.INSISTING:.0f} s, or nobody else can serve"
+            )
         if worker in self.withdrawn:
             said.append("proxies were told to keep off it: it is let back with the first line that names it")
         doubt = self.doubts.get(worker)
@@ -453,8 +511,10 @@
             said.append(f"named by {len(on)} slices as last carried: {', '.join(map(str, on[:12]))}")
         if now < self.life.careful_until:
             left = self.life.careful_until - now
-            said.append(f"the start is careful for another {left:.1f} s, as records were damaged: it is "
-                        "not put to new use before discovery names it, while others can serve")
+            said.append(
+                f"the start is careful for another {left:.1f} s, as records were damaged: it is "
+                "not put to new use before discovery names it, while others can serve"
+            )
         return said
 
 
--- a/bramblewood/ledger/records.py
+++ b/bramblewood/ledger/records.py
@@ -10,11 +10,12 @@
 import msgspec
 
 VERSION = 1
-TABLE = struct.Struct(">iH")   # a table and the position of an operation, in keys; ordered as numbers are
+TABLE = struct.Struct(">iH")  # a table and the position of an operation, in keys; ordered as numbers are
 
 
 class Closed(msgspec.Struct, array_like=True, frozen=True):
     """A worker told draining or gone: its start (unix time, None: long ago), the list's version, and when."""
+
     state: str
     started: float | None
     version: int
@@ -27,6 +28,7 @@
     carried: whether the relay has said so. life: of the manager that ordered it. given: how many slices had
     been given by then; an order for all slices stands only for those.
     """
+
     level: float
     retry: int
     carried: bool
@@ -37,11 +39,13 @@
 
 class Withdrawn(msgspec.Struct, array_like=True, frozen=True):
     """A worker that proxies were told to keep off."""
+
     at: float
 
 
 class Doubt(msgspec.Struct, array_like=True, frozen=True):
     """A worker out of use till then, for the so manyth time."""
+
     until: float
     doubts: int
     at: float
@@ -49,6 +53,7 @@
 
 class Lines(msgspec.Struct, array_like=True, frozen=True):
     """A slice in charge and its lines as last carried; given: it was the so manyth slice given."""
+
     lines: dict[str, float]
     at: float
     given: int = 0
@@ -60,6 +65,7 @@
     marks: numbers up to this one may have been used; careful_until: after damage was found; version: the
     highest of a list that discovery told; given: slices given so far, over all lives.
     """
+
     number: int
     began: float
     alive: float
@@ -70,8 +76,14 @@
 
 
 Record = Union[Closed, Admitted, Withdrawn, Doubt, Lines, Life]
-KINDS: dict[bytes, type] = {b"w": Closed, b"a": Admitted, b"o": Withdrawn, b"d": Doubt, b"s": Lines,
-                            b"life": Life}
+KINDS: dict[bytes, type] = {
+    b"w": Closed,
+    b"a": Admitted,
+    b"o": Withdrawn,
+    b"d": Doubt,
+    b"s": Lines,
+    b"life": Life,
+}
 ENCODER = msgspec.msgpack.Encoder()
 DECODERS = {kind: msgspec.msgpack.Decoder(tuple[int, kind]) for kind in KINDS.values()}
 UNREADABLE = (msgspec.MsgspecError, struct.error, UnicodeDecodeError, TypeError, IndexError, KeyError)
--- a/bramblewood/ledger/rules.py
+++ b/bramblewood/ledger/rules.py
@@ -10,18 +10,19 @@
 from .. import interface as door
 from .records import Admitted, Closed
 
-LEASE = 5.0          # s down after which the store may have given slices to others, where no fact tells
-INSISTING = 60.0     # s for which discovery must name a worker ready, with versions from before it was
-                     # closed, to be believed: its own memory was set back, and does not catch up by itself
+LEASE = 5.0  # s down after which the store may have given slices to others, where no fact tells
+INSISTING = 60.0  # s for which discovery must name a worker ready, with versions from before it was
+# closed, to be believed: its own memory was set back, and does not catch up by itself
 LONGEST_DOUBT = 24.0  # s; the module's doubts are doubled twice from 6, and a clock may have been set back
-MARKS = 1024         # marks taken ahead at once: one record each ten minutes at the usual pace
-SKIPPED = 8192       # marks left out at a start: an hour's, for those used while the disc took no records
+MARKS = 1024  # marks taken ahead at once: one record each ten minutes at the usual pace
+SKIPPED = 8192  # marks left out at a start: an hour's, for those used while the disc took no records
 MOST_CLOSED = 20_000  # closed workers remembered; the oldest go, ids are new all day
-SURE = 0.5           # part of the open workers that must be proved before the others are left unused
+SURE = 0.5  # part of the open workers that must be proved before the others are left unused
 
 
 class Promise(Enum):
     """How a class of record stands to the orders of its turn."""
+
     STRICT = "its order is not sent before it is on the disc, however long that takes"
     FIRST = "the turn's orders wait for it, but no longer than `hold`: keeping them back would harm more"
     TRAILS = "nothing waits for it"
@@ -31,8 +32,11 @@
     "further try": (Promise.STRICT, "an effect that is repeated can't be taken back"),
     "marks": (Promise.TRAILS, "they are taken ahead, and a start skips more than a long outage uses"),
     "try carried out": (Promise.FIRST, "a further try in doubt is not ordered again: doubts must be short"),
-    "closed worker": (Promise.FIRST, "orders that follow from a drain must not outlive the memory of it; but "
-                                     "they also have to keep the drain's time"),
+    "closed worker": (
+        Promise.FIRST,
+        "orders that follow from a drain must not outlive the memory of it; but "
+        "they also have to keep the drain's time",
+    ),
     "life": (Promise.FIRST, "which start this is, before it orders anything"),
     "careful": (Promise.FIRST, "damage that was found must be remembered till it is acted on"),
     "withdrawal": (Promise.TRAILS, "forgotten, it is told again with the next table that names the worker"),
@@ -88,13 +92,23 @@
 
 class Try(NamedTuple):
     """What an order to let in would do to one operation at a table, and what is made of it."""
-    verdict: str   # "sent", "promised first", "stands", "waits"
-    why: str
-    until: float = 0.0   # for one that waits: unix time
 
-
-def judge_try(kind: str, level: float, retry: int, standing: Admitted | None, usual: int, life: int,
-              careful: float, now: float, unsent: bool = False) -> Try:
+    verdict: str  # "sent", "promised first", "stands", "waits"
+    why: str
+    until: float = 0.0  # for one that waits: unix time
+
+
+def judge_try(
+    kind: str,
+    level: float,
+    retry: int,
+    standing: Admitted | None,
+    usual: int,
+    life: int,
+    careful: float,
+    now: float,
+    unsent: bool = False,
+) -> Try:
     """Whether an order is a further try of an operation with effects, and whether it may go.
 
     standing: what is remembered of this operation at this table, None where nothing is; usual: the proxies'
@@ -115,8 +129,9 @@
     return Try("promised first", "a further try")
 
 
-def uses_unproved(lines: Mapping[str, float], worker: str, proved: set[str], ready: set[str],
-                  spoke: bool) -> bool:
+def uses_unproved(
+    lines: Mapping[str, float], worker: str, proved: set[str], ready: set[str], spoke: bool
+) -> bool:
     """Whether a line puts to use a worker that nobody proved open, while others serve the table.
 
     Before discovery's first word nobody is proved; then the lines that stand serve, as a life that knew more
--- a/bramblewood/ledger/stage.py
+++ b/bramblewood/ledger/stage.py
@@ -14,9 +14,9 @@
 from ..work.scheduler import Scheduler
 from .memory import NUMBERS, Memory, without
 
-TRAIL = 0.2          # s that records may wait which no order waits for; one flush then serves many turns
-ALIVE = 1.0          # s between notes that this life goes on; ages at a restart are no finer
-PACE = 0.005         # s between turns while background work waits, and nothing else does
+TRAIL = 0.2  # s that records may wait which no order waits for; one flush then serves many turns
+ALIVE = 1.0  # s between notes that this life goes on; ages at a restart are no finer
+PACE = 0.005  # s between turns while background work waits, and nothing else does
 MS = 1000.0
 TO_RELAY = (door.SetLine, door.ClearTable, door.BindProxy, door.Admit, door.Withdraw, door.Mark)
 
@@ -33,18 +33,30 @@
 class Ledger:
     """terms: the operator's (bylaws.StoreTerms); clock: unix time in s; precise: of the scheduler's steps."""
 
-    def __init__(self, terms: Any, facts: Mapping, seed: str, clock: Callable[[], float], log: Any,
-                 store: Store | None = None, precise: Callable[[], float] = time.perf_counter) -> None:
+    def __init__(
+        self,
+        terms: Any,
+        facts: Mapping,
+        seed: str,
+        clock: Callable[[], float],
+        log: Any,
+        store: Store | None = None,
+        precise: Callable[[], float] = time.perf_counter,
+    ) -> None:
         self.terms, self.clock, self.log = terms, clock, log
         if store is None:
             folder = Folder(terms.folder)
-            store = Store(folder, clock, Apart(folder) if terms.flush == "apart" else InLoop(folder),
-                          must_exist=terms.must_exist)
+            store = Store(
+                folder,
+                clock,
+                Apart(folder) if terms.flush == "apart" else InLoop(folder),
+                must_exist=terms.must_exist,
+            )
         self.store = store
         self.memory = Memory(facts, terms.keep)
         self.scheduler = Scheduler(precise, self.work_failed, terms.background)
-        self.queue: deque[Held] = deque()          # in the order of their turns
-        self.stuck: list[tuple[int, door.Admit]] = []   # further tries past `hold`, by batch
+        self.queue: deque[Held] = deque()  # in the order of their turns
+        self.stuck: list[tuple[int, door.Admit]] = []  # further tries past `hold`, by batch
         self.committed_at = self.alive_at = 0.0
         self.late = False
         self.first_mark = zlib.crc32(f"{seed}:marks".encode()) % NUMBERS
@@ -61,14 +73,25 @@
             lost += [f"{hole.table} at {hole.offset}: {hole.why}" for hole in snapshot.holes] + odd
         events = memory.begin(now, list(dict.fromkeys(lost + healed)), self.first_mark)
         for damage in store.damages:
-            self.log.warning("store damaged", file=damage.file, offset=damage.offset, found=damage.what,
-                             lost=not damage.kept)
+            self.log.warning(
+                "store damaged",
+                file=damage.file,
+                offset=damage.offset,
+                found=damage.what,
+                lost=not damage.kept,
+            )
         for what in odd:
             self.log.warning("record not usable", why=what)
         for what in store.dropped:
             self.log.info("never promised, dropped", found=what)
-        self.log.info("ledger opened", life=memory.life.number, closed=len(memory.closed),
-                      withdrawn=len(memory.withdrawn), slices=len(memory.lines), new=store.fresh)
+        self.log.info(
+            "ledger opened",
+            life=memory.life.number,
+            closed=len(memory.closed),
+            withdrawn=len(memory.withdrawn),
+            slices=len(memory.lines),
+            new=store.fresh,
+        )
         self.write(now, [(key, None, 0) for key, _ in store.scan(DAMAGE)])
         store.commit()
         self.say()
@@ -116,7 +139,7 @@
                     continue
                 going.append(order)
                 if isinstance(order, door.Admit):
-                    self.void(order)   # it goes first, and would come before an older one
+                    self.void(order)  # it goes first, and would come before an older one
             if not self.late:
                 self.late = True
                 self.log.warning("orders went before their records", further_tries_kept=len(strict))
@@ -130,8 +153,11 @@
 
     def void(self, order: door.Admit) -> None:
         """Further tries that are stuck and that a later order replaces."""
-        self.stuck = [(number, left) for number, old in self.stuck
-                      for left in without([old], order, len(self.memory.operations))]
+        self.stuck = [
+            (number, left)
+            for number, old in self.stuck
+            for left in without([old], order, len(self.memory.operations))
+        ]
 
     def turn(self, now: float, busy: float) -> tuple[list[door.Event], list[door.Order]]:
         """Once a turn, whatever came: flushes that are done, work in the background, orders put off.
@@ -161,9 +187,16 @@
     def safe(self, orders: list[door.Order]) -> list[door.Order]:
         """What may go when the ledger itself has failed: all but tries of operations with effects."""
         kinds = [operation["kind"] for operation in self.memory.operations]
-        return [order for order in orders if not isinstance(order, door.Doubted) and not (
-            isinstance(order, door.Admit) and order.retry > door.NO_RETRY and any(
-                kinds[k] != door.IDEMPOTENT for k in order.operations or range(len(kinds))))]
+        return [
+            order
+            for order in orders
+            if not isinstance(order, door.Doubted)
+            and not (
+                isinstance(order, door.Admit)
+                and order.retry > door.NO_RETRY
+                and any(kinds[k] != door.IDEMPOTENT for k in order.operations or range(len(kinds)))
+            )
+        ]
 
     def carried(self, order: door.Order) -> None:
         """The relay has carried out an order; a further try's end is made lasting with the next flush."""
--- a/bramblewood/net/program/charter.py
+++ b/bramblewood/net/program/charter.py
@@ -63,8 +63,11 @@
         raise Faulty(f"{path}: not JSON: {problem}") from None
     if not isinstance(found, dict):
         raise Faulty(f"{path}: expected an object")
-    told = {"name": environment.get("EDGE_NAME"), "listen": environment.get("EDGE_LISTEN"),
-            "discovery": environment.get("EDGE_DISCOVERY")}
+    told = {
+        "name": environment.get("EDGE_NAME"),
+        "listen": environment.get("EDGE_LISTEN"),
+        "discovery": environment.get("EDGE_DISCOVERY"),
+    }
     return check({**{key: value for key, value in told.items() if value}, **found})
 
 
@@ -94,9 +97,15 @@
     in_range(facts)
     facts.setdefault("usual_retry", NO_RETRY)
     return Charter(
-        of_type(found, "name", str, "manager"), address(found.get("listen"), "listen"),
-        address(found.get("discovery"), "discovery"), address(registry.get("address"), "registry.address"),
-        str(found.get("seed", "0")), descriptors,
+        of_type(found, "name", str, "manager"),
+        address(found.get("listen"), "listen"),
+        address(found.get("discovery"), "discovery"),
+        address(registry.get("address"), "registry.address"),
+        str(found.get("seed", "0")),
+        descriptors,
         address(peer_listen, "peer_listen") if peer_listen else None,
         [address(peer, f"peers.{k}") for k, peer in enumerate(peers)],
-        address(everyone, "peers_all") if everyone else None, of_type(found, "known", dict, {}), facts)
+        address(everyone, "peers_all") if everyone else None,
+        of_type(found, "known", dict, {}),
+        facts,
+    )
--- a/bramblewood/net/program/logs.py
+++ b/bramblewood/net/program/logs.py
@@ -27,7 +27,12 @@
 
 def begin() -> None:
     structlog.configure(
-        processors=[structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso"),
-                    structlog.processors.format_exc_info, structlog.processors.JSONRenderer()],
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso"),
+            structlog.processors.format_exc_info,
+            structlog.processors.JSONRenderer(),
+        ],
         logger_factory=structlog.WriteLoggerFactory(file=Output(sys.stdout.fileno())),
-        cache_logger_on_first_use=True)
+        cache_logger_on_first_use=True,
+    )
--- a/bramblewood/net/program/service.py
+++ b/bramblewood/net/program/service.py
@@ -27,11 +27,11 @@
 from ..transport.notices import Notices
 from .charter import Charter, Faulty, address, read
 
-READY_WITHIN = 1.5       # s for the first dials; after that the manager says it may be used all the same
-NEWS_SILENCE = 1.7       # s; a sign of life comes every second, and a second reading harms nobody
+READY_WITHIN = 1.5  # s for the first dials; after that the manager says it may be used all the same
+NEWS_SILENCE = 1.7  # s; a sign of life comes every second, and a second reading harms nobody
 DISCOVERY_SILENCE = 5.0  # s; an empty line comes every two
-TAKEN_PART = 0.5         # part of the descriptors that may go to whoever connects
-AGAIN_AFTER = 0.5        # s between a module's failure and the next start; it may fail again at once
+TAKEN_PART = 0.5  # part of the descriptors that may go to whoever connects
+AGAIN_AFTER = 0.5  # s between a module's failure and the next start; it may fail again at once
 
 MOVED = ("discovery", "relay")  # keys of the configuration that act at once; the rest waits for a start
 
@@ -59,24 +59,46 @@
         facts = charter.facts
         operations = [operation["name"] for operation in facts["operations"]]
         self.discovery = Discovery(self.loop, charter.discovery, notices, DISCOVERY_SILENCE, tell=tell)
-        self.collectors = Collectors(notices, tell, Scope(
-            facts.get("zones", ()), operations, facts.get("slices", 0), self.discovery.held))
-        self.calls = Calls(self.loop, charter.relay, operations, notices, tell,
-                           self.carried, lambda: self.news.again())
-        self.news = News(self.loop, charter.relay, notices, NEWS_SILENCE, tell=self.told,
-                         stored=self.calls.stored)
+        self.collectors = Collectors(
+            notices,
+            tell,
+            Scope(facts.get("zones", ()), operations, facts.get("slices", 0), self.discovery.held),
+        )
+        self.calls = Calls(
+            self.loop, charter.relay, operations, notices, tell, self.carried, lambda: self.news.again()
+        )
+        self.news = News(
+            self.loop, charter.relay, notices, NEWS_SILENCE, tell=self.told, stored=self.calls.stored
+        )
         self.stages: list[stages.Stage] = []
         self.turned_at, self.wakers = self.loop.now(), {}  # wakers: descriptors of stages that wake the loop
         self.probes = Probes(self.loop, self.worker_address, bool(facts["load_fields"]), notices, tell)
         self.peers = None
         if charter.peer_listen:
-            self.peers = at("peer_listen", charter.peer_listen, lambda: Peers(
-                self.loop, charter.peer_listen, charter.peers, charter.everyone, facts.get("manager", 0),
-                notices, tell))
-        self.listener = at("listen", charter.listen, lambda: Listener(
-            self.loop, charter.listen, self.collectors,
-            int(min(charter.descriptors, resource.getrlimit(resource.RLIMIT_NOFILE)[0]) * TAKEN_PART),
-            lambda why: notices.say("newcomer turned away", "listener", why=why)))
+            self.peers = at(
+                "peer_listen",
+                charter.peer_listen,
+                lambda: Peers(
+                    self.loop,
+                    charter.peer_listen,
+                    charter.peers,
+                    charter.everyone,
+                    facts.get("manager", 0),
+                    notices,
+                    tell,
+                ),
+            )
+        self.listener = at(
+            "listen",
+            charter.listen,
+            lambda: Listener(
+                self.loop,
+                charter.listen,
+                self.collectors,
+                int(min(charter.descriptors, resource.getrlimit(resource.RLIMIT_NOFILE)[0]) * TAKEN_PART),
+                lambda why: notices.say("newcomer turned away", "listener", why=why),
+            ),
+        )
 
         try:
             self.stages = stages.begin(bylaws, facts, charter.seed, self.loop.now, self.log)
@@ -169,8 +191,9 @@
         try:
             return ask(self.loop.now(), what)
         except Exception as problem:
-            self.notices.say("stage failed", type(ask.__self__).__name__, why=repr(problem),
-                             where=traceback.format_exc(-3))
+            self.notices.say(
+                "stage failed", type(ask.__self__).__name__, why=repr(problem), where=traceback.format_exc(-3)
+            )
             return otherwise() if callable(otherwise) else otherwise
 
     def pass_time(self) -> None:
@@ -185,8 +208,9 @@
             try:
                 events, orders = stage.turn(now, busy)
             except Exception as problem:
-                self.notices.say("stage failed", type(stage).__name__, why=repr(problem),
-                                 where=traceback.format_exc(-3))
+                self.notices.say(
+                    "stage failed", type(stage).__name__, why=repr(problem), where=traceback.format_exc(-3)
+                )
                 continue
             self.inbox += events
             if orders:
@@ -208,16 +232,24 @@
         self.discovery.move(told.discovery)
         self.news.move(told.relay)
         self.calls.move(told.relay)
-        later = [key for key, old, new in zip(Charter._fields, was, told, strict=True)
-                 if old != new and key not in MOVED]
-        self.log.info("new configuration taken", discovery=spelled(told.discovery), relay=spelled(told.relay),
-                      at_the_next_start=later)
+        later = [
+            key
+            for key, old, new in zip(Charter._fields, was, told, strict=True)
+            if old != new and key not in MOVED
+        ]
+        self.log.info(
+            "new configuration taken",
+            discovery=spelled(told.discovery),
+            relay=spelled(told.relay),
+            at_the_next_start=later,
+        )
         if self.bylaws:
             self.renew_bylaws()
 
     def renew_bylaws(self) -> None:
         """The operator's file read anew: it holds as a whole, or the old one goes on."""
         from ...operator import bylaws
+
         try:
             told = bylaws.load(self.bylaws.path)
         except bylaws.Faulty as problem:
--- a/bramblewood/net/protocol/frames.py
+++ b/bramblewood/net/protocol/frames.py
@@ -9,12 +9,12 @@
 from ..transport.buffer import Buffer
 from .words import MS, Skipped, Unreadable, load_of, number, text, whole
 
-LONGEST = 1 << 20       # bytes of one message; the protocol's
+LONGEST = 1 << 20  # bytes of one message; the protocol's
 LONGEST_UNJOINED = 4096  # bytes of a question or a joining; what is longer is neither
 HEAD = struct.Struct(">I")
 PING, SOURCE = "PING", "SOURCE"
-MOST_TRIES = 10**7      # of one report; more than a whole site sends in the span of one
-LONGEST_SPAN = 3600.0   # s, of a report's span and mean time; they take seconds
+MOST_TRIES = 10**7  # of one report; more than a whole site sends in the span of one
+LONGEST_SPAN = 3600.0  # s, of a report's span and mean time; they take seconds
 
 
 def frame(message: dict) -> bytes:
@@ -28,6 +28,7 @@
 
 class Scope(NamedTuple):
     """What a report may name; where the settings do not tell, anything of the right type."""
+
     zones: Container[str] = ()
     operations: Container[str] = ()
     slices: float = 0
@@ -41,12 +42,12 @@
     """The next whole message, or None while it is not all there."""
     if len(buffer) < HEAD.size:
         return None
-    length, = HEAD.unpack(buffer.peek(HEAD.size))
+    (length,) = HEAD.unpack(buffer.peek(HEAD.size))
     if length > most:
         raise Unreadable(f"a frame of {length} bytes")
     if len(buffer) < HEAD.size + length:
         return None
-    body = buffer.take(HEAD.size + length)[HEAD.size:]
+    body = buffer.take(HEAD.size + length)[HEAD.size :]
     try:
         message = json.loads(body)
     except (ValueError, RecursionError):
@@ -84,12 +85,18 @@
         return door.WorkerHeard(
             one_of(text(message, "server"), scope.workers, "server"),
             one_of(text(message, "zone"), scope.zones, "zone"),
-            tries, failed, mean_time, span, load_of(message.get("load"), unknown))
+            tries,
+            failed,
+            mean_time,
+            span,
+            load_of(message.get("load"), unknown),
+        )
     if kind == "SHARD":
         tries, failed, span = tried(message)
         number_ = whole(message, "slice")
         if scope.slices and number_ >= scope.slices:
             raise Skipped(f"slice {number_} does not exist")
-        return door.SliceHeat(number_, one_of(text(message, "class"), scope.operations, "class"), tries,
-                              failed, span)
+        return door.SliceHeat(
+            number_, one_of(text(message, "class"), scope.operations, "class"), tries, failed, span
+        )
     raise Skipped(f"kind {kind!r:.40} is not known")
--- a/bramblewood/net/protocol/relay.py
+++ b/bramblewood/net/protocol/relay.py
@@ -52,9 +52,13 @@
     if line == ALIVE:
         return None
     words = line.decode("utf-8", "replace").split(" ")
-    names = {"SUBSCRIBE": ("proxy", "zone", "weight", "fresh"), "CLOSED": ("proxy",),
-             "ACK": ("proxy", "mark", "took_ms"), "GRANT": ("slice", "on"),
-             "ROW": ("slice", "server", "weight")}.get(words[1] if words[0] == "*" and words[1:] else "")
+    names = {
+        "SUBSCRIBE": ("proxy", "zone", "weight", "fresh"),
+        "CLOSED": ("proxy",),
+        "ACK": ("proxy", "mark", "took_ms"),
+        "GRANT": ("slice", "on"),
+        "ROW": ("slice", "server", "weight"),
+    }.get(words[1] if words[0] == "*" and words[1:] else "")
     if not names or len(words) != len(names) + 2:
         raise Skipped(f"line {line[:60]!r}")
     fields: dict = dict(zip(names, words[2:], strict=True))
@@ -66,13 +70,15 @@
                 raise Skipped(f"line {line[:60]!r}") from None
     match words[1]:
         case "SUBSCRIBE":
-            return door.ProxyJoined(whole(fields, "proxy"), fields["zone"], number(fields, "weight"),
-                                    number(fields, "fresh") > 0)
+            return door.ProxyJoined(
+                whole(fields, "proxy"), fields["zone"], number(fields, "weight"), number(fields, "fresh") > 0
+            )
         case "CLOSED":
             return door.ProxyLeft(whole(fields, "proxy"))
         case "ACK":
-            return door.MarkAnswered(whole(fields, "proxy"), whole(fields, "mark"),
-                                     number(fields, "took_ms") / MS)
+            return door.MarkAnswered(
+                whole(fields, "proxy"), whole(fields, "mark"), number(fields, "took_ms") / MS
+            )
         case "GRANT":
             return door.SliceGiven(whole(fields, "slice"), number(fields, "on") > 0)
     return door.LineHeld(whole(fields, "slice"), fields["server"], number(fields, "weight"))
--- a/bramblewood/net/protocol/roster.py
+++ b/bramblewood/net/protocol/roster.py
@@ -18,8 +18,14 @@
         raise Skipped(f"entry {item!r:.60}")
     started, cell = number(item, "started_ms", 0), item.get("cell", 0)
     entry = door.ListedWorker(
-        text(item, "id"), STATES[item["state"]], number(item, "weight", 1.0), text(item, "zone", ""),
-        cell if isinstance(cell, int) else 0, text(item, "kind", ""), started / MS if started else None)
+        text(item, "id"),
+        STATES[item["state"]],
+        number(item, "weight", 1.0),
+        text(item, "zone", ""),
+        cell if isinstance(cell, int) else 0,
+        text(item, "kind", ""),
+        started / MS if started else None,
+    )
     return entry, text(item, "addr", "")
 
 
--- a/bramblewood/net/protocol/words.py
+++ b/bramblewood/net/protocol/words.py
@@ -10,8 +10,15 @@
 UNKNOWN = 16  # unknown names kept for the log; a stranger may send new ones without end
 STATES = {"up": door.READY, "draining": door.DRAINING, "removed": door.GONE}
 # the page's words for load, and the settings' own, which the collectors were seen to send
-LOAD_WORDS = {**SETTINGS_WORDS, "util": ("busy", 1.0), "queue": ("queued", 1.0), "inflight": ("held", 1.0),
-              "latency_ms": ("mean_time", 1 / MS), "qps": ("rate", 1.0), "eps": ("errored_rate", 1.0)}
+LOAD_WORDS = {
+    **SETTINGS_WORDS,
+    "util": ("busy", 1.0),
+    "queue": ("queued", 1.0),
+    "inflight": ("held", 1.0),
+    "latency_ms": ("mean_time", 1 / MS),
+    "qps": ("rate", 1.0),
+    "eps": ("errored_rate", 1.0),
+}
 
 
 class Unreadable(Exception):
@@ -59,7 +66,7 @@
             load[ours] = number(pairs, name) * unit
         else:
             odd.append(name[:40])
-    unknown.update(odd[:UNKNOWN - len(unknown)])
+    unknown.update(odd[: UNKNOWN - len(unknown)])
     return load
 
 
--- a/bramblewood/net/routing/calls.py
+++ b/bramblewood/net/routing/calls.py
@@ -15,20 +15,21 @@
 from ..transport.loop import Loop
 from ..transport.notices import Notices
 
-ANSWER = 0.15        # s for an answer: 0.05 by the protocol, the rest for a shared core
-STORE_READ = 0.1     # s till the news are read anew; a call is carried out within 0.05 or not at all
-DOUBT = 0.5          # s at least for a sign of an unanswered call: sent again sooner, calls that always break
-                     # would become more messages than a site may allow (20 in 10 s)
-SIGN = 1.5           # times the usual time to the first answer to a mark; a slow channel brings it late
-BEFORE = 0.1         # s before the next try while the run has not begun
+ANSWER = 0.15  # s for an answer: 0.05 by the protocol, the rest for a shared core
+STORE_READ = 0.1  # s till the news are read anew; a call is carried out within 0.05 or not at all
+DOUBT = 0.5  # s at least for a sign of an unanswered call: sent again sooner, calls that always break
+# would become more messages than a site may allow (20 in 10 s)
+SIGN = 1.5  # times the usual time to the first answer to a mark; a slow channel brings it late
+BEFORE = 0.1  # s before the next try while the run has not begun
 WAITS = (0.05, 0.8)  # s before the next dial after a failure, first and longest; doubled in between
-FRESH = 2.0          # s for which an idle connection is used; the relay closes it after 10 s or less
-ROUNDED = 1e-6       # difference of a weight that is none, as it goes through texts
-ALIASES = 256        # marks remembered: those folded into a later one, and those not yet answered
+FRESH = 2.0  # s for which an idle connection is used; the relay closes it after 10 s or less
+ROUNDED = 1e-6  # difference of a weight that is none, as it goes through texts
+ALIASES = 256  # marks remembered: those folded into a later one, and those not yet answered
 
 
 class Out(NamedTuple):
     """An order on its way."""
+
     order: door.Order
     text: str
 
@@ -48,19 +49,27 @@
 
 
 class Calls:
-    def __init__(self, loop: Loop, address: Address, operations: list[str], notices: Notices,
-                 tell: Callable[[door.Event], None], carried: Callable[[door.Order], None],
-                 read_store: Callable[[], None], dial=Connection.dial) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        address: Address,
+        operations: list[str],
+        notices: Notices,
+        tell: Callable[[door.Event], None],
+        carried: Callable[[door.Order], None],
+        read_store: Callable[[], None],
+        dial=Connection.dial,
+    ) -> None:
         self.loop, self.address, self.operations, self.notices = loop, address, operations, notices
         self.tell, self.carried, self.read_store, self.dial = tell, carried, read_store, dial
         self.waiting: Waiting = {}
-        self.flight: Waiting = {}   # of the call that is out
+        self.flight: Waiting = {}  # of the call that is out
         self.doubted: Waiting = {}  # of calls whose answer never came whole; part of what waits
         self.aliases: dict[int, list[int]] = {}  # by mark: earlier ones that it stands for
         self.sent_at: dict[int, float] = {}  # by mark, till the first answer to it
         self.first_answer = 0.0  # s to the first answer to a mark, lately; longer ones count at once
         self.connection: Connection | None = None
-        self.spent = False   # whether the connection is to carry no other call: moved away from, or spoilt
+        self.spent = False  # whether the connection is to carry no other call: moved away from, or spoilt
         self.doubt_until = 0.0  # when the last unanswered call is sent again all the same
         self.failures, self.pause, self.used_at, self.most = 0, None, 0.0, relay.ORDERS
 
@@ -113,7 +122,8 @@
         for out in self.doubted.values():
             match out.order:
                 case door.SetLine(table=of, worker=worker, weight=weight) if (
-                        of == number and told.get(worker, 0) != weight):
+                    of == number and told.get(worker, 0) != weight
+                ):
                     self.settle(abs(table.get(worker, 0) - weight) < ROUNDED)
                     return
 
@@ -125,8 +135,11 @@
 
     def unsettled(self, number: int) -> bool:
         """Whether the store may hold other than was told of a slice, by a call that is out or in doubt."""
-        return any(getattr(out.order, "table", None) == number
-                   for part in (self.flight, self.doubted) for out in part.values())
+        return any(
+            getattr(out.order, "table", None) == number
+            for part in (self.flight, self.doubted)
+            for out in part.values()
+        )
 
     def move(self, address: Address) -> None:
         """Another address holds from now on; a call that is out ends on the old road, so none overtakes it.
@@ -220,8 +233,9 @@
 
     def refused(self, sent: Waiting, error: str) -> None:
         """A call that can't be read as a whole: halves are sent till the order at fault stands alone."""
-        self.notices.say("call not taken", "relay", error=error, orders=len(sent),
-                         first=next(iter(sent.values())).text)
+        self.notices.say(
+            "call not taken", "relay", error=error, orders=len(sent), first=next(iter(sent.values())).text
+        )
         if len(sent) > 1:
             self.most = (len(sent) + 1) // 2
             self.put_back(sent)
--- a/bramblewood/net/routing/collectors.py
+++ b/bramblewood/net/routing/collectors.py
@@ -13,22 +13,22 @@
 from ..transport.ending import Ending
 from ..transport.notices import Notices
 
-UNJOINED = 1.6     # s from connecting, bytes or not; past the 1.5 s in which a start answers who asks
-STRANGERS = 64     # unjoined connections; the oldest goes, or they would fill the table
-PER_ZONE = 8       # joined connections of a zone; the one heard longest ago goes, it has vanished
-SILENCE = 10.0     # s without a report; they come each second, so this collector has vanished or lost its way
-WHOLE = 5.0        # s in which a message begun must end; one of 1 MiB takes far less on one network
-LARGE = 65536      # bytes of a message in pieces; below, many may be kept
-KEPT = 1 << 22     # bytes of all messages in pieces together; a sixteenth of the memory of a small manager
+UNJOINED = 1.6  # s from connecting, bytes or not; past the 1.5 s in which a start answers who asks
+STRANGERS = 64  # unjoined connections; the oldest goes, or they would fill the table
+PER_ZONE = 8  # joined connections of a zone; the one heard longest ago goes, it has vanished
+SILENCE = 10.0  # s without a report; they come each second, so this collector has vanished or lost its way
+WHOLE = 5.0  # s in which a message begun must end; one of 1 MiB takes far less on one network
+LARGE = 65536  # bytes of a message in pieces; below, many may be kept
+KEPT = 1 << 22  # bytes of all messages in pieces together; a sixteenth of the memory of a small manager
 
 
 class Collectors:
     def __init__(self, notices: Notices, tell: Callable[[door.Event], None], scope: frames.Scope) -> None:
         self.notices, self.tell, self.scope, self.in_use = notices, tell, scope, False
         self.unknown: set[str] = set()
-        self.asked: dict[Connection, None] = {}      # unjoined ones that wait to hear that it is in use
+        self.asked: dict[Connection, None] = {}  # unjoined ones that wait to hear that it is in use
         self.strangers: dict[Connection, None] = {}  # unjoined ones, oldest first
-        self.joined: dict[Connection, str] = {}      # by connection: the zone it named
+        self.joined: dict[Connection, str] = {}  # by connection: the zone it named
         self.begun: set[Connection] = set()  # joined ones that have sent a part of a message
         self.large: set[Connection] = set()  # connections that hold much of a message not yet whole
 
--- a/bramblewood/net/routing/news.py
+++ b/bramblewood/net/routing/news.py
@@ -49,14 +49,19 @@
 class News(Stream):
     party = "relay's news"
 
-    def __init__(self, *args, tell: Callable[[door.Event], None],
-                 stored: Callable[[int, dict, dict], None] = lambda *_: None, **more) -> None:
+    def __init__(
+        self,
+        *args,
+        tell: Callable[[door.Event], None],
+        stored: Callable[[int, dict, dict], None] = lambda *_: None,
+        **more,
+    ) -> None:
         super().__init__(*args, **more)
         self.tell, self.known, self.stored = tell, Standing(), stored
-        self.before = Standing()            # what was known before a break and is not named again yet
-        self.whole = False                  # whether nothing was missed before this stream took over
-        self.given: list[door.Event] = []   # a slice just given, and its lines so far
-        self.leveled: set[int] = set()      # slices with levels that the module of now knows nothing of
+        self.before = Standing()  # what was known before a break and is not named again yet
+        self.whole = False  # whether nothing was missed before this stream took over
+        self.given: list[door.Event] = []  # a slice just given, and its lines so far
+        self.leveled: set[int] = set()  # slices with levels that the module of now knows nothing of
 
     def greeting(self) -> bytes:
         return relay.WATCH
--- a/bramblewood/net/routing/outcomes.py
+++ b/bramblewood/net/routing/outcomes.py
@@ -3,10 +3,18 @@
 from ..transport.ending import Ending
 
 OUTCOMES = {
-    Ending.CLOSED: "broken", Ending.RESET: "broken", Ending.UNREADABLE: "broken", Ending.OVERFULL: "broken",
-    Ending.FAULT: "broken", Ending.SILENT: "timed-out", Ending.REFUSED: "unreachable",
-    Ending.UNREACHABLE: "unreachable", Ending.NOT_UP: "unreachable",
-    Ending.NO_DESCRIPTOR: "unknown", Ending.OURS: "unknown"}  # these two say nothing of the other side
+    Ending.CLOSED: "broken",
+    Ending.RESET: "broken",
+    Ending.UNREADABLE: "broken",
+    Ending.OVERFULL: "broken",
+    Ending.FAULT: "broken",
+    Ending.SILENT: "timed-out",
+    Ending.REFUSED: "unreachable",
+    Ending.UNREACHABLE: "unreachable",
+    Ending.NOT_UP: "unreachable",
+    Ending.NO_DESCRIPTOR: "unknown",
+    Ending.OURS: "unknown",
+}  # these two say nothing of the other side
 
 
 def outcome_of(ending: Ending) -> str:
--- a/bramblewood/net/routing/peers.py
+++ b/bramblewood/net/routing/peers.py
@@ -12,8 +12,16 @@
 
 
 class Peers:
-    def __init__(self, loop: Loop, listen: Address, peers: list[Address], everyone: Address | None, me: int,
-                 notices: Notices, tell: Callable[[door.Event], None]) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        listen: Address,
+        peers: list[Address],
+        everyone: Address | None,
+        me: int,
+        notices: Notices,
+        tell: Callable[[door.Event], None],
+    ) -> None:
         self.peers, self.everyone, self.me, self.notices, self.tell = peers, everyone, me, notices, tell
         self.numbers = {address: number for number, address in enumerate(peers)}
         self.datagrams = Datagrams(loop, listen, self.came)
@@ -24,8 +32,9 @@
         else:
             to = self.peers[order.manager] if 0 <= order.manager < len(self.peers) else None
         if to is None or len(order.payload) > LONGEST:
-            self.notices.say("message to a manager not sent", "peers", size=len(order.payload),
-                             known=to is not None)
+            self.notices.say(
+                "message to a manager not sent", "peers", size=len(order.payload), known=to is not None
+            )
         else:
             self.datagrams.send(order.payload, to)
 
--- a/bramblewood/net/routing/probes.py
+++ b/bramblewood/net/routing/probes.py
@@ -12,8 +12,8 @@
 from .outcomes import outcome_of, outcome_of_status
 
 PING, LOAD = "/ping", "/_load"
-ANSWER = 1.0   # s for an answer; a worker that takes longer is as good as none
-MOST = 64      # probes out at once; each holds a descriptor
+ANSWER = 1.0  # s for an answer; a worker that takes longer is as good as none
+MOST = 64  # probes out at once; each holds a descriptor
 
 
 class Probe:
@@ -43,8 +43,15 @@
 
 
 class Probes:
-    def __init__(self, loop: Loop, addresses: Callable[[str], Address | None], with_load: bool,
-                 notices: Notices, tell: Callable[[door.Event], None], dial=Connection.dial) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        addresses: Callable[[str], Address | None],
+        with_load: bool,
+        notices: Notices,
+        tell: Callable[[door.Event], None],
+        dial=Connection.dial,
+    ) -> None:
         self.loop, self.addresses, self.notices, self.tell, self.dial = loop, addresses, notices, tell, dial
         self.path, self.out = LOAD if with_load else PING, set()
 
--- a/bramblewood/net/routing/stream.py
+++ b/bramblewood/net/routing/stream.py
@@ -9,12 +9,12 @@
 from ..transport.loop import Loop
 from ..transport.notices import Notices
 
-FIRST_WORD = 2.0            # s for the first words after the dial; what stands is sent at once
-WAITS = (0.05, 1.0)         # s from a dial that failed to the next, first and longest; doubled in between
-LASTING = 5.0               # s after which a stream that ends is dialled at once; sooner counts as a failure
-LIVELY = 1.5                # s; a stream heard from since has lost nothing: signs of life come each second
-QUICK = 0.5                 # s from a break to the next good word in which nothing is missed that matters
-LOOK = 0.25                 # s between looks for silence
+FIRST_WORD = 2.0  # s for the first words after the dial; what stands is sent at once
+WAITS = (0.05, 1.0)  # s from a dial that failed to the next, first and longest; doubled in between
+LASTING = 5.0  # s after which a stream that ends is dialled at once; sooner counts as a failure
+LIVELY = 1.5  # s; a stream heard from since has lost nothing: signs of life come each second
+QUICK = 0.5  # s from a break to the next good word in which nothing is missed that matters
+LOOK = 0.25  # s between looks for silence
 
 
 class Attempt:
@@ -41,10 +41,12 @@
 
 class Stream:
     """Subclasses give party, greeting and read, which calls spoke at the first good word."""
+
     party = ""
 
-    def __init__(self, loop: Loop, address: Address, notices: Notices, silence: float,
-                 dial=Connection.dial) -> None:
+    def __init__(
+        self, loop: Loop, address: Address, notices: Notices, silence: float, dial=Connection.dial
+    ) -> None:
         self.loop, self.address, self.notices, self.silence, self.dial = loop, address, notices, silence, dial
         self.current: Attempt | None = None
         self.coming: Attempt | None = None
@@ -127,7 +129,7 @@
             self.failures = 0 if lasted else self.failures + 1
             self.broken()
             if self.coming and not self.coming.connection.up:  # the other side is back: a dial from before
-                stale, self.coming = self.coming, None         # is lost, and would only end by its limit
+                stale, self.coming = self.coming, None  # is lost, and would only end by its limit
                 stale.connection.end()
         elif attempt is self.coming:
             self.coming = None
--- a/bramblewood/net/transport/buffer.py
+++ b/bramblewood/net/transport/buffer.py
@@ -1,7 +1,7 @@
 """The one buffer of a connection: grows as it needs, is compacted in place, and is capped."""
 
-LEAST = 4096      # bytes at first; most messages are smaller
-MOST = 1 << 21    # bytes at most: one message of 1 MiB and what may come behind it
+LEAST = 4096  # bytes at first; most messages are smaller
+MOST = 1 << 21  # bytes at most: one message of 1 MiB and what may come behind it
 
 
 class Overfull(Exception):
@@ -21,18 +21,18 @@
         if wanted <= 0:
             raise Overfull
         if self.end + wanted > len(self.data):
-            self.data[:len(self)] = self.data[self.start:self.end]
+            self.data[: len(self)] = self.data[self.start : self.end]
             self.start, self.end = 0, len(self)
         if self.end + wanted > len(self.data):
             size = min(max(2 * len(self.data), self.end + wanted), self.most)
             self.data.extend(bytes(size - len(self.data)))
-        return memoryview(self.data)[self.end:self.end + wanted]
+        return memoryview(self.data)[self.end : self.end + wanted]
 
     def filled(self, count: int) -> None:
         self.end += count
 
     def peek(self, count: int) -> bytes:
-        return bytes(self.data[self.start:min(self.start + count, self.end)])
+        return bytes(self.data[self.start : min(self.start + count, self.end)])
 
     def take(self, count: int) -> bytes:
         taken = self.peek(count)
--- a/bramblewood/net/transport/connection.py
+++ b/bramblewood/net/transport/connection.py
@@ -10,11 +10,11 @@
 from .ending import Ending, ending_of
 from .loop import Loop, Timer
 
-DIAL_TIME = 0.5    # s in which a connection must come up; on one network it takes some milliseconds
-CHUNK = 65536      # bytes read at once at most; others get their turn between
+DIAL_TIME = 0.5  # s in which a connection must come up; on one network it takes some milliseconds
+CHUNK = 65536  # bytes read at once at most; others get their turn between
 FIRST_READ = 4096  # bytes read at once at first, doubled while they are filled: hundreds may say nothing
-UNREAD = 1 << 20   # bytes read at most of a connection that is about to be ended
-UNSENT = 1 << 18   # bytes that may wait to be written; four of the longest calls
+UNREAD = 1 << 20  # bytes read at most of a connection that is about to be ended
+UNSENT = 1 << 18  # bytes that may wait to be written; four of the longest calls
 
 MOST_DOUBLED = 32  # times that a wait is doubled; any first wait is past its longest by then
 
--- a/bramblewood/net/transport/datagrams.py
+++ b/bramblewood/net/transport/datagrams.py
@@ -7,7 +7,7 @@
 from .connection import Address
 from .loop import Loop
 
-BATCH = 64      # datagrams read in one turn
+BATCH = 64  # datagrams read in one turn
 LONGEST = 2048  # bytes read of one; a longer one is cut and then refused for its size
 
 
--- a/bramblewood/net/transport/ending.py
+++ b/bramblewood/net/transport/ending.py
@@ -18,10 +18,14 @@
     OURS = "ended by this manager"
 
 
-BY_ERROR = {errno.ECONNREFUSED: Ending.REFUSED, errno.ETIMEDOUT: Ending.NOT_UP,
-            errno.EMFILE: Ending.NO_DESCRIPTOR, errno.ENFILE: Ending.NO_DESCRIPTOR,
-            **dict.fromkeys((errno.ECONNRESET, errno.EPIPE, errno.ECONNABORTED), Ending.RESET),
-            **dict.fromkeys((errno.EHOSTUNREACH, errno.ENETUNREACH, errno.EADDRNOTAVAIL), Ending.UNREACHABLE)}
+BY_ERROR = {
+    errno.ECONNREFUSED: Ending.REFUSED,
+    errno.ETIMEDOUT: Ending.NOT_UP,
+    errno.EMFILE: Ending.NO_DESCRIPTOR,
+    errno.ENFILE: Ending.NO_DESCRIPTOR,
+    **dict.fromkeys((errno.ECONNRESET, errno.EPIPE, errno.ECONNABORTED), Ending.RESET),
+    **dict.fromkeys((errno.EHOSTUNREACH, errno.ENETUNREACH, errno.EADDRNOTAVAIL), Ending.UNREACHABLE),
+}
 
 
 def ending_of(error: int | None) -> Ending:
--- a/bramblewood/net/transport/listener.py
+++ b/bramblewood/net/transport/listener.py
@@ -10,12 +10,13 @@
 from .loop import Loop
 
 BACKLOG = 1024  # connections that may wait to be taken; one that finds no place comes a second later
-BATCH = 64      # taken in one turn; what is read must not wait for strangers
+BATCH = 64  # taken in one turn; what is read must not wait for strangers
 
 
 class Listener:
-    def __init__(self, loop: Loop, address: Address, owner: Owner, most: int,
-                 turned_away: Callable[[str], None]) -> None:
+    def __init__(
+        self, loop: Loop, address: Address, owner: Owner, most: int, turned_away: Callable[[str], None]
+    ) -> None:
         self.loop, self.owner, self.most, self.turned_away, self.open = loop, owner, most, turned_away, 0
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/bramblewood/net/transport/loop.py
+++ b/bramblewood/net/transport/loop.py
@@ -10,6 +10,7 @@
 
 class Timer:
     """Something to run, unless it is called off before."""
+
     __slots__ = ("call",)
 
     def __init__(self, call: Callable[[], None]) -> None:
--- a/bramblewood/net/transport/notices.py
+++ b/bramblewood/net/transport/notices.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Callable
 
-SPAN = 10.0   # s in which further notices of one kind are only counted
-KINDS = 256   # kinds remembered; more come only from what strangers send
+SPAN = 10.0  # s in which further notices of one kind are only counted
+KINDS = 256  # kinds remembered; more come only from what strangers send
 
 
 class Notices:
--- a/bramblewood/operator/bylaws.py
+++ b/bramblewood/operator/bylaws.py
@@ -14,12 +14,13 @@
 
 class StoreTerms(NamedTuple):
     """How what must last is kept. Times in s."""
+
     folder: str
-    flush: str          # "apart": by a process of its own; "in-loop"
-    must_exist: bool    # whether a missing store counts as one that was lost
-    background: float   # s of each turn for sealing and merging
-    hold: float         # s that orders wait at most for their promise; those that need none then go
-    keep: float         # s that a closed worker is remembered
+    flush: str  # "apart": by a process of its own; "in-loop"
+    must_exist: bool  # whether a missing store counts as one that was lost
+    background: float  # s of each turn for sealing and merging
+    hold: float  # s that orders wait at most for their promise; those that need none then go
+    keep: float  # s that a closed worker is remembered
 
 
 class Bylaws(NamedTuple):
@@ -28,10 +29,10 @@
 
 
 class Key(NamedTuple):
-    kind: str                     # in words, for messages
-    read: Callable[[Any], Any]    # raises ValueError
-    default: Any                  # ... for one that must be there
-    at_once: bool                 # whether SIGHUP lets a change act
+    kind: str  # in words, for messages
+    read: Callable[[Any], Any]  # raises ValueError
+    default: Any  # ... for one that must be there
+    at_once: bool  # whether SIGHUP lets a change act
 
 
 def text(value: Any) -> str:
@@ -51,6 +52,7 @@
         if not isinstance(value, Word) or value not in words:
             raise ValueError
         return str(value)
+
     return check
 
 
@@ -59,6 +61,7 @@
         if isinstance(value, str) or not math.isfinite(value) or not least <= value <= most:
             raise ValueError
         return float(value)
+
     return check
 
 
@@ -127,8 +130,11 @@
                 raise ValueError
             values[name] = keys[name].read(value.value)
         except ValueError:
-            found = "nothing" if len(item.items) < 2 else (
-                repr(value.value)[:40] if isinstance(value, Atom) else "a list or more than one value")
+            found = (
+                "nothing"
+                if len(item.items) < 2
+                else (repr(value.value)[:40] if isinstance(value, Atom) else "a list or more than one value")
+            )
             raise Faulty(f"{at}: expected {keys[name].kind}, found {found}") from None
     for name, value in values.items():
         if value is ...:
--- a/bramblewood/operator/expressions.py
+++ b/bramblewood/operator/expressions.py
@@ -41,6 +41,7 @@
 
 class Form(NamedTuple):
     """A list in parentheses."""
+
     items: tuple
     line: int
     column: int
@@ -59,14 +60,18 @@
     except UnexpectedEOF:
         raise Unclear(text.count("\n") + 1, 1, "the text ends inside a list that is still open") from None
     except UnexpectedCharacters as problem:
-        raise Unclear(problem.line, problem.column,
-                      f"expected a list, a word, a number or a text, found {problem.char!r}") from None
+        raise Unclear(
+            problem.line,
+            problem.column,
+            f"expected a list, a word, a number or a text, found {problem.char!r}",
+        ) from None
     except UnexpectedInput as problem:
         token = getattr(problem, "token", "")
         if getattr(token, "type", "") == "$END":
             raise Unclear(text.count("\n") + 1, 1, "the text ends inside a list that is still open") from None
-        raise Unclear(problem.line, problem.column, f"expected a list, a word or a number, found "
-                      f"{str(token)!r:.20}") from None
+        raise Unclear(
+            problem.line, problem.column, f"expected a list, a word or a number, found {str(token)!r:.20}"
+        ) from None
     return tuple(made(child) for child in tree.children)
 
 
--- a/bramblewood/stages.py
+++ b/bramblewood/stages.py
@@ -30,5 +30,6 @@
     stages: list[Stage] = []
     if bylaws is not None and bylaws.store:
         from .ledger.stage import Ledger  # what must last is on the disc before it goes out
+
         stages.append(Ledger(bylaws.store, facts, seed, clock, log))
     return stages
--- a/bramblewood/store/flush.py
+++ b/bramblewood/store/flush.py
@@ -6,12 +6,12 @@
 import sys
 from typing import TYPE_CHECKING, Protocol
 
-if TYPE_CHECKING:   # the process runs this file by itself
+if TYPE_CHECKING:  # the process runs this file by itself
     from .port import Folder, Port
 
-FOLDER = ""       # the name that stands for the folder itself
-ENDING = 0.1      # s that a stop waits for the process; it may be held by a disc that hangs
-ASKED = 1 << 16   # bytes read of answers at once
+FOLDER = ""  # the name that stands for the folder itself
+ENDING = 0.1  # s that a stop waits for the process; it may be held by a disc that hangs
+ASKED = 1 << 16  # bytes read of answers at once
 
 
 class Flusher(Protocol):
@@ -71,7 +71,10 @@
     def start(self) -> None:
         self.process = subprocess.Popen(
             [sys.executable, "-I", "-S", os.path.abspath(__file__), self.folder.path],
-            stdin=subprocess.PIPE, stdout=subprocess.PIPE, start_new_session=True)
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            start_new_session=True,
+        )
         os.set_blocking(self.process.stdout.fileno(), False)
         os.set_blocking(self.process.stdin.fileno(), False)
 
@@ -130,8 +133,9 @@
 def serve(folder: str) -> None:
     """The flushing process: lines of a number and names in, the number and what failed out, until the end."""
     import signal
+
     for number in (signal.SIGHUP, signal.SIGINT, signal.SIGTERM):
-        signal.signal(number, signal.SIG_IGN)   # it ends with its pipe, after what was asked for
+        signal.signal(number, signal.SIG_IGN)  # it ends with its pipe, after what was asked for
     at, handles = os.open(folder, os.O_RDONLY | os.O_DIRECTORY), {}
     for line in sys.stdin.buffer:
         token, *names = line.decode().split()
@@ -142,7 +146,7 @@
                     os.fsync(at)
                     continue
                 if name not in handles:
-                    while len(handles) >= 8:   # logs and tables come and go
+                    while len(handles) >= 8:  # logs and tables come and go
                         os.close(handles.pop(next(iter(handles))))
                     handles[name] = os.open(name, os.O_RDWR, dir_fd=at)
                 os.fdatasync(handles[name])
@@ -151,7 +155,7 @@
                 break
         try:
             os.write(sys.stdout.fileno(), f"{token} {problem}\n".encode())
-        except BrokenPipeError:   # who asked has gone
+        except BrokenPipeError:  # who asked has gone
             return
 
 
--- a/bramblewood/store/frames.py
+++ b/bramblewood/store/frames.py
@@ -7,20 +7,20 @@
 from google_crc32c import extend
 from google_crc32c import value as crc32c
 
-VERSION = 1               # of all files; a file of a higher one is refused untouched
+VERSION = 1  # of all files; a file of a higher one is refused untouched
 MAGIC = b"BWSTORE\n"
-LOG, TABLE, MANIFEST, WITNESS = 1, 2, 3, 4                      # kinds of file
+LOG, TABLE, MANIFEST, WITNESS = 1, 2, 3, 4  # kinds of file
 BATCH, BLOCK, INDEX, FILTER, FOOTER, LISTING = 1, 2, 3, 4, 5, 6  # kinds of frame
-SQUEEZED = 1              # flag of a frame: its payload is compressed by zstandard
-LONGEST_KEY = 1 << 12     # bytes; keys are names, and one must never fill a block
-LONGEST_BATCH = 1 << 24   # bytes of a batch as it is written
-LONGEST_FRAME = 1 << 28   # bytes of a payload; a length above it is no length
-OVERHEAD = 8              # bytes of an operation beside its key and value, about
+SQUEEZED = 1  # flag of a frame: its payload is compressed by zstandard
+LONGEST_KEY = 1 << 12  # bytes; keys are names, and one must never fill a block
+LONGEST_BATCH = 1 << 24  # bytes of a batch as it is written
+LONGEST_FRAME = 1 << 28  # bytes of a payload; a length above it is no length
+OVERHEAD = 8  # bytes of an operation beside its key and value, about
 HEAD = struct.Struct("<8sHHI16sQQQQI24xI")
 FRAME = struct.Struct("<IBBHQII")
 SLOT = struct.Struct("<8sHHI16sQQQQQId8xI")
-SLOT_AT = (0, 4096)       # offsets of the two witnesses; far enough that one torn page leaves the other
-FIRST = 12                # bytes of a head that its first checksum covers, in every version
+SLOT_AT = (0, 4096)  # offsets of the two witnesses; far enough that one torn page leaves the other
+FIRST = 12  # bytes of a head that its first checksum covers, in every version
 
 Operation = tuple[bytes, bytes | None, int]  # key, value or None for a deletion, expiry in ms (0: never)
 ENCODER = msgspec.msgpack.Encoder()
@@ -41,13 +41,14 @@
 
 class Head(NamedTuple):
     """How a file begins. prior, prior_end and chain tie a log to the one before it."""
+
     kind: int
     store: bytes
     number: int
-    first: int = 0       # log, table: sequence number of the first batch; manifest: generation
-    prior: int = 0       # log: number of the log before it, 0 for none; table: last sequence number
-    prior_end: int = 0   # log: where the frames of that one end
-    chain: int = 0       # log: checksum of the last frame of that one
+    first: int = 0  # log, table: sequence number of the first batch; manifest: generation
+    prior: int = 0  # log: number of the log before it, 0 for none; table: last sequence number
+    prior_end: int = 0  # log: where the frames of that one end
+    chain: int = 0  # log: checksum of the last frame of that one
 
 
 def checked_bytes(form: struct.Struct, kind: int, fields: tuple) -> bytes:
@@ -63,7 +64,7 @@
     if len(data) < form.size:
         raise Spoilt(f"{what} cut short")
     fields = form.unpack_from(data)
-    if crc32c(data[:form.size - 4]) != fields[-1]:
+    if crc32c(data[: form.size - 4]) != fields[-1]:
         raise Spoilt(f"{what} damaged")
     return fields[4:-1]
 
@@ -94,8 +95,8 @@
     flags: int
     number: int
     payload: bytes
-    check: int   # the checksum, which chains the next frame to this one
-    end: int     # offset behind it
+    check: int  # the checksum, which chains the next frame to this one
+    end: int  # offset behind it
 
 
 def frame_bytes(kind: int, number: int, chain: int, payload: bytes, flags: int = 0) -> tuple[bytes, int]:
@@ -115,8 +116,8 @@
     end = offset + FRAME.size + length
     if len(data) < end:
         raise Spoilt("cut short")
-    payload = bytes(data[offset + FRAME.size:end])
-    if extend(crc32c(bytes(data[offset:offset + FRAME.size - 4])), payload) != check:
+    payload = bytes(data[offset + FRAME.size : end])
+    if extend(crc32c(bytes(data[offset : offset + FRAME.size - 4])), payload) != check:
         raise Spoilt("checksum differs")
     if chain is not None and before != chain:
         raise Spoilt("does not follow the frame before it")
@@ -127,7 +128,7 @@
     """The first sound frame behind a damaged one, by its number: one of the next `most` above this one."""
     for number in range(above + 1, above + 1 + most):
         mark = struct.pack("<HQ", 0, number)
-        at = data.find(mark, offset + 6)   # the mark stands six bytes into a frame
+        at = data.find(mark, offset + 6)  # the mark stands six bytes into a frame
         while at >= 0:
             try:
                 return at - 6, frame_at(data, at - 6)
@@ -150,14 +151,15 @@
 
 class Witness(NamedTuple):
     """What was promised, kept apart from the log: up to which batch, and where it ends."""
+
     store: bytes
-    count: int       # goes up with each one written; the higher of two holds
+    count: int  # goes up with each one written; the higher of two holds
     generation: int  # of the manifest
-    log: int         # number of the log that holds the last promised batch
-    end: int         # offset behind that batch
-    number: int      # its sequence number
-    chain: int       # its checksum
-    at: float        # s, when, by the handed-in clock
+    log: int  # number of the log that holds the last promised batch
+    end: int  # offset behind that batch
+    number: int  # its sequence number
+    chain: int  # its checksum
+    at: float  # s, when, by the handed-in clock
 
 
 def witness_bytes(witness: Witness) -> bytes:
--- a/bramblewood/store/layers.py
+++ b/bramblewood/store/layers.py
@@ -8,7 +8,7 @@
 from .frames import Operation
 from .table import Hole
 
-RUN = 1000   # keys sorted or let go in one step of background work; a quarter of a millisecond
+RUN = 1000  # keys sorted or let go in one step of background work; a quarter of a millisecond
 
 
 class Held:
@@ -17,9 +17,9 @@
     def __init__(self) -> None:
         self.operations: dict[bytes, Operation] = {}
         self.ordered: list[bytes] = []
-        self.runs: list[list[bytes]] = []   # its keys, sorted in parts
-        self.size = 0   # bytes told, replaced ones too
-        self.pins = 0   # snapshots that read it
+        self.runs: list[list[bytes]] = []  # its keys, sorted in parts
+        self.size = 0  # bytes told, replaced ones too
+        self.pins = 0  # snapshots that read it
 
     def put(self, operations: Iterable[Operation], size: int) -> None:
         """size: bytes of the operations as they are written."""
@@ -34,7 +34,7 @@
         return self.operations.get(key)
 
     def keys(self) -> list[bytes]:
-        if len(self.ordered) != len(self.operations):   # keys are never taken out
+        if len(self.ordered) != len(self.operations):  # keys are never taken out
             self.ordered = sorted(self.operations)
         return self.ordered
 
@@ -43,7 +43,7 @@
         keys, runs = list(self.operations), []
         yield None
         for at in range(0, len(keys), RUN):
-            runs.append(sorted(keys[at:at + RUN]))
+            runs.append(sorted(keys[at : at + RUN]))
             yield None
         self.runs = runs
 
@@ -59,15 +59,16 @@
     def scan(self, begin: bytes = b"", end: bytes | None = None) -> Iterator[Operation]:
         """As it stands at the call: a layer that is written to meanwhile is scanned by a copy of its keys."""
         runs = self.runs or [self.keys()]
-        runs = [run[bisect_left(run, begin):] for run in runs] if begin else runs
+        runs = [run[bisect_left(run, begin) :] for run in runs] if begin else runs
         for key in heapq.merge(*runs) if len(runs) > 1 else runs[0]:
             if end is not None and key >= end:
                 return
             yield self.operations[key]
 
 
-def merged(layers: Sequence[Any], begin: bytes = b"", end: bytes | None = None,
-           holes: list[Hole] | None = None) -> Iterator[Operation]:
+def merged(
+    layers: Sequence[Any], begin: bytes = b"", end: bytes | None = None, holes: list[Hole] | None = None
+) -> Iterator[Operation]:
     """Each key once, in order, as its newest layer has it, deletions included.
 
     A hole hides what older layers say of its keys: the newer value is unknown, and is never guessed. Holes
@@ -80,8 +81,9 @@
             yield (max(found.begin, begin) if isinstance(found, Hole) else found[0]), depth, found
 
     last = None
-    for key, depth, found in heapq.merge(*(entries(depth, layer) for depth, layer in enumerate(layers)),
-                                         key=lambda entry: entry[:2]):
+    for key, depth, found in heapq.merge(
+        *(entries(depth, layer) for depth, layer in enumerate(layers)), key=lambda entry: entry[:2]
+    ):
         if isinstance(found, Hole):
             hiding = [(d, hole) for d, hole in hiding if hole.end is None or hole.end > key]
             hiding.append((depth, found))
--- a/bramblewood/store/plan.py
+++ b/bramblewood/store/plan.py
@@ -8,25 +8,26 @@
 
 from .sketch import distinct
 
-SEAL_BYTES = 4 << 20     # bytes of operations in memory after which they become a table; read anew in 0.1 s
-SEAL_LOGS = 16           # logs after which the same is done: a manager that restarts often writes short ones
-LOG_BYTES = 1 << 20      # bytes of a log before the next is begun; a damaged one costs no more than that
-ALIKE = 4.0              # times that a table may outgrow its neighbour and still be merged with it
-FEWEST = 4               # tables merged at once; fewer rewrite the same bytes too often
-MOST = 12                # tables in all above which neighbours are merged whatever their sizes
-WASTE = 0.5              # share of a run's operations that is void, by estimate, above which two are merged
-WAITS = (0.5, 30.0)      # s before a failed disc is tried again: first, longest; doubled between
-MOST_DOUBLED = 16        # doublings; any first wait is past the longest by then
+SEAL_BYTES = 4 << 20  # bytes of operations in memory after which they become a table; read anew in 0.1 s
+SEAL_LOGS = 16  # logs after which the same is done: a manager that restarts often writes short ones
+LOG_BYTES = 1 << 20  # bytes of a log before the next is begun; a damaged one costs no more than that
+ALIKE = 4.0  # times that a table may outgrow its neighbour and still be merged with it
+FEWEST = 4  # tables merged at once; fewer rewrite the same bytes too often
+MOST = 12  # tables in all above which neighbours are merged whatever their sizes
+WASTE = 0.5  # share of a run's operations that is void, by estimate, above which two are merged
+WAITS = (0.5, 30.0)  # s before a failed disc is tried again: first, longest; doubled between
+MOST_DOUBLED = 16  # doublings; any first wait is past the longest by then
 
 
 class Table(NamedTuple):
     """What the plan knows of a table; in order of age, oldest first."""
+
     number: int
-    size: int        # bytes of the file
-    entries: int     # operations in it, deletions included
+    size: int  # bytes of the file
+    entries: int  # operations in it, deletions included
     deletions: int
     sound: bool = True
-    sketch: tuple[int, ...] = ()   # the smallest hashes of its keys; empty where they can't be read
+    sketch: tuple[int, ...] = ()  # the smallest hashes of its keys; empty where they can't be read
 
 
 def seal_due(held: int, logs: int) -> bool:
@@ -47,7 +48,7 @@
     for first, last in sound_runs(tables):
         for begin in range(first, last):
             end = begin + 1
-            while end < last and alike(tables[begin:end + 1]):
+            while end < last and alike(tables[begin : end + 1]):
                 end += 1
             if end - begin >= FEWEST:
                 cost = sum(table.size for table in tables[begin:end]) / (end - begin)
--- a/bramblewood/store/port.py
+++ b/bramblewood/store/port.py
@@ -5,8 +5,8 @@
 import os
 from typing import Protocol
 
-LOCK = "lock"   # file that one process at a time holds; the system lets go of it when that process ends
-MODE = 0o640    # of new files: readers of the group may make copies
+LOCK = "lock"  # file that one process at a time holds; the system lets go of it when that process ends
+MODE = 0o640  # of new files: readers of the group may make copies
 
 
 class Port(Protocol):
--- a/bramblewood/store/recovery.py
+++ b/bramblewood/store/recovery.py
@@ -15,8 +15,8 @@
 from .table import Table, name_of
 
 WITNESS = "witness"
-Log = tuple[int, bytes, Head | None]   # number, bytes, and the head unless that is damaged
-LISTED = struct.Struct("<QQQdI")    # of a manifest: next number, sealed batch, first log, time, tables
+Log = tuple[int, bytes, Head | None]  # number, bytes, and the head unless that is damaged
+LISTED = struct.Struct("<QQQdI")  # of a manifest: next number, sealed batch, first log, time, tables
 LISTED_TABLE = struct.Struct("<QQQQQ")  # number, size, operations, first batch, last batch
 NAMES = re.compile(r"(\d{8})\.(log|table|manifest)")
 
@@ -27,10 +27,11 @@
 
 class Damage(NamedTuple):
     """Something that was promised and is not as it was, or, if `kept`, only its second copy is."""
+
     file: str
     offset: int
     what: str
-    kept: bool = False   # nothing is lost by it
+    kept: bool = False  # nothing is lost by it
 
     def __str__(self) -> str:
         return f"{self.file} at {self.offset}: {self.what}" + (" (nothing lost)" if self.kept else "")
@@ -39,15 +40,16 @@
 class Manifest(NamedTuple):
     store: bytes
     generation: int
-    next_number: int   # of files
-    sealed: int        # batches up to this one are in tables
-    first_log: int     # logs from this one on are read
-    at: float          # s, when it was written
+    next_number: int  # of files
+    sealed: int  # batches up to this one are in tables
+    first_log: int  # logs from this one on are read
+    at: float  # s, when it was written
     tables: tuple[tuple[int, int, int, int, int], ...]
 
 
 class End(NamedTuple):
     """Where the sound part of a log ends."""
+
     log: int
     end: int
     chain: int
@@ -56,19 +58,19 @@
 class Found(NamedTuple):
     manifest: Manifest | None
     witness: Witness | None
-    tables: list[Table]        # oldest first
-    held: Held                 # what the logs tell beyond the tables
-    number: int                # the last batch
+    tables: list[Table]  # oldest first
+    held: Held  # what the logs tell beyond the tables
+    number: int  # the last batch
     end: End | None
-    at: float                  # s, the latest time that the folder knows
+    at: float  # s, the latest time that the folder knows
     next_number: int
-    logs: list[str]            # names of those that were read
+    logs: list[str]  # names of those that were read
     damages: list[Damage]
-    dropped: list[str]         # what was never promised
-    strangers: list[str]       # files that are none of the store's
-    spent: list[str]           # its files that nothing needs any more
-    spoilt: list[str]          # damaged files whose sound part is in `held` or in another file
-    slot: int = 1              # which of the two witnesses holds
+    dropped: list[str]  # what was never promised
+    strangers: list[str]  # files that are none of the store's
+    spent: list[str]  # its files that nothing needs any more
+    spoilt: list[str]  # damaged files whose sound part is in `held` or in another file
+    slot: int = 1  # which of the two witnesses holds
 
     @property
     def layers(self) -> list:
@@ -86,10 +88,11 @@
 
 def manifest_bytes(manifest: Manifest) -> bytes:
     head = frames.head_bytes(Head(frames.MANIFEST, manifest.store, manifest.generation))
-    payload = LISTED.pack(manifest.next_number, manifest.sealed, manifest.first_log, manifest.at,
-                          len(manifest.tables))
+    payload = LISTED.pack(
+        manifest.next_number, manifest.sealed, manifest.first_log, manifest.at, len(manifest.tables)
+    )
     payload += b"".join(LISTED_TABLE.pack(*table) for table in manifest.tables)
-    chain, = struct.unpack("<I", head[-4:])
+    (chain,) = struct.unpack("<I", head[-4:])
     return head + frames.frame_bytes(frames.LISTING, manifest.generation, chain, payload)[0]
 
 
@@ -99,8 +102,9 @@
     if head.number != generation or frame.kind != frames.LISTING or frame.end != len(data):
         raise Spoilt("not the manifest that its name says")
     *fields, count = LISTED.unpack_from(frame.payload)
-    tables = tuple(LISTED_TABLE.unpack_from(frame.payload, LISTED.size + k * LISTED_TABLE.size)
-                   for k in range(count))
+    tables = tuple(
+        LISTED_TABLE.unpack_from(frame.payload, LISTED.size + k * LISTED_TABLE.size) for k in range(count)
+    )
     return Manifest(head.store, generation, *fields, tables)
 
 
@@ -144,7 +148,7 @@
         try:
             handle = self.port.open(name)
         except OSError:
-            return   # met again where it is needed
+            return  # met again where it is needed
         try:
             frames.begins(self.port.read(handle, 0, frames.FIRST + 4), kind)
         except Newer as problem:
@@ -164,9 +168,9 @@
             self.damage(WITNESS, 0, f"can't be read: {problem.strerror}", kept=True)
         for slot, offset in enumerate(frames.SLOT_AT):
             try:
-                found.append((frames.witness_of(data[offset:offset + frames.SLOT.size]), slot))
+                found.append((frames.witness_of(data[offset : offset + frames.SLOT.size]), slot))
             except Spoilt as problem:
-                if any(data[offset:offset + frames.SLOT.size]):
+                if any(data[offset : offset + frames.SLOT.size]):
                     self.damage(WITNESS, offset, f"{problem}; the other copy holds", kept=True)
         best, self.slot = max(found, key=lambda witness: witness[0].count, default=(None, 1))
         return best
@@ -209,15 +213,21 @@
                 self.damage(name, 0, f"can't be used: {worse}")
                 return Table.lost(self.port, number, str(worse))
             kept = not found.holes and found.summary.entries == entries
-            self.damage(name, found.holes[0].offset if found.holes else 0, f"{problem}; {entries} operations "
-                        f"listed, {found.summary.entries} read by its blocks", kept)
+            self.damage(
+                name,
+                found.holes[0].offset if found.holes else 0,
+                f"{problem}; {entries} operations listed, {found.summary.entries} read by its blocks",
+                kept,
+            )
             return found
 
     def tables(self, manifest: Manifest | None) -> list[Table]:
         if manifest:
-            return [self.table(number, size, entries, manifest.store)
-                    for number, size, entries, _, _ in manifest.tables]
-        found = []   # no manifest at all: the tables that cover most, each batch once
+            return [
+                self.table(number, size, entries, manifest.store)
+                for number, size, entries, _, _ in manifest.tables
+            ]
+        found = []  # no manifest at all: the tables that cover most, each batch once
         for number in sorted(self.by_kind["table"]):
             try:
                 found.append(Table.opened(self.port, number))
@@ -225,8 +235,10 @@
                 self.dropped.append(f"{name_of(number)}: no whole table, and no manifest lists it")
         taken: list[Table] = []
         for table in sorted(found, key=lambda t: (t.summary.first - t.summary.last, -t.number)):
-            if any(table.summary.first <= other.summary.last and other.summary.first <= table.summary.last
-                   for other in taken):
+            if any(
+                table.summary.first <= other.summary.last and other.summary.first <= table.summary.last
+                for other in taken
+            ):
                 table.close()
             else:
                 taken.append(table)
@@ -265,8 +277,9 @@
             due = log[2].prior if log[2] else None
         return kept[::-1]
 
-    def logs(self, first: int, sealed: int, store: bytes, witness: Witness | None, fresh_first: bool
-             ) -> tuple[Held, int, End | None, list[str]]:
+    def logs(
+        self, first: int, sealed: int, store: bytes, witness: Witness | None, fresh_first: bool
+    ) -> tuple[Held, int, End | None, list[str]]:
         held, last, names, end = Held(), sealed, [], None
         logs = self.heads(first, store, witness)
         if logs and logs[0][2] and logs[0][2].prior >= first:
@@ -301,8 +314,17 @@
             self.damage(log_name(witness.log), 0, f"ends with batch {last}, promised up to {witness.number}")
         return held, max(last, witness.number if witness else 0), end, names
 
-    def _walk(self, name: str, data: bytes, head: Head | None, promised: int, limit: int, held: Held,
-              last: int, sealed: int) -> tuple[int, int, int]:
+    def _walk(
+        self,
+        name: str,
+        data: bytes,
+        head: Head | None,
+        promised: int,
+        limit: int,
+        held: Held,
+        last: int,
+        sealed: int,
+    ) -> tuple[int, int, int]:
         """Apply the batches of one log; the last batch, its checksum, and where the sound part ends."""
         offset = frames.HEAD.size
         chain = struct.unpack_from("<I", data, offset - 4)[0] if head else None
@@ -333,7 +355,7 @@
                 if frame.kind != frames.BATCH:
                     raise Spoilt(f"a frame of kind {frame.kind}")
                 operations = frames.operations_of(frame.payload)
-            except Spoilt as problem:   # written so, by a defect: its checksum is right
+            except Spoilt as problem:  # written so, by a defect: its checksum is right
                 self.damage(name, offset, f"{problem}; batch {frame.number} lost")
                 self.spoilt.append(name)
                 operations = []
@@ -356,9 +378,13 @@
         if manifest and witness and witness.store != manifest.store:
             reading.damage(WITNESS, 0, "of another store")
             witness = None
-        if manifest is None and (witness is None or not witness.number) and not reading.by_kind["table"] and (
-                not has_batches(reading)):
-            return None   # never made, or its making was cut short: nothing was promised
+        if (
+            manifest is None
+            and (witness is None or not witness.number)
+            and not reading.by_kind["table"]
+            and (not has_batches(reading))
+        ):
+            return None  # never made, or its making was cut short: nothing was promised
         return _read(reading, witness, manifest)
     except OSError as problem:
         raise Refused(f"{problem.filename or 'the folder'}: {problem.strerror}") from None
@@ -371,8 +397,11 @@
 
 def _read(reading: Reading, witness: Witness | None, manifest: Manifest | None) -> Found:
     if manifest is None:
-        reading.damage(manifest_name(witness.generation if witness else 0), 0,
-                       "no manifest can be read; tables are taken by what they cover")
+        reading.damage(
+            manifest_name(witness.generation if witness else 0),
+            0,
+            "no manifest can be read; tables are taken by what they cover",
+        )
     if witness is None:
         reading.damage(WITNESS, 0, "no witness can be read", kept=True)
     tables = reading.tables(manifest)
@@ -381,9 +410,9 @@
         first, sealed = manifest.first_log, manifest.sealed
     else:
         first, sealed = 0, max((table.summary.last for table in tables), default=0)
-    held, number, end, logs = reading.logs(first, sealed, store, witness,
-                                           manifest is not None and witness is not None
-                                           and witness.log < first)
+    held, number, end, logs = reading.logs(
+        first, sealed, store, witness, manifest is not None and witness is not None and witness.log < first
+    )
     numbers = [n for names in reading.by_kind.values() for n in names]
     before = manifest.generation - 1 if manifest else 0
     needed = {name_of(table.number) for table in tables} | set(logs)
@@ -394,11 +423,31 @@
             needed |= {name_of(number) for number, *_ in older.tables}
             needed |= {log_name(n) for n in reading.by_kind["log"] if n >= older.first_log}
         except (Spoilt, OSError):
-            pass   # what an unreadable one before the newest needed is not known, and not needed
-    spent = [name for names in reading.by_kind.values() for name in names.values()
-             if name not in needed and name not in reading.spoilt] if manifest else []
-    return Found(manifest, witness, tables, held, number, end,
-                 max(manifest.at if manifest else 0.0, witness.at if witness else 0.0),
-                 max([manifest.next_number if manifest else 1, *(n + 1 for n in numbers)]), logs,
-                 reading.damages, reading.dropped, reading.strangers, spent,
-                 list(dict.fromkeys(reading.spoilt)), reading.slot)
+            pass  # what an unreadable one before the newest needed is not known, and not needed
+    spent = (
+        [
+            name
+            for names in reading.by_kind.values()
+            for name in names.values()
+            if name not in needed and name not in reading.spoilt
+        ]
+        if manifest
+        else []
+    )
+    return Found(
+        manifest,
+        witness,
+        tables,
+        held,
+        number,
+        end,
+        max(manifest.at if manifest else 0.0, witness.at if witness else 0.0),
+        max([manifest.next_number if manifest else 1, *(n + 1 for n in numbers)]),
+        logs,
+        reading.damages,
+        reading.dropped,
+        reading.strangers,
+        spent,
+        list(dict.fromkeys(reading.spoilt)),
+        reading.slot,
+    )
--- a/bramblewood/store/sketch.py
+++ b/bramblewood/store/sketch.py
@@ -5,9 +5,9 @@
 
 from xxhash import xxh3_64_intdigest as hash_of  # 64 bits of a key; stored, so the function never changes
 
-BITS = 10        # of a filter for each key; with four probes about one absent key in 80 is taken for present
+BITS = 10  # of a filter for each key; with four probes about one absent key in 80 is taken for present
 PROBES = 4
-KEPT = 256       # smallest hashes kept by a sketch; its estimate is off by a sixteenth, one time in three
+KEPT = 256  # smallest hashes kept by a sketch; its estimate is off by a sixteenth, one time in three
 SPAN = 1 << 64
 
 __all__ = ["Filter", "Sketch", "distinct", "hash_of"]
@@ -44,7 +44,7 @@
     """The smallest hashes of a set of keys (k minimum values); those of many sets add up to their union's."""
 
     def __init__(self) -> None:
-        self.heap: list[int] = []   # negated, so that the largest kept one is at hand
+        self.heap: list[int] = []  # negated, so that the largest kept one is at hand
 
     def add(self, hashed: int) -> None:
         heap = self.heap
--- a/bramblewood/store/store.py
+++ b/bramblewood/store/store.py
@@ -17,13 +17,13 @@
 from .recovery import Damage, Manifest, Refused, log_name, manifest_name
 from .table import Hole, Table, build, name_of
 
-SPOILT = ".damaged"        # what is put behind the name of a file that is set aside
-WITNESS_AFTER = 1.0        # s at most that a promise's second witness itself may be lost with the power
-UNPROMISED = 8 << 20       # bytes that wait for a promise, above which they are folded to one batch
-CLOSING, CLOSING_WAIT = 8, 0.025   # looks, and s for each, at a stop that waits for a flush: 0.4 s at most
-LAYERS = 8                 # of memory, above which those below the newest are joined: reads ask each in turn
-DAMAGE = b"\0damage\0"     # before the time, key of a damage that was found and healed; the value says what
-WAITING = "waiting"        # what a step of background work yields while a flush is out
+SPOILT = ".damaged"  # what is put behind the name of a file that is set aside
+WITNESS_AFTER = 1.0  # s at most that a promise's second witness itself may be lost with the power
+UNPROMISED = 8 << 20  # bytes that wait for a promise, above which they are folded to one batch
+CLOSING, CLOSING_WAIT = 8, 0.025  # looks, and s for each, at a stop that waits for a flush: 0.4 s at most
+LAYERS = 8  # of memory, above which those below the newest are joined: reads ask each in turn
+DAMAGE = b"\0damage\0"  # before the time, key of a damage that was found and healed; the value says what
+WAITING = "waiting"  # what a step of background work yields while a flush is out
 MS = 1000.0
 
 
@@ -33,12 +33,14 @@
 
 class Notice(NamedTuple):
     """Something for the people on call: a few words, and what it concerns."""
+
     what: str
     more: dict
 
 
 class Waiting(NamedTuple):
     """A batch that is not promised yet."""
+
     number: int
     payload: bytes
 
@@ -100,22 +102,28 @@
 class Store:
     """Opens a folder, made where it is new. Raises Refused; OSError where the disc refuses from the start."""
 
-    def __init__(self, port: Port, clock: Callable[[], float], flusher: Flusher | None = None,
-                 new_id: Callable[[], bytes] = lambda: os.urandom(16), must_exist: bool = False) -> None:
+    def __init__(
+        self,
+        port: Port,
+        clock: Callable[[], float],
+        flusher: Flusher | None = None,
+        new_id: Callable[[], bytes] = lambda: os.urandom(16),
+        must_exist: bool = False,
+    ) -> None:
         self.port, self.clock, self.flusher = port, clock, flusher or InLoop(port)
         self.notices: deque[Notice] = deque(maxlen=64)
-        self.waiting: deque[Waiting] = deque()   # not written to a log yet
-        self.flying: deque[Waiting] = deque()    # written, its flush not done
-        self.flight: int | None = None           # the flush of a log that is out
+        self.waiting: deque[Waiting] = deque()  # not written to a log yet
+        self.flying: deque[Waiting] = deque()  # written, its flush not done
+        self.flight: int | None = None  # the flush of a log that is out
         self.witness_flight: int | None = None
         self.finished: dict[int, str | None] = {}  # of other flushes: how they ended
         self.failures, self.retry_at, self.trouble = 0, 0.0, ""
-        self.log: int | None = None              # handle of the log that is written
-        self.old_logs: list[tuple[int, str]] = []   # logs that the next seal makes void
-        self.spent: list[tuple[int, str]] = []   # (generation that needs it no more, name)
+        self.log: int | None = None  # handle of the log that is written
+        self.old_logs: list[tuple[int, str]] = []  # logs that the next seal makes void
+        self.spent: list[tuple[int, str]] = []  # (generation that needs it no more, name)
         self.background: Iterator | None = None
-        self.considered: list[Table] | None = None   # the tables that were looked at for a merge, in vain
-        self.written_bytes = 0                   # by this process, all files
+        self.considered: list[Table] | None = None  # the tables that were looked at for a merge, in vain
+        self.written_bytes = 0  # by this process, all files
         if not port.lock():
             raise Refused("another process has the folder open")
         try:
@@ -134,7 +142,7 @@
     def _create(self, store: bytes) -> None:
         for name in self.port.names():
             if recovery.NAMES.fullmatch(name) or name == recovery.WITNESS:
-                self.port.remove(name)   # of a creation that was cut short: nothing was ever promised
+                self.port.remove(name)  # of a creation that was cut short: nothing was ever promised
         self.store, self.number, self.promised, self.latest = store, 0, 0, self.clock()
         self.held, self.frozen, self.tables, self.end = Held(), [], [], None
         self.manifest = Manifest(store, 0, 1, 0, 1, self.latest, ())
@@ -144,7 +152,7 @@
         self._put_witness()
         self._flush_witness()
         self.port.flush_folder()
-        for _ in range(2):   # two, so that the loss of one is none
+        for _ in range(2):  # two, so that the loss of one is none
             self._write_manifest()
         self.fresh = True
 
@@ -156,11 +164,17 @@
         self.latest, self.end = max(found.at, self.clock()), found.end
         generations = [int(name[:8]) for name in self.port.names() if name.endswith(".manifest")]
         generation = max([0, *generations, found.witness.generation if found.witness else 0])
-        store = found.manifest.store if found.manifest else found.witness.store if found.witness else (
-            os.urandom(16))
+        store = (
+            found.manifest.store
+            if found.manifest
+            else found.witness.store
+            if found.witness
+            else (os.urandom(16))
+        )
         first_log = found.manifest.first_log if found.manifest else 0
         self.manifest = (found.manifest or Manifest(store, generation, 1, 0, 0, self.latest, ()))._replace(
-            next_number=found.next_number, generation=generation, first_log=first_log)
+            next_number=found.next_number, generation=generation, first_log=first_log
+        )
         self.store = store
         witness = found.witness or Witness(store, 0, generation, 0, 0, 0, 0, self.latest)
         self.witness = witness._replace(store=store)
@@ -172,7 +186,7 @@
             if found.end and found.logs:
                 handle = self.port.open(log_name(found.end.log))
                 try:
-                    self.port.flush(handle)   # read from the cache, it may not be on the disc yet
+                    self.port.flush(handle)  # read from the cache, it may not be on the disc yet
                 finally:
                     self.port.close(handle)
                 self._witness_end()
@@ -183,15 +197,18 @@
                 self.spent.append((generation + 1, before))
             needed = {name_of(table.number) for table in self.tables} | {recovery.WITNESS, *found.logs}
             needed |= {manifest_name(generation), before}
-            self.spent += [(generation + 1, name) for name in self.port.names()
-                           if recovery.NAMES.fullmatch(name) and name not in needed]
+            self.spent += [
+                (generation + 1, name)
+                for name in self.port.names()
+                if recovery.NAMES.fullmatch(name) and name not in needed
+            ]
             return
         self._heal(found)
 
     def _heal(self, found: recovery.Found) -> None:
         """Write what is sound of damaged logs to a table, list it, then set the damaged files aside."""
         lost = [str(damage) for damage in found.damages if not damage.kept]
-        if lost:   # told again at the next start too, till whoever reads it has acted on it
+        if lost:  # told again at the next start too, till whoever reads it has acted on it
             what = DAMAGE + b"%020d" % int(self.latest * MS), "; ".join(lost).encode(), 0
             self.held.put([what], len(what[1]))
         self.manifest = self.manifest._replace(first_log=self.manifest.next_number)
@@ -211,7 +228,7 @@
                 self.port.rename(name, self._aside(name))
             elif name in self.port.names():
                 self.port.remove(name)
-        for name in self.port.names():   # manifests that could not be read, or are older than two
+        for name in self.port.names():  # manifests that could not be read, or are older than two
             match = recovery.NAMES.fullmatch(name)
             if match and match[2] == "manifest" and int(match[1]) < self.manifest.generation - 1:
                 self.port.remove(name)
@@ -230,7 +247,7 @@
         self.witness_dirty = self.witness_late = False
         self.witness_flushed, self.witness_slot = self.latest, 1 - slot if create else slot
         if not create:
-            self._flush_witness()   # what was read may be in the cache alone; then the other is written
+            self._flush_witness()  # what was read may be in the cache alone; then the other is written
 
     # --- writing ------------------------------------------------------------------------------------
 
@@ -306,8 +323,11 @@
             else:
                 self.finished[token] = problem
         now = self.time()
-        if self.witness_dirty and self.witness_flight is None and (
-                now >= self.witness_flushed + WITNESS_AFTER):
+        if (
+            self.witness_dirty
+            and self.witness_flight is None
+            and (now >= self.witness_flushed + WITNESS_AFTER)
+        ):
             self.witness_flushed = now
             self.witness_flight = self.flusher.begin([(recovery.WITNESS, self.witness_handle)])
 
@@ -326,13 +346,14 @@
 
     def _witness_end(self) -> None:
         if self.end:
-            self.witness = self.witness._replace(log=self.end.log, end=self.end.end, number=self.promised,
-                                                 chain=self.end.chain)
+            self.witness = self.witness._replace(
+                log=self.end.log, end=self.end.end, number=self.promised, chain=self.end.chain
+            )
 
     def _put_witness(self) -> None:
         """Write it over the one of two that was not flushed last: a torn one must leave the other."""
         self.witness = self.witness._replace(count=self.witness.count + 1, at=self.latest)
-        self.witness_late = self.witness_flight is not None   # then once that flush is done
+        self.witness_late = self.witness_flight is not None  # then once that flush is done
         if not self.witness_late:
             data = frames.witness_bytes(self.witness)
             self.port.write(self.witness_handle, frames.SLOT_AT[self.witness_slot], data)
@@ -377,7 +398,7 @@
         if self.log is not None:
             self.port.close(self.log)
             self.log = None
-            if self.end is None or self.end.log != self.log_number:   # nothing in it was ever promised
+            if self.end is None or self.end.log != self.log_number:  # nothing in it was ever promised
                 self._try_remove(log_name(self.log_number))
         self.failures += 1
         self.retry_at = self.time() + plan.wait_after(self.failures)
@@ -399,7 +420,7 @@
         try:
             self.port.remove(name)
         except OSError:
-            pass   # it goes at a later start
+            pass  # it goes at a later start
         self.old_logs = [log for log in self.old_logs if log[1] != name]
 
     # --- reading ------------------------------------------------------------------------------------
@@ -430,6 +451,7 @@
         def scanned() -> Iterator[tuple[bytes, bytes]]:
             with snapshot:
                 yield from snapshot.scan(prefix)
+
         return scanned()
 
     # --- background work ----------------------------------------------------------------------------
@@ -445,15 +467,16 @@
         if plan.seal_due(size, len(self.old_logs)) and not self.waiting:
             self.background = self._guarded(self._seal_now())
         elif self.tables is not self.considered:
-            self.considered = self.tables   # the list is made anew whenever a table comes or goes
+            self.considered = self.tables  # the list is made anew whenever a table comes or goes
             if run := plan.merge([self._planned(table) for table in self.tables]):
                 self.background = self._guarded(self._merge(*run))
         return self.background
 
     def _planned(self, table: Table) -> plan.Table:
         deletions = table.summary.deletions
-        return plan.Table(table.number, table.size, table.summary.entries, deletions,
-                          not table.holes, tuple(table.sketch))
+        return plan.Table(
+            table.number, table.size, table.summary.entries, deletions, not table.holes, tuple(table.sketch)
+        )
 
     def compact(self) -> Iterator:
         """Seal what is in memory and merge all that is sound, in steps."""
@@ -478,7 +501,7 @@
 
     def _seal_now(self) -> Iterator:
         """Freeze what is held, begin a log with the next batch, and write the frozen layers to a table."""
-        while self.waiting:   # a flush that is out may stay so: if it fails, its batches go to the next log
+        while self.waiting:  # a flush that is out may stay so: if it fails, its batches go to the next log
             self.commit()
             if self.trouble:
                 raise OSError(0, self.trouble)
@@ -527,11 +550,12 @@
         if holes:
             table.close()
             self.port.remove(table.name)
-            self.notices.append(Notice("damaged block found", {"where": str(holes[0].table),
-                                                               "offset": holes[0].offset}))
+            self.notices.append(
+                Notice("damaged block found", {"where": str(holes[0].table), "offset": holes[0].offset})
+            )
             return
         at_first = next(k for k, old in enumerate(self.tables) if old is run[0])
-        self.tables = [*self.tables[:at_first], table, *self.tables[at_first + len(run):]]
+        self.tables = [*self.tables[:at_first], table, *self.tables[at_first + len(run) :]]
         for old in run:
             old.doomed = True
             if not old.pins:
@@ -582,8 +606,9 @@
 
     def _begin_manifest(self) -> int:
         generation = self.manifest.generation + 1
-        listed = tuple((t.number, t.size, t.summary.entries, t.summary.first, t.summary.last)
-                       for t in self.tables)
+        listed = tuple(
+            (t.number, t.size, t.summary.entries, t.summary.first, t.summary.last) for t in self.tables
+        )
         self.manifest = self.manifest._replace(generation=generation, at=self.time(), tables=listed)
         handle = self.port.open(manifest_name(generation), create=True)
         data = recovery.manifest_bytes(self.manifest)
@@ -632,7 +657,7 @@
         try:
             self._flush_witness()
         except OSError:
-            pass   # the log itself is promised
+            pass  # the log itself is promised
         for handle in (self.log, self.witness_handle):
             if handle is not None:
                 self.port.close(handle)
--- a/bramblewood/store/table.py
+++ b/bramblewood/store/table.py
@@ -12,28 +12,30 @@
 from .port import Port
 from .sketch import Filter, Sketch, hash_of
 
-BLOCK = 8192       # bytes of operations in a block before it is squeezed; a read unpacks one
-LEVEL = 1          # of zstandard; higher ones cost more time a slice than they save space here
-ENTRY = struct.Struct("<QIIH")       # of the index: offset, size, operations, length of the first key
+BLOCK = 8192  # bytes of operations in a block before it is squeezed; a read unpacks one
+LEVEL = 1  # of zstandard; higher ones cost more time a slice than they save space here
+ENTRY = struct.Struct("<QIIH")  # of the index: offset, size, operations, length of the first key
 SUMMARY = struct.Struct("<QQQQQQQQ")  # of the footer; its fields: Summary
 FOOTER_SIZE = frames.FRAME.size + SUMMARY.size
-CACHED = 32        # blocks kept unpacked for reads, by table
+CACHED = 32  # blocks kept unpacked for reads, by table
 
 
 class Summary(NamedTuple):
     """The end of a table: where its parts lie and what it covers."""
-    index: int       # offset of the index frame
-    filter: int      # offset of the filter frame
-    entries: int     # operations
+
+    index: int  # offset of the index frame
+    filter: int  # offset of the filter frame
+    entries: int  # operations
     deletions: int
-    first: int       # first and last batch that it covers
+    first: int  # first and last batch that it covers
     last: int
-    raw: int         # bytes of operations
+    raw: int  # bytes of operations
     blocks: int
 
 
 class Hole(NamedTuple):
     """Keys from `begin` to before `end` (None: all above) whose values in a table can't be read."""
+
     table: str
     offset: int
     begin: bytes
@@ -118,14 +120,14 @@
     def __init__(self, port: Port, number: int) -> None:
         self.port, self.number, self.name = port, number, name_of(number)
         self.handle: int | None = None
-        self.size, self.damaged = 0, ""     # damaged: why its ends had to be rebuilt, or its file is lost
+        self.size, self.damaged = 0, ""  # damaged: why its ends had to be rebuilt, or its file is lost
         self.summary = Summary(0, 0, 0, 0, 0, 0, 0, 0)
         self.keys: list[bytes] = []
         self.blocks: list[tuple[int, int, int] | Hole] = []
         self.last_key: bytes = b""
         self.holes: list[Hole] = []
         self.cache: dict[int, list[Operation]] = {}
-        self.pins, self.doomed = 0, False   # snapshots that read it; whether it goes once nobody does
+        self.pins, self.doomed = 0, False  # snapshots that read it; whether it goes once nobody does
         self._filter: Filter | None = None
         self._sketch: list[int] | None = None
 
@@ -215,7 +217,7 @@
         while at < len(index):
             offset, size, count, length = ENTRY.unpack_from(index, at)
             at += ENTRY.size + length
-            self.keys.append(index[at - length:at])
+            self.keys.append(index[at - length : at])
             self.blocks.append((offset, size, count))
         self.last_key = self.keys.pop()
         self.blocks.pop()
@@ -223,9 +225,9 @@
     def _read_filter(self) -> None:
         size = self.size - FOOTER_SIZE - self.summary.filter
         data = unpacked(self._frame(self.summary.filter, size, frames.FILTER))
-        count, = struct.unpack_from("<I", data)
+        (count,) = struct.unpack_from("<I", data)
         self._sketch = list(struct.unpack_from(f"<{count}Q", data, 4))
-        self._filter = Filter(bytearray(data[4 + 8 * count:]))
+        self._filter = Filter(bytearray(data[4 + 8 * count :]))
 
     @property
     def sketch(self) -> list[int]:
@@ -246,7 +248,7 @@
             try:
                 self._read_filter()
             except (Spoilt, OSError):
-                return True   # a damaged filter only costs time
+                return True  # a damaged filter only costs time
         return hash_of(key) in self._filter
 
     def block(self, k: int) -> list[Operation] | Hole:
--- a/bramblewood/store/tools.py
+++ b/bramblewood/store/tools.py
@@ -16,10 +16,10 @@
 from .store import DAMAGE, Unreadable, after, alive, value_in
 from .table import Hole, Table
 
-TRIES = 5          # readings at most beside a manager that goes on; a merge ends in far less than one
-PAUSE = 0.2        # s between them
-AT_ONCE = 1000     # keys in one batch of an export or import
-EXPORT = 5         # kind of an exported file
+TRIES = 5  # readings at most beside a manager that goes on; a merge ends in far less than one
+PAUSE = 0.2  # s between them
+AT_ONCE = 1000  # keys in one batch of an export or import
+EXPORT = 5  # kind of an exported file
 
 __all__ = ["Unreadable"]
 
@@ -38,7 +38,7 @@
 
     def batches(self) -> Iterator[list[Operation]]:
         for begin in range(0, len(self.pairs), AT_ONCE):
-            yield self.pairs[begin:begin + AT_ONCE]
+            yield self.pairs[begin : begin + AT_ONCE]
 
 
 def must_be(folder: str) -> None:
@@ -90,8 +90,11 @@
 def operations_of(port: Folder, prefix: bytes = b"", holes: list[Hole] | None = None) -> list[Operation]:
     found = found_of(port)
     now = max(found.at, time.time())
-    return [op for op in merged(found.layers, prefix, after(prefix), holes)
-            if alive(op, now) and not op[0].startswith(DAMAGE)]
+    return [
+        op
+        for op in merged(found.layers, prefix, after(prefix), holes)
+        if alive(op, now) and not op[0].startswith(DAMAGE)
+    ]
 
 
 def pairs(port: Folder, prefix: bytes) -> list[tuple[bytes, bytes]]:
@@ -109,15 +112,20 @@
     found, holes = found_of(port), []
     kept = [op for op in merged(found.layers, holes=holes) if alive(op, max(found.at, time.time()))]
     lost = [str(damage) for damage in found.damages if not damage.kept]
-    lost += [f"{hole.table} at {hole.offset}: keys from {hole.begin!r} to {hole.end!r}: {hole.why}"
-             for hole in holes]
+    lost += [
+        f"{hole.table} at {hole.offset}: keys from {hole.begin!r} to {hole.end!r}: {hole.why}"
+        for hole in holes
+    ]
     return Sound([op for op in kept if not op[0].startswith(DAMAGE)], lost)
 
 
 def info(port: Folder) -> dict:
     found = found_of(port)
-    tables = {table.name: f"{table.summary.entries} operations, {table.summary.deletions} of them deletions, "
-              f"in {table.summary.blocks} blocks" for table in found.tables}
+    tables = {
+        table.name: f"{table.summary.entries} operations, {table.summary.deletions} of them deletions, "
+        f"in {table.summary.blocks} blocks"
+        for table in found.tables
+    }
     files = []
     for name in port.names():
         size = os.stat(name, dir_fd=port.folder).st_size
@@ -126,27 +134,45 @@
         holds = tables.get(name, "in use" if name in found.logs else "")
         files.append({"name": name, "kind": kind, "bytes": size, "holds": holds})
     manifest = found.manifest
-    return {"version": frames.VERSION, "store": manifest.store.hex() if manifest else "",
-            "generation": manifest.generation if manifest else 0, "batch": found.number,
-            "promised": found.witness.number if found.witness else 0, "written": found.at,
-            "keys in memory": len(found.held.operations), "tables": len(found.tables),
-            "bytes": sum(file["bytes"] for file in files), "in use": in_use(port.path), "files": files}
+    return {
+        "version": frames.VERSION,
+        "store": manifest.store.hex() if manifest else "",
+        "generation": manifest.generation if manifest else 0,
+        "batch": found.number,
+        "promised": found.witness.number if found.witness else 0,
+        "written": found.at,
+        "keys in memory": len(found.held.operations),
+        "tables": len(found.tables),
+        "bytes": sum(file["bytes"] for file in files),
+        "in use": in_use(port.path),
+        "files": files,
+    }
 
 
 def check(port: Folder, progress: Callable) -> dict:
     """Every byte of every file that holds anything; each damaged record by file and offset."""
     found = found_of(port)
-    damaged = [{"file": d.file, "offset": d.offset, "what": d.what, "lost": not d.kept}
-               for d in found.damages]
+    damaged = [
+        {"file": d.file, "offset": d.offset, "what": d.what, "lost": not d.kept} for d in found.damages
+    ]
     for table in found.tables:
-        damaged += [{"file": hole.table, "offset": hole.offset, "what": hole.why, "lost": True}
-                    for hole in blocks_of(table, progress) if not table.damaged]
+        damaged += [
+            {"file": hole.table, "offset": hole.offset, "what": hole.why, "lost": True}
+            for hole in blocks_of(table, progress)
+            if not table.damaged
+        ]
         if not table.damaged:
             damaged += rest_of(table)
     keys = sum(1 for op in merged(found.layers) if op[1] is not None)
     names = port.names()
-    return {"damaged": damaged, "dropped": found.dropped, "strangers": found.strangers, "keys": keys,
-            "files": len(names), "bytes": sum(os.stat(name, dir_fd=port.folder).st_size for name in names)}
+    return {
+        "damaged": damaged,
+        "dropped": found.dropped,
+        "strangers": found.strangers,
+        "keys": keys,
+        "files": len(names),
+        "bytes": sum(os.stat(name, dir_fd=port.folder).st_size for name in names),
+    }
 
 
 def blocks_of(table: Table, progress: Callable) -> list[Hole]:
@@ -160,8 +186,9 @@
     try:
         table._read_filter()
     except (Spoilt, OSError) as problem:
-        return [{"file": table.name, "offset": table.summary.filter, "what": f"filter: {problem}",
-                 "lost": False}]
+        return [
+            {"file": table.name, "offset": table.summary.filter, "what": f"filter: {problem}", "lost": False}
+        ]
     return []
 
 
@@ -179,6 +206,7 @@
             number += 1
             data, chain = frames.frame_bytes(frames.BATCH, number, chain, frames.payload_of(batch))
             file.write(data)
+
         for operation in progress(found, "exporting"):
             batch.append(operation)
             count += 1
@@ -188,7 +216,7 @@
         if batch:
             put()
             batch.clear()
-        put()   # the empty one: without it the file was cut
+        put()  # the empty one: without it the file was cut
         file.flush()
         os.fsync(file.fileno())
     os.replace(beside, path)
@@ -202,7 +230,7 @@
     try:
         frames.head_of(data, EXPORT)
         batches, offset = [], frames.HEAD.size
-        chain = int.from_bytes(data[offset - 4:offset], "little")
+        chain = int.from_bytes(data[offset - 4 : offset], "little")
         while True:
             frame = frames.frame_at(data, offset, chain)
             operations = frames.operations_of(frame.payload)
--- a/bramblewood/work/scheduler.py
+++ b/bramblewood/work/scheduler.py
@@ -5,7 +5,7 @@
 
 from . import shares
 
-WAITING = "waiting"   # what a step yields that can't go on in this turn
+WAITING = "waiting"  # what a step yields that can't go on in this turn
 
 
 class Job:
@@ -17,23 +17,32 @@
         self.done = False
 
     def share(self) -> shares.Share:
-        return shares.Share(self.order, self.used, self.times.expected(), self.left, self.deadline,
-                            self.weight, not self.waiting)
+        return shares.Share(
+            self.order,
+            self.used,
+            self.times.expected(),
+            self.left,
+            self.deadline,
+            self.weight,
+            not self.waiting,
+        )
 
 
 class Scheduler:
     """clock: seconds, precise; told: what to tell of a job that raised (name, exception). It is dropped."""
 
-    def __init__(self, clock: Callable[[], float], told: Callable[[str, Exception], None],
-                 full: float = shares.BUDGET) -> None:
+    def __init__(
+        self, clock: Callable[[], float], told: Callable[[str, Exception], None], full: float = shares.BUDGET
+    ) -> None:
         self.clock, self.told, self.full = clock, told, full
         self.jobs: list[Job] = []
         self.busy, self.count, self.ran_at = 0.0, 0, clock()
-        self.saved = 0.0      # s of budget that turns left over; below 0: a debt
-        self.longest = 0.0    # s, the longest time taken of one turn
+        self.saved = 0.0  # s of budget that turns left over; below 0: a debt
+        self.longest = 0.0  # s, the longest time taken of one turn
 
-    def add(self, name: str, steps: Iterator, weight: float = 1.0, deadline: float = math.inf,
-            left: float = 0.0) -> Job:
+    def add(
+        self, name: str, steps: Iterator, weight: float = 1.0, deadline: float = math.inf, left: float = 0.0
+    ) -> Job:
         """weight above 0; deadline: unix time; left: s of work in all, as far as is known."""
         job = Job(name, steps, weight, deadline, left)
         self.count += 1
@@ -78,7 +87,7 @@
             return
         except StopIteration:
             pass
-        except Exception as problem:   # one job's defect is not the others'
+        except Exception as problem:  # one job's defect is not the others'
             self.told(job.name, problem)
         job.done = True
         self.jobs.remove(job)
--- a/bramblewood/work/shares.py
+++ b/bramblewood/work/shares.py
@@ -9,16 +9,16 @@
 
 from typing import NamedTuple
 
-BUDGET = 0.001        # s of a turn for background work; with one step more it stays below 2 ms
-FLOOR = 0.0003        # s of a turn left to it under full overload: one short step
-BUSY = (0.3, 0.8)     # part of the time that turns take: below the first all of the budget, above the second
-                      # the floor
+BUDGET = 0.001  # s of a turn for background work; with one step more it stays below 2 ms
+FLOOR = 0.0003  # s of a turn left to it under full overload: one short step
+BUSY = (0.3, 0.8)  # part of the time that turns take: below the first all of the budget, above the second
+# the floor
 LONGEST_PAUSE = 0.25  # s after which a step is run whatever the debt
-TYPICAL = 0.9         # part of a job's steps that are as short as the one expected
-DEBT = 25             # budgets that a step may take beyond its turn's and have paid back; one of 50 ms
+TYPICAL = 0.9  # part of a job's steps that are as short as the one expected
+DEBT = 25  # budgets that a step may take beyond its turn's and have paid back; one of 50 ms
 BINS = (0.00005, 0.0001, 0.0002, 0.0004, 0.0008, 0.0016, 0.0032, 0.0064, 0.0128)  # s, upper bounds
-HALVED = 256          # steps after which counts are halved: old times say little
-MEMORY = 0.9          # part that the busyness of earlier turns keeps
+HALVED = 256  # steps after which counts are halved: old times say little
+MEMORY = 0.9  # part that the busyness of earlier turns keeps
 
 
 class Steps:
@@ -48,13 +48,14 @@
 
 class Share(NamedTuple):
     """What the choice between jobs knows of one."""
-    order: int            # in which it was added; breaks ties
-    used: float           # its pass: s used over its weight
-    expected: float       # s of its next step
-    left: float           # s of work that it expects to need in all; 0 if it can't say
-    deadline: float       # unix time, or infinity
+
+    order: int  # in which it was added; breaks ties
+    used: float  # its pass: s used over its weight
+    expected: float  # s of its next step
+    left: float  # s of work that it expects to need in all; 0 if it can't say
+    deadline: float  # unix time, or infinity
     weight: float
-    ready: bool           # not waiting for a disc
+    ready: bool  # not waiting for a disc
 
 
 def budget(full: float, busy: float) -> float:
@@ -73,9 +74,16 @@
     """The job whose next step runs now, or None where all of them wait."""
     able = [share for share in shares if share.ready]
     weights = sum(share.weight for share in able)
-    return min(able, default=None, key=lambda share: (
-        not pressed(share, now, weights), share.deadline if pressed(share, now, weights) else 0.0,
-        share.used, share.order))
+    return min(
+        able,
+        default=None,
+        key=lambda share: (
+            not pressed(share, now, weights),
+            share.deadline if pressed(share, now, weights) else 0.0,
+            share.used,
+            share.order,
+        ),
+    )
 
 
 def goes_on(expected: float, left: float, ran: bool, paused: float) -> bool:
--- a/bramblewood/work/wheel.py
+++ b/bramblewood/work/wheel.py
@@ -6,16 +6,17 @@
 
 from collections.abc import Callable
 
-TICK = 0.001      # s; a timer runs in the tick after the one it falls in, never early
+TICK = 0.001  # s; a timer runs in the tick after the one it falls in, never early
 BITS = 6
 SLOTS = 1 << BITS
 MASK = SLOTS - 1
-WHEELS = 4        # 64 ** 4 ticks, four and a half hours; what is due later waits in a list of its own
+WHEELS = 4  # 64 ** 4 ticks, four and a half hours; what is due later waits in a list of its own
 SPAN = 1 << BITS * WHEELS
 
 
 class Entry:
     """A timer that is set; `cancel` takes it off at once."""
+
     __slots__ = ("at", "order", "call", "slot")
 
     def __init__(self, at: float, order: int, call: Callable[[], None]) -> None:
@@ -33,7 +34,7 @@
     def __init__(self, now: float) -> None:
         self.tick = int(now / TICK)
         self.wheels: list[list[dict]] = [[{} for _ in range(SLOTS)] for _ in range(WHEELS)]
-        self.filled = [0] * WHEELS   # bit by slot that may hold something
+        self.filled = [0] * WHEELS  # bit by slot that may hold something
         self.far: dict[int, Entry] = {}
         self.count = 0
 
@@ -44,7 +45,7 @@
         return entry
 
     def _place(self, entry: Entry) -> None:
-        tick = max(-int(-entry.at // TICK), self.tick + 1)   # rounded up
+        tick = max(-int(-entry.at // TICK), self.tick + 1)  # rounded up
         away, top = tick - self.tick, tick ^ self.tick
         if away >= SPAN or top >> BITS * WHEELS:
             slot = self.far
@@ -66,7 +67,7 @@
                 if self.wheels[level][bit]:
                     base = self.tick >> BITS * (level + 1) << BITS * (level + 1)
                     return (base + (bit << BITS * level)) * TICK
-                self.filled[level] &= ~(1 << bit)   # all in it were called off
+                self.filled[level] &= ~(1 << bit)  # all in it were called off
                 ahead &= ahead - 1
         return ((self.tick // SPAN + 1) * SPAN) * TICK if self.far else None
 
--- a/example/toy.py
+++ b/example/toy.py
@@ -86,9 +86,23 @@
 
     def listed(self, names, full=False):
         states = {name: "draining" if name == self.draining else "up" for name in names}
-        return json.dumps({"version": self.version, "full": full, "servers": [
-            {"id": name, "addr": "127.0.0.1:3001", "zone": "north", "state": state, "weight": 1.0,
-             "started_ms": 0} for name, state in states.items()]})
+        return json.dumps(
+            {
+                "version": self.version,
+                "full": full,
+                "servers": [
+                    {
+                        "id": name,
+                        "addr": "127.0.0.1:3001",
+                        "zone": "north",
+                        "state": state,
+                        "weight": 1.0,
+                        "started_ms": 0,
+                    }
+                    for name, state in states.items()
+                ],
+            }
+        )
 
     def carry_out(self, word, *rest):
         if word == "SET":
@@ -118,12 +132,33 @@
         mains = [max(table, key=table.get) for table in self.tables.values() if table]
         for name in WORKERS:
             tries = HEAT * mains.count(name)
-            self.collector.send(frame({
-                "t": "LOAD", "zone": "north", "server": name, "tries": tries, "failed": 0, "mean_ms": 150.0,
-                "span_ms": 1000.0, "load": {"util": round(tries / 40, 2), "queue": 0}}))
+            self.collector.send(
+                frame(
+                    {
+                        "t": "LOAD",
+                        "zone": "north",
+                        "server": name,
+                        "tries": tries,
+                        "failed": 0,
+                        "mean_ms": 150.0,
+                        "span_ms": 1000.0,
+                        "load": {"util": round(tries / 40, 2), "queue": 0},
+                    }
+                )
+            )
         for number in self.tables:
-            self.collector.send(frame({"t": "SHARD", "slice": number, "class": "look", "tries": HEAT,
-                                       "failed": 0, "span_ms": 1000.0}))
+            self.collector.send(
+                frame(
+                    {
+                        "t": "SHARD",
+                        "slice": number,
+                        "class": "look",
+                        "tries": HEAT,
+                        "failed": 0,
+                        "span_ms": 1000.0,
+                    }
+                )
+            )
 
     def opened(self, connection):
         self.say("the manager listens; reports begin")
--- a/tests/damage.py
+++ b/tests/damage.py
@@ -9,7 +9,7 @@
 
 from .test_ledger import damage_days
 
-SHARDS = 64   # parts of the work; more than jobs, so that they end together
+SHARDS = 64  # parts of the work; more than jobs, so that they end together
 
 
 def shard(seed, first):
@@ -24,8 +24,10 @@
     told = words.parse_args()
     with ProcessPoolExecutor(told.jobs) as pool:
         done = list(pool.map(partial(shard, told.seed), range(SHARDS)))
-    print(f"{sum(cases for cases, _, _ in done)} damages of {done[0][2]} files, data lost and said in "
-          f"{sum(lost for _, lost, _ in done)}, no rule broken")
+    print(
+        f"{sum(cases for cases, _, _ in done)} damages of {done[0][2]} files, data lost and said in "
+        f"{sum(lost for _, lost, _ in done)}, no rule broken"
+    )
 
 
 if __name__ == "__main__":
--- a/tests/disc.py
+++ b/tests/disc.py
@@ -53,10 +53,10 @@
                     if part is None:
                         del data[offset:]
                         continue
-                    if fate < 0.7:   # torn: some of its sectors, or cut at any byte
+                    if fate < 0.7:  # torn: some of its sectors, or cut at any byte
                         part = self.torn(dice, data, offset, part)
-                    data[len(data):] = bytes(max(offset - len(data), 0))
-                    data[offset:offset + len(part)] = part
+                    data[len(data) :] = bytes(max(offset - len(data), 0))
+                    data[offset : offset + len(part)] = part
                 kept[inode] = Inode(data)
             back.names[name] = kept[inode]
         back.durable_names = dict(back.names)
@@ -65,11 +65,11 @@
     @staticmethod
     def torn(dice, data, offset, part):
         if dice.random() < 0.5:
-            return part[:dice.randrange(len(part) + 1)]
-        old = bytes(data[offset:offset + len(part)]).ljust(len(part), b"\0")
+            return part[: dice.randrange(len(part) + 1)]
+        old = bytes(data[offset : offset + len(part)]).ljust(len(part), b"\0")
         made = bytearray()
         for at in range(0, len(part), SECTOR):
-            made += (part if dice.random() < 0.5 else old)[at:at + SECTOR]
+            made += (part if dice.random() < 0.5 else old)[at : at + SECTOR]
         return bytes(made)
 
     def copy(self):
@@ -124,18 +124,18 @@
 
     def read(self, handle, offset, size):
         self.disc.called("read")
-        return bytes(self.handles[handle].seen[offset:offset + size])
+        return bytes(self.handles[handle].seen[offset : offset + size])
 
     def write(self, handle, offset, data):
         disc, inode = self.disc, self.handles[handle]
         disc.called("write")
         fits = bytes(data)
         if disc.space is not None:
-            fits = fits[:max(disc.space, 0)]
+            fits = fits[: max(disc.space, 0)]
             disc.space -= len(fits)
         inode.writes.append((offset, fits))
-        inode.seen[len(inode.seen):] = bytes(max(offset - len(inode.seen), 0))
-        inode.seen[offset:offset + len(fits)] = fits
+        inode.seen[len(inode.seen) :] = bytes(max(offset - len(inode.seen), 0))
+        inode.seen[offset : offset + len(fits)] = fits
         if len(fits) < len(data):
             raise OSError(errno.ENOSPC, "No space left on device")
 
@@ -149,7 +149,7 @@
         try:
             self.disc.called("flush")
         except OSError:
-            inode.writes, inode.seen = [], bytearray(inode.durable)   # the pages are gone
+            inode.writes, inode.seen = [], bytearray(inode.durable)  # the pages are gone
             raise
         inode.durable, inode.writes = bytes(inode.seen), []
 
--- a/tests/epochs_play.py
+++ b/tests/epochs_play.py
@@ -182,9 +182,7 @@
     def __init__(self, world: "World", name: str, zone: str, first: bool) -> None:
         made = SimpleNamespace(urandom=lambda n: world.dice.randbytes(n))
         self.world, self.gone = world, False
-        told = Settings(
-            name, name, zone, (1, 2), world.seeds, first, "/d", 1.5, {}, 2**28, 99, BOUNDS
-        )
+        told = Settings(name, name, zone, (1, 2), world.seeds, first, "/d", 1.5, {}, 2**28, 99, BOUNDS)
         told = dataclasses.replace(told, tolerance=Tolerance(world.losses))
         with (
             mock.patch.object(program, "os", made),
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -10,16 +10,48 @@
 from bramblewood.policy.manager import Manager
 
 OPERATIONS = [
-    {"name": "look", "kind": door.IDEMPOTENT, "latency_objective": 1.0, "integration_timeout": 4.0,
-     "billed_value": 1.0},
-    {"name": "pay", "kind": door.SIDE_EFFECTING, "latency_objective": 1.0, "integration_timeout": 3.0,
-     "billed_value": 5.0},
-    {"name": "seat", "kind": door.FINGERPRINTED, "latency_objective": 2.0, "integration_timeout": 6.0,
-     "billed_value": 4.0, "group": "pool", "window": 6.0}]
-FACTS = {"operations": OPERATIONS, "managers": 1, "manager": 0, "slices": 12, "proxies": 4, "cycle": 1.0,
-         "warm_after": 10.0, "cold_from": 0.25, "overload_factor": 3.0, "drain_grace": 3.0, "usual_retry": 0,
-         "most_waiting": 2000, "message_head": 8, "messages_allowed": 20, "messages_span": 10.0,
-         "load_fields": ["busy"]}
+    {
+        "name": "look",
+        "kind": door.IDEMPOTENT,
+        "latency_objective": 1.0,
+        "integration_timeout": 4.0,
+        "billed_value": 1.0,
+    },
+    {
+        "name": "pay",
+        "kind": door.SIDE_EFFECTING,
+        "latency_objective": 1.0,
+        "integration_timeout": 3.0,
+        "billed_value": 5.0,
+    },
+    {
+        "name": "seat",
+        "kind": door.FINGERPRINTED,
+        "latency_objective": 2.0,
+        "integration_timeout": 6.0,
+        "billed_value": 4.0,
+        "group": "pool",
+        "window": 6.0,
+    },
+]
+FACTS = {
+    "operations": OPERATIONS,
+    "managers": 1,
+    "manager": 0,
+    "slices": 12,
+    "proxies": 4,
+    "cycle": 1.0,
+    "warm_after": 10.0,
+    "cold_from": 0.25,
+    "overload_factor": 3.0,
+    "drain_grace": 3.0,
+    "usual_retry": 0,
+    "most_waiting": 2000,
+    "message_head": 8,
+    "messages_allowed": 20,
+    "messages_span": 10.0,
+    "load_fields": ["busy"],
+}
 
 
 def entry(name, state=door.READY, zone="a", started=None, weight=1.0):
@@ -38,10 +70,20 @@
         self.joined, self.states, self.told = set(range(self.facts["proxies"])), {}, {}
         self.started, self.taken = {}, []  # by worker; (when, worker) of each slice that went there
         self.out = set()  # workers that the proxies keep off
-        given = [event for number, table in self.tables.items() for event in [
-            door.SliceGiven(number, True), *(door.LineHeld(number, w, part) for w, part in table.items())]]
-        self.step(0.0, self.list_of([entry(f"w{k}", zone="ab"[k % 2]) for k in range(workers)], True),
-                  *[door.ProxyJoined(p, "a", 5.0) for p in sorted(self.joined)], *given)
+        given = [
+            event
+            for number, table in self.tables.items()
+            for event in [
+                door.SliceGiven(number, True),
+                *(door.LineHeld(number, w, part) for w, part in table.items()),
+            ]
+        ]
+        self.step(
+            0.0,
+            self.list_of([entry(f"w{k}", zone="ab"[k % 2]) for k in range(workers)], True),
+            *[door.ProxyJoined(p, "a", 5.0) for p in sorted(self.joined)],
+            *given,
+        )
 
     def list_of(self, entries, complete=False):
         for item in entries:
@@ -56,8 +98,12 @@
         self.now += seconds
         due = [door.TimerDue(token) for at, token in self.timers if at <= self.now]
         self.timers = [timer for timer in self.timers if timer[0] > self.now]
-        answers = [door.MarkAnswered(p, mark, self.now - sent) for at, sent, mark in self.marks
-                   if at <= self.now for p in sorted(self.joined)]
+        answers = [
+            door.MarkAnswered(p, mark, self.now - sent)
+            for at, sent, mark in self.marks
+            if at <= self.now
+            for p in sorted(self.joined)
+        ]
         self.marks = [mark for mark in self.marks if mark[0] > self.now]
         orders = self.manager.handle(self.now, [*due, *answers, *events])
         self.book(orders)
@@ -107,8 +153,13 @@
         events = [door.SliceHeat(n, "look", hot(n), 0, 1.0) for n in self.tables]
         for name, state in self.states.items():
             busy = sum(hot(n) for n, table in self.tables.items() if table.get(name, 0) == 1.0) / 6
-            good = {"tries": max(int(6 * busy), 1), "unanswered": 0, "mean_time": 0.2, "over": 1.0,
-                    "load": {"busy": busy}}
+            good = {
+                "tries": max(int(6 * busy), 1),
+                "unanswered": 0,
+                "mean_time": 0.2,
+                "over": 1.0,
+                "load": {"busy": busy},
+            }
             if state != door.GONE:
                 events.append(door.WorkerHeard(name, "a", **{**good, **heard.get(name, {})}))
         return events
@@ -164,8 +215,11 @@
             events += [door.ProxyLeft(proxy), door.ProxyJoined(proxy, "a", 5.0)]
         if dice.random() < 0.1:
             events.append(door.ListFailed())
-        heard = {name: {"tries": 9, "unanswered": dice.randrange(10)} for name in ledger.states
-                 if dice.random() < 0.2}
+        heard = {
+            name: {"tries": 9, "unanswered": dice.randrange(10)}
+            for name in ledger.states
+            if dice.random() < 0.2
+        }
         heats = {n: dice.choice([0, 1, 1, 2, 9]) for n in ledger.tables}
         ledger.step(0.5, *events, *(ledger.reports(heats.get, heard) if dice.random() < 0.6 else []))
         ledger.check()
@@ -183,7 +237,7 @@
 
 
 def fill(buffer, data):
-    buffer.room(len(data) or 1)[:len(data)] = data
+    buffer.room(len(data) or 1)[: len(data)] = data
     buffer.filled(len(data))
 
 
@@ -263,5 +317,5 @@
     data = bytearray(data)
     for _ in range(dice.randint(1, 6)):
         at = dice.randrange(len(data) + 1)
-        data[at:at + dice.randint(0, 3)] = dice.randbytes(dice.randint(0, 3))
+        data[at : at + dice.randint(0, 3)] = dice.randbytes(dice.randint(0, 3))
     return bytes(data)
--- a/tests/kills.py
+++ b/tests/kills.py
@@ -50,10 +50,19 @@
         self.operator.write_text(f'(store (folder "{folder / "store"}"))')
         specifics = {**OPTIONS["specifics"], "key_ranges": SLICES, "proxy_count": PROXIES}
         settings = {**OPTIONS, "specifics": specifics}
-        self.config.write_text(json.dumps({
-            "name": "m0", "listen": self.free(), "discovery": self.discovery.address, "seed": "kills",
-            "registry": {"address": self.relay.address}, "settings": settings,
-            "known": json.loads(self.listed(WORKERS, True))}))
+        self.config.write_text(
+            json.dumps(
+                {
+                    "name": "m0",
+                    "listen": self.free(),
+                    "discovery": self.discovery.address,
+                    "seed": "kills",
+                    "registry": {"address": self.relay.address},
+                    "settings": settings,
+                    "known": json.loads(self.listed(WORKERS, True)),
+                }
+            )
+        )
         self.words = ["--operator", str(self.operator)] if with_store else []
         self.beat()
 
@@ -70,9 +79,23 @@
             self.discovery.tell(b"1\r\n\n\r\n")
 
     def listed(self, names, full=False):
-        return json.dumps({"version": self.version, "full": full, "servers": [
-            {"id": name, "addr": "127.0.0.1:9", "zone": "", "state": self.states[name], "weight": 1.0,
-             "started_ms": 0} for name in names]})
+        return json.dumps(
+            {
+                "version": self.version,
+                "full": full,
+                "servers": [
+                    {
+                        "id": name,
+                        "addr": "127.0.0.1:9",
+                        "zone": "",
+                        "state": self.states[name],
+                        "weight": 1.0,
+                        "started_ms": 0,
+                    }
+                    for name in names
+                ],
+            }
+        )
 
     def chunk(self, names):
         text = self.listed(names) + "\n"
@@ -141,13 +164,15 @@
         self.life, self.silent = self.life + 1, True
         before = self.orders
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "bramblewood", "serve", *self.words], stdout=subprocess.DEVNULL,
-            env={**os.environ, "EDGE_CONFIG": str(self.config)})
+            [sys.executable, "-m", "bramblewood", "serve", *self.words],
+            stdout=subprocess.DEVNULL,
+            env={**os.environ, "EDGE_CONFIG": str(self.config)},
+        )
         self.wait(4.0, lambda: self.relay.watchers and self.orders > before)
-        if self.orders == before:   # a life that orders nothing would be judged for nothing
+        if self.orders == before:  # a life that orders nothing would be judged for nothing
             self.wrong.append(f"life {self.life}: ordered nothing in four seconds")
         self.wait(0.3 + self.dice.random())
-        self.silent = False   # the watch that had no answer is dialled again
+        self.silent = False  # the watch that had no answer is dialled again
         self.wait(3.0, lambda: self.discovery.watchers)
         ready = [name for name in WORKERS if self.states[name] == "up"]
         for name in self.dice.sample(ready, min(2, len(ready) - 1)):
