--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -99,8 +99,11 @@
 def test_a_new_worker_takes_one_slice_a_cycle_within_its_budget():
     ledger = Ledger()
     ledger.seconds(4)
-    ledger.step(0.1, ledger.list_of([entry("w9", started=ledger.now)]),
-                ledger.list_of([entry("w1", door.GONE), entry("w2", door.GONE)]))
+    ledger.step(
+        0.1,
+        ledger.list_of([entry("w9", started=ledger.now)]),
+        ledger.list_of([entry("w1", door.GONE), entry("w2", door.GONE)]),
+    )
     assert len(ledger.on("w9")) <= 1
     ledger.seconds(2)
     assert len(ledger.on("w9")) <= 3
@@ -119,8 +122,9 @@
     ledger.seconds(12)
     pieces = [ledger.manager.slices[n] for n in ledger.on("w1")]
     seconds = sorted({piece.standby.name for piece in pieces})
-    ledger.step(0.1, ledger.list_of([entry("w1", started=ledger.now)] +
-                                    [entry(name, door.GONE) for name in seconds]))
+    ledger.step(
+        0.1, ledger.list_of([entry("w1", started=ledger.now)] + [entry(name, door.GONE) for name in seconds])
+    )
     kept = [piece for piece in pieces if piece.main.name == "w1"]
     assert len(pieces) == 3 and len(kept) < 3
 
@@ -176,11 +180,18 @@
     """Guards a restart: slices of the gone were given out, and all levels cut to an eighth for 10 s."""
     ledger = Ledger(workers=4, slices=24)
     ledger.manager = Manager(2, ledger.facts)
-    given = [event for number in ledger.tables for event in [
-        door.SliceGiven(number, True), door.LineHeld(number, "w0", 1.0)]]
+    given = [
+        event
+        for number in ledger.tables
+        for event in [door.SliceGiven(number, True), door.LineHeld(number, "w0", 1.0)]
+    ]
     ledger.timers.clear()
-    ledger.step(0.1, ledger.list_of([entry("w0", door.GONE), *(entry(f"w{k}") for k in (1, 2, 3))], True),
-                *[door.ProxyJoined(p, "a", 5.0) for p in range(4)], *given)
+    ledger.step(
+        0.1,
+        ledger.list_of([entry("w0", door.GONE), *(entry(f"w{k}") for k in (1, 2, 3))], True),
+        *[door.ProxyJoined(p, "a", 5.0) for p in range(4)],
+        *given,
+    )
     ledger.seconds(3, heat=0.3)
     assert all(w.admitted == [1.0] * 3 for w in ledger.manager.usable()) and not ledger.on("w0")
 
@@ -227,13 +238,23 @@
     ledger.seconds(2)
     state = [list(s.estimates) for s in ledger.manager.slices.values()]
     orders = ledger.step(
-        0.0, door.WorkerHeard("nobody", "a", 3, 1, 0.1, 1.0), door.WorkerHeard("w1", "a", -3, 1, 0.1, 1.0),
-        door.WorkerHeard("w1", "a", 3, 1, math.nan, 1.0), door.WorkerHeard("w1", "a", 3, 1, 0.1, math.inf),
-        door.SliceHeat(999, "look", 1, 0, 1.0), door.SliceHeat(1, "look", -1, 0, 1.0), door.TimerDue("late"),
-        door.MarkAnswered(77, 5, 1.0), door.ProxyLeft(99), door.LineHeld(999, "w1", 1.0),
+        0.0,
+        door.WorkerHeard("nobody", "a", 3, 1, 0.1, 1.0),
+        door.WorkerHeard("w1", "a", -3, 1, 0.1, 1.0),
+        door.WorkerHeard("w1", "a", 3, 1, math.nan, 1.0),
+        door.WorkerHeard("w1", "a", 3, 1, 0.1, math.inf),
+        door.SliceHeat(999, "look", 1, 0, 1.0),
+        door.SliceHeat(1, "look", -1, 0, 1.0),
+        door.TimerDue("late"),
+        door.MarkAnswered(77, 5, 1.0),
+        door.ProxyLeft(99),
+        door.LineHeld(999, "w1", 1.0),
         door.PeerNote(3, b"x"),
-        door.Probed("nobody", "answered", 0.1), door.ProxyTraffic(1, "look", 1, 0, 1.0),
-        door.LineHeld(1, "w1", -1.0), door.WorkerHeard("w1", "a", 3, 1, 0.1, 1.0, {"busy": math.inf}))
+        door.Probed("nobody", "answered", 0.1),
+        door.ProxyTraffic(1, "look", 1, 0, 1.0),
+        door.LineHeld(1, "w1", -1.0),
+        door.WorkerHeard("w1", "a", 3, 1, 0.1, 1.0, {"busy": math.inf}),
+    )
     assert not [o for o in orders if isinstance(o, door.SetLine | door.Admit)]
     assert [list(s.estimates) for s in ledger.manager.slices.values()] == state
 
@@ -356,7 +377,7 @@
     ledger.step(0.1, ledger.list_of([entry(name, door.GONE) for name in gone]))
     bare = {number for number, names in pairs.items() if names <= set(gone)}
     first = [o.table for o in ledger.step(1.0) + ledger.step(1.0) if isinstance(o, door.SetLine)]
-    assert bare and set(first[:len(bare)]) <= bare
+    assert bare and set(first[: len(bare)]) <= bare
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -376,7 +397,7 @@
     while not left:
         left = [o.table for o in ledger.step(0.05) if isinstance(o, door.SetLine) and o.weight == 1.0]
     leaving = {n for n in range(1, 64, 8) if ledger.manager.slices[n].main.name != "w1"}
-    assert leaving and set(left[:min(len(leaving), len(left))]) <= leaving
+    assert leaving and set(left[: min(len(leaving), len(left))]) <= leaving
     assert ledger.now - sent < 0.75
     ledger.check()
 
@@ -388,8 +409,14 @@
         ledger.seconds(3, heat=heat.get)
         ledger.step(0.1, ledger.list_of([entry(f"x{k}", started=ledger.now) for k in range(come)]))
         ledger.seconds(4, heat=heat.get)
-        moved = [sum("(over)" in o.text for o in ledger.step(0.5, *ledger.reports(heat.get, {}))
-                     if isinstance(o, door.Log)) for _ in range(12)]
+        moved = [
+            sum(
+                "(over)" in o.text
+                for o in ledger.step(0.5, *ledger.reports(heat.get, {}))
+                if isinstance(o, door.Log)
+            )
+            for _ in range(12)
+        ]
         assert 0 < max(moved) <= most and (not come or max(moved) > 1)
 
 
@@ -399,8 +426,14 @@
     ledger.step(0.1, ledger.list_of([entry(f"x{k}", started=ledger.now) for k in range(6)]))
     ledger.seconds(20, heat=0.01)
     heat = {n: 3.0 if n % 6 < 3 else 0.5 for n in range(60)}
-    moved = [sum("(over)" in o.text for o in ledger.step(0.5, *ledger.reports(heat.get, {}))
-                 if isinstance(o, door.Log)) for _ in range(24)]
+    moved = [
+        sum(
+            "(over)" in o.text
+            for o in ledger.step(0.5, *ledger.reports(heat.get, {}))
+            if isinstance(o, door.Log)
+        )
+        for _ in range(24)
+    ]
     assert max(moved) == 1
 
 
@@ -419,12 +452,14 @@
         ledger.check()
     for times in moved.values():
         for k, (at, then) in enumerate(zip(times, times[1:], strict=False)):
-            assert then - at >= min(RESTS[0] * 2 ** k, RESTS[1]) - 0.01
+            assert then - at >= min(RESTS[0] * 2**k, RESTS[1]) - 0.01
     assert sum(map(len, moved.values())) > 9
 
 
-@pytest.mark.parametrize("busy, times, gap, overflows", [
-    (0.5, 1, 0, False), (0.9, 1, 0, True), (0.5, 2, 0, False), (0.5, 2, 2, True)])
+@pytest.mark.parametrize(
+    "busy, times, gap, overflows",
+    [(0.5, 1, 0, False), (0.9, 1, 0, True), (0.5, 2, 0, False), (0.5, 2, 2, True)],
+)
 def test_the_second_line_overflows_only_from_a_worker_full_on_average(busy, times, gap, overflows):
     """Guards the price of moves: a second of strain turned all lines of a worker on and off again.
 
@@ -437,7 +472,7 @@
     for heard, reports in ((level, 8), (strained, times), (level, 2)):
         for _ in range(reports):
             ledger.seconds(1, heat=0.5, heard=heard)
-            for _ in range(gap):   # cycles without a word of any worker
+            for _ in range(gap):  # cycles without a word of any worker
                 ledger.step(0.5)
                 heat = [event for event in ledger.reports(0.5, {}) if isinstance(event, door.SliceHeat)]
                 ledger.step(0.5, *heat)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -42,13 +42,13 @@
         self.dice, self.disc, self.now, self.log = random.Random(seed), Disc(), 1000.0, Log()
         self.facts, self.with_ledger = {**FACTS, "slices": 6, "lease": 30.0, **facts}, ledger
         self.states = {f"w{k}": entry(f"w{k}", zone="ab"[k % 2]) for k in range(5)}
-        self.version, self.told, self.out = 41, {}, {}   # out: told closed to the manager, in some life
-        self.known = (41, list(self.states.values()))     # as the configuration was written, long ago
+        self.version, self.told, self.out = 41, {}, {}  # out: told closed to the manager, in some life
+        self.known = (41, list(self.states.values()))  # as the configuration was written, long ago
         self.tables = {n: {f"w{n % 5}": 1.0} for n in range(6)}
-        self.levels = {(n, k): (1.0, 0, 0) for n in range(6) for k in range(3)}   # level, way, life
+        self.levels = {(n, k): (1.0, 0, 0) for n in range(6) for k in range(3)}  # level, way, life
         self.life, self.manager, self.stage, self.timers, self.marks = 0, None, None, [], []
         self.faults, self.calls, self.heard_version = [], 0, 41
-        self.discovery_up, self.wrong, self.past = True, [], 1e9   # past: when earlier tries can't hurt
+        self.discovery_up, self.wrong, self.past = True, [], 1e9  # past: when earlier tries can't hurt
 
     def clock(self):
         return self.now
@@ -130,8 +130,13 @@
         for k in range(3):
             self.levels[n, k] = 1.0, 0, 0
         if self.manager:
-            self.hand([door.SliceGiven(n, False), door.SliceGiven(n, True),
-                       *(door.LineHeld(n, w, x) for w, x in self.tables[n].items())])
+            self.hand(
+                [
+                    door.SliceGiven(n, False),
+                    door.SliceGiven(n, True),
+                    *(door.LineHeld(n, w, x) for w, x in self.tables[n].items()),
+                ]
+            )
 
     def change(self, name, state, started=None):
         self.version += 1
@@ -148,14 +153,18 @@
         else:
             events = []
         events += [door.TimerDue(token) for at, token in self.timers if at <= self.now]
-        events += [door.MarkAnswered(p, mark, 0.3) for at, mark in self.marks if at <= self.now
-                   for p in range(2)]
+        events += [
+            door.MarkAnswered(p, mark, 0.3) for at, mark in self.marks if at <= self.now for p in range(2)
+        ]
         self.timers = [timer for timer in self.timers if timer[0] > self.now]
         self.marks = [mark for mark in self.marks if mark[0] > self.now]
         if self.dice.random() < 0.25:
             events += [door.SliceHeat(n, "look", 1 + n, 0, 1.0) for n in self.tables]
-            events += [door.WorkerHeard(name, "a", 6, 0, 0.2, 1.0, {"busy": 0.3 + self.dice.random() / 2})
-                       for name, e in self.states.items() if e.state == door.READY]
+            events += [
+                door.WorkerHeard(name, "a", 6, 0, 0.2, 1.0, {"busy": 0.3 + self.dice.random() / 2})
+                for name, e in self.states.items()
+                if e.state == door.READY
+            ]
         self.hand(events)
 
     def check(self):
@@ -233,8 +242,13 @@
 def drained(**more):
     """A life that was told that a drains, and what it left behind."""
     first, _ = memory()
-    first.hear(1000.0, [listed(41, entry("a"), entry("b"), entry("c"), complete=True),
-                        listed(45, entry("a", door.DRAINING, started=500.0))])
+    first.hear(
+        1000.0,
+        [
+            listed(41, entry("a"), entry("b"), entry("c"), complete=True),
+            listed(45, entry("a", door.DRAINING, started=500.0)),
+        ],
+    )
     first.alive(1001.0)
     return lasting(first)
 
@@ -247,13 +261,16 @@
     assert states(second, 1011.0, listed(45, entry("a", started=500.0))) == {"a": door.DRAINING}
     assert second.insisting(1011.0 + rules.INSISTING - 1) is None
     assert [e.worker for e in second.insisting(1011.0 + rules.INSISTING).workers] == ["a"]
-    for event in (listed(46, entry("a", started=500.0)), listed(3, entry("a", started=501.0)),
-                  listed(41, entry("a", started=900.0), cached=True)):   # also an id that is used again
+    for event in (
+        listed(46, entry("a", started=500.0)),
+        listed(3, entry("a", started=501.0)),
+        listed(41, entry("a", started=900.0), cached=True),
+    ):  # also an id that is used again
         third, _ = memory(1010.0, drained().items())
         third.hear(1010.0, [old])
         assert states(third, 1011.0, event) == {"a": door.READY}
     hours, _ = memory(1010.0 + 5 * 3600, drained().items())
-    assert states(hours, 19010.0, old)["a"] == door.DRAINING   # a disc that returns after hours
+    assert states(hours, 19010.0, old)["a"] == door.DRAINING  # a disc that returns after hours
 
 
 def test_nobody_is_left_without_a_worker_for_what_is_remembered():
@@ -279,9 +296,17 @@
 
 def test_the_module_keeps_a_doubt_and_lets_back_one_withdrawn_by_an_earlier_life():
     manager = Manager(1, FACTS)
-    manager.handle(1000.0, [listed(41, entry("a"), entry("b"), complete=True), door.DoubtHeld("a", 1005.0, 2),
-                            door.WithdrawalHeld("b"), door.ProxyJoined(0, "a", 1.0), door.SliceGiven(0, True),
-                            door.LineHeld(0, "b", 1.0)])
+    manager.handle(
+        1000.0,
+        [
+            listed(41, entry("a"), entry("b"), complete=True),
+            door.DoubtHeld("a", 1005.0, 2),
+            door.WithdrawalHeld("b"),
+            door.ProxyJoined(0, "a", 1.0),
+            door.SliceGiven(0, True),
+            door.LineHeld(0, "b", 1.0),
+        ],
+    )
     assert [w.name for w in manager.usable()] == ["b"]
     orders = []
     for k in range(40):
@@ -301,15 +326,25 @@
 
 def test_after_damage_tries_with_effects_wait_and_unproved_workers_are_spared():
     found, _ = memory(1000.0, drained().items(), ["a file at 3: gone"])
-    found.hear(1000.0, [listed(41, entry("b"), entry("c"), complete=True, cached=True),
-                        door.SliceGiven(0, True), door.LineHeld(0, "b", 1.0)])
+    found.hear(
+        1000.0,
+        [
+            listed(41, entry("b"), entry("c"), complete=True, cached=True),
+            door.SliceGiven(0, True),
+            door.LineHeld(0, "b", 1.0),
+        ],
+    )
     every = door.Admit(door.ALL_SLICES, (), 1.0, door.RETRY_UNSTARTED)
     outcome = found.weigh(1000.0, [every])
-    kinds = {OPERATIONS[k]["kind"] for o in outcome.free + outcome.strict if isinstance(o, door.Admit)
-             for k in o.operations}
+    kinds = {
+        OPERATIONS[k]["kind"]
+        for o in outcome.free + outcome.strict
+        if isinstance(o, door.Admit)
+        for k in o.operations
+    }
     assert kinds == {door.IDEMPOTENT}
     assert found.weigh(1000.0, [door.SetLine(0, "c", 1.0), door.SetLine(0, "b", 0)]).free == []
-    assert found.weigh(1000.0, [door.SetLine(1, "c", 1.0)]).free   # an empty table: somebody has to serve
+    assert found.weigh(1000.0, [door.SetLine(1, "c", 1.0)]).free  # an empty table: somebody has to serve
     found.spoke, found.proved = True, {"b"}
     assert found.weigh(1001.0, [door.SetLine(0, "c", 1.0), door.SetLine(0, "b", 0)]).free == []
     found.hear(1001.5, [listed(50, entry("c"))])
@@ -317,7 +352,7 @@
     later = [order for order in found.due(1000.0 + found.timeout) if isinstance(order, door.Admit)]
     assert later == [door.Admit(door.ALL_SLICES, (k,), 1.0, door.RETRY_UNSTARTED) for k in (1, 2)]
     assert found.weigh(1000.0 + found.timeout, later).strict == later
-    again, _ = memory(1002.0, lasting(found).items())   # a second start goes on being careful
+    again, _ = memory(1002.0, lasting(found).items())  # a second start goes on being careful
     assert again.life.careful_until > 1005.0
 
 
@@ -334,7 +369,7 @@
         now[0] += 0.1
         went += stage.turn(now[0], 0.0)[1]
     assert [type(order) for order in went] == [door.SetLine, door.Mark]
-    went += stage.say_orders(now[0], [tries])   # asked for again: still not promised, so still not sent
+    went += stage.say_orders(now[0], [tries])  # asked for again: still not promised, so still not sent
     now[0] += 0.3
     went += stage.turn(now[0], 0.0)[1]
     assert tries not in went
@@ -344,7 +379,7 @@
     for _ in range(200):
         now[0] += 0.5
         went += stage.turn(now[0], 0.0)[1]
-    assert none in went and tries not in went   # the older one must not come out behind it
+    assert none in went and tries not in went  # the older one must not come out behind it
     assert stage.say_orders(now[0], [tries]) + stage.turn(now[0], 0.0)[1] == [tries]
     said = [what for what, _ in log.said]
     assert said.count("store can't write") == 1 and said.count("store writes again") == 1
@@ -362,7 +397,7 @@
         outcome = second.weigh(1001.0, [order])
         assert all(1 not in o.operations for o in outcome.free + outcome.strict)
     second.hear(1002.0, [door.SliceGiven(3, False), door.SliceGiven(3, True)])
-    assert second.weigh(1002.0, [tries]).strict == [tries]   # given anew: the store has forgotten it too
+    assert second.weigh(1002.0, [tries]).strict == [tries]  # given anew: the store has forgotten it too
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -391,6 +426,7 @@
     Once the longest integration timeout has passed nothing of an earlier life can still take effect.
     """
     from copy import deepcopy
+
     later = deepcopy(town, {id(town.disc): disc, id(town.log): Log()})
     later.known, later.version, later.discovery_up = (41, town.known[1]), town.version, False
     later.log, later.past = Log(), later.now + max(o["integration_timeout"] for o in OPERATIONS)
@@ -413,7 +449,8 @@
         town.start()
     for _ in range(3):
         town.change(next(n for n, e in town.states.items() if e.state == door.READY), door.DRAINING) if sum(
-            e.state == door.READY for e in town.states.values()) > 2 else None
+            e.state == door.READY for e in town.states.values()
+        ) > 2 else None
         town.discovery_up = True
         town.watch()
         town.step(1.0)
@@ -468,7 +505,7 @@
             break
     assert went == [line, tries]
     flusher.process.send_signal(signal.SIGSTOP)
-    stage.end()   # guards against a stop that waits for a disc that hangs
+    stage.end()  # guards against a stop that waits for a disc that hangs
     flusher.process.send_signal(signal.SIGCONT)
     assert flusher.process.wait(5) == 0
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -18,19 +18,30 @@
 from .test_service import Site, config_file
 
 
-@pytest.mark.parametrize("text, words", [
-    ("(store", "line 1, column 1: the text ends inside a list"), (")", "line 1, column 1: expected a list"),
-    ('(store (folder "a)', "column 16: expected a list"), ("x", "line 1: expected a section"),
-    ("\n(stor)", "line 2: stor: no such section; did you mean store?"), ("(store)", "line 1: store.folder: "),
-    ('(store (folder "a"))\n(store (folder "b"))', "line 2: store: it is there twice"),
-    ('(store\n (folder "a")\n (hol 1))', "line 3: store.hol: no such key; did you mean hold?"),
-    ('(store\n (folder a))', "line 2: store.folder: expected a text"), ('(store folder)', "line 1: store: "),
-    ('(store (folder "a")\n(hold 9))', "line 2: store.hold: expected seconds from 0 to 2, found 9"),
-    ('(store (folder "a")\n(hold 1 2))', "line 2: store.hold: expected seconds from 0 to 2, found a list"),
-    ('(store (folder "a")\n(keep (60)))', "line 2: store.keep: "),
-    ('(store (folder "a")\n(flush "apart"))', "line 2: store.flush: expected apart or in-loop"),
-    ('(store (folder "a")\n(must-exist true))', "line 2: store.must-exist: expected yes or no"),
-    ('(store (folder "a")\n(hold 1)\n(hold 1))', "line 3: store.hold: it is there twice")])
+@pytest.mark.parametrize(
+    "text, words",
+    [
+        ("(store", "line 1, column 1: the text ends inside a list"),
+        (")", "line 1, column 1: expected a list"),
+        ('(store (folder "a)', "column 16: expected a list"),
+        ("x", "line 1: expected a section"),
+        ("\n(stor)", "line 2: stor: no such section; did you mean store?"),
+        ("(store)", "line 1: store.folder: "),
+        ('(store (folder "a"))\n(store (folder "b"))', "line 2: store: it is there twice"),
+        ('(store\n (folder "a")\n (hol 1))', "line 3: store.hol: no such key; did you mean hold?"),
+        ("(store\n (folder a))", "line 2: store.folder: expected a text"),
+        ("(store folder)", "line 1: store: "),
+        ('(store (folder "a")\n(hold 9))', "line 2: store.hold: expected seconds from 0 to 2, found 9"),
+        (
+            '(store (folder "a")\n(hold 1 2))',
+            "line 2: store.hold: expected seconds from 0 to 2, found a list",
+        ),
+        ('(store (folder "a")\n(keep (60)))', "line 2: store.keep: "),
+        ('(store (folder "a")\n(flush "apart"))', "line 2: store.flush: expected apart or in-loop"),
+        ('(store (folder "a")\n(must-exist true))', "line 2: store.must-exist: expected yes or no"),
+        ('(store (folder "a")\n(hold 1)\n(hold 1))', "line 3: store.hold: it is there twice"),
+    ],
+)
 def test_a_faulty_key_of_the_operators_file_is_named_with_its_line(tmp_path, text, words):
     path = tmp_path / "operator.sexp"
     path.write_text(text)
@@ -46,7 +57,7 @@
     text = open("deploy/operator.sexp", encoding="utf-8").read()
     for _ in range(20):
         at = dice.randrange(len(text))
-        path.write_text(text[:at] + dice.choice("()\";9\\é\n") + text[at + 1:])
+        path.write_text(text[:at] + dice.choice('()";9\\é\n') + text[at + 1 :])
         try:
             assert isinstance(bylaws.load(str(path)), bylaws.Bylaws)
         except bylaws.Faulty as problem:
@@ -82,8 +93,9 @@
 
 
 def run(*words):
-    done = subprocess.run([sys.executable, "-m", "bramblewood", *map(str, words)], timeout=60,
-                          capture_output=True, text=True)
+    done = subprocess.run(
+        [sys.executable, "-m", "bramblewood", *map(str, words)], timeout=60, capture_output=True, text=True
+    )
     assert "Traceback" not in done.stderr
     return done.returncode, done.stdout, done.stderr
 
@@ -103,7 +115,7 @@
     assert run("store", "import", tmp_path / "out", tmp_path / "new")[0] == 0
     again = Store(Folder(str(tmp_path / "new")), lambda: 1000.0)
     assert dict(again.scan()) == pairs
-    assert run("store", "compact", tmp_path / "new")[0] == 2   # another process has it open
+    assert run("store", "compact", tmp_path / "new")[0] == 2  # another process has it open
     again.close()
     assert run("store", "compact", tmp_path / "new", "--json")[0] == 0
     data = (tmp_path / "out").read_bytes()
@@ -132,7 +144,7 @@
     assert set(dict(again.scan()).items()) < set(pairs.items())
     again.close()
     assert run("store", "check", tmp_path / "repaired")[0] == 0
-    assert run("store", "repair", folder, tmp_path / "repaired")[0] == 2   # never over something
+    assert run("store", "repair", folder, tmp_path / "repaired")[0] == 2  # never over something
     for words in (("store", "check", tmp_path / "nowhere"), ("store", "compact", tmp_path / "nowhere")):
         code, _, err = run(*words)
         assert code == 2 and err.count("\n") == 1
@@ -141,10 +153,12 @@
 def test_what_is_remembered_and_made_of_it_is_shown(tmp_path):
     folder = tmp_path / "store"
     store = Store(Folder(str(folder)), lambda: 1000.0)
-    for key, record in ((records.worker_key(b"w", "birch"), records.Closed("draining", 5.5, 44, 990.0)),
-                        (records.admit_key(-1, 1), records.Admitted(1.0, 1, True, 980.0, 3, 2)),
-                        (records.slice_key(4), records.Lines({"alder": 1.0}, 980.0, 1)),
-                        (records.LIFE, records.Life(3, 970.0, 999.0, 1024, 0.0, 45, 2))):
+    for key, record in (
+        (records.worker_key(b"w", "birch"), records.Closed("draining", 5.5, 44, 990.0)),
+        (records.admit_key(-1, 1), records.Admitted(1.0, 1, True, 980.0, 3, 2)),
+        (records.slice_key(4), records.Lines({"alder": 1.0}, 980.0, 1)),
+        (records.LIFE, records.Life(3, 970.0, 999.0, 1024, 0.0, 45, 2)),
+    ):
         store.put(key, records.value_of(record))
     store.commit()
     store.close()
@@ -160,6 +174,7 @@
 @pytest.fixture
 def kept_site(tmp_path, monkeypatch):
     from bramblewood.net.program import service as program
+
     real = program.Service
     terms = bylaws.StoreTerms(str(tmp_path / "st"), "in-loop", False, 0.001, 0.25, 86400.0)
     told = bylaws.Bylaws(str(tmp_path / "operator.sexp"), terms)
@@ -176,10 +191,14 @@
     sent = []
     site.service.calls.give = lambda orders: sent.extend(orders)
     site.service.manager.handle = lambda now, events: [
-        door.SetLine(0, "s1", 1.0), door.Admit(0, (), 1.0, door.RETRY_UNSTARTED), door.Doubted("s1", 5.0, 1)]
+        door.SetLine(0, "s1", 1.0),
+        door.Admit(0, (), 1.0, door.RETRY_UNSTARTED),
+        door.Doubted("s1", 5.0, 1),
+    ]
 
     def defect(*_):
         raise RuntimeError("a defect")
+
     stage.memory.weigh = defect
     site.service.inbox.append(door.TimerDue("turn"))
     site.service.turn(0)
@@ -211,7 +230,11 @@
     operator.write_text(f'(store (folder "{tmp_path}/file/below"))')
     told = charter.read(path=str(config))
     assert told.name
-    done = subprocess.run([sys.executable, "-m", "bramblewood", "serve", "--operator", str(operator)],
-                          env={**os.environ, "EDGE_CONFIG": str(config)}, capture_output=True, text=True,
-                          timeout=20)
+    done = subprocess.run(
+        [sys.executable, "-m", "bramblewood", "serve", "--operator", str(operator)],
+        env={**os.environ, "EDGE_CONFIG": str(config)},
+        capture_output=True,
+        text=True,
+        timeout=20,
+    )
     assert done.returncode == 2 and done.stderr.count("\n") == 1 and "store.folder" in done.stderr
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -12,11 +12,27 @@
 
 from .helper import fill, pieces, spoilt
 
-LOAD = {"t": "LOAD", "zone": "a", "server": "s1", "tries": 212, "failed": 3, "mean_ms": 41.5,
-        "span_ms": 1000.0, "load": {"inflight": 7, "util": 0.61, "queue": 2}}
+LOAD = {
+    "t": "LOAD",
+    "zone": "a",
+    "server": "s1",
+    "tries": 212,
+    "failed": 3,
+    "mean_ms": 41.5,
+    "span_ms": 1000.0,
+    "load": {"inflight": 7, "util": 0.61, "queue": 2},
+}
 SHARD = {"t": "SHARD", "slice": 88, "class": "look", "tries": 40, "failed": 1, "span_ms": 500.0}
-ITEM = {"id": "s1", "addr": "127.0.0.1:3000", "zone": "a", "kind": "m2", "cell": 3, "state": "up",
-        "weight": 1.5, "started_ms": 1500}
+ITEM = {
+    "id": "s1",
+    "addr": "127.0.0.1:3000",
+    "zone": "a",
+    "kind": "m2",
+    "cell": 3,
+    "state": "up",
+    "weight": 1.5,
+    "started_ms": 1500,
+}
 
 
 def taken(chunks):
@@ -30,7 +46,8 @@
 
 def test_reports_become_events_in_our_units():
     assert frames.event_of(LOAD, frames.Scope(), set()) == door.WorkerHeard(
-        "s1", "a", 212, 3, 0.0415, 1.0, {"held": 7, "busy": 0.61, "queued": 2})
+        "s1", "a", 212, 3, 0.0415, 1.0, {"held": 7, "busy": 0.61, "queued": 2}
+    )
     assert frames.event_of(SHARD, frames.Scope(), set()) == door.SliceHeat(88, "look", 40, 1, 0.5)
 
 
@@ -55,17 +72,43 @@
 SCOPE = frames.Scope(["a", "b"], ["look", "pay"], 89, {"s1": None})
 
 
-@pytest.mark.parametrize("message", [
-    {}, {"t": "ODD"}, {"t": 3}, {**LOAD, "server": None}, {**LOAD, "tries": -1}, {**LOAD, "tries": "9"},
-    {**LOAD, "mean_ms": float("nan")}, {**LOAD, "span_ms": float("inf")}, {**LOAD, "failed": True},
-    {**SHARD, "slice": 1.5}, {**SHARD, "class": 4}, {**LOAD, "server": "s-zz"}, {**LOAD, "zone": "c"},
-    {**LOAD, "failed": 10**9}, {**LOAD, "failed": 1.5}, {**LOAD, "tries": 10**9}, {**LOAD, "mean_ms": 1e9},
-    {**LOAD, "span_ms": 0}, {**LOAD, "span_ms": 1e12}, {**LOAD, "load": [1]}, {**LOAD, "load": "x"},
-    {**LOAD, "load": {"util": -1}}, {**LOAD, "load": {"util": True}}, {**LOAD, "load": {"util": "0.5"}},
-    {**SHARD, "slice": 89}, {**SHARD, "slice": [1]}, {**SHARD, "class": "odd"}, {**SHARD, "failed": "4"},
-    {**SHARD, "tries": 1e15, "failed": 0}, {**SHARD, "span_ms": 0},
-    *({k: v for k, v in LOAD.items() if k != gone} for gone in LOAD if gone != "load"),
-    *({k: v for k, v in SHARD.items() if k != gone} for gone in SHARD)])
+@pytest.mark.parametrize(
+    "message",
+    [
+        {},
+        {"t": "ODD"},
+        {"t": 3},
+        {**LOAD, "server": None},
+        {**LOAD, "tries": -1},
+        {**LOAD, "tries": "9"},
+        {**LOAD, "mean_ms": float("nan")},
+        {**LOAD, "span_ms": float("inf")},
+        {**LOAD, "failed": True},
+        {**SHARD, "slice": 1.5},
+        {**SHARD, "class": 4},
+        {**LOAD, "server": "s-zz"},
+        {**LOAD, "zone": "c"},
+        {**LOAD, "failed": 10**9},
+        {**LOAD, "failed": 1.5},
+        {**LOAD, "tries": 10**9},
+        {**LOAD, "mean_ms": 1e9},
+        {**LOAD, "span_ms": 0},
+        {**LOAD, "span_ms": 1e12},
+        {**LOAD, "load": [1]},
+        {**LOAD, "load": "x"},
+        {**LOAD, "load": {"util": -1}},
+        {**LOAD, "load": {"util": True}},
+        {**LOAD, "load": {"util": "0.5"}},
+        {**SHARD, "slice": 89},
+        {**SHARD, "slice": [1]},
+        {**SHARD, "class": "odd"},
+        {**SHARD, "failed": "4"},
+        {**SHARD, "tries": 1e15, "failed": 0},
+        {**SHARD, "span_ms": 0},
+        *({k: v for k, v in LOAD.items() if k != gone} for gone in LOAD if gone != "load"),
+        *({k: v for k, v in SHARD.items() if k != gone} for gone in SHARD),
+    ],
+)
 def test_a_report_spoilt_in_any_part_is_skipped_whole(message):
     """Guards the module's view: one such mean time was seen to make 22 of 30 workers look strained."""
     unknown = set()
@@ -81,8 +124,16 @@
         assert taken(pieces(dice, b"".join(map(frames.frame, sent)))) == sent
 
 
-@pytest.mark.parametrize("data", [b"\x00\x10\x00\x01", b"\xff\xff\xff\xff{}", b"\x00\x00\x00\x02[]",
-                                  b"\x00\x00\x00\x01{", b"\x00\x00\x00\x00"])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"\x00\x10\x00\x01",
+        b"\xff\xff\xff\xff{}",
+        b"\x00\x00\x00\x02[]",
+        b"\x00\x00\x00\x01{",
+        b"\x00\x00\x00\x00",
+    ],
+)
 def test_a_broken_frame_ends_the_connection(data):
     with pytest.raises(Unreadable):
         taken([data])
@@ -101,11 +152,16 @@
 
 
 ORDERS = [
-    (door.SetLine(4, "s1", 1.5), "SET,4,s1,1.5"), (door.SetLine(4, "s1", 0.00001), "SET,4,s1,0.000010000000"),
-    (door.SetLine(4, "s1", 0), "SET,4,s1,0.0"), (door.ClearTable(4), "DEL,4"),
-    (door.Withdraw("s1", True), "OUT,s1"), (door.Withdraw("s1", False), "IN,s1"),
+    (door.SetLine(4, "s1", 1.5), "SET,4,s1,1.5"),
+    (door.SetLine(4, "s1", 0.00001), "SET,4,s1,0.000010000000"),
+    (door.SetLine(4, "s1", 0), "SET,4,s1,0.0"),
+    (door.ClearTable(4), "DEL,4"),
+    (door.Withdraw("s1", True), "OUT,s1"),
+    (door.Withdraw("s1", False), "IN,s1"),
     (door.Admit(4, (0, 1), 0.9, 1), "LIMIT,4,look+pay,0.9,1"),
-    (door.Admit(door.ALL_SLICES, (), 1, 0), "LIMIT,*,*,1.0,0"), (door.Mark(905, True), "SYNC,905,1")]
+    (door.Admit(door.ALL_SLICES, (), 1, 0), "LIMIT,*,*,1.0,0"),
+    (door.Mark(905, True), "SYNC,905,1"),
+]
 
 
 @pytest.mark.parametrize("order, text", ORDERS)
@@ -118,10 +174,15 @@
     assert relay.order_text(door.BindProxy(1, 2), ["look"]) is None
 
 
-NEWS = [(b"* SUBSCRIBE 17 a 21.5 1", door.ProxyJoined(17, "a", 21.5, True)), (b"*", None),
-        (b"* CLOSED 17", door.ProxyLeft(17)), (b"* ACK 17 905 310.5", door.MarkAnswered(17, 905, 0.3105)),
-        (b"* GRANT 88 1", door.SliceGiven(88, True)), (b"* GRANT 88 0", door.SliceGiven(88, False)),
-        (b"* ROW 88 s1 1.0", door.LineHeld(88, "s1", 1.0))]
+NEWS = [
+    (b"* SUBSCRIBE 17 a 21.5 1", door.ProxyJoined(17, "a", 21.5, True)),
+    (b"*", None),
+    (b"* CLOSED 17", door.ProxyLeft(17)),
+    (b"* ACK 17 905 310.5", door.MarkAnswered(17, 905, 0.3105)),
+    (b"* GRANT 88 1", door.SliceGiven(88, True)),
+    (b"* GRANT 88 0", door.SliceGiven(88, False)),
+    (b"* ROW 88 s1 1.0", door.LineHeld(88, "s1", 1.0)),
+]
 
 
 @pytest.mark.parametrize("line, event", NEWS)
@@ -129,43 +190,86 @@
     assert relay.news(line) == event
 
 
-@pytest.mark.parametrize("line", [b"", b"OK", b"* ODD 1", b"* CLOSED", b"* CLOSED x", b"* ACK 1 2",
-                                  b"* ROW 1 s -1", b"* ROW 1 s nan", b"* GRANT 1.5 1",
-                                  b"* SUBSCRIBE 1 a inf 1", b"\xff\xfe"])
+@pytest.mark.parametrize(
+    "line",
+    [
+        b"",
+        b"OK",
+        b"* ODD 1",
+        b"* CLOSED",
+        b"* CLOSED x",
+        b"* ACK 1 2",
+        b"* ROW 1 s -1",
+        b"* ROW 1 s nan",
+        b"* GRANT 1.5 1",
+        b"* SUBSCRIBE 1 a inf 1",
+        b"\xff\xfe",
+    ],
+)
 def test_a_line_of_news_that_cannot_be_read_is_skipped(line):
     with pytest.raises(Skipped):
         relay.news(line)
 
 
-@pytest.mark.parametrize("line, found", [(b"OK 2", 2), (b"OK", None), (b"OK x", None), (b"error", None),
-                                         (b"ERR limit", "limit"), (b"malformed", "malformed"),
-                                         (b"\xff\x00", None)])
+@pytest.mark.parametrize(
+    "line, found",
+    [
+        (b"OK 2", 2),
+        (b"OK", None),
+        (b"OK x", None),
+        (b"error", None),
+        (b"ERR limit", "limit"),
+        (b"malformed", "malformed"),
+        (b"\xff\x00", None),
+    ],
+)
 def test_answers_to_calls(line, found):
     assert relay.answer(line) == found
 
 
 def test_a_list_is_read_and_what_is_faulty_in_it_skipped():
-    found = {"version": 43, "full": False, "servers": [
-        {**ITEM, "state": "draining"}, {**ITEM, "state": "odd"}, 7, {**ITEM, "id": 4}, {**ITEM, "weight": -1},
-        {**ITEM, "id": "s2", "state": "removed", "started_ms": 0}]}
+    found = {
+        "version": 43,
+        "full": False,
+        "servers": [
+            {**ITEM, "state": "draining"},
+            {**ITEM, "state": "odd"},
+            7,
+            {**ITEM, "id": 4},
+            {**ITEM, "weight": -1},
+            {**ITEM, "id": "s2", "state": "removed", "started_ms": 0},
+        ],
+    }
     version, event, addresses, problems = roster.read(json.dumps(found).encode())
     assert version == 43 and len(problems) == 4 and addresses == {"s1": ITEM["addr"], "s2": ITEM["addr"]}
-    assert event == door.WorkersListed((
-        door.ListedWorker("s1", door.DRAINING, 1.5, "a", 3, "m2", 1.5),
-        door.ListedWorker("s2", door.GONE, 1.5, "a", 3, "m2", None)), version=43)
-    assert roster.read({"version": 1, "servers": []}, cached=True)[1] == door.WorkersListed(
-        (), True, True, 1)
-
-
-@pytest.mark.parametrize("data", [b"{", b"[]", b"{}", b'{"version":1}', b'{"version":"1","servers":[]}',
-                                  b'{"version":1,"servers":{}}', b"\xff"])
+    assert event == door.WorkersListed(
+        (
+            door.ListedWorker("s1", door.DRAINING, 1.5, "a", 3, "m2", 1.5),
+            door.ListedWorker("s2", door.GONE, 1.5, "a", 3, "m2", None),
+        ),
+        version=43,
+    )
+    assert roster.read({"version": 1, "servers": []}, cached=True)[1] == door.WorkersListed((), True, True, 1)
+
+
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"{",
+        b"[]",
+        b"{}",
+        b'{"version":1}',
+        b'{"version":"1","servers":[]}',
+        b'{"version":1,"servers":{}}',
+        b"\xff",
+    ],
+)
 def test_what_is_no_list_ends_the_watch(data):
     with pytest.raises(Unreadable):
         roster.read(data)
 
 
-CHUNKED = (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-           b"5\r\n{\"a\":\r\n4\r\n1}\n\n\r\n3\r\n{}\n\r\n")
+CHUNKED = b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{"a":\r\n4\r\n1}\n\n\r\n3\r\n{}\n\r\n'
 
 
 def test_a_watch_brings_whole_lines_out_of_chunks_cut_anywhere():
@@ -179,9 +283,12 @@
 
 def test_spoilt_bytes_bring_nothing_but_the_two_known_complaints():
     """Guards against anything from outside that could end the process."""
-    whole = {"frames": b"".join(map(frames.frame, [LOAD, SHARD, {"t": "PING"}])), "http": CHUNKED,
-             "news": b"\r\n".join(line for line, _ in NEWS), "list": json.dumps(
-                 {"version": 1, "full": True, "servers": [ITEM, ITEM]}).encode()}
+    whole = {
+        "frames": b"".join(map(frames.frame, [LOAD, SHARD, {"t": "PING"}])),
+        "http": CHUNKED,
+        "news": b"\r\n".join(line for line, _ in NEWS),
+        "list": json.dumps({"version": 1, "full": True, "servers": [ITEM, ITEM]}).encode(),
+    }
     complaints = 0
     for seed in range(1500):
         dice = random.Random(seed)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -22,8 +22,16 @@
     def __init__(self, dice=None):
         self.edge, self.dice, self.done, self.tables, self.unknown = Edge(), dice, [], {}, set()
         self.reads = 0
-        self.calls = calls.Calls(self.edge.loop, ADDRESS, ["look", "pay"], self.edge.notices, self.edge.tell,
-                                 self.done.append, self.read_store, self.edge.dial)
+        self.calls = calls.Calls(
+            self.edge.loop,
+            ADDRESS,
+            ["look", "pay"],
+            self.edge.notices,
+            self.edge.tell,
+            self.done.append,
+            self.read_store,
+            self.edge.dial,
+        )
 
     def read_store(self):
         self.reads += 1
@@ -68,8 +76,14 @@
 
 def test_emptying_a_table_takes_the_place_of_its_earlier_orders():
     relay = Relay()
-    relay.calls.give([*sets((1, "a", 1.0), (2, "a", 1.0)), door.Admit(1, (0,), 0.5, 0), door.ClearTable(1),
-                      *sets((1, "b", 1.0))])
+    relay.calls.give(
+        [
+            *sets((1, "a", 1.0), (2, "a", 1.0)),
+            door.Admit(1, (0,), 0.5, 0),
+            door.ClearTable(1),
+            *sets((1, "b", 1.0)),
+        ]
+    )
     relay.open()
     assert relay.out() == ["SET,2,a,1.0", "DEL,1", "SET,1,b,1.0"]
 
@@ -226,8 +240,12 @@
         for _ in range(60):
             if dice.random() < 0.5:
                 mark += 1
-                given = sets(*((dice.randrange(4), dice.choice("ab"), dice.choice([0.0, 0.5, 1.0]))
-                               for _ in range(dice.randint(1, 4))))
+                given = sets(
+                    *(
+                        (dice.randrange(4), dice.choice("ab"), dice.choice([0.0, 0.5, 1.0]))
+                        for _ in range(dice.randint(1, 4))
+                    )
+                )
                 wanted |= {(str(o.table), o.worker): o.weight for o in given}
                 relay.calls.give([*given, door.Mark(mark)])
             line = relay.line() if relay.edge.lines else None
@@ -316,8 +334,9 @@
 
     def __init__(self):
         self.edge = Edge()
-        self.news = news.News(self.edge.loop, ADDRESS, self.edge.notices, 3.2, self.edge.dial,
-                              tell=self.edge.tell)
+        self.news = news.News(
+            self.edge.loop, ADDRESS, self.edge.notices, 3.2, self.edge.dial, tell=self.edge.tell
+        )
         self.news.start()
         self.held = news.Standing()
 
@@ -344,18 +363,26 @@
 
 def test_after_a_break_who_and_what_is_no_longer_named_has_left():
     reader = Reader()
-    reader.last().open().bring(b"OK\r\n* SUBSCRIBE 1 a 2 1\r\n* SUBSCRIBE 2 a 2 1\r\n* GRANT 4 1\r\n"
-                               b"* ROW 4 a 1.0\r\n* GRANT 6 1\r\n* ROW 6 a 1.0\r\n* GRANT 8 1\r\n*\r\n")
+    reader.last().open().bring(
+        b"OK\r\n* SUBSCRIBE 1 a 2 1\r\n* SUBSCRIBE 2 a 2 1\r\n* GRANT 4 1\r\n"
+        b"* ROW 4 a 1.0\r\n* GRANT 6 1\r\n* ROW 6 a 1.0\r\n* GRANT 8 1\r\n*\r\n"
+    )
     reader.news.carried(door.SetLine(6, "b", 0.5))
     reader.take()
     reader.last().end(Ending.RESET)
     reader.edge.wait(0.2)
-    reader.last().open().bring(b"OK\r\n* SUBSCRIBE 2 a 2 0\r\n* GRANT 6 1\r\n* ROW 6 a 1.0\r\n"
-                               b"* ROW 6 b 0.5\r\n* GRANT 8 1\r\n* ROW 8 c 1.0\r\n")
+    reader.last().open().bring(
+        b"OK\r\n* SUBSCRIBE 2 a 2 0\r\n* GRANT 6 1\r\n* ROW 6 a 1.0\r\n"
+        b"* ROW 6 b 0.5\r\n* GRANT 8 1\r\n* ROW 8 c 1.0\r\n"
+    )
     assert reader.take() == []  # what stands may not all be told yet; 2 never left, so quick was the break
     reader.last().bring(b"*\r\n")
-    assert reader.take() == [door.SliceGiven(8, True), door.LineHeld(8, "c", 1.0), door.ProxyLeft(1),
-                             door.SliceGiven(4, False)]
+    assert reader.take() == [
+        door.SliceGiven(8, True),
+        door.LineHeld(8, "c", 1.0),
+        door.ProxyLeft(1),
+        door.SliceGiven(4, False),
+    ]
 
 
 def test_silent_news_are_read_anew_before_the_old_ones_are_ended():
@@ -440,9 +467,17 @@
         for _ in range(40):
             event, line = None, reader.last()
             number, proxy = dice.randrange(5), dice.randrange(4)
-            text = dice.choice([f"* GRANT {number} 1\r\n* ROW {number} a 1.0\r\n* ROW {number} b 0.5\r\n",
-                                f"* GRANT {number} 0\r\n", f"* SUBSCRIBE {proxy} a 2.0 0\r\n",
-                                f"* CLOSED {proxy}\r\n", f"* ACK {proxy} 3 10.0\r\n", "*\r\n", "* ODD 1\r\n"])
+            text = dice.choice(
+                [
+                    f"* GRANT {number} 1\r\n* ROW {number} a 1.0\r\n* ROW {number} b 0.5\r\n",
+                    f"* GRANT {number} 0\r\n",
+                    f"* SUBSCRIBE {proxy} a 2.0 0\r\n",
+                    f"* CLOSED {proxy}\r\n",
+                    f"* ACK {proxy} 3 10.0\r\n",
+                    "*\r\n",
+                    "* ODD 1\r\n",
+                ]
+            )
             for part in text.split("\r\n")[:-1]:
                 event = news.relay.news(part.encode()) if "ODD" not in part else None
                 truth.note(event) if event else None
@@ -465,18 +500,27 @@
 def test_after_thousands_of_generations_no_more_is_held_than_after_some():
     """Guards memory: ids and marks are new all day, and a relay may be out of reach for hours."""
     relay, reader = Relay(), Reader()
-    roster = discovery.Discovery(relay.edge.loop, ADDRESS, relay.edge.notices, 5.0, relay.edge.dial,
-                                 tell=relay.edge.tell)
+    roster = discovery.Discovery(
+        relay.edge.loop, ADDRESS, relay.edge.notices, 5.0, relay.edge.dial, tell=relay.edge.tell
+    )
     reader.last().open().bring(b"OK\r\n*\r\n")
     for k in range(3000):
-        relay.calls.give([*sets((k % 9, f"w{k}", 1.0), (k % 9, f"w{k - 9}", 0)), door.ClearTable(k % 9),
-                          door.Withdraw(f"w{k % 50}", True), door.Mark(k)])
+        relay.calls.give(
+            [
+                *sets((k % 9, f"w{k}", 1.0), (k % 9, f"w{k - 9}", 0)),
+                door.ClearTable(k % 9),
+                door.Withdraw(f"w{k % 50}", True),
+                door.Mark(k),
+            ]
+        )
         if relay.line().owner and k > 2000 and not relay.line().up:
             relay.open()
         if relay.calls.flight:
             relay.line().bring(b"OK %d\r\n" % len(relay.out())) if k % 7 else relay.line().end(Ending.RESET)
-        reader.last().bring(f"* SUBSCRIBE {k} a 2 1\r\n* GRANT {k % 9} 1\r\n* ROW {k % 9} w{k} 1.0\r\n"
-                            f"* CLOSED {k - 5}\r\n* GRANT {k % 9} 0\r\n".encode())
+        reader.last().bring(
+            f"* SUBSCRIBE {k} a 2 1\r\n* GRANT {k % 9} 1\r\n* ROW {k % 9} w{k} 1.0\r\n"
+            f"* CLOSED {k - 5}\r\n* GRANT {k % 9} 0\r\n".encode()
+        )
         if not k % 50:
             reader.last().end(Ending.RESET)
             while not reader.last().owner:
@@ -488,8 +532,19 @@
             edge.told.clear()
             del edge.lines[:-2]
     known, held = reader.news.known, relay.calls
-    for kept in (known.proxies, known.slices, known.leveled, roster.held, roster.addresses, held.waiting,
-                 held.doubted, held.aliases, held.sent_at, reader.edge.loop.timers, relay.edge.loop.timers):
+    for kept in (
+        known.proxies,
+        known.slices,
+        known.leveled,
+        roster.held,
+        roster.addresses,
+        held.waiting,
+        held.doubted,
+        held.aliases,
+        held.sent_at,
+        reader.edge.loop.timers,
+        relay.edge.loop.timers,
+    ):
         assert len(kept) <= calls.ALIASES
     assert max(map(len, held.aliases.values())) <= calls.ALIASES
 
@@ -559,10 +614,16 @@
         assert len(where.lines) == 2
 
 
-@pytest.mark.parametrize("answer, found", [
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 28\r\n\r\n" + b'{"version":50,"servers":[]} ', "listed"),
-    (b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "failed"), (b"no HTTP\r\n", "failed"),
-    (None, "failed"), (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]", "failed")])
+@pytest.mark.parametrize(
+    "answer, found",
+    [
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 28\r\n\r\n" + b'{"version":50,"servers":[]} ', "listed"),
+        (b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "failed"),
+        (b"no HTTP\r\n", "failed"),
+        (None, "failed"),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]", "failed"),
+    ],
+)
 def test_asking_for_the_list_has_one_answer(answer, found):
     edge, roster = watched()
     edge.news()
@@ -628,13 +689,26 @@
     assert collector.ending is Ending.UNREADABLE and collector.sent == []  # nothing is written to a collector
 
 
-@pytest.mark.parametrize("sent", [
-    frames.frame(SHARD), frames.frame({"t": "LOAD"}), frames.frame({"t": "SOURCE", "zone": "nowhere"}),
-    frames.frame({"t": "SOURCE", "zone": ["a"]}), frames.frame({"t": "SOURCE"}), frames.frame({}),
-    frames.frame({"t": "SUBSCRIBE", "proxy": 1, "zone": "a"}), frames.frame({"t": "CONFIG", "lines": []}),
-    frames.frame({"t": ["PING"]}), frames.HEAD.pack(2) + b"[]", frames.HEAD.pack(3) + b"\xff\x00{",
-    frames.HEAD.pack(frames.LONGEST_UNJOINED + 1), b"GET / HTTP/1.1\r\n\r\n", b"APPLY SET,1,s1,1.0\r\n",
-    frames.frame({"t": "PING"}) + frames.frame(SHARD)])
+@pytest.mark.parametrize(
+    "sent",
+    [
+        frames.frame(SHARD),
+        frames.frame({"t": "LOAD"}),
+        frames.frame({"t": "SOURCE", "zone": "nowhere"}),
+        frames.frame({"t": "SOURCE", "zone": ["a"]}),
+        frames.frame({"t": "SOURCE"}),
+        frames.frame({}),
+        frames.frame({"t": "SUBSCRIBE", "proxy": 1, "zone": "a"}),
+        frames.frame({"t": "CONFIG", "lines": []}),
+        frames.frame({"t": ["PING"]}),
+        frames.HEAD.pack(2) + b"[]",
+        frames.HEAD.pack(3) + b"\xff\x00{",
+        frames.HEAD.pack(frames.LONGEST_UNJOINED + 1),
+        b"GET / HTTP/1.1\r\n\r\n",
+        b"APPLY SET,1,s1,1.0\r\n",
+        frames.frame({"t": "PING"}) + frames.frame(SHARD),
+    ],
+)
 def test_who_has_not_joined_is_refused_at_once_whatever_else_it_sends(sent):
     """Guards the module against reports of nobody, and the table against who is never told to go."""
     edge, door_keeper = gate()
@@ -646,9 +720,17 @@
     assert not edge.told and not door_keeper.strangers and not door_keeper.asked
 
 
-@pytest.mark.parametrize("first, then", [
-    (b"", b""), (b"\x00", b""), (frames.HEAD.pack(400), b" "), (frames.frame({"t": "PING"}), b""),
-    (frames.frame({"t": "PING"}), frames.frame({"t": "PING"})), (frames.frame({"t": "PING"})[:9], b"")])
+@pytest.mark.parametrize(
+    "first, then",
+    [
+        (b"", b""),
+        (b"\x00", b""),
+        (frames.HEAD.pack(400), b" "),
+        (frames.frame({"t": "PING"}), b""),
+        (frames.frame({"t": "PING"}), frames.frame({"t": "PING"})),
+        (frames.frame({"t": "PING"})[:9], b""),
+    ],
+)
 def test_neither_bytes_nor_questions_keep_who_never_joins(first, then):
     """Guards the table: on a day of strangers 206 descriptors were held, 804 of 1,446 had no word or end."""
     edge, door_keeper = gate()
@@ -720,13 +802,18 @@
     assert edge.news() == [door.SliceHeat(1, "look", 2, 0, 1.0)]
 
 
-@pytest.mark.parametrize("with_load, answer, ending, outcome, load", [
-    (True, b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nutil=0.61", None, "answered", {"busy": 0.61}),
-    (False, b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", None, "answered", {}),
-    (True, b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", None, "rate-limited", {}),
-    (False, b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", None, "errored", {}),
-    (False, b"HTTP/1.1 200 OK\r\nContent-Len", Ending.RESET, "broken", {}),
-    (False, b"odd", None, "broken", {}), (False, b"", Ending.CLOSED, "broken", {})])
+@pytest.mark.parametrize(
+    "with_load, answer, ending, outcome, load",
+    [
+        (True, b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nutil=0.61", None, "answered", {"busy": 0.61}),
+        (False, b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", None, "answered", {}),
+        (True, b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", None, "rate-limited", {}),
+        (False, b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", None, "errored", {}),
+        (False, b"HTTP/1.1 200 OK\r\nContent-Len", Ending.RESET, "broken", {}),
+        (False, b"odd", None, "broken", {}),
+        (False, b"", Ending.CLOSED, "broken", {}),
+    ],
+)
 def test_probes_end_in_our_words(with_load, answer, ending, outcome, load):
     edge = Edge()
     prober = probes.Probes(edge.loop, {"s1": ADDRESS}.get, with_load, edge.notices, edge.tell, edge.dial)
@@ -754,7 +841,11 @@
 
 def test_every_ending_has_an_outcome():
     assert {outcomes.outcome_of(ending) for ending in Ending} <= {
-        "broken", "timed-out", "unreachable", "unknown"}
+        "broken",
+        "timed-out",
+        "unreachable",
+        "unknown",
+    }
 
 
 def test_messages_between_managers_go_to_one_or_all():
@@ -764,8 +855,12 @@
     at = b.datagrams.sock.getsockname()
     a = peers.Peers(edge.loop, first, [("127.0.0.1", 9), at], at, 4, edge.notices, edge.tell)
     b.numbers = {a.datagrams.sock.getsockname(): 4}
-    for order in (door.TellPeer(1, b"one"), door.TellPeer(None, b"all"), door.TellPeer(1, b"x" * 257),
-                  door.TellPeer(8, b"nobody")):
+    for order in (
+        door.TellPeer(1, b"one"),
+        door.TellPeer(None, b"all"),
+        door.TellPeer(1, b"x" * 257),
+        door.TellPeer(8, b"nobody"),
+    ):
         a.send(order)
     edge.loop.turn(1.0)
     assert edge.news() == [door.PeerNote(4, b"one"), door.PeerNote(4, b"all")] and len(edge.said) == 1
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -31,8 +31,12 @@
     for k in range(4, 400):
         ledger.step(0.0, ledger.list_of([entry(f"w{k}", zone="ab"[k % 2], started=ledger.now)]))
         ledger.seconds(1)
-        ledger.step(0.0, ledger.list_of([entry(f"w{k - 4}", door.DRAINING)]), door.ProxyLeft(k % 4),
-                    door.ProxyJoined(k % 4, "a", 5.0))
+        ledger.step(
+            0.0,
+            ledger.list_of([entry(f"w{k - 4}", door.DRAINING)]),
+            door.ProxyLeft(k % 4),
+            door.ProxyJoined(k % 4, "a", 5.0),
+        )
         ledger.seconds(3)
         ledger.step(0.0, ledger.list_of([entry(f"w{k - 4}", door.GONE)]))
         ledger.check()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -135,6 +135,7 @@
 
     def none_left(*_):
         raise OSError(errno.EMFILE, "Too many open files")
+
     monkeypatch.setattr("bramblewood.net.transport.connection.socket.socket", none_left)
     Connection.dial(edge.loop, ("127.0.0.1", 9), party)
     assert party.endings == []  # never from within the call
@@ -154,6 +155,7 @@
 
     def none_left():
         raise OSError(errno.EMFILE, "Too many open files")
+
     real, listener.sock = listener.sock, type("Full", (), {"accept": staticmethod(none_left)})()
     listener.ready(1)  # guards against a loop that is woken without end
     listener.sock = real
@@ -172,28 +174,46 @@
     assert party.endings == [Ending.FAULT]
 
 
-CONFIG = {"name": "n0", "listen": "127.0.0.1:3000", "discovery": "127.0.0.1:8500", "seed": "8c1f",
-          "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "peers": [],
-          "registry": {"address": "127.0.0.1:6400"},
-          "known": {"version": 41, "full": True, "servers": [item("s1"), item("s2")]}, "settings": OPTIONS}
-
-
-@pytest.mark.parametrize("change, words", [
-    ({"listen": None}, "listen: expected an address"), ({"listen": "localhost:1"}, "listen: "),
-    ({"listen": "1.2.3.4:99999"}, "listen: expected a port"), ({"discovery": 7}, "discovery: "),
-    ({"registry": []}, "registry: expected an object"), ({"registry": {}}, "registry.address: "),
-    ({"limits": {"sockets": "many"}}, "limits.sockets: expected a whole number"),
-    ({"limits": {"sockets": 3}}, "limits.sockets: expected 32 or more"), ({"peers": {}}, "peers: "),
-    ({"peers": ["1.2.3.4:1", "x"]}, "peers.1: "), ({"known": 3}, "known: "),
-    ({"settings": None}, "settings: expected an object, it is missing"),
-    ({"settings": {"classes": [{}]}}, "settings.classes.0.name: it is missing"), ({"name": 3}, "name: "),
-    ({"settings": {"classes": [3]}}, "settings.classes.0: "), ({"peers_all": "x:1"}, "peers_all: "),
-    ({"settings": {"specifics": {"cycle": "soon"}}}, "settings.specifics.cycle: found 'soon'"),
-    ({"settings": {"specifics": {"cycle": 0.0}}}, "settings.specifics.cycle: expected more than 0"),
-    ({"settings": {"specifics": {"egress_per_s": -1}}}, "settings.specifics.egress_per_s: expected 0 or"),
-    ({"settings": {"specifics": {"bare": float("inf")}}}, "settings.specifics.bare: found inf"),
-    ({"settings": {"classes": [{**OPTIONS["classes"][0], "objective": 0}]}}, "settings.classes.0: "),
-    ({"settings": {"report": []}}, "settings.report: expected an object")])
+CONFIG = {
+    "name": "n0",
+    "listen": "127.0.0.1:3000",
+    "discovery": "127.0.0.1:8500",
+    "seed": "8c1f",
+    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+    "peers": [],
+    "registry": {"address": "127.0.0.1:6400"},
+    "known": {"version": 41, "full": True, "servers": [item("s1"), item("s2")]},
+    "settings": OPTIONS,
+}
+
+
+@pytest.mark.parametrize(
+    "change, words",
+    [
+        ({"listen": None}, "listen: expected an address"),
+        ({"listen": "localhost:1"}, "listen: "),
+        ({"listen": "1.2.3.4:99999"}, "listen: expected a port"),
+        ({"discovery": 7}, "discovery: "),
+        ({"registry": []}, "registry: expected an object"),
+        ({"registry": {}}, "registry.address: "),
+        ({"limits": {"sockets": "many"}}, "limits.sockets: expected a whole number"),
+        ({"limits": {"sockets": 3}}, "limits.sockets: expected 32 or more"),
+        ({"peers": {}}, "peers: "),
+        ({"peers": ["1.2.3.4:1", "x"]}, "peers.1: "),
+        ({"known": 3}, "known: "),
+        ({"settings": None}, "settings: expected an object, it is missing"),
+        ({"settings": {"classes": [{}]}}, "settings.classes.0.name: it is missing"),
+        ({"name": 3}, "name: "),
+        ({"settings": {"classes": [3]}}, "settings.classes.0: "),
+        ({"peers_all": "x:1"}, "peers_all: "),
+        ({"settings": {"specifics": {"cycle": "soon"}}}, "settings.specifics.cycle: found 'soon'"),
+        ({"settings": {"specifics": {"cycle": 0.0}}}, "settings.specifics.cycle: expected more than 0"),
+        ({"settings": {"specifics": {"egress_per_s": -1}}}, "settings.specifics.egress_per_s: expected 0 or"),
+        ({"settings": {"specifics": {"bare": float("inf")}}}, "settings.specifics.bare: found inf"),
+        ({"settings": {"classes": [{**OPTIONS["classes"][0], "objective": 0}]}}, "settings.classes.0: "),
+        ({"settings": {"report": []}}, "settings.report: expected an object"),
+    ],
+)
 def test_a_faulty_key_is_named(change, words):
     with pytest.raises(charter.Faulty) as found:
         charter.check({**CONFIG, **change})
@@ -220,8 +240,10 @@
         addresses = {"discovery": self.discovery, "registry": self.relay}
         config = json.loads(json.dumps(CONFIG))
         told = charter.check(config)._replace(
-            listen=("127.0.0.1", 0), discovery=addresses["discovery"].getsockname(),
-            relay=addresses["registry"].getsockname())
+            listen=("127.0.0.1", 0),
+            discovery=addresses["discovery"].getsockname(),
+            relay=addresses["registry"].getsockname(),
+        )
         self.lines = []
         self.service = program.Service(told, self.edge.loop, self)
         self.service.start()
@@ -280,8 +302,9 @@
     site.close()
 
 
-STANDS = (b"OK\r\n* SUBSCRIBE 1 a 2.0 1\r\n* GRANT 0 1\r\n* ROW 0 s1 1.0\r\n"
-          b"* GRANT 1 1\r\n* ROW 1 s2 1.0\r\n*\r\n")
+STANDS = (
+    b"OK\r\n* SUBSCRIBE 1 a 2.0 1\r\n* GRANT 0 1\r\n* ROW 0 s1 1.0\r\n* GRANT 1 1\r\n* ROW 1 s2 1.0\r\n*\r\n"
+)
 
 
 def test_the_whole_road_from_a_drain_in_the_watch_to_the_call(site):
@@ -323,6 +346,7 @@
 
     def defect(now, events):
         raise RuntimeError("a defect")
+
     monkeypatch.setattr(first, "handle", defect)
     site.wait(program.AGAIN_AFTER + 1.2)
     assert ("the module failed", {}) in site.lines and site.service.manager is not first
@@ -330,8 +354,11 @@
     news, _ = site.accept(site.relay, b"WATCH")
     news.sendall(STANDS)
     assert turns(site.edge, lambda: site.service.turn(0) or len(site.service.manager.ours()) == 2)
-    assert any("LIMIT,1,*,1.0," in out.text
-               for part in (site.service.calls.waiting, site.service.calls.flight) for out in part.values())
+    assert any(
+        "LIMIT,1,*,1.0," in out.text
+        for part in (site.service.calls.waiting, site.service.calls.flight)
+        for out in part.values()
+    )
 
 
 def config_file(tmp_path, monkeypatch, **change):
@@ -363,8 +390,10 @@
     site.wait(0.5)
     assert news.recv(9) == b"" and watching.recv(9) == b""  # the old ones were ended
     assert not site.service.manager.proxies and len(site.service.manager.ours()) == 2
-    assert ("new configuration taken", {"discovery": there[0], "relay": there[1],
-                                        "at_the_next_start": ["listen", "seed"]}) in site.lines
+    assert (
+        "new configuration taken",
+        {"discovery": there[0], "relay": there[1], "at_the_next_start": ["listen", "seed"]},
+    ) in site.lines
     before = site.service.news.current, site.service.discovery.current
     for text in (path.read_text(), "{", "[]", path.read_text().replace(there[1], "nowhere")):
         path.write_text(text)  # the same again, and faulty ones: harmless, and told
@@ -395,9 +424,13 @@
     listen.close()
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config))
-    return subprocess.Popen([sys.executable, "-m", "bramblewood", *words], stdout=subprocess.PIPE,
-                            stderr=subprocess.PIPE, env={**os.environ, "EDGE_CONFIG": str(path)},
-                            preexec_fn=lambda: signal.signal(signal.SIGHUP, signal.SIG_IGN))  # as deploy's
+    return subprocess.Popen(
+        [sys.executable, "-m", "bramblewood", *words],
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        env={**os.environ, "EDGE_CONFIG": str(path)},
+        preexec_fn=lambda: signal.signal(signal.SIGHUP, signal.SIG_IGN),
+    )  # as deploy's
 
 
 def test_sigterm_ends_it_with_exit_code_0(tmp_path):
@@ -424,17 +457,25 @@
 
 def test_sigterm_amid_the_imports_is_not_lost():
     """Guards against an exception from the handler that some import swallows: the manager then ran on."""
-    code = ("import os, signal, bramblewood.__main__\ntry:\n    os.kill(os.getpid(), signal.SIGTERM)\n"
-            "except BaseException:\n    print('lost')\nprint('went on')")
+    code = (
+        "import os, signal, bramblewood.__main__\ntry:\n    os.kill(os.getpid(), signal.SIGTERM)\n"
+        "except BaseException:\n    print('lost')\nprint('went on')"
+    )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, timeout=20)
     assert done.returncode == 0 and done.stdout == b""
 
 
-@pytest.mark.parametrize("words, change, said", [
-    (["serve"], {"listen": "nowhere"}, b"listen: "), (["odd"], {}, b"odd"),
-    (["serve", "--odd"], {}, b"--odd"),
-    (["check"], {"discovery": 7}, b"discovery: "), (["serve"], {"listen": "192.0.2.1:9"}, b"listen: "),
-    (["check"], {"known": {"version": "x"}}, b"known: a list without version")])
+@pytest.mark.parametrize(
+    "words, change, said",
+    [
+        (["serve"], {"listen": "nowhere"}, b"listen: "),
+        (["odd"], {}, b"odd"),
+        (["serve", "--odd"], {}, b"--odd"),
+        (["check"], {"discovery": 7}, b"discovery: "),
+        (["serve"], {"listen": "192.0.2.1:9"}, b"listen: "),
+        (["check"], {"known": {"version": "x"}}, b"known: a list without version"),
+    ],
+)
 def test_what_is_wrong_at_the_start_is_one_line_and_exit_code_2(tmp_path, words, change, said):
     process = started(tmp_path, *words, **change)
     out, err = process.communicate(timeout=20)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -62,11 +62,14 @@
 
     def alive():
         return {key: value for key, value in state.items() if until[key] > clock.at}
+
     for _ in range(250):
         what = dice.random()
         if what < 0.55:
-            operations = [(key, value, dice.choice([0, 0, int(1000 * (clock.at + dice.randrange(1, 90)))]))
-                          for key, value, _ in batch(dice)]
+            operations = [
+                (key, value, dice.choice([0, 0, int(1000 * (clock.at + dice.randrange(1, 90)))]))
+                for key, value, _ in batch(dice)
+            ]
             store.write(operations)
             state = apply(state, operations)
             until |= {key: expiry / 1000 if expiry else 1e18 for key, _, expiry in operations}
@@ -150,7 +153,7 @@
         for loss in range(3):
             dice = random.Random(cut * 10 + loss)
             back = disc.after_power_cut(dice)
-            if dice.random() < 0.5:   # and once more, amid the recovery
+            if dice.random() < 0.5:  # and once more, amid the recovery
                 back.cut_at = dice.randrange(1, 60)
                 try:
                     opened(back).close()
@@ -159,7 +162,7 @@
                 back = back.after_power_cut(dice)
             store = opened(back)
             found = dict(store.scan())
-            assert found in history[promised[0]:], (cut, loss, promised)
+            assert found in history[promised[0] :], (cut, loss, promised)
             assert all(damage.kept for damage in store.damages), (cut, loss, store.damages)
             store.put(b"after", b"1")
             store.commit()
@@ -215,6 +218,7 @@
         tries.append(clock.at)
         raise OSError(errno.EACCES, "Permission denied")
         yield
+
     for k in range(60):
         store.put(b"k%d" % k, bytes(40))
         store.commit()
@@ -275,7 +279,7 @@
             if hole.covers(key):
                 with pytest.raises(Unreadable):
                     snapshot.get(key)
-    for key, value in found.items():   # never a value that was not told
+    for key, value in found.items():  # never a value that was not told
         assert any(state.get(key) == value for state in history), what
     snapshot.close()
     store.put(b"after", b"1")
@@ -306,9 +310,17 @@
             judge(damaged(disc, name, lambda data, at=at: data[:at]), history, (name, "cut", at))
         for at in range(0, size, step):
             for bit in range(8) if at < frames.HEAD.size else (at % 8,):
-                judge(damaged(disc, name, lambda data, at=at, bit=bit:
-                              data[:at] + bytes([data[at] ^ 1 << bit]) + data[at + 1:]), history,
-                      (name, "changed", at, bit))
+                judge(
+                    damaged(
+                        disc,
+                        name,
+                        lambda data, at=at, bit=bit: (
+                            data[:at] + bytes([data[at] ^ 1 << bit]) + data[at + 1 :]
+                        ),
+                    ),
+                    history,
+                    (name, "changed", at, bit),
+                )
 
 
 def test_a_lost_doubled_older_or_foreign_file_has_a_stated_answer():
@@ -380,6 +392,7 @@
         def refuse(count=count, bad=bad):
             count[0] += 1
             return errno.EIO if count[0] == bad else 0
+
         back.refusals = {"read": refuse}
         try:
             store = opened(back)
@@ -401,7 +414,7 @@
         store.write(operations)
         store.commit()
         if step == 60:
-            store.flusher.process.kill()   # guards against waiting for ever for an answer
+            store.flusher.process.kill()  # guards against waiting for ever for an answer
         if store.background or store.work():
             next(store.background, WAITING)
         clock.at += 1
@@ -410,7 +423,7 @@
         clock.at += 1.0
         if store.promised == store.number:
             break
-        select.select([store.flusher.waker()], [], [], 1.0)   # the process takes a moment to start
+        select.select([store.flusher.waker()], [], [], 1.0)  # the process takes a moment to start
     assert store.promised == store.number and store.failures == 0
     store.close()
     again = Store(Folder(str(tmp_path / "store")), clock)
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -59,8 +59,9 @@
 
     def slow():
         for _ in range(20):
-            hand.at += 0.01   # five times the budget
+            hand.at += 0.01  # five times the budget
             yield None
+
     scheduler.add("broken", broken())
     job = scheduler.add("slow", slow())
     for _ in range(400):
