--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -11,14 +11,14 @@
 import random
 import time
 
-from bramblewood.archive.feed import Feed
-from bramblewood.archive.patches import difference
-from bramblewood.archive.placement import Placement, apply, met_of
-from bramblewood.archive.roll import Roll, Row
-from bramblewood.catalogue.edition import Service, edition_of
-from bramblewood.catalogue.table import FINE, KEYS
-from bramblewood.desk.steering import Steering
-from bramblewood.lab.operator import configuration
+from bramblewood.common.configuration import Service, edition_of
+from bramblewood.common.slice_table import FINE, KEYS
+from bramblewood.common.worker_registry import Roll, Row
+from bramblewood.controller.placement import Placement, apply, met_of
+from bramblewood.controller.proxy_updates import Feed
+from bramblewood.controller.value_diff import difference
+from bramblewood.emulator.operator import configuration
+from bramblewood.proxy.load_balancing import Steering
 
 SIZES = (
     (10, 35, 10),
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -9,7 +9,7 @@
 import json
 import statistics
 
-from tests.orders_play import Site, eight
+from tests.simulation.configuration_changes import Site, eight
 
 NEAR, WIDE, FAR = (0.0005, 0.003), (0.0005, 0.06), (0.055, 0.06)  # s one way
 SITES = {
--- a/benchmarks/shelf.py
+++ b/benchmarks/shelf.py
@@ -15,9 +15,9 @@
 import time
 from collections.abc import Callable
 
-from bramblewood.archive.feed import Feed
-from bramblewood.archive.patches import difference, patched
-from bramblewood.archive.shelf import NAME, Shelf
+from bramblewood.controller.proxy_updates import Feed
+from bramblewood.controller.storage import NAME, Shelf
+from bramblewood.controller.value_diff import difference, patched
 
 SIZES = (1_000, 10_000, 90_000)  # slices of the table
 SERVICES = 3  # that share them
--- a/bramblewood/__main__.py
+++ b/bramblewood/__main__.py
@@ -39,10 +39,10 @@
     if gateway(sys.argv[1:]):
         doors = {}
         if sys.argv[1:] == ["desk"]:  # before the rest is imported, which takes tenths of a second
-            from .catalogue.doors import open_early
+            from .common.listeners import open_early
 
             doors = open_early(("Front", "ReadyProbe"))
-        from .cli.rooms import rooms
+        from .cli.gateway import rooms
 
         rooms(prog_name="bramblewood", obj=doors)
     from .cli.app import main
--- a/bramblewood/cli/app.py
+++ b/bramblewood/cli/app.py
@@ -5,7 +5,7 @@
 import typer
 
 from . import manager
-from .words import FAULTY
+from .output import FAULTY
 
 app = typer.Typer(
     add_completion=False,
--- a/bramblewood/cli/boot.py
+++ b/bramblewood/cli/boot.py
@@ -5,11 +5,11 @@
 import click
 from result import Err
 
-from ..catalogue import bootfile
-from .codes import FAULTY
+from ..common import settings
+from .exit_codes import FAULTY
 
 BOOT = click.option(
-    "--boot", metavar="FILE", help=f"the settings file; else the one that {bootfile.VARIABLE} names"
+    "--boot", metavar="FILE", help=f"the settings file; else the one that {settings.VARIABLE} names"
 )
 
 
@@ -18,9 +18,9 @@
     sys.exit(code)
 
 
-def settings(path: str | None, *listens: str) -> bootfile.Settings:
+def load_settings(path: str | None, *listens: str) -> settings.Settings:
     """The settings; listens: what `BindMap` has to name for this program."""
-    told = bootfile.load(path)
+    told = settings.load(path)
     if isinstance(told, Err):
         fail(told.err_value)
     for name in listens:
--- a/bramblewood/cli/withdraw.py
+++ b/bramblewood/cli/drain.py
@@ -9,8 +9,8 @@
 import click
 
 from .boot import BOOT, fail
-from .codes import FOUND
-from .enquiries import ARCHIVE, JSON, ask, call, out, places
+from .exit_codes import FOUND
+from .inspection import ARCHIVE, JSON, ask, call, out, places
 
 LOOK = 0.5  # s between looks while `show --wait` waits
 
--- a/bramblewood/cli/lab.py
+++ b/bramblewood/cli/emulator.py
@@ -8,10 +8,10 @@
 import click
 from result import Err
 
-from ..lab.scenario import Scenario, scenario_of
+from ..emulator.scenario import Scenario, scenario_of
 from .boot import fail
-from .codes import FOUND
-from .enquiries import JSON, out
+from .exit_codes import FOUND
+from .inspection import JSON, out
 
 
 def read(path: str) -> Scenario:
@@ -43,8 +43,8 @@
     """Play SCENARIO. Exit codes: 0 the audit finds nothing, 1 it finds something, 2 it could not be
     played.
     """
-    from ..lab.report import figures
-    from ..lab.run import World
+    from ..emulator.report import figures
+    from ..emulator.run import World
 
     told = read(scenario)
     if no_notice:
@@ -85,7 +85,7 @@
     """Write FOLDER/report.html from a run of SCENARIO that was left there. Exit codes as those of `lab
     run`.
     """
-    from ..lab.report import figures, page
+    from ..emulator.report import figures, page
 
     told = read(scenario)
     try:
@@ -110,7 +110,7 @@
 @click.option("--life", default="")
 def lab_worker(service, address, zone, slots, work, ledger, controls, keyed, life) -> None:
     """One stand-in worker; a run starts these."""
-    from ..lab.worker import work as play
+    from ..emulator.worker_process import work as play
 
     host, _, port = address.rpartition(":")
     place = (host, int(port))
--- a/bramblewood/cli/rooms.py
+++ b/bramblewood/cli/gateway.py
@@ -6,8 +6,8 @@
 
 import click
 
-from .boot import BOOT, settings
-from .codes import FAULTY
+from .boot import BOOT, load_settings
+from .exit_codes import FAULTY
 
 
 @click.group(
@@ -33,25 +33,25 @@
 @click.pass_obj
 def desk(doors: dict, boot: str | None) -> None:
     """Run a desk: take clients' requests and carry them to workers."""
-    from ..desk.program import Desk
+    from ..proxy.server import Desk
 
-    play(Desk(settings(boot, "Front", "ReadyProbe"), doors))
+    play(Desk(load_settings(boot, "Front", "ReadyProbe"), doors))
 
 
 @rooms.command()
 @BOOT
 def archive(boot: str | None) -> None:
     """Run an archive: keep the configuration, the roll of workers and the tables."""
-    from ..archive.program import Archive
+    from ..controller.server import Archive
 
-    play(Archive(settings(boot, "Control")))
+    play(Archive(load_settings(boot, "Control")))
 
 
 if sys.argv[1:2] not in (["desk"], ["archive"]):  # programs at work need none of the other commands' memory
-    from .enquiries import COMMANDS
-    from .lab import lab
+    from .drain import withdraw
+    from .emulator import lab
+    from .inspection import COMMANDS
     from .members import members
-    from .withdraw import withdraw
 
     for command in (*COMMANDS, lab, members, withdraw):
         rooms.add_command(command)
--- a/bramblewood/cli/enquiries.py
+++ b/bramblewood/cli/inspection.py
@@ -12,14 +12,14 @@
 import click
 from result import Err
 
-from ..archive.roll import Row
-from ..archive.shelf import FORM, NAME, read
-from ..catalogue import bootfile
-from ..catalogue.edition import Edition, edition_of, number_of, survey
-from ..catalogue.table import FENCE, OLD, SECOND, WORKER, starts_of
-from ..desk.steering import Steering
-from .boot import BOOT, fail, settings
-from .codes import FOUND
+from ..common import settings
+from ..common.configuration import Edition, edition_of, number_of, survey
+from ..common.slice_table import FENCE, OLD, SECOND, WORKER, starts_of
+from ..common.worker_registry import Row
+from ..controller.storage import FORM, NAME, read
+from ..proxy.load_balancing import Steering
+from .boot import BOOT, fail, load_settings
+from .exit_codes import FOUND
 
 ASK = 3.0  # s for an archive's answer
 FOLLOWED = 2  # times that a call goes where a 307 points; PROTOCOL, "The operator"
@@ -72,7 +72,11 @@
 
 def places(archive: str | None, boot: str | None) -> list[str]:
     """Inner addresses of archives."""
-    return [archive] if archive else [f"{ip}:{settings(boot).inner}" for ip in settings(boot).seed_ips()]
+    return (
+        [archive]
+        if archive
+        else [f"{ip}:{load_settings(boot).inner}" for ip in load_settings(boot).seed_ips()]
+    )
 
 
 def ask(archive: str | None, boot: str | None, what: str) -> Any:
@@ -83,7 +87,7 @@
 
 
 def controls(control: str | None, boot: str | None) -> list[str]:
-    return [control] if control else list(settings(boot).seeds)
+    return [control] if control else list(load_settings(boot).seeds)
 
 
 def current(control: str | None, boot: str | None) -> Any:
@@ -114,7 +118,7 @@
     """
     faults = []
     if boot or not config:
-        told = bootfile.load(boot)
+        told = settings.load(boot)
         faults += [told.err_value] if isinstance(told, Err) else []
     if config:
         faults += [f"{config}: {fault}" for fault in survey(read_config(config))[1]]
--- a/bramblewood/cli/ledger.py
+++ b/bramblewood/cli/ledger.py
@@ -4,7 +4,7 @@
 
 import typer
 
-from .words import FOLDER, FOUND, JSON, out, reading
+from .output import FOLDER, FOUND, JSON, out, reading
 
 app = typer.Typer(
     help="What a manager's store remembers. Exit codes: 0 done, 1 nothing remembered of that "
--- a/bramblewood/cli/manager.py
+++ b/bramblewood/cli/manager.py
@@ -9,7 +9,7 @@
 from ..net.protocol import roster
 from ..net.protocol.words import Unreadable
 from ..net.transport.connection import spelled
-from .words import fail
+from .output import fail
 
 OPERATOR = "BRAMBLEWOOD_OPERATOR"  # names the operator's file where the option does not
 OPERATORS_FILE = typer.Option(
--- a/bramblewood/cli/members.py
+++ b/bramblewood/cli/members.py
@@ -6,8 +6,8 @@
 import click
 
 from .boot import BOOT
-from .codes import FOUND
-from .enquiries import ARCHIVE, JSON, ask, call, out, places
+from .exit_codes import FOUND
+from .inspection import ARCHIVE, JSON, ask, call, out, places
 
 
 @click.group(invoke_without_command=True)
--- a/bramblewood/cli/words.py
+++ b/bramblewood/cli/output.py
@@ -7,7 +7,7 @@
 
 import typer
 
-from .codes import DONE, FAULTY, FOUND  # noqa: F401
+from .exit_codes import DONE, FAULTY, FOUND  # noqa: F401
 
 FOLDER = typer.Argument(..., help="the store's folder")
 JSON = typer.Option(False, "--json", help="one JSON value")
--- a/bramblewood/cli/store.py
+++ b/bramblewood/cli/store.py
@@ -4,7 +4,7 @@
 
 import typer
 
-from .words import DONE, FOLDER, FOUND, JSON, fail, out, progress, reading, shown
+from .output import DONE, FOLDER, FOUND, JSON, fail, out, progress, reading, shown
 
 app = typer.Typer(
     help="A folder of the embedded store. Exit codes: 0 done, 1 damage found or no such key, "
--- a/bramblewood/catalogue/edition.py
+++ b/bramblewood/common/configuration.py
@@ -10,7 +10,7 @@
 
 from result import Err, Ok, Result
 
-from .typed import Fault, check
+from .schema import Fault, check
 
 LONGEST = 600.0  # s, ten minutes: the most that a TimeoutS may be; PROTOCOL, "The operator"
 PURE = "pure"
--- a/bramblewood/catalogue/bootfile.py
+++ b/bramblewood/common/settings.py
@@ -8,7 +8,7 @@
 
 from result import Err, Ok, Result
 
-from .typed import check
+from .schema import check
 
 VARIABLE = "BRAMBLEWOOD_BOOT"
 LONELY = 10.0  # s without any other manager after which the file is read again: it may name others now
--- a/bramblewood/archive/accession.py
+++ b/bramblewood/controller/commands.py
@@ -8,9 +8,9 @@
 
 from result import Err, Ok, Result
 
-from ..catalogue.edition import Edition, parse
-from ..catalogue.typed import check
-from .roll import DRAINING, READY, Row
+from ..common.configuration import Edition, parse
+from ..common.schema import check
+from ..common.worker_registry import DRAINING, READY, Row
 
 BEAT_MOST = 64 * 2**10  # bytes of a worker's call
 CONFIG_MOST = 32 * 2**20  # bytes of a configuration
--- a/bramblewood/archive/membership.py
+++ b/bramblewood/controller/consensus/membership.py
@@ -12,9 +12,9 @@
 
 from result import Err, Ok, Result
 
-from ..catalogue.bootfile import Tolerance
-from .ballots import CONFIG, TABLE, Members, belongs, majority
-from .quorums import Place, bears, enough, first_voters
+from ...common.settings import Tolerance
+from .quorum import Place, bears, enough, first_voters
+from .replica import CONFIG, TABLE, Members, belongs, majority
 
 SILENT_PART = 1 / 2  # of CatchUpS without a pulse, after which a voter's seat is given away
 STEADY_PART = 1 / 4  # of CatchUpS with pulses, before an archive may take a seat
--- a/bramblewood/archive/quorums.py
+++ b/bramblewood/controller/consensus/quorum.py
@@ -5,7 +5,7 @@
 from itertools import chain, zip_longest
 from typing import NamedTuple
 
-from ..catalogue.bootfile import Tolerance
+from ...common.settings import Tolerance
 
 
 class Place(NamedTuple):
--- a/bramblewood/archive/ballots.py
+++ b/bramblewood/controller/consensus/replica.py
@@ -21,8 +21,8 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple, TypedDict
 
-from .contention import Contention
-from .patches import difference, patched
+from ..value_diff import difference, patched
+from .proposer_backoff import Contention
 
 Ballot = tuple[int, int, str, int]  # epoch, counter, archive, that archive's life; compared in turn
 NONE: Ballot = (0, 0, "", 0)
--- a/bramblewood/archive/withdrawal.py
+++ b/bramblewood/controller/drain_plans.py
@@ -17,9 +17,9 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from ..catalogue.table import CLOSED, CLOSING, OLD, OUT, TOLD, WORKER
+from ..common.slice_table import CLOSED, CLOSING, OLD, OUT, TOLD, WORKER
+from ..common.worker_registry import GONE, READY, Roll
 from ..policy.figures import LIMIT
-from .roll import GONE, READY, Roll
 
 RUNNING, STOPPED, BACK, DONE = "running", "stopped", "back", "done"
 LOOK = 3.0  # s after a wave until the next: five reports of half a second that have seen it, and one way
--- a/bramblewood/archive/crowds.py
+++ b/bramblewood/controller/hot_keys.py
@@ -14,7 +14,7 @@
 from collections import Counter, deque
 from typing import NamedTuple
 
-from ..catalogue.table import FINE
+from ..common.slice_table import FINE
 from ..policy.figures import HELD, LIMIT, REPORTS
 
 WATCH_PART = 0.5  # of what one worker can be asked for, at which a range is looked at key by key
--- a/bramblewood/archive/holds.py
+++ b/bramblewood/controller/key_leases.py
@@ -16,10 +16,10 @@
 
 from typing import NamedTuple
 
-from ..catalogue.links import UNHEARD_MS
-from ..catalogue.spans import SLOW_CLOCK, TRAVEL, WORD
-from ..catalogue.table import FENCE, HANDOVER, KEYS, OLD, WORKER, starts_of
-from .roll import GONE, Roll
+from ..common.peer_connections import UNHEARD_MS
+from ..common.slice_table import FENCE, HANDOVER, KEYS, OLD, WORKER, starts_of
+from ..common.timeouts import SLOW_CLOCK, TRAVEL, WORD
+from ..common.worker_registry import GONE, Roll
 
 # of HoldMaxS: an unsettled core of some seconds costs nothing, a dead worker's keys wait as long
 HOLD_PART = 0.6
--- a/bramblewood/archive/placement.py
+++ b/bramblewood/controller/placement.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from .. import interface as door
-from ..catalogue.table import (
+from ..common.slice_table import (
     EMPTY,
     FENCE,
     FINE,
@@ -27,14 +27,14 @@
     reading,
     with_readers,
 )
+from ..common.worker_registry import DRAINING, GONE, READY, Roll
 from ..policy.figures import HELD, LIMIT, UNSEEN, mean, usual
 from ..policy.manager import Manager
-from .copies import wanted as readers_wanted
-from .crowds import Crowds, Told
-from .health import unwell
-from .nearness import Nearness
-from .roll import DRAINING, GONE, READY, Roll
-from .withdrawal import TOLD, Room, steps_of
+from .drain_plans import TOLD, Room, steps_of
+from .hot_keys import Crowds, Told
+from .outlier_detection import unwell
+from .read_replicas import wanted as readers_wanted
+from .zone_affinity import Nearness
 
 A_WORKER = 6  # slices a worker at least, so that one is a small step; each keyed slice costs a renewal
 LEAST = 32
--- a/bramblewood/archive/feed.py
+++ b/bramblewood/controller/proxy_updates.py
@@ -8,10 +8,10 @@
 
 from collections import deque
 
-from ..catalogue.table import CLOSING
-from .health import unwell
-from .patches import others
-from .withdrawal import steps_of
+from ..common.slice_table import CLOSING
+from .drain_plans import steps_of
+from .outlier_detection import unwell
+from .value_diff import others
 
 KEPT = 200  # changes of the table that a difference can be made of
 
--- a/bramblewood/archive/copies.py
+++ b/bramblewood/controller/read_replicas.py
@@ -13,11 +13,11 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from ..catalogue.spans import ANNOUNCE, LEASE, RUN_OUT
-from ..catalogue.table import FENCE, OLD, READERS, WORKER, readers_of, reading, with_readers
+from ..common.slice_table import FENCE, OLD, READERS, WORKER, readers_of, reading, with_readers
+from ..common.timeouts import ANNOUNCE, LEASE, RUN_OUT
+from ..common.worker_registry import READY, Roll
 from ..policy.figures import LIMIT
-from .holds import AGAIN, RENEW_PART
-from .roll import READY, Roll
+from .key_leases import AGAIN, RENEW_PART
 
 MOST = 8  # readers of one record; each costs a call each third of a lease and one for each effect
 
--- a/bramblewood/archive/rows.py
+++ b/bramblewood/controller/row_encoding.py
@@ -11,7 +11,7 @@
 from itertools import islice
 from typing import Any
 
-from .patches import DROP, INTO, SET
+from .value_diff import DROP, INTO, SET
 
 VALUE = "value"
 AT_ONCE = 1000  # rows that are read in one go: far fewer calls than one by one, far less memory than all
--- a/bramblewood/archive/program.py
+++ b/bramblewood/controller/server.py
@@ -11,13 +11,14 @@
 from aiohttp import web
 from result import Err
 
-from ..catalogue import counters, daybook
-from ..catalogue.bootfile import LONELY, Settings, seeds_again
-from ..catalogue.edition import edition_of
-from ..catalogue.links import QUIET, Link, Links, accept, careful_socket
-from ..catalogue.spans import LEASE
+from ..common import logs, metrics
+from ..common.configuration import edition_of
+from ..common.peer_connections import QUIET, Link, Links, accept, careful_socket
+from ..common.settings import LONELY, Settings, seeds_again
+from ..common.timeouts import LEASE
+from ..common.worker_registry import GONE, READY, Roll, Row
 from . import placement
-from .accession import (
+from .commands import (
     BEAT_MOST,
     Command,
     EndPlan,
@@ -34,7 +35,8 @@
     plan_call,
     succeed,
 )
-from .ballots import (
+from .consensus.membership import Membership, Peer, may_leave
+from .consensus.replica import (
     ALL,
     CONFIG,
     MEMBERS,
@@ -50,16 +52,14 @@
     succession,
     trace,
 )
-from .copies import Copies, Lease, forgotten, taken_off
-from .feed import Feed
-from .health import Health, judged, out_of_health
-from .holds import RENEW_PART, Call, Freed, Holds
-from .leaves import HELD_WITHIN, Leaves
-from .membership import Membership, Peer, may_leave
-from .roll import GONE, READY, Roll, Row
+from .deregistration import HELD_WITHIN, Leaves
+from .drain_plans import CLOSING, TOLD, Withdrawals, ended, in_use, out_of, plans_of, started, steps_of
+from .key_leases import RENEW_PART, Call, Freed, Holds
+from .outlier_detection import Health, judged, out_of_health
+from .proxy_updates import Feed
+from .read_replicas import Copies, Lease, forgotten, taken_off
 from .sessions import PULSE, Sessions
-from .shelf import Shelf
-from .withdrawal import CLOSING, TOLD, Withdrawals, ended, in_use, out_of, plans_of, started, steps_of
+from .storage import Shelf
 
 TICK = 0.1  # s between looks at what is due
 DESK_PULSE = 0.5  # s between pulses to desks; two lost ones are noticed within their QUIET
@@ -77,7 +77,7 @@
 class Archive:
     def __init__(self, told: Settings) -> None:
         self.told, self.me = told, told.ip
-        self.log = daybook.begin(told.name)
+        self.log = logs.begin(told.name)
         self.life = int.from_bytes(os.urandom(4), "big")
         self.shelf = Shelf(told.data or "/tmp")
         self.roll, self.sessions = Roll(), Sessions(self.me)
@@ -136,7 +136,7 @@
             server = await loop.create_server(web.Server(self.serve, access_log=None), *place, backlog=512)
             servers.append(server)
         self.calls, self.fresh = caller(keepalive_timeout=4.0), caller(force_close=True)
-        daybook.started(
+        logs.started(
             self.log,
             self.told.unread,
             contract=self.told.contract,
@@ -1029,7 +1029,7 @@
         if path == "/metrics":
             ballots = self.ballots
             return web.Response(
-                text=counters.text(
+                text=metrics.text(
                     {
                         "archive_whole": int(self.whole(now)),
                         "archive_votes": int(ballots.voting),
--- a/bramblewood/archive/sessions.py
+++ b/bramblewood/controller/sessions.py
@@ -13,9 +13,9 @@
 
 from typing import NamedTuple
 
-from ..catalogue.spans import WORD
-from .ballots import NONE, Ballot, belongs, majority
-from .membership import Peer
+from ..common.timeouts import WORD
+from .consensus.membership import Peer
+from .consensus.replica import NONE, Ballot, belongs, majority
 
 PULSE = 0.25  # s between pulses; three of them fit into WORD
 SILENT = 0.9  # s without a pulse after which an archive counts as away: three pulses and some way
--- a/bramblewood/archive/shelf.py
+++ b/bramblewood/controller/storage.py
@@ -24,8 +24,8 @@
 
 from result import Err, Ok, Result
 
-from .patches import SET, difference
-from .rows import GONE, PUT, span, steps, text, value_of
+from .row_encoding import GONE, PUT, span, steps, text, value_of
+from .value_diff import SET, difference
 
 NAME = "shelf.db"
 FORM = 2  # the form of the tables; a later one is not opened
--- a/bramblewood/lab/audit.py
+++ b/bramblewood/emulator/audit.py
@@ -8,7 +8,7 @@
 from collections import Counter, defaultdict
 from typing import NamedTuple
 
-from .ledger import Line
+from .effect_log import Line
 
 PROMISES = (408, 421, 429, 503)  # has not run and never will
 
--- a/bramblewood/lab/run.py
+++ b/bramblewood/emulator/run.py
@@ -19,12 +19,12 @@
 import aiohttp
 
 from .audit import Finding, audit
-from .boot import boot, start
 from .clients import Clients
-from .ledger import Ledger
+from .effect_log import Ledger
+from .network import Wire
 from .operator import ROUTE_FIELDS, configuration
+from .processes import boot, start
 from .scenario import Scenario
-from .wire import Wire
 
 INNER, CONTROL, FRONT, READY, WORKER = 27540, 28544, 28548, 28542, 28700
 UP_WITHIN = 30.0  # s for all to be ready
--- a/bramblewood/lab/scenario.py
+++ b/bramblewood/emulator/scenario.py
@@ -7,7 +7,7 @@
 
 from result import Err, Ok, Result
 
-from ..catalogue.typed import check
+from ..common.schema import check
 
 
 class ServiceOf(TypedDict):
--- a/bramblewood/lab/worker.py
+++ b/bramblewood/emulator/worker_process.py
@@ -10,8 +10,8 @@
 import aiohttp
 from aiohttp import web
 
-from .ledger import Ledger
-from .standin import StandIn
+from .effect_log import Ledger
+from .worker_stub import StandIn
 
 BEAT = 1.0  # s between calls
 DRAINS = 2.8  # s that it serves on once its leave was acknowledged: DrainS and a little longer, PROTOCOL
--- a/bramblewood/desk/stacks.py
+++ b/bramblewood/proxy/connection_pool.py
@@ -10,9 +10,9 @@
 import itertools
 import socket
 
-from ..catalogue.links import careful
-from .connection import Connection, Ended, How
-from .response import Answer
+from ..common.peer_connections import careful
+from .response_parser import Answer
+from .worker_connection import Connection, Ended, How
 
 DIAL = 0.35  # s for a connection to come up: a dropped opening packet is sent again after a second or more
 UNHEARD_MS = 500  # ms that sent bytes may stay unacknowledged: a worker's machine answers packets in a few ms
--- a/bramblewood/desk/contact.py
+++ b/bramblewood/proxy/controller_selection.py
@@ -9,7 +9,7 @@
 
 import zlib
 
-from ..catalogue.spans import SURE
+from ..common.timeouts import SURE
 
 WANT_AFTER = 0.2  # s in which the home may bring what another archive tells of
 WANT_AGAIN = 0.4  # s after which what was asked for and did not come is asked elsewhere
--- a/bramblewood/desk/steering.py
+++ b/bramblewood/proxy/load_balancing.py
@@ -11,8 +11,7 @@
 
 from cachetools import LRUCache
 
-from ..archive.roll import DRAINING, GONE, READY, Roll
-from ..catalogue.table import (
+from ..common.slice_table import (
     FENCE,
     FINE,
     KEYS,
@@ -25,7 +24,8 @@
     reading,
     starts_of,
 )
-from .gate import PRESSED, TURNED, Gate
+from ..common.worker_registry import DRAINING, GONE, READY, Roll
+from .hot_key_queue import PRESSED, TURNED, Gate
 
 REST = (
     0.5,
--- a/bramblewood/desk/recall.py
+++ b/bramblewood/proxy/replica_invalidation.py
@@ -9,7 +9,7 @@
 
 from typing import NamedTuple
 
-from ..catalogue.spans import RUN_OUT, SURE
+from ..common.timeouts import RUN_OUT, SURE
 
 
 class Confirm(NamedTuple):
--- a/bramblewood/desk/errand.py
+++ b/bramblewood/proxy/request_attempts.py
@@ -8,11 +8,11 @@
 
 from typing import NamedTuple
 
-from ..catalogue.edition import Route
-from .connection import How
-from .gate import Gate
-from .response import Answer
-from .steering import Steering
+from ..common.configuration import Route
+from .hot_key_queue import Gate
+from .load_balancing import Steering
+from .response_parser import Answer
+from .worker_connection import How
 
 # of the aim that a request waits for a worker: refused within a quarter of it, it still counts
 HOLD_PART = 0.2
--- a/bramblewood/desk/program.py
+++ b/bramblewood/proxy/server.py
@@ -10,20 +10,20 @@
 from aiohttp import web
 from multidict import CIMultiDict
 
-from ..archive.roll import GONE, Row
-from ..catalogue import counters, daybook
-from ..catalogue.bootfile import LONELY, Settings, seeds_again
-from ..catalogue.doors import BACKLOG, door
-from ..catalogue.edition import Edition, edition_of
-from ..catalogue.links import QUIET, Link, Links
-from ..catalogue.table import KEYS
-from .connection import How
-from .contact import Contact, Sends
-from .errand import Budget, Errand, Reply, Send, Wait
-from .recall import CLEAR, Confirm, Drop, Recall, TakeOff
-from .room import keeps
-from .stacks import PROOF, Stacks
-from .steering import Steering
+from ..common import logs, metrics
+from ..common.configuration import Edition, edition_of
+from ..common.listeners import BACKLOG, door
+from ..common.peer_connections import QUIET, Link, Links
+from ..common.settings import LONELY, Settings, seeds_again
+from ..common.slice_table import KEYS
+from ..common.worker_registry import GONE, Row
+from .connection_pool import PROOF, Stacks
+from .connection_quota import keeps
+from .controller_selection import Contact, Sends
+from .load_balancing import Steering
+from .replica_invalidation import CLEAR, Confirm, Drop, Recall, TakeOff
+from .request_attempts import Budget, Errand, Reply, Send, Wait
+from .worker_connection import How
 
 # without a configuration: bytes of headers and body, s for a first request and between requests
 HEADER_BYTES, BODY_BYTES, HEADER_TIME, IDLE = 2**14, 2**26, 3.0, 15.0
@@ -63,7 +63,7 @@
     def __init__(self, told: Settings, doors: dict[str, socket.socket] | None = None) -> None:
         """doors: sockets that listen already, by their names in `BindMap`."""
         self.told, self.doors = told, doors or {}
-        self.log = daybook.begin(told.name)
+        self.log = logs.begin(told.name)
         bounds = told.bounds
         self.steering = Steering(bounds.DrainS, told.zone)
         self.budget = Budget(bounds.RetryRatio, bounds.RetryWindowS, bounds.RetrySlack)
@@ -96,7 +96,7 @@
             self.front = made if name == "Front" else self.front
         self.reported_at = tidy_at = loop.time()
         lonely_at = self.reported_at + LONELY
-        daybook.started(self.log, self.told.unread, contract=self.told.contract)
+        logs.started(self.log, self.told.unread, contract=self.told.contract)
         while not self.leaving.is_set():
             try:
                 async with asyncio.timeout(REPORT):
@@ -266,7 +266,7 @@
 
     async def readiness(self, request: web.BaseRequest) -> web.Response:
         if request.path == "/metrics":
-            return web.Response(text=counters.text(self.counted()))
+            return web.Response(text=metrics.text(self.counted()))
         ready = self.contact.ready and not self.ending
         return web.Response(status=200 if ready else 503)
 
--- a/bramblewood/desk/connection.py
+++ b/bramblewood/proxy/worker_connection.py
@@ -8,7 +8,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from .response import Answer, Malformed, Reader
+from .response_parser import Answer, Malformed, Reader
 
 ANSWER_MOST = 32 * 2**20  # bytes that may come until an answer is whole
 ID = "X-Attempt-Id"
--- a/example/small.py
+++ b/example/small.py
@@ -14,9 +14,9 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
-from bramblewood.lab.boot import boot, start  # noqa: E402
-from bramblewood.lab.operator import configuration  # noqa: E402
-from bramblewood.lab.standin import StandIn  # noqa: E402
+from bramblewood.emulator.operator import configuration  # noqa: E402
+from bramblewood.emulator.processes import boot, start  # noqa: E402
+from bramblewood.emulator.worker_stub import StandIn  # noqa: E402
 
 WITHIN = 20.0  # s for the whole
 PORTS = {"control": 18544, "front": 18548, "ready": 18542, "inner": 17540, "worker": 18700}
--- a/features/steps/calls.py
+++ b/features/steps/calls.py
@@ -3,10 +3,10 @@
 
 from behave import given, then, when
 
-from bramblewood.archive.accession import PutConfig, Refusal, decode, succeed
-from bramblewood.archive.program import answer
+from bramblewood.controller.commands import PutConfig, Refusal, decode, succeed
+from bramblewood.controller.server import answer
 from tests.approved import approve
-from tests.desk_play import CONFIG
+from tests.simulation.proxy import CONFIG
 
 
 @given("a register that holds r{number:d}")
--- a/features/steps/contact.py
+++ b/features/steps/contact.py
@@ -4,17 +4,17 @@
 
 from behave import given, then, when
 
-from bramblewood.archive import program
-from bramblewood.archive.accession import TakeLeave
-from bramblewood.archive.ballots import NONE, TABLE
-from bramblewood.archive.holds import Holds
-from bramblewood.archive.leaves import Leaves
-from bramblewood.archive.program import Archive
-from bramblewood.archive.roll import GONE, Roll, Row
-from bramblewood.archive.sessions import Sessions
-from bramblewood.desk.contact import Contact
-from tests import contact_play
-from tests.contact_play import Broken
+from bramblewood.common.worker_registry import GONE, Roll, Row
+from bramblewood.controller import server
+from bramblewood.controller.commands import TakeLeave
+from bramblewood.controller.consensus.replica import NONE, TABLE
+from bramblewood.controller.deregistration import Leaves
+from bramblewood.controller.key_leases import Holds
+from bramblewood.controller.server import Archive
+from bramblewood.controller.sessions import Sessions
+from bramblewood.proxy.controller_selection import Contact
+from tests.simulation import majority_contact
+from tests.simulation.majority_contact import Broken
 
 word_until, obey, call, pulse = Sessions.word_until, Archive.obey, Archive.call, Contact.pulse
 
@@ -31,7 +31,7 @@
 
 async def no_row(self, command):
     if isinstance(command, TakeLeave) and command.life not in self.roll.rows:
-        return program.answer(200 if self.contact(self.loop.time()) else 503)
+        return server.answer(200 if self.contact(self.loop.time()) else 503)
     return await obey(self, command)
 
 
@@ -71,16 +71,16 @@
 
 
 def together(seed):
-    return contact_play.twenty(seed, "ab", "both")
+    return majority_contact.twenty(seed, "ab", "both")
 
 
 def played(name):
-    return together if name == "together" else getattr(contact_play, name)
+    return together if name == "together" else getattr(majority_contact, name)
 
 
 @then("{count:d} plays of {some} of {archives:d} for twenty seconds {way} keep the rules")
 def twenty(context, count, some, archives, way):
-    made = [contact_play.twenty(seed, some, way, archives, archives % 5 and 1) for seed in range(count)]
+    made = [majority_contact.twenty(seed, some, way, archives, archives % 5 and 1) for seed in range(count)]
     for what in ("orders taken", "configurations read", "leaves confirmed", "grants"):
         assert all(play.plenty.get(what, 0) for play in made), (what, [play.plenty for play in made])
 
@@ -89,7 +89,7 @@
 def storms(context, five, seconds, three):
     for count, seeds in ((5, five), (3, three)):
         for seed in range(seeds):
-            contact_play.storm(seed, count, seconds)
+            majority_contact.storm(seed, count, seconds)
 
 
 @then('{count:d} plays of "{name}" keep the rules')
@@ -135,7 +135,7 @@
 
 @given("three archives with a table")
 def three(context):
-    context.play = contact_play.begun(1, 3)
+    context.play = majority_contact.begun(1, 3)
     context.play.run(3.0)
     context.program = context.play.nodes["a"].program
     context.before = context.program.ballots.version(TABLE)
--- a/features/steps/copies.py
+++ b/features/steps/copies.py
@@ -2,10 +2,10 @@
 
 from behave import then, when
 
-from bramblewood.archive import copies
-from bramblewood.catalogue.table import reading
-from bramblewood.desk import recall
-from tests.copies_play import Play, Stale
+from bramblewood.common.slice_table import reading
+from bramblewood.controller import read_replicas
+from bramblewood.proxy import replica_invalidation
+from tests.simulation.read_replicas import Play, Stale
 
 
 @then("in {count:d} plays of {seconds:d} s no copy is older than what was answered")
@@ -25,13 +25,13 @@
 
 @then("without the wait before a new reader's first lease an old copy is read within {count:d} plays")
 def announce(context, count):
-    with mock.patch.object(copies, "ANNOUNCE", 0.0):
+    with mock.patch.object(read_replicas, "ANNOUNCE", 0.0):
         assert found(count)
 
 
 @then("without the wait until a deaf reader's lease has run out an old copy is read within {count:d} plays")
 def run_out(context, count):
-    with mock.patch.object(recall, "RUN_OUT", 0.0):
+    with mock.patch.object(replica_invalidation, "RUN_OUT", 0.0):
         assert found(count)
 
 
--- a/features/steps/core.py
+++ b/features/steps/core.py
@@ -1,6 +1,6 @@
 from behave import given, then, when
 
-from tests.core_play import (
+from tests.simulation.consensus import (
     CONFIG,
     Broken,
     Core,
--- a/features/steps/crowds.py
+++ b/features/steps/crowds.py
@@ -2,9 +2,9 @@
 
 from behave import given, then, when
 
-from bramblewood.archive.crowds import Crowds
-from bramblewood.catalogue.table import FINE, WORKER, starts_of
-from bramblewood.desk.gate import TURNED, Gate
+from bramblewood.common.slice_table import FINE, WORKER, starts_of
+from bramblewood.controller.hot_keys import Crowds
+from bramblewood.proxy.hot_key_queue import TURNED, Gate
 
 OVER = 0.5  # s of a report
 
--- a/features/steps/desk.py
+++ b/features/steps/desk.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from tests.approved import approve
-from tests.desk_play import Play
+from tests.simulation.proxy import Play
 
 
 @given("a desk before")
--- a/features/steps/doors.py
+++ b/features/steps/doors.py
@@ -7,8 +7,8 @@
 from aiohttp import web
 from behave import given, then, when
 
-from bramblewood.catalogue.doors import door, open_early
-from bramblewood.catalogue.links import Links, accept
+from bramblewood.common.listeners import door, open_early
+from bramblewood.common.peer_connections import Links, accept
 
 
 def free() -> int:
@@ -74,7 +74,9 @@
     async def play():
         met, port = asyncio.Event(), free()
         links = Links(lambda peer: {"k": "hello"}, lambda *_: None, lambda *_: None, None)
-        with mock.patch("bramblewood.catalogue.links.asyncio.sleep", side_effect=asyncio.sleep) as waits:
+        with mock.patch(
+            "bramblewood.common.peer_connections.asyncio.sleep", side_effect=asyncio.sleep
+        ) as waits:
             for ip in ("127.0.0.2", "127.0.0.3"):
                 links.keep(ip, port)
             while waits.call_count < 2:  # each has failed once, and waits for its next dial
--- a/features/steps/epochs.py
+++ b/features/steps/epochs.py
@@ -1,9 +1,9 @@
 from behave import then
 
-from tests.core_play import Broken
-from tests.epochs_cases import CASES
-from tests.epochs_play import day, without
-from tests.epochs_search import SHAPES, Search
+from tests.simulation.consensus import Broken
+from tests.simulation.membership_epoch_cases import CASES
+from tests.simulation.membership_epoch_search import SHAPES, Search
+from tests.simulation.membership_epochs import day, without
 
 TRIED = 30  # of the last states of a search, for how many it is tried whether a majority answers in the end
 
--- a/features/steps/health.py
+++ b/features/steps/health.py
@@ -1,6 +1,6 @@
 from behave import given, then, when
 
-from bramblewood.archive.health import Health, judged, out_of_health, unwell
+from bramblewood.controller.outlier_detection import Health, judged, out_of_health, unwell
 
 CYCLE = 0.5  # s
 
--- a/features/steps/holds.py
+++ b/features/steps/holds.py
@@ -5,10 +5,10 @@
 
 from behave import given, then, when
 
-from bramblewood.archive.holds import ARRIVES, Holds
-from bramblewood.archive.program import Archive, caller
-from bramblewood.archive.roll import GONE, Roll, Row
-from tests.holds_play import LATE, STEP, Play, Twice, exhaust, margin
+from bramblewood.common.worker_registry import GONE, Roll, Row
+from bramblewood.controller.key_leases import ARRIVES, Holds
+from bramblewood.controller.server import Archive, caller
+from tests.simulation.key_leases import LATE, STEP, Play, Twice, exhaust, margin
 
 
 @then("{count:d} minutes of that never give a key two holders")
--- a/features/steps/lab.py
+++ b/features/steps/lab.py
@@ -2,9 +2,9 @@
 
 from behave import given, then, when
 
-from bramblewood.lab.audit import Try, audit
-from bramblewood.lab.ledger import Line
-from bramblewood.lab.scenario import scenario_of
+from bramblewood.emulator.audit import Try, audit
+from bramblewood.emulator.effect_log import Line
+from bramblewood.emulator.scenario import scenario_of
 from tests.approved import approve
 
 CRUSH = pathlib.Path(__file__).parent.parent.parent / "example" / "lab" / "club-crush.toml"
--- a/features/steps/leaving.py
+++ b/features/steps/leaving.py
@@ -4,11 +4,11 @@
 
 from behave import given, then, when
 
-from bramblewood.archive.ballots import NONE, TABLE
-from bramblewood.archive.roll import Row
-from bramblewood.desk import program
-from bramblewood.desk.steering import Steering
-from tests.desk_play import Play
+from bramblewood.common.worker_registry import Row
+from bramblewood.controller.consensus.replica import NONE, TABLE
+from bramblewood.proxy import server
+from bramblewood.proxy.load_balancing import Steering
+from tests.simulation.proxy import Play
 
 
 @given("a service of w1 and w2, {how}")
@@ -110,7 +110,7 @@
         await made.end()
         return taken, made.lines
 
-    with mock.patch.object(program, "MISSES", 0.05):
+    with mock.patch.object(server, "MISSES", 0.05):
         taken, lines = asyncio.run(play())
     assert not taken
     assert "  client gets 200 'w1 t1' X-Response-Seal" in lines, lines
--- a/features/steps/lines.py
+++ b/features/steps/lines.py
@@ -5,11 +5,11 @@
 
 from behave import then, when
 
-from bramblewood.desk.connection import How, State
-from bramblewood.desk.stacks import Line
+from bramblewood.proxy.connection_pool import Line
+from bramblewood.proxy.worker_connection import How, State
 from tests.approved import approve
-from tests.desk_play import Play
-from tests.lines_play import Broken, dice, exhaust, heard
+from tests.simulation.proxy import Play
+from tests.simulation.worker_connections import Broken, dice, exhaust, heard
 
 LOOKUP = "GET /look/9 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: after\r\nX-Deadline-Ms: 900\r\n\r\n"
 
--- a/features/steps/members.py
+++ b/features/steps/members.py
@@ -7,12 +7,12 @@
 from behave import given, then, when
 from click.testing import CliRunner
 
-from bramblewood.archive.accession import members_call
-from bramblewood.archive.sessions import PULSE
-from bramblewood.catalogue.bootfile import Bounds
-from bramblewood.cli.rooms import rooms
+from bramblewood.cli.gateway import rooms
+from bramblewood.common.settings import Bounds
+from bramblewood.controller.commands import members_call
+from bramblewood.controller.sessions import PULSE
 from tests.approved import approve
-from tests.members_play import TAKES_SEAT, Members
+from tests.simulation.membership_commands import TAKES_SEAT, Members
 
 
 def one(disk: str, state: str, heard: float | None, epoch: int | None, *lag: int) -> dict:
--- a/features/steps/orders.py
+++ b/features/steps/orders.py
@@ -2,24 +2,34 @@
 
 from behave import given, then, when
 
-from bramblewood.archive import accession
-from bramblewood.catalogue.bootfile import Bounds
-from tests import orders_play
-from tests.core_play import Broken, edition
-from tests.orders_play import FEW, Play, Site, begun, build, eight, long_day, readers, storm
+from bramblewood.common.settings import Bounds
+from bramblewood.controller import commands
+from tests.simulation import configuration_changes
+from tests.simulation.configuration_changes import (
+    FEW,
+    Play,
+    Site,
+    begun,
+    build,
+    eight,
+    long_day,
+    readers,
+    storm,
+)
+from tests.simulation.consensus import Broken, edition
 
 FAR = {"delays": (0.055, 0.06)}
 SITES = {"far": FAR, "one slow": {"slow": 0.25}}
 KINDS = {
-    "a majority": orders_play.Hasty,
-    "a value that a minority holds is not yet chosen": orders_play.Trusting,
+    "a majority": configuration_changes.Hasty,
+    "a value that a minority holds is not yet chosen": configuration_changes.Trusting,
 }
 RULES = {
-    "what is forgotten is not refused": orders_play.forgetful,
-    "an order is known again": orders_play.unrepeated,
-    "an order is known by its content, not its number": orders_play.by_number,
-    "a refusal of what may still come is agreed": orders_play.unwritten,
-    "one version on each parent": orders_play.parentless,
+    "what is forgotten is not refused": configuration_changes.forgetful,
+    "an order is known again": configuration_changes.unrepeated,
+    "an order is known by its content, not its number": configuration_changes.by_number,
+    "a refusal of what may still come is agreed": configuration_changes.unwritten,
+    "one version on each parent": configuration_changes.parentless,
 }
 
 
@@ -47,7 +57,7 @@
 def guards(context, count, voters):
     for row in context.table:
         guard = row["guard taken out"]
-        make, follow = kind(KINDS.get(guard, orders_play.Ballots)), RULES.get(guard, FEW)
+        make, follow = kind(KINDS.get(guard, configuration_changes.Ballots)), RULES.get(guard, FEW)
         assert guard in {**KINDS, **RULES}, guard
         found_out(lambda seed: storm(seed, voters, make, follow), count)  # noqa: B023
 
@@ -61,7 +71,7 @@
 def in_turn(context):
     for row in context.table:
         wanted = edition(int(row["number"]), int(row["parent"]), row["content"])
-        following, (status, _) = accession.succeed(wanted, context.value)
+        following, (status, _) = commands.succeed(wanted, context.value)
         assert status == int(row["answer"]), (row, status)
         context.value = following or context.value
 
@@ -77,7 +87,7 @@
 def bounded(context, count, some):
     for number in range(count):
         wanted = edition(101 + number, 100 + number, f"early{number}")
-        following, (status, _) = accession.succeed(wanted, context.value)
+        following, (status, _) = commands.succeed(wanted, context.value)
         assert status == (412 if number < some else 503), (number, status)
         context.value = following or context.value
 
@@ -92,12 +102,12 @@
 @then("the same with waits left out, as no rule rests on waits")
 def pushing_readers(context):
     for seed in range(context.count):
-        readers(seed, context.voters, kind(orders_play.Pushing))
+        readers(seed, context.voters, kind(configuration_changes.Pushing))
 
 
 @then("letting changes into a ballot that has begun is found out within {count:d} of these")
 def late_comers(context, count):
-    found_out(lambda seed: readers(seed, context.voters, kind(orders_play.Latecomers)), count)
+    found_out(lambda seed: readers(seed, context.voters, kind(configuration_changes.Latecomers)), count)
 
 
 @then("a day of {count:d} changes acknowledges all, and each repeat")
@@ -110,7 +120,7 @@
 
 @then("where {kept:d} digests are kept, repeats of what is older have no clear answer and none is refused")
 def short_memory(context, kept):
-    play = long_day(2, 5, context.changes, partial(accession.succeed, kept=kept))
+    play = long_day(2, 5, context.changes, partial(commands.succeed, kept=kept))
     assert len(play.taken) == context.changes + 1 and not play.refused
     assert {order.status for order in play.orders} == {200, 0}
 
@@ -161,11 +171,13 @@
 
 @then("leaving the way to nobody is found out by the time within {count:d} seeds")
 def no_way(context, count):
-    worst = max(max(eight(seed, Site(5, **FAR), make=kind(orders_play.Pushing))) for seed in range(count))
+    worst = max(
+        max(eight(seed, Site(5, **FAR), make=kind(configuration_changes.Pushing))) for seed in range(count)
+    )
     assert worst > Bounds.AckS / 2, worst
 
 
-def at_one(seed, made=orders_play.Ballots):
+def at_one(seed, made=configuration_changes.Ballots):
     """The worst time of eight at one archive over that of one."""
     alone = begun(seed, Site(3, **FAR)).orders[0].took
     return max(eight(seed, Site(3, **FAR), spread=False, make=kind(made))) / alone
@@ -179,4 +191,4 @@
 
 @then("one change in a ballot is found out by that within {count:d} seeds")
 def singly(context, count):
-    assert any(at_one(seed, orders_play.Singly) > 3 for seed in range(count))
+    assert any(at_one(seed, configuration_changes.Singly) > 3 for seed in range(count))
--- a/features/steps/placement.py
+++ b/features/steps/placement.py
@@ -1,10 +1,10 @@
 from behave import given, then, when
 
-from bramblewood.archive.nearness import Nearness
-from bramblewood.archive.roll import Row
-from bramblewood.catalogue.table import FINE, WORKER
-from bramblewood.desk.steering import Steering
-from tests.placement_play import Play
+from bramblewood.common.slice_table import FINE, WORKER
+from bramblewood.common.worker_registry import Row
+from bramblewood.controller.zone_affinity import Nearness
+from bramblewood.proxy.load_balancing import Steering
+from tests.simulation.placement import Play
 
 
 @given("{workers:d} workers with their first table")
--- a/features/steps/room.py
+++ b/features/steps/room.py
@@ -2,8 +2,8 @@
 
 from behave import given, then, when
 
-from bramblewood.desk.room import TURN, keeps
-from bramblewood.desk.stacks import Stacks
+from bramblewood.proxy.connection_pool import Stacks
+from bramblewood.proxy.connection_quota import TURN, keeps
 
 NOW = 100.0
 
--- a/features/steps/sessions.py
+++ b/features/steps/sessions.py
@@ -1,8 +1,8 @@
 from behave import given, then, when
 
-from bramblewood.archive.ballots import NONE, TABLE
-from bramblewood.archive.roll import GONE, READY, Roll, Row
-from bramblewood.archive.sessions import Sessions
+from bramblewood.common.worker_registry import GONE, READY, Roll, Row
+from bramblewood.controller.consensus.replica import NONE, TABLE
+from bramblewood.controller.sessions import Sessions
 
 ABOUT = {"voters": ["a", "b", "c"], "archives": ["a", "b", "c"], "desks": ["d1"]}
 
--- a/features/steps/settings.py
+++ b/features/steps/settings.py
@@ -11,10 +11,10 @@
 from behave import then
 from click.testing import CliRunner
 
-from bramblewood.archive.quorums import Place, first_voters
-from bramblewood.catalogue import daybook
-from bramblewood.catalogue.bootfile import Bounds, Settings, Tolerance, seeds_again, settings_of
-from bramblewood.cli.rooms import rooms
+from bramblewood.cli.gateway import rooms
+from bramblewood.common import logs
+from bramblewood.common.settings import Bounds, Settings, Tolerance, seeds_again, settings_of
+from bramblewood.controller.consensus.quorum import Place, first_voters
 from tests.approved import approve
 
 PAGE = {
@@ -53,8 +53,8 @@
 @then("a program tells once, as it starts, which parts are in force and which it does not know")
 def starts(context):
     told, out = settings_of(text('ContractList = ["base","tides"]')).ok_value, io.StringIO()
-    with contextlib.redirect_stdout(out), daybook.Daybook(told.name).applicationbound():
-        daybook.started(logbook.Logger(told.name), told.unread, contract=told.contract)
+    with contextlib.redirect_stdout(out), logs.Daybook(told.name).applicationbound():
+        logs.started(logbook.Logger(told.name), told.unread, contract=told.contract)
     first, second = map(json.loads, out.getvalue().splitlines())
     assert (first["event"], first["contract"]) == ("started", ["base", "tides"])
     assert (second["event"], second["what"]) == ("settings not known", ["ContractList: tides"])
--- a/features/steps/shelf.py
+++ b/features/steps/shelf.py
@@ -8,9 +8,18 @@
 from behave import given, then, when
 from click.testing import CliRunner
 
-from bramblewood.archive.shelf import Shelf
-from bramblewood.cli.enquiries import shelf as shelf_commands
-from tests.shelf_play import PROMISE, Growing, Hanging, difference_holds, form_1, found_at, play, shelf_on
+from bramblewood.cli.inspection import shelf as shelf_commands
+from bramblewood.controller.storage import Shelf
+from tests.simulation.storage_failures import (
+    PROMISE,
+    Growing,
+    Hanging,
+    difference_holds,
+    form_1,
+    found_at,
+    play,
+    shelf_on,
+)
 
 
 @then("{count:d} disks hold exactly one state that was written, none before what was acknowledged")
--- a/features/steps/snapshot.py
+++ b/features/steps/snapshot.py
@@ -1,7 +1,7 @@
 from behave import given, then
 
-from bramblewood.catalogue.bootfile import Bounds
-from tests.snapshot_play import RATE, Away
+from bramblewood.common.settings import Bounds
+from tests.simulation.catch_up import RATE, Away
 
 
 @given(
--- a/features/steps/withdrawal.py
+++ b/features/steps/withdrawal.py
@@ -2,11 +2,11 @@
 
 from behave import given, then, when
 
-from bramblewood.archive import withdrawal
-from bramblewood.archive.roll import Roll, Row
-from bramblewood.archive.withdrawal import Room, Withdrawals, out_of, plans_of, started, steps_of
+from bramblewood.common.worker_registry import Roll, Row
+from bramblewood.controller import drain_plans
+from bramblewood.controller.drain_plans import Room, Withdrawals, out_of, plans_of, started, steps_of
 from tests.approved import approve
-from tests.withdrawal_play import Play, TooSoon
+from tests.simulation.drain_plans import Play, TooSoon
 
 
 @then("in {count:d} plays of {seconds:d} s no desk that is there has work at a worker that is out")
@@ -36,14 +36,14 @@
 
 @then("without the version that a step rests on a worker is out too soon within {count:d} plays")
 def version(context, count):
-    advanced, order = withdrawal.advanced, ["told", "closing", "closed", "out"]
+    advanced, order = drain_plans.advanced, ["told", "closing", "closed", "out"]
 
     def unfenced(value, moves, ends):
         stands = {life: at for life, at in out_of(value).items() if life in moves}
         later = {life for life, at in stands.items() if order.index(at[1]) < order.index(moves[life][0])}
         return advanced(value, {life: (moves[life][0], stands[life][2]) for life in later}, ends)
 
-    with mock.patch.object(withdrawal, "advanced", unfenced):
+    with mock.patch.object(drain_plans, "advanced", unfenced):
         assert found(count, "")
 
 
--- a/tests/snapshot_play.py
+++ b/tests/simulation/catch_up.py
@@ -8,8 +8,8 @@
 
 from benchmarks.gateway import config
 from benchmarks.shelf import moved, table
-from bramblewood.archive.ballots import CONFIG, REGISTERS, TABLE
-from tests.core_play import Core
+from bramblewood.controller.consensus.replica import CONFIG, REGISTERS, TABLE
+from tests.simulation.consensus import Core
 
 RATE = 2e6 / 8  # bytes a second that the line to a member carries at the least: 2 Mbit/s
 
--- a/tests/orders_play.py
+++ b/tests/simulation/configuration_changes.py
@@ -10,11 +10,11 @@
 from functools import partial
 from typing import Any
 
-from bramblewood.archive.accession import final_answer, succeed
-from bramblewood.archive.ballots import CONFIG, Ballots, Out
-from bramblewood.catalogue.edition import Edition
+from bramblewood.common.configuration import Edition
+from bramblewood.controller.commands import final_answer, succeed
+from bramblewood.controller.consensus.replica import CONFIG, Ballots, Out
 
-from .core_play import Broken, edition
+from .consensus import Broken, edition
 
 CALL_WITHIN, TICK = 0.85, 0.1  # the shell's: archive/program.py
 SILENCE = 1.0  # s after which a caller goes to another manager; PROTOCOL, "The operator"
--- a/tests/core_play.py
+++ b/tests/simulation/consensus.py
@@ -5,9 +5,9 @@
 import random
 from typing import Any
 
-from bramblewood.archive.accession import succeed
-from bramblewood.archive.ballots import ALL, CONFIG, MEMBERS, NONE, Ballots, Out, succession
-from bramblewood.catalogue.edition import Edition
+from bramblewood.common.configuration import Edition
+from bramblewood.controller.commands import succeed
+from bramblewood.controller.consensus.replica import ALL, CONFIG, MEMBERS, NONE, Ballots, Out, succession
 
 NAMES = ("a", "b", "c")
 
--- a/tests/withdrawal_play.py
+++ b/tests/simulation/drain_plans.py
@@ -5,8 +5,9 @@
 
 import random
 
-from bramblewood.archive.roll import Roll, Row
-from bramblewood.archive.withdrawal import (
+from bramblewood.common.slice_table import OLD, WORKER
+from bramblewood.common.worker_registry import Roll, Row
+from bramblewood.controller.drain_plans import (
     OUT,
     Room,
     Withdrawals,
@@ -16,7 +17,6 @@
     started,
     steps_of,
 )
-from bramblewood.catalogue.table import OLD, WORKER
 
 STEP = 0.1  # s
 SILENT = 7.4  # s: the longest hold behind a silent desk
--- a/tests/holds_play.py
+++ b/tests/simulation/key_leases.py
@@ -10,11 +10,11 @@
 
 import random
 
-from bramblewood.archive.holds import AGAIN, ARRIVES, Freed, Holds
-from bramblewood.archive.placement import Changes, apply, freed
-from bramblewood.archive.roll import Roll, Row
-from bramblewood.archive.sessions import WORD
-from bramblewood.catalogue.table import FENCE, KEYS, OLD
+from bramblewood.common.slice_table import FENCE, KEYS, OLD
+from bramblewood.common.worker_registry import Roll, Row
+from bramblewood.controller.key_leases import AGAIN, ARRIVES, Freed, Holds
+from bramblewood.controller.placement import Changes, apply, freed
+from bramblewood.controller.sessions import WORD
 
 STEP = 0.05  # s
 SLICES = 4
--- a/tests/contact_play.py
+++ b/tests/simulation/majority_contact.py
@@ -12,18 +12,18 @@
 
 from multidict import CIMultiDict
 
-from bramblewood.archive import program as archive_program
-from bramblewood.archive.accession import GetConfig, PutConfig, Register, TakeLeave
-from bramblewood.archive.ballots import CONFIG, TABLE
-from bramblewood.archive.placement import Placement
-from bramblewood.archive.program import Archive
-from bramblewood.archive.roll import READY, Row
-from bramblewood.catalogue.bootfile import Bounds, Settings
-from bramblewood.catalogue.edition import edition_of
-from bramblewood.catalogue.spans import SLOW_CLOCK, SURE, TRAVEL, WORD
-from bramblewood.catalogue.table import OLD, WORKER
-from bramblewood.desk.program import Desk
-from bramblewood.lab.operator import configuration
+from bramblewood.common.configuration import edition_of
+from bramblewood.common.settings import Bounds, Settings
+from bramblewood.common.slice_table import OLD, WORKER
+from bramblewood.common.timeouts import SLOW_CLOCK, SURE, TRAVEL, WORD
+from bramblewood.common.worker_registry import READY, Row
+from bramblewood.controller import server as archive_program
+from bramblewood.controller.commands import GetConfig, PutConfig, Register, TakeLeave
+from bramblewood.controller.consensus.replica import CONFIG, TABLE
+from bramblewood.controller.placement import Placement
+from bramblewood.controller.server import Archive
+from bramblewood.emulator.operator import configuration
+from bramblewood.proxy.server import Desk
 
 STEP = 0.01  # s of the play's clock
 WAYS = (0.002, 0.02)  # s that a message travels
@@ -92,7 +92,7 @@
 
 
 class End:
-    """One end of a link, as the shells know it: what `catalogue.links.Link` is to them."""
+    """One end of a link, as the shells know it: what `common.peer_connections.Link` is to them."""
 
     def __init__(self, wire, node, peer):
         self.wire, self.node, self.peer = wire, node, peer
@@ -171,7 +171,7 @@
 
 
 class Wires:
-    """What `catalogue.links.Links` is to a shell."""
+    """What `common.peer_connections.Links` is to a shell."""
 
     def __init__(self, node):
         self.node, self.up, self.again = node, {}, {}
@@ -220,7 +220,7 @@
         told = Settings(
             self.name, self.name, "z", (1, 2), seeds, first, None, BEAT, ports, 2**28, 100, Bounds()
         )
-        with mock.patch("bramblewood.catalogue.daybook.begin", return_value=mock.Mock()):
+        with mock.patch("bramblewood.common.logs.begin", return_value=mock.Mock()):
             made = self.kind(told)
         made.loop, made.links = self.loop, self.links
         if self.kind is Archive:
--- a/tests/members_play.py
+++ b/tests/simulation/membership_commands.py
@@ -15,11 +15,11 @@
 
 from click.testing import CliRunner
 
-from bramblewood.archive.membership import SILENT_PART
-from bramblewood.catalogue.bootfile import Bounds
-from bramblewood.cli.rooms import rooms
-from bramblewood.lab.boot import boot, start
-from bramblewood.lab.operator import configuration
+from bramblewood.cli.gateway import rooms
+from bramblewood.common.settings import Bounds
+from bramblewood.controller.consensus.membership import SILENT_PART
+from bramblewood.emulator.operator import configuration
+from bramblewood.emulator.processes import boot, start
 
 INNER, CONTROL = 17640, 18644
 WITHIN = 20.0  # s for each wait; all of them together take less on a machine that is not busy
--- a/tests/epochs_cases.py
+++ b/tests/simulation/membership_epoch_cases.py
@@ -4,7 +4,9 @@
 from typing import Any
 from unittest import mock
 
-from bramblewood.archive.ballots import (
+from bramblewood.common.settings import Tolerance
+from bramblewood.controller.consensus.membership import Membership, Peer, may_leave
+from bramblewood.controller.consensus.replica import (
     CONFIG,
     MEMBERS,
     NONE,
@@ -16,12 +18,10 @@
     founders,
     succession,
 )
-from bramblewood.archive.membership import Membership, Peer, may_leave
-from bramblewood.archive.sessions import Sessions
-from bramblewood.catalogue.bootfile import Tolerance
-from tests.core_play import Broken
-from tests.epochs_play import BOUNDS, World
-from tests.epochs_search import order
+from bramblewood.controller.sessions import Sessions
+from tests.simulation.consensus import Broken
+from tests.simulation.membership_epoch_search import order
+from tests.simulation.membership_epochs import BOUNDS, World
 
 
 class Few:
--- a/tests/epochs_search.py
+++ b/tests/simulation/membership_epoch_search.py
@@ -18,7 +18,7 @@
 import time
 from typing import Any, NamedTuple
 
-from bramblewood.archive.ballots import (
+from bramblewood.controller.consensus.replica import (
     ALL,
     CONFIG,
     MEMBERS,
@@ -30,7 +30,7 @@
     Round,
     succession,
 )
-from tests.core_play import Broken
+from tests.simulation.consensus import Broken
 
 LATER = 100.0  # s, beyond every wait
 REPLIES = {"promise", "refuse", "state", "fetch", "chosen"}  # "done" goes nowhere: it says when to begin
--- a/tests/epochs_play.py
+++ b/tests/simulation/membership_epochs.py
@@ -12,12 +12,13 @@
 from typing import Any
 from unittest import mock
 
-from bramblewood.archive import ballots as core
-from bramblewood.archive import membership, program
-from bramblewood.archive.accession import succeed
-from bramblewood.archive.ballots import CONFIG, Ballots
-from bramblewood.catalogue.bootfile import Bounds, Settings, Tolerance
-from tests.core_play import Broken, edition
+from bramblewood.common.settings import Bounds, Settings, Tolerance
+from bramblewood.controller import server
+from bramblewood.controller.commands import succeed
+from bramblewood.controller.consensus import membership
+from bramblewood.controller.consensus import replica as core
+from bramblewood.controller.consensus.replica import CONFIG, Ballots
+from tests.simulation.consensus import Broken, edition
 
 BOUNDS = Bounds()
 TURN = 0.1  # s between the turns of an archive
@@ -115,7 +116,7 @@
 
 def leave_at_once(play: Any) -> Any:
     """An archive ends on SIGTERM, whoever holds what it holds."""
-    return mock.patch.object(program, "may_leave", lambda *_: True)
+    return mock.patch.object(server, "may_leave", lambda *_: True)
 
 
 def rows_forgotten(play: Any) -> Any:
@@ -176,7 +177,7 @@
                     self.me.link_told(peer, True)
 
 
-class Machine(program.Archive):
+class Machine(server.Archive):
     """An archive's shell without sockets, threads and workers; ballots, epochs and seats are its own code."""
 
     def __init__(self, world: "World", name: str, zone: str, first: bool) -> None:
@@ -185,8 +186,8 @@
         told = Settings(name, name, zone, (1, 2), world.seeds, first, "/d", 1.5, {}, 2**28, 99, BOUNDS)
         told = dataclasses.replace(told, tolerance=Tolerance(world.losses))
         with (
-            mock.patch.object(program, "os", made),
-            mock.patch.object(program.daybook, "begin", lambda _: MUTE),
+            mock.patch.object(server, "os", made),
+            mock.patch.object(server.logs, "begin", lambda _: MUTE),
         ):
             super().__init__(told)
             self.disk = world.disks[name]
@@ -223,7 +224,7 @@
         self.carry(self.ballots.tick(now))
         self.seats(now)
         if now >= self.pulse_at:
-            self.pulse_at = now + program.PULSE
+            self.pulse_at = now + server.PULSE
             self.pulse(now)
         if self.may_end(now):
             self.world.ended(self)
--- a/tests/placement_play.py
+++ b/tests/simulation/placement.py
@@ -2,10 +2,10 @@
 
 import random
 
-from bramblewood.archive.placement import Placement, apply, freed, met_of
-from bramblewood.archive.roll import Roll, Row
-from bramblewood.catalogue.edition import Service
-from bramblewood.catalogue.table import FINE, OLD, WORKER, starts_of
+from bramblewood.common.configuration import Service
+from bramblewood.common.slice_table import FINE, OLD, WORKER, starts_of
+from bramblewood.common.worker_registry import Roll, Row
+from bramblewood.controller.placement import Placement, apply, freed, met_of
 
 CYCLE = 0.5  # s
 SLOTS = 2
--- a/tests/desk_play.py
+++ b/tests/simulation/proxy.py
@@ -2,11 +2,11 @@
 
 import asyncio
 
-from bramblewood.archive.roll import Row
-from bramblewood.catalogue.bootfile import Bounds, Settings
-from bramblewood.catalogue.edition import edition_of
-from bramblewood.desk.program import Desk
-from bramblewood.lab.operator import configuration
+from bramblewood.common.configuration import edition_of
+from bramblewood.common.settings import Bounds, Settings
+from bramblewood.common.worker_registry import Row
+from bramblewood.emulator.operator import configuration
+from bramblewood.proxy.server import Desk
 
 ROUTES = [
     ["look", "h.example", "/look/", "pure", 2, 0.5, 1, 2, "plain"],
--- a/tests/copies_play.py
+++ b/tests/simulation/read_replicas.py
@@ -5,12 +5,12 @@
 
 import random
 
-from bramblewood.archive.copies import Copies, forgotten, taken_off
-from bramblewood.archive.roll import Roll, Row
-from bramblewood.archive.sessions import WORD
-from bramblewood.catalogue.table import readers_of, with_readers
-from bramblewood.desk import recall as words
-from bramblewood.desk.recall import Confirm, Drop, Recall, TakeOff, Until
+from bramblewood.common.slice_table import readers_of, with_readers
+from bramblewood.common.worker_registry import Roll, Row
+from bramblewood.controller.read_replicas import Copies, forgotten, taken_off
+from bramblewood.controller.sessions import WORD
+from bramblewood.proxy import replica_invalidation as words
+from bramblewood.proxy.replica_invalidation import Confirm, Drop, Recall, TakeOff, Until
 
 STEP = 0.02  # s
 KEY = 4096
--- a/tests/shelf_play.py
+++ b/tests/simulation/storage_failures.py
@@ -21,12 +21,12 @@
 import apsw
 
 from benchmarks.shelf import moved, table
-from bramblewood.archive.ballots import CONFIG, Ballots, Out
-from bramblewood.archive.patches import Made, difference, patched
-from bramblewood.archive.program import Archive
-from bramblewood.archive.shelf import Shelf
-from bramblewood.catalogue.bootfile import Bounds, Settings
-from tests.disc import Disc, PowerCut
+from bramblewood.common.settings import Bounds, Settings
+from bramblewood.controller.consensus.replica import CONFIG, Ballots, Out
+from bramblewood.controller.server import Archive
+from bramblewood.controller.storage import Shelf
+from bramblewood.controller.value_diff import Made, difference, patched
+from tests.simulation.simulated_disk import Disc, PowerCut
 
 
 def told_to_sqlite(call):
--- a/tests/lines_play.py
+++ b/tests/simulation/worker_connections.py
@@ -10,13 +10,13 @@
 from types import SimpleNamespace
 from unittest.mock import patch
 
-from bramblewood.catalogue.edition import edition_of
-from bramblewood.desk import errand as errands
-from bramblewood.desk import response
-from bramblewood.desk.connection import Connection, Ended, How, State
-from bramblewood.desk.errand import Budget, Errand, Send, Wait
-from bramblewood.desk.stacks import Stacks
-from tests.desk_play import CONFIG, answer
+from bramblewood.common.configuration import edition_of
+from bramblewood.proxy import request_attempts as errands
+from bramblewood.proxy import response_parser
+from bramblewood.proxy.connection_pool import Stacks
+from bramblewood.proxy.request_attempts import Budget, Errand, Send, Wait
+from bramblewood.proxy.worker_connection import Connection, Ended, How, State
+from tests.simulation.proxy import CONFIG, answer
 
 EDITION = edition_of(CONFIG).ok_value
 TWO = ("effect", "lookup")
@@ -262,7 +262,7 @@
     """The module's guards that are no method's."""
     if careless == "bare":
         return patch.object(errands, "PROMISES", ())
-    return patch.object(response, "GLUED", NEVER if careless == "glued" else response.GLUED)
+    return patch.object(response_parser, "GLUED", NEVER if careless == "glued" else response_parser.GLUED)
 
 
 # --- plays
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -19,8 +19,8 @@
 from bramblewood.store.port import Folder
 from bramblewood.store.store import Store
 
-from .disc import Disc
 from .helper import FACTS, OPERATIONS, entry
+from .simulation.simulated_disk import Disc
 
 TERMS = StoreTerms("", "in-loop", False, 0.002, 0.25, 86400.0)
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -12,7 +12,7 @@
 from bramblewood.store.recovery import Refused
 from bramblewood.store.store import DAMAGE, WAITING, Store, Unreadable
 
-from .disc import Disc, PowerCut
+from .simulation.simulated_disk import Disc, PowerCut
 
 
 @pytest.fixture(autouse=True)
