--- a/benchmarks/shelf.py
+++ b/benchmarks/controller_storage.py
@@ -15,8 +15,8 @@
 import time
 from collections.abc import Callable
 
-from bramblewood.controller.proxy_updates import Feed
-from bramblewood.controller.storage import NAME, Shelf
+from bramblewood.controller.proxy_updates import ProxyUpdates
+from bramblewood.controller.storage import NAME, Storage
 from bramblewood.controller.value_diff import difference, patched
 
 SIZES = (1_000, 10_000, 90_000)  # slices of the table
@@ -57,12 +57,12 @@
 
 def measure(slices: int, folder: str) -> dict:
     value = table(slices)
-    shelf = Shelf(folder)
-    shelf.open().unwrap()
+    storage = Storage(folder)
+    storage.open().unwrap()
     values: list[dict] = []
 
     def commit(at: int) -> None:
-        problem = shelf.commit([([("table", BALLOT, BALLOT, values[at])], {}, None)])
+        problem = storage.commit([([("table", BALLOT, BALLOT, values[at])], {}, None)])
         assert problem is None, problem
 
     values.append(value)
@@ -71,16 +71,16 @@
         values.append(moved(values[-1], 7919 * at))
     found: dict = {"slices": slices, "json": len(json.dumps(value))}
     found["round_ms"], found["round_cpu_ms"] = middle(lambda at: moved(value, 7919 * at))
-    feed = Feed()
+    feed = ProxyUpdates()
     found["feed_ms"], found["feed_cpu_ms"] = middle(lambda at: feed.learned(values[at]))
     found["move_ms"], found["move_cpu_ms"] = middle(lambda at: commit(at + 1))
     values[:] = [json.loads(json.dumps(moved(value, at))) for at in range(RUNS)]
     found["fresh_ms"], found["fresh_cpu_ms"] = middle(commit)
-    found["base"], found["log"] = (os.path.getsize(shelf.path + end) for end in ("", "-wal"))
-    shelf.base.close()
+    found["base"], found["log"] = (os.path.getsize(storage.path + end) for end in ("", "-wal"))
+    storage.base.close()
 
     def start(_: int) -> None:
-        again = Shelf(folder)
+        again = Storage(folder)
         again.open().unwrap()
         again.base.close()
 
--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -11,14 +11,14 @@
 import random
 import time
 
-from bramblewood.common.configuration import Service, edition_of
-from bramblewood.common.slice_table import FINE, KEYS
-from bramblewood.common.worker_registry import Roll, Row
+from bramblewood.common.configuration import Service, build_configuration
+from bramblewood.common.slice_table import KEY_SPACE_SIZE, KEYS_PER_RANGE
+from bramblewood.common.worker_registry import WorkerRegistration, WorkerRegistry
 from bramblewood.controller.placement import Placement, apply, met_of
-from bramblewood.controller.proxy_updates import Feed
+from bramblewood.controller.proxy_updates import ProxyUpdates
 from bramblewood.controller.value_diff import difference
 from bramblewood.emulator.operator import configuration
-from bramblewood.proxy.load_balancing import Steering
+from bramblewood.proxy.load_balancing import LoadBalancer
 
 SIZES = (
     (10, 35, 10),
@@ -45,19 +45,23 @@
     return configuration("r2", records, [["keyed", True], ["plain", None]])
 
 
-def day(desks: int, workers: int, routes: int) -> dict[str, float]:
+def day(proxies: int, workers: int, routes: int) -> dict[str, float]:
     """A calm stretch; per second: the archive's time and bytes to all desks, a desk's bytes and time a
     request.
     """
-    dice, roll, feed, now = random.Random(1), Roll(), Feed(), 100.0
+    dice, registry, feed, now = random.Random(1), WorkerRegistry(), ProxyUpdates(), 100.0
     for i in range(workers):
         service = "keyed" if i % 2 else "plain"
-        roll.merge(now, f"i-{i:08x}", Row(service, f"10.0.{i // 250}.{i % 250}:8080", "z", 4, "ready", 1))
+        registry.merge(
+            now,
+            f"i-{i:08x}",
+            WorkerRegistration(service, f"10.0.{i // 250}.{i % 250}:8080", "z", 4, "ready", 1),
+        )
     services = {name: Service(name, "/", 100, name == "keyed", 0.0) for name in ("keyed", "plain")}
     placement, table, whole = Placement(now, 1.5), None, 0
     spent = pushed = reports = accepts = whole_accepts = versions = 0.0
-    steering = [Steering(2.5) for _ in range(1)]
-    steering[0].roll = roll
+    load_balancer = [LoadBalancer(2.5) for _ in range(1)]
+    load_balancer[0].registry = registry
     began = None
     while now < 100.0 + 5.0 + SECONDS:
         now += 0.5
@@ -72,27 +76,31 @@
                 0,
                 0,
             )
-        for desk in range(desks if table else 0):
+        for proxy in range(proxies if table else 0):
             heat: dict[str, dict] = {"keyed": {}, "plain": {}}
             met = {}
             for _ in range(int(RATE / 2)):
                 service = dice.choice(("keyed", "plain"))
-                key = int(KEYS * dice.random() ** 2)
-                heat[service][str(key // FINE)] = heat[service].get(str(key // FINE), 0) + 1
-                life = steering[0].entry(service, key)[0]
-                met[life] = [1, 0, 0.2, [2, 0, 4]]
+                key = int(KEY_SPACE_SIZE * dice.random() ** 2)
+                heat[service][str(key // KEYS_PER_RANGE)] = (
+                    heat[service].get(str(key // KEYS_PER_RANGE), 0) + 1
+                )
+                instance_id = load_balancer[0].entry(service, key)[0]
+                met[instance_id] = [1, 0, 0.2, [2, 0, 4]]
             report = json.dumps({"k": "report", "over": 0.5, "heat": heat, "met": met})
             reports += len(report)
             at = time.process_time()
             told = json.loads(report)
             lines: dict[str, list] = {name: [] for name in heat}
-            for life, (tries, bad, mean, load) in told["met"].items():
-                lines[roll.rows[life].service].append(met_of(life, tries, bad, mean, 0.5, load))
+            for instance_id, (tries, bad, mean, load) in told["met"].items():
+                lines[registry.rows[instance_id].service].append(
+                    met_of(instance_id, tries, bad, mean, 0.5, load)
+                )
             for service, some in lines.items():
-                placement.report(now, service, f"d{desk}", told["heat"][service], {}, 0.5, some)
+                placement.report(now, service, f"d{proxy}", told["heat"][service], {}, 0.5, some)
             spent += time.process_time() - at
         at = time.process_time()
-        wanted = placement.step(now, services, {}, roll, set(), table)
+        wanted = placement.step(now, services, {}, registry, set(), table)
         made = apply(table, wanted, {"keyed"})[0] if wanted else None
         if made is not None:
             feed.learned(made)
@@ -102,18 +110,18 @@
             if change:
                 accepts += size(difference(table, made))
                 whole_accepts += size(made)
-                pushed += size(change) * desks
-                whole += size({"k": "table", **made}) * desks
+                pushed += size(change) * proxies
+                whole += size({"k": "table", **made}) * proxies
             table = made
-            steering[0].take_table({"n": table["n"], "s": table["s"]})
+            load_balancer[0].take_table({"n": table["n"], "s": table["s"]})
         else:
             spent += time.process_time() - at
-    edition = edition_of(config(routes)).ok_value
+    configuration = build_configuration(config(routes)).ok_value
     paths = [(f"h{i % 7}.example", f"/p{i}/q/x") for i in (dice.randrange(routes) for _ in range(2000))]
     at = time.process_time()
     for number, (host, path) in enumerate(paths):
-        edition.route(host, path)
-        steering[0].choose(now, "plain", None, str(number), set())
+        configuration.route(host, path)
+        load_balancer[0].choose(now, "plain", None, str(number), set())
     choosing = (time.process_time() - at) / len(paths)
     span = now - began
     return {
@@ -123,7 +131,7 @@
         "over whole": pushed / whole if whole else 0.0,
         "accept over whole": accepts / whole_accepts if whole_accepts else 0.0,
         "versions/s": versions / span,
-        "desk kB/s": (reports + pushed) / span / desks / 1000,
+        "desk kB/s": (reports + pushed) / span / proxies / 1000,
         "choice us": 1e6 * choosing,
         "config kB": size(config(routes)) / 1000,
     }
--- a/bramblewood/__main__.py
+++ b/bramblewood/__main__.py
@@ -39,9 +39,9 @@
     if gateway(sys.argv[1:]):
         doors = {}
         if sys.argv[1:] == ["desk"]:  # before the rest is imported, which takes tenths of a second
-            from .common.listeners import open_early
+            from .common.listeners import open_listeners_early
 
-            doors = open_early(("Front", "ReadyProbe"))
+            doors = open_listeners_early(("Front", "ReadyProbe"))
         from .cli.gateway import rooms
 
         rooms(prog_name="bramblewood", obj=doors)
--- a/bramblewood/cli/drain.py
+++ b/bramblewood/cli/drain.py
@@ -84,14 +84,14 @@
 def shown(name: str, plan: dict) -> list[str]:
     why = f", {plan['why']}" if plan["why"] else ""
     lines = [f"{name}: {plan['service']}, {plan['state']}{why}, {plan['wave']} at a time"]
-    for life, one in plan["workers"].items():
+    for instance_id, one in plan["workers"].items():
         rest = [f"not yet closed at {', '.join(one['sending'])}"] if one["sending"] else []
         rest += ["keys still to pass on"] if one["keys"] else []
         rest += [
-            f"{desk}: {lookups} lookups, {effects} effects, the oldest for {oldest} s"
-            for desk, (lookups, effects, oldest) in one["under way"].items()
+            f"{proxy}: {lookups} lookups, {effects} effects, the oldest for {oldest} s"
+            for proxy, (lookups, effects, oldest) in one["under way"].items()
         ]
-        lines.append(f"  {life} {one['step']}" + ("; " + "; ".join(rest) if rest else ""))
+        lines.append(f"  {instance_id} {one['step']}" + ("; " + "; ".join(rest) if rest else ""))
     return lines
 
 
--- a/bramblewood/cli/gateway.py
+++ b/bramblewood/cli/gateway.py
@@ -33,18 +33,18 @@
 @click.pass_obj
 def desk(doors: dict, boot: str | None) -> None:
     """Run a desk: take clients' requests and carry them to workers."""
-    from ..proxy.server import Desk
+    from ..proxy.server import Proxy
 
-    play(Desk(load_settings(boot, "Front", "ReadyProbe"), doors))
+    play(Proxy(load_settings(boot, "Front", "ReadyProbe"), doors))
 
 
 @rooms.command()
 @BOOT
 def archive(boot: str | None) -> None:
     """Run an archive: keep the configuration, the roll of workers and the tables."""
-    from ..controller.server import Archive
+    from ..controller.server import Controller
 
-    play(Archive(load_settings(boot, "Control")))
+    play(Controller(load_settings(boot, "Control")))
 
 
 if sys.argv[1:2] not in (["desk"], ["archive"]):  # programs at work need none of the other commands' memory
--- a/bramblewood/cli/inspection.py
+++ b/bramblewood/cli/inspection.py
@@ -13,11 +13,11 @@
 from result import Err
 
 from ..common import settings
-from ..common.configuration import Edition, edition_of, number_of, survey
-from ..common.slice_table import FENCE, OLD, SECOND, WORKER, starts_of
-from ..common.worker_registry import Row
+from ..common.configuration import Configuration, build_configuration, number_of, survey
+from ..common.slice_table import FENCING_TOKEN, PREVIOUS_OWNER, SECOND, WORKER, starts_of
+from ..common.worker_registry import WorkerRegistration
 from ..controller.storage import FORM, NAME, read
-from ..proxy.load_balancing import Steering
+from ..proxy.load_balancing import LoadBalancer
 from .boot import BOOT, fail, load_settings
 from .exit_codes import FOUND
 
@@ -156,10 +156,10 @@
 
 
 def routes_of(raw: Any, name: str) -> dict[tuple[str, str], Any]:
-    edition = edition_of(raw)
-    if isinstance(edition, Err):
-        fail(f"{name}: {edition.err_value}")
-    hosts = edition.ok_value.hosts
+    configuration = build_configuration(raw)
+    if isinstance(configuration, Err):
+        fail(f"{name}: {configuration.err_value}")
+    hosts = configuration.ok_value.hosts
     return {(host, prefix): route for host, routes in hosts.items() for prefix, route in routes.items()}
 
 
@@ -219,9 +219,9 @@
     """The workers and their states."""
     rows = ask(archive, boot, "roll")
     lines = [
-        f"{row['service']} {life} {row['address']} {row['zone']} {row['phase']}{', silent' * row['silent']}, "
-        f"heard {row['heard']} s ago"
-        for life, row in sorted(rows.items(), key=lambda item: (item[1]["service"], item[0]))
+        f"{row['service']} {instance_id} {row['address']} {row['zone']} {row['phase']}"
+        f"{', silent' * row['silent']}, heard {row['heard']} s ago"
+        for instance_id, row in sorted(rows.items(), key=lambda item: (item[1]["service"], item[0]))
     ]
     out(rows, as_json, lines)
 
@@ -244,8 +244,8 @@
                     "from": start,
                     "worker": entry[WORKER],
                     "second": entry[SECOND],
-                    "fence": entry[FENCE],
-                    "old": entry[OLD],
+                    "fence": entry[FENCING_TOKEN],
+                    "old": entry[PREVIOUS_OWNER],
                     "until": until.get((service, start, entry[WORKER])),
                 }
             )
@@ -274,7 +274,7 @@
         f"archive {peer}: heard {one['heard']} s ago, {'whole' if one['whole'] else 'without a majority'}"
         for peer, one in sorted(told["archives"].items())
     ]
-    out(told, as_json, lines + [f"desk {desk}" for desk in told["desks"]])
+    out(told, as_json, lines + [f"desk {proxy}" for proxy in told["desks"]])
 
 
 @click.command()
@@ -297,23 +297,25 @@
     as_json: bool,
 ) -> None:
     """Which route, slice and worker a request gets, and why. Exit codes: 0 a worker, 1 none."""
-    edition: Edition = edition_of(current(control, boot)).ok_value
-    route = edition.route(host, path)
-    found: dict[str, Any] = {"version": f"r{edition.number}", "route": route and route.label}
+    configuration: Configuration = build_configuration(current(control, boot)).ok_value
+    route = configuration.route(host, path)
+    found: dict[str, Any] = {"version": f"r{configuration.number}", "route": route and route.label}
     if route is None:
-        out(found, as_json, [f"r{edition.number}: no route of {host} begins {path}: 404"])
+        out(found, as_json, [f"r{configuration.number}: no route of {host} begins {path}: 404"])
         sys.exit(FOUND)
     service = route.service(request)
-    keyed = edition.services[service].keyed
-    steering, rows = Steering(0.0), ask(archive, boot, "roll")
-    steering.take_table({**ask(archive, boot, "table")})
-    for life, row in rows.items():
-        steering.roll.merge(0.0, life, Row(*(row[field] for field in Row._fields)))
-    steering.silent = {life for life, row in rows.items() if row["silent"]}
-    at = key if keyed else steering.hashed(request)
-    entry = steering.entry(service, at) if at is not None else None
+    keyed = configuration.services[service].keyed
+    load_balancer, rows = LoadBalancer(0.0), ask(archive, boot, "roll")
+    load_balancer.take_table({**ask(archive, boot, "table")})
+    for instance_id, row in rows.items():
+        load_balancer.registry.merge(
+            0.0, instance_id, WorkerRegistration(*(row[field] for field in WorkerRegistration._fields))
+        )
+    load_balancer.silent = {instance_id for instance_id, row in rows.items() if row["silent"]}
+    at = key if keyed else load_balancer.hashed(request)
+    entry = load_balancer.entry(service, at) if at is not None else None
     found |= {"service": service, "keyed": keyed, "key": at, "entry": entry}
-    lines = [f"r{edition.number}: route {route.label}, prefix {route.prefix}, service {service}"]
+    lines = [f"r{configuration.number}: route {route.label}, prefix {route.prefix}, service {service}"]
     if at is None:
         lines.append(f"{service} is divided by key, and no --key was given: 400")
     elif entry is None:
@@ -322,13 +324,13 @@
         lines.append(
             f"slice of {'key' if keyed else 'hash'} {at}: {entry[WORKER] or 'nobody'}"
             + f", second {entry[SECOND]}" * bool(entry[SECOND])
-            + f", not yet released by {entry[OLD]}" * bool(entry[OLD])
+            + f", not yet released by {entry[PREVIOUS_OWNER]}" * bool(entry[PREVIOUS_OWNER])
         )
-    life = steering.choose(0.0, service, at if keyed else None, request, set()) if entry else None
-    found["worker"] = life
-    lines.append(f"goes to {life}" if life else "no worker may get it now")
+    instance_id = load_balancer.choose(0.0, service, at if keyed else None, request, set()) if entry else None
+    found["worker"] = instance_id
+    lines.append(f"goes to {instance_id}" if instance_id else "no worker may get it now")
     out(found, as_json, lines)
-    sys.exit(0 if life else FOUND)
+    sys.exit(0 if instance_id else FOUND)
 
 
 @click.group()
--- a/bramblewood/common/configuration.py
+++ b/bramblewood/common/configuration.py
@@ -10,7 +10,7 @@
 
 from result import Err, Ok, Result
 
-from .schema import Fault, check
+from .schema import SchemaViolation, check
 
 LONGEST = 600.0  # s, ten minutes: the most that a TimeoutS may be; PROTOCOL, "The operator"
 PURE = "pure"
@@ -90,14 +90,14 @@
 
 class Service(NamedTuple):
     label: str
-    health: str
+    health_path: str
     connections: int
     keyed: bool
     warm: float
-    copies: bool = False  # its operator says that lookups may be answered from copies
+    read_replicas: bool = False  # its operator says that lookups may be answered from copies
 
 
-class Edition(NamedTuple):
+class Configuration(NamedTuple):
     """A checked configuration. hosts: routes by host, then by prefix."""
 
     number: int
@@ -139,13 +139,13 @@
     return int(found[1]) if found else None
 
 
-def rows(columns: Columns, shape: type, where: str, faults: list[Fault]) -> dict[str, dict]:
+def rows(columns: Columns, shape: type, where: str, faults: list[SchemaViolation]) -> dict[str, dict]:
     """Records as checked dictionaries by their place; null is left out, faulty ones are told and left out."""
     made = {}
     for place, record in enumerate(columns["Records"]):
         spot = f"{where}.Records.{place}"
         if len(record) != len(columns["ColumnNames"]):
-            faults.append(Fault(spot, f"{len(columns['ColumnNames'])} values", str(len(record))))
+            faults.append(SchemaViolation(spot, f"{len(columns['ColumnNames'])} values", str(len(record))))
             continue
         named = zip(columns["ColumnNames"], record, strict=True)
         row = check({name: value for name, value in named if value is not None}, shape, spot)
@@ -156,26 +156,26 @@
     return made
 
 
-def route_of(row: RouteRow, where: str, services: dict) -> Result[Route, Fault]:
+def route_of(row: RouteRow, where: str, services: dict) -> Result[Route, SchemaViolation]:
     if not row["PathPrefix"].startswith("/") or not row["PathPrefix"].endswith("/"):
         expected = "a prefix that begins and ends with a slash"
-        return Err(Fault(f"{where}.PathPrefix", expected, row["PathPrefix"][:60]))
+        return Err(SchemaViolation(f"{where}.PathPrefix", expected, row["PathPrefix"][:60]))
     timeout = row.get("TimeoutS", LONGEST)
     if not 0 < timeout <= LONGEST:
-        return Err(Fault(f"{where}.TimeoutS", f"over 0 and at most {LONGEST:.0f} s", str(timeout)))
+        return Err(SchemaViolation(f"{where}.TimeoutS", f"over 0 and at most {LONGEST:.0f} s", str(timeout)))
     if row.get("MaxAttempts", 1) < 1:
-        return Err(Fault(f"{where}.MaxAttempts", "1 or more", str(row["MaxAttempts"])))
+        return Err(SchemaViolation(f"{where}.MaxAttempts", "1 or more", str(row["MaxAttempts"])))
     targets = [(part["Target"], part["Share"]) for part in row.get("WeightedTargets", [])]
     if not targets and "Target" in row:
         targets = [(row["Target"], 1.0)]
     for service, share in targets:
         if service not in services:
-            return Err(Fault(f"{where}.Target", "a service of ServiceList", service[:60]))
+            return Err(SchemaViolation(f"{where}.Target", "a service of ServiceList", service[:60]))
         if share < 0:
-            return Err(Fault(f"{where}.WeightedTargets", "shares of 0 or more", str(share)))
+            return Err(SchemaViolation(f"{where}.WeightedTargets", "shares of 0 or more", str(share)))
     targets = [(service, share) for service, share in targets if share > 0]
     if not targets:
-        return Err(Fault(f"{where}.Target", "a service, or shares above 0", "none"))
+        return Err(SchemaViolation(f"{where}.Target", "a service, or shares above 0", "none"))
     return Ok(
         Route(
             row["Label"],
@@ -192,7 +192,7 @@
     )
 
 
-def survey(raw: Any) -> tuple[Edition | None, list[Fault]]:
+def survey(raw: Any) -> tuple[Configuration | None, list[SchemaViolation]]:
     """A configuration as it was put, checked by itself; what stands now is not looked at here.
 
     The edition, and all faults; with a fault the edition is not to be used.
@@ -203,9 +203,11 @@
     config, faults = told.ok_value, []
     number, parent = number_of(config["Revision"]), number_of(config.get("ParentVersion"))
     if not number:
-        faults.append(Fault("Revision", "r and a number above 0", f"{config['Revision']!r:.60}"))
+        faults.append(SchemaViolation("Revision", "r and a number above 0", f"{config['Revision']!r:.60}"))
     if parent is None:
-        faults.append(Fault("ParentVersion", "0, or r and a number", f"{config['ParentVersion']!r:.60}"))
+        faults.append(
+            SchemaViolation("ParentVersion", "0, or r and a number", f"{config['ParentVersion']!r:.60}")
+        )
     services = {
         row["Label"]: Service(
             row["Label"],
@@ -227,17 +229,19 @@
         at_host = hosts.setdefault(route.host, {})
         if route.prefix in at_host:
             faults.append(
-                Fault(where, "a host and prefix of its own", f"those of {at_host[route.prefix].label[:40]}")
+                SchemaViolation(
+                    where, "a host and prefix of its own", f"those of {at_host[route.prefix].label[:40]}"
+                )
             )
         at_host.setdefault(route.prefix, route)
     limits = config.get("Limits", {})
-    return Edition(number or 0, parent or 0, digest_of(raw), hosts, services, limits, raw), faults
+    return Configuration(number or 0, parent or 0, digest_of(raw), hosts, services, limits, raw), faults
 
 
-def edition_of(raw: Any) -> Result[Edition, Fault]:
+def build_configuration(raw: Any) -> Result[Configuration, SchemaViolation]:
     """A configuration, or its first fault."""
-    edition, faults = survey(raw)
-    return Err(faults[0]) if faults else Ok(edition)
+    configuration, faults = survey(raw)
+    return Err(faults[0]) if faults else Ok(configuration)
 
 
 def digest_of(raw: dict) -> str:
@@ -245,10 +249,10 @@
     return hashlib.sha256(json.dumps(raw, sort_keys=True).encode()).hexdigest()[:32]
 
 
-def parse(body: bytes) -> Result[Edition, Fault]:
+def parse(body: bytes) -> Result[Configuration, SchemaViolation]:
     """The body of a call that puts a configuration."""
     try:
         raw = json.loads(body)
     except (ValueError, RecursionError):
-        return Err(Fault("", "a whole JSON object", f"{len(body)} bytes that are none"))
-    return edition_of(raw)
+        return Err(SchemaViolation("", "a whole JSON object", f"{len(body)} bytes that are none"))
+    return build_configuration(raw)
--- a/bramblewood/common/listeners.py
+++ b/bramblewood/common/listeners.py
@@ -11,7 +11,7 @@
 BACKLOG = 1024
 
 
-def open_early(names: tuple[str, ...]) -> dict[str, socket.socket]:
+def open_listeners_early(names: tuple[str, ...]) -> dict[str, socket.socket]:
     """Sockets for these names of `BindMap` by the settings file that the variable names; none where that
     fails.
     """
@@ -21,7 +21,7 @@
             listen = tomllib.load(file)["BindMap"]
         for name in names:
             host, _, port = listen[name].rpartition(":")
-            found[name] = door(host, int(port))
+            found[name] = listen_on(host, int(port))
     except (OSError, ValueError, KeyError, TypeError, AttributeError):
         for sock in found.values():
             sock.close()
@@ -29,7 +29,7 @@
     return found
 
 
-def door(host: str, port: int) -> socket.socket:
+def listen_on(host: str, port: int) -> socket.socket:
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/bramblewood/common/logs.py
+++ b/bramblewood/common/logs.py
@@ -9,7 +9,7 @@
 A_SECOND = 40  # lines; a storm of faults must not cost the processor that the work needs
 
 
-class Daybook(logbook.Handler):
+class JsonLineHandler(logbook.Handler):
     """Writes records as JSON lines; beyond the bound of a second only their count."""
 
     def __init__(self, name: str) -> None:
@@ -38,7 +38,7 @@
 
 def begin(name: str) -> logbook.Logger:
     """Start the log of this process; logger.info("event", step=..., peer=...) writes a line."""
-    Daybook(name).push_application()
+    JsonLineHandler(name).push_application()
     return logbook.Logger(name)
 
 
--- a/bramblewood/common/peer_connections.py
+++ b/bramblewood/common/peer_connections.py
@@ -15,29 +15,31 @@
 from aiohttp import web
 
 DIAL = 0.6  # s for a link to come up; many times the way between zones
-QUIET = 1.2  # s without a message after which a link counts as cut; pulses come each quarter of a second
+CONNECTION_TIMEOUT = (
+    1.2  # s without a message after which a link counts as cut; pulses come each quarter of a second
+)
 WAITS = (0.1, 0.5)  # s between dials, growing
 BACKLOG = 400  # messages that may wait for a slow peer; more, and the link is given up
 LARGEST = 16 * 2**20  # bytes of one message: a configuration of thousands of routes and its table
 UNHEARD_MS = 1000  # ms that sent bytes may stay unacknowledged (TCP_USER_TIMEOUT)
 
 
-def careful(sock: socket.socket | None, unheard_ms: int = UNHEARD_MS) -> None:
+def set_connection_timeouts(sock: socket.socket | None, unheard_ms: int = UNHEARD_MS) -> None:
     """A cut must not leave a connection hanging."""
     if sock is not None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, unheard_ms)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
-def careful_socket(info: tuple) -> socket.socket:
+def create_connection_socket(info: tuple) -> socket.socket:
     family, kind, proto, _, _ = info
     sock = socket.socket(family, kind, proto)
     sock.setblocking(False)
-    careful(sock)
+    set_connection_timeouts(sock)
     return sock
 
 
-class Link:
+class PeerConnection:
     """One standing websocket and what waits to go out on it."""
 
     def __init__(self, peer: str, ws: Any) -> None:
@@ -72,7 +74,9 @@
             transport.abort()  # a close handshake would wait for a peer that may be gone
 
 
-async def listen(link: Link, hear: Callable[[Link, dict], None], quiet: float | None) -> None:
+async def listen(
+    link: PeerConnection, hear: Callable[[PeerConnection, dict], None], quiet: float | None
+) -> None:
     """Hand on what a link brings until it ends or stays quiet for too long."""
     while True:
         try:
@@ -84,13 +88,13 @@
         hear(link, json.loads(message.data))
 
 
-class Links:
+class PeerConnections:
     """Dialled links, by peer."""
 
     def __init__(
         self,
         hello: Callable[[str], dict],
-        hear: Callable[[Link, dict], None],
+        hear: Callable[[PeerConnection, dict], None],
         told: Callable[[str, bool], None],
         quiet: float | None,
         local: str = "",
@@ -102,7 +106,7 @@
         """
         self.local = (local, 0) if local else None
         self.hello, self.hear, self.told, self.quiet = hello, hear, told, quiet
-        self.up: dict[str, Link] = {}
+        self.up: dict[str, PeerConnection] = {}
         self.tasks: dict[str, asyncio.Task] = {}
         self.session: aiohttp.ClientSession | None = None
 
@@ -114,7 +118,7 @@
     async def _keep(self, peer: str, port: int) -> None:
         if self.session is None:
             connector = aiohttp.TCPConnector(
-                socket_factory=careful_socket, limit=0, ttl_dns_cache=None, local_addr=self.local
+                socket_factory=create_connection_socket, limit=0, ttl_dns_cache=None, local_addr=self.local
             )
             self.session = aiohttp.ClientSession(connector=connector)
         wait = WAITS[0]
@@ -125,7 +129,7 @@
                     ws = await self.session.ws_connect(
                         f"http://{peer}:{port}/link", compress=15, autoping=True, max_msg_size=LARGEST
                     )
-                link = Link(peer, ws)
+                link = PeerConnection(peer, ws)
                 link.send(self.hello(peer))
                 self.up[peer] = link
                 self.told(peer, True)
@@ -159,9 +163,9 @@
 
 async def accept(
     request: web.BaseRequest,
-    met: Callable[[Link, dict], None],
-    hear: Callable[[Link, dict], None],
-    left: Callable[[Link], None],
+    met: Callable[[PeerConnection, dict], None],
+    hear: Callable[[PeerConnection, dict], None],
+    left: Callable[[PeerConnection], None],
 ) -> web.StreamResponse:
     """Serve one link that a peer dialled: its first message says who it is."""
     ws = web.WebSocketResponse(compress=True, max_msg_size=LARGEST)
@@ -169,10 +173,10 @@
         await ws.prepare(request)
     except ConnectionError:  # the dialler has gone meanwhile
         return web.Response(status=503)
-    careful(request.transport.get_extra_info("socket") if request.transport else None)
-    link = Link(request.remote or "", ws)
+    set_connection_timeouts(request.transport.get_extra_info("socket") if request.transport else None)
+    link = PeerConnection(request.remote or "", ws)
     try:
-        first = await ws.receive(timeout=QUIET)
+        first = await ws.receive(timeout=CONNECTION_TIMEOUT)
         if first.type is aiohttp.WSMsgType.TEXT:
             met(link, json.loads(first.data))
             await listen(link, hear, None)
--- a/bramblewood/common/schema.py
+++ b/bramblewood/common/schema.py
@@ -24,7 +24,7 @@
 from result import Err, Ok, Result
 
 
-class Fault(NamedTuple):
+class SchemaViolation(NamedTuple):
     """What is wrong with a value: where it stands, what was expected, what was found."""
 
     where: str
@@ -35,7 +35,7 @@
         return f"{self.where or 'the whole'}: expected {self.expected}, found {self.found}"
 
 
-class Wrong(Exception):
+class SchemaError(Exception):
     """Carries a fault up to `check`; never leaves this file."""
 
 
@@ -53,8 +53,8 @@
     return tuple(found)
 
 
-def wrong(where: str, expected: str, value: Any) -> Wrong:
-    return Wrong(Fault(where, expected, f"{value!r:.60}"))
+def wrong(where: str, expected: str, value: Any) -> SchemaError:
+    return SchemaError(SchemaViolation(where, expected, f"{value!r:.60}"))
 
 
 def read(value: Any, shape: Any, where: str) -> Any:
@@ -79,7 +79,7 @@
             if name in value:
                 made[name] = read(value[name], inner, f"{where}.{name}" if where else name)
             elif required:
-                raise Wrong(Fault(f"{where}.{name}" if where else name, "a value", "nothing"))
+                raise SchemaError(SchemaViolation(f"{where}.{name}" if where else name, "a value", "nothing"))
         return made
     outer, inner = get_origin(shape), get_args(shape)
     if outer is Literal:
@@ -101,9 +101,9 @@
     raise TypeError(f"no such shape: {shape!r}")
 
 
-def check(value: Any, shape: Any, where: str = "") -> Result[Any, Fault]:
+def check(value: Any, shape: Any, where: str = "") -> Result[Any, SchemaViolation]:
     """The value with its known fields only, or the first fault."""
     try:
         return Ok(read(value, shape, where))
-    except Wrong as problem:
+    except SchemaError as problem:
         return Err(problem.args[0])
--- a/bramblewood/common/settings.py
+++ b/bramblewood/common/settings.py
@@ -11,7 +11,9 @@
 from .schema import check
 
 VARIABLE = "BRAMBLEWOOD_BOOT"
-LONELY = 10.0  # s without any other manager after which the file is read again: it may name others now
+SEED_REREAD_INTERVAL = (
+    10.0  # s without any other manager after which the file is read again: it may name others now
+)
 # the parts of the rules that this program was written for; `ContractList` names those in force
 KNOWN_PARTS = frozenset(("base", "drain", "config", "cost", "retry", "recover", "health", "pool", "own"))
 
@@ -221,7 +223,7 @@
     return told.map_err(lambda what: f"{path}: {what}")
 
 
-def seeds_again(told: Settings, log: Any) -> tuple[str, ...]:
+def reread_seeds(told: Settings, log: Any) -> tuple[str, ...]:
     """The managers that the file names now; a faulty file is told and names none. The rest of what has
     changed waits for the next start.
     """
--- a/bramblewood/common/slice_table.py
+++ b/bramblewood/common/slice_table.py
@@ -7,12 +7,12 @@
 holder has no holder yet.
 """
 
-WORKER, SECOND, PART, FENCE, HANDOVER, OLD = range(6)
+WORKER, SECOND, SECOND_SHARE, FENCING_TOKEN, HANDOVER, PREVIOUS_OWNER = range(6)
 READERS = 6
 TOLD, CLOSING, CLOSED, OUT = "told", "closing", "closed", "out"  # steps of a worker that a plan takes out
 EMPTY = ["", "", 0.0, 0, "", ""]
-KEYS = 65536
-FINE = 8  # keys that a count of heat covers: the finest that a slice is split to
+KEY_SPACE_SIZE = 65536
+KEYS_PER_RANGE = 8  # keys that a count of heat covers: the finest that a slice is split to
 
 
 def readers_of(entry: list) -> dict[str, int]:
@@ -22,7 +22,7 @@
 
 def reading(entry: list) -> list[str]:
     """The workers that lookups of this record may go to, beside its own."""
-    return [life for life, number in readers_of(entry).items() if number > 0]
+    return [instance_id for instance_id, number in readers_of(entry).items() if number > 0]
 
 
 def with_readers(entry: list, readers: list[str], number: int) -> list:
@@ -32,9 +32,10 @@
     still be kept from being answered while its copy can be read.
     """
     told = {
-        life: since if since < 0 or life in readers else -number for life, since in readers_of(entry).items()
+        instance_id: since if since < 0 or instance_id in readers else -number
+        for instance_id, since in readers_of(entry).items()
     }
-    told |= {life: number for life in readers if life not in told}
+    told |= {instance_id: number for instance_id in readers if instance_id not in told}
     return [*entry[:READERS], *([told] if told else [])]
 
 
--- a/bramblewood/common/worker_registry.py
+++ b/bramblewood/common/worker_registry.py
@@ -15,7 +15,7 @@
 KEPT = 600.0  # s that a worker that is gone stays on the roll, so that a late word of it changes nothing
 
 
-class Row(NamedTuple):
+class WorkerRegistration(NamedTuple):
     service: str
     address: str
     zone: str
@@ -29,45 +29,45 @@
         return (self.phase == GONE, self.seq, ORDER.get(self.phase, 0))
 
 
-class Roll:
+class WorkerRegistry:
     def __init__(self) -> None:
-        self.rows: dict[str, Row] = {}
+        self.rows: dict[str, WorkerRegistration] = {}
         self.heard: dict[str, float] = {}  # when a life was last heard to live, steady clock
         self.since: dict[str, float] = {}  # when its row last changed phase, here
         self.warm_at: dict[str, float] = {}
         self.homes: dict[str, str] = {}  # by address: the life that was registered there last
 
-    def merge(self, now: float, life: str, row: Row, age: float = 0.0) -> bool:
+    def merge(self, now: float, instance_id: str, row: WorkerRegistration, age: float = 0.0) -> bool:
         """Take a row; true if the phase, the address or the slots that others should know of have changed."""
-        old = self.rows.get(life)
+        old = self.rows.get(instance_id)
         if row.phase != GONE:
-            self.heard[life] = max(self.heard.get(life, 0.0), now - age)
+            self.heard[instance_id] = max(self.heard.get(instance_id, 0.0), now - age)
         if old is not None and row.rank() <= old.rank():
             if row.address and not old.address:
-                self.rows[life] = row._replace(phase=GONE, seq=old.seq)
+                self.rows[instance_id] = row._replace(phase=GONE, seq=old.seq)
             return False
         if old is not None and not row.address:
             row = old._replace(phase=GONE, seq=row.seq)
-        self.rows[life] = row
+        self.rows[instance_id] = row
         news = old is None or (old.phase, old.address, old.slots) != (row.phase, row.address, row.slots)
         if news:
-            self.since[life] = now
-            self.warm_at[life] = now + row.cold
+            self.since[instance_id] = now
+            self.warm_at[instance_id] = now + row.cold
             if row.phase != GONE:
                 before = self.homes.get(row.address)
                 if (
                     before is not None
-                    and before != life
+                    and before != instance_id
                     and (was := self.rows.get(before))
                     and was.phase != GONE
                 ):
                     # of two lives at one address the one that was heard last is the newer
-                    older = life if self.heard.get(before, 0.0) > self.heard[life] else before
+                    older = instance_id if self.heard.get(before, 0.0) > self.heard[instance_id] else before
                     self.rows[older] = self.rows[older]._replace(phase=GONE)
                     self.since[older] = now
-                    if older == life:
+                    if older == instance_id:
                         return True
-                self.homes[row.address] = life
+                self.homes[row.address] = instance_id
         return news
 
     def take(
@@ -77,49 +77,59 @@
         Those that were news here, and of workers that leave those that it has an older word of.
         """
         ages = ages or {}
-        taken = [life for life, row in rows.items() if self.merge(now, life, Row(*row), ages.get(life, 0.0))]
-        news = {life: [*self.rows[life]] for life in taken}
-        ours = {life: self.rows[life] for life in rows}
+        taken = [
+            instance_id
+            for instance_id, row in rows.items()
+            if self.merge(now, instance_id, WorkerRegistration(*row), ages.get(instance_id, 0.0))
+        ]
+        news = {instance_id: [*self.rows[instance_id]] for instance_id in taken}
+        ours = {instance_id: self.rows[instance_id] for instance_id in rows}
         newer = {
-            life: [*row]
-            for life, row in ours.items()
-            if row.phase != READY and row.rank() > Row(*rows[life]).rank()
+            instance_id: [*row]
+            for instance_id, row in ours.items()
+            if row.phase != READY and row.rank() > WorkerRegistration(*rows[instance_id]).rank()
         }
         return news, newer
 
     def leaving(self, since: float = 0.0) -> dict[str, list]:
         """The rows of workers that leave or have gone, as they travel; since: those that changed after it."""
         return {
-            life: [*row]
-            for life, row in self.rows.items()
-            if row.phase != READY and self.since.get(life, 0.0) >= since
+            instance_id: [*row]
+            for instance_id, row in self.rows.items()
+            if row.phase != READY and self.since.get(instance_id, 0.0) >= since
         }
 
     def listen(self, now: float, ages: dict[str, float]) -> None:
         """What another archive heard: how long ago each life spoke."""
-        for life, age in ages.items():
-            if life in self.rows:
-                self.heard[life] = max(self.heard.get(life, 0.0), now - age)
+        for instance_id, age in ages.items():
+            if instance_id in self.rows:
+                self.heard[instance_id] = max(self.heard.get(instance_id, 0.0), now - age)
 
     def ages(self, now: float, within: float) -> dict[str, float]:
-        return {life: round(now - at, 2) for life, at in self.heard.items() if now - at <= within}
+        return {
+            instance_id: round(now - at, 2) for instance_id, at in self.heard.items() if now - at <= within
+        }
 
     def silent(self, now: float, after: float) -> set[str]:
         """Lives that no archive has heard for so long though they did not take leave."""
         return {
-            life
-            for life, row in self.rows.items()
-            if row.phase != GONE and now - self.heard.get(life, 0.0) > after
+            instance_id
+            for instance_id, row in self.rows.items()
+            if row.phase != GONE and now - self.heard.get(instance_id, 0.0) > after
         }
 
     def serving(self, service: str) -> list[str]:
-        return [life for life, row in self.rows.items() if row.service == service and row.phase == READY]
+        return [
+            instance_id
+            for instance_id, row in self.rows.items()
+            if row.service == service and row.phase == READY
+        ]
 
     def forget(self, now: float) -> None:
-        for life in [
-            life
-            for life, row in self.rows.items()
-            if row.phase == GONE and now - self.since.get(life, 0.0) > KEPT
+        for instance_id in [
+            instance_id
+            for instance_id, row in self.rows.items()
+            if row.phase == GONE and now - self.since.get(instance_id, 0.0) > KEPT
         ]:
             for kept in (self.rows, self.heard, self.since, self.warm_at):
-                kept.pop(life, None)
+                kept.pop(instance_id, None)
--- a/bramblewood/controller/commands.py
+++ b/bramblewood/controller/commands.py
@@ -8,9 +8,9 @@
 
 from result import Err, Ok, Result
 
-from ..common.configuration import Edition, parse
+from ..common.configuration import Configuration, parse
 from ..common.schema import check
-from ..common.worker_registry import DRAINING, READY, Row
+from ..common.worker_registry import DRAINING, READY, WorkerRegistration
 
 BEAT_MOST = 64 * 2**10  # bytes of a worker's call
 CONFIG_MOST = 32 * 2**20  # bytes of a configuration
@@ -35,18 +35,18 @@
     ColdLeftS: NotRequired[float]
 
 
-class Beat(TypedDict):
+class Heartbeat(TypedDict):
     Address: str
     Summary: Summary
     Condition: Condition
 
 
 @dataclass(frozen=True)
-class Register:
+class RegisterWorker:
     """A worker's call: it is ready or draining."""
 
-    life: str
-    row: Row
+    instance_id: str
+    row: WorkerRegistration
 
     @property
     def leaving(self) -> bool:
@@ -54,31 +54,31 @@
 
 
 @dataclass(frozen=True)
-class TakeLeave:
+class DeregisterWorker:
     """A worker's last call."""
 
-    life: str
+    instance_id: str
 
 
 @dataclass(frozen=True)
-class PutConfig:
-    edition: Edition
+class PutConfiguration:
+    configuration: Configuration
 
 
 @dataclass(frozen=True)
-class GetConfig:
+class GetConfiguration:
     pass
 
 
 @dataclass(frozen=True)
-class StartPlan:
+class StartDrainPlan:
     """Take workers out of service: those named, or all of a service that stand in a zone or run a
     revision.
     """
 
     name: str
     service: str
-    lives: tuple[str, ...]
+    instance_ids: tuple[str, ...]
     zone: str
     revision: str
     count: int
@@ -87,7 +87,7 @@
 
 
 @dataclass(frozen=True)
-class EndPlan:
+class EndDrainPlan:
     """Stop a plan, or take all its workers back into use."""
 
     name: str
@@ -117,7 +117,7 @@
 
 
 @dataclass(frozen=True)
-class Refusal:
+class Rejection:
     """The answer to a call that can't be taken."""
 
     status: int
@@ -125,7 +125,7 @@
     allow: str = ""
 
 
-Command = Register | TakeLeave | PutConfig | GetConfig
+Command = RegisterWorker | DeregisterWorker | PutConfiguration | GetConfiguration
 
 
 def most(method: str, path: str) -> int:
@@ -133,24 +133,24 @@
     return CONFIG_MOST if path == CONFIG_PATH and method == "PUT" else BEAT_MOST
 
 
-def decode(method: str, path: str, body: bytes) -> Result[Command, Refusal]:
+def decode(method: str, path: str, body: bytes) -> Result[Command, Rejection]:
     path = path.partition("?")[0]
     if path == CONFIG_PATH:
         if method == "GET":
-            return Ok(GetConfig())
+            return Ok(GetConfiguration())
         if method == "PUT":
-            return parse(body).map(PutConfig).map_err(lambda fault: Refusal(400, str(fault)))
-        return Err(Refusal(405, f"{method:.20} is not for {CONFIG_PATH}", "GET, PUT"))
+            return parse(body).map(PutConfiguration).map_err(lambda fault: Rejection(400, str(fault)))
+        return Err(Rejection(405, f"{method:.20} is not for {CONFIG_PATH}", "GET, PUT"))
     if path.startswith(INSTANCES):
-        life = path[len(INSTANCES) :]
-        if not re.fullmatch(r"[\w.~-]{1,128}", life):
-            return Err(Refusal(400, "the path holds no worker's id"))
+        instance_id = path[len(INSTANCES) :]
+        if not re.fullmatch(r"[\w.~-]{1,128}", instance_id):
+            return Err(Rejection(400, "the path holds no worker's id"))
         if method == "DELETE":
-            return Ok(TakeLeave(life))
+            return Ok(DeregisterWorker(instance_id))
         if method == "PUT":
-            return beat(life, body)
-        return Err(Refusal(405, f"{method:.20} is not for {INSTANCES}", "PUT, DELETE"))
-    return Err(Refusal(404, "no such call"))
+            return beat(instance_id, body)
+        return Err(Rejection(405, f"{method:.20} is not for {INSTANCES}", "PUT, DELETE"))
+    return Err(Rejection(404, "no such call"))
 
 
 class PlanCall(TypedDict):
@@ -166,24 +166,24 @@
     Wave: NotRequired[int]
 
 
-def plan_call(body: bytes) -> Result[StartPlan | EndPlan, Refusal]:
+def plan_call(body: bytes) -> Result[StartDrainPlan | EndDrainPlan, Rejection]:
     try:
         told = check(json.loads(body), PlanCall)
     except (ValueError, RecursionError):
-        return Err(Refusal(400, "the body is no JSON"))
+        return Err(Rejection(400, "the body is no JSON"))
     if isinstance(told, Err):
-        return Err(Refusal(400, str(told.err_value)))
+        return Err(Rejection(400, str(told.err_value)))
     told = told.ok_value
     if not re.fullmatch(r"[\w.-]{1,64}", told["Name"]):
-        return Err(Refusal(400, "Name: expected letters, digits, . _ -, 64 at most"))
+        return Err(Rejection(400, "Name: expected letters, digits, . _ -, 64 at most"))
     if told["Do"] in ("stop", "back"):
-        return Ok(EndPlan(told["Name"], "stopped" if told["Do"] == "stop" else "back"))
+        return Ok(EndDrainPlan(told["Name"], "stopped" if told["Do"] == "stop" else "back"))
     if not told.get("Service"):
-        return Err(Refusal(400, "Service: expected a value, found nothing"))
+        return Err(Rejection(400, "Service: expected a value, found nothing"))
     if told.get("Wave", 1) < 1 or told.get("Count", 1) < 1:
-        return Err(Refusal(400, "Wave or Count: expected 1 or more"))
+        return Err(Rejection(400, "Wave or Count: expected 1 or more"))
     return Ok(
-        StartPlan(
+        StartDrainPlan(
             told["Name"],
             told["Service"],
             tuple(told.get("Workers", ())),
@@ -207,50 +207,50 @@
     New: NotRequired[str]
 
 
-def members_call(body: bytes) -> Result[ReplaceMember | RemoveMember | AddMember, Refusal]:
+def members_call(body: bytes) -> Result[ReplaceMember | RemoveMember | AddMember, Rejection]:
     try:
         told = check(json.loads(body), MembersCall)
     except (ValueError, RecursionError):
-        return Err(Refusal(400, "the body is no JSON"))
+        return Err(Rejection(400, "the body is no JSON"))
     if isinstance(told, Err):
-        return Err(Refusal(400, str(told.err_value)))
+        return Err(Rejection(400, str(told.err_value)))
     told = told.ok_value
     wanted = {"replace": ("Old", "New"), "remove": ("Old",), "add": ("New",)}[told["Do"]]
     for name in ("Old", "New"):
         if (name in wanted) != (name in told):
             found, expected = ("nothing", "an address") if name in wanted else ("an address", "nothing")
-            return Err(Refusal(400, f"{name}: expected {expected} to {told['Do']}, found {found}"))
+            return Err(Rejection(400, f"{name}: expected {expected} to {told['Do']}, found {found}"))
         if name in told and not ADDRESS.fullmatch(told[name]):
             expected = "an address such as 10.0.0.4"
-            return Err(Refusal(400, f"{name}: expected {expected}, found {told[name]!r:.60}"))
+            return Err(Rejection(400, f"{name}: expected {expected}, found {told[name]!r:.60}"))
     match told["Do"]:
         case "remove":
             return Ok(RemoveMember(told["Old"]))
         case "add":
             return Ok(AddMember(told["New"]))
     if told["Old"] == told["New"]:
-        return Err(Refusal(400, f"New: expected another archive than {told['Old']}"))
+        return Err(Rejection(400, f"New: expected another archive than {told['Old']}"))
     return Ok(ReplaceMember(told["Old"], told["New"]))
 
 
-def beat(life: str, body: bytes) -> Result[Register, Refusal]:
+def beat(instance_id: str, body: bytes) -> Result[RegisterWorker, Rejection]:
     try:
-        told = check(json.loads(body), Beat)
+        told = check(json.loads(body), Heartbeat)
     except (ValueError, RecursionError):
-        return Err(Refusal(400, "the body is no JSON"))
+        return Err(Rejection(400, "the body is no JSON"))
     if isinstance(told, Err):
-        return Err(Refusal(400, str(told.err_value)))
+        return Err(Rejection(400, str(told.err_value)))
     told = told.ok_value
     host, _, port = told["Address"].rpartition(":")
     if not host or not port.isdigit():
-        return Err(Refusal(400, f"Address: expected host:port, found {told['Address']!r:.60}"))
+        return Err(Rejection(400, f"Address: expected host:port, found {told['Address']!r:.60}"))
     info, condition = told["Summary"], told["Condition"]
     if not 0 <= condition["CallSeq"] < 2**53 or not 0 < info.get("Slots", 1) < 2**20:
-        return Err(Refusal(400, "CallSeq or Slots: out of range"))
+        return Err(Rejection(400, "CallSeq or Slots: out of range"))
     return Ok(
-        Register(
-            life,
-            Row(
+        RegisterWorker(
+            instance_id,
+            WorkerRegistration(
                 info["Target"],
                 told["Address"],
                 info.get("Zone", ""),
@@ -264,7 +264,9 @@
     )
 
 
-def succeed(edition: Edition, stands: dict | None, kept: int = KEPT) -> tuple[dict | None, tuple[int, str]]:
+def succeed(
+    configuration: Configuration, stands: dict | None, kept: int = KEPT
+) -> tuple[dict | None, tuple[int, str]]:
     """What follows the register's value, and the answer.
 
     200: this very configuration was taken, whatever came after. 412 (another version stands) and 400 (it does
@@ -276,39 +278,46 @@
     there yet}}.
     """
     number, past = (stands["n"], stands["past"]) if stands else (0, {})
-    if past.get(str(edition.number)) == edition.digest:
+    if past.get(str(configuration.number)) == configuration.digest:
         return None, (200, "")
-    if edition.number <= edition.parent:
-        return None, (400, f"Revision: expected above r{edition.parent}, found r{edition.number}")
-    if edition.number <= forgotten(stands):
-        return None, (503, f"r{edition.number} is too long ago: whether it was taken is no longer known")
+    if configuration.number <= configuration.parent:
+        return None, (400, f"Revision: expected above r{configuration.parent}, found r{configuration.number}")
+    if configuration.number <= forgotten(stands):
+        return None, (
+            503,
+            f"r{configuration.number} is too long ago: whether it was taken is no longer known",
+        )
     refused = dict(stands.get("refused", {})) if stands else {}
-    if edition.parent < number or edition.digest in refused:
+    if configuration.parent < number or configuration.digest in refused:
         return None, (412, f"r{number} is current")
-    if edition.parent > number:  # its parent may still come: refused for good only once that is agreed, too
+    if (
+        configuration.parent > number
+    ):  # its parent may still come: refused for good only once that is agreed, too
         if stands is None or len(refused) >= REFUSED_MOST:
-            return None, (503, f"r{edition.parent} is not known, r{number} is current")
-        refused[edition.digest] = edition.parent
+            return None, (503, f"r{configuration.parent} is not known, r{number} is current")
+        refused[configuration.digest] = configuration.parent
         return {**stands, "refused": refused}, (412, f"r{number} is current")
-    past = {**past, str(edition.number): edition.digest}
+    past = {**past, str(configuration.number): configuration.digest}
     rising = sorted(past, key=int)
     return {
-        "n": edition.number,
-        "config": edition.raw,
+        "n": configuration.number,
+        "config": configuration.raw,
         "past": {name: past[name] for name in rising[-kept:]},
         "forgotten": int(rising[-kept - 1]) if len(rising) > kept else forgotten(stands),
-        "refused": {mark: parent for mark, parent in refused.items() if parent >= edition.number},
+        "refused": {mark: parent for mark, parent in refused.items() if parent >= configuration.number},
     }, (200, "")
 
 
-def final_answer(edition: Edition, stands: dict | None, follow: Callable = succeed) -> tuple[int, str] | None:
+def final_answer(
+    configuration: Configuration, stands: dict | None, follow: Callable = succeed
+) -> tuple[int, str] | None:
     """The answer that a version known to be chosen settles for good, whatever came after it; None where it
     takes an agreement to tell: the order follows that version, or one that is not known here.
     """
     if stands is None:
         return None
-    following, told = follow(edition, stands)
-    return told if following is None and edition.parent <= stands["n"] else None
+    following, told = follow(configuration, stands)
+    return told if following is None and configuration.parent <= stands["n"] else None
 
 
 def forgotten(stands: dict | None) -> int:
--- a/bramblewood/controller/consensus/membership.py
+++ b/bramblewood/controller/consensus/membership.py
@@ -14,7 +14,7 @@
 
 from ...common.settings import Tolerance
 from .quorum import Place, bears, enough, first_voters
-from .replica import CONFIG, TABLE, Members, belongs, majority
+from .replica import CONFIG, TABLE, VoterSet, is_voter, majority
 
 SILENT_PART = 1 / 2  # of CatchUpS without a pulse, after which a voter's seat is given away
 STEADY_PART = 1 / 4  # of CatchUpS with pulses, before an archive may take a seat
@@ -34,13 +34,13 @@
     versions: dict[str, int]  # what it knows to be chosen, by register
 
 
-def votes_in(peer: Peer | None, members: Members, name: str) -> bool:
+def votes_in(peer: Peer | None, members: VoterSet, name: str) -> bool:
     """Whether it said that it is an active voter of this very epoch, on the disk that this epoch knows."""
     return (
         peer is not None
         and peer.votes
         and peer.epoch == members["n"]
-        and belongs(members["voters"], name, peer.disk)
+        and is_voter(members["voters"], name, peer.disk)
     )
 
 
@@ -79,10 +79,10 @@
     def there(self, peer: Peer | None) -> bool:
         return peer is not None and peer.steady > 0
 
-    def votes_there(self, peers: dict[str, Peer], members: Members, name: str) -> bool:
+    def votes_there(self, peers: dict[str, Peer], members: VoterSet, name: str) -> bool:
         return self.there(peers.get(name)) and votes_in(peers[name], members, name)
 
-    def spares(self, members: Members, peers: dict[str, Peer], versions: dict[str, int]) -> list[str]:
+    def spares(self, members: VoterSet, peers: dict[str, Peer], versions: dict[str, int]) -> list[str]:
         """Archives that may take a seat now."""
         voters = members["voters"]
         whoever = not any(peers[name].counted for name in voters if name in peers)
@@ -111,12 +111,12 @@
         new = min(spares, key=rank)
         return replaced(voters, old, new, peers[new].disk)
 
-    def heirs(self, members: Members, peers: dict[str, Peer]) -> list[str]:
+    def heirs(self, members: VoterSet, peers: dict[str, Peer]) -> list[str]:
         """Archives that may take a seat now or soon: who leaves waits for them."""
         voters = members["voters"]
         return [n for n, peer in peers.items() if n not in voters and self.there(peer) and not peer.leaving]
 
-    def wanted(self, members: Members, peers: dict[str, Peer], versions: dict[str, int]) -> Change | None:
+    def wanted(self, members: VoterSet, peers: dict[str, Peer], versions: dict[str, int]) -> Change | None:
         """The change that is due. peers: all archives known, this one too; versions: what is chosen."""
         voters, n = members["voters"], members["n"]
         for name, disk in voters.items():
@@ -146,14 +146,14 @@
     def lost(self, peer: Peer | None) -> bool:
         return peer is None or peer.silent > self.silent
 
-    def margin(self, members: Members, peers: dict[str, Peer]) -> int:
+    def margin(self, members: VoterSet, peers: dict[str, Peer]) -> int:
         """How many more active voters may be lost with a majority left; below 0: there is none."""
         voters = members["voters"]
         active = [name for name in voters if self.votes_there(peers, members, name)]
         return len(active) - majority(voters)
 
     def ordered(
-        self, members: Members, peers: dict[str, Peer], versions: dict[str, int], old: str, new: str
+        self, members: VoterSet, peers: dict[str, Peer], versions: dict[str, int], old: str, new: str
     ) -> Result[Change, str]:
         """An operator's change; old or new may be empty, for an addition or a removal. The voters as they are
         where that is how they stand already: an order may be repeated.
@@ -179,7 +179,7 @@
             return Err("no majority of that set can be heard")
         return Ok(Change(made, "by hand"))
 
-    def view(self, me: str, members: Members, peers: dict[str, Peer], versions: dict[str, int]) -> dict:
+    def view(self, me: str, members: VoterSet, peers: dict[str, Peer], versions: dict[str, int]) -> dict:
         """What operators are shown of who votes, as this archive sees it."""
         voters = members["voters"]
 
@@ -205,7 +205,7 @@
             "margin": self.margin(members, peers),
         }
 
-    def state(self, members: Members, name: str, peer: Peer) -> str:
+    def state(self, members: VoterSet, name: str, peer: Peer) -> str:
         disk = members["voters"].get(name)
         if not self.there(peer):
             return "lost" if disk is not None and self.lost(peer) else "silent"
@@ -213,7 +213,7 @@
             return "leaving"
         if disk is None:
             return "spare" if peer.epoch == members["n"] > 0 else "new"
-        if not belongs({name: disk}, name, peer.disk):
+        if not is_voter({name: disk}, name, peer.disk):
             return "other disk"
         return "voter" if votes_in(peer, members, name) else "joining"
 
@@ -221,7 +221,7 @@
 def may_leave(
     me: str,
     disk: str,
-    members: Members,
+    members: VoterSet,
     peers: dict[str, Peer],
     accepted: dict[str, tuple],
     durable: dict[str, dict[str, tuple]],
@@ -234,7 +234,7 @@
     somebody to take the seat, now or soon.
     """
     voters = members["voters"]
-    if not belongs(voters, me, disk):
+    if not is_voter(voters, me, disk):
         return sum(votes_in(peers.get(name), members, name) for name in voters) >= majority(voters)
     if heirs:
         return False
@@ -244,6 +244,9 @@
         for name in others
         if name in durable
         and votes_in(peers.get(name), members, name)
-        and all(tuple(durable[name].get(register, ())) >= ballot for register, ballot in accepted.items())
+        and all(
+            tuple(durable[name].get(register, ())) >= proposal_number
+            for register, proposal_number in accepted.items()
+        )
     ]
     return len(hold) >= len(others) // 2 + 1 or not others
--- a/bramblewood/controller/consensus/proposer_backoff.py
+++ b/bramblewood/controller/consensus/proposer_backoff.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 
-class Contention:
+class ProposerBackoff:
     """The newest ballot of another archive that is known here, by register, and until when it has the way."""
 
     def __init__(self, me: str, patience: float) -> None:
@@ -13,20 +13,20 @@
         self.me, self.patience = me, patience
         self.ahead: dict[str, tuple[Any, float]] = {}
 
-    def heard(self, now: float, register: str, ballot: Any) -> None:
+    def heard(self, now: float, register: str, proposal_number: Any) -> None:
         """A voter has promised or accepted this ballot. An archive that comes with one ballot after another,
         none of them chosen, gets the way for the first only: it may hear no answers.
         """
         ahead, until = self.ahead.get(register, (None, 0.0))
-        proposer = ballot[-2]
-        if proposer == self.me or ahead is not None and ballot < ahead:
+        proposer = proposal_number[-2]
+        if proposer == self.me or ahead is not None and proposal_number < ahead:
             return
-        if ahead is None or ahead == ballot or ahead[-2] != proposer:
+        if ahead is None or ahead == proposal_number or ahead[-2] != proposer:
             until = now + self.patience
-        self.ahead[register] = (ballot, until)
+        self.ahead[register] = (proposal_number, until)
 
-    def chosen(self, register: str, ballot: Any) -> None:
-        if register in self.ahead and self.ahead[register][0] <= ballot:
+    def chosen(self, register: str, proposal_number: Any) -> None:
+        if register in self.ahead and self.ahead[register][0] <= proposal_number:
             del self.ahead[register]
 
     def busy(self, now: float, register: str) -> bool:
--- a/bramblewood/controller/deregistration.py
+++ b/bramblewood/controller/deregistration.py
@@ -15,7 +15,7 @@
 HELD_WITHIN = 0.6  # s that a leave waits for its majority: the caller goes elsewhere after a second, PROTOCOL
 
 
-class Leaves:
+class Deregistrations:
     """The rounds under way at one archive."""
 
     def __init__(self, me: str) -> None:
--- a/bramblewood/controller/drain_plans.py
+++ b/bramblewood/controller/drain_plans.py
@@ -17,8 +17,8 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from ..common.slice_table import CLOSED, CLOSING, OLD, OUT, TOLD, WORKER
-from ..common.worker_registry import GONE, READY, Roll
+from ..common.slice_table import CLOSED, CLOSING, OUT, PREVIOUS_OWNER, TOLD, WORKER
+from ..common.worker_registry import GONE, READY, WorkerRegistry
 from ..policy.figures import LIMIT
 
 RUNNING, STOPPED, BACK, DONE = "running", "stopped", "back", "done"
@@ -54,7 +54,7 @@
 
 def steps_of(value: dict | None) -> dict[str, str]:
     """By worker its step, as desks and the planner need it."""
-    return {life: step for life, (_, step, _) in out_of(value).items()}
+    return {instance_id: step for instance_id, (_, step, _) in out_of(value).items()}
 
 
 def changed(value: dict, plans: dict, out: dict) -> dict:
@@ -63,21 +63,21 @@
     return {**value, "n": value["n"] + 1, "w": {"plans": plans, "out": out}}
 
 
-def started(value: dict | None, name: str, service: str, lives: list[str], wave: int, staying: int):
+def started(value: dict | None, name: str, service: str, instance_ids: list[str], wave: int, staying: int):
     """The table with a new plan; (status, reason) is the answer. staying: workers in use that it leaves."""
     value = value or {"n": 0, "s": {}}
     plans, out = plans_of(value), out_of(value)
-    plan = {"service": service, "lives": lives, "wave": wave, "state": RUNNING, "why": ""}
+    plan = {"service": service, "lives": instance_ids, "wave": wave, "state": RUNNING, "why": ""}
     if name in plans:
         same = {**plans[name], "state": RUNNING, "why": ""} == plan
         return None, (200, plans[name]["state"]) if same else (409, f"another plan is called {name}")
-    if not lives:
+    if not instance_ids:
         return None, (404, "no such worker in use")
     if staying <= 0:
         return None, (409, f"{service} would have no worker left")
-    if taken := [life for life in lives if life in out]:
+    if taken := [instance_id for instance_id in instance_ids if instance_id in out]:
         return None, (409, f"{taken[0]} is in plan {out[taken[0]][0]}")
-    out = {**out, **{life: [name, TOLD, value["n"] + 1] for life in lives}}
+    out = {**out, **{instance_id: [name, TOLD, value["n"] + 1] for instance_id in instance_ids}}
     return changed(value, {**plans, name: plan}, out), (200, RUNNING)
 
 
@@ -88,14 +88,18 @@
         return None, (404, f"no plan {name}")
     if plans[name]["state"] == state or plans[name]["state"] == BACK:
         return None, (200, plans[name]["state"])
-    left = {life: at for life, at in out.items() if at[0] != name or state == STOPPED and at[1] != TOLD}
+    left = {
+        instance_id: at
+        for instance_id, at in out.items()
+        if at[0] != name or state == STOPPED and at[1] != TOLD
+    }
     return changed(value, {**plans, name: {**plans[name], "state": state, "why": "asked for"}}, left), (
         200,
         state,
     )
 
 
-class Withdrawals:
+class DrainPlans:
     """One archive's part: what desks told it, and the next step of each plan."""
 
     def __init__(self, silent_for: float) -> None:
@@ -103,81 +107,85 @@
         self.silent_for = silent_for
         self.began: float | None = None
         self.there: dict[str, float] = {}  # when each desk's session last stood
-        self.desks: dict[str, tuple[int, dict[str, Left]]] = {}  # by its last word: its table, what is left
+        self.proxies: dict[str, tuple[int, dict[str, Left]]] = {}  # by its last word: its table, what is left
         self.looked: dict[str, float] = {}  # by plan: since when its last wave is out, or it waits for room
         self.waits: dict[str, float] = {}
 
-    def present(self, now: float, desks: set[str]) -> None:
+    def present(self, now: float, proxies: set[str]) -> None:
         """Each turn, at every archive: the desks whose sessions stand."""
         self.began = now if self.began is None else self.began
-        self.there.update(dict.fromkeys(desks, now))
+        self.there.update(dict.fromkeys(proxies, now))
 
-    def anew(self, desk: str) -> None:
+    def anew(self, proxy: str) -> None:
         """A desk's link stands anew: it may be another life of it, so what was said before counts no more."""
-        self.desks.pop(desk, None)
+        self.proxies.pop(proxy, None)
 
-    def hear(self, desk: str, table: int, left: dict[str, list]) -> None:
-        self.desks[desk] = (table, {life: Left(*told) for life, told in left.items()})
+    def hear(self, proxy: str, table: int, left: dict[str, list]) -> None:
+        self.proxies[proxy] = (table, {instance_id: Left(*told) for instance_id, told in left.items()})
 
     def sending(self, now: float, version: int) -> list[str]:
         """Desks that have not said that they follow this version of the table, and so may still start work.
 
         Desks that an archive which has just started may not have met yet count as one.
         """
-        found = [desk for desk, at in self.there.items() if now < at + self.silent_for]
-        found = sorted(desk for desk in found if self.desks.get(desk, (0, {}))[0] < version)
+        found = [proxy for proxy, at in self.there.items() if now < at + self.silent_for]
+        found = sorted(proxy for proxy in found if self.proxies.get(proxy, (0, {}))[0] < version)
         return found if self.began is not None and now >= self.began + self.silent_for else [*found, "?"]
 
-    def under_way(self, now: float, life: str) -> dict[str, Left]:
+    def under_way(self, now: float, instance_id: str) -> dict[str, Left]:
         """What desks have under way at a worker; a silent desk's last word counts until its bound."""
-        told = {desk: left[life] for desk, (_, left) in self.desks.items() if life in left}
+        told = {proxy: left[instance_id] for proxy, (_, left) in self.proxies.items() if instance_id in left}
         return {
-            desk: left for desk, left in told.items() if now < self.there.get(desk, now) + self.silent_for
+            proxy: left for proxy, left in told.items() if now < self.there.get(proxy, now) + self.silent_for
         }
 
     def step(
-        self, now: float, value: dict | None, roll: Roll, rooms: dict[str, Room]
+        self, now: float, value: dict | None, registry: WorkerRegistry, rooms: dict[str, Room]
     ) -> Callable[[dict], tuple[dict | None, Any]] | None:
         """The next change, or None: a function of the value that stands, as others may have gone on
         meanwhile.
         """
         moves: dict[str, str] = {}
-        rests_on = {life: version for life, (_, _, version) in out_of(value).items()}
-        for life, (_, step, version) in out_of(value).items():
-            row = roll.rows.get(life)
+        rests_on = {instance_id: version for instance_id, (_, _, version) in out_of(value).items()}
+        for instance_id, (_, step, version) in out_of(value).items():
+            row = registry.rows.get(instance_id)
             if step != OUT and (row is None or row.phase == GONE):
-                moves[life] = OUT  # it ended early
+                moves[instance_id] = OUT  # it ended early
             elif step in (CLOSING, CLOSED) and not self.sending(now, version):
                 if step == CLOSING:
-                    moves[life] = CLOSED
-                elif not self.holds(value, life) and not self.under_way(now, life):
-                    moves[life] = OUT
+                    moves[instance_id] = CLOSED
+                elif not self.holds(value, instance_id) and not self.under_way(now, instance_id):
+                    moves[instance_id] = OUT
         ends: dict[str, tuple[str, str]] = {}
         for name, plan in plans_of(value).items():
             if plan["state"] == RUNNING:
-                self.wave(now, name, plan, value, roll, rooms, moves, ends)
+                self.wave(now, name, plan, value, registry, rooms, moves, ends)
         if not moves and not ends:
             return None
         return lambda stands: advanced(
-            stands, {life: (step, rests_on[life]) for life, step in moves.items()}, ends
+            stands, {instance_id: (step, rests_on[instance_id]) for instance_id, step in moves.items()}, ends
         )
 
     @staticmethod
-    def holds(value: dict, life: str) -> bool:
+    def holds(value: dict, instance_id: str) -> bool:
         return any(
-            life in (entry[WORKER], entry[OLD])
+            instance_id in (entry[WORKER], entry[PREVIOUS_OWNER])
             for entries in value["s"].values()
             for entry in entries.values()
         )
 
-    def wave(self, now, name, plan, value, roll, rooms, moves, ends) -> None:
+    def wave(self, now, name, plan, value, registry, rooms, moves, ends) -> None:
         """Begin a plan's next wave, or end the plan."""
-        out = {life: at for life, at in out_of(value).items() if at[0] == name}
-        steps = [moves.get(life, step) for life, (_, step, _) in out.items()]
+        out = {instance_id: at for instance_id, at in out_of(value).items() if at[0] == name}
+        steps = [moves.get(instance_id, step) for instance_id, (_, step, _) in out.items()]
         if any(step in (CLOSING, CLOSED) for step in steps):
             self.looked.pop(name, None)
             return
-        told = [life for life in plan["lives"] if life in out and out[life][1] == TOLD and life not in moves]
+        told = [
+            instance_id
+            for instance_id in plan["lives"]
+            if instance_id in out and out[instance_id][1] == TOLD and instance_id not in moves
+        ]
         if not told:
             ends[name] = (DONE, "")
             return
@@ -192,17 +200,21 @@
             ends[name] = (STOPPED, "what stays would not carry the load")
 
     @staticmethod
-    def fits(room: Room | None, lives: list[str], out: dict[str, list]) -> list[str]:
+    def fits(room: Room | None, instance_ids: list[str], out: dict[str, list]) -> list[str]:
         """As many of these, in turn, as leave enough for what is busy now; closed ones count as away."""
         if room is None:
             return []
-        left = sum(slots for life, slots in room.slots.items() if life not in out or out[life][1] == TOLD)
+        left = sum(
+            slots
+            for instance_id, slots in room.slots.items()
+            if instance_id not in out or out[instance_id][1] == TOLD
+        )
         found = []
-        for life in lives:
-            left -= room.slots.get(life, 0.0)
+        for instance_id in instance_ids:
+            left -= room.slots.get(instance_id, 0.0)
             if left <= 0 or room.busy > LIMIT * left:
                 break
-            found.append(life)
+            found.append(instance_id)
         return found
 
 
@@ -215,21 +227,21 @@
     version says nothing of a later plan's.
     """
     plans, out, found = dict(plans_of(value)), dict(out_of(value)), False
-    for life, (step, version) in moves.items():
-        if life in out and out[life][2] == version:
-            out[life], found = [out[life][0], step, value["n"] + 1], True
+    for instance_id, (step, version) in moves.items():
+        if instance_id in out and out[instance_id][2] == version:
+            out[instance_id], found = [out[instance_id][0], step, value["n"] + 1], True
     for name, (state, why) in ends.items():
         if name in plans and plans[name]["state"] == RUNNING:
             plans[name], found = {**plans[name], "state": state, "why": why}, True
             if state == STOPPED:
-                out = {life: at for life, at in out.items() if at[0] != name or at[1] != TOLD}
+                out = {instance_id: at for instance_id, at in out.items() if at[0] != name or at[1] != TOLD}
     return (changed(value, plans, out), True) if found else (None, True)
 
 
-def in_use(roll: Roll, service: str, out: dict[str, list]) -> list[str]:
+def in_use(registry: WorkerRegistry, service: str, out: dict[str, list]) -> list[str]:
     """Workers of a service that are ready and in no plan."""
     return [
-        life
-        for life, row in sorted(roll.rows.items())
-        if row.service == service and row.phase == READY and life not in out
+        instance_id
+        for instance_id, row in sorted(registry.rows.items())
+        if row.service == service and row.phase == READY and instance_id not in out
     ]
--- a/bramblewood/controller/hot_keys.py
+++ b/bramblewood/controller/hot_keys.py
@@ -14,7 +14,7 @@
 from collections import Counter, deque
 from typing import NamedTuple
 
-from ..common.slice_table import FINE
+from ..common.slice_table import KEYS_PER_RANGE
 from ..policy.figures import HELD, LIMIT, REPORTS
 
 WATCH_PART = 0.5  # of what one worker can be asked for, at which a range is looked at key by key
@@ -49,7 +49,7 @@
                 del self.since[what]
 
 
-class Crowds:
+class HotKeys:
     def __init__(self) -> None:
         self.ranges, self.keys = Held(), Held()
 
@@ -62,16 +62,16 @@
         limit: requests a second that one worker can be asked for.
         """
         rates = Counter({fine: count / over for fine, count in came.items()})
-        keys = Counter({key: believed(desks) / over for key, desks in by_key.items()})
+        keys = Counter({key: believed(proxies) / over for key, proxies in by_key.items()})
         for key, rate in keys.items():
-            rates[key // FINE] += rate
+            rates[key // KEYS_PER_RANGE] += rate
         self.ranges.cycle(rates, WATCH_PART * limit)
         for fine in sorted(self.ranges.since, key=lambda fine: -rates[fine])[WATCH_MOST:]:
             del self.ranges.since[fine]
         self.keys.cycle(keys, LIMIT * limit)
 
 
-def believed(desks: dict[str, int]) -> int:
+def believed(proxies: dict[str, int]) -> int:
     """What came of a key: no desk's part is more than that of all others, where there are others."""
-    most, total = max(desks.values()), sum(desks.values())
-    return total if len(desks) == 1 else min(total, 2 * (total - most))
+    most, total = max(proxies.values()), sum(proxies.values())
+    return total if len(proxies) == 1 else min(total, 2 * (total - most))
--- a/bramblewood/controller/key_leases.py
+++ b/bramblewood/controller/key_leases.py
@@ -17,16 +17,16 @@
 from typing import NamedTuple
 
 from ..common.peer_connections import UNHEARD_MS
-from ..common.slice_table import FENCE, HANDOVER, KEYS, OLD, WORKER, starts_of
-from ..common.timeouts import SLOW_CLOCK, TRAVEL, WORD
-from ..common.worker_registry import GONE, Roll
+from ..common.slice_table import FENCING_TOKEN, HANDOVER, KEY_SPACE_SIZE, PREVIOUS_OWNER, WORKER, starts_of
+from ..common.timeouts import CLOCK_DRIFT_FACTOR, MAX_TRANSIT_TIME, QUORUM_CONTACT_VALIDITY
+from ..common.worker_registry import GONE, WorkerRegistry
 
 # of HoldMaxS: an unsettled core of some seconds costs nothing, a dead worker's keys wait as long
 HOLD_PART = 0.6
 RENEW_PART = 1 / 3  # of the hold after which it is renewed: two more tries fit
-SAME = (WORKER, FENCE, HANDOVER, OLD)  # what slices of one call have in common
+SAME = (WORKER, FENCING_TOKEN, HANDOVER, PREVIOUS_OWNER)  # what slices of one call have in common
 # s from a call's leaving to its arrival at most: lost packets are sent again until the socket gives them up
-ARRIVES = UNHEARD_MS / 1000 + TRAVEL
+ARRIVES = UNHEARD_MS / 1000 + MAX_TRANSIT_TIME
 AGAIN = 0.3  # s between tries of a call that failed
 
 
@@ -35,27 +35,27 @@
 
     kind: str
     service: str
-    life: str
+    instance_id: str
     address: str
     starts: tuple[int, ...]
     first: int
     last: int
-    fence: int
+    fencing_token: int
     hold: float
     handover: str
 
 
-class Freed(NamedTuple):
+class ReleasedKeys(NamedTuple):
     """These slices are free of their old holder: to be agreed."""
 
     service: str
     starts: tuple[int, ...]
-    fence: int
+    fencing_token: int
     old: str
     handover: str
 
 
-class Holds:
+class KeyLeases:
     def __init__(self, hold_most: float) -> None:
         self.hold = hold_most * HOLD_PART
         self.granted: dict[tuple[str, int], tuple[str, int, float]] = {}  # slice: life, fence, when sent
@@ -65,9 +65,11 @@
 
     @property
     def expiry(self) -> float:
-        return self.hold * SLOW_CLOCK + WORD + ARRIVES
+        return self.hold * CLOCK_DRIFT_FACTOR + QUORUM_CONTACT_VALIDITY + ARRIVES
 
-    def step(self, now: float, table: dict, keyed: set[str], roll: Roll) -> tuple[list[Call], list[Freed]]:
+    def step(
+        self, now: float, table: dict, keyed: set[str], registry: WorkerRegistry
+    ) -> tuple[list[Call], list[ReleasedKeys]]:
         calls, free, waiting = [], [], set()
         for service in keyed & table["s"].keys():
             entries = table["s"][service]
@@ -76,12 +78,14 @@
             for place, start in enumerate(starts):
                 entry = entries[str(start)]
                 if run and tuple(entry[i] for i in SAME) != tuple(entries[str(run[0])][i] for i in SAME):
-                    self.run_of(now, service, entries, run, start - 1, roll, calls, free, waiting)
+                    self.run_of(now, service, entries, run, start - 1, registry, calls, free, waiting)
                     run = []
                 if entry[WORKER]:
                     run.append(start)
                     if place + 1 == len(starts):
-                        self.run_of(now, service, entries, run, KEYS - 1, roll, calls, free, waiting)
+                        self.run_of(
+                            now, service, entries, run, KEY_SPACE_SIZE - 1, registry, calls, free, waiting
+                        )
         self.wait_from = {key: at for key, at in self.wait_from.items() if key in waiting}
         return calls, free
 
@@ -92,29 +96,32 @@
         entries: dict,
         run: list[int],
         last: int,
-        roll: Roll,
+        registry: WorkerRegistry,
         calls: list,
         free: list,
         waiting: set,
     ) -> None:
         """One run of slices next to each other with the same holder, fence, handover and old holder."""
         entry = entries[str(run[0])]
-        if not entry[OLD]:
+        if not entry[PREVIOUS_OWNER]:
             if self.due(now, service, entry, run):
-                self.call(now, "grant", service, entry[WORKER], entry, run, last, roll, calls)
+                self.call(now, "grant", service, entry[WORKER], entry, run, last, registry, calls)
             return
-        key = (service, run[0], entry[FENCE], entry[OLD])
+        key = (service, run[0], entry[FENCING_TOKEN], entry[PREVIOUS_OWNER])
         waiting.add(key)
         since = self.wait_from.setdefault(key, now)
         if now >= since + self.expiry:
-            free.append(Freed(service, tuple(run), entry[FENCE], entry[OLD], ""))
+            free.append(ReleasedKeys(service, tuple(run), entry[FENCING_TOKEN], entry[PREVIOUS_OWNER], ""))
         else:
-            self.call(now, "release", service, entry[OLD], entry, run, last, roll, calls)
+            self.call(now, "release", service, entry[PREVIOUS_OWNER], entry, run, last, registry, calls)
 
     def due(self, now: float, service: str, entry: list, run: list[int]) -> bool:
         for start in run:
-            life, fence, at = self.granted.get((service, start), ("", 0, 0.0))
-            if (life, fence) != (entry[WORKER], entry[FENCE]) or now >= at + self.hold * RENEW_PART:
+            instance_id, fencing_token, at = self.granted.get((service, start), ("", 0, 0.0))
+            if (instance_id, fencing_token) != (
+                entry[WORKER],
+                entry[FENCING_TOKEN],
+            ) or now >= at + self.hold * RENEW_PART:
                 return True
         return False
 
@@ -123,14 +130,14 @@
         now: float,
         kind: str,
         service: str,
-        life: str,
+        instance_id: str,
         entry: list,
         run: list[int],
         last: int,
-        roll: Roll,
+        registry: WorkerRegistry,
         calls: list,
     ) -> None:
-        row, key = roll.rows.get(life), (kind, service, run[0], last, entry[FENCE])
+        row, key = registry.rows.get(instance_id), (kind, service, run[0], last, entry[FENCING_TOKEN])
         if (
             row is None
             or not row.address
@@ -145,12 +152,12 @@
             Call(
                 kind,
                 service,
-                life,
+                instance_id,
                 row.address,
                 tuple(run),
                 run[0],
                 last,
-                entry[FENCE],
+                entry[FENCING_TOKEN],
                 self.hold,
                 entry[HANDOVER],
             )
@@ -158,28 +165,40 @@
 
     def new(self, call: Call) -> bool:
         """Whether this grant renews nothing."""
-        return self.granted.get((call.service, call.first), ("", 0, 0.0))[:2] != (call.life, call.fence)
+        return self.granted.get((call.service, call.first), ("", 0, 0.0))[:2] != (
+            call.instance_id,
+            call.fencing_token,
+        )
 
     def answered(
         self, now: float, call: Call, sent: float, status: int, handover: str, ended: bool
-    ) -> Freed | None:
+    ) -> ReleasedKeys | None:
         """The end of a call; status 0 is no answer, -1 a dead port; ended: it took leave, or nobody hears
         it.
         """
-        key = (call.kind, call.service, call.first, call.last, call.fence)
+        key = (call.kind, call.service, call.first, call.last, call.fencing_token)
         self.out.discard(key)
         self.next_at = {k: at for k, at in self.next_at.items() if at > now}
         if call.kind == "grant":
             if status == 200:
                 for start in call.starts:
-                    _, fence, at = self.granted.get((call.service, start), ("", 0, 0.0))
-                    if (fence, at) < (call.fence, sent):  # a late answer tells nothing of a newer grant
-                        self.granted[call.service, start] = (call.life, call.fence, sent)
+                    _, fencing_token, at = self.granted.get((call.service, start), ("", 0, 0.0))
+                    if (fencing_token, at) < (
+                        call.fencing_token,
+                        sent,
+                    ):  # a late answer tells nothing of a newer grant
+                        self.granted[call.service, start] = (call.instance_id, call.fencing_token, sent)
             else:
                 self.next_at[key] = now + AGAIN
             return None
         # 421: another life listens there, so this one ended
         if status in (200, 421) or status == -1 and ended:
-            return Freed(call.service, call.starts, call.fence, call.life, handover if status == 200 else "")
+            return ReleasedKeys(
+                call.service,
+                call.starts,
+                call.fencing_token,
+                call.instance_id,
+                handover if status == 200 else "",
+            )
         self.next_at[key] = now + AGAIN
         return None
--- a/bramblewood/controller/outlier_detection.py
+++ b/bramblewood/controller/outlier_detection.py
@@ -31,10 +31,10 @@
 
 def unwell(value: dict | None) -> list[str]:
     """The workers that are out."""
-    return sorted(life for life, (_, version) in out_of_health(value).items() if version > 0)
+    return sorted(instance_id for instance_id, (_, version) in out_of_health(value).items() if version > 0)
 
 
-class Health:
+class OutlierDetection:
     """One archive's view of one gateway's workers."""
 
     def __init__(self) -> None:
@@ -43,13 +43,13 @@
         self.held: Counter = Counter()
         self.since: dict[tuple[str, int], float] = {}  # by worker and version: when known here
 
-    def report(self, desk: str, life: str, tries: int, bad: int) -> None:
-        told = self.now.setdefault(life, {}).setdefault(desk, [0, 0])
+    def report(self, proxy: str, instance_id: str, tries: int, bad: int) -> None:
+        told = self.now.setdefault(instance_id, {}).setdefault(proxy, [0, 0])
         told[0] += tries
         told[1] += bad
 
     def learn(self, now: float, value: dict) -> None:
-        stands = {(life, version) for life, (_, version) in out_of_health(value).items()}
+        stands = {(instance_id, version) for instance_id, (_, version) in out_of_health(value).items()}
         self.since = {one: self.since.get(one, now) for one in stands}
 
     def cycle(self, services: dict[str, list[str]]) -> set[str]:
@@ -57,40 +57,45 @@
         self.past.append(self.now)
         self.now = {}
         ill = set()
-        for lives in services.values():
-            parts, desks = {}, {}
-            for life in lives:
-                told = [desk for cycle in self.past for desk in cycle.get(life, {}).items()]
+        for instance_ids in services.values():
+            parts, proxies = {}, {}
+            for instance_id in instance_ids:
+                told = [proxy for cycle in self.past for proxy in cycle.get(instance_id, {}).items()]
                 tries = sum(t for _, (t, _) in told)
                 if tries >= FEW:
-                    parts[life] = sum(b for _, (_, b) in told) / tries
-                    desks[life] = len({desk for desk, (_, b) in told if b})
+                    parts[instance_id] = sum(b for _, (_, b) in told) / tries
+                    proxies[instance_id] = len({proxy for proxy, (_, b) in told if b})
             common = usual(parts.values())
-            for life, part in parts.items():
-                if part >= max(ILL, OVER * common) and desks[life] >= DESKS:
-                    ill.add(life)
-        self.held = Counter({life: self.held[life] + 1 for life in ill})
-        return {life for life in ill if self.held[life] >= HELD}
+            for instance_id, part in parts.items():
+                if part >= max(ILL, OVER * common) and proxies[instance_id] >= DESKS:
+                    ill.add(instance_id)
+        self.held = Counter({instance_id: self.held[instance_id] + 1 for instance_id in ill})
+        return {instance_id for instance_id in ill if self.held[instance_id] >= HELD}
 
     def wanted(
         self, now: float, value: dict, ill: set[str], services: dict[str, list[str]]
     ) -> dict[str, list]:
         """What should stand under "h", but for versions: [times, out]."""
-        told = {life: [times, version > 0] for life, (times, version) in out_of_health(value).items()}
-        for life, (times, version) in out_of_health(value).items():
-            age = now - self.since.get((life, version), now)
+        told = {
+            instance_id: [times, version > 0]
+            for instance_id, (times, version) in out_of_health(value).items()
+        }
+        for instance_id, (times, version) in out_of_health(value).items():
+            age = now - self.since.get((instance_id, version), now)
             if version > 0 and age >= REST * 2 ** min(times - 1, DOUBLED):
-                told[life] = [times, False]
+                told[instance_id] = [times, False]
             elif version < 0 and age >= FORGIVEN:
-                del told[life]
-        for lives in services.values():
-            room = int(MOST * len(lives)) - sum(told.get(life, [0, False])[1] for life in lives)
-            for life in sorted(ill.intersection(lives)):
-                times, out = told.get(life, [0, False])
+                del told[instance_id]
+        for instance_ids in services.values():
+            room = int(MOST * len(instance_ids)) - sum(
+                told.get(instance_id, [0, False])[1] for instance_id in instance_ids
+            )
+            for instance_id in sorted(ill.intersection(instance_ids)):
+                times, out = told.get(instance_id, [0, False])
                 if not out and room > 0:
-                    told[life], room = [times + 1, True], room - 1
-        known = {life for lives in services.values() for life in lives}
-        return {life: one for life, one in told.items() if life in known}
+                    told[instance_id], room = [times + 1, True], room - 1
+        known = {instance_id for instance_ids in services.values() for instance_id in instance_ids}
+        return {instance_id: one for instance_id, one in told.items() if instance_id in known}
 
 
 def judged(value: dict | None, told: dict[str, list], seen: dict[str, list]) -> tuple[dict | None, bool]:
@@ -102,9 +107,9 @@
     if had != seen:
         return None, True
     made = {}
-    for life, (times, out) in told.items():
-        same = life in had and had[life][0] == times and (had[life][1] > 0) == out
-        made[life] = had[life] if same else [times, number if out else -number]
+    for instance_id, (times, out) in told.items():
+        same = instance_id in had and had[instance_id][0] == times and (had[instance_id][1] > 0) == out
+        made[instance_id] = had[instance_id] if same else [times, number if out else -number]
     if value is None or made == had:
         return None, True
     return {**value, "n": number, "h": made}, True
--- a/bramblewood/controller/placement.py
+++ b/bramblewood/controller/placement.py
@@ -14,27 +14,27 @@
 from .. import interface as door
 from ..common.slice_table import (
     EMPTY,
-    FENCE,
-    FINE,
+    FENCING_TOKEN,
     HANDOVER,
-    KEYS,
-    OLD,
-    PART,
+    KEY_SPACE_SIZE,
+    KEYS_PER_RANGE,
+    PREVIOUS_OWNER,
     READERS,
     SECOND,
+    SECOND_SHARE,
     WORKER,
     readers_of,
     reading,
     with_readers,
 )
-from ..common.worker_registry import DRAINING, GONE, READY, Roll
+from ..common.worker_registry import DRAINING, GONE, READY, WorkerRegistry
 from ..policy.figures import HELD, LIMIT, UNSEEN, mean, usual
 from ..policy.manager import Manager
 from .drain_plans import TOLD, Room, steps_of
-from .hot_keys import Crowds, Told
+from .hot_keys import HotKeys, Told
 from .outlier_detection import unwell
 from .read_replicas import wanted as readers_wanted
-from .zone_affinity import Nearness
+from .zone_affinity import ZoneAffinity
 
 A_WORKER = 6  # slices a worker at least, so that one is a small step; each keyed slice costs a renewal
 LEAST = 32
@@ -76,10 +76,12 @@
     made = list(entry)
     if made[WORKER] != line[0]:
         if keyed:
-            made[OLD], made[HANDOVER] = made[OLD] or made[WORKER], ""
-        made[FENCE] = number
-    made[WORKER], made[SECOND], made[PART] = line
-    return with_readers(made, [life for life in reading(made) if life != line[0]], number)
+            made[PREVIOUS_OWNER], made[HANDOVER] = made[PREVIOUS_OWNER] or made[WORKER], ""
+        made[FENCING_TOKEN] = number
+    made[WORKER], made[SECOND], made[SECOND_SHARE] = line
+    return with_readers(
+        made, [instance_id for instance_id in reading(made) if instance_id != line[0]], number
+    )
 
 
 def apply(value: dict | None, wanted: dict[str, Changes], keyed: set[str]) -> tuple[dict | None, bool]:
@@ -88,7 +90,8 @@
     number, made, changed = value["n"] + 1, dict(value["s"]), False
     for service, changes in wanted.items():
         entries = dict(
-            made.get(service) or {str(i * KEYS // changes.count): EMPTY for i in range(changes.count)}
+            made.get(service)
+            or {str(i * KEY_SPACE_SIZE // changes.count): EMPTY for i in range(changes.count)}
         )
         for parent, start, line in changes.splits:
             entry = entries.get(str(parent))
@@ -97,7 +100,7 @@
                 changed = True
         for start, line in changes.lines.items():
             entry = entries.get(str(start))
-            if entry is not None and tuple(entry[:FENCE]) != line:
+            if entry is not None and tuple(entry[:FENCING_TOKEN]) != line:
                 entries[str(start)], changed = moved(entry, line, service in keyed, number), True
         for start, readers in changes.readers.items():
             entry = entries.get(str(start))
@@ -122,40 +125,42 @@
     return ({**value, "n": number, "s": {**value["s"], service: entries}}, True) if found else (None, False)
 
 
-def freed(value: dict | None, service: str, starts: tuple[int, ...], fence: int, old: str, handover: str):
+def freed(
+    value: dict | None, service: str, starts: tuple[int, ...], fencing_token: int, old: str, handover: str
+):
     """The table once the old holder has let go of these slices."""
 
     def change(entry: list, _number: int) -> list | None:
-        if entry[OLD] != old or entry[FENCE] != fence:
+        if entry[PREVIOUS_OWNER] != old or entry[FENCING_TOKEN] != fencing_token:
             return None
-        entry[OLD], entry[HANDOVER] = "", handover
+        entry[PREVIOUS_OWNER], entry[HANDOVER] = "", handover
         return entry
 
     return changed_slices(value, service, starts, change)
 
 
-def refenced(value: dict | None, service: str, starts: tuple[int, ...], fence: int):
+def refenced(value: dict | None, service: str, starts: tuple[int, ...], fencing_token: int):
     """The table with a higher fence for these slices: their worker has seen a higher one than this."""
 
     def change(entry: list, number: int) -> list | None:
-        if entry[FENCE] != fence:
+        if entry[FENCING_TOKEN] != fencing_token:
             return None
-        entry[FENCE] = number
+        entry[FENCING_TOKEN] = number
         return entry
 
     return changed_slices(value, service, starts, change)
 
 
-def met_of(life: str, tries: int, unanswered: int, mean_time: float, over: float, load: list | None):
+def met_of(instance_id: str, tries: int, unanswered: int, mean_time: float, over: float, load: list | None):
     """What a desk met at a worker, as the manager is told; load is running, waiting and slots, as the worker
     said.
     """
     slots = max(load[2], 1) if load else 1
     told = {"busy": load[0] / slots, "queued": load[1] / slots} if load else {}
-    return door.WorkerHeard(life, "", tries, unanswered, mean_time, over, told)
+    return door.WorkerHeard(instance_id, "", tries, unanswered, mean_time, over, told)
 
 
-class Office:
+class ServicePlacement:
     """One service's manager and what it was told."""
 
     def __init__(self, service: str, keyed: bool, count: int, aim: float, notice: bool) -> None:
@@ -177,44 +182,46 @@
         self.known: dict[int, tuple] = {}  # lines that the manager was last told or itself asked for
         self.fine: Counter = Counter()  # heat by first key of a range, or by key where watched, fading
         self.spans: dict[str, float] = {}  # s that the desks' reports span, since the last cycle
-        self.desks: dict[str, float] = {}  # when each desk last reported
+        self.proxies: dict[str, float] = {}  # when each desk last reported
         self.came: Counter = Counter()  # what came by ranges of FINE keys since the last cycle
         self.by_key: dict[int, dict[str, int]] = {}  # of watched ranges: what came by key and desk
-        self.crowds = Crowds()
+        self.hot_keys = HotKeys()
         self.split_at = self.heat_at = -1e9
         self.relieved: dict[str, float] = {}  # when each worker was last relieved
         self.lines: dict[int, tuple] = {}  # what `relieve` asks for
-        self.nearness = Nearness()
+        self.zone_affinity = ZoneAffinity()
 
     def add_heat(
-        self, desk: str, now: float, counts: dict[str, int], keys: dict[str, int], over: float
+        self, proxy: str, now: float, counts: dict[str, int], keys: dict[str, int], over: float
     ) -> None:
         """A desk's counts over so many seconds: by FINE keys, and by key of the ranges that are watched."""
-        self.spans[desk] = self.spans.get(desk, 0.0) + over
-        self.desks[desk] = now
+        self.spans[proxy] = self.spans.get(proxy, 0.0) + over
+        self.proxies[proxy] = now
         for fine, count in counts.items():
-            self.fine[int(fine) * FINE] += count
+            self.fine[int(fine) * KEYS_PER_RANGE] += count
             self.came[int(fine)] += count
         for key, count in keys.items():
             self.fine[int(key)] += count
             told = self.by_key.setdefault(int(key), {})
-            told[desk] = told.get(desk, 0) + count
+            told[proxy] = told.get(proxy, 0) + count
 
     def heat(self, now: float) -> list:
         """Once a cycle, what came at all desks as heat of every slice: none came is heat too."""
         if now < self.heat_at + self.facts["cycle"] or not self.known:
             return []
-        self.desks = {desk: at for desk, at in self.desks.items() if now - at < 3 * self.facts["cycle"] + 1.0}
-        over = sum(self.spans.values()) / max(len(self.desks), 1)  # reports come in crowds: none, then two
+        self.proxies = {
+            proxy: at for proxy, at in self.proxies.items() if now - at < 3 * self.facts["cycle"] + 1.0
+        }
+        over = sum(self.spans.values()) / max(len(self.proxies), 1)  # reports come in crowds: none, then two
         if over <= self.facts["cycle"] / 4:
             return []
         starts, sums = sorted(self.known), Counter()
         for fine, count in self.came.items():
-            sums[starts[bisect_right(starts, fine * FINE) - 1]] += count
-        for key, desks in self.by_key.items():
-            sums[starts[bisect_right(starts, key) - 1]] += sum(desks.values())
+            sums[starts[bisect_right(starts, fine * KEYS_PER_RANGE) - 1]] += count
+        for key, proxies in self.by_key.items():
+            sums[starts[bisect_right(starts, key) - 1]] += sum(proxies.values())
         if self.keyed and self.notice:
-            self.crowds.cycle(self.came, self.by_key, over, self.ability())
+            self.hot_keys.cycle(self.came, self.by_key, over, self.ability())
         self.came, self.by_key, self.heat_at, self.spans = Counter(), {}, now, {}
         return [door.SliceHeat(start, "all", sums[start], 0, over) for start in starts]
 
@@ -227,12 +234,12 @@
     def own_ranges(self, entries: dict, moved: dict) -> list[tuple[int, int, tuple]]:
         """A slice of its own for each crowded key, at the worker that it has."""
         made, starts = [], sorted(self.known)
-        for key in self.crowds.told().keys:
+        for key in self.hot_keys.told().keys:
             place = bisect_right(starts, key) - 1
-            start, end = starts[place], starts[place + 1] if place + 1 < len(starts) else KEYS
-            if start in moved or entries[str(start)][OLD]:
+            start, end = starts[place], starts[place + 1] if place + 1 < len(starts) else KEY_SPACE_SIZE
+            if start in moved or entries[str(start)][PREVIOUS_OWNER]:
                 continue
-            line = tuple(entries[str(start)][:FENCE])
+            line = tuple(entries[str(start)][:FENCING_TOKEN])
             made += [(start, cut, line) for cut in (key, key + 1) if start < cut < end]
         return made
 
@@ -241,15 +248,17 @@
         made, usable = {}, {w.name: w for w in self.manager.usable()}
         for start, entry in entries.items():
             key, had = int(start), reading(entry)
-            kept = [life for life in had if life in usable and life != entry[WORKER]]
-            if key in self.crowds.keys.since and str(key + 1) in entries and not entry[OLD]:
-                count = readers_wanted(self.crowds.keys.reports[-1][key], self.ability())
+            kept = [
+                instance_id for instance_id in had if instance_id in usable and instance_id != entry[WORKER]
+            ]
+            if key in self.hot_keys.keys.since and str(key + 1) in entries and not entry[PREVIOUS_OWNER]:
+                count = readers_wanted(self.hot_keys.keys.reports[-1][key], self.ability())
                 able = [
                     w for w in usable.values() if w.name != entry[WORKER] and w.name not in readers_of(entry)
                 ]
                 able.sort(key=lambda w: (self.carries(w) / w.weight, w.name))
                 kept += [w.name for w in able[: max(count - len(kept), 0)]]
-            elif key not in self.crowds.keys.since:
+            elif key not in self.hot_keys.keys.since:
                 kept = []
             if kept != had:
                 made[key] = kept
@@ -271,13 +280,13 @@
         if made:
             return made
         able = [p for p in manager.ours() if p.main and p.main.usable and p.number not in moved]
-        for piece in [p for p in able if not entries[str(p.number)][OLD]]:
+        for piece in [p for p in able if not entries[str(p.number)][PREVIOUS_OWNER]]:
             limit = LIMIT * manager.planner.capacity(piece.main)
             recent = [*piece.estimates][-HELD:]
             if len(recent) < HELD or min(recent) <= limit or not limit:
                 continue
             place = starts.index(piece.number)
-            end = starts[place + 1] if place + 1 < len(starts) else KEYS
+            end = starts[place + 1] if place + 1 < len(starts) else KEY_SPACE_SIZE
             cuts = self.cuts(piece.number, end, min(int(2 * piece.estimate() / limit) + 1, PARTS))
             heat = piece.estimate() / (len(cuts) + 1)
             for start in cuts:
@@ -326,14 +335,14 @@
                 continue
             if now < self.relieved.get(worker.name, -1e9) + UNSEEN:
                 continue  # no report can show the last relief yet
-            limit, crowded = planner.capacity(worker), self.crowds.keys.since
+            limit, crowded = planner.capacity(worker), self.hot_keys.keys.since
             # a crowded record gets a worker of its own
             alone = any(piece.number in crowded for piece in pieces)
             for piece in sorted(pieces, key=lambda p: (-p.estimate(), p.number)):
                 heat = piece.estimate()
                 if self.carries(worker) <= limit and not alone or heat < limit / PARTS:
                     break  # relieved, or down to slices that only cost
-                if heat > limit or entries[str(piece.number)][OLD] or piece.number in crowded:
+                if heat > limit or entries[str(piece.number)][PREVIOUS_OWNER] or piece.number in crowded:
                     continue
                 target = self.lightest(heat, worker)
                 if target is None or self.carries(target) + heat > LIMIT * planner.capacity(target):
@@ -348,7 +357,7 @@
         inside = sorted((key, heat) for key, heat in self.fine.items() if start <= key < end)
         total, done, found = sum(heat for _, heat in inside), 0.0, []
         for key, heat in inside:
-            width = 1 if key // FINE in self.crowds.ranges.since else FINE
+            width = 1 if key // KEYS_PER_RANGE in self.hot_keys.ranges.since else KEYS_PER_RANGE
             if key > start and done >= total * (len(found) + 1) / parts and len(found) < parts - 1:
                 found.append(key)
             done += heat
@@ -363,7 +372,7 @@
 
     def __init__(self, start: float, beat: float, notice: bool = True) -> None:
         self.notice = notice
-        self.offices: dict[str, Office] = {}
+        self.offices: dict[str, ServicePlacement] = {}
         self.events: dict[str, list] = {}
         self.first_at: dict[str, float] = {}
         self.start, self.beat = start, beat
@@ -373,7 +382,7 @@
         self,
         now: float,
         service: str,
-        desk: str,
+        proxy: str,
         heat: dict[str, int],
         keys: dict[str, int],
         over: float,
@@ -381,7 +390,7 @@
     ) -> None:
         office = self.offices.get(service)
         if office is not None:
-            office.add_heat(desk, now, heat, keys, over)
+            office.add_heat(proxy, now, heat, keys, over)
             self.events.setdefault(service, []).extend(met)
 
     def step(
@@ -389,41 +398,47 @@
         now: float,
         services: dict[str, Any],
         aims: dict[str, float],
-        roll: Roll,
+        registry: WorkerRegistry,
         silent: set[str],
         table: dict | None,
     ) -> dict[str, Changes]:
         """The changes to ask for now; nothing where the table is as it should be."""
         wanted = {}
         stands, steps = table["s"] if table else {}, steps_of(table)
-        self.leaving = {life for life, step in steps.items() if step != TOLD} | set(unwell(table))
+        self.leaving = {instance_id for instance_id, step in steps.items() if step != TOLD} | set(
+            unwell(table)
+        )
         for service, told in services.items():
-            rows = {life: row for life, row in roll.rows.items() if row.service == service}
-            ready = [life for life, row in rows.items() if row.phase == READY and life not in silent]
-            ready = [life for life in ready if life not in self.leaving]
+            rows = {instance_id: row for instance_id, row in registry.rows.items() if row.service == service}
+            ready = [
+                instance_id
+                for instance_id, row in rows.items()
+                if row.phase == READY and instance_id not in silent
+            ]
+            ready = [instance_id for instance_id in ready if instance_id not in self.leaving]
             if service not in stands:  # the first table waits until those that are up have been heard
                 if not ready or now < self.first_at.setdefault(service, now + self.beat * SETTLE):
                     continue
             entries = stands.get(service)
             if entries and now < self.start + self.beat * SETTLE:
-                if any(entry[WORKER] and entry[WORKER] not in roll.rows for entry in entries.values()):
+                if any(entry[WORKER] and entry[WORKER] not in registry.rows for entry in entries.values()):
                     continue  # just started: a worker not heard yet is not a worker that is gone
             count = len(entries) if entries else slices_for(len(ready))
             office = self.offices.get(service)
             if office is None or office.keyed != told.keyed:
-                office = self.offices[service] = Office(
+                office = self.offices[service] = ServicePlacement(
                     service, told.keyed, count, aims.get(service, 1.0), self.notice
                 )
             office.count = office.facts["slices"] = count
-            lines, splits = self.ask(now, office, rows, silent, roll, entries)
-            readers = office.readers(entries) if told.copies and entries else {}
+            lines, splits = self.ask(now, office, rows, silent, registry, entries)
+            readers = office.readers(entries) if told.read_replicas and entries else {}
             if lines or splits or readers:
                 wanted[service] = Changes(lines, splits, count, readers)
         return wanted
 
-    def crowds(self) -> dict[str, Told]:
+    def hot_keys(self) -> dict[str, Told]:
         """By service, what desks are to know of crowded records; services without any are left out."""
-        found = {service: office.crowds.told() for service, office in self.offices.items()}
+        found = {service: office.hot_keys.told() for service, office in self.offices.items()}
         return {service: told for service, told in found.items() if told.watch}
 
     def rooms(self) -> dict[str, Room]:
@@ -437,21 +452,29 @@
 
     def near(self) -> dict[str, dict[str, float]]:
         """By service and zone, the part of the zone's requests that stay in it."""
-        found = {service: office.nearness.parts for service, office in self.offices.items()}
+        found = {service: office.zone_affinity.parts for service, office in self.offices.items()}
         return {service: parts for service, parts in found.items() if parts}
 
-    def ask(self, now: float, office: Office, rows: dict, silent: set[str], roll: Roll, entries: dict | None):
+    def ask(
+        self,
+        now: float,
+        office: ServicePlacement,
+        rows: dict,
+        silent: set[str],
+        registry: WorkerRegistry,
+        entries: dict | None,
+    ):
         events, listed = self.events.pop(office.service, []), {}
-        for life, row in rows.items():
-            state = door.GONE if life in silent else STATES.get(row.phase, door.GONE)
-            if state == door.READY and life in self.leaving:
+        for instance_id, row in rows.items():
+            state = door.GONE if instance_id in silent else STATES.get(row.phase, door.GONE)
+            if state == door.READY and instance_id in self.leaving:
                 state = door.DRAINING  # by a plan, or ill: its slices move at once, it serves what it has
             office.facts["warm_after"] = max(office.facts["warm_after"], row.cold)
-            listed[life] = (
+            listed[instance_id] = (
                 state,
                 float(max(row.slots, 1)),
                 row.zone,
-                roll.warm_at.get(life, 0.0) if row.cold else None,
+                registry.warm_at.get(instance_id, 0.0) if row.cold else None,
             )
         if listed != office.listed:
             office.listed, after = listed, office.facts["warm_after"]
@@ -459,16 +482,18 @@
                 0,
                 door.WorkersListed(
                     tuple(
-                        door.ListedWorker(life, state, weight, zone, 0, "", warm - after if warm else None)
-                        for life, (state, weight, zone, warm) in listed.items()
+                        door.ListedWorker(
+                            instance_id, state, weight, zone, 0, "", warm - after if warm else None
+                        )
+                        for instance_id, (state, weight, zone, warm) in listed.items()
                     ),
                     True,
                 ),
             )
         if entries is None:
-            entries = {str(i * KEYS // office.count): EMPTY for i in range(office.count)}
+            entries = {str(i * KEY_SPACE_SIZE // office.count): EMPTY for i in range(office.count)}
         events += self.told_anew(
-            office, {int(start): tuple(entry[:FENCE]) for start, entry in entries.items()}
+            office, {int(start): tuple(entry[:FENCING_TOKEN]) for start, entry in entries.items()}
         )
         orders = office.manager.handle(now, [*events, *office.heat(now)])
         lines = {}
@@ -480,7 +505,7 @@
             if now >= office.split_at + office.facts["cycle"]:
                 office.split_at = now
                 usable = [w for w in office.manager.usable() if w.levels]
-                office.nearness.cycle((w.zone, w.weight, mean(w.levels)) for w in usable)
+                office.zone_affinity.cycle((w.zone, w.weight, mean(w.levels)) for w in usable)
             return lines, []
         splits = office.split(now, entries, lines)
         office.known.update(office.lines)
@@ -488,7 +513,7 @@
         return lines, splits
 
     @staticmethod
-    def told_anew(office: Office, lines: dict[int, tuple]) -> list:
+    def told_anew(office: ServicePlacement, lines: dict[int, tuple]) -> list:
         """Where the table is another than the manager thinks: tell it the lines that stand."""
         events = []
         for start, line in lines.items():
@@ -498,7 +523,7 @@
             if line[WORKER]:
                 events.append(door.LineHeld(start, line[WORKER], 1.0))
             if line[SECOND]:
-                events.append(door.LineHeld(start, line[SECOND], line[PART]))
+                events.append(door.LineHeld(start, line[SECOND], line[SECOND_SHARE]))
         office.known = lines
         return events
 
--- a/bramblewood/controller/proxy_updates.py
+++ b/bramblewood/controller/proxy_updates.py
@@ -16,7 +16,7 @@
 KEPT = 200  # changes of the table that a difference can be made of
 
 
-class Feed:
+class ProxyUpdates:
     def __init__(self) -> None:
         self.n, self.table = 0, {}
         self.leaving: dict[str, str] = {}  # workers in a plan, with their steps, and those that are ill
--- a/bramblewood/controller/read_replicas.py
+++ b/bramblewood/controller/read_replicas.py
@@ -13,9 +13,17 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from ..common.slice_table import FENCE, OLD, READERS, WORKER, readers_of, reading, with_readers
-from ..common.timeouts import ANNOUNCE, LEASE, RUN_OUT
-from ..common.worker_registry import READY, Roll
+from ..common.slice_table import (
+    FENCING_TOKEN,
+    PREVIOUS_OWNER,
+    READERS,
+    WORKER,
+    readers_of,
+    reading,
+    with_readers,
+)
+from ..common.timeouts import READ_LEASE_DURATION, READ_LEASE_EXPIRY, REPLICA_ANNOUNCEMENT_DELAY
+from ..common.worker_registry import READY, WorkerRegistry
 from ..policy.figures import LIMIT
 from .key_leases import AGAIN, RENEW_PART
 
@@ -31,7 +39,7 @@
 
     one: Reader
     address: str
-    fence: int
+    fencing_token: int
     holder: str  # its address, to fetch the record from
 
 
@@ -42,7 +50,7 @@
     return min(max(math.ceil(rate / (LIMIT * ability)) - 1, 0), MOST) if ability > 0 else 0
 
 
-class Copies:
+class ReadReplicas:
     def __init__(self) -> None:
         self.since: dict[Reader, float] = {}  # since when that is known here
         self.sent: dict[Reader, float] = {}  # when its last lease was sent
@@ -51,37 +59,46 @@
     def learn(self, now: float, table: dict) -> None:
         """Called with each newer table, also at archives that send no leases now."""
         stands = {
-            (service, int(start), life, number)
+            (service, int(start), instance_id, number)
             for service, entries in table["s"].items()
             for start, entry in entries.items()
-            for life, number in readers_of(entry).items()
+            for instance_id, number in readers_of(entry).items()
         }
         self.since = {one: self.since.get(one, now) for one in stands}
         self.sent = {one: at for one, at in self.sent.items() if one in stands}
 
-    def step(self, now: float, table: dict, roll: Roll) -> tuple[list[Lease], list[Reader]]:
+    def step(self, now: float, table: dict, registry: WorkerRegistry) -> tuple[list[Lease], list[Reader]]:
         """The leases that are due, and the former readers whose last lease has run out."""
         made, over = [], []
         for one, since in self.since.items():
-            service, key, life, number = one
-            entry, row = table["s"].get(service, {}).get(str(key)), roll.rows.get(life)
+            service, key, instance_id, number = one
+            entry, row = table["s"].get(service, {}).get(str(key)), registry.rows.get(instance_id)
             if entry is None or number < 0:
-                over += [one] * (entry is not None and now >= since + RUN_OUT)
+                over += [one] * (entry is not None and now >= since + READ_LEASE_EXPIRY)
                 continue
-            holder = roll.rows.get(entry[WORKER])
-            if row is None or holder is None or row.phase != READY or entry[OLD] or one in self.out:
+            holder = registry.rows.get(entry[WORKER])
+            if (
+                row is None
+                or holder is None
+                or row.phase != READY
+                or entry[PREVIOUS_OWNER]
+                or one in self.out
+            ):
                 continue
-            if now < since + ANNOUNCE or now < self.sent.get(one, -1e9) + LEASE * RENEW_PART:
+            if (
+                now < since + REPLICA_ANNOUNCEMENT_DELAY
+                or now < self.sent.get(one, -1e9) + READ_LEASE_DURATION * RENEW_PART
+            ):
                 continue
             self.sent[one] = now
             self.out.add(one)
-            made.append(Lease(one, row.address, entry[FENCE], holder.address))
+            made.append(Lease(one, row.address, entry[FENCING_TOKEN], holder.address))
         return made, over
 
     def answered(self, now: float, lease: Lease, status: int) -> None:
         self.out.discard(lease.one)
         if status != 200 and lease.one in self.sent:
-            self.sent[lease.one] = now + AGAIN - LEASE * RENEW_PART
+            self.sent[lease.one] = now + AGAIN - READ_LEASE_DURATION * RENEW_PART
 
 
 def changed_readers(value: dict | None, service: str, key: int, change: Callable[[list, int], list]):
@@ -94,11 +111,13 @@
     return {**value, "n": value["n"] + 1, "s": {**value["s"], service: entries}}, True
 
 
-def taken_off(value: dict | None, service: str, key: int, lives: set[str]) -> tuple[dict | None, bool]:
+def taken_off(value: dict | None, service: str, key: int, instance_ids: set[str]) -> tuple[dict | None, bool]:
     """The table with these workers readers of a record no more."""
 
     def change(entry: list, number: int) -> list:
-        return with_readers(entry, [life for life in reading(entry) if life not in lives], number)
+        return with_readers(
+            entry, [instance_id for instance_id in reading(entry) if instance_id not in instance_ids], number
+        )
 
     return changed_readers(value, service, key, change)
 
@@ -106,10 +125,14 @@
 def forgotten(value: dict | None, over: list[Reader]) -> tuple[dict | None, bool]:
     """The table without former readers whose last lease has run out."""
     made = value
-    for service, key, life, number in over:
-
-        def change(entry: list, _number: int, life: str = life, number: int = number) -> list:
-            left = {one: since for one, since in readers_of(entry).items() if (one, since) != (life, number)}
+    for service, key, instance_id, number in over:
+
+        def change(entry: list, _number: int, instance_id: str = instance_id, number: int = number) -> list:
+            left = {
+                one: since
+                for one, since in readers_of(entry).items()
+                if (one, since) != (instance_id, number)
+            }
             return [*entry[:READERS], *([left] if left else [])]
 
         made = changed_readers(made, service, key, change)[0] or made
--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -12,22 +12,28 @@
 from result import Err
 
 from ..common import logs, metrics
-from ..common.configuration import edition_of
-from ..common.peer_connections import QUIET, Link, Links, accept, careful_socket
-from ..common.settings import LONELY, Settings, seeds_again
-from ..common.timeouts import LEASE
-from ..common.worker_registry import GONE, READY, Roll, Row
+from ..common.configuration import build_configuration
+from ..common.peer_connections import (
+    CONNECTION_TIMEOUT,
+    PeerConnection,
+    PeerConnections,
+    accept,
+    create_connection_socket,
+)
+from ..common.settings import SEED_REREAD_INTERVAL, Settings, reread_seeds
+from ..common.timeouts import READ_LEASE_DURATION
+from ..common.worker_registry import GONE, READY, WorkerRegistration, WorkerRegistry
 from . import placement
 from .commands import (
     BEAT_MOST,
     Command,
-    EndPlan,
-    GetConfig,
-    PutConfig,
-    Refusal,
-    Register,
-    StartPlan,
-    TakeLeave,
+    DeregisterWorker,
+    EndDrainPlan,
+    GetConfiguration,
+    PutConfiguration,
+    RegisterWorker,
+    Rejection,
+    StartDrainPlan,
     decode,
     final_answer,
     members_call,
@@ -39,27 +45,27 @@
 from .consensus.replica import (
     ALL,
     CONFIG,
+    CONSENSUS_MESSAGE_KINDS,
     MEMBERS,
-    NONE,
+    NO_PROPOSAL,
     REGISTERS,
     TABLE,
-    VOTES,
-    Ballots,
-    Due,
-    Out,
-    founders,
-    nothing,
-    succession,
-    trace,
+    ConsensusReplica,
+    Effects,
+    PendingWrites,
+    format_proposal_number,
+    founding_voters,
+    next_voter_set,
+    no_effects,
 )
-from .deregistration import HELD_WITHIN, Leaves
-from .drain_plans import CLOSING, TOLD, Withdrawals, ended, in_use, out_of, plans_of, started, steps_of
-from .key_leases import RENEW_PART, Call, Freed, Holds
-from .outlier_detection import Health, judged, out_of_health
-from .proxy_updates import Feed
-from .read_replicas import Copies, Lease, forgotten, taken_off
-from .sessions import PULSE, Sessions
-from .storage import Shelf
+from .deregistration import HELD_WITHIN, Deregistrations
+from .drain_plans import CLOSING, TOLD, DrainPlans, ended, in_use, out_of, plans_of, started, steps_of
+from .key_leases import RENEW_PART, Call, KeyLeases, ReleasedKeys
+from .outlier_detection import OutlierDetection, judged, out_of_health
+from .proxy_updates import ProxyUpdates
+from .read_replicas import Lease, ReadReplicas, forgotten, taken_off
+from .sessions import HEARTBEAT_INTERVAL, Sessions
+from .storage import Storage
 
 TICK = 0.1  # s between looks at what is due
 DESK_PULSE = 0.5  # s between pulses to desks; two lost ones are noticed within their QUIET
@@ -74,30 +80,30 @@
 ASK = 1.0  # s for a call to a worker
 
 
-class Archive:
+class Controller:
     def __init__(self, told: Settings) -> None:
-        self.told, self.me = told, told.ip
+        self.settings, self.me = told, told.ip
         self.log = logs.begin(told.name)
-        self.life = int.from_bytes(os.urandom(4), "big")
-        self.shelf = Shelf(told.data or "/tmp")
-        self.roll, self.sessions = Roll(), Sessions(self.me)
-        self.links = Links(self.hello, self.hear, self.link_told, None, told.bind)
+        self.incarnation = int.from_bytes(os.urandom(4), "big")
+        self.storage = Storage(told.data or "/tmp")
+        self.registry, self.sessions = WorkerRegistry(), Sessions(self.me)
+        self.peer_connections = PeerConnections(self.hello, self.hear, self.link_told, None, told.bind)
         self.up_since: dict[str, float] = {}
-        self.archives: set[str] = set()
+        self.controllers: set[str] = set()
         self.membership = Membership(told.tolerance, told.zones, told.bounds.CatchUpS)
-        self.due = Due({})
+        self.due = PendingWrites({})
         self.changing = False  # the set of voters, from here
-        self.desks: dict[str, Link] = {}
-        self.holds, self.copies = Holds(told.bounds.HoldMaxS), Copies()
-        self.withdrawals, self.health = Withdrawals(self.holds.expiry), Health()
-        self.leaves = Leaves(self.me)
+        self.proxies: dict[str, PeerConnection] = {}
+        self.key_leases, self.read_replicas = KeyLeases(told.bounds.HoldMaxS), ReadReplicas()
+        self.drain_plans, self.outlier_detection = DrainPlans(self.key_leases.expiry), OutlierDetection()
+        self.deregistrations = Deregistrations(self.me)
         self.confirms: dict[int, asyncio.Future] = {}  # by round of leaves
-        self.editions: tuple[int, Any] = (0, None)
+        self.configurations: tuple[int, Any] = (0, None)
         self.aims: dict[str, float] = {}
         self.shown: dict[str, int] = dict.fromkeys(REGISTERS, 0)
         self.told_of: dict[str, int] = dict.fromkeys(REGISTERS, 0)  # newest versions in the log
-        self.feed = Feed()
-        self.homes: dict[str, Link] = {}  # desks that are pushed to from here
+        self.proxy_updates = ProxyUpdates()
+        self.homes: dict[str, PeerConnection] = {}  # desks that are pushed to from here
         self.said, self.sayings = "", 0  # what pulses to desks say seldom, and how often it has changed
         self.writing_since: float | None = None
         self.writes = 0
@@ -105,10 +111,10 @@
             ("archive_grants", "archive_releases", "archive_leases", "archive_calls_failed"), 0
         )
         self.refused: dict[str, int] = {}
-        self.to_free: dict[tuple, Freed] = {}
+        self.to_free: dict[tuple, ReleasedKeys] = {}
         self.freeing = False
         self.pulse_at = self.desk_pulse_at = self.turn_at = self.health_at = 0.0
-        self.proposing = self.was_scribe = self.was_whole = False
+        self.proposing = self.was_coordinator = self.was_whole = False
         self.told_epoch = (-1, False)
         self.leaving, self.leaving_at = asyncio.Event(), None  # told to end; when
 
@@ -116,33 +122,36 @@
 
     async def run(self) -> int:
         loop = self.loop = asyncio.get_running_loop()
-        found = await asyncio.to_thread(self.shelf.open)
+        found = await asyncio.to_thread(self.storage.open)
         if isinstance(found, Err):
             self.log.error("no shelf", step="open", problem=found.err_value)
             return 2
         facts = found.ok_value["facts"]
         self.begin(facts, found.ok_value["registers"])
-        self.placement = placement.Placement(loop.time(), self.told.beat, self.told.notice)
-        self.shelf.start(lambda done, problem: loop.call_soon_threadsafe(done, problem))
-        self.carry(nothing())
-        for peer in {*self.told.seed_ips(), *self.ballots.voters, *facts.get("archives", ())}:
+        self.placement = placement.Placement(loop.time(), self.settings.beat, self.settings.notice)
+        self.storage.start(lambda done, problem: loop.call_soon_threadsafe(done, problem))
+        self.carry(no_effects())
+        for peer in {*self.settings.seed_ips(), *self.consensus.voters, *facts.get("archives", ())}:
             self.know(peer)
         self.started = loop.time()
-        self.lonely_at = self.started + LONELY
+        self.lonely_at = self.started + SEED_REREAD_INTERVAL
         loop.add_signal_handler(signal.SIGTERM, self.leaving.set)
-        loop.add_signal_handler(signal.SIGHUP, self.seeds_again)
+        loop.add_signal_handler(signal.SIGHUP, self.reread_seeds)
         servers = []
-        for place in (self.told.listen["Control"], (self.told.bind or self.told.ip, self.told.inner)):
+        for place in (
+            self.settings.listen["Control"],
+            (self.settings.bind or self.settings.ip, self.settings.inner),
+        ):
             server = await loop.create_server(web.Server(self.serve, access_log=None), *place, backlog=512)
             servers.append(server)
         self.calls, self.fresh = caller(keepalive_timeout=4.0), caller(force_close=True)
         logs.started(
             self.log,
-            self.told.unread,
-            contract=self.told.contract,
-            epoch=self.ballots.epoch,
-            voters=sorted(self.ballots.voters),
-            voting=self.ballots.voting,
+            self.settings.unread,
+            contract=self.settings.contract,
+            epoch=self.consensus.epoch,
+            voters=sorted(self.consensus.voters),
+            voting=self.consensus.voting,
         )
         while not self.may_end(loop.time()):
             self.tick(loop.time())
@@ -152,14 +161,14 @@
                     await asyncio.sleep(TICK)
             except TimeoutError:
                 pass
-        self.ballots.held = -1  # no vote is given any more: who holds what has been looked at
+        self.consensus.held = -1  # no vote is given any more: who holds what has been looked at
         self.log.info("stopped", step="end")
         for server in servers:
             server.close()
-        await self.links.end()
+        await self.peer_connections.end()
         await self.calls.close()
         await self.fresh.close()
-        self.shelf.close()
+        self.storage.close()
         return 0
 
     # --- who votes
@@ -170,60 +179,60 @@
         if members is None and "voters" in facts:  # of form 1, which knew no epochs
             members = {"n": 1, "voters": dict.fromkeys(facts["voters"], ""), "before": {}}
             held = 1 if "born" in facts else -1
-        elif members is None and self.told.first_boot and self.me in self.told.seed_ips():
-            members, held = founders(self.told.seed_ips()), 0
+        elif members is None and self.settings.first_boot and self.me in self.settings.seed_ips():
+            members, held = founding_voters(self.settings.seed_ips()), 0
         disk = disk or new_name()
-        self.ballots = Ballots(self.me, disk, self.life, stored, members, held)
+        self.consensus = ConsensusReplica(self.me, disk, self.incarnation, stored, members, held)
         self.due.facts = {"disk": disk, "held": held}
         if members is not None:
             self.due.facts["members"] = members
 
     def know(self, peer: str) -> None:
-        if peer != self.me and peer not in self.archives:
-            self.archives.add(peer)
-            self.due.facts["archives"] = sorted(self.archives)
-            self.links.keep(peer, self.told.inner)
+        if peer != self.me and peer not in self.controllers:
+            self.controllers.add(peer)
+            self.due.facts["archives"] = sorted(self.controllers)
+            self.peer_connections.keep(peer, self.settings.inner)
 
     def peers(self, now: float) -> dict[str, Peer]:
         """All archives known as the question of who should vote sees them; one that was never heard counts as
         silent since the start.
         """
-        ballots = self.ballots
+        consensus = self.consensus
         unheard = Peer("", "", True, 0, False, False, now - self.started, 0.0, {})
         mine = Peer(
-            ballots.disk,
-            self.told.zone,
-            self.told.counted,
-            ballots.epoch,
-            ballots.voting,
+            consensus.disk,
+            self.settings.zone,
+            self.settings.counted,
+            consensus.epoch,
+            consensus.voting,
             self.leaving.is_set(),
             0.0,
             now - self.started,
             self.versions(),
         )
-        known = dict.fromkeys({*self.archives, *ballots.voters}, unheard)
+        known = dict.fromkeys({*self.controllers, *consensus.voters}, unheard)
         return {**known, **self.sessions.peers(now), self.me: mine}
 
     def versions(self) -> dict[str, int]:
-        return {register: self.ballots.version(register) for register in REGISTERS}
+        return {register: self.consensus.version(register) for register in REGISTERS}
 
     def seats(self, now: float) -> None:
         """Propose the change of the set of voters that is due."""
-        ballots = self.ballots
-        if self.changing or not ballots.member and ballots.epoch == 0:
+        consensus = self.consensus
+        if self.changing or not consensus.member and consensus.epoch == 0:
             return
         change = None
-        if ballots.epoch == 0:
+        if consensus.epoch == 0:
             late = now >= self.started + FOUND_WITHIN
-            change = self.membership.founded(self.told.seed_ips(), self.peers(now), late)
-        elif self.sessions.scribe(now, self.whole(now)) == self.me:
-            change = self.membership.wanted(ballots.members, self.peers(now), self.versions())
+            change = self.membership.founded(self.settings.seed_ips(), self.peers(now), late)
+        elif self.sessions.coordinator(now, self.whole(now)) == self.me:
+            change = self.membership.wanted(consensus.members, self.peers(now), self.versions())
         if change is not None:
             self.changing = True
             self.log.info(
-                "member change", step="epoch", epoch=ballots.epoch + 1, why=change.why, voters=change.voters
+                "member change", step="epoch", epoch=consensus.epoch + 1, why=change.why, voters=change.voters
             )
-            self.propose(MEMBERS, succession(ballots.members, change.voters), self.changed, 1.0)
+            self.propose(MEMBERS, next_voter_set(consensus.members, change.voters), self.changed, 1.0)
 
     def changed(self, outcome: Any) -> None:
         self.changing = False
@@ -234,32 +243,32 @@
             return False
         if self.leaving_at is None:
             self.leaving_at = now
-            self.log.info("ending", step="end", voting=self.ballots.voting)
+            self.log.info("ending", step="end", voting=self.consensus.voting)
             self.pulse(now)
-        if now >= self.leaving_at + self.told.bounds.GraceS * GRACE_PART or self.ballots.held < 0:
+        if now >= self.leaving_at + self.settings.bounds.GraceS * GRACE_PART or self.consensus.held < 0:
             return True
         peers = self.peers(now)
         return may_leave(
             self.me,
-            self.ballots.disk,
-            self.ballots.members,
+            self.consensus.disk,
+            self.consensus.members,
             peers,
-            {name: acceptor.accepted for name, acceptor in self.ballots.acceptors.items()},
+            {name: acceptor.accepted for name, acceptor in self.consensus.acceptors.items()},
             {name: heard.durable for name, heard in self.sessions.heard.items()},
-            bool(self.membership.heirs(self.ballots.members, peers)),
+            bool(self.membership.heirs(self.consensus.members, peers)),
         )
 
     # --- turns
 
     def tick(self, now: float) -> None:
-        self.carry(self.ballots.tick(now))
+        self.carry(self.consensus.tick(now))
         self.seats(now)
-        if self.links.up or now >= self.lonely_at:
-            if not self.links.up:
-                self.seeds_again()
-            self.lonely_at = now + LONELY
+        if self.peer_connections.up or now >= self.lonely_at:
+            if not self.peer_connections.up:
+                self.reread_seeds()
+            self.lonely_at = now + SEED_REREAD_INTERVAL
         if now >= self.pulse_at:
-            self.pulse_at = now + PULSE
+            self.pulse_at = now + HEARTBEAT_INTERVAL
             self.pulse(now)
         if now >= self.desk_pulse_at or self.whole(now) != self.was_whole:
             self.desk_pulse_at = now + DESK_PULSE
@@ -267,8 +276,8 @@
         self.learned()
         if now >= self.turn_at:
             self.turn_at = now + TURN
-            self.roll.forget(now)
-            self.withdrawals.present(now, self.sessions.all_desks(now, list(self.desks)))
+            self.registry.forget(now)
+            self.drain_plans.present(now, self.sessions.all_proxies(now, list(self.proxies)))
         self.steer(now)
 
     def whole(self, now: float) -> bool:
@@ -282,114 +291,123 @@
 
     def word(self, now: float, registers: tuple[str, ...] = REGISTERS) -> float:
         """Until when a majority's word holds that nothing newer is chosen in these registers; 0 for none."""
-        ballots = self.ballots
-        known = {name: ballots.learned[name][0] for name in registers}
-        own = {name: acceptor.accepted for name, acceptor in ballots.acceptors.items()}
-        own = own if ballots.voting else None
-        return self.sessions.word_until(now, ballots.voters, ballots.epoch, known, own)
+        consensus = self.consensus
+        known = {name: consensus.learned[name][0] for name in registers}
+        own = {name: acceptor.accepted for name, acceptor in consensus.acceptors.items()}
+        own = own if consensus.voting else None
+        return self.sessions.word_until(now, consensus.voters, consensus.epoch, known, own)
 
     def contact(self, now: float) -> bool:
         """Whether a majority of the voters has answered of late, whatever it has accepted."""
         return self.word(now, ()) > now
 
     def pulse(self, now: float, only: str | None = None) -> None:
-        ballots = self.ballots
+        consensus = self.consensus
         message = {
             "k": "pulse",
             "t": now,
             # active on disk too: others leave and change sets on this word
-            "v": ballots.voting and not self.due.facts.keys() & {"members", "held"},
+            "v": consensus.voting and not self.due.facts.keys() & {"members", "held"},
             "w": self.whole(now),
-            "acc": {name: ballots.acceptors[name].accepted for name in ALL},
-            "dur": ballots.durable,
-            "ep": ballots.epoch,
-            "disk": ballots.disk,
+            "acc": {name: consensus.acceptors[name].accepted for name in ALL},
+            "dur": consensus.durable,
+            "ep": consensus.epoch,
+            "disk": consensus.disk,
             "ver": self.versions(),
             "leaving": self.leaving.is_set(),
         }
         about = {
-            "members": ballots.members,
-            "zone": self.told.zone,
-            "counted": self.told.counted,
-            "archives": sorted({self.me, *self.archives}),
-            "desks": sorted(self.desks),
+            "members": consensus.members,
+            "zone": self.settings.zone,
+            "counted": self.settings.counted,
+            "archives": sorted({self.me, *self.controllers}),
+            "desks": sorted(self.proxies),
         }
-        for peer in [only] if only else list(self.links.up):
-            if peer not in self.links.up:
+        for peer in [only] if only else list(self.peer_connections.up):
+            if peer not in self.peer_connections.up:
                 continue
             heard = self.sessions.heard.get(peer)
-            if now - max(heard.at if heard else 0.0, self.up_since[peer]) > QUIET:
-                self.links.up[peer].close()  # its own link brings nothing any more: likely a cut
+            if now - max(heard.at if heard else 0.0, self.up_since[peer]) > CONNECTION_TIMEOUT:
+                self.peer_connections.up[peer].close()  # its own link brings nothing any more: likely a cut
                 continue
             told = {**message, "e": self.sessions.stamps.get(peer, -1e9)}
             if peer not in self.sessions.told:  # whoever listens there now may have an older disk
-                told["bound"] = {name: kept[peer] for name, kept in ballots.bound.items() if peer in kept}
+                told["bound"] = {name: kept[peer] for name, kept in consensus.bound.items() if peer in kept}
             told |= self.sessions.news(peer, about)
-            if int(now / PULSE) % 4 == 0:
-                told["heard"] = self.roll.ages(now, 2.0)
-            self.links.send(peer, told)
+            if int(now / HEARTBEAT_INTERVAL) % 4 == 0:
+                told["heard"] = self.registry.ages(now, 2.0)
+            self.peer_connections.send(peer, told)
 
     def pulse_desks(self, now: float) -> None:
         whole = self.was_whole = self.whole(now)
-        scribe = self.sessions.scribe(now, whole)
+        coordinator = self.sessions.coordinator(now, whole)
         told = {
             "k": "pulse",
             "n": self.shown,
             "whole": whole,
-            "scribe": scribe == self.me,
-            "desks": len(self.sessions.all_desks(now, list(self.desks))),
+            "scribe": coordinator == self.me,
+            "desks": len(self.sessions.all_proxies(now, list(self.proxies))),
         }
         if silent := self.silent(now):
             told["silent"] = sorted(silent)
         message = json.dumps(told, separators=(",", ":"))
-        about = {"zone": self.told.zone, "archives": sorted({self.me, *self.archives})}
-        if scribe == self.me:
+        about = {"zone": self.settings.zone, "archives": sorted({self.me, *self.controllers})}
+        if coordinator == self.me:
             about["near"] = self.placement.near()
-            if crowds := self.placement.crowds():
-                about["crowds"] = crowds
+            if hot_keys := self.placement.hot_keys():
+                about["crowds"] = hot_keys
         seldom = json.dumps({**told, **about}, separators=(",", ":"))
         if seldom[len(message) :] != self.said:  # what changes seldom is said when it has, and on a new link
             self.said, self.sayings = seldom[len(message) :], self.sayings + 1
-        for link in list(self.desks.values()):
+        for link in list(self.proxies.values()):
             link.send(message if link.about == self.sayings else seldom)
             link.about = self.sayings
 
-    def push(self, link: Link, register: str) -> None:
+    def push(self, link: PeerConnection, register: str) -> None:
         """Send a desk what it lacks of a register, as far as was sent to it before."""
         if register == TABLE:
-            if message := self.feed.since(link.sent.get(TABLE, 0)):
+            if message := self.proxy_updates.since(link.sent.get(TABLE, 0)):
                 link.sent[TABLE] = message["n"]
                 link.send(message)
             return
-        value = self.ballots.value(register)
+        value = self.consensus.value(register)
         if value is not None and value["n"] > link.sent.get(register, 0):
             link.sent[register] = value["n"]
             link.send({"k": "config", "n": value["n"], "config": value["config"]})
 
     def silent(self, now: float) -> set[str]:
-        return self.roll.silent(now, BEATS_MISSED * self.told.beat)
+        return self.registry.silent(now, BEATS_MISSED * self.settings.beat)
 
     def learned(self) -> None:
         """Show what is newly chosen to the desks."""
         for register in REGISTERS:
-            version = self.ballots.version(register)
+            version = self.consensus.version(register)
             if version == self.shown[register]:
                 continue
             if version > self.told_of[register]:
                 self.told_of[register] = version
-                ballot = trace(self.ballots.learned[register][0])
-                self.log.info("chosen", step="ballot", ballot=ballot, register=register, version=version)
+                proposal_number = format_proposal_number(self.consensus.learned[register][0])
+                self.log.info(
+                    "chosen",
+                    step="ballot",
+                    proposal_number=proposal_number,
+                    register=register,
+                    version=version,
+                )
             if register == TABLE:
-                if version > self.feed.n:
-                    self.feed.learned(self.ballots.value(TABLE))
-                    self.copies.learn(self.loop.time(), self.ballots.value(TABLE))
-                    self.health.learn(self.loop.time(), self.ballots.value(TABLE))
+                if version > self.proxy_updates.n:
+                    self.proxy_updates.learned(self.consensus.value(TABLE))
+                    self.read_replicas.learn(self.loop.time(), self.consensus.value(TABLE))
+                    self.outlier_detection.learn(self.loop.time(), self.consensus.value(TABLE))
                 self.loop.call_later(GRANT_FIRST, self.show, register, version)
             else:
                 self.show(register, version)
-        if self.editions[0] != (version := self.ballots.version(CONFIG)):
-            edition = edition_of(self.ballots.value(CONFIG)["config"]).ok()
-            self.editions, self.aims = (version, edition), edition.aims() if edition else {}
+        if self.configurations[0] != (version := self.consensus.version(CONFIG)):
+            configuration = build_configuration(self.consensus.value(CONFIG)["config"]).ok()
+            self.configurations, self.aims = (
+                (version, configuration),
+                configuration.aims() if configuration else {},
+            )
 
     def show(self, register: str, version: int) -> None:
         if version > self.shown[register]:
@@ -404,26 +422,26 @@
     def steer(self, now: float) -> None:
         """The scribe of the moment proposes moves and sends grants; the others stand by."""
         whole = self.whole(now)
-        scribe = self.sessions.scribe(now, whole) == self.me and self.editions[1] is not None
-        if scribe != self.was_scribe:
-            self.was_scribe = scribe
-            self.log.info("scribe" if scribe else "not scribe", step="steer")
-            if scribe:
+        coordinator = self.sessions.coordinator(now, whole) == self.me and self.configurations[1] is not None
+        if coordinator != self.was_coordinator:
+            self.was_coordinator = coordinator
+            self.log.info("scribe" if coordinator else "not scribe", step="steer")
+            if coordinator:
                 self.placement.offices.clear()  # others have moved things since
-                self.holds.out.clear()
-        if not scribe:
+                self.key_leases.out.clear()
+        if not coordinator:
             return
-        table = self.ballots.value(TABLE)
-        services = self.editions[1].services
+        table = self.consensus.value(TABLE)
+        services = self.configurations[1].services
         keyed = {name for name, service in services.items() if service.keyed}
         if table is not None:
-            calls, free = self.holds.step(now, table, keyed, self.roll)
+            calls, free = self.key_leases.step(now, table, keyed, self.registry)
             until = self.word(now)
             for call in calls:
                 asyncio.ensure_future(self.call(call, until))
             for one in free:
                 self.free(one)
-            leases, over = self.copies.step(now, table, self.roll)
+            leases, over = self.read_replicas.step(now, table, self.registry)
             for lease in leases:
                 asyncio.ensure_future(self.lease(lease, until))
             if over and not self.proposing:
@@ -434,25 +452,25 @@
             self.health_at = now + TURN
             self.judge(now, table)
         if not self.proposing:
-            wanted = self.placement.step(now, services, self.aims, self.roll, self.silent(now), table)
+            wanted = self.placement.step(now, services, self.aims, self.registry, self.silent(now), table)
             if wanted:
                 moves = {service: (len(c.lines), len(c.splits)) for service, c in wanted.items()}
-                self.log.info("moves", step="placement", moves=moves, table=self.ballots.version(TABLE))
+                self.log.info("moves", step="placement", moves=moves, table=self.consensus.version(TABLE))
                 self.move(lambda value: placement.apply(value, wanted, keyed))
 
     def withdraw(self, now: float, table: dict) -> None:
         """The next step of the plans that take workers out of service."""
-        change = self.withdrawals.step(now, table, self.roll, self.placement.rooms())
+        change = self.drain_plans.step(now, table, self.registry, self.placement.rooms())
         if change is not None:
             self.move(change)
 
     def judge(self, now: float, table: dict) -> None:
         """Take workers out that look ill to the desks, and back after a while."""
         leaving, in_service = self.silent(now) | steps_of(table).keys(), {}
-        for life, row in self.roll.rows.items():
-            if row.phase == READY and life not in leaving:
-                in_service.setdefault(row.service, []).append(life)
-        told = self.health.wanted(now, table, self.health.cycle(in_service), in_service)
+        for instance_id, row in self.registry.rows.items():
+            if row.phase == READY and instance_id not in leaving:
+                in_service.setdefault(row.service, []).append(instance_id)
+        told = self.outlier_detection.wanted(now, table, self.outlier_detection.cycle(in_service), in_service)
         seen = out_of_health(table)
         if judged(table, told, seen)[0] is not None and not self.proposing:
             self.log.info("health", step="placement", told=told)
@@ -470,9 +488,9 @@
             self.placement.offices.clear()  # unclear: begin again from what stands
         self.learned()
 
-    def free(self, one: Freed) -> None:
+    def free(self, one: ReleasedKeys) -> None:
         """Ask for a slice to be free of its old holder; all that wait go in one change."""
-        self.to_free[one.service, one.starts, one.fence] = one
+        self.to_free[one.service, one.starts, one.fencing_token] = one
         if not self.freeing:
             self.freeing, some = True, list(self.to_free.values())
             self.to_free.clear()
@@ -481,7 +499,7 @@
                 made, changed = value, False
                 for each in some:
                     after, found = placement.freed(
-                        made, each.service, each.starts, each.fence, each.old, each.handover
+                        made, each.service, each.starts, each.fencing_token, each.old, each.handover
                     )
                     made, changed = (after, True) if found else (made, changed)
                 return ({**made, "n": value["n"] + 1}, True) if changed else (None, False)
@@ -502,16 +520,16 @@
     async def call(self, call: Call, until: float) -> None:
         """One grant or release at a worker. A grant leaves on a fresh word, or not at all."""
         sent, status, handover = self.loop.time(), 0, ""
-        body = {"Source": call.first, "TargetVersion": call.last, "fence": call.fence}
+        body = {"Source": call.first, "TargetVersion": call.last, "fence": call.fencing_token}
         if call.kind == "grant":
             body["HoldS"] = call.hold
             if call.handover:
                 body["Handover"] = call.handover
-        within = ASK if call.kind == "grant" else self.holds.expiry
+        within = ASK if call.kind == "grant" else self.key_leases.expiry
         until = until if call.kind == "grant" else sent + within
         try:
             async with asyncio.timeout(within):
-                status, handover = await self.ask(call.kind, call.address, call.life, body, until)
+                status, handover = await self.ask(call.kind, call.address, call.instance_id, body, until)
         except aiohttp.ClientConnectorError as problem:
             status = -1 if isinstance(problem.os_error, ConnectionRefusedError) else 0
         except (OSError, TimeoutError, aiohttp.ClientError):
@@ -519,40 +537,47 @@
         self.counts[f"archive_{call.kind}s"] += 1
         self.counts["archive_calls_failed"] += status != 200
         now = self.loop.time()
-        row = self.roll.rows.get(call.life)
-        self.refused[call.life] = self.refused.get(call.life, 0) + 1 if status == -1 else 0
-        unheard = now - self.roll.heard.get(call.life, 0.0)
+        row = self.registry.rows.get(call.instance_id)
+        self.refused[call.instance_id] = self.refused.get(call.instance_id, 0) + 1 if status == -1 else 0
+        unheard = now - self.registry.heard.get(call.instance_id, 0.0)
         ended = (
-            row is None or row.phase == GONE or self.refused[call.life] > 1 and unheard > 1.3 * self.told.beat
+            row is None
+            or row.phase == GONE
+            or self.refused[call.instance_id] > 1
+            and unheard > 1.3 * self.settings.beat
         )
         if status != 200:
             self.log.info(
                 "call failed",
                 step=call.kind,
-                peer=call.life,
+                peer=call.instance_id,
                 status=status,
                 keys=(call.first, call.last),
-                fence=call.fence,
+                fencing_token=call.fencing_token,
             )
-        elif call.kind == "release" or self.holds.new(call):
+        elif call.kind == "release" or self.key_leases.new(call):
             self.log.info(
-                "keys passed", step=call.kind, peer=call.life, keys=(call.first, call.last), fence=call.fence
+                "keys passed",
+                step=call.kind,
+                peer=call.instance_id,
+                keys=(call.first, call.last),
+                fencing_token=call.fencing_token,
             )
         if status == 409:
             self.propose(
                 TABLE,
-                lambda value: placement.refenced(value, call.service, call.starts, call.fence),
+                lambda value: placement.refenced(value, call.service, call.starts, call.fencing_token),
                 self.refreshed,
                 1.0,
             )
-        free = self.holds.answered(now, call, sent, status, handover, ended)
+        free = self.key_leases.answered(now, call, sent, status, handover, ended)
         if free is not None:
             self.free(free)
         elif status == -1 and ended and row is not None and row.phase != GONE:
-            self.note(call.life, row._replace(phase=GONE))
+            self.note(call.instance_id, row._replace(phase=GONE))
 
     async def ask(
-        self, kind: str, address: str, life: str, body: dict, until: float, fresh: bool = False
+        self, kind: str, address: str, instance_id: str, body: dict, until: float, fresh: bool = False
     ) -> tuple[int, str]:
         """A call about a worker's keys, not sent after `until` however long its connection takes to come up;
         its status and handover.
@@ -561,8 +586,8 @@
         place and names that one's id. One without an id proves no release, but on a connection that carried
         nothing before.
         """
-        url, name = f"http://{address}/bramblewood/{kind}", f"{self.told.name}-{os.urandom(8).hex()}"
-        headers = {"X-Target-Instance": life, "X-Attempt-Id": name}
+        url, name = f"http://{address}/bramblewood/{kind}", f"{self.settings.name}-{os.urandom(8).hex()}"
+        headers = {"X-Target-Instance": instance_id, "X-Attempt-Id": name}
         left = until - self.loop.time()
         if left <= 0:
             return 0, ""
@@ -575,33 +600,33 @@
                 return 0, ""
             await answer.read()
         if not told and kind == "release" and not fresh:
-            return await self.ask(kind, address, life, body, until, True)
+            return await self.ask(kind, address, instance_id, body, until, True)
         return answer.status, answer.headers.get("X-Handover", "")
 
     async def lease(self, lease: Lease, until: float) -> None:
         """One lease of a read copy; on a fresh word, or not at all."""
-        status, (_, key, life, _) = 0, lease.one
+        status, (_, key, instance_id, _) = 0, lease.one
         body = {
             "Source": key,
             "TargetVersion": key,
-            "fence": lease.fence,
-            "HoldS": LEASE,
+            "fence": lease.fencing_token,
+            "HoldS": READ_LEASE_DURATION,
             "Copy": lease.holder,
         }
         try:
-            async with asyncio.timeout(LEASE * RENEW_PART):
-                status, _ = await self.ask("grant", lease.address, life, body, until)
+            async with asyncio.timeout(READ_LEASE_DURATION * RENEW_PART):
+                status, _ = await self.ask("grant", lease.address, instance_id, body, until)
         except (OSError, TimeoutError, aiohttp.ClientError):
             pass
         self.counts["archive_leases"] += 1
-        self.copies.answered(self.loop.time(), lease, status)
+        self.read_replicas.answered(self.loop.time(), lease, status)
 
     # --- ballots
 
     def propose(self, register: str, change: Any, tag: Any, within: float) -> None:
-        self.carry(self.ballots.propose(self.loop.time(), register, change, tag, within))
+        self.carry(self.consensus.propose(self.loop.time(), register, change, tag, within))
 
-    def carry(self, out: Out) -> None:
+    def carry(self, out: Effects) -> None:
         """Writes first; sends and answers once they are safe."""
         rows, facts = self.due.take(out)
         if not rows and not facts:
@@ -611,26 +636,26 @@
         if self.writing_since is None:
             self.writing_since = self.loop.time()
         self.writes += 1
-        self.shelf.write(rows, facts, lambda problem: self.written(out, rows, facts, problem))
+        self.storage.write(rows, facts, lambda problem: self.written(out, rows, facts, problem))
 
-    def written(self, out: Out, rows: list, facts: dict[str, Any], problem: str | None) -> None:
+    def written(self, out: Effects, rows: list, facts: dict[str, Any], problem: str | None) -> None:
         self.writes -= 1
         self.writing_since = self.loop.time() if self.writes else None
         if problem:
             self.log.error("not written", step="write", problem=problem)
-            self.dispatch(nothing()._replace(answers=[(tag, None) for tag, _ in out.answers]))  # unclear
+            self.dispatch(no_effects()._replace(answers=[(tag, None) for tag, _ in out.answers]))  # unclear
             return
         self.due.safe(rows, facts)
         for register, _, accepted, _ in rows:
-            self.ballots.stored(register, accepted)
+            self.consensus.stored(register, accepted)
         self.dispatch(out)
 
-    def dispatch(self, out: Out) -> None:
+    def dispatch(self, out: Effects) -> None:
         for peer, message in out.sends:
             if peer == self.me:
                 self.loop.call_soon(self.hear_ballot, self.me, message)
             else:
-                self.links.send(peer, message)
+                self.peer_connections.send(peer, message)
         for tag, outcome in out.answers:
             if callable(tag):
                 self.loop.call_soon(tag, outcome)
@@ -640,23 +665,29 @@
 
     def stepped(self) -> None:
         """Another epoch is known, or this archive became active in it: on disk by now."""
-        ballots = self.ballots
-        if (ballots.epoch, ballots.voting) != self.told_epoch:
-            self.told_epoch = (ballots.epoch, ballots.voting)
-            for peer in ballots.voters:
+        consensus = self.consensus
+        if (consensus.epoch, consensus.voting) != self.told_epoch:
+            self.told_epoch = (consensus.epoch, consensus.voting)
+            for peer in consensus.voters:
                 self.know(peer)
             self.log.info(
-                "epoch", step="epoch", epoch=ballots.epoch, voters=ballots.voters, voting=ballots.voting
+                "epoch", step="epoch", epoch=consensus.epoch, voters=consensus.voters, voting=consensus.voting
             )
             self.pulse(self.loop.time())  # nobody waits for the next turn
 
     def hear_ballot(self, peer: str, message: dict) -> None:
-        ballots = self.ballots
-        self.carry(ballots.hear(self.loop.time(), peer, message))
-        if ballots.lost_to is not None:
-            who, ballot, promised = ballots.lost_to
-            ballots.lost_to = None
-            self.log.info("ballot lost", step="ballot", peer=who, ballot=trace(ballot), to=trace(promised))
+        consensus = self.consensus
+        self.carry(consensus.hear(self.loop.time(), peer, message))
+        if consensus.lost_to is not None:
+            who, proposal_number, promised = consensus.lost_to
+            consensus.lost_to = None
+            self.log.info(
+                "ballot lost",
+                step="ballot",
+                peer=who,
+                proposal_number=format_proposal_number(proposal_number),
+                to=format_proposal_number(promised),
+            )
 
     # --- other managers
 
@@ -666,11 +697,11 @@
             "role": "archive",
             "from": self.me,
             "rows": self.rows(),
-            "ages": self.roll.ages(self.loop.time(), math.inf),
+            "ages": self.registry.ages(self.loop.time(), math.inf),
         }
 
-    def seeds_again(self) -> None:
-        for peer in seeds_again(self.told, self.log):
+    def reread_seeds(self) -> None:
+        for peer in reread_seeds(self.settings, self.log):
             self.know(peer)
 
     def link_told(self, peer: str, up: bool) -> None:
@@ -680,24 +711,24 @@
             self.pulse(now, peer)
         self.log.info("link up" if up else "link lost", step="link", peer=peer)
 
-    def met(self, link: Link, message: dict) -> None:
+    def met(self, link: PeerConnection, message: dict) -> None:
         link.peer, link.role = str(message["from"]), message["role"]
         if link.role == "archive":
             self.know(link.peer)
             self.take_rows(message.get("rows", {}), link.peer, message.get("ages"))
             return
-        self.desks[link.peer] = link
-        self.withdrawals.anew(link.peer)
+        self.proxies[link.peer] = link
+        self.drain_plans.anew(link.peer)
         self.take_rows(message.get("rows", {}))  # what all archives forgot in a restart, desks have kept
-        link.send({"k": "roll", "rows": self.roll.leaving()})
+        link.send({"k": "roll", "rows": self.registry.leaving()})
         self.pulse_desks(self.loop.time())
 
-    def left(self, link: Link) -> None:
-        for kept in (self.desks, self.homes):
+    def left(self, link: PeerConnection) -> None:
+        for kept in (self.proxies, self.homes):
             if kept.get(link.peer) is link:
                 del kept[link.peer]
 
-    def home(self, link: Link, message: dict) -> None:
+    def home(self, link: PeerConnection, message: dict) -> None:
         """A desk chooses to be pushed to from here, or no longer."""
         if not message["on"]:
             self.homes.pop(link.peer, None)
@@ -707,23 +738,25 @@
         for register in REGISTERS:
             self.push(link, register)
 
-    def hear(self, link: Link, message: dict) -> None:
+    def hear(self, link: PeerConnection, message: dict) -> None:
         now, kind = self.loop.time(), message["k"]
         if kind == "pulse":
             self.sessions.pulse(now, link.peer, message)
             if message["e"] < 0:  # it has no stamp of ours yet: at a start nobody waits for the next turn
                 self.pulse(now, link.peer)
-            self.roll.listen(now, message.get("heard", {}))
-            out = nothing()
+            self.registry.listen(now, message.get("heard", {}))
+            out = no_effects()
             if "members" in message:
-                self.ballots.adopt(now, message["members"], out)
-            for register, ballot in message["dur"].items():
-                if tuple(ballot) != NONE and message["v"]:
-                    self.ballots.voted(now, link.peer, message["disk"], register, tuple(ballot), out)
+                self.consensus.adopt(now, message["members"], out)
+            for register, proposal_number in message["dur"].items():
+                if tuple(proposal_number) != NO_PROPOSAL and message["v"]:
+                    self.consensus.voted(
+                        now, link.peer, message["disk"], register, tuple(proposal_number), out
+                    )
             self.carry(out)
-            reminded = self.ballots.reminded(message["ep"], message.get("bound", {}), new_name())
+            reminded = self.consensus.reminded(message["ep"], message.get("bound", {}), new_name())
             if reminded.facts:
-                self.log.error("older disk", step="epoch", peer=link.peer, disk=self.ballots.disk)
+                self.log.error("older disk", step="epoch", peer=link.peer, disk=self.consensus.disk)
                 self.carry(reminded)
             self.learned()
             self.look_leaves()
@@ -734,15 +767,15 @@
         elif kind == "roll":
             newer = self.take_rows(message["rows"], link.peer)
             if "id" in message:
-                epoch = self.ballots.epoch if self.ballots.voting else -1
-                self.links.send(
+                epoch = self.consensus.epoch if self.consensus.voting else -1
+                self.peer_connections.send(
                     link.peer, {"k": "rolled", "id": message["id"], "rows": newer, "epoch": epoch}
                 )
             elif newer:
-                self.links.send(link.peer, {"k": "roll", "rows": newer})
+                self.peer_connections.send(link.peer, {"k": "roll", "rows": newer})
         elif kind == "rolled":
             self.take_rows(message["rows"], link.peer)
-            self.leaves.held(message["id"], link.peer, message["epoch"])
+            self.deregistrations.held(message["id"], link.peer, message["epoch"])
             self.look_leaves()
         elif kind == "home":
             self.home(link, message)
@@ -752,44 +785,44 @@
             self.reported(now, link, message)
         elif kind == "confirm":
             if self.whole(now):
-                newest = {register: self.ballots.version(register) for register in REGISTERS}
+                newest = {register: self.consensus.version(register) for register in REGISTERS}
                 link.send({"k": "confirmed", "t": message["t"], "n": newest})
         elif kind == "off":
             self.take_off(link, message)
-        elif kind in VOTES:
+        elif kind in CONSENSUS_MESSAGE_KINDS:
             self.hear_ballot(link.peer, message)
 
-    def take_off(self, link: Link, message: dict) -> None:
+    def take_off(self, link: PeerConnection, message: dict) -> None:
         """A desk asks that readers of a record that don't answer are taken off it."""
-        service, key, lives = message["service"], message["key"], set(message["lives"])
+        service, key, instance_ids = message["service"], message["key"], set(message["lives"])
 
         def told(outcome: Any) -> None:
             if outcome:
-                link.send({"k": "offed", "id": message["id"], "n": self.ballots.version(TABLE)})
+                link.send({"k": "offed", "id": message["id"], "n": self.consensus.version(TABLE)})
 
-        self.log.info("readers taken off", step="copies", peer=sorted(lives), keys=(key, key))
-        self.propose(TABLE, lambda value: taken_off(value, service, key, lives), told, 1.0)
+        self.log.info("readers taken off", step="copies", peer=sorted(instance_ids), keys=(key, key))
+        self.propose(TABLE, lambda value: taken_off(value, service, key, instance_ids), told, 1.0)
 
-    def wanted(self, link: Link, register: str, have: int) -> None:
+    def wanted(self, link: PeerConnection, register: str, have: int) -> None:
         link.sent[register] = have
         self.push(link, register)
 
-    def reported(self, now: float, link: Link, message: dict) -> None:
+    def reported(self, now: float, link: PeerConnection, message: dict) -> None:
         over, by_key = message["over"], message.get("keys", {})
         if "n" in message:
-            self.withdrawals.hear(link.peer, message["n"], message.get("left", {}))
+            self.drain_plans.hear(link.peer, message["n"], message.get("left", {}))
         met: dict[str, list] = {service: [] for service in {**message["heat"], **by_key}}
-        for life, (tries, unanswered, mean_time, load, *bad) in message["met"].items():
-            row = self.roll.rows.get(life)
+        for instance_id, (tries, unanswered, mean_time, load, *bad) in message["met"].items():
+            row = self.registry.rows.get(instance_id)
             if row is None:
                 continue
-            self.health.report(link.peer, life, tries, sum(bad))
+            self.outlier_detection.report(link.peer, instance_id, tries, sum(bad))
             if tries > unanswered:
-                self.roll.heard[life] = max(self.roll.heard.get(life, 0.0), now - over)
+                self.registry.heard[instance_id] = max(self.registry.heard.get(instance_id, 0.0), now - over)
             met.setdefault(row.service, []).append(
-                placement.met_of(life, tries, unanswered, mean_time, over, load)
+                placement.met_of(instance_id, tries, unanswered, mean_time, over, load)
             )
-        if self.was_scribe:
+        if self.was_coordinator:
             for service, some in met.items():
                 heat, keys = message["heat"].get(service, {}), by_key.get(service, {})
                 self.placement.report(now, service, link.peer, heat, keys, over, some)
@@ -799,10 +832,12 @@
 
         News of a leave goes on to the other archives, as its sender may reach but some of them.
         """
-        news, newer = self.roll.take(self.loop.time(), rows, ages)
+        news, newer = self.registry.take(self.loop.time(), rows, ages)
         if news:
             self.tell_desks(news)
-        if leaving := {life: row for life, row in news.items() if Row(*row).phase != READY}:
+        if leaving := {
+            instance_id: row for instance_id, row in news.items() if WorkerRegistration(*row).phase != READY
+        }:
             self.share(leaving, but=sender)
         return newer
 
@@ -813,44 +848,46 @@
         message = json.dumps({"k": "roll", "rows": rows}, separators=(",", ":"))
         for link in list(self.homes.values()):
             link.send(message)
-        leaving = {life: row for life, row in rows.items() if Row(*row).phase != READY}
+        leaving = {
+            instance_id: row for instance_id, row in rows.items() if WorkerRegistration(*row).phase != READY
+        }
         if leaving:
             message = json.dumps({"k": "roll", "rows": leaving}, separators=(",", ":"))
-            for name, link in list(self.desks.items()):
+            for name, link in list(self.proxies.items()):
                 if name not in self.homes:
                     link.send(message)
 
-    def note(self, life: str, row: Row, number: int | None = None) -> None:
+    def note(self, instance_id: str, row: WorkerRegistration, number: int | None = None) -> None:
         """Take a row; where it is news, tell all desks and archives. With a number all archives answer."""
-        news = self.roll.merge(self.loop.time(), life, row)
-        rows = {life: [*self.roll.rows[life]]}
+        news = self.registry.merge(self.loop.time(), instance_id, row)
+        rows = {instance_id: [*self.registry.rows[instance_id]]}
         if news or number is not None:
             self.share(rows, number)
         if not news:
             return
         self.tell_desks(rows)
         if row.phase != READY:
-            self.log.info("worker leaves", step="roll", peer=life, phase=row.phase)
+            self.log.info("worker leaves", step="roll", peer=instance_id, phase=row.phase)
             self.loop.call_soon(self.steer, self.loop.time())
 
     def share(self, rows: dict, number: int | None = None, but: str = "") -> None:
         """Send rows to the other archives; with a number they answer that they hold them."""
         message = {"k": "roll", "rows": rows} | ({} if number is None else {"id": number})
-        for peer in list(self.links.up):
+        for peer in list(self.peer_connections.up):
             if peer != but:
-                self.links.send(peer, message)
+                self.peer_connections.send(peer, message)
 
     def rows(self) -> dict[str, list]:
         """The whole roll as it travels."""
-        return {life: [*row] for life, row in self.roll.rows.items()}
+        return {instance_id: [*row] for instance_id, row in self.registry.rows.items()}
 
     # --- callers of control
 
     async def serve(self, request: web.BaseRequest) -> web.StreamResponse:
-        if request.path == "/link" and request.transport.get_extra_info("sockname")[1] == self.told.inner:
+        if request.path == "/link" and request.transport.get_extra_info("sockname")[1] == self.settings.inner:
             return await accept(request, self.met, self.hear, self.left)
         method, path = request.method, request.raw_path
-        if request.transport.get_extra_info("sockname")[1] == self.told.inner:
+        if request.transport.get_extra_info("sockname")[1] == self.settings.inner:
             if method == "POST" and path in ("/plan", "/members"):
                 body = (await request.content.read())[:BEAT_MOST]
                 if path == "/plan":
@@ -867,7 +904,7 @@
                 return answer(413, f"at most {bound} bytes")
         command = decode(method, path, body)
         if isinstance(command, Err):
-            refusal: Refusal = command.err_value
+            refusal: Rejection = command.err_value
             if method == "PUT" and path.startswith("/bramblewood/config"):
                 self.log.info("configuration refused", step="check", reason=refusal.reason)
             headers = {"Allow": refusal.allow} if refusal.allow else {}
@@ -877,20 +914,26 @@
     async def obey(self, command: Command) -> web.Response:
         """A worker's or the operator's call: taken, served or refused for good by a majority only."""
         match command:
-            case Register(life, row) as call:
-                return await self.registered(life, row, call.leaving)
-            case TakeLeave(life):
-                row = self.roll.rows.get(life) or Row("", "", "", 1, GONE, 0)  # others may know it
-                return await self.registered(life, row._replace(phase=GONE, seq=row.seq + 1), True)
-            case PutConfig(edition):
+            case RegisterWorker(instance_id, row) as call:
+                return await self.registered(instance_id, row, call.leaving)
+            case DeregisterWorker(instance_id):
+                row = self.registry.rows.get(instance_id) or WorkerRegistration(
+                    "", "", "", 1, GONE, 0
+                )  # others may know it
+                return await self.registered(instance_id, row._replace(phase=GONE, seq=row.seq + 1), True)
+            case PutConfiguration(configuration):
                 heard = self.contact(self.loop.time())
-                told = final_answer(edition, self.ballots.value(CONFIG)) if heard else None
-                told = told or await self.agreed(CONFIG, lambda stands: succeed(edition, stands))
+                told = final_answer(configuration, self.consensus.value(CONFIG)) if heard else None
+                told = told or await self.agreed(CONFIG, lambda stands: succeed(configuration, stands))
                 self.log.info(
-                    "configuration", step="put", number=edition.number, parent=edition.parent, told=told
+                    "configuration",
+                    step="put",
+                    number=configuration.number,
+                    parent=configuration.parent,
+                    told=told,
                 )
                 return answer(*told) if told else answer(503, "no majority heard in time")
-            case GetConfig():
+            case GetConfiguration():
                 told = await self.agreed(CONFIG, lambda stands: (None, [stands]))
                 if told is None:
                     return answer(503, "no majority heard in time")
@@ -905,38 +948,52 @@
         command = command.ok_value
 
         def start(value: dict | None) -> tuple[dict | None, tuple[int, str]]:
-            lives = self.chosen(command, value)
-            staying = len(set(in_use(self.roll, command.service, out_of(value))) - set(lives))
-            return started(value, command.name, command.service, lives, command.wave, staying)
+            instance_ids = self.chosen(command, value)
+            staying = len(set(in_use(self.registry, command.service, out_of(value))) - set(instance_ids))
+            return started(value, command.name, command.service, instance_ids, command.wave, staying)
 
-        if isinstance(command, EndPlan):
+        if isinstance(command, EndDrainPlan):
             told = await self.agreed(TABLE, lambda value: ended(value, command.name, command.state))
         elif command.only_tell:
             read = lambda value: (None, (self.chosen(command, value), start(value)[1]))  # noqa: E731
             if (told := await self.agreed(TABLE, read)) is not None:
-                lives, (status, reason) = told
-                waves = [lives[i : i + command.wave] for i in range(0, len(lives), command.wave)]
+                instance_ids, (status, reason) = told
+                waves = [
+                    instance_ids[i : i + command.wave] for i in range(0, len(instance_ids), command.wave)
+                ]
                 return web.json_response({"Waves": waves, "Failure": "" if status == 200 else reason})
         else:
             told = await self.agreed(TABLE, start)
         self.log.info("plan", step="withdraw", name=command.name, told=told)
         return answer(*told) if told else answer(503, "no majority heard in time")
 
-    def chosen(self, command: StartPlan, value: dict | None) -> list[str]:
+    def chosen(self, command: StartDrainPlan, value: dict | None) -> list[str]:
         """The workers that a plan names, by the table that stands."""
         if command.name in plans_of(value):
             return plans_of(value)[command.name]["lives"]  # asked again
-        able = in_use(self.roll, command.service, out_of(value))
-        lives = [life for life in able if not command.lives or life in command.lives]
-        lives = [life for life in lives if command.zone in ("", self.roll.rows[life].zone)]
-        lives = [life for life in lives if command.revision in ("", self.roll.rows[life].revision)]
-        return lives[: command.count or len(lives)]
+        able = in_use(self.registry, command.service, out_of(value))
+        instance_ids = [
+            instance_id
+            for instance_id in able
+            if not command.instance_ids or instance_id in command.instance_ids
+        ]
+        instance_ids = [
+            instance_id
+            for instance_id in instance_ids
+            if command.zone in ("", self.registry.rows[instance_id].zone)
+        ]
+        instance_ids = [
+            instance_id
+            for instance_id in instance_ids
+            if command.revision in ("", self.registry.rows[instance_id].revision)
+        ]
+        return instance_ids[: command.count or len(instance_ids)]
 
     async def seated(self, command: Any) -> web.Response:
         """An operator's call about who votes: agreed by a majority of those who do."""
         if isinstance(command, Err):
             return answer(command.err_value.status, command.err_value.reason)
-        command, members = command.ok_value, self.ballots.members
+        command, members = command.ok_value, self.consensus.members
         old, new = getattr(command, "old", ""), getattr(command, "new", "")
         change = self.membership.ordered(members, self.peers(self.loop.time()), self.versions(), old, new)
         if isinstance(change, Err):
@@ -944,7 +1001,7 @@
         if change.ok_value.voters == members["voters"]:
             heard = self.contact(self.loop.time())
             return web.json_response({"Epoch": members["n"]}) if heard else answer(503, "no majority heard")
-        told = await self.agreed(MEMBERS, succession(members, change.ok_value.voters))
+        told = await self.agreed(MEMBERS, next_voter_set(members, change.ok_value.voters))
         self.log.info("member change", step="epoch", why="by hand", old=old, new=new, told=told)
         if told is None:
             return answer(503, "no majority heard in time")
@@ -954,18 +1011,20 @@
 
     def plans(self, now: float) -> dict:
         """The plans as they stand, with what keeps each worker."""
-        table, told = self.ballots.value(TABLE), self.withdrawals
+        table, told = self.consensus.value(TABLE), self.drain_plans
         return {
             name: {
                 **plan,
                 "workers": {
-                    life: {
+                    instance_id: {
                         "step": step,
                         "sending": told.sending(now, version) if step == CLOSING else [],
-                        "under way": {desk: [*left] for desk, left in told.under_way(now, life).items()},
-                        "keys": step != TOLD and told.holds(table, life),
+                        "under way": {
+                            proxy: [*left] for proxy, left in told.under_way(now, instance_id).items()
+                        },
+                        "keys": step != TOLD and told.holds(table, instance_id),
                     }
-                    for life, (plan_of, step, version) in out_of(table).items()
+                    for instance_id, (plan_of, step, version) in out_of(table).items()
                     if plan_of == name
                 },
             }
@@ -979,66 +1038,68 @@
             silent = self.silent(now)
             return web.json_response(
                 {
-                    life: {
+                    instance_id: {
                         **row._asdict(),
-                        "heard": round(now - self.roll.heard.get(life, 0.0), 2),
-                        "silent": life in silent,
+                        "heard": round(now - self.registry.heard.get(instance_id, 0.0), 2),
+                        "silent": instance_id in silent,
                     }
-                    for life, row in self.roll.rows.items()
+                    for instance_id, row in self.registry.rows.items()
                 }
             )
         if path == "/view/members":
-            shown = self.membership.view(self.me, self.ballots.members, self.peers(now), self.versions())
+            shown = self.membership.view(self.me, self.consensus.members, self.peers(now), self.versions())
             return web.json_response({**shown, "change": "a change is being agreed" if self.changing else ""})
         if path == "/view/plans":
             return web.json_response(self.plans(now))
         if path == "/view/table":
-            return web.json_response(self.ballots.value(TABLE) or {"n": 0, "s": {}})
+            return web.json_response(self.consensus.value(TABLE) or {"n": 0, "s": {}})
         if path == "/view/holds":
             return web.json_response(
                 [
                     {
                         "service": service,
                         "from": start,
-                        "life": life,
-                        "fence": fence,
-                        "until": round(at + self.holds.hold - now, 2),
+                        "life": instance_id,
+                        "fence": fencing_token,
+                        "until": round(at + self.key_leases.hold - now, 2),
                     }
-                    for (service, start), (life, fence, at) in sorted(self.holds.granted.items())
+                    for (service, start), (instance_id, fencing_token, at) in sorted(
+                        self.key_leases.granted.items()
+                    )
                 ]
             )
         if path == "/view/sessions":
             return web.json_response(
                 {
                     "me": self.me,
-                    "epoch": self.ballots.epoch,
-                    "voters": sorted(self.ballots.voters),
-                    "votes": self.ballots.voting,
+                    "epoch": self.consensus.epoch,
+                    "voters": sorted(self.consensus.voters),
+                    "votes": self.consensus.voting,
                     "whole": self.whole(now),
-                    "scribe": self.sessions.scribe(now, self.whole(now)),
+                    "scribe": self.sessions.coordinator(now, self.whole(now)),
                     "archives": {
                         peer: {"heard": round(now - heard.at, 2), "whole": heard.whole, "votes": heard.votes}
                         for peer, heard in self.sessions.heard.items()
                     },
-                    "desks": sorted(self.sessions.all_desks(now, list(self.desks))),
+                    "desks": sorted(self.sessions.all_proxies(now, list(self.proxies))),
                 }
             )
         if path == "/view/history":
-            value = self.ballots.value(CONFIG)
+            value = self.consensus.value(CONFIG)
             return web.json_response(value["past"] if value else {})
         if path == "/metrics":
-            ballots = self.ballots
+            consensus = self.consensus
             return web.Response(
                 text=metrics.text(
                     {
                         "archive_whole": int(self.whole(now)),
-                        "archive_votes": int(ballots.voting),
-                        "archive_scribe": int(self.was_scribe),
-                        "archive_desks": len(self.desks),
-                        "archive_workers": len(self.roll.rows),
+                        "archive_votes": int(consensus.voting),
+                        "archive_scribe": int(self.was_coordinator),
+                        "archive_desks": len(self.proxies),
+                        "archive_workers": len(self.registry.rows),
                         "archive_silent_workers": len(self.silent(now)),
-                        "archive_config_version": ballots.version(CONFIG),
-                        "archive_table_version": ballots.version(TABLE),
+                        "archive_config_version": consensus.version(CONFIG),
+                        "archive_table_version": consensus.version(TABLE),
                         "archive_writes_waiting": self.writes,
                         **self.counts,
                     }
@@ -1059,17 +1120,17 @@
             return None
         return outcome if self.loop.time() <= asked + CALL_WITHIN + TICK else None
 
-    async def registered(self, life: str, row: Row, leaving: bool) -> web.Response:
+    async def registered(self, instance_id: str, row: WorkerRegistration, leaving: bool) -> web.Response:
         """A worker's call: noted and told on at once, but answered 200 in touch with a majority only, so that
         its worker goes to an archive that the others hear. A leave is confirmed once a majority holds it.
         """
         if not leaving:
-            self.note(life, row)
+            self.note(instance_id, row)
             heard = self.contact(self.loop.time())
             return web.json_response({}) if heard else answer(503, "no majority heard")
-        number = self.leaves.ask(self.loop.time())
+        number = self.deregistrations.ask(self.loop.time())
         waiting = self.confirms[number] = self.loop.create_future()
-        self.note(life, row, number)
+        self.note(instance_id, row, number)
         self.look_leaves()
         try:
             async with asyncio.timeout(HELD_WITHIN):
@@ -1078,13 +1139,15 @@
             pass
         held = self.held(number)  # by the clock of now: a freeze may lie before
         del self.confirms[number]
-        self.leaves.end(number)
+        self.deregistrations.end(number)
         return web.json_response({}) if held else answer(503, "no majority holds it in time")
 
     def held(self, number: int) -> bool:
         now = self.loop.time()
-        ballots = self.ballots
-        return self.leaves.confirmed(now, number, ballots.voters, ballots.epoch, self.contact(now))
+        consensus = self.consensus
+        return self.deregistrations.confirmed(
+            now, number, consensus.voters, consensus.epoch, self.contact(now)
+        )
 
     def look_leaves(self) -> None:
         for number, waiting in self.confirms.items():
@@ -1101,7 +1164,7 @@
 
 
 def caller(**connections: Any) -> aiohttp.ClientSession:
-    connector = aiohttp.TCPConnector(socket_factory=careful_socket, limit=0, **connections)
+    connector = aiohttp.TCPConnector(socket_factory=create_connection_socket, limit=0, **connections)
     return aiohttp.ClientSession(connector=connector, auto_decompress=False, response_class=Heard)
 
 
--- a/bramblewood/controller/sessions.py
+++ b/bramblewood/controller/sessions.py
@@ -13,25 +13,25 @@
 
 from typing import NamedTuple
 
-from ..common.timeouts import WORD
+from ..common.timeouts import QUORUM_CONTACT_VALIDITY
 from .consensus.membership import Peer
-from .consensus.replica import NONE, Ballot, belongs, majority
+from .consensus.replica import NO_PROPOSAL, ProposalNumber, is_voter, majority
 
-PULSE = 0.25  # s between pulses; three of them fit into WORD
-SILENT = 0.9  # s without a pulse after which an archive counts as away: three pulses and some way
+HEARTBEAT_INTERVAL = 0.25  # s between pulses; three of them fit into WORD
+PEER_TIMEOUT = 0.9  # s without a pulse after which an archive counts as away: three pulses and some way
 
 
 class Heard(NamedTuple):
     at: float  # when the pulse came, our clock
     stamp: float  # our own stamp that it gave back, our clock
-    accepted: dict[str, Ballot]  # newest accepted ballot by register, on disk or not yet
+    accepted: dict[str, ProposalNumber]  # newest accepted ballot by register, on disk or not yet
     votes: bool  # an active voter of its epoch
     whole: bool  # it has a word of the majority itself and its disk answers
     epoch: int
     disk: str
     leaving: bool
     versions: dict[str, int]  # what it knows to be chosen, by register
-    durable: dict[str, Ballot]  # newest accepted ballot by register that is safe on its disk
+    durable: dict[str, ProposalNumber]  # newest accepted ballot by register that is safe on its disk
 
 
 class Sessions:
@@ -40,7 +40,7 @@
         self.heard: dict[str, Heard] = {}
         self.told: dict[str, dict] = {}  # by archive, what changes seldom and was said on its link
         self.stamps: dict[str, float] = {}  # last stamp of each other archive, to give back
-        self.desks: dict[str, list[str]] = {}  # by archive, the desks that it last told of
+        self.proxies: dict[str, list[str]] = {}  # by archive, the desks that it last told of
         self.places: dict[str, tuple[str, bool]] = {}  # by archive, its zone and whether its loss is counted
         self.since: dict[str, float] = {}  # by archive, since when its pulses come without a gap
         self.level: dict[str, float] = {}  # by register, when we had accepted nothing newer than was known
@@ -57,10 +57,11 @@
 
     def pulse(self, now: float, peer: str, message: dict) -> None:
         accepted, durable = (
-            {name: tuple(ballot) for name, ballot in message[kind].items()} for kind in ("acc", "dur")
+            {name: tuple(proposal_number) for name, proposal_number in message[kind].items()}
+            for kind in ("acc", "dur")
         )
         before = self.heard.get(peer)
-        if before is None or now - before.at > SILENT or before.disk != message["disk"]:
+        if before is None or now - before.at > PEER_TIMEOUT or before.disk != message["disk"]:
             self.since[peer] = now
         self.heard[peer] = Heard(
             now,
@@ -76,7 +77,7 @@
         )
         self.stamps[peer] = message["t"]
         if "desks" in message:
-            self.desks[peer] = message["desks"]
+            self.proxies[peer] = message["desks"]
         if "zone" in message:
             self.places[peer] = (message["zone"], message["counted"])
 
@@ -85,8 +86,8 @@
         now: float,
         voters: dict[str, str],
         epoch: int,
-        known: dict[str, Ballot],
-        own: dict[str, Ballot] | None,
+        known: dict[str, ProposalNumber],
+        own: dict[str, ProposalNumber] | None,
     ) -> float:
         """Until when the word holds that in these registers nothing newer than `known` is chosen; 0 where
         none does. With no register it tells of contact alone.
@@ -98,18 +99,23 @@
         """
         stamps = []
         if own is not None and self.me in voters:
-            for register, ballot in known.items():
-                if own[register] <= ballot:
+            for register, proposal_number in known.items():
+                if own[register] <= proposal_number:
                     self.level[register] = now
-            stamps.append(min((self.level.get(register, -WORD) for register in known), default=now))
+            stamps.append(
+                min((self.level.get(register, -QUORUM_CONTACT_VALIDITY) for register in known), default=now)
+            )
         for peer, heard in self.heard.items():
-            level = all(heard.accepted.get(register, NONE) <= ballot for register, ballot in known.items())
-            if belongs(voters, peer, heard.disk) and heard.votes and heard.epoch == epoch and level:
+            level = all(
+                heard.accepted.get(register, NO_PROPOSAL) <= proposal_number
+                for register, proposal_number in known.items()
+            )
+            if is_voter(voters, peer, heard.disk) and heard.votes and heard.epoch == epoch and level:
                 stamps.append(heard.stamp)
         needed = majority(voters)
         if not voters or len(stamps) < needed:
             return 0.0
-        return sorted(stamps, reverse=True)[needed - 1] + WORD
+        return sorted(stamps, reverse=True)[needed - 1] + QUORUM_CONTACT_VALIDITY
 
     def peers(self, now: float) -> dict[str, Peer]:
         """The other archives as the question of who should vote sees them."""
@@ -121,7 +127,7 @@
                 heard.votes,
                 heard.leaving,
                 now - heard.at,
-                max(now - self.since[name], PULSE) if now - heard.at <= SILENT else 0.0,
+                max(now - self.since[name], HEARTBEAT_INTERVAL) if now - heard.at <= PEER_TIMEOUT else 0.0,
                 heard.versions,
             )
             for name, heard in self.heard.items()
@@ -129,20 +135,20 @@
 
     def present(self, now: float) -> list[str]:
         """The other archives heard of late that have a word of the majority."""
-        return [peer for peer, heard in self.heard.items() if now - heard.at <= SILENT and heard.whole]
+        return [peer for peer, heard in self.heard.items() if now - heard.at <= PEER_TIMEOUT and heard.whole]
 
-    def scribe(self, now: float, whole: bool) -> str | None:
+    def coordinator(self, now: float, whole: bool) -> str | None:
         """Whose turn it is to propose moves and to send grants: the first by name of those that are whole.
 
         Only to keep out of each other's way: every move is agreed by ballots, whoever proposes it.
         """
         return min([*self.present(now), *([self.me] if whole else [])], default=None)
 
-    def all_desks(self, now: float, mine: list[str]) -> set[str]:
+    def all_proxies(self, now: float, mine: list[str]) -> set[str]:
         others = [
             name
-            for peer, names in self.desks.items()
+            for peer, names in self.proxies.items()
             for name in names
-            if peer in self.heard and now - self.heard[peer].at <= SILENT
+            if peer in self.heard and now - self.heard[peer].at <= PEER_TIMEOUT
         ]
         return {*mine, *others}
--- a/bramblewood/controller/storage.py
+++ b/bramblewood/controller/storage.py
@@ -63,9 +63,9 @@
     return tuple(map(tuples, value)) if isinstance(value, list) else value
 
 
-def with_epoch(ballot: tuple) -> tuple:
+def with_epoch(proposal_number: tuple) -> tuple:
     """A ballot of form 1 as one of the first epoch; one that nobody cast (counter 0) is of none."""
-    return (1 if ballot[0] else 0, *ballot)
+    return (1 if proposal_number[0] else 0, *proposal_number)
 
 
 def read(base: Any) -> dict:
@@ -78,8 +78,8 @@
     facts = {name: json.loads(value) for name, value in base.execute("select name, value from facts")}
     registers = {}
     whole = "value" if form == FORM_1 else "null"
-    for name, *ballots, value in base.execute(f"select name, promised, accepted, {whole} from registers"):
-        promised, accepted = (tuples(json.loads(ballot)) for ballot in ballots)
+    for name, *consensus, value in base.execute(f"select name, promised, accepted, {whole} from registers"):
+        promised, accepted = (tuples(json.loads(proposal_number)) for proposal_number in consensus)
         if form == FORM_1:
             registers[name] = (with_epoch(promised), with_epoch(accepted), json.loads(value))
         else:
@@ -88,7 +88,7 @@
     return {"facts": facts, "registers": registers}
 
 
-class Shelf:
+class Storage:
     def __init__(self, folder: str, connect: Callable[[str], Any] | None = None) -> None:
         """connect(path) opens the base, sqlite3's own way unless a test gives another."""
         self.connect = connect or opened
--- a/bramblewood/controller/zone_affinity.py
+++ b/bramblewood/controller/zone_affinity.py
@@ -13,7 +13,7 @@
 IDLE = 0.5  # busyness below which nothing waits, whatever the others have; half of the slots
 
 
-class Nearness:
+class ZoneAffinity:
     def __init__(self) -> None:
         self.parts: dict[str, float] = {}  # by zone
 
