--- a/bramblewood/emulator/clients.py
+++ b/bramblewood/emulator/clients.py
@@ -30,10 +30,10 @@
 
 
 class Clients:
-    def __init__(self, seed: int, desks: dict[str, tuple[str, str]]) -> None:
+    def __init__(self, seed: int, proxies: dict[str, tuple[str, str]]) -> None:
         """desks: by name, front and readiness addresses, host:port."""
-        self.seed, self.desks = seed, desks
-        self.missed = dict.fromkeys(desks, 0)
+        self.seed, self.proxies = seed, proxies
+        self.missed = dict.fromkeys(proxies, 0)
         self.tries: list[Try] = []
         self.orders: list[dict[str, Any]] = []  # how each ended, for the report
         self.ids = 0
@@ -51,21 +51,23 @@
     async def platform(self) -> None:
         """Look at each desk once a second, as the platform does."""
         while True:
-            await asyncio.gather(*(self.look(name) for name in self.desks))
+            await asyncio.gather(*(self.look(name) for name in self.proxies))
             await asyncio.sleep(LOOK)
 
     async def look(self, name: str) -> None:
         try:
             async with asyncio.timeout(LOOK):
-                async with self.session.get(f"http://{self.desks[name][1]}/bramblewood/readiness") as answer:
+                async with self.session.get(
+                    f"http://{self.proxies[name][1]}/bramblewood/readiness"
+                ) as answer:
                     good = answer.status == 200
         except (OSError, TimeoutError, aiohttp.ClientError):
             good = False
         self.missed[name] = 0 if good else self.missed[name] + 1
 
-    def desk(self, lot: float) -> str:
-        able = sorted(name for name, missed in self.missed.items() if missed < MISSES) or sorted(self.desks)
-        return self.desks[able[int(lot * len(able))]][0]
+    def proxy(self, lot: float) -> str:
+        able = sorted(name for name, missed in self.missed.items() if missed < MISSES) or sorted(self.proxies)
+        return self.proxies[able[int(lot * len(able))]][0]
 
     async def arrive(self, what: dict, rate: float, until: float, key: int | None, name: str) -> None:
         """Arrivals of one kind, apart by lots of an exponential distribution, until a time."""
@@ -108,7 +110,7 @@
         headers |= {"X-Shard-Key": str(key), "X-Order": order}
         if effect:
             headers["X-Adds"] = str(effect)
-        url, status, lines, later = f"http://{self.desk(chance.next())}/{what['name']}/{key}", 0, None, 0.0
+        url, status, lines, later = f"http://{self.proxy(chance.next())}/{what['name']}/{key}", 0, None, 0.0
         try:
             async with asyncio.timeout(left):
                 # never GET or PUT for an effect: the library sends those again by itself on a closed
--- a/bramblewood/emulator/run.py
+++ b/bramblewood/emulator/run.py
@@ -51,7 +51,7 @@
         self.programs: dict[str, tuple[list[str], str]] = {}  # by name: words and settings
         self.processes: dict[str, asyncio.subprocess.Process] = {}
         self.outer: dict[str, str] = {}
-        self.lives: dict[str, str] = {}  # by worker's name, its life
+        self.instance_ids: dict[str, str] = {}  # by worker's name, its life
         self.events: list[dict[str, Any]] = []
         self.ends: dict[str, float] = {}
         self.controls: dict[str, str] = {}  # by archive that is there, its Control address
@@ -71,7 +71,7 @@
         fronts: dict[str, tuple[str, str]] = {}
         self.seeds = [f"{self.relayed}.{n + 1}:{CONTROL}" for n in range(FOUNDERS)]
         for n in range(self.scenario.get("archives", FOUNDERS)):
-            await self.archive(n < FOUNDERS)
+            await self.controller(n < FOUNDERS)
         for n in range(self.scenario.get("desks", 2)):
             name, ip, inner = f"desk-{n + 1}", f"{self.fronts}.{n + 1}", f"{self.behind}.{101 + n}"
             self.outer[name], self.wire.outer[inner] = ip, ip
@@ -85,7 +85,7 @@
         for name in self.programs:
             await self.begin(name)
 
-    async def archive(self, first: bool) -> str:
+    async def controller(self, first: bool) -> str:
         """Settings and an address for one more archive; its name. first: `FirstBoot`."""
         n, self.placed = self.placed, self.placed + 1
         name, outer, inner = f"archive-{n + 1}", f"{self.relayed}.{n + 1}", f"{self.behind}.{n + 1}"
@@ -121,7 +121,7 @@
         self.programs[name] = (words, path)
 
     def worker(self, service: dict, n: int) -> None:
-        name, place = f"{service['name']}-{n + 1}", len(self.lives) + 1
+        name, place = f"{service['name']}-{n + 1}", len(self.instance_ids) + 1
         zone = self.zones[n % len(self.zones)]
         words = [
             "lab",
@@ -135,13 +135,13 @@
         words += ["--ledger", f"{self.folder}/{service['name']}.db", "--controls", f"{self.folder}/controls"]
         words += ["--keyed"] if service.get("keyed") else []
         self.programs[name] = (words, "")
-        self.lives[name] = ""
+        self.instance_ids[name] = ""
 
     async def begin(self, name: str) -> None:
         words, path = self.programs[name]
-        if name in self.lives:  # each start is a new life
-            self.lives[name] = f"i-{self.dice.getrandbits(32):08x}"
-            words = [*words, "--life", self.lives[name]]
+        if name in self.instance_ids:  # each start is a new life
+            self.instance_ids[name] = f"i-{self.dice.getrandbits(32):08x}"
+            words = [*words, "--life", self.instance_ids[name]]
         self.processes[name] = await start(words, path, f"{self.folder}/{name}.log")
 
     async def ready(self) -> None:
@@ -159,7 +159,7 @@
                     pass
                 await asyncio.sleep(0.2)
             while True:
-                await asyncio.gather(*(self.clients.look(name) for name in self.clients.desks))
+                await asyncio.gather(*(self.clients.look(name) for name in self.clients.proxies))
                 if not any(self.clients.missed.values()):
                     return
                 await asyncio.sleep(0.2)
@@ -223,7 +223,7 @@
             if kind == "lose disk":
                 shutil.rmtree(f"{self.programs[name][1]}.d")
             await asyncio.sleep(lasts)
-            await self.begin(await self.archive(False) if kind == "replace" else name)
+            await self.begin(await self.controller(False) if kind == "replace" else name)
         self.note(f"{kind} over", who=name)
 
     # --- the run
@@ -318,17 +318,17 @@
         body = {"Do": "start", "Name": name, "Service": plan["service"], "Wave": plan.get("wave", 1)}
         body |= {"Zone": plan.get("zone", ""), **({"Count": plan["count"]} if "count" in plan else {})}
         self.note("withdraw", plan=name)
-        names = {life: worker for worker, life in self.lives.items()}
+        names = {instance_id: worker for worker, instance_id in self.instance_ids.items()}
         stopped: set[str] = set()
         while time.monotonic() < self.began + self.scenario["seconds"] + AFTER:
             told = await self.asked("POST", "/plan", body) if body else {}
             body = body if told is None else None
             plans = await self.asked("GET", "/view/plans", None) or {}
             workers = plans.get(name, {}).get("workers", {})
-            for life in [life for life, one in workers.items() if one["step"] == "out"]:
-                if life not in stopped:
-                    stopped.add(life)
-                    asyncio.ensure_future(self.leave(names[life]))
+            for instance_id in [instance_id for instance_id, one in workers.items() if one["step"] == "out"]:
+                if instance_id not in stopped:
+                    stopped.add(instance_id)
+                    asyncio.ensure_future(self.leave(names[instance_id]))
             if plans.get(name, {}).get("state") not in (None, "running"):
                 self.note("withdrawn", plan=name, state=plans[name]["state"], why=plans[name]["why"])
                 return
@@ -353,7 +353,7 @@
         self.note("ends", who=name)
         self.processes[name].terminate()
         await self.processes[name].wait()
-        self.ends[self.lives[name]] = time.monotonic()
+        self.ends[self.instance_ids[name]] = time.monotonic()
 
     def judge(self, standing: int) -> dict[str, Any]:
         """standing: the number of the configuration that a reader gets at the end."""
--- a/bramblewood/emulator/worker_process.py
+++ b/bramblewood/emulator/worker_process.py
@@ -11,7 +11,7 @@
 from aiohttp import web
 
 from .effect_log import Ledger
-from .worker_stub import StandIn
+from .worker_stub import WorkerStub
 
 BEAT = 1.0  # s between calls
 DRAINS = 2.8  # s that it serves on once its leave was acknowledged: DrainS and a little longer, PROTOCOL
@@ -49,14 +49,14 @@
     took: float,
     ledger: str,
     controls: str,
-    life: str,
+    instance_id: str,
 ) -> int:
     """Serve and call until SIGTERM, then leave in order; SIGUSR1 begins and ends the spoiling of answers.
 
     controls: path of the file that names the archives' Control addresses.
     """
-    one = StandIn(service, address, zone, slots, keyed, lambda request: took)
-    one.life = life or one.life
+    one = WorkerStub(service, address, zone, slots, keyed, lambda request: took)
+    one.instance_id = instance_id or one.instance_id
     one.book = Ledger(ledger)
     loop = asyncio.get_running_loop()
     leaving = asyncio.Event()
--- a/bramblewood/emulator/worker_stub.py
+++ b/bramblewood/emulator/worker_stub.py
@@ -32,7 +32,7 @@
 
     first: int
     last: int
-    fence: int
+    fencing_token: int
     until: float
 
 
@@ -40,7 +40,7 @@
     """A record's value as another worker gave it, to be read until a time of our clock."""
 
     value: tuple[int, int]
-    fence: int
+    fencing_token: int
     until: float
 
 
@@ -54,7 +54,7 @@
     ) -> tuple[int, int]: ...
 
 
-class StandIn:
+class WorkerStub:
     """One life of a worker. `work(request)` gives the s that a request takes; `spoil(request, answer)`
     may spoil an answer that is about to go out.
     """
@@ -62,7 +62,7 @@
     def __init__(
         self, service: str, address: tuple[str, int], zone: str, slots: int, keyed: bool, work: Any
     ) -> None:
-        self.life = f"i-{secrets.token_hex(4)}"
+        self.instance_id = f"i-{secrets.token_hex(4)}"
         self.service, self.address, self.zone, self.slots, self.keyed = service, address, zone, slots, keyed
         self.work, self.spoil = work, None
         self.ledger: list[Line] = []
@@ -70,7 +70,7 @@
         self.holds: list[Hold] = []
         self.seen: list[Hold] = []  # every range with its fence, for the highest seen on a key
         self.under_way: list[int] = []  # keys of what runs on its own holds
-        self.copies: dict[int, Copy] = {}
+        self.read_replicas: dict[int, Copy] = {}
         self.drops = 0  # releases that came; a copy fetched across one is let fall
         self.book: Book | None = None  # what stands behind it; none where only the carrying is looked at
         self.session: aiohttp.ClientSession | None = None  # to fetch copies with
@@ -103,7 +103,7 @@
             "Condition": {"Phase": self.phase, "CallSeq": self.calls, "ColdLeftS": 0},
         }
         for control in controls:
-            url = f"http://{control}/bramblewood/instances/{self.life}"
+            url = f"http://{control}/bramblewood/instances/{self.instance_id}"
             try:
                 async with asyncio.timeout(CALL):
                     async with session.request(method, url, json=body if method == "PUT" else None) as answer:
@@ -120,7 +120,9 @@
         return any(hold.first <= key <= hold.last and hold.until > now for hold in self.holds)
 
     def fence_over(self, first: int, last: int) -> int:
-        return max((hold.fence for hold in self.seen if hold.first <= last and first <= hold.last), default=0)
+        return max(
+            (hold.fencing_token for hold in self.seen if hold.first <= last and first <= hold.last), default=0
+        )
 
     def keep_out(self, first: int, last: int) -> None:
         """Nothing in this range is held any more."""
@@ -153,13 +155,13 @@
             return web.json_response({"value": self.book.value(key)})
         if request.path == "/health":
             status = 200 if self.phase == "ready" else 503
-            return web.Response(status=status, headers={"X-Instance": self.life, **headers})
+            return web.Response(status=status, headers={"X-Instance": self.instance_id, **headers})
         body = await request.content.read()
         self.arrivals.append((name, request.method))
-        if request.headers.get("X-Target-Instance", self.life) != self.life:
-            return web.Response(status=421, headers={"X-Instance": self.life, **headers})
+        if request.headers.get("X-Target-Instance", self.instance_id) != self.instance_id:
+            return web.Response(status=421, headers={"X-Instance": self.instance_id, **headers})
         key = int(request.headers["X-Shard-Key"]) if self.keyed and "X-Shard-Key" in request.headers else None
-        copy = self.copies.get(key) if request.method == "GET" and key is not None else None
+        copy = self.read_replicas.get(key) if request.method == "GET" and key is not None else None
         copied = copy is not None and copy.until > self.loop.time()
         if self.keyed and not copied and (key is None or not self.holds_key(key)):
             return web.Response(status=421, headers={"X-Not-Run": "1", **headers})
@@ -184,11 +186,11 @@
                 self.under_way.remove(key)
             self.running -= 1
             self.free.release()
-        told = {"worker": self.life, "path": request.raw_path, "bytes": len(body)}
+        told = {"worker": self.instance_id, "path": request.raw_path, "bytes": len(body)}
         text = json.dumps(told if value is None else {**told, "lines": value[0], "value": value[1]})
         if self.phase != "ready":
             headers["Connection"] = "close"
-        answer = web.Response(text=text, headers={**headers, "X-Response-Seal": f"seal.{self.life}"})
+        answer = web.Response(text=text, headers={**headers, "X-Response-Seal": f"seal.{self.instance_id}"})
         if self.spoil is not None:
             self.spoil(request, answer)
         return answer
@@ -201,9 +203,11 @@
         if "X-Adds" not in request.headers:
             return self.book.value(key) if copied is None else copied
         order, attempt = request.headers.get("X-Order", ""), request.headers.get("X-Attempt-Id", "")
-        return self.book.enter(order, attempt, key, request.path, int(request.headers["X-Adds"]), self.life)
+        return self.book.enter(
+            order, attempt, key, request.path, int(request.headers["X-Adds"]), self.instance_id
+        )
 
-    async def copy(self, key: int, fence: int, hold: float, holder: str) -> int:
+    async def copy(self, key: int, fencing_token: int, hold: float, holder: str) -> int:
         """Fetch a record from its holder and read it for so long; the status of the grant."""
         began, drops = self.loop.time(), self.drops
         try:
@@ -216,30 +220,32 @@
             return 503
         if drops != self.drops:
             return 503  # something was released meanwhile: it may be older than that
-        self.copies[key] = Copy(value, fence, began + hold)
+        self.read_replicas[key] = Copy(value, fencing_token, began + hold)
         return 200
 
     async def keys(self, request: web.BaseRequest) -> web.Response:
         try:
             told = json.loads(await request.content.read())
-            first, last, fence = int(told["Source"]), int(told["TargetVersion"]), int(told["fence"])
+            first, last, fencing_token = int(told["Source"]), int(told["TargetVersion"]), int(told["fence"])
         except (ValueError, KeyError, TypeError):
             return web.Response(status=400)
         now = self.loop.time()
         if request.path == "/bramblewood/grant":
-            if self.fence_over(first, last) > fence:
+            if self.fence_over(first, last) > fencing_token:
                 return web.Response(status=409)
             if "Copy" in told:
-                return web.Response(status=await self.copy(first, fence, float(told["HoldS"]), told["Copy"]))
+                return web.Response(
+                    status=await self.copy(first, fencing_token, float(told["HoldS"]), told["Copy"])
+                )
             self.keep_out(first, last)
-            self.holds.append(Hold(first, last, fence, now + float(told["HoldS"])))
-            self.seen.append(Hold(first, last, fence, 0.0))
+            self.holds.append(Hold(first, last, fencing_token, now + float(told["HoldS"])))
+            self.seen.append(Hold(first, last, fencing_token, 0.0))
             return web.Response(status=200)
         self.keep_out(first, last)
-        self.seen.append(Hold(first, last, fence, 0.0))
+        self.seen.append(Hold(first, last, fencing_token, 0.0))
         self.drops += 1
-        for key in [key for key in self.copies if first <= key <= last]:
-            del self.copies[key]
+        for key in [key for key in self.read_replicas if first <= key <= last]:
+            del self.read_replicas[key]
         while any(first <= key <= last for key in self.under_way):  # its answer comes once what ran has ended
             await asyncio.sleep(LOOK)
         return web.Response(status=200, headers={"X-Handover": secrets.token_hex(8)})
--- a/bramblewood/proxy/connection_pool.py
+++ b/bramblewood/proxy/connection_pool.py
@@ -10,7 +10,7 @@
 import itertools
 import socket
 
-from ..common.peer_connections import careful
+from ..common.peer_connections import set_connection_timeouts
 from .response_parser import Answer
 from .worker_connection import Connection, Ended, How
 
@@ -83,7 +83,7 @@
             async with asyncio.timeout_at(until):
                 how, answer = await waiting
         except TimeoutError:
-            how, answer = self.connection.silence() or Ended(How.SILENT)
+            how, answer = self.connection.silence() or Ended(How.PEER_TIMEOUT)
         finally:
             self.waiting = None
             if self.connection.waiting:  # the exchange itself was given up
@@ -103,7 +103,7 @@
     return int(number) * KEPT_PART if number.isdigit() else KEPT_UNSAID
 
 
-class Stacks:
+class ConnectionPool:
     """The kept connections of all workers, by life."""
 
     def __init__(self) -> None:
@@ -122,27 +122,27 @@
         self.forgot, self.forgot_at = min(rest, self.trusted(now)), now
 
     async def lend(
-        self, life: str, address: str, now: float, once: bool, carried: set[int] = frozenset()
+        self, instance_id: str, address: str, now: float, once: bool, carried: set[int] = frozenset()
     ) -> tuple[Line | None, How]:
         """A connection that may carry a request; none, and why, where none came up. `once`: what it carries
         may not be sent again; `carried`: connections that it went out on before.
         """
-        line = self.take(life, now, once, carried)
+        line = self.take(instance_id, now, once, carried)
         return (line, How.WHOLE) if line is not None else await self.dial(address)
 
-    def take(self, life: str, now: float, once: bool, carried: set[int] = frozenset()) -> Line | None:
+    def take(self, instance_id: str, now: float, once: bool, carried: set[int] = frozenset()) -> Line | None:
         """A kept connection that may carry a request.
 
         None that carried it before: a surplus answer of the first time has the same id.
         """
         trusted = self.trusted(now) if once else float("inf")
         kept = []
-        for line in self.kept.get(life, ()):
+        for line in self.kept.get(instance_id, ()):
             if line.usable and line.idle_until > now:
                 kept.append(line)
             else:
                 line.close()
-        self.kept[life] = kept
+        self.kept[instance_id] = kept
         for place in range(len(kept) - 1, -1, -1):  # the one that rested least first
             if now - kept[place].rests_from <= trusted and kept[place].number not in carried:
                 self.reused += 1
@@ -156,7 +156,7 @@
         began = loop.time()
         try:
             sock.setblocking(False)
-            careful(sock, UNHEARD_MS)
+            set_connection_timeouts(sock, UNHEARD_MS)
             async with asyncio.timeout(DIAL):
                 await loop.sock_connect(sock, (host, int(port)))
             way = loop.time() - began
@@ -170,29 +170,29 @@
             return None, How.TURNED
         return line, How.WHOLE
 
-    def give_back(self, life: str, line: Line, most: int) -> None:
+    def give_back(self, instance_id: str, line: Line, most: int) -> None:
         """Keep a connection for later, if it is one of so many that may be kept to this worker."""
-        kept = self.kept.setdefault(life, [])
+        kept = self.kept.setdefault(instance_id, [])
         if line.usable and len(kept) < most:
             kept.append(line)
         else:
             line.close()
 
-    def drop(self, life: str) -> None:
-        for line in self.kept.pop(life, ()):
+    def drop(self, instance_id: str) -> None:
+        for line in self.kept.pop(instance_id, ()):
             line.close()
 
-    def tidy(self, now: float, lives: dict[str, int]) -> None:
+    def tidy(self, now: float, instance_ids: dict[str, int]) -> None:
         """Close what has been idle for too long, what is beyond the room that is left (by life), and all of
         workers that are gone.
         """
-        for life in list(self.kept):
-            if life not in lives:
-                self.drop(life)
+        for instance_id in list(self.kept):
+            if instance_id not in instance_ids:
+                self.drop(instance_id)
                 continue
-            keep = [line for line in self.kept[life] if line.usable and line.idle_until > now]
-            keep = keep[max(len(keep) - lives[life], 0) :]  # those that rested least
-            for line in self.kept[life]:
+            keep = [line for line in self.kept[instance_id] if line.usable and line.idle_until > now]
+            keep = keep[max(len(keep) - instance_ids[instance_id], 0) :]  # those that rested least
+            for line in self.kept[instance_id]:
                 if line not in keep:
                     line.close()
-            self.kept[life] = keep
+            self.kept[instance_id] = keep
--- a/bramblewood/proxy/connection_quota.py
+++ b/bramblewood/proxy/connection_quota.py
@@ -12,10 +12,10 @@
 TURN = 30.0  # s that a lot stands: some idle times of a worker, PROTOCOL's ten seconds and more
 
 
-def keeps(connections: int, desks: int, desk: str, life: str, now: float) -> int:
+def keeps(connections: int, proxies: int, proxy: str, instance_id: str, now: float) -> int:
     """Idle connections that this desk may keep to this worker; `connections` 0 is one without a bound."""
     if connections <= 0:
         return 2**20
-    part = KEPT_PART * connections / max(desks, 1)
-    lot = zlib.crc32(f"{desk} {life} {int(now / TURN)}".encode()) / 2**32
+    part = KEPT_PART * connections / max(proxies, 1)
+    lot = zlib.crc32(f"{proxy} {instance_id} {int(now / TURN)}".encode()) / 2**32
     return int(part) + (lot < part % 1.0)
--- a/bramblewood/proxy/controller_selection.py
+++ b/bramblewood/proxy/controller_selection.py
@@ -9,7 +9,7 @@
 
 import zlib
 
-from ..common.timeouts import SURE
+from ..common.timeouts import CONFIRMATION_VALIDITY
 
 WANT_AFTER = 0.2  # s in which the home may bring what another archive tells of
 WANT_AGAIN = 0.4  # s after which what was asked for and did not come is asked elsewhere
@@ -17,13 +17,13 @@
 Sends = list[tuple[str, dict]]  # archive, message
 
 
-class Contact:
+class ControllerSelection:
     def __init__(self, name: str, zone: str) -> None:
         self.name, self.zone = name, zone
         self.up: set[str] = set()
         self.claims: dict[str, dict] = {}  # by archive: its newest pulse on this link
         self.zones: dict[str, str] = {}  # by archive
-        self.scribe: str | None = None
+        self.coordinator: str | None = None
         self.home: str | None = None
         self.rolled: str | None = None  # the archive whose whole roll came, on the link that stands
         self.wanted: dict[str, tuple[int, float]] = {}  # by register: newest told of, when to ask
@@ -39,7 +39,7 @@
         self.claims.pop(peer, None)
         self.zones.pop(peer, None)
         self.home = None if self.home == peer else self.home
-        self.scribe = None if self.scribe == peer else self.scribe
+        self.coordinator = None if self.coordinator == peer else self.coordinator
         self.rolled = None if self.rolled == peer else self.rolled
         return self.choose(have)
 
@@ -68,9 +68,9 @@
         self.claims[peer] = message
         self.zones[peer] = message.get("zone", self.zones.get(peer, ""))
         if message["scribe"]:
-            self.scribe = peer
-        elif self.scribe == peer:
-            self.scribe = None
+            self.coordinator = peer
+        elif self.coordinator == peer:
+            self.coordinator = None
         sends = self.choose(have)
         for register, number in message["n"].items():
             if number <= have[register]:
@@ -84,7 +84,7 @@
                 sends.append((peer, {"k": "want", "r": register, "have": have[register]}))
         return sends + self.ask(now, have)
 
-    def roll(self, now: float, peer: str, have: dict[str, int]) -> Sends:
+    def registry(self, now: float, peer: str, have: dict[str, int]) -> Sends:
         """A whole roll came from this archive."""
         self.rolled = peer if peer == self.home else self.rolled
         return self.ask(now, have)
@@ -101,5 +101,5 @@
         if newest["table"] <= have["table"]:
             self.sure_at = max(self.sure_at, asked)
         here = all(have.values()) and all(have[register] >= number for register, number in newest.items())
-        if here and peer == self.rolled and now < asked + SURE:
+        if here and peer == self.rolled and now < asked + CONFIRMATION_VALIDITY:
             self.ready = True
--- a/bramblewood/proxy/hot_key_queue.py
+++ b/bramblewood/proxy/hot_key_queue.py
@@ -18,7 +18,7 @@
 FREE = 2.0  # times the flow at which a pace bounds nothing any more: the gate opens
 
 
-class Gate:
+class HotKeyQueue:
     def __init__(self) -> None:
         self.pace = math.inf  # requests a second
         self.next_at = self.cut_at = self.gained_at = -1e9
--- a/bramblewood/proxy/load_balancing.py
+++ b/bramblewood/proxy/load_balancing.py
@@ -12,20 +12,20 @@
 from cachetools import LRUCache
 
 from ..common.slice_table import (
-    FENCE,
-    FINE,
-    KEYS,
-    OLD,
-    PART,
+    FENCING_TOKEN,
+    KEY_SPACE_SIZE,
+    KEYS_PER_RANGE,
+    PREVIOUS_OWNER,
     SECOND,
+    SECOND_SHARE,
     TOLD,
     WORKER,
     readers_of,
     reading,
     starts_of,
 )
-from ..common.worker_registry import DRAINING, GONE, READY, Roll
-from .hot_key_queue import PRESSED, TURNED, Gate
+from ..common.worker_registry import DRAINING, GONE, READY, WorkerRegistry
+from .hot_key_queue import PRESSED, TURNED, HotKeyQueue
 
 REST = (
     0.5,
@@ -40,7 +40,7 @@
 DRAIN_PART = 0.6  # of DrainS in which a keyed worker that leaves may still get what nobody else holds
 
 
-class Seen:
+class WorkerObservation:
     """What this desk saw of one worker."""
 
     __slots__ = (
@@ -65,24 +65,24 @@
         self.since = 0.0  # when the first of those under way went
         self.load, self.load_at = (0, 0, 0), -1e9  # running, waiting, slots, as the worker said
         self.rests_until, self.rest, self.full_until = 0.0, REST[0], 0.0
-        self.gate = Gate()
+        self.hot_key_queue = HotKeyQueue()
         self.tries = self.unanswered = self.bad = 0  # since the last report; bad: went wrong by its own fault
         self.time, self.said = 0.0, False
 
 
-class Steering:
+class LoadBalancer:
     def __init__(self, drain: float, zone: str = "") -> None:
         self.zone = zone
         self.leaving: dict[str, str] = {}  # workers in an operator's plan, and their steps
         self.pins: LRUCache = LRUCache(PINS)  # by service and key: the worker that began, until when
         self.near: dict[str, float] = {}  # by service, part of the requests that stay in this zone
         self.home: dict[str, tuple[float, list[int]]] = {}  # when looked up, slices whose workers stand here
-        self.roll = Roll()
+        self.registry = WorkerRegistry()
         self.table: dict[str, dict[str, list]] = {}
         self.starts: dict[str, list[int]] = {}
         self.table_n = 0
         self.silent: set[str] = set()
-        self.seen: dict[str, Seen] = {}
+        self.seen: dict[str, WorkerObservation] = {}
         self.heat: dict[str, dict[int, int]] = {}
         self.by_key: dict[str, dict[int, int]] = {}  # heat of watched ranges, key by key
         self.watched: dict[str, set[int]] = {}  # by service, ranges of FINE keys
@@ -90,8 +90,8 @@
         self.crowded: dict[str, set[int]] = {}
         self.drain = drain
 
-    def of(self, life: str) -> Seen:
-        return self.seen.get(life) or self.seen.setdefault(life, Seen())
+    def of(self, instance_id: str) -> WorkerObservation:
+        return self.seen.get(instance_id) or self.seen.setdefault(instance_id, WorkerObservation())
 
     def take_table(self, message: dict) -> bool:
         """A table or a difference to ours; false where its base is another than ours."""
@@ -120,10 +120,10 @@
         starts = self.starts.get(service)
         return self.table[service][str(starts[bisect_right(starts, key) - 1])] if starts else None
 
-    def fence(self, service: str, key: int | None) -> int | None:
+    def fencing_token(self, service: str, key: int | None) -> int | None:
         """The fence under which this desk takes a key to be held, as logs name it at every program."""
         entry = self.entry(service, key) if key is not None else None
-        return entry[FENCE] if entry else None
+        return entry[FENCING_TOKEN] if entry else None
 
     def readers(self, service: str, key: int) -> set[str]:
         """Who may hold read copies of a record, by this desk's table."""
@@ -133,13 +133,13 @@
     def moving(self, service: str, key: int) -> bool:
         """Whether a key is being released by a worker that can be expected to answer."""
         entry = self.entry(service, key)
-        row = self.roll.rows.get(entry[OLD]) if entry and entry[OLD] else None
-        return row is not None and row.phase != GONE and entry[OLD] not in self.silent
+        row = self.registry.rows.get(entry[PREVIOUS_OWNER]) if entry and entry[PREVIOUS_OWNER] else None
+        return row is not None and row.phase != GONE and entry[PREVIOUS_OWNER] not in self.silent
 
     @staticmethod
     def hashed(request: str) -> int:
         """The key of a request whose service has none."""
-        return zlib.crc32(request.encode()) % KEYS
+        return zlib.crc32(request.encode()) % KEY_SPACE_SIZE
 
     def drawn(self, now: float, service: str, request: str) -> int:
         """The key of such a request here: of this zone's slices, for the part of them that is to stay."""
@@ -155,30 +155,38 @@
 
     def here(self, now: float, service: str) -> list[int]:
         """The slices of a service whose workers stand in this zone and are open."""
-        lives = {life for life in self.roll.serving(service) if self.roll.rows[life].zone == self.zone}
-        lives = {life for life in lives if self.open(now, life)}
-        return [int(start) for start, entry in self.table.get(service, {}).items() if entry[WORKER] in lives]
+        instance_ids = {
+            instance_id
+            for instance_id in self.registry.serving(service)
+            if self.registry.rows[instance_id].zone == self.zone
+        }
+        instance_ids = {instance_id for instance_id in instance_ids if self.open(now, instance_id)}
+        return [
+            int(start)
+            for start, entry in self.table.get(service, {}).items()
+            if entry[WORKER] in instance_ids
+        ]
 
-    def open(self, now: float, life: str) -> bool:
+    def open(self, now: float, instance_id: str) -> bool:
         """May get new requests: ready as far as known, and not resting here."""
-        row = self.roll.rows.get(life)
+        row = self.registry.rows.get(instance_id)
         return (
             row is not None
             and row.phase == READY
-            and life not in self.silent
-            and self.leaving.get(life, TOLD) == TOLD
-            and self.of(life).rests_until <= now
+            and instance_id not in self.silent
+            and self.leaving.get(instance_id, TOLD) == TOLD
+            and self.of(instance_id).rests_until <= now
         )
 
-    def pressure(self, now: float, life: str) -> float:
+    def pressure(self, now: float, instance_id: str) -> float:
         """Requests per slot that it has, as far as this desk can tell."""
-        seen, row = self.of(life), self.roll.rows[life]
+        seen, row = self.of(instance_id), self.registry.rows[instance_id]
         running, waiting, _ = seen.load if now - seen.load_at <= LOAD_AGE else (0, 0, 0)
         return (max(running + waiting, seen.flight)) / row.slots
 
-    def full(self, now: float, life: str) -> bool:
+    def full(self, now: float, instance_id: str) -> bool:
         """Whether a worker would likely turn a request away: by its word of a moment ago, or since it did."""
-        seen, row = self.of(life), self.roll.rows[life]
+        seen, row = self.of(instance_id), self.registry.rows[instance_id]
         if now < seen.full_until:
             return True
         running, waiting, _ = seen.load if now - seen.load_at <= FRESH else (0, 0, 0)
@@ -202,21 +210,24 @@
                 place = self.hashed(request) % (len(readers) + 1)  # the holder has its part too
                 if place < len(readers):
                     return readers[place]
-            life = entry[WORKER]
-            if not life or entry[OLD]:
+            instance_id = entry[WORKER]
+            if not instance_id or entry[PREVIOUS_OWNER]:
                 return None
-            row = self.roll.rows.get(life)
-            if row is None or row.phase == GONE or self.of(life).rests_until > now:
+            row = self.registry.rows.get(instance_id)
+            if row is None or row.phase == GONE or self.of(instance_id).rests_until > now:
                 return None
-            if row.phase == DRAINING and now - self.roll.since.get(life, 0.0) > self.drain * DRAIN_PART:
+            if (
+                row.phase == DRAINING
+                and now - self.registry.since.get(instance_id, 0.0) > self.drain * DRAIN_PART
+            ):
                 return None
-            return life
+            return instance_id
         able = [
-            life
-            for life in (entry[WORKER], entry[SECOND])
-            if life and life not in tried and self.open(now, life)
+            instance_id
+            for instance_id in (entry[WORKER], entry[SECOND])
+            if instance_id and instance_id not in tried and self.open(now, instance_id)
         ]
-        if not lookup and any(life in self.leaving for life in able):
+        if not lookup and any(instance_id in self.leaving for instance_id in able):
             staying = self.any(now, service, {*tried, *self.leaving})
             able = [staying] if staying else able  # what is to last goes to one that stays up
         if not able:
@@ -228,41 +239,55 @@
                     return other
             return first
         first, second = able
-        if entry[PART] > 0.1 or self.pressure(now, first) >= 1.0:
-            return min(able, key=lambda life: self.pressure(now, life))
+        if entry[SECOND_SHARE] > 0.1 or self.pressure(now, first) >= 1.0:
+            return min(able, key=lambda instance_id: self.pressure(now, instance_id))
         return first
 
-    def pin(self, now: float, service: str, key: str, life: str, lasts: float) -> None:
+    def pin(self, now: float, service: str, key: str, instance_id: str, lasts: float) -> None:
         """What this key's client does next on such a route goes to the same worker, for so long (s)."""
-        if self.leaving.get(life, TOLD) == TOLD:  # else it keeps the bound that it has
-            self.pins[service, key] = (life, now + lasts)
+        if self.leaving.get(instance_id, TOLD) == TOLD:  # else it keeps the bound that it has
+            self.pins[service, key] = (instance_id, now + lasts)
 
     def pinned(self, now: float, service: str, key: str) -> str | None:
-        life, until = self.pins.get((service, key), ("", 0.0))
-        row = self.roll.rows.get(life)
-        if row is None or now >= until or row.phase == GONE or life in self.silent:
+        instance_id, until = self.pins.get((service, key), ("", 0.0))
+        row = self.registry.rows.get(instance_id)
+        if row is None or now >= until or row.phase == GONE or instance_id in self.silent:
             return None
-        drains = row.phase == DRAINING and now - self.roll.since.get(life, 0.0) > self.drain * DRAIN_PART
-        return None if drains or self.of(life).rests_until > now else life
+        drains = (
+            row.phase == DRAINING
+            and now - self.registry.since.get(instance_id, 0.0) > self.drain * DRAIN_PART
+        )
+        return None if drains or self.of(instance_id).rests_until > now else instance_id
 
     def left(self, now: float) -> dict[str, list]:
         """What is under way here at workers that are to go: lookups, effects, since when the oldest (s)."""
         found = {}
-        for life in self.leaving:
-            seen = self.seen.get(life)
-            pins = sum(1 for one, until in self.pins.values() if one == life and now < until)
+        for instance_id in self.leaving:
+            seen = self.seen.get(instance_id)
+            pins = sum(1 for one, until in self.pins.values() if one == instance_id and now < until)
             if seen is not None and seen.flight or pins:
                 effects = (seen.effects if seen else 0) + pins
                 lookups = seen.flight - seen.effects if seen else 0
-                found[life] = [lookups, effects, round(now - seen.since, 2) if seen and seen.flight else 0.0]
+                found[instance_id] = [
+                    lookups,
+                    effects,
+                    round(now - seen.since, 2) if seen and seen.flight else 0.0,
+                ]
         return found
 
     def any(self, now: float, service: str, tried: set[str]) -> str | None:
         """The least pressed worker of a service that is open and was not tried."""
-        able = [life for life in self.roll.serving(service) if life not in tried and self.open(now, life)]
+        able = [
+            instance_id
+            for instance_id in self.registry.serving(service)
+            if instance_id not in tried and self.open(now, instance_id)
+        ]
         return min(
             able,
-            key=lambda life: (self.pressure(now, life), zlib.crc32(f"{life}{now}".encode())),
+            key=lambda instance_id: (
+                self.pressure(now, instance_id),
+                zlib.crc32(f"{instance_id}{now}".encode()),
+            ),
             default=None,
         )
 
@@ -277,42 +302,42 @@
         return key in self.crowded.get(service, ())
 
     def counted(self, service: str, key: int) -> None:
-        if key // FINE in self.watched.get(service, ()):
+        if key // KEYS_PER_RANGE in self.watched.get(service, ()):
             keys = self.by_key.setdefault(service, {})
             keys[key] = keys.get(key, 0) + 1
             return
         heat = self.heat.setdefault(service, {})
-        heat[key // FINE] = heat.get(key // FINE, 0) + 1
+        heat[key // KEYS_PER_RANGE] = heat.get(key // KEYS_PER_RANGE, 0) + 1
 
-    def loaded(self, now: float, life: str, text: str) -> None:
+    def loaded(self, now: float, instance_id: str, text: str) -> None:
         """`X-Server-Load`: running, waiting, slots; anything else is let fall."""
         parts = text.split(",")
         if len(parts) == 3 and all(part.strip().isdigit() for part in parts):
-            seen = self.of(life)
+            seen = self.of(instance_id)
             seen.load, seen.load_at, seen.said = tuple(map(int, parts)), now, True
             if seen.load[1] > seen.load[2]:
-                seen.gate.slower(now, PRESSED)
+                seen.hot_key_queue.slower(now, PRESSED)
             else:
-                seen.gate.faster(now)
+                seen.hot_key_queue.faster(now)
 
-    def answered(self, now: float, life: str, took: float) -> None:
-        seen = self.of(life)
+    def answered(self, now: float, instance_id: str, took: float) -> None:
+        seen = self.of(instance_id)
         seen.tries += 1
         seen.time += took
         seen.rest, seen.rests_until = REST[0], 0.0
 
-    def wrong(self, life: str) -> None:
+    def wrong(self, instance_id: str) -> None:
         """A worker answered with a failure of its own: it ran, and could not do it."""
-        self.of(life).bad += 1
+        self.of(instance_id).bad += 1
 
-    def turned_away(self, now: float, life: str) -> None:
-        seen = self.of(life)
+    def turned_away(self, now: float, instance_id: str) -> None:
+        seen = self.of(instance_id)
         seen.full_until = now + FULL_FOR
-        seen.gate.slower(now, TURNED)
+        seen.hot_key_queue.slower(now, TURNED)
 
-    def failed(self, now: float, life: str, rest: bool) -> None:
+    def failed(self, now: float, instance_id: str, rest: bool) -> None:
         """A try without an answer; with `rest` it gets nothing from here for a while."""
-        seen = self.of(life)
+        seen = self.of(instance_id)
         seen.tries += 1
         seen.unanswered += 1
         if rest:
@@ -322,17 +347,17 @@
     def report(self, over: float, now: float) -> dict[str, Any]:
         """What the scribe is told of the last second; counts begin anew."""
         met = {}
-        for life, seen in self.seen.items():
+        for instance_id, seen in self.seen.items():
             if seen.tries or seen.said:
                 good = seen.tries - seen.unanswered
-                met[life] = (
+                met[instance_id] = (
                     seen.tries,
                     seen.unanswered,
                     round(seen.time / good, 4) if good else 0.0,
                     seen.load if seen.said else None,
                 )
-            if life in met and seen.bad:
-                met[life] = (*met[life], seen.bad)
+            if instance_id in met and seen.bad:
+                met[instance_id] = (*met[instance_id], seen.bad)
             seen.tries = seen.unanswered = seen.bad = 0
             seen.time, seen.said = 0.0, False
         heat, keys, self.heat, self.by_key = self.heat, self.by_key, {}, {}
@@ -342,4 +367,8 @@
         return {**told, "keys": keys} if keys else told
 
     def forget(self) -> None:
-        self.seen = {life: seen for life, seen in self.seen.items() if life in self.roll.rows or seen.flight}
+        self.seen = {
+            instance_id: seen
+            for instance_id, seen in self.seen.items()
+            if instance_id in self.registry.rows or seen.flight
+        }
--- a/bramblewood/proxy/replica_invalidation.py
+++ b/bramblewood/proxy/replica_invalidation.py
@@ -9,7 +9,7 @@
 
 from typing import NamedTuple
 
-from ..common.timeouts import RUN_OUT, SURE
+from ..common.timeouts import CONFIRMATION_VALIDITY, READ_LEASE_EXPIRY
 
 
 class Confirm(NamedTuple):
@@ -19,13 +19,13 @@
 class Drop(NamedTuple):
     """Release the record at these readers."""
 
-    lives: tuple[str, ...]
+    instance_ids: tuple[str, ...]
 
 
 class TakeOff(NamedTuple):
     """Have these readers taken off the record."""
 
-    lives: tuple[str, ...]
+    instance_ids: tuple[str, ...]
 
 
 class Until(NamedTuple):
@@ -37,7 +37,7 @@
 CLEAR = "clear"
 
 
-class Recall:
+class ReplicaInvalidation:
     def __init__(self) -> None:
         self.dropped: set[str] = set()  # readers that have dropped their copies since the effect ran
         self.deaf: set[str] = set()  # those that did not answer
@@ -47,7 +47,7 @@
 
     def next(self, now: float, sure_at: float, readers: set[str]) -> Confirm | Drop | TakeOff | Until | str:
         """sure_at: when the confirmation was asked for that this desk's table, and so `readers`, rests on."""
-        if now >= sure_at + SURE:
+        if now >= sure_at + CONFIRMATION_VALIDITY:
             return Confirm()
         if left := readers - self.dropped - self.deaf:
             return Drop(tuple(sorted(left)))
@@ -56,9 +56,9 @@
         last = max(self.gone.values(), default=now)
         return Until(last) if last > now else CLEAR
 
-    def answered(self, life: str, dropped: bool) -> None:
-        (self.dropped if dropped else self.deaf).add(life)
+    def answered(self, instance_id: str, dropped: bool) -> None:
+        (self.dropped if dropped else self.deaf).add(instance_id)
 
-    def off(self, now: float, lives: tuple[str, ...]) -> None:
+    def off(self, now: float, instance_ids: tuple[str, ...]) -> None:
         """These are taken off the record: agreed, and told to us now."""
-        self.gone.update(dict.fromkeys(lives, now + RUN_OUT))
+        self.gone.update(dict.fromkeys(instance_ids, now + READ_LEASE_EXPIRY))
--- a/bramblewood/proxy/request_attempts.py
+++ b/bramblewood/proxy/request_attempts.py
@@ -9,8 +9,8 @@
 from typing import NamedTuple
 
 from ..common.configuration import Route
-from .hot_key_queue import Gate
-from .load_balancing import Steering
+from .hot_key_queue import HotKeyQueue
+from .load_balancing import LoadBalancer
 from .response_parser import Answer
 from .worker_connection import How
 
@@ -34,7 +34,7 @@
 
 
 class Send(NamedTuple):
-    life: str
+    instance_id: str
 
 
 class Wait(NamedTuple):
@@ -50,11 +50,11 @@
     answer: Answer | None = None
 
 
-class Budget:
+class RetryBudget:
     """Further tries to a service, as far as this desk's share of the common budget goes."""
 
     def __init__(self, ratio: float, window: float, slack: float) -> None:
-        self.ratio, self.window, self.slack, self.desks = ratio, window, slack, 1
+        self.ratio, self.window, self.slack, self.proxies = ratio, window, slack, 1
         self.counts: dict[str, dict[int, list[int]]] = {}
 
     def bucket(self, service: str, now: float) -> list[int]:
@@ -74,13 +74,13 @@
         bucket = self.bucket(service, now)
         requests = sum(b[0] for b in self.counts[service].values())
         further = sum(b[1] for b in self.counts[service].values())
-        if further + 1 > USE_PART * (self.ratio * requests + self.slack / max(self.desks, 1)):
+        if further + 1 > USE_PART * (self.ratio * requests + self.slack / max(self.proxies, 1)):
             return False
         bucket[1] += 1
         return True
 
 
-class Errand:
+class RequestAttempts:
     def __init__(
         self, now: float, route: Route, service: str, key: int | None, request: str, deadline: float
     ) -> None:
@@ -95,59 +95,69 @@
         self.last: Answer | None = None  # the newest answer of a worker that may be handed on
         self.ran_maybe = False
         self.shy, self.shy_until = "", 0.0  # a worker that did not take it, until when not to ask it again
-        self.gate: Gate | None = None  # of a crowded record's worker, where it waits its turn or went through
+        self.hot_key_queue: HotKeyQueue | None = (
+            None  # of a crowded record's worker, where it waits its turn or went through
+        )
 
-    def next(self, now: float, steering: Steering, budget: Budget) -> Send | Wait | Reply:
+    def next(self, now: float, load_balancer: LoadBalancer, retry_budget: RetryBudget) -> Send | Wait | Reply:
         """What to do now."""
         if now >= self.until:
             return self.give_up(now, "no answer in time")
         if self.sent >= self.route.attempts:
             return self.give_up(now, "all attempts used")
-        life = steering.pinned(now, self.service, self.pin) if self.pin and not self.sent else None
-        life = life or steering.choose(now, self.service, self.key, self.request, self.tried, self.route.pure)
-        if life is not None and life == self.shy and now < self.shy_until:
+        instance_id = (
+            load_balancer.pinned(now, self.service, self.pin) if self.pin and not self.sent else None
+        )
+        instance_id = instance_id or load_balancer.choose(
+            now, self.service, self.key, self.request, self.tried, self.route.pure
+        )
+        if instance_id is not None and instance_id == self.shy and now < self.shy_until:
             return Wait(self.shy_until)  # it said no a moment ago: let its queue go down, or a grant arrive
-        if life is not None:
-            if self.key is not None and not self.sent and steering.full(now, life):
+        if instance_id is not None:
+            if self.key is not None and not self.sent and load_balancer.full(now, instance_id):
                 if now < self.begun + FULL_PART * self.route.aim:
                     return Wait(now + LOOK)
-            if self.key is not None and (wait := self.turn(now, steering, life)) is not None:
+            if self.key is not None and (wait := self.turn(now, load_balancer, instance_id)) is not None:
                 return wait
-            if self.sent and not budget.spend(self.service, now):
+            if self.sent and not retry_budget.spend(self.service, now):
                 return self.give_up(now, "no further try left")
-            return Send(life)
-        moving = self.key is not None and steering.moving(self.service, self.key)
+            return Send(instance_id)
+        moving = self.key is not None and load_balancer.moving(self.service, self.key)
         until = self.begun + MOVING_PART * self.route.aim if moving else self.hold_until
         if now < until and not self.last:
             return Wait(until)
         return self.give_up(now, "no worker may get it now", long=True)
 
-    def turn(self, now: float, steering: Steering, life: str) -> Wait | Reply | None:
+    def turn(self, now: float, load_balancer: LoadBalancer, instance_id: str) -> Wait | Reply | None:
         """Its turn at the gate of a crowded record's worker, or None where that is now, or nothing is
         crowded.
         """
-        gate = steering.of(life).gate if steering.crowd(self.service, self.key) else None
-        if gate is not self.gate:
+        hot_key_queue = (
+            load_balancer.of(instance_id).hot_key_queue
+            if load_balancer.crowd(self.service, self.key)
+            else None
+        )
+        if hot_key_queue is not self.hot_key_queue:
             self.done()
-            self.gate = gate
-            if gate is not None:
-                gate.came(now)
-        if gate is None:
+            self.hot_key_queue = hot_key_queue
+            if hot_key_queue is not None:
+                hot_key_queue.came(now)
+        if hot_key_queue is None:
             return None
         if self.route.pure:
             until = min(self.begun + TURN_PART * self.route.aim, self.until)
-            at = gate.turn(now, self.request, (self.route.priority, self.begun), until)
+            at = hot_key_queue.turn(now, self.request, (self.route.priority, self.begun), until)
             if at is None:
                 return self.give_up(now, "a crowd at its record", long=True)
             if at > now:
                 return Wait(at)
-        gate.went(now)
+        hot_key_queue.went(now)
         return None
 
     def done(self) -> None:
         """It waits no more."""
-        if self.gate is not None:
-            self.gate.left(self.request)
+        if self.hot_key_queue is not None:
+            self.hot_key_queue.left(self.request)
 
     def give_up(self, now: float, reason: str, long: bool = False) -> Reply:
         if self.last is not None and not self.not_run(self.last):
@@ -162,25 +172,25 @@
         return "X-Not-Run" in answer.named or answer.status == 421
 
     def ended(
-        self, now: float, life: str, how: How, answer: Answer | None, reader: bool = False
+        self, now: float, instance_id: str, how: How, answer: Answer | None, reader: bool = False
     ) -> Reply | None:
         """How a try ended; the final answer, or None where `next` is to be asked again. reader: of a copy."""
         if how in (How.UNSENT, How.TURNED):
             self.unsent += 1
             if how is How.TURNED and self.key is not None:
-                self.shy, self.shy_until = life, now + TURNED_PART * self.route.aim
+                self.shy, self.shy_until = instance_id, now + TURNED_PART * self.route.aim
             else:
-                self.tried.add(life)
+                self.tried.add(instance_id)
             return self.give_up(now, "no worker could be reached") if self.unsent >= UNSENT_MOST else None
         self.sent += 1
         if self.key is None:
-            self.tried.add(life)
+            self.tried.add(instance_id)
         if how is How.WHOLE:
             if self.not_run(answer) and reader:
-                self.tried.add(life)  # it has no copy now: the holder has the record
+                self.tried.add(instance_id)  # it has no copy now: the holder has the record
                 return None
             if self.not_run(answer):
-                self.shy, self.shy_until = life, now + SHY_PART * self.route.aim
+                self.shy, self.shy_until = instance_id, now + SHY_PART * self.route.aim
                 return None
             if 200 <= answer.status < 300 and not sound(answer):
                 self.ran_maybe = True  # no success of the worker's own
@@ -193,8 +203,8 @@
                 return self.give_up(now, "the worker did not say whether it ran")
             return Reply(answer.status, answer.reason, None, answer)
         self.ran_maybe = True
-        self.shy, self.shy_until = life, now + SHY_PART * self.route.aim
-        if how is How.SILENT or not self.route.pure:
+        self.shy, self.shy_until = instance_id, now + SHY_PART * self.route.aim
+        if how is How.PEER_TIMEOUT or not self.route.pure:
             return self.give_up(now, "the worker broke off" if how is How.BROKEN else "no answer in time")
         return None
 
--- a/bramblewood/proxy/server.py
+++ b/bramblewood/proxy/server.py
@@ -11,18 +11,18 @@
 from multidict import CIMultiDict
 
 from ..common import logs, metrics
-from ..common.configuration import Edition, edition_of
-from ..common.listeners import BACKLOG, door
-from ..common.peer_connections import QUIET, Link, Links
-from ..common.settings import LONELY, Settings, seeds_again
-from ..common.slice_table import KEYS
-from ..common.worker_registry import GONE, Row
-from .connection_pool import PROOF, Stacks
+from ..common.configuration import Configuration, build_configuration
+from ..common.listeners import BACKLOG, listen_on
+from ..common.peer_connections import CONNECTION_TIMEOUT, PeerConnection, PeerConnections
+from ..common.settings import SEED_REREAD_INTERVAL, Settings, reread_seeds
+from ..common.slice_table import KEY_SPACE_SIZE
+from ..common.worker_registry import GONE, WorkerRegistration
+from .connection_pool import PROOF, ConnectionPool
 from .connection_quota import keeps
-from .controller_selection import Contact, Sends
-from .load_balancing import Steering
-from .replica_invalidation import CLEAR, Confirm, Drop, Recall, TakeOff
-from .request_attempts import Budget, Errand, Reply, Send, Wait
+from .controller_selection import ControllerSelection, Sends
+from .load_balancing import LoadBalancer
+from .replica_invalidation import CLEAR, Confirm, Drop, ReplicaInvalidation, TakeOff
+from .request_attempts import Reply, RequestAttempts, RetryBudget, Send, Wait
 from .worker_connection import How
 
 # without a configuration: bytes of headers and body, s for a first request and between requests
@@ -59,21 +59,25 @@
 BACK_MOST = 60.0  # s, a deadline where a client names none
 
 
-class Desk:
+class Proxy:
     def __init__(self, told: Settings, doors: dict[str, socket.socket] | None = None) -> None:
         """doors: sockets that listen already, by their names in `BindMap`."""
-        self.told, self.doors = told, doors or {}
+        self.settings, self.doors = told, doors or {}
         self.log = logs.begin(told.name)
         bounds = told.bounds
-        self.steering = Steering(bounds.DrainS, told.zone)
-        self.budget = Budget(bounds.RetryRatio, bounds.RetryWindowS, bounds.RetrySlack)
-        self.stacks = Stacks()
-        self.edition: Edition | None = None
-        self.links = Links(self.hello, self.hear, self.link_told, QUIET, told.bind)
-        self.contact = Contact(told.name, told.zone)
+        self.load_balancer = LoadBalancer(bounds.DrainS, told.zone)
+        self.retry_budget = RetryBudget(bounds.RetryRatio, bounds.RetryWindowS, bounds.RetrySlack)
+        self.connection_pool = ConnectionPool()
+        self.configuration: Configuration | None = None
+        self.peer_connections = PeerConnections(
+            self.hello, self.hear, self.link_told, CONNECTION_TIMEOUT, told.bind
+        )
+        self.contact = ControllerSelection(told.name, told.zone)
         self.ending = False
         self.front: asyncio.Server | None = None
-        self.clients: tuple[Edition | None, web.Server] | None = None  # by whose limits, and what serves them
+        self.clients: tuple[Configuration | None, web.Server] | None = (
+            None  # by whose limits, and what serves them
+        )
         self.young: set[int] = set()  # connections that have brought no request yet
         self.flight, self.held = 0, 0
         self.tries: dict[How, int] = dict.fromkeys(How, 0)
@@ -86,17 +90,17 @@
         loop = self.loop = asyncio.get_running_loop()
         self.leaving, self.changed = asyncio.Event(), asyncio.Event()
         loop.add_signal_handler(signal.SIGTERM, self.leaving.set)
-        loop.add_signal_handler(signal.SIGHUP, self.seeds_again)
-        for peer in self.told.seed_ips():
-            self.links.keep(peer, self.told.inner)
+        loop.add_signal_handler(signal.SIGHUP, self.reread_seeds)
+        for peer in self.settings.seed_ips():
+            self.peer_connections.keep(peer, self.settings.inner)
         probe = web.Server(self.readiness, access_log=None, keepalive_timeout=5.0)
         for name, server in (("Front", self.newcomer), ("ReadyProbe", probe)):
-            sock = self.doors.get(name) or door(*self.told.listen[name])
+            sock = self.doors.get(name) or listen_on(*self.settings.listen[name])
             made = await loop.create_server(server, sock=sock, backlog=BACKLOG)
             self.front = made if name == "Front" else self.front
         self.reported_at = tidy_at = loop.time()
-        lonely_at = self.reported_at + LONELY
-        logs.started(self.log, self.told.unread, contract=self.told.contract)
+        lonely_at = self.reported_at + SEED_REREAD_INTERVAL
+        logs.started(self.log, self.settings.unread, contract=self.settings.contract)
         while not self.leaving.is_set():
             try:
                 async with asyncio.timeout(REPORT):
@@ -105,30 +109,34 @@
                 pass
             now = loop.time()
             self.report(now)
-            if self.links.up or now >= lonely_at:
-                if not self.links.up:
-                    self.seeds_again()
-                lonely_at = now + LONELY
+            if self.peer_connections.up or now >= lonely_at:
+                if not self.peer_connections.up:
+                    self.reread_seeds()
+                lonely_at = now + SEED_REREAD_INTERVAL
             if now >= tidy_at:
                 tidy_at = now + TIDY
-                rows = self.steering.roll.rows.items()
-                self.stacks.tidy(
+                rows = self.load_balancer.registry.rows.items()
+                self.connection_pool.tidy(
                     now,
-                    {life: self.room(row.service, life, now) for life, row in rows if row.phase != GONE},
+                    {
+                        instance_id: self.room(row.service, instance_id, now)
+                        for instance_id, row in rows
+                        if row.phase != GONE
+                    },
                 )
-                self.steering.roll.forget(now)
-                self.steering.forget()
+                self.load_balancer.registry.forget(now)
+                self.load_balancer.forget()
         return await self.end(loop.time())
 
     # --- what a client may send, how long it may take
 
     def limit(self, name: str, usual: float) -> float:
         """A figure of the configuration's `Limits`, or what holds without one."""
-        return self.edition.limits.get(name, usual) if self.edition is not None else usual
+        return self.configuration.limits.get(name, usual) if self.configuration is not None else usual
 
     def newcomer(self) -> asyncio.Protocol:
         """The protocol of a client's new connection, by the limits of now."""
-        if self.clients is None or self.clients[0] is not self.edition:
+        if self.clients is None or self.clients[0] is not self.configuration:
             size = int(self.limit("MaxHeaderBytes", HEADER_BYTES))
             # a request that begins at the end of a rest has its own time still
             rest = self.limit("IdleTimeoutS", IDLE) + self.limit("HeaderTimeoutS", HEADER_TIME)
@@ -141,7 +149,7 @@
                 keepalive_timeout=rest,
                 auto_decompress=False,
             )
-            self.clients = (self.edition, made)
+            self.clients = (self.configuration, made)
         handler = self.clients[1]()
         self.young.add(id(handler))  # the timer holds it meanwhile
         within = self.limit("HeaderTimeoutS", HEADER_TIME)
@@ -161,7 +169,7 @@
         """
         self.ending = True
         self.log.info("ending", step="end", flight=self.flight)
-        last, calm = now + self.told.bounds.GraceS - LAST, now + MISSES
+        last, calm = now + self.settings.bounds.GraceS - LAST, now + MISSES
         while self.loop.time() < last and (self.flight or self.loop.time() < calm):
             if self.loop.time() >= calm and self.front is not None:
                 # where few machines are in, the platform goes on sending: the refused go elsewhere at once
@@ -170,40 +178,46 @@
             await asyncio.sleep(0.05)
             self.report(self.loop.time())
         self.log.info("stopped", step="end", flight=self.flight)
-        await self.links.end()
+        await self.peer_connections.end()
         return 0
 
     # --- the archives
 
-    def seeds_again(self) -> None:
-        for peer in seeds_again(self.told, self.log):
-            self.links.keep(peer, self.told.inner)
+    def reread_seeds(self) -> None:
+        for peer in reread_seeds(self.settings, self.log):
+            self.peer_connections.keep(peer, self.settings.inner)
 
     def hello(self, peer: str) -> dict:
         """The first words to an archive: also who leaves, as a restart of all archives forgets it."""
-        leaving = self.steering.roll.leaving(self.loop.time() - LEFT_OF_LATE)
-        return {"k": "hello", "role": "desk", "from": self.told.name, "rows": leaving}
+        leaving = self.load_balancer.registry.leaving(self.loop.time() - LEFT_OF_LATE)
+        return {"k": "hello", "role": "desk", "from": self.settings.name, "rows": leaving}
 
     def link_told(self, peer: str, up: bool) -> None:
         self.say(self.contact.link(peer, up, self.have()))
 
     def say(self, sends: Sends) -> None:
         for peer, message in sends:
-            self.links.send(peer, message)
+            self.peer_connections.send(peer, message)
 
     def have(self) -> dict[str, int]:
-        return {"config": self.edition.number if self.edition else 0, "table": self.steering.table_n}
+        return {
+            "config": self.configuration.number if self.configuration else 0,
+            "table": self.load_balancer.table_n,
+        }
 
-    def hear(self, link: Link, message: dict) -> None:
+    def hear(self, link: PeerConnection, message: dict) -> None:
         now, kind = self.loop.time(), message["k"]
         if kind == "pulse":
             self.pulse(now, link.peer, message)
         elif kind == "roll":
-            for life, row in message["rows"].items():
-                if self.steering.roll.merge(now, life, Row(*row)) and row[4] == GONE:
-                    self.stacks.drop(life)
+            for instance_id, row in message["rows"].items():
+                if (
+                    self.load_balancer.registry.merge(now, instance_id, WorkerRegistration(*row))
+                    and row[4] == GONE
+                ):
+                    self.connection_pool.drop(instance_id)
             if "all" in message:
-                self.say(self.contact.roll(now, link.peer, self.have()))
+                self.say(self.contact.registry(now, link.peer, self.have()))
             self.stir()
         elif kind == "config":
             self.take_config(message)
@@ -211,13 +225,13 @@
             was_ready = self.contact.ready
             self.contact.confirmed(now, link.peer, message, self.have())
             if self.contact.ready and not was_ready:
-                self.log.info("ready", step="start", number=self.edition.number)
+                self.log.info("ready", step="start", number=self.configuration.number)
             self.stir()
         elif kind == "offed":
             if (waiting := self.offs.get(message["id"])) is not None and not waiting.done():
                 waiting.set_result(True)
         elif kind == "table":
-            if not self.steering.take_table(message):
+            if not self.load_balancer.take_table(message):
                 link.send({"k": "want", "r": "table", "have": 0})
             self.stir()
         if kind in ("config", "table"):
@@ -225,23 +239,23 @@
 
     def pulse(self, now: float, peer: str, message: dict) -> None:
         if message["scribe"] and "near" in message:
-            self.steering.take_crowds(message.get("crowds", {}))
+            self.load_balancer.take_crowds(message.get("crowds", {}))
             near = message["near"].items()
-            self.steering.near = {service: parts.get(self.told.zone, 0.0) for service, parts in near}
+            self.load_balancer.near = {service: parts.get(self.settings.zone, 0.0) for service, parts in near}
         if message["whole"]:
-            self.steering.silent = set(message.get("silent", ()))
-            self.budget.desks = max(message["desks"], 1)
+            self.load_balancer.silent = set(message.get("silent", ()))
+            self.retry_budget.proxies = max(message["desks"], 1)
         for other in message.get("archives", ()):
-            self.links.keep(other, self.told.inner)
+            self.peer_connections.keep(other, self.settings.inner)
         self.say(self.contact.pulse(now, peer, message, self.have()))
 
     def take_config(self, message: dict) -> None:
-        if self.edition is not None and message["n"] <= self.edition.number:
+        if self.configuration is not None and message["n"] <= self.configuration.number:
             return  # never back within one life
-        edition = edition_of(message["config"])
-        if edition.is_ok():
-            self.edition = edition.ok_value
-            self.log.info("configuration", step="take", number=self.edition.number)
+        configuration = build_configuration(message["config"])
+        if configuration.is_ok():
+            self.configuration = configuration.ok_value
+            self.log.info("configuration", step="take", number=self.configuration.number)
             self.stir()
 
     def stir(self) -> None:
@@ -258,8 +272,10 @@
             pass
 
     def report(self, now: float) -> None:
-        scribe = self.contact.scribe
-        if scribe is not None and self.links.send(scribe, self.steering.report(now - self.reported_at, now)):
+        coordinator = self.contact.coordinator
+        if coordinator is not None and self.peer_connections.send(
+            coordinator, self.load_balancer.report(now - self.reported_at, now)
+        ):
             self.reported_at = now
 
     # --- the platform
@@ -275,21 +291,23 @@
         return {
             "desk_ready": int(self.contact.ready and not self.ending),
             "desk_in_flight": self.flight,
-            "desk_config_version": self.edition.number if self.edition else 0,
-            "desk_table_version": self.steering.table_n,
-            "desk_archives": len(self.links.up),
-            "desk_connections_opened_total": self.stacks.opened,
-            "desk_connections_reused_total": self.stacks.reused,
-            "desk_connections_turned_total": self.stacks.turned,
+            "desk_config_version": self.configuration.number if self.configuration else 0,
+            "desk_table_version": self.load_balancer.table_n,
+            "desk_archives": len(self.peer_connections.up),
+            "desk_connections_opened_total": self.connection_pool.opened,
+            "desk_connections_reused_total": self.connection_pool.reused,
+            "desk_connections_turned_total": self.connection_pool.turned,
             "desk_body_bytes": self.held,
             **{f'desk_tries_total{{how="{how.value}"}}': count for how, count in self.tries.items()},
             **ended,
         }
 
-    def room(self, service: str, life: str, now: float) -> int:
+    def room(self, service: str, instance_id: str, now: float) -> int:
         """Idle connections that may be kept to a worker of this service."""
-        told = self.edition.services.get(service) if self.edition is not None else None
-        return keeps(told.connections if told else 0, self.budget.desks, self.told.name, life, now)
+        told = self.configuration.services.get(service) if self.configuration is not None else None
+        return keeps(
+            told.connections if told else 0, self.retry_budget.proxies, self.settings.name, instance_id, now
+        )
 
     # --- clients
 
@@ -309,12 +327,12 @@
 
     async def request(self, request: web.BaseRequest) -> web.StreamResponse:
         now = self.loop.time()
-        while self.edition is None and self.loop.time() < now + START_WAIT:
+        while self.configuration is None and self.loop.time() < now + START_WAIT:
             await self.stirred(now + START_WAIT)
-        edition = self.edition
-        if edition is None:
+        configuration = self.configuration
+        if configuration is None:
             return own(503, "no configuration yet", 0.5)
-        route = edition.route(request.headers.get("Host", ""), request.raw_path)
+        route = configuration.route(request.headers.get("Host", ""), request.raw_path)
         if route is None:
             return own(404, "no route")
         if sum(len(name) + len(value) + 4 for name, value in request.raw_headers) > self.limit(
@@ -329,25 +347,25 @@
             return own(400, "X-Attempt-Id: empty")
         if request.headers.get("Transfer-Encoding", "chunked").lower() != "chunked":
             return own(400, "Transfer-Encoding: expected chunked", close=True)
-        name = name or f"{self.told.name}-{os.urandom(8).hex()}"
+        name = name or f"{self.settings.name}-{os.urandom(8).hex()}"
         service = route.service(name)
         key = None
-        if edition.services[service].keyed:
+        if configuration.services[service].keyed:
             key = whole_number(request.headers.get("X-Shard-Key", ""))
-            if key is None or key >= KEYS:
-                return own(400, f"X-Shard-Key: expected a number from 0 to {KEYS - 1}")
+            if key is None or key >= KEY_SPACE_SIZE:
+                return own(400, f"X-Shard-Key: expected a number from 0 to {KEY_SPACE_SIZE - 1}")
         told = whole_number(request.headers.get("X-Deadline-Ms", ""))
         deadline = BACK_MOST if told is None else told / 1000
         body = await self.body(request, self.limit("MaxBodyBytes", BODY_BYTES), now + deadline)
         if isinstance(body, web.Response):
             return body
-        errand = Errand(now, route, service, key, name, deadline)
+        attempts = RequestAttempts(now, route, service, key, name, deadline)
         if route.pinned and key is None:
-            errand.pin = request.headers.get("X-Shard-Key", "")
+            attempts.pin = request.headers.get("X-Shard-Key", "")
         try:
-            return await self.carry(request, body, errand)
+            return await self.carry(request, body, attempts)
         finally:
-            errand.done()
+            attempts.done()
             self.held -= len(body)
 
     async def body(self, request: web.BaseRequest, most: int, until: float) -> bytes | web.Response:
@@ -363,7 +381,7 @@
                     size += len(part)
                     if size > most:
                         return own(413, f"at most {most} bytes", close=True)
-                    if self.held + size > self.told.memory * MEMORY_PART:
+                    if self.held + size > self.settings.memory * MEMORY_PART:
                         return own(503, "too many bodies at once", 0.5, close=True)
                     parts.append(part)
         except TimeoutError:  # also where bytes came that form no chunk: aiohttp does not tell its handler
@@ -373,133 +391,143 @@
         self.held += size
         return b"".join(parts)
 
-    async def carry(self, request: web.BaseRequest, body: bytes, errand: Errand) -> web.Response:
-        loop, steering = self.loop, self.steering
-        self.budget.arrived(errand.service, loop.time())
-        key = errand.key
+    async def carry(self, request: web.BaseRequest, body: bytes, attempts: RequestAttempts) -> web.Response:
+        loop, load_balancer = self.loop, self.load_balancer
+        self.retry_budget.arrived(attempts.service, loop.time())
+        key = attempts.key
         if key is None:
-            key = steering.drawn(loop.time(), errand.service, errand.request)
-        steering.counted(errand.service, key)
+            key = load_balancer.drawn(loop.time(), attempts.service, attempts.request)
+        load_balancer.counted(attempts.service, key)
         while True:
-            step = errand.next(loop.time(), steering, self.budget)
+            step = attempts.next(loop.time(), load_balancer, self.retry_budget)
             if isinstance(step, Wait):
                 await self.stirred(step.until)
                 continue
-            reply = step if isinstance(step, Reply) else await self.attempt(request, body, errand, step)
+            reply = step if isinstance(step, Reply) else await self.attempt(request, body, attempts, step)
             if reply is not None:
                 return finish(reply, request.method)
 
     async def attempt(
-        self, request: web.BaseRequest, body: bytes, errand: Errand, step: Send
+        self, request: web.BaseRequest, body: bytes, attempts: RequestAttempts, step: Send
     ) -> Reply | None:
-        loop, steering, life = self.loop, self.steering, step.life
-        seen = steering.of(life)
-        effect = not errand.route.pure
+        loop, load_balancer, instance_id = self.loop, self.load_balancer, step.instance_id
+        seen = load_balancer.of(instance_id)
+        effect = not attempts.route.pure
         seen.since = seen.since if seen.flight else loop.time()
         seen.flight += 1
         seen.effects += effect
-        if errand.pin:
-            steering.pin(seen.since, errand.service, errand.pin, life, errand.route.timeout)
+        if attempts.pin:
+            load_balancer.pin(seen.since, attempts.service, attempts.pin, instance_id, attempts.route.timeout)
         began, answer = loop.time(), None
         try:
-            address = steering.roll.rows[life].address
-            line, how = await self.stacks.lend(life, address, began, effect, errand.carried)
+            address = load_balancer.registry.rows[instance_id].address
+            line, how = await self.connection_pool.lend(instance_id, address, began, effect, attempts.carried)
             if line is not None:
                 now = loop.time()
-                if now >= errand.until:  # its connection took that long to come up
+                if now >= attempts.until:  # its connection took that long to come up
                     line.close()
-                    return errand.give_up(now, "no answer in time")
-                errand.carried.add(line.number)
+                    return attempts.give_up(now, "no answer in time")
+                attempts.carried.add(line.number)
                 rest = now - line.rests_from if line.rests_from else 0.0
-                asked = head(request, body, errand, life, now) + body
+                asked = head(request, body, attempts, instance_id, now) + body
                 bare = request.method == "HEAD"
-                how, answer = await line.exchange(asked, errand.request, errand.until, bare)
+                how, answer = await line.exchange(asked, attempts.request, attempts.until, bare)
                 at_once = how is How.BROKEN and rest and loop.time() - now < PROOF[1]
-                if at_once and steering.pressure(now, life) < 1.0:  # a full one resets what finds no room
-                    self.stacks.found_dead(now, rest)
-                self.stacks.give_back(life, line, self.room(errand.service, life, now))
+                if (
+                    at_once and load_balancer.pressure(now, instance_id) < 1.0
+                ):  # a full one resets what finds no room
+                    self.connection_pool.found_dead(now, rest)
+                self.connection_pool.give_back(
+                    instance_id, line, self.room(attempts.service, instance_id, now)
+                )
         finally:
             seen.flight -= 1
             seen.effects -= effect
         now = loop.time()
         self.tries[how] += 1
         if how is How.WHOLE:
-            steering.answered(now, life, now - began)
-            steering.loaded(now, life, answer.named.get("X-Server-Load", ""))
+            load_balancer.answered(now, instance_id, now - began)
+            load_balancer.loaded(now, instance_id, answer.named.get("X-Server-Load", ""))
             if answer.status in (429, 503):
-                steering.turned_away(now, life)
+                load_balancer.turned_away(now, instance_id)
             if answer.status >= 500 and "X-Not-Run" not in answer.named:
-                steering.wrong(life)
+                load_balancer.wrong(instance_id)
         elif how is How.TURNED:
-            steering.turned_away(now, life)
+            load_balancer.turned_away(now, instance_id)
         else:
-            steering.failed(now, life, how is not How.BROKEN)
+            load_balancer.failed(now, instance_id, how is not How.BROKEN)
             if how is How.BROKEN:
-                steering.turned_away(now, life)  # workers of some services reset what they have no room for
+                load_balancer.turned_away(
+                    now, instance_id
+                )  # workers of some services reset what they have no room for
             self.log.info(
                 "try failed",
                 step="attempt",
-                peer=life,
+                peer=instance_id,
                 how=how.value,
-                id=errand.request,
-                key=errand.key,
-                fence=steering.fence(errand.service, errand.key),
+                id=attempts.request,
+                key=attempts.key,
+                fencing_token=load_balancer.fencing_token(attempts.service, attempts.key),
             )
             if how is How.UNSENT:
-                self.stacks.drop(life)
-        readers = steering.readers(errand.service, errand.key) if errand.key is not None else ()
-        reply = errand.ended(now, life, how, answer, life in readers)
-        copied = errand.key is not None and self.edition.services[errand.service].copies
-        if copied and not errand.route.pure and how is How.WHOLE and 200 <= answer.status < 300:
-            if not await self.recall(errand):
+                self.connection_pool.drop(instance_id)
+        readers = load_balancer.readers(attempts.service, attempts.key) if attempts.key is not None else ()
+        reply = attempts.ended(now, instance_id, how, answer, instance_id in readers)
+        copied = attempts.key is not None and self.configuration.services[attempts.service].read_replicas
+        if copied and not attempts.route.pure and how is How.WHOLE and 200 <= answer.status < 300:
+            if not await self.invalidation(attempts):
                 return Reply(504, "copies of its record could not be recalled in time")
         return reply
 
     # --- read copies
 
-    async def recall(self, errand: Errand) -> bool:
+    async def invalidation(self, attempts: RequestAttempts) -> bool:
         """Let no copy stand that is older than this effect; false where that takes longer than its client
         waits.
         """
-        recall, steering, key = Recall(), self.steering, errand.key
-        while (now := self.loop.time()) < errand.until:
-            step = recall.next(now, self.contact.sure_at, steering.readers(errand.service, key))
+        invalidation, load_balancer, key = ReplicaInvalidation(), self.load_balancer, attempts.key
+        while (now := self.loop.time()) < attempts.until:
+            step = invalidation.next(now, self.contact.sure_at, load_balancer.readers(attempts.service, key))
             if step == CLEAR:
                 return True
             if isinstance(step, Confirm):
                 self.confirm(now)
-                await self.stirred(min(now + CONFIRM_AGAIN, errand.until))
+                await self.stirred(min(now + CONFIRM_AGAIN, attempts.until))
             elif isinstance(step, Drop):
-                fence = steering.fence(errand.service, key) or 0
-                drops = [self.drop(life, key, fence) for life in step.lives]
-                for life, dropped in zip(step.lives, await asyncio.gather(*drops), strict=True):
-                    recall.answered(life, dropped)
+                fencing_token = load_balancer.fencing_token(attempts.service, key) or 0
+                drops = [self.drop(instance_id, key, fencing_token) for instance_id in step.instance_ids]
+                for instance_id, dropped in zip(step.instance_ids, await asyncio.gather(*drops), strict=True):
+                    invalidation.answered(instance_id, dropped)
             elif isinstance(step, TakeOff):
-                if await self.taken_off(errand.service, key, step.lives, errand.until):
-                    recall.off(self.loop.time(), step.lives)
+                if await self.taken_off(attempts.service, key, step.instance_ids, attempts.until):
+                    invalidation.off(self.loop.time(), step.instance_ids)
             else:
-                await asyncio.sleep(min(step.at, errand.until) - now)
+                await asyncio.sleep(min(step.at, attempts.until) - now)
         return False
 
     def confirm(self, now: float) -> None:
         """Ask the home archive whether our table is the newest; the answer counts from now."""
         if self.contact.home is not None:
-            self.links.send(self.contact.home, {"k": "confirm", "t": now})
+            self.peer_connections.send(self.contact.home, {"k": "confirm", "t": now})
 
-    async def drop(self, life: str, key: int, fence: int) -> bool:
+    async def drop(self, instance_id: str, key: int, fencing_token: int) -> bool:
         """Have a reader drop its copy of a record."""
-        row = self.steering.roll.rows.get(life)
+        row = self.load_balancer.registry.rows.get(instance_id)
         if row is None or row.phase == GONE:
             return True
-        body = json.dumps({"Source": key, "TargetVersion": key, "fence": fence}).encode()
-        name = f"drop-{self.told.name}-{os.urandom(4).hex()}"
+        body = json.dumps({"Source": key, "TargetVersion": key, "fence": fencing_token}).encode()
+        name = f"drop-{self.settings.name}-{os.urandom(4).hex()}"
         lines = [
             "POST /bramblewood/release HTTP/1.1",
             f"Host: {row.address}",
             "Content-Type: application/json",
         ]
-        lines += [f"X-Attempt-Id: {name}", f"X-Target-Instance: {life}", f"Content-Length: {len(body)}"]
-        line, _ = await self.stacks.lend(life, row.address, self.loop.time(), False)
+        lines += [
+            f"X-Attempt-Id: {name}",
+            f"X-Target-Instance: {instance_id}",
+            f"Content-Length: {len(body)}",
+        ]
+        line, _ = await self.connection_pool.lend(instance_id, row.address, self.loop.time(), False)
         if line is None:
             return False
         asked = "\r\n".join(lines).encode() + b"\r\n\r\n" + body
@@ -507,13 +535,13 @@
         line.close()
         return how is How.WHOLE and answer.status == 200
 
-    async def taken_off(self, service: str, key: int, lives: tuple[str, ...], until: float) -> bool:
+    async def taken_off(self, service: str, key: int, instance_ids: tuple[str, ...], until: float) -> bool:
         """Have readers that don't answer taken off a record; whether that is agreed."""
         number = self.ids = self.ids + 1
         waiting = self.offs[number] = self.loop.create_future()
         try:
-            asked = {"k": "off", "id": number, "service": service, "key": key, "lives": lives}
-            if self.contact.home is None or not self.links.send(self.contact.home, asked):
+            asked = {"k": "off", "id": number, "service": service, "key": key, "lives": instance_ids}
+            if self.contact.home is None or not self.peer_connections.send(self.contact.home, asked):
                 await self.stirred(min(self.loop.time() + CONFIRM_AGAIN, until))
                 return False
             async with asyncio.timeout_at(min(self.loop.time() + OFF_WITHIN, until)):
@@ -524,7 +552,9 @@
             del self.offs[number]
 
 
-def head(request: web.BaseRequest, body: bytes, errand: Errand, life: str, now: float) -> bytes:
+def head(
+    request: web.BaseRequest, body: bytes, attempts: RequestAttempts, instance_id: str, now: float
+) -> bytes:
     """The request as a worker gets it: unchanged but for what concerns one connection, the time left and its
     target.
     """
@@ -535,9 +565,9 @@
         if low not in HOPS and low not in OURS and low not in named:
             lines.append(name + b": " + value)
     if "X-Attempt-Id" not in request.headers:
-        lines.append(f"X-Attempt-Id: {errand.request}".encode())
-    lines.append(f"X-Deadline-Ms: {max(int((errand.until - now) * 1000), 1)}".encode())
-    lines.append(f"X-Target-Instance: {life}".encode())
+        lines.append(f"X-Attempt-Id: {attempts.request}".encode())
+    lines.append(f"X-Deadline-Ms: {max(int((attempts.until - now) * 1000), 1)}".encode())
+    lines.append(f"X-Target-Instance: {instance_id}".encode())
     if body or "Content-Length" in request.headers or "Transfer-Encoding" in request.headers:
         lines.append(f"Content-Length: {len(body)}".encode())
     return b"\r\n".join(lines) + b"\r\n\r\n"
--- a/bramblewood/proxy/worker_connection.py
+++ b/bramblewood/proxy/worker_connection.py
@@ -29,7 +29,7 @@
     UNSENT = "unsent"  # nothing of it went out
     TURNED = "turned"  # nothing of it went out: the worker takes no further connection now
     BROKEN = "broken"  # it went out, and no answer of it can come any more
-    SILENT = "silent"  # it went out, and the time is over
+    PEER_TIMEOUT = "silent"  # it went out, and the time is over
 
 
 class Ended(NamedTuple):
@@ -93,7 +93,7 @@
 
     def silence(self) -> Ended | None:
         """The time of the request is over. Its answer may still come, so nothing else may go out here."""
-        return self.ended(How.SILENT)
+        return self.ended(How.PEER_TIMEOUT)
 
     def ended(self, how: How) -> Ended | None:
         waiting, self.state = self.waiting, State.SPOILT
--- a/example/small.py
+++ b/example/small.py
@@ -16,7 +16,7 @@
 sys.path.insert(0, str(ROOT))
 from bramblewood.emulator.operator import configuration  # noqa: E402
 from bramblewood.emulator.processes import boot, start  # noqa: E402
-from bramblewood.emulator.worker_stub import StandIn  # noqa: E402
+from bramblewood.emulator.worker_stub import WorkerStub  # noqa: E402
 
 WITHIN = 20.0  # s for the whole
 PORTS = {"control": 18544, "front": 18548, "ready": 18542, "inner": 17540, "worker": 18700}
@@ -55,7 +55,7 @@
                     processes.append(await start(["desk"], path))
                 for n, (service, keyed) in enumerate((("register", True), ("payments", False))):
                     address = ("127.0.0.6", PORTS["worker"] + n)
-                    worker = StandIn(service, address, "here", 2, keyed, lambda request: 0.05)
+                    worker = WorkerStub(service, address, "here", 2, keyed, lambda request: 0.05)
                     await worker.start()
                     workers.append(worker)
 
--- a/features/steps/calls.py
+++ b/features/steps/calls.py
@@ -3,7 +3,7 @@
 
 from behave import given, then, when
 
-from bramblewood.controller.commands import PutConfig, Refusal, decode, succeed
+from bramblewood.controller.commands import PutConfiguration, Rejection, decode, succeed
 from bramblewood.controller.server import answer
 from tests.approved import approve
 from tests.simulation.proxy import CONFIG
@@ -19,10 +19,10 @@
     """What a call is answered, as `Archive.serve` would."""
     command = decode(method, path, body)
     if command.is_err():
-        refusal: Refusal = command.err_value
+        refusal: Rejection = command.err_value
         return f"{refusal.status} {refusal.reason}" + f" (Allow: {refusal.allow})" * bool(refusal.allow)
-    if isinstance(command.ok_value, PutConfig):
-        after, (status, reason) = succeed(command.ok_value.edition, context.stands)
+    if isinstance(command.ok_value, PutConfiguration):
+        after, (status, reason) = succeed(command.ok_value.configuration, context.stands)
         context.stands = after or context.stands
         return f"{status} {reason}".strip()
     return f"is {command.ok_value}"
--- a/features/steps/contact.py
+++ b/features/steps/contact.py
@@ -4,19 +4,24 @@
 
 from behave import given, then, when
 
-from bramblewood.common.worker_registry import GONE, Roll, Row
+from bramblewood.common.worker_registry import GONE, WorkerRegistration, WorkerRegistry
 from bramblewood.controller import server
-from bramblewood.controller.commands import TakeLeave
-from bramblewood.controller.consensus.replica import NONE, TABLE
-from bramblewood.controller.deregistration import Leaves
-from bramblewood.controller.key_leases import Holds
-from bramblewood.controller.server import Archive
+from bramblewood.controller.commands import DeregisterWorker
+from bramblewood.controller.consensus.replica import NO_PROPOSAL, TABLE
+from bramblewood.controller.deregistration import Deregistrations
+from bramblewood.controller.key_leases import KeyLeases
+from bramblewood.controller.server import Controller
 from bramblewood.controller.sessions import Sessions
-from bramblewood.proxy.controller_selection import Contact
+from bramblewood.proxy.controller_selection import ControllerSelection
 from tests.simulation import majority_contact
 from tests.simulation.majority_contact import Broken
 
-word_until, obey, call, pulse = Sessions.word_until, Archive.obey, Archive.call, Contact.pulse
+word_until, obey, call, pulse = (
+    Sessions.word_until,
+    Controller.obey,
+    Controller.call,
+    ControllerSelection.pulse,
+)
 
 
 def one_other(self, now, number, voters, epoch, contact):
@@ -24,13 +29,13 @@
 
 
 def no_forwarding(self, rows, sender="", ages=None):
-    news, newer = self.roll.take(self.loop.time(), rows, ages)
+    news, newer = self.registry.take(self.loop.time(), rows, ages)
     self.tell_desks(news)
     return newer
 
 
 async def no_row(self, command):
-    if isinstance(command, TakeLeave) and command.life not in self.roll.rows:
+    if isinstance(command, DeregisterWorker) and command.instance_id not in self.registry.rows:
         return server.answer(200 if self.contact(self.loop.time()) else 503)
     return await obey(self, command)
 
@@ -42,7 +47,7 @@
 
 
 def not_oneself(self, now, voters, epoch, known, own):
-    return word_until(self, now, voters, epoch, known, own and dict.fromkeys(own, NONE))
+    return word_until(self, now, voters, epoch, known, own and dict.fromkeys(own, NO_PROPOSAL))
 
 
 def claims(self, now, peer, message, have):
@@ -52,21 +57,21 @@
 
 
 GUARDS = {
-    "the majority that holds a leave": (Leaves, "confirmed", one_other),
-    "contact before a worker's call is answered": (Archive, "contact", lambda self, now: True),
-    "the word of the majority": (Archive, "whole", lambda self, now: True),
-    "leaves going on between archives": (Archive, "take_rows", no_forwarding),
-    "the row of a leave that nobody knew": (Archive, "obey", no_row),
-    "desks that tell of leaves again": (Roll, "leaving", lambda self, since=0.0: {}),
-    "the look at the clock after a round": (Archive, "agreed", no_clock),
-    "the look at the word as a grant leaves": (Archive, "call", lambda self, one, _: call(self, one, 1e9)),
+    "the majority that holds a leave": (Deregistrations, "confirmed", one_other),
+    "contact before a worker's call is answered": (Controller, "contact", lambda self, now: True),
+    "the word of the majority": (Controller, "whole", lambda self, now: True),
+    "leaves going on between archives": (Controller, "take_rows", no_forwarding),
+    "the row of a leave that nobody knew": (Controller, "obey", no_row),
+    "desks that tell of leaves again": (WorkerRegistry, "leaving", lambda self, since=0.0: {}),
+    "the look at the clock after a round": (Controller, "agreed", no_clock),
+    "the look at the word as a grant leaves": (Controller, "call", lambda self, one, _: call(self, one, 1e9)),
     "the look at what oneself has accepted": (Sessions, "word_until", not_oneself),
     "the word on the configuration": (
-        Archive,
+        Controller,
         "whole",
         lambda self, now: self.word(now, (TABLE,)) > now,
     ),
-    "the question before a desk is ready": (Contact, "pulse", claims),
+    "the question before a desk is ready": (ControllerSelection, "pulse", claims),
 }
 
 
@@ -79,8 +84,10 @@
 
 
 @then("{count:d} plays of {some} of {archives:d} for twenty seconds {way} keep the rules")
-def twenty(context, count, some, archives, way):
-    made = [majority_contact.twenty(seed, some, way, archives, archives % 5 and 1) for seed in range(count)]
+def twenty(context, count, some, controllers, way):
+    made = [
+        majority_contact.twenty(seed, some, way, controllers, controllers % 5 and 1) for seed in range(count)
+    ]
     for what in ("orders taken", "configurations read", "leaves confirmed", "grants"):
         assert all(play.plenty.get(what, 0) for play in made), (what, [play.plenty for play in made])
 
@@ -112,13 +119,13 @@
 
 @given("a desk that has all, from an archive that is whole")
 def has_all(context):
-    context.contact, context.have = Contact("d", "z"), {"config": 3, "table": 7}
+    context.contact, context.have = ControllerSelection("d", "z"), {"config": 3, "table": 7}
     context.contact.link("a", True, context.have)
     told = {"scribe": True, "whole": True, "n": context.have}
     assert ("a", {"k": "home", "on": True, "have": context.have}) in context.contact.pulse(
         9.0, "a", told, context.have
     )
-    assert context.contact.roll(9.1, "a", context.have) == [("a", {"k": "confirm", "t": 9.1})]
+    assert context.contact.registry(9.1, "a", context.have) == [("a", {"k": "confirm", "t": 9.1})]
 
 
 @when("that answers what was asked {ago:g} s ago")
@@ -137,68 +144,68 @@
 def three(context):
     context.play = majority_contact.begun(1, 3)
     context.play.run(3.0)
-    context.program = context.play.nodes["a"].program
-    context.before = context.program.ballots.version(TABLE)
+    context.server = context.play.nodes["a"].server
+    context.before = context.server.consensus.version(TABLE)
 
 
 @when("one proposes a move")
 @when("one proposes a move, and its word {ends}")
 def proposes(context, ends=""):
     change = lambda value: ({**value, "n": value["n"] + 1}, True)  # noqa: E731
-    with mock.patch.object(context.program, "whole", lambda now: not ends):
-        context.program.move(change)
+    with mock.patch.object(context.server, "whole", lambda now: not ends):
+        context.server.move(change)
         context.play.run(1.0)
 
 
 @then("the table {word}")
 def stands(context, word):
-    changed = context.program.ballots.version(TABLE) != context.before
+    changed = context.server.consensus.version(TABLE) != context.before
     assert changed == (word == "has changed")
 
 
 @given("a roll that has heard only the last call of w1")
 def last(context):
-    context.roll = Roll()
-    context.roll.merge(1.0, "w1", Row("", "", "", 1, GONE, 1))
+    context.registry = WorkerRegistry()
+    context.registry.merge(1.0, "w1", WorkerRegistration("", "", "", 1, GONE, 1))
 
 
 @when("it hears an older call of w1 with its address")
 def older(context):
-    assert not context.roll.merge(2.0, "w1", Row("s", "w1:1", "z", 2, "ready", 9))
+    assert not context.registry.merge(2.0, "w1", WorkerRegistration("s", "w1:1", "z", 2, "ready", 9))
 
 
 @then("w1 is gone there, with its address")
 def gone(context):
-    assert context.roll.rows["w1"] == Row("s", "w1:1", "z", 2, GONE, 1)
+    assert context.registry.rows["w1"] == WorkerRegistration("s", "w1:1", "z", 2, GONE, 1)
 
 
 @then("its keys are not taken to be free")
 def kept(context):
     table = {"n": 2, "s": {"s": {"0": ["w2", "", 0.0, 2, "", "w1"]}}}
-    only = Roll()
-    only.merge(1.0, "w1", Row("", "", "", 1, GONE, 1))
-    for roll in (only, context.roll):
-        calls, free = Holds(10.0).step(3.0, table, {"s"}, roll)
-        assert not free and len(calls) == (roll is context.roll)
+    only = WorkerRegistry()
+    only.merge(1.0, "w1", WorkerRegistration("", "", "", 1, GONE, 1))
+    for registry in (only, context.registry):
+        calls, free = KeyLeases(10.0).step(3.0, table, {"s"}, registry)
+        assert not free and len(calls) == (registry is context.registry)
 
 
 @given("a leave that is asked about among three voters of epoch 4")
 def asked_about(context):
-    context.leaves = Leaves("a")
-    context.number = context.leaves.ask(10.0)
+    context.deregistrations = Deregistrations("a")
+    context.number = context.deregistrations.ask(10.0)
 
 
 @when("b answers as a voter of epoch 3, and c as none")
 def other_epochs(context):
-    context.leaves.held(context.number, "b", 3)
-    context.leaves.held(context.number, "c", -1)
+    context.deregistrations.held(context.number, "b", 3)
+    context.deregistrations.held(context.number, "c", -1)
 
 
 @when("c answers as a voter of epoch 4")
 def this_epoch(context):
-    context.leaves.held(context.number, "c", 4)
+    context.deregistrations.held(context.number, "c", 4)
 
 
 @then("it is {word} in epoch 4")
 def in_epoch(context, word):
-    assert context.leaves.confirmed(10.1, context.number, "abc", 4, True) == (word == "confirmed")
+    assert context.deregistrations.confirmed(10.1, context.number, "abc", 4, True) == (word == "confirmed")
--- a/features/steps/copies.py
+++ b/features/steps/copies.py
@@ -25,13 +25,13 @@
 
 @then("without the wait before a new reader's first lease an old copy is read within {count:d} plays")
 def announce(context, count):
-    with mock.patch.object(read_replicas, "ANNOUNCE", 0.0):
+    with mock.patch.object(read_replicas, "REPLICA_ANNOUNCEMENT_DELAY", 0.0):
         assert found(count)
 
 
 @then("without the wait until a deaf reader's lease has run out an old copy is read within {count:d} plays")
 def run_out(context, count):
-    with mock.patch.object(replica_invalidation, "RUN_OUT", 0.0):
+    with mock.patch.object(replica_invalidation, "READ_LEASE_EXPIRY", 0.0):
         assert found(count)
 
 
@@ -56,7 +56,7 @@
 
 @when("the operator lets records be copied")
 def lets(context):
-    context.play.services = {"s": context.play.services["s"]._replace(copies=True)}
+    context.play.services = {"s": context.play.services["s"]._replace(read_replicas=True)}
 
 
 @then("key {key:d} has readers beside its worker")
--- a/features/steps/core.py
+++ b/features/steps/core.py
@@ -8,7 +8,7 @@
     Unnamed,
     Whoever,
     caught_up,
-    edition,
+    configuration,
     goes_on_empty,
     kept_as_it_joined,
     storm,
@@ -16,13 +16,13 @@
 
 
 @given("three archives from seed {seed:d}")
-def archives(context, seed):
+def controllers(context, seed):
     context.core = Core(seed)
 
 
 @when('the configuration "{mark}" r{number:d} on r{parent:d} is put at {name}')
 def put(context, mark, number, parent, name):
-    context.core.put(name, edition(number, parent, mark))
+    context.core.put(name, configuration(number, parent, mark))
 
 
 @when("all is delivered")
@@ -85,8 +85,8 @@
     for seed in range(20):
         for lost in range(16):
             core = Core(seed)
-            core.put("a", edition(2, 0, "left"))
-            core.put("b", edition(3, 0, "right"))
+            core.put("a", configuration(2, 0, "left"))
+            core.put("b", configuration(3, 0, "right"))
             for step in range(300):
                 core.run(1)
                 if step == 3 * lost and core.wire:
--- a/features/steps/crowds.py
+++ b/features/steps/crowds.py
@@ -2,16 +2,16 @@
 
 from behave import given, then, when
 
-from bramblewood.common.slice_table import FINE, WORKER, starts_of
-from bramblewood.controller.hot_keys import Crowds
-from bramblewood.proxy.hot_key_queue import TURNED, Gate
+from bramblewood.common.slice_table import KEYS_PER_RANGE, WORKER, starts_of
+from bramblewood.controller.hot_keys import HotKeys
+from bramblewood.proxy.hot_key_queue import TURNED, HotKeyQueue
 
 OVER = 0.5  # s of a report
 
 
 @given("desks d1 to d4 and workers that can do {ability:g} requests a second")
-def desks(context, ability):
-    context.crowds, context.ability = Crowds(), ability
+def proxies(context, ability):
+    context.hot_keys, context.ability = HotKeys(), ability
 
 
 def report(context, rates):
@@ -19,12 +19,12 @@
     watched.
     """
     came, by_key = Counter(), {}
-    for (key, desk), rate in rates.items():
-        if key // FINE in context.crowds.ranges.since:
-            by_key.setdefault(key, {})[desk] = rate * OVER
+    for (key, proxy), rate in rates.items():
+        if key // KEYS_PER_RANGE in context.hot_keys.ranges.since:
+            by_key.setdefault(key, {})[proxy] = rate * OVER
         else:
-            came[key // FINE] += rate * OVER
-    context.crowds.cycle(came, by_key, OVER, context.ability)
+            came[key // KEYS_PER_RANGE] += rate * OVER
+    context.hot_keys.cycle(came, by_key, OVER, context.ability)
 
 
 def even(key, rate):
@@ -57,27 +57,27 @@
 
 @then("its range is watched, and nothing is crowded")
 def watched(context):
-    assert context.crowds.told() == ((4001 // FINE,), ())
+    assert context.hot_keys.told() == ((4001 // KEYS_PER_RANGE,), ())
 
 
 @then("{key:d} is crowded")
 def crowded(context, key):
-    assert context.crowds.told().keys == (key,)
+    assert context.hot_keys.told().keys == (key,)
 
 
 @then("nothing is crowded")
 def calm(context):
-    assert context.crowds.told().keys == ()
+    assert context.hot_keys.told().keys == ()
 
 
 @then("nothing is crowded, and at most {most:d} ranges are watched")
 def few(context, most):
-    assert context.crowds.told().keys == () and len(context.crowds.told().watch) <= most
+    assert context.hot_keys.told().keys == () and len(context.hot_keys.told().watch) <= most
 
 
 @then("nothing is watched")
 def none(context):
-    assert context.crowds.told() == ((), ())
+    assert context.hot_keys.told() == ((), ())
 
 
 @when(
@@ -103,12 +103,12 @@
 
 
 @given("a gate that {rate:d} lookups a second come to, whose worker turned one away")
-def gate(context, rate):
-    context.gate, context.now, context.rate = Gate(), 10.0, rate
+def hot_key_queue(context, rate):
+    context.hot_key_queue, context.now, context.rate = HotKeyQueue(), 10.0, rate
     for i in range(3 * rate):
-        context.gate.came(context.now + i / rate)
+        context.hot_key_queue.came(context.now + i / rate)
     context.now += 3.0
-    context.gate.slower(context.now, TURNED)
+    context.hot_key_queue.slower(context.now, TURNED)
 
 
 @then("it lets {rate:d} a second through")
@@ -116,40 +116,40 @@
     through = 0
     for i in range(2000):  # somebody looks each millisecond
         now = context.now + i / 1000
-        if context.gate.turn(now, f"r{i}", (1, now), now) == now:
+        if context.hot_key_queue.turn(now, f"r{i}", (1, now), now) == now:
             through += 1
-            context.gate.went(now)
+            context.hot_key_queue.went(now)
     context.now += 2.0
     assert abs(through - 2 * rate) <= 2, through
 
 
 @then("an effect passes at once, and the next lookup goes so much later")
 def effect(context):
-    before = context.gate.next_at
-    context.gate.went(context.now)
-    assert context.gate.next_at > max(before, context.now)
+    before = context.hot_key_queue.next_at
+    context.hot_key_queue.went(context.now)
+    assert context.hot_key_queue.next_at > max(before, context.now)
 
 
 @then("of two that wait the one of the higher rank goes first")
 def ranks(context):
-    low = context.gate.turn(context.now, "low", (2, 1.0), context.now + 1)
-    high = context.gate.turn(context.now, "high", (0, 2.0), context.now + 1)
-    again = context.gate.turn(context.now, "low", (2, 1.0), context.now + 1)
+    low = context.hot_key_queue.turn(context.now, "low", (2, 1.0), context.now + 1)
+    high = context.hot_key_queue.turn(context.now, "high", (0, 2.0), context.now + 1)
+    again = context.hot_key_queue.turn(context.now, "low", (2, 1.0), context.now + 1)
     assert high <= low < again
 
 
 @then("one whose turn would come too late is told so at once")
 def late(context):
-    assert context.gate.turn(context.now, "late", (3, 3.0), context.now + 0.01) is None
-    assert "late" not in context.gate.waiting
+    assert context.hot_key_queue.turn(context.now, "late", (3, 3.0), context.now + 0.01) is None
+    assert "late" not in context.hot_key_queue.waiting
 
 
 @when("the worker has answered for {span:g} s with free slots")
 def answered(context, span):
     for i in range(int(span * 10)):
-        context.gate.faster(context.now + i / 10)
+        context.hot_key_queue.faster(context.now + i / 10)
 
 
 @then("it is open")
 def is_open(context):
-    assert not context.gate.closed
+    assert not context.hot_key_queue.closed
--- a/features/steps/desk.py
+++ b/features/steps/desk.py
@@ -7,7 +7,7 @@
 
 
 @given("a desk before")
-def desk(context):
+def proxy(context):
     context.scripts = {
         row["worker"]: [step.strip() for step in row["script"].split(",") if step.strip()]
         for row in context.table
@@ -64,9 +64,9 @@
     async def play():
         made = Play()
         await made.start({"w1": []}, context.limits)
-        loop, desk = made.desk.loop, made.desk
+        loop, proxy = made.proxy.loop, made.proxy
         reader, writer = await asyncio.open_connection("127.0.0.1", made.port)
-        while not desk.young:
+        while not proxy.young:
             await asyncio.sleep(0)
         for _ in range(3):  # until the desk reads from it
             await asyncio.sleep(0)
@@ -94,7 +94,7 @@
         made = Play()
         await made.start({"w1": []}, context.limits)
         await made.end()
-        return made.desk.newcomer().keepalive_timeout
+        return made.proxy.newcomer().keepalive_timeout
 
     assert asyncio.run(play()) == rest
 
--- a/features/steps/doors.py
+++ b/features/steps/doors.py
@@ -7,8 +7,8 @@
 from aiohttp import web
 from behave import given, then, when
 
-from bramblewood.common.listeners import door, open_early
-from bramblewood.common.peer_connections import Links, accept
+from bramblewood.common.listeners import listen_on, open_listeners_early
+from bramblewood.common.peer_connections import PeerConnections, accept
 
 
 def free() -> int:
@@ -29,7 +29,7 @@
 
 def opened(context):
     with mock.patch.dict(os.environ, {"BRAMBLEWOOD_BOOT": context.path}):
-        return open_early(("Front", "ReadyProbe"))
+        return open_listeners_early(("Front", "ReadyProbe"))
 
 
 @given("a settings file that names two doors")
@@ -39,7 +39,7 @@
 
 @given("a settings file whose second door is taken")
 def taken(context):
-    context.other = door("127.0.0.1", 0)
+    context.other = listen_on("127.0.0.1", 0)
     context.add_cleanup(context.other.close)
     settings(context, (free(), context.other.getsockname()[1]))
 
@@ -66,27 +66,29 @@
 @then("no door stays open")
 def closed(context):
     assert opened(context) == {}
-    door("127.0.0.1", context.ports[0]).close()  # nobody holds it
+    listen_on("127.0.0.1", context.ports[0]).close()  # nobody holds it
 
 
 @then("of two managers that were dialled in vain one is linked once it listens, and the other still dialled")
 def dialled(context):
     async def play():
         met, port = asyncio.Event(), free()
-        links = Links(lambda peer: {"k": "hello"}, lambda *_: None, lambda *_: None, None)
+        peer_connections = PeerConnections(
+            lambda peer: {"k": "hello"}, lambda *_: None, lambda *_: None, None
+        )
         with mock.patch(
             "bramblewood.common.peer_connections.asyncio.sleep", side_effect=asyncio.sleep
         ) as waits:
             for ip in ("127.0.0.2", "127.0.0.3"):
-                links.keep(ip, port)
+                peer_connections.keep(ip, port)
             while waits.call_count < 2:  # each has failed once, and waits for its next dial
-                await asyncio.wait(links.tasks.values(), timeout=0.01)
+                await asyncio.wait(peer_connections.tasks.values(), timeout=0.01)
         serve = web.Server(lambda asked: accept(asked, lambda *_: met.set(), *[lambda *_: None] * 2))
         listening = await asyncio.get_running_loop().create_server(serve, "127.0.0.2", port)
         async with asyncio.timeout(2):
             await met.wait()
-        found = [*links.up], [task.done() for task in links.tasks.values()]
-        await links.end()
+        found = [*peer_connections.up], [task.done() for task in peer_connections.tasks.values()]
+        await peer_connections.end()
         listening.close()
         return found
 
--- a/features/steps/health.py
+++ b/features/steps/health.py
@@ -1,35 +1,37 @@
 from behave import given, then, when
 
-from bramblewood.controller.outlier_detection import Health, judged, out_of_health, unwell
+from bramblewood.controller.outlier_detection import OutlierDetection, judged, out_of_health, unwell
 
 CYCLE = 0.5  # s
 
 
 @given("ten workers, and desks that try each {tries:d} times a report")
 def workers(context, tries):
-    context.lives, context.tries, context.now = [f"w{i}" for i in range(10)], tries, 100.0
-    context.health, context.value = Health(), {"n": 1, "s": {}}
+    context.instance_ids, context.tries, context.now = [f"w{i}" for i in range(10)], tries, 100.0
+    context.outlier_detection, context.value = OutlierDetection(), {"n": 1, "s": {}}
 
 
-def cycle(context, bad, desks):
+def cycle(context, bad, proxies):
     """One report: so many of the tries of some workers go wrong at some desks."""
     context.now += CYCLE
     out = unwell(context.value)
-    for life in context.lives:
-        for desk in ("d1", "d2", "d3"):
-            if life not in out:
-                context.health.report(desk, life, context.tries, bad.get(life, 0) if desk in desks else 0)
-    ill = context.health.cycle({"s": context.lives})
-    told = context.health.wanted(context.now, context.value, ill, {"s": context.lives})
+    for instance_id in context.instance_ids:
+        for proxy in ("d1", "d2", "d3"):
+            if instance_id not in out:
+                context.outlier_detection.report(
+                    proxy, instance_id, context.tries, bad.get(instance_id, 0) if proxy in proxies else 0
+                )
+    ill = context.outlier_detection.cycle({"s": context.instance_ids})
+    told = context.outlier_detection.wanted(context.now, context.value, ill, {"s": context.instance_ids})
     context.value = judged(context.value, told, out_of_health(context.value))[0] or context.value
-    context.health.learn(context.now, context.value)
+    context.outlier_detection.learn(context.now, context.value)
 
 
 @when("{names} fails {bad:d} of 4 at {desks} for {count:d} reports")
-def fails(context, names, bad, desks, count):
-    some = context.lives if names == "every worker" else [names]
+def fails(context, names, bad, proxies, count):
+    some = context.instance_ids if names == "every worker" else [names]
     for _ in range(count):
-        cycle(context, dict.fromkeys(some, bad), desks.split(" and "))
+        cycle(context, dict.fromkeys(some, bad), proxies.split(" and "))
 
 
 @when("w0, w1, w2 and w3 fail {bad:d} of 4 at d1 and d2 for {count:d} reports")
@@ -49,8 +51,8 @@
 
 
 @then("{life} is out, and for {span:g} s")
-def out(context, life, span):
-    assert unwell(context.value) == [life]
+def out(context, instance_id, span):
+    assert unwell(context.value) == [instance_id]
     began = context.now
     while unwell(context.value):
         cycle(context, {}, ())
--- a/features/steps/holds.py
+++ b/features/steps/holds.py
@@ -5,9 +5,9 @@
 
 from behave import given, then, when
 
-from bramblewood.common.worker_registry import GONE, Roll, Row
-from bramblewood.controller.key_leases import ARRIVES, Holds
-from bramblewood.controller.server import Archive, caller
+from bramblewood.common.worker_registry import GONE, WorkerRegistration, WorkerRegistry
+from bramblewood.controller.key_leases import ARRIVES, KeyLeases
+from bramblewood.controller.server import Controller, caller
 from tests.simulation.key_leases import LATE, STEP, Play, Twice, exhaust, margin
 
 
@@ -71,18 +71,18 @@
 
 @given("a roll that hears of a life, and then of the one before it at the same address")
 def late_word(context):
-    context.roll = Roll()
-    for life in ("young", "old"):
-        context.roll.merge(0.0, life, Row("s", "w:1", "z", 2, "ready", 1))
-    context.roll.merge(0.0, "next", Row("s", "w:2", "z", 2, "ready", 1))
-    assert context.roll.rows["young"].phase == GONE
+    context.registry = WorkerRegistry()
+    for instance_id in ("young", "old"):
+        context.registry.merge(0.0, instance_id, WorkerRegistration("s", "w:1", "z", 2, "ready", 1))
+    context.registry.merge(0.0, "next", WorkerRegistration("s", "w:2", "z", 2, "ready", 1))
+    assert context.registry.rows["young"].phase == GONE
 
 
 @then("the younger one's keys are freed only as another life answers there")
 def asked_there(context):
-    holds, table = Holds(10.0), {"n": 2, "s": {"s": {"0": ["next", "", 0.0, 2, "", "young"]}}}
-    (call,), free = holds.step(0.0, table, {"s"}, context.roll)
-    assert (call.kind, call.life, free) == ("release", "young", [])
+    holds, table = KeyLeases(10.0), {"n": 2, "s": {"s": {"0": ["next", "", 0.0, 2, "", "young"]}}}
+    (call,), free = holds.step(0.0, table, {"s"}, context.registry)
+    assert (call.kind, call.instance_id, free) == ("release", "young", [])
     assert holds.answered(0.0, call, 0.0, 0, "", False) is None
     assert holds.answered(0.0, call, 0.0, 421, "", False).old == "young"
 
@@ -91,7 +91,7 @@
     """As much of an archive as its calls need."""
     shell = SimpleNamespace(loop=asyncio.get_running_loop(), told=SimpleNamespace(name="a"))
     shell.calls, shell.fresh = caller(), caller(force_close=True)
-    shell.ask = partial(Archive.ask, shell)
+    shell.ask = partial(Controller.ask, shell)
     return shell
 
 
@@ -157,17 +157,17 @@
 
 @given("a worker that takes no connection")
 def closed(context):
-    context.door = socket.create_server(("127.0.0.1", 0), backlog=0)
+    context.listen_on = socket.create_server(("127.0.0.1", 0), backlog=0)
     context.queued = [socket.socket() for _ in range(4)]
     for one in context.queued:  # they fill its backlog: further opening packets are dropped
         one.setblocking(False)
-        one.connect_ex(context.door.getsockname())
+        one.connect_ex(context.listen_on.getsockname())
 
 
 @then("a grant on a word of {more:g} s more is given up with that word")
 def given_up(context, more):
     async def play() -> float:
-        shell, (host, port) = asking(), context.door.getsockname()
+        shell, (host, port) = asking(), context.listen_on.getsockname()
         began = shell.loop.time()
         try:
             async with asyncio.timeout(20 * more):
@@ -179,6 +179,6 @@
             await shell.fresh.close()
 
     took = asyncio.run(play())
-    for one in (context.door, *context.queued):
+    for one in (context.listen_on, *context.queued):
         one.close()
     assert more <= took < 10 * more, took
--- a/features/steps/leaving.py
+++ b/features/steps/leaving.py
@@ -4,44 +4,48 @@
 
 from behave import given, then, when
 
-from bramblewood.common.worker_registry import Row
-from bramblewood.controller.consensus.replica import NONE, TABLE
+from bramblewood.common.worker_registry import WorkerRegistration
+from bramblewood.controller.consensus.replica import NO_PROPOSAL, TABLE
 from bramblewood.proxy import server
-from bramblewood.proxy.load_balancing import Steering
+from bramblewood.proxy.load_balancing import LoadBalancer
 from tests.simulation.proxy import Play
 
 
 @given("a service of w1 and w2, {how}")
 def service(context, how):
-    context.steering, context.keyed = Steering(2.5), how.startswith("with keys")
+    context.load_balancer, context.keyed = LoadBalancer(2.5), how.startswith("with keys")
     for name in ("w1", "w2"):
-        context.steering.roll.merge(0.0, name, Row("s", f"{name}:1", "z", 2, "ready", 1))
+        context.load_balancer.registry.merge(
+            0.0, name, WorkerRegistration("s", f"{name}:1", "z", 2, "ready", 1)
+        )
     context.entries = {
         str(i * 8192): ["w1", "" if context.keyed else "w2", 0.01, 1, "", ""] for i in range(8)
     }
-    context.steering.take_table({"n": 1, "s": {"s": context.entries}})
+    context.load_balancer.take_table({"n": 1, "s": {"s": context.entries}})
 
 
 @when("{name} is heard to be draining at {now:g}")
 def draining(context, name, now):
-    context.steering.roll.merge(now, name, Row("s", f"{name}:1", "z", 2, "draining", 5))
+    context.load_balancer.registry.merge(
+        now, name, WorkerRegistration("s", f"{name}:1", "z", 2, "draining", 5)
+    )
 
 
 @when("{name} is heard to be ready again at {now:g}, by a call that was sent before")
 def late(context, name, now):
-    context.steering.roll.merge(now, name, Row("s", f"{name}:1", "z", 2, "ready", 4))
+    context.load_balancer.registry.merge(now, name, WorkerRegistration("s", f"{name}:1", "z", 2, "ready", 4))
 
 
 @when("the table moves all keys from w1 to w2")
 def moves(context):
     entries = {start: ["w2", "", 0.0, 2, "", "w1"] for start in context.entries}
-    context.steering.take_table({"n": 2, "base": 1, "d": {"s": entries}})
+    context.load_balancer.take_table({"n": 2, "base": 1, "d": {"s": entries}})
 
 
 @when("w1 has let go of them")
 def released(context):
     entries = {start: ["w2", "", 0.0, 2, "h", ""] for start in context.entries}
-    context.steering.take_table({"n": 3, "base": 2, "d": {"s": entries}})
+    context.load_balancer.take_table({"n": 3, "base": 2, "d": {"s": entries}})
 
 
 @then("of {count:d} requests at {now:g} {part} to {name}")
@@ -49,12 +53,12 @@
     gone = 0
     for number in range(count):
         key = zlib.crc32(b"%d" % number) % 65536 if context.keyed else None
-        gone += context.steering.choose(now, "s", key, f"r{number}", set()) == name
+        gone += context.load_balancer.choose(now, "s", key, f"r{number}", set()) == name
     assert gone == (count if part.startswith("all") else 0), gone
 
 
 @given("a desk with a request that its worker is working on")
-def desk(context):
+def proxy(context):
     context.grace = 1.0
 
 
@@ -70,9 +74,9 @@
         await made.start({"w1": ["held", "answer"]})
         first = asyncio.ensure_future(made.ask("POST", "/pay/1", "t1", "x"))
         await made.workers["w1"].reached.wait()
-        end = asyncio.ensure_future(made.desk.end(made.desk.loop.time()))
+        end = asyncio.ensure_future(made.proxy.end(made.proxy.loop.time()))
         await asyncio.sleep(0)
-        status = (await made.desk.readiness(Probe())).status
+        status = (await made.proxy.readiness(Probe())).status
         await made.ask("POST", "/pay/2", "t2", "x", keep=True)
         made.workers["w1"].go.set()
         await first
@@ -96,7 +100,7 @@
         await made.start({"w1": ["held"]})
         first = asyncio.ensure_future(made.ask("POST", "/pay/1", "t1", "x"))
         await made.workers["w1"].reached.wait()
-        end = asyncio.ensure_future(made.desk.end(made.desk.loop.time()))
+        end = asyncio.ensure_future(made.proxy.end(made.proxy.loop.time()))
         while made.server.is_serving():
             await asyncio.sleep(0)
         try:
@@ -121,6 +125,6 @@
 
 
 @then("at {now:g} its word on ballot {ballot:d} is over")
-def over(context, now, ballot):
-    voters, known = {name: name for name in "abc"}, {TABLE: (1, ballot, "b", 1)}
-    assert context.sessions.word_until(now, voters, 1, known, {TABLE: NONE}) < now
+def over(context, now, proposal_number):
+    voters, known = {name: name for name in "abc"}, {TABLE: (1, proposal_number, "b", 1)}
+    assert context.sessions.word_until(now, voters, 1, known, {TABLE: NO_PROPOSAL}) < now
--- a/features/steps/lines.py
+++ b/features/steps/lines.py
@@ -135,7 +135,7 @@
 def head(context, length):
     async def ask(made):
         got = await sent(made.port, (LOOKUP.replace("GET", "HEAD").replace("after", "r") + LOOKUP).encode())
-        return got.decode().partition("\r\n\r\n"), made.desk.stacks.opened
+        return got.decode().partition("\r\n\r\n"), made.proxy.connection_pool.opened
 
     (told, _, rest), opened = played(context, ask)
     assert told.startswith("HTTP/1.1 200") and length in told.split("\r\n"), told
@@ -152,11 +152,11 @@
         writer.write_eof() if half else writer.transport.abort()
         answered = await reader.read() if half else b""
         worker.go.set()
-        while made.desk.flight:
+        while made.proxy.flight:
             await asyncio.sleep(0)
         await made.ask("POST", "/pay/2", "next", "x")
         writer.close()
-        return made.lines, answered, made.desk.stacks.opened
+        return made.lines, answered, made.proxy.connection_pool.opened
 
     context.told = [played(context, partial(ask, half=half)) for half in (False, True)]
 
@@ -173,7 +173,7 @@
     async def ask(made):
         await made.ask("POST", "/pay/1", "large", "x" * 2**24)
         await made.ask("POST", "/pay/2", "next", "x")
-        return made.lines, made.desk.stacks.opened
+        return made.lines, made.proxy.connection_pool.opened
 
     context.told = played(context, ask)
 
@@ -188,15 +188,15 @@
 @then("an effect whose connection takes longer than its client waits is answered 503, and never arrives")
 def too_late(context):
     async def ask(made):
-        lend, until = made.desk.stacks.lend, made.desk.loop.time() + 0.1
+        lend, until = made.proxy.connection_pool.lend, made.proxy.loop.time() + 0.1
 
         async def late(*told):
             lent = await lend(*told)
-            while made.desk.loop.time() < until:
+            while made.proxy.loop.time() < until:
                 await asyncio.sleep(0)
             return lent
 
-        made.desk.stacks.lend = late
+        made.proxy.connection_pool.lend = late
         await made.ask("POST", "/pay/1", "late", "x", "X-Deadline-Ms: 90")
         return made.lines
 
@@ -224,7 +224,7 @@
     """A request whose body has begun to come."""
     reader, writer = await asyncio.open_connection("127.0.0.1", made.port)
     writer.write(data.encode())
-    while not made.desk.flight:
+    while not made.proxy.flight:
         await asyncio.sleep(0)
     return reader, writer
 
@@ -239,7 +239,7 @@
             async with asyncio.timeout(1):
                 found.append((await reader.readuntil(b"}"))[:12])
             writer.close()
-        return found, made.workers["w1"].arrivals, made.desk.flight
+        return found, made.workers["w1"].arrivals, made.proxy.flight
 
     assert played(context, ask) == ([b"HTTP/1.1 408"] * 2, [], 0)
 
@@ -249,9 +249,9 @@
     async def ask(made):
         _, writer = await under_way(made, HALF)
         writer.transport.abort()
-        while made.desk.flight:
+        while made.proxy.flight:
             await asyncio.sleep(0)
-        return made.workers["w1"].arrivals, made.desk.held, made.desk.answers
+        return made.workers["w1"].arrivals, made.proxy.held, made.proxy.answers
 
     assert played(context, ask) == ([], 0, {4: 1})
 
@@ -260,7 +260,7 @@
 def twice_full(context, count):
     async def ask(made):
         await made.ask("GET", "/keyed/1", "k", "", "X-Shard-Key: 7")
-        return made.lines[-1], made.desk.stacks.opened
+        return made.lines[-1], made.proxy.connection_pool.opened
 
     told, opened = played(context, ask)
     assert "client gets 200" in told and opened == count, (told, opened)
--- a/features/steps/members.py
+++ b/features/steps/members.py
@@ -10,9 +10,9 @@
 from bramblewood.cli.gateway import rooms
 from bramblewood.common.settings import Bounds
 from bramblewood.controller.commands import members_call
-from bramblewood.controller.sessions import PULSE
+from bramblewood.controller.sessions import HEARTBEAT_INTERVAL
 from tests.approved import approve
-from tests.simulation.membership_commands import TAKES_SEAT, Members
+from tests.simulation.membership_commands import TAKES_SEAT, VoterSet
 
 
 def one(disk: str, state: str, heard: float | None, epoch: int | None, *lag: int) -> dict:
@@ -78,8 +78,8 @@
     approve(name, context.lines)
 
 
-def play(context) -> Members:
-    context.play = Members()
+def play(context) -> VoterSet:
+    context.play = VoterSet()
     context.add_cleanup(context.play.end)
     return context.play
 
@@ -104,7 +104,9 @@
 @then("archive {n:d} has its seat, no sooner than its time is up")
 def seat_taken(context, n):
     context.play.agree({n: "voter"})
-    assert time.monotonic() - context.killed_at > TAKES_SEAT - PULSE  # its last pulse may be so old
+    assert (
+        time.monotonic() - context.killed_at > TAKES_SEAT - HEARTBEAT_INTERVAL
+    )  # its last pulse may be so old
 
 
 @then("the configuration is read back and a new one is taken")
--- a/features/steps/orders.py
+++ b/features/steps/orders.py
@@ -16,7 +16,7 @@
     readers,
     storm,
 )
-from tests.simulation.consensus import Broken, edition
+from tests.simulation.consensus import Broken, configuration
 
 FAR = {"delays": (0.055, 0.06)}
 SITES = {"far": FAR, "one slow": {"slow": 0.25}}
@@ -57,7 +57,7 @@
 def guards(context, count, voters):
     for row in context.table:
         guard = row["guard taken out"]
-        make, follow = kind(KINDS.get(guard, configuration_changes.Ballots)), RULES.get(guard, FEW)
+        make, follow = kind(KINDS.get(guard, configuration_changes.ConsensusReplica)), RULES.get(guard, FEW)
         assert guard in {**KINDS, **RULES}, guard
         found_out(lambda seed: storm(seed, voters, make, follow), count)  # noqa: B023
 
@@ -70,7 +70,7 @@
 @then("orders are answered in turn")
 def in_turn(context):
     for row in context.table:
-        wanted = edition(int(row["number"]), int(row["parent"]), row["content"])
+        wanted = configuration(int(row["number"]), int(row["parent"]), row["content"])
         following, (status, _) = commands.succeed(wanted, context.value)
         assert status == int(row["answer"]), (row, status)
         context.value = following or context.value
@@ -86,7 +86,7 @@
 )
 def bounded(context, count, some):
     for number in range(count):
-        wanted = edition(101 + number, 100 + number, f"early{number}")
+        wanted = configuration(101 + number, 100 + number, f"early{number}")
         following, (status, _) = commands.succeed(wanted, context.value)
         assert status == (412 if number < some else 503), (number, status)
         context.value = following or context.value
@@ -128,7 +128,7 @@
 @given("archives that know that r2 followed r1")
 def two_versions(context):
     play = context.play = begun(1, Site(3))
-    context.first, context.second = play.orders[0].wanted, edition(2, 1, "second")
+    context.first, context.second = play.orders[0].wanted, configuration(2, 1, "second")
     order = play.order(context.second, play.names[1])
     play.run(play.now + 5.0, lambda: order.status)
     play.run(play.now + 1.0)
@@ -154,12 +154,12 @@
 
 @then("it refuses another order on r1")
 def refused(context):
-    assert status(context.play, edition(3, 1, "late")) == 412
+    assert status(context.play, configuration(3, 1, "late")) == 412
 
 
 @then("it has no clear answer for an order on r2")
 def unclear(context):
-    assert status(context.play, edition(3, 2, "third")) == 503
+    assert status(context.play, configuration(3, 2, "third")) == 503
 
 
 @then("eight at {voters:d} voters, {site}, have clear answers within half of AckS in {count:d} seeds")
@@ -177,7 +177,7 @@
     assert worst > Bounds.AckS / 2, worst
 
 
-def at_one(seed, made=configuration_changes.Ballots):
+def at_one(seed, made=configuration_changes.ConsensusReplica):
     """The worst time of eight at one archive over that of one."""
     alone = begun(seed, Site(3, **FAR)).orders[0].took
     return max(eight(seed, Site(3, **FAR), spread=False, make=kind(made))) / alone
--- a/features/steps/placement.py
+++ b/features/steps/placement.py
@@ -1,9 +1,9 @@
 from behave import given, then, when
 
-from bramblewood.common.slice_table import FINE, WORKER
-from bramblewood.common.worker_registry import Row
-from bramblewood.controller.zone_affinity import Nearness
-from bramblewood.proxy.load_balancing import Steering
+from bramblewood.common.slice_table import KEYS_PER_RANGE, WORKER
+from bramblewood.common.worker_registry import WorkerRegistration
+from bramblewood.controller.zone_affinity import ZoneAffinity
+from bramblewood.proxy.load_balancing import LoadBalancer
 from tests.simulation.placement import Play
 
 
@@ -25,7 +25,7 @@
     entries, worker = play.table["s"]["s"], play.holder(8192)
     heat = {int(start) + 256: 0.0 for start, entry in entries.items() if entry[WORKER] != worker}
     heat |= {int(start) + 256: rest for start, entry in entries.items() if entry[WORKER] == worker}
-    heat |= {8192 + i * FINE: hot * FINE / keys for i in range(keys // FINE)}
+    heat |= {8192 + i * KEYS_PER_RANGE: hot * KEYS_PER_RANGE / keys for i in range(keys // KEYS_PER_RANGE)}
     context.began = play.now
     for _ in range(reports):
         play.cycle(heat, {worker})
@@ -39,7 +39,7 @@
 
 @given("workers in zones a and b, busy {a:g} and {b:g}")
 def zones(context, a, b):
-    context.nearness, context.busy = Nearness(), [("a", 2, a), ("a", 2, a), ("b", 2, b)]
+    context.zone_affinity, context.busy = ZoneAffinity(), [("a", 2, a), ("a", 2, a), ("b", 2, b)]
 
 
 @when("they are busy {a:g} and {b:g}")
@@ -50,26 +50,26 @@
 @then("after {cycles:d} cycles all of a's requests stay")
 def stay(context, cycles):
     for _ in range(cycles):
-        context.nearness.cycle(context.busy)
-    assert context.nearness.parts["a"] == 1.0
+        context.zone_affinity.cycle(context.busy)
+    assert context.zone_affinity.parts["a"] == 1.0
 
 
 @then("after {cycles:d} cycles {part:g} of a's requests stay, and all of b's")
 def fewer(context, cycles, part):
     for _ in range(cycles):
-        context.nearness.cycle(context.busy)
-    assert context.nearness.parts == {"a": part, "b": 1.0}
+        context.zone_affinity.cycle(context.busy)
+    assert context.zone_affinity.parts == {"a": part, "b": 1.0}
 
 
 @given("a desk of zone a, of whose requests {part:g} are to stay, with workers in a and b")
 def near(context, part):
-    context.desk = Steering(2.5, "a")
-    context.desk.near = {"s": part}
+    context.proxy = LoadBalancer(2.5, "a")
+    context.proxy.near = {"s": part}
     for name, zone in (("w1", "a"), ("w2", "a"), ("w3", "b"), ("w4", "b")):
-        context.desk.roll.merge(0.0, name, Row("s", f"{name}:1", zone, 2, "ready", 1))
+        context.proxy.registry.merge(0.0, name, WorkerRegistration("s", f"{name}:1", zone, 2, "ready", 1))
     names = ("w1", "w2", "w3", "w4")
     entries = {str(i * 8192): [names[i % 4], "", 0.01, 1, "", ""] for i in range(8)}
-    context.desk.take_table({"n": 1, "s": {"s": entries}})
+    context.proxy.take_table({"n": 1, "s": {"s": entries}})
     context.now = 10.0
 
 
@@ -77,13 +77,15 @@
 def drain(context):
     context.now += 1.0
     for name in ("w1", "w2"):
-        context.desk.roll.merge(context.now, name, Row("s", f"{name}:1", "a", 2, "draining", 2))
+        context.proxy.registry.merge(
+            context.now, name, WorkerRegistration("s", f"{name}:1", "a", 2, "draining", 2)
+        )
 
 
 @then("of {count:d} requests {part} to workers of a")
 def go(context, count, part):
-    chosen = [context.desk.choose(context.now, "s", None, f"request {i}", set()) for i in range(count)]
-    here = sum(life in ("w1", "w2") for life in chosen)
+    chosen = [context.proxy.choose(context.now, "s", None, f"request {i}", set()) for i in range(count)]
+    here = sum(instance_id in ("w1", "w2") for instance_id in chosen)
     if part.startswith("none"):
         assert here == 0, here
     else:
--- a/features/steps/room.py
+++ b/features/steps/room.py
@@ -2,7 +2,7 @@
 
 from behave import given, then, when
 
-from bramblewood.proxy.connection_pool import Stacks
+from bramblewood.proxy.connection_pool import ConnectionPool
 from bramblewood.proxy.connection_quota import TURN, keeps
 
 NOW = 100.0
@@ -10,7 +10,7 @@
 
 @given("connections kept to a worker that rested {a:g} s, {b:g} s and {c:g} s")
 def kept(context, a, b, c):
-    context.stacks = Stacks()
+    context.connection_pool = ConnectionPool()
     context.kept = [
         types.SimpleNamespace(usable=True, number=0, rests_from=NOW - rest, idle_until=NOW + 100.0, rest=rest)
         for rest in sorted((a, b, c), reverse=True)
@@ -19,9 +19,9 @@
 
 def lend(context, now, once):
     """The rest of the connection that is lent, or None where a new one is dialled."""
-    context.stacks.kept["w"] = list(context.kept)
+    context.connection_pool.kept["w"] = list(context.kept)
     try:
-        context.stacks.lend("w", "nowhere", now, once).send(None)
+        context.connection_pool.lend("w", "nowhere", now, once).send(None)
     except StopIteration as ended:
         return ended.value[0] and ended.value[0].rest
     except RuntimeError:
@@ -31,7 +31,7 @@
 
 @when("one that rested {rest:g} s was reset as soon as it was used")
 def reset(context, rest):
-    context.stacks.found_dead(NOW, rest)
+    context.connection_pool.found_dead(NOW, rest)
 
 
 @then("what may repeat takes the one that rested {first:g} s, then {second:g} s")
@@ -43,25 +43,25 @@
 
 @then("what may not repeat takes none that rested over {first:g} s for {after:g} s, then over {second:g} s")
 def once(context, first, after, second):
-    assert abs(context.stacks.trusted(NOW) - first) < 1e-9
+    assert abs(context.connection_pool.trusted(NOW) - first) < 1e-9
     assert lend(context, NOW, True) is None  # 0.3 s is the one that rested least by now
-    assert abs(context.stacks.trusted(NOW + after) - second) < 1e-9
+    assert abs(context.connection_pool.trusted(NOW + after) - second) < 1e-9
 
 
 @given("{desks:d} desks and {workers:d} workers of {connections:d} connections each")
-def fleet(context, desks, workers, connections):
-    context.keeps = lambda desk, worker, now: keeps(connections, desks, f"d{desk}", f"w{worker}", now)
-    context.desks, context.workers = range(desks), range(workers)
+def fleet(context, proxies, workers, connections):
+    context.keeps = lambda proxy, worker, now: keeps(connections, proxies, f"d{proxy}", f"w{worker}", now)
+    context.proxies, context.workers = range(proxies), range(workers)
 
 
 @then("at no worker they keep over {most:d} connections, and on the mean about half of the room")
 def share(context, most):
-    sums = [sum(context.keeps(desk, worker, 0.0) for desk in context.desks) for worker in context.workers]
+    sums = [sum(context.keeps(proxy, worker, 0.0) for proxy in context.proxies) for worker in context.workers]
     assert max(sums) <= most and abs(sum(sums) / len(sums) - 57 / 2) < 1.5, sums
 
 
 @then("no desk is without a connection to the same worker for {turns:d} turns")
 def turn(context, turns):
-    for desk in context.desks:
-        lots = [context.keeps(desk, 1, TURN * k) for k in range(4 * turns)]
-        assert all(any(lots[k : k + turns]) for k in range(3 * turns)), (desk, lots)
+    for proxy in context.proxies:
+        lots = [context.keeps(proxy, 1, TURN * k) for k in range(4 * turns)]
+        assert all(any(lots[k : k + turns]) for k in range(3 * turns)), (proxy, lots)
--- a/features/steps/sessions.py
+++ b/features/steps/sessions.py
@@ -1,14 +1,14 @@
 from behave import given, then, when
 
-from bramblewood.common.worker_registry import GONE, READY, Roll, Row
-from bramblewood.controller.consensus.replica import NONE, TABLE
+from bramblewood.common.worker_registry import GONE, READY, WorkerRegistration, WorkerRegistry
+from bramblewood.controller.consensus.replica import NO_PROPOSAL, TABLE
 from bramblewood.controller.sessions import Sessions
 
 ABOUT = {"voters": ["a", "b", "c"], "archives": ["a", "b", "c"], "desks": ["d1"]}
 
 
 @given("an archive of three")
-def archive(context):
+def controller(context):
     context.sessions = Sessions("a")
 
 
@@ -33,29 +33,34 @@
 
 
 @when("{peer} gave back the stamp {stamp:g} at {now:g}, with ballot {ballot:d} accepted")
-def pulsed(context, peer, stamp, now, ballot):
-    accepted = {TABLE: [1, ballot, "b", 1]}
+def pulsed(context, peer, stamp, now, proposal_number):
+    accepted = {TABLE: [1, proposal_number, "b", 1]}
     told = {"acc": accepted, "dur": accepted, "e": stamp, "t": 0.0, "v": True, "w": True, "desks": []}
     context.sessions.pulse(now, peer, {**told, "ep": 1, "disk": peer, "leaving": False, "ver": {}})
 
 
 @then("at {now:g} its word on ballot {ballot:d} holds until {until:g}")
-def word(context, now, ballot, until):
-    voters, known = {name: name for name in "abc"}, {TABLE: (1, ballot, "b", 1)}
-    found = context.sessions.word_until(now, voters, 1, known, {TABLE: NONE})
+def word(context, now, proposal_number, until):
+    voters, known = {name: name for name in "abc"}, {TABLE: (1, proposal_number, "b", 1)}
+    found = context.sessions.word_until(now, voters, 1, known, {TABLE: NO_PROPOSAL})
     assert abs(found - until) < 1e-9, found
 
 
 @then("a life that ended while its archive was cut off does not end the one that came after it")
 def healed(context):
-    cut, others = Roll(), Roll()  # told at 12 of each other's rows, as the cut heals
-    cut.merge(1.0, "old", Row("s", "10.0.0.9:1", "z", 1, READY, 3))
-    others.merge(11.0, "new", Row("s", "10.0.0.9:1", "z", 1, READY, 1))
-    sent = {name: ({life: [*row] for life, row in roll.rows.items()}, roll.ages(12.0, 60.0))
-            for name, roll in (("cut", cut), ("others", others))}  # fmt: skip
+    cut, others = WorkerRegistry(), WorkerRegistry()  # told at 12 of each other's rows, as the cut heals
+    cut.merge(1.0, "old", WorkerRegistration("s", "10.0.0.9:1", "z", 1, READY, 3))
+    others.merge(11.0, "new", WorkerRegistration("s", "10.0.0.9:1", "z", 1, READY, 1))
+    sent = {}
+    for name, registry in (("cut", cut), ("others", others)):
+        rows = {instance_id: [*row] for instance_id, row in registry.rows.items()}
+        sent[name] = (rows, registry.ages(12.0, 60.0))
     news, _ = others.take(12.0, *sent["cut"])
     cut.take(12.0, *sent["others"])
-    for roll in (cut, others):
-        assert {life: row.phase for life, row in roll.rows.items()} == {"old": GONE, "new": READY}
-        assert roll.homes["10.0.0.9:1"] == "new"
-    assert Row(*news["old"]).phase == GONE  # as it is told on
+    for registry in (cut, others):
+        assert {instance_id: row.phase for instance_id, row in registry.rows.items()} == {
+            "old": GONE,
+            "new": READY,
+        }
+        assert registry.homes["10.0.0.9:1"] == "new"
+    assert WorkerRegistration(*news["old"]).phase == GONE  # as it is told on
--- a/features/steps/settings.py
+++ b/features/steps/settings.py
@@ -13,7 +13,7 @@
 
 from bramblewood.cli.gateway import rooms
 from bramblewood.common import logs
-from bramblewood.common.settings import Bounds, Settings, Tolerance, seeds_again, settings_of
+from bramblewood.common.settings import Bounds, Settings, Tolerance, reread_seeds, settings_of
 from bramblewood.controller.consensus.quorum import Place, first_voters
 from tests.approved import approve
 
@@ -53,7 +53,7 @@
 @then("a program tells once, as it starts, which parts are in force and which it does not know")
 def starts(context):
     told, out = settings_of(text('ContractList = ["base","tides"]')).ok_value, io.StringIO()
-    with contextlib.redirect_stdout(out), logs.Daybook(told.name).applicationbound():
+    with contextlib.redirect_stdout(out), logs.JsonLineHandler(told.name).applicationbound():
         logs.started(logbook.Logger(told.name), told.unread, contract=told.contract)
     first, second = map(json.loads, out.getvalue().splitlines())
     assert (first["event"], first["contract"]) == ("started", ["base", "tides"])
@@ -68,9 +68,9 @@
 
 
 @then('"{program}" by "{lines}" ends with "{words}"')
-def ends(context, program, lines, words):
+def ends(context, server, lines, words):
     path = written(context, lines)
-    result = CliRunner().invoke(rooms, [program, "--boot", path])
+    result = CliRunner().invoke(rooms, [server, "--boot", path])
     assert (result.exit_code, result.output) == (2, f"bramblewood: {path}: {words}\n"), result.output
 
 
@@ -80,7 +80,7 @@
     with logbook.TestHandler().applicationbound() as book:
         for lines, dialled in ((good, (ip,)), (faulty, ())):
             path = written(context, lines)
-            assert seeds_again(replace(told, path=path), logbook.Logger("core-1")) == dialled
+            assert reread_seeds(replace(told, path=path), logbook.Logger("core-1")) == dialled
         assert book.has_info("settings read again") and book.has_warning("settings refused")
 
 
--- a/features/steps/shelf.py
+++ b/features/steps/shelf.py
@@ -9,7 +9,7 @@
 from click.testing import CliRunner
 
 from bramblewood.cli.inspection import shelf as shelf_commands
-from bramblewood.controller.storage import Shelf
+from bramblewood.controller.storage import Storage
 from tests.simulation.storage_failures import (
     PROMISE,
     Growing,
@@ -62,16 +62,16 @@
 @then("a start finds the table as it was left")
 def started(context):
     value = context.play.value
-    context.play.shelf.base.close()
+    context.play.storage.base.close()
     context.play.start()
-    assert repr(context.play.shelf.stored["table"]) == repr(value)
+    assert repr(context.play.storage.stored["table"]) == repr(value)
 
 
 @when("a value that is no JSON is committed amid others")
 def no_json(context):
     play = context.play
     row = ("table", (9,), (9,), {**play.value, "n": 9, "odd": {1, 2}})
-    context.told = play.shelf.commit([([row], {"seen": 9}, None)])
+    context.told = play.storage.commit([([row], {"seen": 9}, None)])
     play.move(1)
 
 
@@ -97,8 +97,8 @@
 
 @when("a later program has made form {form:d} of it")
 def later(context, form):
-    context.play.shelf.base.execute(f"pragma user_version={form}")
-    context.play.shelf.base.close()
+    context.play.storage.base.execute(f"pragma user_version={form}")
+    context.play.storage.base.close()
     context.files = {name: bytes(inode.seen) for name, inode in context.play.disc.names.items()}
 
 
@@ -126,7 +126,7 @@
         return connect(path, **words)
 
     with mock.patch("os.fsync", fsync), mock.patch("sqlite3.connect", connected):
-        assert Shelf(os.path.join(context.place, "a", "b", "c")).open().is_ok()
+        assert Storage(os.path.join(context.place, "a", "b", "c")).open().is_ok()
 
 
 @then("each new folder was synced into the one above before the base was made")
@@ -143,12 +143,12 @@
                 file.write(inode.seen)
         ask = lambda *words: CliRunner().invoke(shelf_commands, [*words, folder])  # noqa: E731
         before = [ask(word) for word in ("check", "show", "export")]
-        shelf = Shelf(folder)
-        assert shelf.open().ok_value == told.states[0]
-        assert shelf.base.execute("pragma auto_vacuum").fetchone() == (1,)
+        storage = Storage(folder)
+        assert storage.open().ok_value == told.states[0]
+        assert storage.base.execute("pragma auto_vacuum").fetchone() == (1,)
         after = [ask(word) for word in ("check", "show", "export")]
         facts = {"born": None, "voters": None, "disk": "0a0b0c0d"}  # as an archive goes on to write
-        assert shelf.commit([([], facts, None)]) is None
+        assert storage.commit([([], facts, None)]) is None
         assert json.loads(ask("export").output)["facts"] == {"disk": "0a0b0c0d"}
         assert ask("check").output == "sound\n"
     assert [one.output for one in before] == [one.output for one in after]
@@ -171,7 +171,7 @@
 @then("nothing of it goes out, and at {soon:g} it may act for the core, at {late:g} not")
 def held(context, soon, late):
     assert not context.play.sent
-    assert context.play.archive.whole(soon) and not context.play.archive.whole(late)
+    assert context.play.controller.whole(soon) and not context.play.controller.whole(late)
 
 
 @when("the disc answers again")
@@ -181,7 +181,7 @@
 
 @then("the promise goes out, lies there after a power cut, and the archive may act again")
 def goes(context):
-    assert context.play.sent == [("b", PROMISE)] and context.play.archive.whole(20.0)
+    assert context.play.sent == [("b", PROMISE)] and context.play.controller.whole(20.0)
     assert context.play.after_power_cut()["config"][0] == (1, 7, "b", 1)
 
 
@@ -191,7 +191,7 @@
 
 
 @then("nothing of it went out, and what lay there before lies there still")
-def nothing(context):
+def no_effects(context):
     context.play.answer()
     assert not context.play.sent
     promised, accepted, value = context.play.after_power_cut()["config"]
--- a/features/steps/withdrawal.py
+++ b/features/steps/withdrawal.py
@@ -2,9 +2,9 @@
 
 from behave import given, then, when
 
-from bramblewood.common.worker_registry import Roll, Row
+from bramblewood.common.worker_registry import WorkerRegistration, WorkerRegistry
 from bramblewood.controller import drain_plans
-from bramblewood.controller.drain_plans import Room, Withdrawals, out_of, plans_of, started, steps_of
+from bramblewood.controller.drain_plans import DrainPlans, Room, out_of, plans_of, started, steps_of
 from tests.approved import approve
 from tests.simulation.drain_plans import Play, TooSoon
 
@@ -39,9 +39,17 @@
     advanced, order = drain_plans.advanced, ["told", "closing", "closed", "out"]
 
     def unfenced(value, moves, ends):
-        stands = {life: at for life, at in out_of(value).items() if life in moves}
-        later = {life for life, at in stands.items() if order.index(at[1]) < order.index(moves[life][0])}
-        return advanced(value, {life: (moves[life][0], stands[life][2]) for life in later}, ends)
+        stands = {instance_id: at for instance_id, at in out_of(value).items() if instance_id in moves}
+        later = {
+            instance_id
+            for instance_id, at in stands.items()
+            if order.index(at[1]) < order.index(moves[instance_id][0])
+        }
+        return advanced(
+            value,
+            {instance_id: (moves[instance_id][0], stands[instance_id][2]) for instance_id in later},
+            ends,
+        )
 
     with mock.patch.object(drain_plans, "advanced", unfenced):
         assert found(count, "")
@@ -52,10 +60,10 @@
     context.value, context.lines = {"n": 1, "s": {"s": {"0": ["w3", "", 0.0, 1, "", ""]}}}, []
 
 
-def ask(context, name, lives, staying):
-    made, (status, reason) = started(context.value, name, "s", lives, 1, staying)
+def ask(context, name, instance_ids, staying):
+    made, (status, reason) = started(context.value, name, "s", instance_ids, 1, staying)
     context.value = made or context.value
-    context.lines.append(f"{name} takes {', '.join(lives)}: {status} {reason}")
+    context.lines.append(f"{name} takes {', '.join(instance_ids)}: {status} {reason}")
 
 
 @when("plan a takes w1 and w2, and plan b takes w2")
@@ -84,13 +92,13 @@
 
 @then("after {first:d} s none of them closes, and after {last:d} s the plan is stopped: {why}")
 def waits(context, first, last, why):
-    roll, machine = Roll(), Withdrawals(7.4)
+    registry, machine = WorkerRegistry(), DrainPlans(7.4)
     for name in ("w1", "w2", "w3"):
-        roll.merge(0.0, name, Row("s", f"{name}:1", "z", 2, "ready", 1))
+        registry.merge(0.0, name, WorkerRegistration("s", f"{name}:1", "z", 2, "ready", 1))
     room = {"s": Room(5.0, {"w1": 2.0, "w2": 2.0, "w3": 2.0})}
     for tenth in range(10 * last):
         machine.present(tenth / 10, set())
-        change = machine.step(tenth / 10, context.value, roll, room)
+        change = machine.step(tenth / 10, context.value, registry, room)
         if change is not None:
             context.value = change(context.value)[0] or context.value
         if tenth == 10 * first:
@@ -104,30 +112,34 @@
 
 
 def plan(context, step):
-    context.steering.take_table({"n": context.steering.table_n + 1, "base": 1, "d": {}, "w": {"w1": step}})
+    context.load_balancer.take_table(
+        {"n": context.load_balancer.table_n + 1, "base": 1, "d": {}, "w": {"w1": step}}
+    )
 
 
 @when("key 7's client began at w1, and a plan takes w1")
 def began(context):
-    context.steering.pin(0.0, "s", "7", "w1", 2.0)
+    context.load_balancer.pin(0.0, "s", "7", "w1", 2.0)
     plan(context, "told")
 
 
 @then("its next step goes to w1 at {early:d} s, and elsewhere after {late:d} s")
 def bound(context, early, late):
-    assert context.steering.pinned(early, "s", "7") == "w1"
-    assert context.steering.left(early)["w1"] == [0, 1, 0.0]
-    assert context.steering.pinned(late, "s", "7") is None and context.steering.left(late) == {}
+    assert context.load_balancer.pinned(early, "s", "7") == "w1"
+    assert context.load_balancer.left(early)["w1"] == [0, 1, 0.0]
+    assert context.load_balancer.pinned(late, "s", "7") is None and context.load_balancer.left(late) == {}
 
 
 @then("of {count:d} effects none goes to w1 once it is in the plan, though it still gets lookups")
 def effects(context, count):
-    chosen = [context.steering.choose(5.0, "s", None, f"e{i}", set()) for i in range(count)]
+    chosen = [context.load_balancer.choose(5.0, "s", None, f"e{i}", set()) for i in range(count)]
     assert "w1" not in chosen
-    assert "w1" in [context.steering.choose(5.0, "s", None, f"e{i}", set(), True) for i in range(count)]
+    assert "w1" in [context.load_balancer.choose(5.0, "s", None, f"e{i}", set(), True) for i in range(count)]
 
 
 @then("once it closes w1 gets nothing new")
 def closes(context):
     plan(context, "closing")
-    assert "w1" not in [context.steering.choose(5.0, "s", None, f"e{i}", set(), True) for i in range(200)]
+    assert "w1" not in [
+        context.load_balancer.choose(5.0, "s", None, f"e{i}", set(), True) for i in range(200)
+    ]
--- a/tests/simulation/catch_up.py
+++ b/tests/simulation/catch_up.py
@@ -6,8 +6,8 @@
 import json
 import zlib
 
+from benchmarks.controller_storage import moved, table
 from benchmarks.gateway import config
-from benchmarks.shelf import moved, table
 from bramblewood.controller.consensus.replica import CONFIG, REGISTERS, TABLE
 from tests.simulation.consensus import Core
 
--- a/tests/simulation/configuration_changes.py
+++ b/tests/simulation/configuration_changes.py
@@ -10,11 +10,11 @@
 from functools import partial
 from typing import Any
 
-from bramblewood.common.configuration import Edition
+from bramblewood.common.configuration import Configuration
 from bramblewood.controller.commands import final_answer, succeed
-from bramblewood.controller.consensus.replica import CONFIG, Ballots, Out
+from bramblewood.controller.consensus.replica import CONFIG, ConsensusReplica, Effects
 
-from .consensus import Broken, edition
+from .consensus import Broken, configuration
 
 CALL_WITHIN, TICK = 0.85, 0.1  # the shell's: archive/program.py
 SILENCE = 1.0  # s after which a caller goes to another manager; PROTOCOL, "The operator"
@@ -23,10 +23,12 @@
 SYNC = (0.001, 0.008)  # s that a write takes to be safe
 
 
-def build(name: str, voters: tuple[str, ...], life: int, stored: dict, kind: type = Ballots) -> Ballots:
+def build(
+    name: str, voters: tuple[str, ...], incarnation: int, stored: dict, kind: type = ConsensusReplica
+) -> ConsensusReplica:
     """The one place that makes an archive's core: epoch 1, in which these voters are active."""
     members = {"n": 1, "voters": {voter: f"{voter}'s disk" for voter in voters}, "before": {}}
-    return kind(name, f"{name}'s disk", life, stored, members, 1 if name in voters else -1)
+    return kind(name, f"{name}'s disk", incarnation, stored, members, 1 if name in voters else -1)
 
 
 @dataclass(frozen=True)
@@ -49,7 +51,7 @@
 
 @dataclass
 class Order:
-    wanted: Edition
+    wanted: Configuration
     first_at: float
     moves: int = 0
     call: int = 0  # the newest call under way
@@ -64,7 +66,7 @@
         self, seed: int, site: Site = Site(), make: Callable = build, follow: Callable = succeed
     ) -> None:
         self.dice, self.site, self.make, self.follow = random.Random(seed), site, make, follow
-        self.now, self.count, self.lives, self.due = 0.0, 0, 0, []
+        self.now, self.count, self.incarnations, self.due = 0.0, 0, 0, []
         self.names = tuple(f"m{k}" for k in range(site.voters + site.spares))
         self.voters = self.names[: site.voters]
         pairs = [(a, b) for a in self.names for b in self.names if a < b]
@@ -77,11 +79,11 @@
         self.disks: dict[str, dict] = {name: {} for name in self.names}
         self.writing: dict[str, float] = dict.fromkeys(self.names, 0.0)
         self.arrived: dict[tuple[str, str], float] = {}
-        self.machines: dict[str, Ballots] = {}
+        self.machines: dict[str, ConsensusReplica] = {}
         self.known: dict[str, Any] = {}
         self.chosen: dict[int, str] = {}  # number: digest, of all that any machine has learned
-        self.taken: dict[str, Edition] = {}  # by digest: answered 200
-        self.refused: dict[str, Edition] = {}  # by digest: answered 4xx, for good
+        self.taken: dict[str, Configuration] = {}  # by digest: answered 200
+        self.refused: dict[str, Configuration] = {}  # by digest: answered 4xx, for good
         self.on_parent: dict[int, str] = {}
         self.orders: list[Order] = []
         for name in self.names:
@@ -105,8 +107,10 @@
     # --- machines
 
     def start(self, name: str) -> None:
-        self.lives += 1
-        machine = self.machines[name] = self.make(name, self.voters, self.lives, dict(self.disks[name]))
+        self.incarnations += 1
+        machine = self.machines[name] = self.make(
+            name, self.voters, self.incarnations, dict(self.disks[name])
+        )
         self.known.pop(name, None)
         self.after(TICK * self.dice.random(), self.tick, name, machine)
 
@@ -126,18 +130,18 @@
         if self.site.stops:
             self.after(self.dice.expovariate(1 / self.site.stops), self.accident)
 
-    def tick(self, name: str, machine: Ballots) -> None:
+    def tick(self, name: str, machine: ConsensusReplica) -> None:
         if self.machines.get(name) is machine:
             self.carry(name, machine, machine.tick(self.now))
             self.after(TICK, self.tick, name, machine)
 
-    def carry(self, name: str, machine: Ballots, out: Out) -> None:
+    def carry(self, name: str, machine: ConsensusReplica, out: Effects) -> None:
         if not out.writes and not out.facts:
             return self.dispatch(name, machine, out)
         self.writing[name] = max(self.writing[name], self.now) + self.dice.uniform(*SYNC)
         self.after(self.writing[name] - self.now, self.written, name, machine, out)
 
-    def written(self, name: str, machine: Ballots, out: Out) -> None:
+    def written(self, name: str, machine: ConsensusReplica, out: Effects) -> None:
         if self.machines.get(name) is not machine:
             return  # it stopped before: the write never came to be
         for register, promised, accepted, value in out.writes:
@@ -145,7 +149,7 @@
             machine.stored(register, accepted)
         self.dispatch(name, machine, out)
 
-    def dispatch(self, name: str, machine: Ballots, out: Out) -> None:
+    def dispatch(self, name: str, machine: ConsensusReplica, out: Effects) -> None:
         for peer, message in out.sends:
             self.send(name, peer, message)
         for tag, outcome in out.answers:
@@ -173,7 +177,7 @@
 
     # --- operators
 
-    def order(self, wanted: Edition, first: str = "") -> Order:
+    def order(self, wanted: Configuration, first: str = "") -> Order:
         """Send an order until there is a clear answer."""
         order = Order(wanted, self.now)
         self.orders.append(order)
@@ -241,7 +245,7 @@
 
     # --- judges
 
-    def answered(self, wanted: Edition, status: int) -> None:
+    def answered(self, wanted: Configuration, status: int) -> None:
         mark = wanted.digest
         if status == 200:
             self.taken[mark] = wanted
@@ -259,7 +263,7 @@
         if mark in self.refused:
             raise Broken(f"{mark} was refused, and is in force")
 
-    def judge(self, name: str, machine: Ballots) -> None:
+    def judge(self, name: str, machine: ConsensusReplica) -> None:
         """What a machine has learned, against what was answered."""
         value = machine.value(CONFIG)
         if value is None or self.known.get(name) is value:
@@ -299,7 +303,7 @@
 def begun(seed: int, site: Site, make: Callable = build, follow: Callable = succeed) -> Play:
     """The first configuration is taken, however often it must be sent."""
     play = Play(seed, site, make, follow)
-    first = play.order(edition(1, 0, "first"))
+    first = play.order(configuration(1, 0, "first"))
     play.run(60.0, lambda: first.status)
     if first.status != 200:
         raise Broken(f"the first configuration is not taken: {first.met}")
@@ -323,11 +327,11 @@
             if kind < 0.25:
                 play.order(dice.choice(play.orders).wanted)
             elif kind < 0.35:
-                play.order(edition(newest + 1 + dice.randrange(2), dice.randrange(newest), mark))
+                play.order(configuration(newest + 1 + dice.randrange(2), dice.randrange(newest), mark))
             elif kind < 0.45:
-                play.order(edition(newest + 2 + dice.randrange(2), newest + 1, mark))
+                play.order(configuration(newest + 2 + dice.randrange(2), newest + 1, mark))
             else:
-                play.order(edition(newest + 1 + dice.randrange(2), newest, mark))
+                play.order(configuration(newest + 1 + dice.randrange(2), newest, mark))
             play.run(play.now + 0.1 * dice.random())
         for _ in range(4):
             play.read(dice.choice(play.names))
@@ -340,7 +344,7 @@
     """Hundreds of changes one on the other, answers lost, and orders of all the day sent again."""
     play = begun(seed, Site(voters, delays=(0.0005, 0.005), answers_lost=0.1), follow=follow)
     for number in range(2, changes + 2):
-        order = play.order(edition(number, number - 1, f"m{number}"))
+        order = play.order(configuration(number, number - 1, f"m{number}"))
         if sum(not one.status for one in play.orders) < EIGHT:
             play.order(play.dice.choice(play.orders).wanted)
         play.run(play.now + 20.0, lambda: order.status)  # noqa: B023
@@ -354,7 +358,7 @@
     """
     play = begun(seed, Site(voters, delays=(0.0005, 0.005), far=0.1), make)
     for number in range(2, 22):
-        order = play.order(edition(number, number - 1, f"m{number}"), play.names[0])
+        order = play.order(configuration(number, number - 1, f"m{number}"), play.names[0])
         rest = play.now + 0.3 * play.dice.random()  # a far archive's ballots come through in between
         while not order.status or play.now < rest:
             play.read(play.names[-1])
@@ -373,7 +377,7 @@
         newest, first, orders = play.newest(), play.dice.randrange(len(play.names)), []
         for k in range(EIGHT):
             name = play.names[(first + k * spread) % len(play.names)]
-            orders.append(play.order(edition(newest + 1 + k // 2, newest, f"{slot}.{k}"), name))
+            orders.append(play.order(configuration(newest + 1 + k // 2, newest, f"{slot}.{k}"), name))
             play.run(play.now + 0.02 * play.dice.random())
         play.run(play.now + 60.0, lambda: all(order.status for order in orders))  # noqa: B023
         if sorted(order.status for order in orders) != [200, *[412] * (EIGHT - 1)]:
@@ -384,7 +388,7 @@
 # --- guards taken out, one each
 
 
-class Hasty(Ballots):
+class Hasty(ConsensusReplica):
     """Counts one voter less than a majority."""
 
     @property
@@ -392,10 +396,10 @@
         return super().majority - 1
 
 
-class Trusting(Ballots):
+class Trusting(ConsensusReplica):
     """Takes the newest value that it is told of for chosen, though a minority may hold it."""
 
-    def promised(self, now: float, peer: str, message: dict, out: Out) -> None:
+    def promised(self, now: float, peer: str, message: dict, out: Effects) -> None:
         round = self.current(message)
         if round and round.promises and "v" in message:
             best, value = max(
@@ -406,7 +410,7 @@
         super().promised(now, peer, message, out)
 
 
-class Pushing(Ballots):
+class Pushing(ConsensusReplica):
     """Leaves the way to nobody."""
 
     def __init__(self, *told: Any) -> None:
@@ -417,16 +421,16 @@
 class Latecomers(Pushing):
     """Lets changes into a ballot that were put after it began; pushing, as no rule may rest on waits."""
 
-    def promised(self, now: float, peer: str, message: dict, out: Out) -> None:
+    def promised(self, now: float, peer: str, message: dict, out: Effects) -> None:
         if round := self.current(message):
             round.carried = list(self.rounds[round.register])
         super().promised(now, peer, message, out)
 
 
-class Singly(Ballots):
+class Singly(ConsensusReplica):
     """One change in a ballot."""
 
-    def begin(self, now: float, round: Any, out: Out) -> None:
+    def begin(self, now: float, round: Any, out: Effects) -> None:
         round.carried = round.carried[:1]
         super().begin(now, round, out)
 
@@ -434,30 +438,30 @@
 FEW = partial(succeed, kept=6)  # storms forget what hundreds of changes would
 
 
-def forgetful(wanted: Edition, stands: dict | None) -> tuple:
+def forgetful(wanted: Configuration, stands: dict | None) -> tuple:
     """Refuses what it no longer knows."""
     return FEW(wanted, {**stands, "forgotten": 0} if stands else None)
 
 
-def unrepeated(wanted: Edition, stands: dict | None) -> tuple:
+def unrepeated(wanted: Configuration, stands: dict | None) -> tuple:
     """Does not know an order again."""
     known = stands and wanted.digest in stands["past"].values()
     return (None, (412, "")) if known else FEW(wanted, stands)
 
 
-def by_number(wanted: Edition, stands: dict | None) -> tuple:
+def by_number(wanted: Configuration, stands: dict | None) -> tuple:
     """Knows an order by its number alone."""
     known = stands and str(wanted.number) in stands["past"]
     return (None, (200, "")) if known else FEW(wanted, stands)
 
 
-def unwritten(wanted: Edition, stands: dict | None) -> tuple:
+def unwritten(wanted: Configuration, stands: dict | None) -> tuple:
     """Refuses an order whose parent may still come without writing that down."""
     following, told = FEW(wanted, stands)
     return (following if told[0] == 200 else None), told
 
 
-def parentless(wanted: Edition, stands: dict | None) -> tuple:
+def parentless(wanted: Configuration, stands: dict | None) -> tuple:
     """Does not look at the parent."""
     fresh = stands and wanted.number > stands["n"]
     return FEW(wanted._replace(parent=stands["n"]) if fresh else wanted, stands)
--- a/tests/simulation/consensus.py
+++ b/tests/simulation/consensus.py
@@ -5,32 +5,40 @@
 import random
 from typing import Any
 
-from bramblewood.common.configuration import Edition
+from bramblewood.common.configuration import Configuration
 from bramblewood.controller.commands import succeed
-from bramblewood.controller.consensus.replica import ALL, CONFIG, MEMBERS, NONE, Ballots, Out, succession
+from bramblewood.controller.consensus.replica import (
+    ALL,
+    CONFIG,
+    MEMBERS,
+    NO_PROPOSAL,
+    ConsensusReplica,
+    Effects,
+    next_voter_set,
+)
 
 NAMES = ("a", "b", "c")
 
 
-def edition(number: int, parent: int, mark: str) -> Edition:
-    return Edition(number, parent, mark, {}, {}, {}, {"Revision": f"r{number}", "mark": mark})
+def configuration(number: int, parent: int, mark: str) -> Configuration:
+    return Configuration(number, parent, mark, {}, {}, {}, {"Revision": f"r{number}", "mark": mark})
 
 
 class Broken(AssertionError):
     """A judge's word."""
 
 
-class Unkept(Ballots):
+class Unkept(ConsensusReplica):
     """A voter that only learns what was chosen while it was away."""
 
-    def learn(self, now, register, ballot, value, out) -> None:
-        if ballot > self.learned[register][0]:
-            self.learned[register] = (ballot, value)
+    def learn(self, now, register, proposal_number, value, out) -> None:
+        if proposal_number > self.learned[register][0]:
+            self.learned[register] = (proposal_number, value)
             if register == MEMBERS:
                 self.adopt(now, value, out)
 
 
-class Unnamed(Ballots):
+class Unnamed(ConsensusReplica):
     """Goes on in no seat of any disk, so that an old disk waits until its seat has its name."""
 
     @property
@@ -38,7 +46,7 @@
         return self.voters.get(self.me) == self.disk
 
 
-class Whoever(Ballots):
+class Whoever(ConsensusReplica):
     """Goes on in a seat of any disk even with an empty disk."""
 
     @property
@@ -48,22 +56,22 @@
 
 class Core:
     def __init__(
-        self, seed: int, careless: bool = False, kind: type = Ballots, any_disk: bool = False
+        self, seed: int, careless: bool = False, kind: type = ConsensusReplica, any_disk: bool = False
     ) -> None:
         """careless: a machine whose disk was lost goes by the name of its old disk, as it must not. any_disk:
         the disks knew no epochs, so the seats are of any disk at first.
         """
-        self.dice, self.careless, self.now, self.lives = random.Random(seed), careless, 0.0, 0
+        self.dice, self.careless, self.now, self.incarnations = random.Random(seed), careless, 0.0, 0
         self.kind = kind
         members = {"n": 1, "voters": {name: "" if any_disk else f"{name}0" for name in NAMES}, "before": {}}
         self.disks: dict[str, dict] = {
             name: {"disk": f"{name}0", "members": members, "held": 1} for name in NAMES
         }
-        self.machines: dict[str, Ballots] = {}
-        self.writes: dict[str, list[Out]] = {name: [] for name in NAMES}
+        self.machines: dict[str, ConsensusReplica] = {}
+        self.writes: dict[str, list[Effects]] = {name: [] for name in NAMES}
         self.wire: list[tuple[str, str, dict]] = []
-        self.taken: dict[str, Edition] = {}  # by mark: answered 200
-        self.refused: dict[str, Edition] = {}  # by mark: answered 4xx, for good
+        self.taken: dict[str, Configuration] = {}  # by mark: answered 200
+        self.refused: dict[str, Configuration] = {}  # by mark: answered 4xx, for good
         self.past: dict[str, str] = {}  # number: mark, of all that any machine has learned
         for name in NAMES:
             self.start(name)
@@ -71,10 +79,15 @@
     # --- machines
 
     def start(self, name: str) -> None:
-        disk, self.lives = self.disks[name], self.lives + 1
-        disk.setdefault("disk", f"{name}{self.lives}")
+        disk, self.incarnations = self.disks[name], self.incarnations + 1
+        disk.setdefault("disk", f"{name}{self.incarnations}")
         self.machines[name] = self.kind(
-            name, disk["disk"], self.lives, disk.get("registers"), disk.get("members"), disk.get("held", -1)
+            name,
+            disk["disk"],
+            self.incarnations,
+            disk.get("registers"),
+            disk.get("members"),
+            disk.get("held", -1),
         )
 
     def stop(self, name: str) -> None:
@@ -87,7 +100,7 @@
         kept = ("disk", "members", "held") if self.careless else ()
         self.disks[name] = {fact: self.disks[name][fact] for fact in kept}
 
-    def carry(self, name: str, out: Out) -> None:
+    def carry(self, name: str, out: Effects) -> None:
         if out.writes or out.facts:
             self.writes[name].append(out)
         else:
@@ -103,10 +116,10 @@
         disk.update(out.facts)
         self.dispatch(name, out)
 
-    def dispatch(self, name: str, out: Out) -> None:
+    def dispatch(self, name: str, out: Effects) -> None:
         self.wire += [(name, peer, message) for peer, message in out.sends]
         for tag, outcome in out.answers:
-            if isinstance(tag, Edition) and outcome is not None:
+            if isinstance(tag, Configuration) and outcome is not None:
                 (self.taken if outcome[0] == 200 else self.refused)[tag.digest] = tag
         self.judge()
 
@@ -117,7 +130,7 @@
         if peer in self.machines:
             self.carry(peer, self.machines[peer].hear(self.now, sender, message))
 
-    def put(self, name: str, wanted: Edition) -> None:
+    def put(self, name: str, wanted: Configuration) -> None:
         change = lambda stands: succeed(wanted, stands)  # noqa: E731
         self.carry(name, self.machines[name].propose(self.now, CONFIG, change, wanted, 2.0))
 
@@ -132,7 +145,7 @@
         """As pulses do: others hear which set of voters is known here, and what is safe on this disk."""
         machine = self.machines[name]
         mine, durable = machine.members, machine.durable[CONFIG]
-        if machine.voting and durable != NONE and self.dice.random() < 0.2:
+        if machine.voting and durable != NO_PROPOSAL and self.dice.random() < 0.2:
             told = {"k": "accepted", "r": CONFIG, "b": durable, "disk": machine.disk}
             self.wire += [(name, peer, told) for peer in self.machines if peer != name]
         behind = [peer for peer, machine in self.machines.items() if machine.epoch < mine["n"]]
@@ -145,7 +158,7 @@
             if not machine.voting or peer not in self.machines or machine.rounds[MEMBERS]:
                 continue
             if (here := self.machines[peer].disk) != disk and self.machines[peer].epoch == machine.epoch:
-                change = succession(machine.members, {**machine.voters, peer: here})
+                change = next_voter_set(machine.members, {**machine.voters, peer: here})
                 self.carry(name, machine.propose(self.now, MEMBERS, change, "members", 2.0))
 
     def run(self, steps: int, lose: float = 0.0, double: float = 0.0) -> None:
@@ -221,11 +234,11 @@
                 raise Broken(f"{mark} was refused, and is in force")
 
 
-def caught_up(kind: type = Ballots) -> bool:
+def caught_up(kind: type = ConsensusReplica) -> bool:
     """Whether a voter that was away as a version was chosen holds it on disk soon after."""
     core = Core(1, kind=kind)
     core.stop("c")
-    core.put("a", edition(1, 0, "first"))
+    core.put("a", configuration(1, 0, "first"))
     core.quiet()
     core.start("c")
     core.quiet()
@@ -234,18 +247,24 @@
 
 def kept_as_it_joined() -> bool:
     """Whether a voter that learned a version of an epoch before it was active there holds it afterwards."""
-    before, ballot, value = {name: f"{name}0" for name in NAMES}, (2, 1, "a", 1), {"n": 1, "past": {}}
-    machine = Ballots("b", "b1", 1, members={"n": 2, "voters": {**before, "b": "b1"}, "before": before})
-    machine.hear(0.0, "a", {"k": "chosen", "r": CONFIG, "b": ballot, "v": value})
+    before, proposal_number, value = (
+        {name: f"{name}0" for name in NAMES},
+        (2, 1, "a", 1),
+        {"n": 1, "past": {}},
+    )
+    machine = ConsensusReplica(
+        "b", "b1", 1, members={"n": 2, "voters": {**before, "b": "b1"}, "before": before}
+    )
+    machine.hear(0.0, "a", {"k": "chosen", "r": CONFIG, "b": proposal_number, "v": value})
     machine.tick(0.1)
     for peer in ("a", "c"):  # as they held epoch 1
-        regs = {name: {"a": NONE, "v": None} for name in ALL}
+        regs = {name: {"a": NO_PROPOSAL, "v": None} for name in ALL}
         told = {"k": "state", "e": 2, "held": 1, "disk": f"{peer}0", "regs": regs}
         machine.hear(0.2, peer, told)
-    return machine.voting and machine.acceptors[CONFIG].accepted == ballot
+    return machine.voting and machine.acceptors[CONFIG].accepted == proposal_number
 
 
-def goes_on_empty(kind: type = Ballots) -> bool:
+def goes_on_empty(kind: type = ConsensusReplica) -> bool:
     """Whether a disk that came back empty to a seat of any disk asks for what the epoch holds."""
     core = Core(1, kind=kind, any_disk=True)
     core.wipe("b")
@@ -264,7 +283,7 @@
         nonlocal number
         for mark in ("left", "right"):
             number += 1 + dice.randrange(2)
-            wanted = edition(number, parent, f"{mark}{number}")
+            wanted = configuration(number, parent, f"{mark}{number}")
             for _ in range(1 + dice.randrange(2)):  # an unclear call is repeated unchanged, to any
                 core.put(dice.choice(list(core.machines)), wanted)
                 core.run(dice.randrange(25), 0.1, 0.05)
--- a/tests/simulation/drain_plans.py
+++ b/tests/simulation/drain_plans.py
@@ -5,12 +5,12 @@
 
 import random
 
-from bramblewood.common.slice_table import OLD, WORKER
-from bramblewood.common.worker_registry import Roll, Row
+from bramblewood.common.slice_table import PREVIOUS_OWNER, WORKER
+from bramblewood.common.worker_registry import WorkerRegistration, WorkerRegistry
 from bramblewood.controller.drain_plans import (
     OUT,
+    DrainPlans,
     Room,
-    Withdrawals,
     ended,
     in_use,
     out_of,
@@ -19,7 +19,7 @@
 )
 
 STEP = 0.1  # s
-SILENT = 7.4  # s: the longest hold behind a silent desk
+PEER_TIMEOUT = 7.4  # s: the longest hold behind a silent desk
 WORKERS = tuple(f"w{i}" for i in range(6))
 
 
@@ -27,7 +27,7 @@
     """A worker is out, and a desk that is there still has or starts work on it."""
 
 
-class Desk:
+class Proxy:
     def __init__(self, n):
         self.n, self.steps, self.under_way = n, {}, []  # under way: (worker, until, begun)
         self.cut_until = self.excused = 0.0
@@ -39,12 +39,12 @@
         self.dice, self.careless, self.now = random.Random(seed), careless, 100.0
         entries = {str(i * 4096): [WORKERS[i % 6], "", 0.0, 1, "", ""] for i in range(12)}
         self.tables = [{"n": 1, "s": {"s": entries}}]
-        self.archives = {name: Withdrawals(SILENT) for name in "ab"}
-        self.desks = {f"d{i}": Desk(1) for i in range(3)}
-        self.roll, self.begun, self.outs, self.plans = Roll(), 0, 0, 0
+        self.controllers = {name: DrainPlans(PEER_TIMEOUT) for name in "ab"}
+        self.proxies = {f"d{i}": Proxy(1) for i in range(3)}
+        self.registry, self.begun, self.outs, self.plans = WorkerRegistry(), 0, 0, 0
         self.late = []  # proposals of archives that are slow or were frozen: (when, change)
         for name in WORKERS:
-            self.roll.merge(100.0, name, Row("s", f"{name}:1", "z", 2, "ready", 1))
+            self.registry.merge(100.0, name, WorkerRegistration("s", f"{name}:1", "z", 2, "ready", 1))
 
     @property
     def value(self):
@@ -54,44 +54,46 @@
         if made[0] is not None:
             self.tables.append(made[0])
 
-    def desk(self, name, desk):
+    def proxy(self, name, proxy):
         dice = self.dice
         if dice.random() < 0.004:  # killed: what it had under way is broken off, it starts with the newest
-            desk.under_way, desk.n = [], self.value["n"]
-            desk.steps = steps_of(self.value)
-        if dice.random() < 0.008 and self.now >= desk.cut_until:
-            desk.cut_until = self.now + 12 * dice.random()
-            if desk.cut_until > self.now + SILENT:
-                desk.excused = float(
+            proxy.under_way, proxy.n = [], self.value["n"]
+            proxy.steps = steps_of(self.value)
+        if dice.random() < 0.008 and self.now >= proxy.cut_until:
+            proxy.cut_until = self.now + 12 * dice.random()
+            if proxy.cut_until > self.now + PEER_TIMEOUT:
+                proxy.excused = float(
                     "inf"
                 )  # what it begins before it hears of the table may outlast the bound
-        desk.under_way = [one for one in desk.under_way if one[1] > self.now]
-        if self.now >= desk.cut_until:
+        proxy.under_way = [one for one in proxy.under_way if one[1] > self.now]
+        if self.now >= proxy.cut_until:
             if dice.random() < 0.5:
                 table = self.tables[max(len(self.tables) - 1 - dice.randrange(2), 0)]
-                if table["n"] >= desk.n:
-                    desk.n, desk.steps = table["n"], steps_of(table)
-                    desk.excused = min(desk.excused, self.now)
+                if table["n"] >= proxy.n:
+                    proxy.n, proxy.steps = table["n"], steps_of(table)
+                    proxy.excused = min(proxy.excused, self.now)
             left = {}
-            for life, _, begun in desk.under_way:
-                left.setdefault(life, [0, 0, self.now - begun])[1] += 1
-            for archive in self.archives.values():
+            for instance_id, _, begun in proxy.under_way:
+                left.setdefault(instance_id, [0, 0, self.now - begun])[1] += 1
+            for controller in self.controllers.values():
                 if dice.random() < 0.8:
-                    archive.hear(name, desk.n, left)
-        able = [w for w in WORKERS if desk.steps.get(w, "told") == "told" and self.ready(w)]
+                    controller.hear(name, proxy.n, left)
+        able = [w for w in WORKERS if proxy.steps.get(w, "told") == "told" and self.ready(w)]
         if able and dice.random() < 0.6:
-            life = dice.choice(able)
-            desk.under_way.append((life, self.now + 3 * dice.random(), self.now))
+            instance_id = dice.choice(able)
+            proxy.under_way.append((instance_id, self.now + 3 * dice.random(), self.now))
             self.begun += 1
 
-    def ready(self, life):
-        return self.roll.rows[life].phase == "ready"
+    def ready(self, instance_id):
+        return self.registry.rows[instance_id].phase == "ready"
 
-    def archive(self, name):
-        machine = self.archives[name]
+    def controller(self, name):
+        machine = self.controllers[name]
         if self.dice.random() < 0.002:
-            self.archives[name] = machine = Withdrawals(SILENT)  # restarted: it knows nothing of the desks
-        there = {desk for desk, one in self.desks.items() if self.now >= one.cut_until}
+            self.controllers[name] = machine = DrainPlans(
+                PEER_TIMEOUT
+            )  # restarted: it knows nothing of the desks
+        there = {proxy for proxy, one in self.proxies.items() if self.now >= one.cut_until}
         rooms = {"s": Room(3.0, {w: 2.0 for w in WORKERS if self.ready(w)})}
         view = self.tables[max(len(self.tables) - 1 - self.dice.randrange(2), 0)]
         machine.present(self.now, there)
@@ -99,7 +101,7 @@
             machine.sending = lambda *_: []
         if self.careless == "work":
             machine.under_way = lambda *_: {}
-        if change := machine.step(self.now, view, self.roll, rooms):
+        if change := machine.step(self.now, view, self.registry, rooms):
             if self.dice.random() < 0.1:
                 self.late.append((self.now + 10 * self.dice.random(), change))
             else:
@@ -109,8 +111,8 @@
         """The planner moves what a closing worker holds, and the old holder lets go a while later."""
         entries = dict(self.value["s"]["s"])
         for start, entry in entries.items():
-            if entry[OLD] and self.dice.random() < 0.2:
-                entries[start] = [*entry[:OLD], ""]
+            if entry[PREVIOUS_OWNER] and self.dice.random() < 0.2:
+                entries[start] = [*entry[:PREVIOUS_OWNER], ""]
             elif steps_of(self.value).get(entry[WORKER], "told") != "told" and self.dice.random() < 0.3:
                 target = self.dice.choice([w for w in WORKERS if w not in out_of(self.value)])
                 entries[start] = [target, "", 0.0, 1, "", entry[WORKER]]
@@ -118,37 +120,41 @@
             self.tables.append({**self.value, "n": self.value["n"] + 1, "s": {"s": entries}})
 
     def operator(self):
-        able = in_use(self.roll, "s", out_of(self.value))
+        able = in_use(self.registry, "s", out_of(self.value))
         if self.dice.random() < 0.01 and len(able) > 3:
             self.plans += 1
-            lives, wave = able[: self.dice.randrange(1, 4)], self.dice.randrange(1, 3)
-            self.change(started(self.value, f"p{self.plans}", "s", lives, wave, len(able) - len(lives)))
+            instance_ids, wave = able[: self.dice.randrange(1, 4)], self.dice.randrange(1, 3)
+            self.change(
+                started(self.value, f"p{self.plans}", "s", instance_ids, wave, len(able) - len(instance_ids))
+            )
         elif self.dice.random() < 0.01 and self.plans:
             self.change(ended(self.value, f"p{self.plans}", self.dice.choice(["stopped", "back"])))
         elif self.dice.random() < 0.02 and self.plans:
             self.change(ended(self.value, f"p{self.dice.randrange(1, self.plans + 1)}", "back"))
 
     def judge(self):
-        out = {life for life, step in steps_of(self.value).items() if step == OUT}
+        out = {instance_id for instance_id, step in steps_of(self.value).items() if step == OUT}
         self.outs += len(out)
-        for name, desk in self.desks.items():
-            if self.now < desk.cut_until:
+        for name, proxy in self.proxies.items():
+            if self.now < proxy.cut_until:
                 continue  # not there: its word is not asked, its bound was waited for
-            for life, _, begun in desk.under_way:
-                if life in out and begun >= desk.excused:
-                    raise TooSoon(f"{name} has work at {life}, begun at {begun:.1f}, now {self.now:.1f}")
+            for instance_id, _, begun in proxy.under_way:
+                if instance_id in out and begun >= proxy.excused:
+                    raise TooSoon(
+                        f"{name} has work at {instance_id}, begun at {begun:.1f}, now {self.now:.1f}"
+                    )
 
     def run(self, seconds):
         for _ in range(int(seconds / STEP)):
             self.now += STEP
             self.operator()
-            for name in self.archives:
-                self.archive(name)
+            for name in self.controllers:
+                self.controller(name)
             for _, change in [one for one in self.late if one[0] <= self.now]:
                 self.change(change(self.value))
             self.late = [one for one in self.late if one[0] > self.now]
             self.keys()
-            for name, desk in self.desks.items():
-                self.desk(name, desk)
+            for name, proxy in self.proxies.items():
+                self.proxy(name, proxy)
             self.judge()
         return self
--- a/tests/simulation/key_leases.py
+++ b/tests/simulation/key_leases.py
@@ -10,11 +10,11 @@
 
 import random
 
-from bramblewood.common.slice_table import FENCE, KEYS, OLD
-from bramblewood.common.worker_registry import Roll, Row
-from bramblewood.controller.key_leases import AGAIN, ARRIVES, Freed, Holds
+from bramblewood.common.slice_table import FENCING_TOKEN, KEY_SPACE_SIZE, PREVIOUS_OWNER
+from bramblewood.common.worker_registry import WorkerRegistration, WorkerRegistry
+from bramblewood.controller.key_leases import AGAIN, ARRIVES, KeyLeases, ReleasedKeys
 from bramblewood.controller.placement import Changes, apply, freed
-from bramblewood.controller.sessions import WORD
+from bramblewood.controller.sessions import QUORUM_CONTACT_VALIDITY
 
 STEP = 0.05  # s
 SLICES = 4
@@ -28,20 +28,20 @@
 class Worker:
     """Holds as the protocol says, on a clock that is 2% slow."""
 
-    def __init__(self, life: str) -> None:
-        self.life, self.fences, self.until = life, [0] * SLICES, [0.0] * SLICES
+    def __init__(self, instance_id: str) -> None:
+        self.instance_id, self.fences, self.until = instance_id, [0] * SLICES, [0.0] * SLICES
         self.reachable = {"a": True, "b": True}  # by archive
 
-    def grant(self, now: float, places: list[int], fence: int, hold: float) -> int:
-        if any(self.fences[place] > fence for place in places):
+    def grant(self, now: float, places: list[int], fencing_token: int, hold: float) -> int:
+        if any(self.fences[place] > fencing_token for place in places):
             return 409
         for place in places:
-            self.fences[place], self.until[place] = fence, now + hold * 1.02
+            self.fences[place], self.until[place] = fencing_token, now + hold * 1.02
         return 200
 
-    def release(self, now: float, places: list[int], fence: int) -> int:
+    def release(self, now: float, places: list[int], fencing_token: int) -> int:
         for place in places:
-            self.fences[place], self.until[place] = max(fence, self.fences[place]), now
+            self.fences[place], self.until[place] = max(fencing_token, self.fences[place]), now
         return 200
 
 
@@ -53,18 +53,27 @@
         """
         self.dice, self.careless, self.now = random.Random(seed), careless, 100.0
         self.tables: list[dict] = [
-            {"n": 1, "s": {"s": {str(i * KEYS // SLICES): ["w1", "", 0.0, 1, "", ""] for i in range(SLICES)}}}
+            {
+                "n": 1,
+                "s": {
+                    "s": {
+                        str(i * KEY_SPACE_SIZE // SLICES): ["w1", "", 0.0, 1, "", ""] for i in range(SLICES)
+                    }
+                },
+            }
         ]
         self.workers = {address: Worker(address) for address in ADDRESSES}
-        self.archives = {name: Holds(10.0) for name in "ab"}
-        for holds in self.archives.values():
+        self.controllers = {name: KeyLeases(10.0) for name in "ab"}
+        for holds in self.controllers.values():
             holds.hold *= 0.5 - 1 / 6.12 if careless == "wait" else 1.0
-        self.view = dict.fromkeys(self.archives, 0)
-        self.heard = dict.fromkeys(self.archives, self.now)
-        self.cut = dict.fromkeys(self.archives, False)
-        self.roll = Roll()
+        self.view = dict.fromkeys(self.controllers, 0)
+        self.heard = dict.fromkeys(self.controllers, self.now)
+        self.cut = dict.fromkeys(self.controllers, False)
+        self.registry = WorkerRegistry()
         for address in ADDRESSES:
-            self.roll.merge(self.now, address, Row("s", f"{address}:1", "z", 2, "ready", 1))
+            self.registry.merge(
+                self.now, address, WorkerRegistration("s", f"{address}:1", "z", 2, "ready", 1)
+            )
         self.ways: list[tuple] = []  # (when, what, ...): calls and answers under way
         self.lies: dict[tuple[str, str], int] = {}  # by archive and address: a surplus answer's status
         self.moves = self.grants = self.restarts = self.late = self.surplus = 0
@@ -76,25 +85,25 @@
     def step(self) -> None:
         self.now += STEP
         dice = self.dice
-        for name in self.archives:
+        for name in self.controllers:
             if dice.random() < 0.006:
                 self.cut[name] = not self.cut[name]
             if not self.cut[name] and dice.random() < 0.5:
                 self.view[name], self.heard[name] = len(self.tables) - 1, self.now
             if dice.random() < 0.01:
-                self.archives[name].out.clear()  # it is scribe again
+                self.controllers[name].out.clear()  # it is scribe again
         for address, worker in self.workers.items():
-            for name in self.archives:
+            for name in self.controllers:
                 if dice.random() < 0.006:
                     worker.reachable[name] = not worker.reachable[name]
             if dice.random() < 0.0005:
                 self.restart(address)
         if dice.random() < 0.08 and not all(self.cut.values()):
-            start = dice.randrange(SLICES) * KEYS // SLICES
-            worker = dice.choice([worker.life for worker in self.workers.values()])
+            start = dice.randrange(SLICES) * KEY_SPACE_SIZE // SLICES
+            worker = dice.choice([worker.instance_id for worker in self.workers.values()])
             self.change(apply(self.tables[-1], {"s": Changes({start: (worker, "", 0.0)}, [], SLICES)}, {"s"}))
             self.moves += 1
-        for name, holds in self.archives.items():
+        for name, holds in self.controllers.items():
             self.act(name, holds)
         for item in [item for item in self.ways if item[0] <= self.now]:
             self.ways.remove(item)
@@ -108,16 +117,16 @@
         """A new life at the same address; calls find it before the archives hear of it."""
         self.restarts += 1
         worker = self.workers[address] = Worker(f"{address}.{self.restarts}")
-        row = Row("s", f"{address}:1", "z", 2, "ready", 1)
-        self.later(2.0, lambda: self.roll.merge(self.now, worker.life, row))
+        row = WorkerRegistration("s", f"{address}:1", "z", 2, "ready", 1)
+        self.later(2.0, lambda: self.registry.merge(self.now, worker.instance_id, row))
 
     def later(self, most: float, what, *told) -> None:
         part = self.dice.choice((0.0, self.dice.random(), 1.0))  # the ends are where faults show
         self.ways.append((self.now + part * (most - STEP), what, *told))
 
-    def act(self, name: str, holds: Holds) -> None:
-        calls, free = holds.step(self.now, self.tables[self.view[name]], {"s"}, self.roll)
-        until = self.heard[name] + WORD
+    def act(self, name: str, holds: KeyLeases) -> None:
+        calls, free = holds.step(self.now, self.tables[self.view[name]], {"s"}, self.registry)
+        until = self.heard[name] + QUORUM_CONTACT_VALIDITY
         for call in calls:
             if call.kind == "grant" and self.now >= until and self.careless != "word":
                 holds.answered(self.now, call, self.now, 0, "", False)
@@ -133,14 +142,14 @@
 
     def arrive(self, name: str, call, sent: float, read: bool) -> None:
         worker, status = self.workers[call.address.partition(":")[0]], 0
-        places = [start * SLICES // KEYS for start in call.starts]
-        if worker.reachable[name] and worker.life != call.life:
+        places = [start * SLICES // KEY_SPACE_SIZE for start in call.starts]
+        if worker.reachable[name] and worker.instance_id != call.instance_id:
             status = 421
         elif worker.reachable[name] and call.kind == "grant":
-            status = worker.grant(self.now, places, call.fence, call.hold)
+            status = worker.grant(self.now, places, call.fencing_token, call.hold)
             self.grants += status == 200
         elif worker.reachable[name]:
-            status = worker.release(self.now, places, call.fence)
+            status = worker.release(self.now, places, call.fencing_token)
         if status and self.happens(0.1):
             self.lies[name, call.address] = status  # it answers twice
         if self.happens(0.1):
@@ -149,18 +158,18 @@
             return
         busy = call.kind == "release" and self.happens(0.2)
         self.late += busy
-        self.later(self.archives[name].expiry if busy else 2 * STEP, self.told, name, call, sent, status)
+        self.later(self.controllers[name].expiry if busy else 2 * STEP, self.told, name, call, sent, status)
 
     def told(self, name: str, call, sent: float, status: int) -> None:
-        one = self.archives[name].answered(self.now, call, sent, status, "h", False)
+        one = self.controllers[name].answered(self.now, call, sent, status, "h", False)
         if one is not None and not self.cut[name]:
             if self.careless == "older":
                 entry = self.tables[-1]["s"]["s"][str(one.starts[0])]
-                one = one._replace(fence=entry[FENCE], old=entry[OLD])
+                one = one._replace(fencing_token=entry[FENCING_TOKEN], old=entry[PREVIOUS_OWNER])
             self.free(one)
 
-    def free(self, one: Freed) -> None:
-        self.change(freed(self.tables[-1], one.service, one.starts, one.fence, one.old, one.handover))
+    def free(self, one: ReleasedKeys) -> None:
+        self.change(freed(self.tables[-1], one.service, one.starts, one.fencing_token, one.old, one.handover))
 
     def judge(self) -> None:
         for place in range(SLICES):
@@ -201,13 +210,13 @@
         what, whom = event
         if what == "act":
             self.view[whom], self.heard[whom] = len(self.tables) - 1, self.now
-            self.act(whom, self.archives[whom])
+            self.act(whom, self.controllers[whom])
         elif what == "move":
             other = {"w1": "w2", "w2": "w1"}[self.tables[-1]["s"]["s"]["0"][0].partition(".")[0]]
-            line = (self.workers[other].life, "", 0.0)
+            line = (self.workers[other].instance_id, "", 0.0)
             self.change(apply(self.tables[-1], {"s": Changes({0: line}, [], 1)}, {"s"}))
         elif what in ("again", "wait"):  # a failed call's pause; the whole wait, in which all ways end
-            self.now += AGAIN if what == "again" else self.archives["a"].expiry
+            self.now += AGAIN if what == "again" else self.controllers["a"].expiry
             for _, name, call, sent, *_ in self.wire if what == "wait" else ():
                 self.told(name, call, sent, 0)
             self.wire = [] if what == "wait" else self.wire
@@ -238,18 +247,20 @@
     def key(self) -> str:
         entries = self.tables[-1]["s"]["s"]["0"]
         now = self.now
-        workers = [(w.life, w.fences[0], max(round(w.until[0] - now, 1), 0)) for w in self.workers.values()]
+        workers = [
+            (w.instance_id, w.fences[0], max(round(w.until[0] - now, 1), 0)) for w in self.workers.values()
+        ]
         holds = [
             [
                 sorted((k, v[:2], round(v[2] - self.now, 1)) for k, v in h.granted.items()),
                 sorted((k, round(at - self.now, 1)) for k, at in (h.wait_from | h.next_at).items()),
                 sorted(h.out),
             ]
-            for h in self.archives.values()
+            for h in self.controllers.values()
         ]
         wire = [(what, name, call, rest) for what, name, call, _, *rest in self.wire]
-        roll = sorted(self.roll.rows.items())
-        return repr((entries, workers, holds, wire, self.lies, len(self.unheard), roll))
+        registry = sorted(self.registry.rows.items())
+        return repr((entries, workers, holds, wire, self.lies, len(self.unheard), registry))
 
 
 def exhaust(depth: int, careless: str = "", acting: str = "a", begun: tuple = ()) -> int:
@@ -257,19 +268,19 @@
     seen, level = set(), [list(begun)]
     for _ in range(depth):
         after = []
-        for trace in level:
-            for event in reached(trace, careless, acting).events():
-                key = reached([*trace, event], careless, acting).key()
+        for format_proposal_number in level:
+            for event in reached(format_proposal_number, careless, acting).events():
+                key = reached([*format_proposal_number, event], careless, acting).key()
                 if key not in seen:
                     seen.add(key)
-                    after.append([*trace, event])
+                    after.append([*format_proposal_number, event])
         level = after
     return len(seen)
 
 
-def reached(trace: list[tuple], careless: str, acting: str) -> Small:
+def reached(format_proposal_number: list[tuple], careless: str, acting: str) -> Small:
     made = Small(careless, acting)
-    for event in trace:
+    for event in format_proposal_number:
         made.play(event)
     return made
 
@@ -278,11 +289,13 @@
     """s between the end of the last grant that may leave, on a way that long and the slowest clock, and its
     keys' being freed while their old holder answers nobody.
     """
-    holds, roll, worker = Holds(10.0), Roll(), Worker("w1")
-    roll.merge(0.0, "w1", Row("s", "w1:1", "z", 2, "ready", 1))
+    holds, registry, worker = KeyLeases(10.0), WorkerRegistry(), Worker("w1")
+    registry.merge(0.0, "w1", WorkerRegistration("s", "w1:1", "z", 2, "ready", 1))
     table = {"n": 2, "s": {"s": {"0": ["w2", "", 0.0, 2, "", "w1"]}}}
-    worker.grant(WORD + way, [0], 1, holds.hold)  # another archive's, on a word from just before the change
+    worker.grant(
+        QUORUM_CONTACT_VALIDITY + way, [0], 1, holds.hold
+    )  # another archive's, on a word from just before the change
     steps = 0
-    while not holds.step(steps * STEP, table, {"s"}, roll)[1]:
+    while not holds.step(steps * STEP, table, {"s"}, registry)[1]:
         steps += 1
     return steps * STEP - worker.until[0]
