--- a/tests/simulation/majority_contact.py
+++ b/tests/simulation/majority_contact.py
@@ -12,30 +12,40 @@
 
 from multidict import CIMultiDict
 
-from bramblewood.common.configuration import edition_of
+from bramblewood.common.configuration import build_configuration
 from bramblewood.common.settings import Bounds, Settings
-from bramblewood.common.slice_table import OLD, WORKER
-from bramblewood.common.timeouts import SLOW_CLOCK, SURE, TRAVEL, WORD
-from bramblewood.common.worker_registry import READY, Row
+from bramblewood.common.slice_table import PREVIOUS_OWNER, WORKER
+from bramblewood.common.timeouts import (
+    CLOCK_DRIFT_FACTOR,
+    CONFIRMATION_VALIDITY,
+    MAX_TRANSIT_TIME,
+    QUORUM_CONTACT_VALIDITY,
+)
+from bramblewood.common.worker_registry import READY, WorkerRegistration
 from bramblewood.controller import server as archive_program
-from bramblewood.controller.commands import GetConfig, PutConfig, Register, TakeLeave
+from bramblewood.controller.commands import (
+    DeregisterWorker,
+    GetConfiguration,
+    PutConfiguration,
+    RegisterWorker,
+)
 from bramblewood.controller.consensus.replica import CONFIG, TABLE
 from bramblewood.controller.placement import Placement
-from bramblewood.controller.server import Archive
+from bramblewood.controller.server import Controller
 from bramblewood.emulator.operator import configuration
-from bramblewood.proxy.server import Desk
+from bramblewood.proxy.server import Proxy
 
 STEP = 0.01  # s of the play's clock
 WAYS = (0.002, 0.02)  # s that a message travels
 SYNC = 0.004  # s that a write takes
 BEAT, DRAIN = 1.5, 2.5  # s
 PATIENCE = 1.0  # s that bytes may wait for a cut until their sender gives the link up (TCP_USER_TIMEOUT)
-QUIET = 1.2  # s after which a desk gives a link up
+CONNECTION_TIMEOUT = 1.2  # s after which a desk gives a link up
 REDIAL = 0.3  # s
 WITHIN = 1.0  # s that a caller waits; it takes no later answer
 LATE = 0.1  # s that an answer of a machine may be late by its own timers
 # s after which a machine that is cut off must have seen it: the word it had, and a call's time
-SEEN = WORD + archive_program.CALL_WITHIN + LATE
+SEEN = QUORUM_CONTACT_VALIDITY + archive_program.CALL_WITHIN + LATE
 TOUCH = 3.0  # s; ContactS
 SLOTS = 2
 
@@ -127,12 +137,12 @@
             if target.frozen:  # what has come is read after the thaw
                 self.take(end, target)
         self.stands = False
-        if dialler.links.up.get(acceptor.name) is self.near:
-            del dialler.links.up[acceptor.name]
+        if dialler.peer_connections.up.get(acceptor.name) is self.near:
+            del dialler.peer_connections.up[acceptor.name]
             dialler.tell(acceptor.name, False)
         if self.met:
-            acceptor.loop.call_soon(acceptor.program.left, self.far)
-        dialler.links.again[acceptor.name] = dialler.play.now + REDIAL
+            acceptor.loop.call_soon(acceptor.server.left, self.far)
+        dialler.peer_connections.again[acceptor.name] = dialler.play.now + REDIAL
 
     def ways(self):
         return ((self.near, self.acceptor), (self.far, self.dialler))
@@ -162,12 +172,12 @@
     def bring(self, end, target, message):
         if end is self.far:
             self.heard_at = self.dialler.play.now
-            target.loop.call_soon(target.program.hear, self.near, message)
+            target.loop.call_soon(target.server.hear, self.near, message)
         elif self.met:
-            target.loop.call_soon(target.program.hear, self.far, message)
+            target.loop.call_soon(target.server.hear, self.far, message)
         else:
             self.met = True
-            target.loop.call_soon(target.program.met, self.far, message)
+            target.loop.call_soon(target.server.met, self.far, message)
 
 
 class Wires:
@@ -188,14 +198,14 @@
         play, node = self.node.play, self.node
         for peer, at in self.again.items():
             target = play.nodes.get(peer)
-            if peer in self.up or now < at or target is None or target.program is None:
+            if peer in self.up or now < at or target is None or target.server is None:
                 continue
             if play.cut(node.name, peer) or play.cut(peer, node.name):
                 continue
             wire = Wire(node, target)
             play.wires.append(wire)
             self.up[peer] = wire.near
-            wire.near.send(node.program.hello(peer))
+            wire.near.send(node.server.hello(peer))
             node.tell(peer, True)
 
 
@@ -203,49 +213,49 @@
     """A machine: its program of the moment, its disk, whether it is frozen."""
 
     def __init__(self, play, name, kind):
-        self.play, self.name, self.kind, self.lives = play, name, kind, 0
+        self.play, self.name, self.kind, self.instance_ids = play, name, kind, 0
         voters = {name: f"disk-{name}" for name in play.voters}
         self.facts = {"disk": f"disk-{name}", "held": 1 if name in voters else -1}
         self.facts["members"] = {"n": 1, "voters": voters, "before": {}}
-        self.registers, self.program, self.frozen, self.thawed_at = {}, None, False, -9.0
+        self.registers, self.server, self.frozen, self.thawed_at = {}, None, False, -9.0
         self.began = self.touched_at = 0.0  # what it said until then has come to a majority and back
         self.heard, self.back = {}, {}  # by machine: when what was last heard, and last answered, was sent
 
     def start(self, first):
-        play, archives = self.play, self.play.archives
-        self.loop, self.links = Loop(play), Wires(self)
-        self.lives, self.began, self.heard, self.back = self.lives + 1, play.now, {}, {}
-        ports = {"Control": (self.name, 3)} if self.kind is Archive else {"Front": (self.name, 3)}
+        play, controllers = self.play, self.play.controllers
+        self.loop, self.peer_connections = Loop(play), Wires(self)
+        self.instance_ids, self.began, self.heard, self.back = self.instance_ids + 1, play.now, {}, {}
+        ports = {"Control": (self.name, 3)} if self.kind is Controller else {"Front": (self.name, 3)}
         seeds = tuple(f"{name}:3" for name in play.voters)
         told = Settings(
             self.name, self.name, "z", (1, 2), seeds, first, None, BEAT, ports, 2**28, 100, Bounds()
         )
         with mock.patch("bramblewood.common.logs.begin", return_value=mock.Mock()):
             made = self.kind(told)
-        made.loop, made.links = self.loop, self.links
-        if self.kind is Archive:
-            self.archive(made)
+        made.loop, made.peer_connections = self.loop, self.peer_connections
+        if self.kind is Controller:
+            self.controller(made)
         else:
             made.changed = asyncio.Event()
-        for peer in archives:
+        for peer in controllers:
             if peer != self.name:
-                made.links.keep(peer, 1)
-        self.program = made
+                made.peer_connections.keep(peer, 1)
+        self.server = made
         self.loop.begin(self.turns(made))
 
     def tell(self, peer, up):
         """A link came or went; one that is frozen hears of it when it is thawed."""
         if self.frozen:
-            self.loop.call_soon(self.program.link_told, peer, up)
+            self.loop.call_soon(self.server.link_told, peer, up)
         else:
-            self.program.link_told(peer, up)
+            self.server.link_told(peer, up)
 
-    def archive(self, made):
+    def controller(self, made):
         """What a start does, with a first set of voters; it changes as the archives see fit."""
-        made.life = 1000 * self.lives + ord(self.name)
+        made.instance_id = 1000 * self.instance_ids + ord(self.name)
         made.begin(dict(self.facts), dict(self.registers))
-        made.archives = set(self.play.archives) - {self.name}
-        made.shelf, made.calls, made.fresh = self, Calls(self), Calls(self)
+        made.controllers = set(self.play.controllers) - {self.name}
+        made.storage, made.calls, made.fresh = self, Calls(self), Calls(self)
         made.started, made.lonely_at = self.play.now, 1e9
         made.placement = Placement(self.play.now, BEAT, False)
 
@@ -262,18 +272,18 @@
 
     async def turns(self, made):
         while True:
-            if self.kind is Archive:
+            if self.kind is Controller:
                 made.tick(self.play.now)
             else:
                 made.report(self.play.now)
-            await asyncio.sleep(archive_program.TICK if self.kind is Archive else 0.5)
+            await asyncio.sleep(archive_program.TICK if self.kind is Controller else 0.5)
 
     def stop(self):
         """Killed: its links break, what was not synced is gone."""
         for wire in self.play.wires:
             if self in (wire.dialler, wire.acceptor):
                 wire.lost()
-        self.program, self.frozen = None, False
+        self.server, self.frozen = None, False
         self.end()
 
     def end(self):
@@ -302,7 +312,7 @@
     async def __aenter__(self):
         play = self.node.play
         play.touch(self.node.name, self.node)
-        if self.kind == "grant" and play.now > self.node.touched_at + WORD + LATE:
+        if self.kind == "grant" and play.now > self.node.touched_at + QUORUM_CONTACT_VALIDITY + LATE:
             raise Broken(f"{self.node.name} grants at {play.now:.2f}, apart since {self.node.touched_at:.2f}")
         await asyncio.sleep(play.dice.uniform(*WAYS))
         worker = play.workers.get(self.address.partition(":")[0])
@@ -334,11 +344,11 @@
         self.acknowledged = False
 
     def told(self, kind, body, node):
-        first, last, fence, now = body["Source"], body["TargetVersion"], body["fence"], self.play.now
+        first, last, fencing_token, now = body["Source"], body["TargetVersion"], body["fence"], self.play.now
         over = max((f for (a, b), f in self.fences.items() if a <= last and first <= b), default=0)
-        if kind == "grant" and over > fence:
+        if kind == "grant" and over > fencing_token:
             return 409
-        self.fences[first, last] = fence
+        self.fences[first, last] = fencing_token
         mine = [start for start, (end, _, _) in self.held.items() if start <= last and first <= end]
         if kind == "release":
             for start in mine:
@@ -349,8 +359,8 @@
             for a, b in ((start, first - 1), (last + 1, end)):
                 if a <= b:
                     self.held[a] = (b, old, until)
-        self.held[first] = (last, fence, now + body["HoldS"] * SLOW_CLOCK)
-        if now > node.thawed_at + TRAVEL:
+        self.held[first] = (last, fencing_token, now + body["HoldS"] * CLOCK_DRIFT_FACTOR)
+        if now > node.thawed_at + MAX_TRANSIT_TIME:
             self.play.granted(self, first, last)
         return 200
 
@@ -376,18 +386,18 @@
         if now < self.next_at:
             return
         self.seq += 1
-        self.at = self.at or play.dice.choice(play.archives)
-        row = Row("s", f"{self.name}:1", "z", SLOTS, self.phase, self.seq)
-        call = TakeLeave(self.name) if self.phase == "gone" else Register(self.name, row)
+        self.at = self.at or play.dice.choice(play.controllers)
+        row = WorkerRegistration("s", f"{self.name}:1", "z", SLOTS, self.phase, self.seq)
+        call = DeregisterWorker(self.name) if self.phase == "gone" else RegisterWorker(self.name, row)
         self.calling = [None, now + WITHIN]
         play.call(self.at, call, self.calling, self.name)
 
 
 class Play:
-    def __init__(self, seed, count=5, desks=2, spares=0):
+    def __init__(self, seed, count=5, proxies=2, spares=0):
         self.dice, self.now, self.patience, self.ways = random.Random(seed), 100.0, PATIENCE, WAYS
         self.voters = tuple("abcde"[:count])
-        self.archives = self.voters + tuple("xyz"[:spares])  # callers don't tell them apart
+        self.controllers = self.voters + tuple("xyz"[:spares])  # callers don't tell them apart
         self.wires, self.cuts, self.later, self.answers = [], {}, [], {}
         self.workers, self.slow = {}, {}  # by machine: s for each message that comes there
         self.acked, self.refused, self.tried = {}, {}, 0  # configurations by number: when, digest
@@ -395,8 +405,8 @@
         self.plenty = {}  # how often what the judges look at has come about
         self.disturbed = {}  # by desk: when it was last out of touch
         self.seen, self.faults, self.epochs = {}, [], {}  # sets of voters: since when
-        self.nodes = {name: Node(self, name, Archive) for name in self.archives}
-        self.nodes |= {f"d{i}": Node(self, f"d{i}", Desk) for i in range(desks)}
+        self.nodes = {name: Node(self, name, Controller) for name in self.controllers}
+        self.nodes |= {f"d{i}": Node(self, f"d{i}", Proxy) for i in range(proxies)}
         for node in self.nodes.values():
             node.start(True)
         for i in range(4):
@@ -423,25 +433,25 @@
     def freeze(self, name, span):
         node = self.nodes[name]
         node.frozen, node.loop.halts = True, None
-        self.later.append((self.now + span, self.thaw, (node, node.lives)))
+        self.later.append((self.now + span, self.thaw, (node, node.instance_ids)))
 
     def freeze_when(self, name, found, span):
         """Freeze a machine amid a turn, once this is so."""
         node = self.nodes[name]
 
         def halts():
-            if found(node.program):
+            if found(node.server):
                 self.freeze(name, span)
             return node.frozen
 
         node.loop.halts = halts
 
-    def thaw(self, node, life):
-        if node.program is not None and node.lives == life:
+    def thaw(self, node, instance_id):
+        if node.server is not None and node.instance_ids == instance_id:
             node.frozen, node.thawed_at = False, self.now
 
     def restart(self, name, after=0.3):
-        if self.nodes[name].program is not None:
+        if self.nodes[name].server is not None:
             self.nodes[name].stop()
             self.later.append((self.now + after, self.nodes[name].start, (False,)))
 
@@ -461,14 +471,14 @@
                 self.taken(command, answer)
 
         def arrive():
-            if node.program is not None and not self.cut(caller, name):
-                node.loop.begin(serve(node.program))
+            if node.server is not None and not self.cut(caller, name):
+                node.loop.begin(serve(node.server))
 
         self.later.append((self.now + self.dice.uniform(*WAYS), arrive, ()))
 
     def taken(self, command, answer):
-        if isinstance(command, PutConfig):
-            number, digest = command.edition.number, command.edition.digest
+        if isinstance(command, PutConfiguration):
+            number, digest = command.configuration.number, command.configuration.digest
             if answer.status == 200:
                 self.acked.setdefault(number, (self.now, digest))
                 self.count("orders taken")
@@ -485,11 +495,11 @@
         number = max(parent, max(self.acked, default=0)) + self.tried % 3 + 1
         routes = [["r", "h.example", f"/p{self.tried}/", "pure", 2, 0.5, 1, 2, "s"]]
         config = configuration(f"r{number}", routes, [["s", True]])
-        edition = edition_of({**config, "ParentVersion": f"r{parent}" if parent else 0}).ok_value
-        self.call(name, PutConfig(edition), [None], "operator")
+        requested = build_configuration({**config, "ParentVersion": f"r{parent}" if parent else 0}).ok_value
+        self.call(name, PutConfiguration(requested), [None], "operator")
 
     def get(self, name):
-        self.call(name, GetConfig(), [None], "operator")
+        self.call(name, GetConfiguration(), [None], "operator")
 
     def move(self, name):
         """Somebody has a slice pass to another worker, by agreement."""
@@ -498,7 +508,7 @@
 
         def change(value):
             entries = value["s"].get("s", {}) if value else {}
-            able = [start for start, entry in entries.items() if entry[WORKER] and not entry[OLD]]
+            able = [start for start, entry in entries.items() if entry[WORKER] and not entry[PREVIOUS_OWNER]]
             if not able:
                 return None, True
             start = sorted(able)[int(number * len(able))]
@@ -508,20 +518,20 @@
             entries = {**entries, start: entry}
             return {**value, "n": value["n"] + 1, "s": {**value["s"], "s": entries}}, True
 
-        if node.program is not None and not node.frozen:
-            node.loop.call_soon(node.program.propose, TABLE, change, lambda outcome: None, 1.0)
+        if node.server is not None and not node.frozen:
+            node.loop.call_soon(node.server.propose, TABLE, change, lambda outcome: None, 1.0)
 
     # --- judges
 
     def reaches(self, name):
         """The archives that this machine has a way to and from, itself among them where it is one."""
         node = self.nodes[name]
-        if node.program is None or node.frozen:
+        if node.server is None or node.frozen:
             return set()
-        found = {name} & set(self.archives)
-        for other in self.archives:
+        found = {name} & set(self.controllers)
+        for other in self.controllers:
             there = self.nodes[other]
-            up = there.program is not None and not there.frozen
+            up = there.server is not None and not there.frozen
             if up and not self.cut(name, other) and not self.cut(other, name):
                 found.add(other)
         return found
@@ -529,14 +539,14 @@
     def sets(self):
         """The sets of voters that were the newest at some time within a word's time."""
         for node in self.nodes.values():
-            if node.kind is Archive and node.program is not None and node.program.ballots.voting:
-                ballots = node.program.ballots
-                self.epochs.setdefault(ballots.epoch, ({*ballots.voters}, self.now))
+            if node.kind is Controller and node.server is not None and node.server.consensus.voting:
+                consensus = node.server.consensus
+                self.epochs.setdefault(consensus.epoch, ({*consensus.voters}, self.now))
         ends = [*sorted(self.epochs), None]
         return [
             self.epochs[epoch][0]
             for epoch, after in zip(ends[:-1], ends[1:], strict=True)
-            if after is None or self.now < self.epochs[after][1] + WORD + LATE
+            if after is None or self.now < self.epochs[after][1] + QUORUM_CONTACT_VALIDITY + LATE
         ]
 
     def touch(self, name, node):
@@ -555,35 +565,37 @@
         self.touch(node.name, node)
         if self.now > node.touched_at + SEEN:
             raise Broken(f"{what}, apart since {node.touched_at:.2f}")
-        if self.now > asked + WITHIN + LATE and not isinstance(command, Register | TakeLeave):
+        if self.now > asked + WITHIN + LATE and not isinstance(command, RegisterWorker | DeregisterWorker):
             raise Broken(f"{what}, asked at {asked:.2f}")
-        if isinstance(command, GetConfig):
+        if isinstance(command, GetConfiguration):
             number = int(json.loads(answer.text)["Revision"][1:]) if status == 200 else 0
             self.count("configurations read")
             if number < known:
                 raise Broken(f"{what}: r{number}, r{known} was acknowledged before it was asked")
-        leaving = isinstance(command, TakeLeave) or isinstance(command, Register) and command.leaving
+        leaving = (
+            isinstance(command, DeregisterWorker) or isinstance(command, RegisterWorker) and command.leaving
+        )
         if leaving:
-            held = [name for name in self.archives if self.holds(name, command.life)]
+            held = [name for name in self.controllers if self.holds(name, command.instance_id)]
             if not any(2 * len(voters & {*held}) > len(voters) for voters in self.sets()):
-                raise Broken(f"{what}: {command.life}'s leave is held by {held}")
-            self.leaves.append((command.life, self.now))
-            self.later.append((self.now + DRAIN, self.judge_desks, (command.life, self.now)))
+                raise Broken(f"{what}: {command.instance_id}'s leave is held by {held}")
+            self.leaves.append((command.instance_id, self.now))
+            self.later.append((self.now + DRAIN, self.judge_desks, (command.instance_id, self.now)))
             self.count("leaves confirmed")
 
-    def holds(self, name, life):
-        program = self.nodes[name].program
-        row = program.roll.rows.get(life) if program is not None else None
+    def holds(self, name, instance_id):
+        server = self.nodes[name].server
+        row = server.registry.rows.get(instance_id) if server is not None else None
         return row is not None and row.phase != READY
 
-    def judge_desks(self, life, acked):
+    def judge_desks(self, instance_id, acked):
         """Each desk that was in touch all the time has heard of a leave."""
         for name, node in self.nodes.items():
-            if node.kind is Desk and self.disturbed.get(name, 0.0) < acked - TOUCH:
-                row = node.program.steering.roll.rows.get(life)
+            if node.kind is Proxy and self.disturbed.get(name, 0.0) < acked - TOUCH:
+                row = node.server.load_balancer.registry.rows.get(instance_id)
                 self.count("desks looked at")
                 if row is not None and row.phase == READY:
-                    raise Broken(f"{name} still sends to {life}, which left at {acked:.2f}")
+                    raise Broken(f"{name} still sends to {instance_id}, which left at {acked:.2f}")
 
     def granted(self, worker, first, last):
         """Two workers that are up hold the same keys at no moment."""
@@ -599,50 +611,55 @@
                     )
 
     def judge(self):
-        newest = max((n for n, (at, _) in self.acked.items() if at < self.now - WORD - LATE), default=0)
-        left = {life for life, at in self.leaves if at < self.now - WORD - LATE}
-        for name in self.archives:
+        newest = max(
+            (n for n, (at, _) in self.acked.items() if at < self.now - QUORUM_CONTACT_VALIDITY - LATE),
+            default=0,
+        )
+        left = {
+            instance_id for instance_id, at in self.leaves if at < self.now - QUORUM_CONTACT_VALIDITY - LATE
+        }
+        for name in self.controllers:
             node = self.nodes[name]
             self.touch(name, node)
-            if node.program is None or node.frozen or not node.program.whole(self.now):
+            if node.server is None or node.frozen or not node.server.whole(self.now):
                 continue
             self.count("looks at whole archives")
-            if self.now > node.touched_at + WORD + LATE:
+            if self.now > node.touched_at + QUORUM_CONTACT_VALIDITY + LATE:
                 raise Broken(f"{name} is whole at {self.now:.2f}, apart since {node.touched_at:.2f}")
-            if node.program.ballots.version(CONFIG) < newest:
+            if node.server.consensus.version(CONFIG) < newest:
                 raise Broken(f"{name} is whole at {self.now:.2f}, and behind r{newest}")
-            for life in left:
-                row = node.program.roll.rows.get(life)
+            for instance_id in left:
+                row = node.server.registry.rows.get(instance_id)
                 if row is not None and row.phase == READY:
-                    raise Broken(f"{name} is whole at {self.now:.2f}, and knows not that {life} left")
+                    raise Broken(f"{name} is whole at {self.now:.2f}, and knows not that {instance_id} left")
         for name, node in self.nodes.items():
-            if node.kind is Desk:
+            if node.kind is Proxy:
                 self.judge_desk(name, node)
 
     def judge_desk(self, name, node):
-        made = node.program
-        if made is None or node.frozen or len(self.reaches(name)) < len(self.archives):
+        made = node.server
+        if made is None or node.frozen or len(self.reaches(name)) < len(self.controllers):
             self.disturbed[name] = self.now
         if made is None:
             return
         ready, had = made.contact.ready, self.seen.get(name, (0, False, 0, 0))
         have = tuple(made.have().values())
-        if had[0] == node.lives and any(now < then for now, then in zip(have, had[2:], strict=True)):
+        if had[0] == node.instance_ids and any(now < then for now, then in zip(have, had[2:], strict=True)):
             raise Broken(f"{name} goes back at {self.now:.2f}: {had} to {made.have()}")
-        if ready and not (had[0] == node.lives and had[1]):
+        if ready and not (had[0] == node.instance_ids and had[1]):
             self.count("desks ready")
-            bound = self.now - SURE - WORD - LATE
+            bound = self.now - CONFIRMATION_VALIDITY - QUORUM_CONTACT_VALIDITY - LATE
             newest = max((n for n, (at, _) in self.acked.items() if at < bound), default=0)
             if made.have()["config"] < newest:
                 raise Broken(f"{name} is ready at {self.now:.2f} with {made.have()}, r{newest} stands")
-            for life, at in self.leaves:
-                row = made.steering.roll.rows.get(life)
-                known = any(life in self.nodes[one].program.roll.rows for one in self.reaches(name))
-                if not known and self.workers[life].ended:
+            for instance_id, at in self.leaves:
+                row = made.load_balancer.registry.rows.get(instance_id)
+                known = any(instance_id in self.nodes[one].server.registry.rows for one in self.reaches(name))
+                if not known and self.workers[instance_id].ended:
                     continue  # all archives started anew since its end: nobody can know it
                 if at < bound and row is not None and row.phase == READY:
-                    raise Broken(f"{name} is ready at {self.now:.2f}, and knows not that {life} left")
-        self.seen[name] = (node.lives, ready, *have)
+                    raise Broken(f"{name} is ready at {self.now:.2f}, and knows not that {instance_id} left")
+        self.seen[name] = (node.instance_ids, ready, *have)
 
     # --- the run
 
@@ -655,13 +672,17 @@
         for wire in self.wires:
             if wire.stands:
                 wire.carry(self.now)
-                quiet = wire.dialler.kind is Desk and self.now > wire.heard_at + QUIET
-                if quiet and not wire.dialler.frozen and self.now > wire.dialler.thawed_at + QUIET:
+                quiet = wire.dialler.kind is Proxy and self.now > wire.heard_at + CONNECTION_TIMEOUT
+                if (
+                    quiet
+                    and not wire.dialler.frozen
+                    and self.now > wire.dialler.thawed_at + CONNECTION_TIMEOUT
+                ):
                     wire.lost()
         self.wires = [wire for wire in self.wires if wire.stands]
         for node in self.nodes.values():
-            if node.program is not None and not node.frozen:
-                node.links.dial(self.now)
+            if node.server is not None and not node.frozen:
+                node.peer_connections.dial(self.now)
                 node.loop.run()
         for worker in list(self.workers.values()):
             if not worker.ended:
@@ -679,9 +700,9 @@
     def end(self):
         """What was acknowledged is in force or was, and nothing that was refused."""
         for node in self.nodes.values():
-            if node.program is None:
+            if node.server is None:
                 continue
-            value = node.program.ballots.value(CONFIG) if node.kind is Archive else None
+            value = node.server.consensus.value(CONFIG) if node.kind is Controller else None
             past = value["past"] if value else {}
             for number, digest in past.items():
                 if digest in self.refused or self.acked.get(int(number), (0.0, digest))[1] != digest:
@@ -746,10 +767,10 @@
             next_trouble = play.now + trouble(play) * dice.choice([0.5, 1.2])
         if play.now >= next_order:
             next_order = play.now + dice.choice([0.05, 0.5, 1.0])
-            (play.put if dice.random() < 0.4 else play.get)(dice.choice(play.archives))
+            (play.put if dice.random() < 0.4 else play.get)(dice.choice(play.controllers))
         if play.now >= next_move:
             next_move = play.now + dice.uniform(0.2, 2.0)
-            play.move(dice.choice(play.archives))
+            play.move(dice.choice(play.controllers))
         if play.now >= next_leave:
             next_leave = play.now + dice.uniform(2.0, 8.0)
             leave(play)
@@ -774,7 +795,7 @@
     while play.now < until:
         step += 1
         if step % 20 == 0:
-            name = play.dice.choice([*some, *play.archives])
+            name = play.dice.choice([*some, *play.controllers])
             (play.put if play.dice.random() < 0.5 else play.get)(name)
         if step % 300 == 0:
             leave(play)
@@ -804,7 +825,7 @@
     """The scribe is frozen between the look at its word and the calls that rest on it."""
     play = begun(seed, 3)
     for _ in range(3):
-        play.freeze_when("a", lambda made: made.holds.out, 5.0)
+        play.freeze_when("a", lambda made: made.key_leases.out, 5.0)
         play.run(8.0)
     play.end()
     return play
@@ -815,11 +836,11 @@
     tell it are too slow for rounds, though not for pulses.
     """
     play = begun(seed, 3)
-    node, before = play.nodes["a"], play.nodes["a"].program.ballots.acceptors[CONFIG].accepted
+    node, before = play.nodes["a"], play.nodes["a"].server.consensus.acceptors[CONFIG].accepted
     play.patience = 30.0
     play.put("c", newest=True)
     play.part(["b"], play.now + 0.6, "in")
-    while node.program.ballots.acceptors[CONFIG].accepted == before:
+    while node.server.consensus.acceptors[CONFIG].accepted == before:
         play.step()
     for other in "ab":
         play.cuts["c", other] = play.now + 20.0
@@ -849,13 +870,13 @@
     play = begun(seed, 3)
     name = sorted(play.workers)[seed % 4]
     worker = play.workers[name]
-    old = Register(name, Row("s", f"{name}:1", "z", SLOTS, READY, worker.seq))
+    old = RegisterWorker(name, WorkerRegistration("s", f"{name}:1", "z", SLOTS, READY, worker.seq))
     worker.phase, worker.next_at = "draining", play.now
     while not worker.acknowledged:
         play.step()
     worker.next_at = play.now + 20.0  # it calls no more of itself
     play.nodes["d1"].stop()
-    for one in play.archives:
+    for one in play.controllers:
         play.restart(one, 0.2)
     play.run(0.8)
     play.call("a", old, [None])
@@ -875,9 +896,9 @@
     worker = play.workers[name]
     worker.at, worker.next_at = "b", play.now
     play.run(0.5)
-    assert name not in play.nodes["a"].program.roll.rows
+    assert name not in play.nodes["a"].server.registry.rows
     worker.ended = True
-    play.call("a", TakeLeave(name), [None])
+    play.call("a", DeregisterWorker(name), [None])
     play.run(4.0)
     play.end()
     return play
@@ -900,7 +921,7 @@
 def behind(seed):
     """A configuration comes to two of three, while tables still come to the third."""
     play = begun(seed, 3)
-    acceptor = play.nodes["a"].program.ballots
+    acceptor = play.nodes["a"].server.consensus
     play.run(play.dice.random())
     with mock.patch.object(acceptor, "learn", lambda register, *told: None):
         play.put("b", newest=True)
--- a/tests/simulation/membership_commands.py
+++ b/tests/simulation/membership_commands.py
@@ -36,7 +36,7 @@
 )
 
 
-class Members:
+class VoterSet:
     """Archives by number, one address each, of a net that no other run of the tests has."""
 
     def __init__(self) -> None:
@@ -95,9 +95,9 @@
         for sql in FORM_1:
             base.execute(sql)
         who = [self.ip(one) for one in range(1, voters + 1)]
-        ballot, value = [4, self.ip(1), 7], {"n": 1, "config": config, "past": {"1": "0"}}
-        rows = {"config": (ballot, ballot, value), "table": ([0, "", 0], [0, "", 0], None)}
-        rows["voters"] = (ballot, ballot, who)
+        proposal_number, value = [4, self.ip(1), 7], {"n": 1, "config": config, "past": {"1": "0"}}
+        rows = {"config": (proposal_number, proposal_number, value), "table": ([0, "", 0], [0, "", 0], None)}
+        rows["voters"] = (proposal_number, proposal_number, who)
         base.executemany(
             "insert into registers values (?, ?, ?, ?)",
             [(name, *map(json.dumps, row)) for name, row in rows.items()],
--- a/tests/simulation/membership_epoch_cases.py
+++ b/tests/simulation/membership_epoch_cases.py
@@ -9,14 +9,14 @@
 from bramblewood.controller.consensus.replica import (
     CONFIG,
     MEMBERS,
-    NONE,
+    NO_PROPOSAL,
     TABLE,
-    Ballots,
-    Due,
-    Members,
-    Out,
-    founders,
-    succession,
+    ConsensusReplica,
+    Effects,
+    PendingWrites,
+    VoterSet,
+    founding_voters,
+    next_voter_set,
 )
 from bramblewood.controller.sessions import Sessions
 from tests.simulation.consensus import Broken
@@ -28,15 +28,15 @@
     """Some ballots, a wire that carries only what the play picks, disks that are safe at once."""
 
     def __init__(self, voters: str, spares: str = "") -> None:
-        self.members: Members = {"n": 1, "voters": {name: f"{name}0" for name in voters}, "before": {}}
+        self.members: VoterSet = {"n": 1, "voters": {name: f"{name}0" for name in voters}, "before": {}}
         self.machines = {
-            name: Ballots(name, f"{name}0", place + 1, {}, self.members, 1 if name in voters else -1)
+            name: ConsensusReplica(name, f"{name}0", place + 1, {}, self.members, 1 if name in voters else -1)
             for place, name in enumerate(voters + spares)
         }
         self.wire: list[tuple[str, str, dict]] = []
         self.answers: list[tuple] = []
 
-    def carry(self, name: str, out: Out) -> None:
+    def carry(self, name: str, out: Effects) -> None:
         for register, _, accepted, _ in out.writes:
             self.machines[name].stored(register, accepted)
         self.wire += [(name, peer, message) for peer, message in out.sends]
@@ -60,20 +60,20 @@
     def change(self, by: str, among: str, voters: dict[str, str]) -> None:
         """A change of the set, chosen among these, and heard by all of them."""
         machine = self.machines[by]
-        tag = succession(machine.members, voters)
+        tag = next_voter_set(machine.members, voters)
         self.carry(by, machine.propose(0.0, MEMBERS, tag, "members", 99.0))
         self.hear(among)
 
-    def lose_disk(self, name: str, life: int = 50) -> None:
+    def lose_disk(self, name: str, incarnation: int = 50) -> None:
         old = self.machines[name]
-        self.machines[name] = Ballots(name, f"{name}{life}", life)
+        self.machines[name] = ConsensusReplica(name, f"{name}{incarnation}", incarnation)
         self.carry(name, self.machines[name].hear(0.0, "", {"k": "epoch", "m": old.members}))
 
     def judge(self) -> None:
         taken = {
             outcome[1] for _, outcome in self.answers if isinstance(outcome, tuple) and outcome[0] == 200
         }
-        known = {m.learned[CONFIG][1] for m in self.machines.values() if m.learned[CONFIG][0] != NONE}
+        known = {m.learned[CONFIG][1] for m in self.machines.values() if m.learned[CONFIG][0] != NO_PROPOSAL}
         if len(taken | known) > 1:
             raise Broken(f"acknowledged {sorted(taken)}, known as chosen {sorted(known)}")
 
@@ -91,7 +91,7 @@
         few.hear(proposer + "a", rounds=2)
         held, few.wire = list(few.wire), []
         if older:  # its disk is as it was before, and its machine hears the proposer's pulse
-            few.machines["a"] = Ballots("a", "a0", 50, {}, few.members, 1)
+            few.machines["a"] = ConsensusReplica("a", "a0", 50, {}, few.members, 1)
             bound = {CONFIG: few.machines[proposer].bound[CONFIG]["a"]}
             few.carry("a", few.machines["a"].reminded(1, bound, "a50"))
         else:
@@ -158,19 +158,19 @@
 def founding() -> None:
     """A seed promises a founding of the voters, its disk is lost, another is proposed: one stands."""
     few = Few("abc", "d")
-    seeds = founders(("a", "b", "c"))
+    seeds = founding_voters(("a", "b", "c"))
     for name in "abc":
-        few.machines[name] = Ballots(name, f"{name}0", 1, {}, seeds, 0)
+        few.machines[name] = ConsensusReplica(name, f"{name}0", 1, {}, seeds, 0)
     sets = ({"a": "a0", "b": "b0", "c": "c0"}, {"a": "a9", "b": "b0", "d": "d0"})
     c = few.machines["c"]
-    few.carry("c", c.propose(0.0, MEMBERS, succession(seeds, sets[0]), "first", 99.0))
+    few.carry("c", c.propose(0.0, MEMBERS, next_voter_set(seeds, sets[0]), "first", 99.0))
     few.hear("ac", "prepare promise", rounds=1)
     held = list(few.wire)
     few.wire = []
-    few.machines["a"] = Ballots("a", "a9", 9)  # not its first boot any more
+    few.machines["a"] = ConsensusReplica("a", "a9", 9)  # not its first boot any more
     few.carry("a", few.machines["a"].hear(0.0, "b", {"k": "epoch", "m": seeds}))
     b = few.machines["b"]
-    few.carry("b", b.propose(0.0, MEMBERS, succession(seeds, sets[1]), "second", 99.0))
+    few.carry("b", b.propose(0.0, MEMBERS, next_voter_set(seeds, sets[1]), "second", 99.0))
     few.hear("ab")
     if few.machines["a"].voting or any(tag == "second" for tag, _ in few.answers):
         raise Broken("a seed whose disk was lost votes in the epoch of the seeds")
@@ -251,7 +251,7 @@
         raise Broken(f"the third change did not come about: {few.machines['e'].members}")
     a = few.machines["a"]  # removed by now; it starts again with what lies on its disk
     rows = {name: (kept.promised, kept.accepted, kept.value) for name, kept in a.acceptors.items()}
-    few.machines["a"] = Ballots("a", "a0", 60, rows, a.members, a.held)
+    few.machines["a"] = ConsensusReplica("a", "a0", 60, rows, a.members, a.held)
     few.put("c", "y")
     few.hear("abcde")
     few.judge()
@@ -272,11 +272,11 @@
             world.rest(1.5)
             world.put("m1")
             world.rest(0.3)
-            machine, voters = world.machines["m0"], {**world.machines["m0"].ballots.voters}
+            machine, voters = world.machines["m0"], {**world.machines["m0"].consensus.voters}
             del voters["m2"]
             new = f"m{len(voters) + 1}"
-            voters[new] = world.machines[new].ballots.disk
-            change = succession(machine.ballots.members, voters)
+            voters[new] = world.machines[new].consensus.disk
+            change = next_voter_set(machine.consensus.members, voters)
             machine.propose(MEMBERS, change, lambda outcome: None, 1.0)
             world.rest(0.004 * step)
             (world.wipe if way == "disk" else world.power)("m0")
@@ -306,7 +306,9 @@
     few.hear("ad")
     few.put("a", "x")
     few.hear("ad")
-    third = succession(members, {"b": "b0", "c": "c0", "d": "d0"})  # b has not been heard: it holds epoch 1
+    third = next_voter_set(
+        members, {"b": "b0", "c": "c0", "d": "d0"}
+    )  # b has not been heard: it holds epoch 1
     few.carry("d", few.machines["d"].propose(0.0, MEMBERS, third, "members", 99.0))
     few.hear("ad", "prepare promise accept accepted")
     few.wire.clear()
@@ -324,10 +326,10 @@
 def seat_of_any_disk() -> None:
     """A seat that names no disk (of before there were epochs) is not taken up by one that came back empty."""
     few = Few("abc")
-    members: Members = {"n": 1, "voters": dict.fromkeys("abc", ""), "before": {}}
+    members: VoterSet = {"n": 1, "voters": dict.fromkeys("abc", ""), "before": {}}
     for name in "abc":
-        few.machines[name] = Ballots(name, f"{name}0", 1, {}, members, 1)
-    few.machines["a"] = Ballots("a", "a9", 9)
+        few.machines[name] = ConsensusReplica(name, f"{name}0", 1, {}, members, 1)
+    few.machines["a"] = ConsensusReplica("a", "a9", 9)
     few.carry("a", few.machines["a"].hear(0.0, "", {"k": "epoch", "m": members}))
     few.hear("abc")
     if few.machines["a"].voting:
@@ -344,7 +346,7 @@
 
 def hasty_view() -> None:
     """A pulse of the epoch before does not say that its voter is active in this one."""
-    members: Members = {"n": 2, "voters": {"a": "a0", "b": "b0", "d": "d0"}, "before": {}}
+    members: VoterSet = {"n": 2, "voters": {"a": "a0", "b": "b0", "d": "d0"}, "before": {}}
     peers = {"a": seen("a0", 2), "b": seen("b0", 1), "d": seen("d0", 2), "e": seen("e0", 2, False)}
     peers["a"] = peers["a"]._replace(leaving=True)
     change = Membership(Tolerance(1), {}, 4.0).wanted(members, peers, {})
@@ -356,7 +358,7 @@
     """One that was replaced stays until a majority of the new set says that it is active in this very epoch,
     and one without a successor until a majority of the others, active ones, holds on disk what it holds.
     """
-    members: Members = {"n": 2, "voters": {"a": "a0", "b": "b0", "d": "d0"}, "before": {}}
+    members: VoterSet = {"n": 2, "voters": {"a": "a0", "b": "b0", "d": "d0"}, "before": {}}
     peers = {"a": seen("a0", 1), "b": seen("b0", 1), "d": seen("d0", 2, False)}
     if may_leave("c", "c0", members, peers, {}, {}, False):
         raise Broken("it leaves on pulses of the epoch before")
@@ -373,9 +375,9 @@
     """A disk refuses what makes a voter active, and takes the next write: an epoch is held with its rows, or
     not at all.
     """
-    due, disk = Due({}), {"facts": {}, "rows": {}}
+    due, disk = PendingWrites({}), {"facts": {}, "rows": {}}
 
-    def write(out: Out, refused: bool) -> None:
+    def write(out: Effects, refused: bool) -> None:
         rows, facts = due.take(out)
         if not refused:
             disk["facts"].update(facts)
@@ -383,9 +385,9 @@
             due.safe(rows, facts)
 
     rows = [(name, (1, 5, "a", 1), (1, 5, "a", 1), "v") for name in (CONFIG, TABLE, MEMBERS)]
-    write(Out(rows, [], [], {"held": 2}), refused=True)
+    write(Effects(rows, [], [], {"held": 2}), refused=True)
     newer = (CONFIG, (2, 6, "a", 1), (1, 5, "a", 1), "v")
-    write(Out([newer], [], [], {}), refused=False)
+    write(Effects([newer], [], [], {}), refused=False)
     if disk["facts"].get("held") == 2 and disk["rows"].keys() != {CONFIG, TABLE, MEMBERS}:
         raise Broken(f"the disk says that it holds epoch 2, and has rows of {sorted(disk['rows'])} alone")
     if disk["rows"][CONFIG] != newer or due.rows or due.facts:
@@ -397,8 +399,8 @@
     world = World(1)
     machine = next(iter(world.machines.values()))
     machine.changing = True
-    out = Out([], [], [(machine.changed, True)], {"members": machine.ballots.members})
-    machine.shelf = SimpleNamespace(write=lambda rows, facts, done: done("refused"))
+    out = Effects([], [], [(machine.changed, True)], {"members": machine.consensus.members})
+    machine.storage = SimpleNamespace(write=lambda rows, facts, done: done("refused"))
     machine.carry(out)
     world.rest(0.01)
     if machine.changing:
@@ -410,9 +412,11 @@
     world = World(1)
     world.rest(2.0)
     machine, said = world.machines["m0"], []
-    for due in ({}, {"held": 1}, {"members": machine.ballots.members}):
+    for due in ({}, {"held": 1}, {"members": machine.consensus.members}):
         machine.due.facts = due
-        with mock.patch.object(machine.links, "send", lambda peer, message: said.append(message["v"])):
+        with mock.patch.object(
+            machine.peer_connections, "send", lambda peer, message: said.append(message["v"])
+        ):
             machine.pulse(world.now)
     if not said or said != [True] * (len(said) // 3) + [False] * (2 * len(said) // 3):
         raise Broken(f"called active: {said}")
@@ -423,8 +427,16 @@
     world = World(1, 3, 0)
     machine = world.machines["m0"]
     newer = (1, 7, "m2", 1)
-    machine.ballots.acceptors[TABLE].accept(newer, {"n": 9})  # and m2 too: it is chosen, unknown here
-    pulse = {"acc": {TABLE: NONE}, "dur": {}, "v": True, "w": True, "ep": 1, "leaving": False, "ver": {}}
+    machine.consensus.acceptors[TABLE].accept(newer, {"n": 9})  # and m2 too: it is chosen, unknown here
+    pulse = {
+        "acc": {TABLE: NO_PROPOSAL},
+        "dur": {},
+        "v": True,
+        "w": True,
+        "ep": 1,
+        "leaving": False,
+        "ver": {},
+    }
     machine.sessions.pulse(10.0, "m1", {**pulse, "e": 9.9, "t": 0.0, "disk": "m1.0"})
     if machine.word(10.0) > 10.0:
         raise Broken("a word that nothing newer is chosen, from one who accepted it")
@@ -447,7 +459,7 @@
     for disk, epoch in (("b0", 2), ("b9", 1)):
         sessions = Sessions("a")
         sessions.pulse(10.0, "b", {**pulse, "ep": epoch, "disk": disk})
-        if sessions.word_until(10.0, voters, 2, {TABLE: (1, 1, "a", 1)}, {TABLE: NONE}):
+        if sessions.word_until(10.0, voters, 2, {TABLE: (1, 1, "a", 1)}, {TABLE: NO_PROPOSAL}):
             raise Broken(f"a word on disk {disk} in epoch {epoch}")
 
 
--- a/tests/simulation/membership_epoch_search.py
+++ b/tests/simulation/membership_epoch_search.py
@@ -23,12 +23,12 @@
     CONFIG,
     MEMBERS,
     Acceptor,
-    Ballots,
-    Due,
-    Joining,
-    Out,
-    Round,
-    succession,
+    ConsensusReplica,
+    Effects,
+    EpochJoin,
+    PendingWrites,
+    ProposalRound,
+    next_voter_set,
 )
 from tests.simulation.consensus import Broken
 
@@ -62,11 +62,11 @@
 # --- machines as values
 
 
-def frozen(b: Ballots, proposes: bool) -> tuple:
+def frozen(b: ConsensusReplica, proposes: bool) -> tuple:
     """All that decides what it does next. The counters of one that never proposes decide nothing."""
     return (
         b.disk,
-        b.life,
+        b.incarnation,
         b.members,
         b.held,
         None if b.joining is None else tuple(sorted(b.joining.told.items(), key=lambda one: one[0])),
@@ -77,7 +77,7 @@
         tuple(b.learned.values()),
         tuple(
             (
-                *(r.register, r.tag, r.ballot, r.step, r.outcome, len(r.carried)),
+                *(r.register, r.tag, r.proposal_number, r.step, r.outcome, len(r.carried)),
                 *(r.base, r.difference, r.whole),
                 tuple(sorted(r.promises.items(), key=lambda one: one[0])),
                 tuple(sorted(r.accepts)),
@@ -88,20 +88,20 @@
     )
 
 
-def thawed(me: str, state: tuple) -> Ballots:
-    disk, life, members, held, told, acceptors, durable, seen, votes, learned, rounds = state
-    b = Ballots(me, disk, life, {}, members, held)
+def thawed(me: str, state: tuple) -> ConsensusReplica:
+    disk, incarnation, members, held, told, acceptors, durable, seen, votes, learned, rounds = state
+    b = ConsensusReplica(me, disk, incarnation, {}, members, held)
     b.contention = Turns()
     if told is not None:
-        b.joining = Joining()
+        b.joining = EpochJoin()
         b.joining.told = dict(told)
     for number, name in enumerate(ALL):
         b.acceptors[name] = Acceptor(*acceptors[number])
         b.durable[name], b.seen[name] = durable[number], seen[number]
         b.votes[name], b.learned[name] = dict(votes[number]), learned[number]
     for register, tag, *rest, promises, accepts in rounds:
-        r = Round(register, change_of(tag), tag, 1e9)
-        r.ballot, r.step, r.outcome, r.carried, r.base, r.difference, r.whole = rest
+        r = ProposalRound(register, change_of(tag), tag, 1e9)
+        r.proposal_number, r.step, r.outcome, r.carried, r.base, r.difference, r.whole = rest
         r.promises, r.accepts = dict(promises), set(accepts)
         b.rounds[register].append(r)
     for waiting in b.rounds.values():
@@ -113,10 +113,10 @@
 class Turns:
     """In place of `Contention`, which says when ballots begin, never what they decide: at any time here."""
 
-    def heard(self, now: float, register: str, ballot: Any) -> None:
+    def heard(self, now: float, register: str, proposal_number: Any) -> None:
         pass
 
-    def chosen(self, register: str, ballot: Any) -> None:
+    def chosen(self, register: str, proposal_number: Any) -> None:
         pass
 
     def busy(self, now: float, register: str) -> bool:
@@ -132,12 +132,12 @@
     if tag == "settle":
         return lambda stands: (None, True)
     kind, what = tag
-    return order(what) if kind == "order" else succession(*what)
+    return order(what) if kind == "order" else next_voter_set(*what)
 
 
 class Machine(NamedTuple):
     name: str
-    ballots: tuple  # frozen
+    consensus: tuple  # frozen
     disk: tuple[dict, dict]  # facts, rows
     due: tuple[dict, dict]  # facts, rows
     writes: tuple  # on their way: (rows, facts, what goes out after)
@@ -167,9 +167,9 @@
 
     # --- one machine
 
-    def seated(self, machine: Machine, b: Ballots, outs: list[Out]) -> tuple:
+    def seated(self, machine: Machine, b: ConsensusReplica, outs: list[Effects]) -> tuple:
         """The machine after these Outs: its number, and the messages, facts that come of it."""
-        due, disk, writes = Due(dict(machine.due[0])), machine.disk, list(machine.writes)
+        due, disk, writes = PendingWrites(dict(machine.due[0])), machine.disk, list(machine.writes)
         due.rows = dict(machine.due[1])
         sends, facts = [], []
         for out in outs:
@@ -182,24 +182,24 @@
         if self.shape.instant:
             while made.writes:
                 made = self.synced(made, b, sends, facts)
-        if b.members != machine.ballots[2]:
+        if b.members != machine.consensus[2]:
             facts.append(("members", b.epoch, key(b.members)))
             sends += [("", peer, {"k": "epoch", "m": b.members}) for peer in self.names if peer != b.me]
         for number, name in enumerate(ALL):
-            if b.learned[name] != machine.ballots[9][number]:
+            if b.learned[name] != machine.consensus[9][number]:
                 facts.append(("learned", name, *b.learned[name]))
-        made = made._replace(ballots=frozen(b, b.me in self.proposers))
+        made = made._replace(consensus=frozen(b, b.me in self.proposers))
         return (
             self.number(self.machines, made),
             tuple(self.number(self.messages, one) for one in sends),
             self.mask(facts),
         )
 
-    def synced(self, machine: Machine, b: Ballots, sends: list, facts: list) -> Machine:
+    def synced(self, machine: Machine, b: ConsensusReplica, sends: list, facts: list) -> Machine:
         """The oldest write is safe; what rests on it goes out."""
         rows, told, out = machine.writes[0]
         stored, kept = dict(machine.disk[1]), {**machine.disk[0], **told}
-        due = Due(machine.due[0])
+        due = PendingWrites(machine.due[0])
         due.rows = machine.due[1]
         due.safe(list(rows), told)
         for register, promised, accepted, value in rows:
@@ -208,13 +208,13 @@
         self.told(machine.name, b, out, sends, facts)
         return machine._replace(disk=(kept, stored), due=(due.facts, due.rows), writes=machine.writes[1:])
 
-    def told(self, name: str, b: Ballots, out: Out, sends: list, facts: list) -> None:
+    def told(self, name: str, b: ConsensusReplica, out: Effects, sends: list, facts: list) -> None:
         for peer, message in out.sends:
             if message["k"] == "join":  # whole values are told, also those that it has
                 message = {**message, "have": {}}
             sends.append(("" if message["k"] == "epoch" else name, peer, message))
             if message["k"] == "accept":
-                whole = [r.whole for r in b.rounds[message["r"]] if r.ballot == message["b"]]
+                whole = [r.whole for r in b.rounds[message["r"]] if r.proposal_number == message["b"]]
                 facts += [("accept", one["r"], one["b"], one["v"]) for one in whole]
         facts += [("answer", *outcome) for tag, outcome in out.answers if tag[0] == "order" and outcome]
         if "held" in out.facts:  # its pulses tell what it holds now
@@ -228,7 +228,7 @@
         if step is None:
             self.transitions += 1
             here = self.machines[machine]
-            b, (sender, _, what) = thawed(here.name, here.ballots), self.messages[message]
+            b, (sender, _, what) = thawed(here.name, here.consensus), self.messages[message]
             step = self.steps[machine, message] = self.seated(here, b, [b.hear(0.0, sender, what)])
         return step
 
@@ -245,7 +245,7 @@
         members, machines = {"n": 1, "voters": voters, "before": {}}, []
         for name in self.names:
             held = 1 if name in voters else -1
-            b = Ballots(name, f"{name}0", 1, {}, members, held)
+            b = ConsensusReplica(name, f"{name}0", 1, {}, members, held)
             facts = {"disk": b.disk, "members": members, "held": held}
             made = Machine(name, frozen(b, name in self.proposers), (facts, {}), ({}, {}), ())
             machines.append(self.number(self.machines, made))
@@ -348,14 +348,14 @@
             who, seat, successor = self.shape.changes[number]
             place, left = self.names.index(who), (wipes, powers, waits, changes - 1, starts)
             here = self.machines[machines[place]]
-            members = here.ballots[2]
+            members = here.consensus[2]
             new = successor or seat
-            disk = self.machines[machines[self.names.index(new)]].ballots[0]
+            disk = self.machines[machines[self.names.index(new)]].consensus[0]
             voters = {name: kept for name, kept in members["voters"].items() if name != seat}
             if (
                 seat not in members["voters"]
                 or {**voters, new: disk} == members["voters"]
-                or not here.ballots[3] > 0
+                or not here.consensus[3] > 0
             ):
                 return None
             step = self.begun(machines[place], MEMBERS, ("members", (members, {**voters, new: disk})))
@@ -365,9 +365,9 @@
         elif kind == "sync":
             place, left = number, state[2]
             here = self.machines[machines[place]]
-            b, sends, told = thawed(here.name, here.ballots), [], []
+            b, sends, told = thawed(here.name, here.consensus), [], []
             made = self.synced(here, b, sends, told)
-            made = made._replace(ballots=frozen(b, here.name in self.proposers))
+            made = made._replace(consensus=frozen(b, here.name in self.proposers))
             step = (
                 self.number(self.machines, made),
                 tuple(self.number(self.messages, one) for one in sends),
@@ -381,13 +381,13 @@
 
     def begun(self, machine: int, register: str, tag: tuple) -> tuple:
         here = self.machines[machine]
-        b = thawed(here.name, here.ballots)
+        b = thawed(here.name, here.consensus)
         return self.seated(here, b, [b.propose(0.0, register, change_of(tag), tag, 1e9)])
 
     def waited(self, machine: int) -> tuple:
         """All its waits are over: a round that stands begins anew, or else what is unsettled is settled."""
         here = self.machines[machine]
-        b = thawed(here.name, here.ballots)
+        b = thawed(here.name, here.consensus)
         outs = [b.tick(1.0)]
         busy = any(b.rounds.values())
         for rounds in b.rounds.values():
@@ -399,11 +399,13 @@
     def back(self, machine: int, lost: bool) -> int:
         """Power lost, and the disk too or not; it has started again."""
         here = self.machines[machine]
-        life = here.ballots[1] + 1
-        facts, rows = ({"disk": f"{here.name}{life}"}, {}) if lost else here.disk
+        incarnation = here.consensus[1] + 1
+        facts, rows = ({"disk": f"{here.name}{incarnation}"}, {}) if lost else here.disk
         if lost:
             facts = self.reborn(here, facts)
-        b = Ballots(here.name, facts["disk"], life, rows, facts.get("members"), facts.get("held", -1))
+        b = ConsensusReplica(
+            here.name, facts["disk"], incarnation, rows, facts.get("members"), facts.get("held", -1)
+        )
         made = Machine(here.name, frozen(b, here.name in self.proposers), (facts, rows), ({}, {}), ())
         return self.number(self.machines, made)
 
@@ -418,13 +420,13 @@
         for number in state[0]:
             here = self.machines[number]
             while here.writes:
-                here = self.synced(here, thawed(here.name, here.ballots), [], [])
-            machines[here.name] = b = thawed(here.name, here.ballots)
+                here = self.synced(here, thawed(here.name, here.consensus), [], [])
+            machines[here.name] = b = thawed(here.name, here.consensus)
             for kept in b.rounds.values():
                 kept.clear()
         answers, wire = [], []
 
-        def carry(name: str, out: Out) -> None:
+        def carry(name: str, out: Effects) -> None:
             wire.extend((name, peer, message) for peer, message in out.sends)
             answers.extend(out.answers)
             for register, _, accepted, _ in out.writes:
--- a/tests/simulation/membership_epochs.py
+++ b/tests/simulation/membership_epochs.py
@@ -17,8 +17,8 @@
 from bramblewood.controller.commands import succeed
 from bramblewood.controller.consensus import membership
 from bramblewood.controller.consensus import replica as core
-from bramblewood.controller.consensus.replica import CONFIG, Ballots
-from tests.simulation.consensus import Broken, edition
+from bramblewood.controller.consensus.replica import CONFIG, ConsensusReplica
+from tests.simulation.consensus import Broken, configuration
 
 BOUNDS = Bounds()
 TURN = 0.1  # s between the turns of an archive
@@ -33,9 +33,9 @@
 
 def no_epoch(play: Any) -> Any:
     """Ballots of an earlier or later epoch count like those of one's own."""
-    hear = Ballots.hear
+    hear = ConsensusReplica.hear
 
-    def careless(self: Ballots, now: float, peer: str, message: dict) -> Any:
+    def careless(self: ConsensusReplica, now: float, peer: str, message: dict) -> Any:
         if message["k"] in ("prepare", "accept") and self.voting:
             sent = self.members
             self.members = {**sent, "n": tuple(message["b"])[0]}
@@ -45,63 +45,67 @@
             return out
         return hear(self, now, peer, message)
 
-    return mock.patch.object(Ballots, "hear", careless)
+    return mock.patch.object(ConsensusReplica, "hear", careless)
 
 
 def no_disk(play: Any) -> Any:
     """A member is known by its address alone, whatever disk came back there."""
     stack = contextlib.ExitStack()
-    stack.enter_context(mock.patch.object(core, "belongs", lambda voters, name, disk: name in voters))
-    stack.enter_context(mock.patch.object(Ballots, "named", property(lambda self: self.me in self.voters)))
+    stack.enter_context(mock.patch.object(core, "is_voter", lambda voters, name, disk: name in voters))
+    stack.enter_context(
+        mock.patch.object(ConsensusReplica, "named", property(lambda self: self.me in self.voters))
+    )
     return stack
 
 
 def few_seals(play: Any) -> Any:
     """One seal less than a majority makes a voter active."""
-    enough = Ballots.enough
+    enough = ConsensusReplica.enough
 
-    def careless(self: Ballots, now: float, out: Any) -> bool:
+    def careless(self: ConsensusReplica, now: float, out: Any) -> bool:
         with mock.patch.object(core, "majority", lambda voters: max(1, len(voters) // 2)):
             return enough(self, now, out)
 
-    return mock.patch.object(Ballots, "enough", careless)
+    return mock.patch.object(ConsensusReplica, "enough", careless)
 
 
 def chosen_if_carried(play: Any) -> Any:
     """A value that all of a majority hold counts as chosen, also where it was only carried there."""
     return mock.patch.object(
-        Ballots,
+        ConsensusReplica,
         "is_chosen",
-        lambda self, best, round: all(ballot == best for ballot, _ in round.promises.values()),
+        lambda self, best, round: all(
+            proposal_number == best for proposal_number, _ in round.promises.values()
+        ),
     )
 
 
 def seal_in_memory(play: Any) -> Any:
     """A seal's answer does not wait until the seal is on disk."""
-    asked = Ballots.asked
+    asked = ConsensusReplica.asked
 
-    def careless(self: Ballots, now: float, peer: str, message: dict, out: Any) -> None:
+    def careless(self: ConsensusReplica, now: float, peer: str, message: dict, out: Any) -> None:
         asked(self, now, peer, message, out)
         out.facts.pop("members", None)
 
-    return mock.patch.object(Ballots, "asked", careless)
+    return mock.patch.object(ConsensusReplica, "asked", careless)
 
 
 def unused_count_not(play: Any) -> Any:
     """The seal of a voter that was never active in the epoch before does not count."""
-    enough = Ballots.enough
+    enough = ConsensusReplica.enough
 
-    def careless(self: Ballots, now: float, out: Any) -> bool:
+    def careless(self: ConsensusReplica, now: float, out: Any) -> bool:
         told = self.joining.told
         self.joining.told = {peer: one for peer, one in told.items() if one[0] >= self.epoch - 1}
         return enough(self, now, out)
 
-    return mock.patch.object(Ballots, "enough", careless)
+    return mock.patch.object(ConsensusReplica, "enough", careless)
 
 
 def eager(play: Any) -> Any:
     """A member votes from the moment it knows that it is one."""
-    return mock.patch.object(Ballots, "voting", property(lambda self: self.member))
+    return mock.patch.object(ConsensusReplica, "voting", property(lambda self: self.member))
 
 
 def hasty_change(play: Any) -> Any:
@@ -111,7 +115,7 @@
 
 def older_unseen(play: Any) -> Any:
     """Nobody minds an older state of a disk."""
-    return mock.patch.object(Ballots, "reminded", lambda *_: core.nothing())
+    return mock.patch.object(ConsensusReplica, "reminded", lambda *_: core.no_effects())
 
 
 def leave_at_once(play: Any) -> Any:
@@ -122,7 +126,9 @@
 def rows_forgotten(play: Any) -> Any:
     """A refused write's rows don't come again with the fact that speaks of them."""
     return mock.patch.object(
-        core.Due, "take", lambda self, out: (self.facts.update(out.facts), (out.writes, dict(self.facts)))[1]
+        core.PendingWrites,
+        "take",
+        lambda self, out: (self.facts.update(out.facts), (out.writes, dict(self.facts)))[1],
     )
 
 
@@ -177,7 +183,7 @@
                     self.me.link_told(peer, True)
 
 
-class Machine(server.Archive):
+class Machine(server.Controller):
     """An archive's shell without sockets, threads and workers; ballots, epochs and seats are its own code."""
 
     def __init__(self, world: "World", name: str, zone: str, first: bool) -> None:
@@ -192,12 +198,14 @@
             super().__init__(told)
             self.disk = world.disks[name]
             self.begin(self.disk["facts"], dict(self.disk["rows"]))
-        self.links, self.shelf, self.waiting = Wires(world, self), self, []
+        self.peer_connections, self.storage, self.waiting = Wires(world, self), self, []
         self.loop = SimpleNamespace(time=lambda: world.now, call_soon=self.soon)
         self.leaving = SimpleNamespace(is_set=lambda: self.told_to_leave)
         self.told_to_leave, self.started = False, world.now
-        self.carry(core.nothing())
-        for peer in sorted({*told.seed_ips(), *self.ballots.voters, *self.disk["facts"].get("archives", ())}):
+        self.carry(core.no_effects())
+        for peer in sorted(
+            {*told.seed_ips(), *self.consensus.voters, *self.disk["facts"].get("archives", ())}
+        ):
             self.know(peer)
 
     def soon(self, call: Any, *what: Any) -> None:
@@ -219,12 +227,12 @@
 
     def turn(self) -> None:
         now = self.world.now
-        self.links.dial()
-        self.was_scribe = self.sessions.scribe(now, self.whole(now)) == self.me
-        self.carry(self.ballots.tick(now))
+        self.peer_connections.dial()
+        self.was_coordinator = self.sessions.coordinator(now, self.whole(now)) == self.me
+        self.carry(self.consensus.tick(now))
         self.seats(now)
         if now >= self.pulse_at:
-            self.pulse_at = now + server.PULSE
+            self.pulse_at = now + server.HEARTBEAT_INTERVAL
             self.pulse(now)
         if self.may_end(now):
             self.world.ended(self)
@@ -299,11 +307,11 @@
             self.at(when, lambda: self.deliver(sender, peer, message))
 
     def deliver(self, sender: Machine, peer: str, message: dict) -> None:
-        machine, link = self.machines.get(peer), sender.links.up.get(peer)
+        machine, link = self.machines.get(peer), sender.peer_connections.up.get(peer)
         if machine is None:
             return
         if link is not None and link.there is not machine and not sender.gone:
-            sender.links.drop(peer)  # it has started anew, and knows nothing of the old connection
+            sender.peer_connections.drop(peer)  # it has started anew, and knows nothing of the old connection
             if message["k"] in STREAM:
                 return
         if (sender.me, peer) in self.cuts:
@@ -368,8 +376,8 @@
         """An operator's order on what is in force there; its answer goes to the judges."""
         machine = self.machines[name]
         self.number += 1 + self.dice.randrange(2)
-        parent = machine.ballots.version(CONFIG) if parent is None else parent
-        wanted = edition(max(self.number, parent + 1), parent, mark or f"{name}{self.number}")
+        parent = machine.consensus.version(CONFIG) if parent is None else parent
+        wanted = configuration(max(self.number, parent + 1), parent, mark or f"{name}{self.number}")
         self.number = wanted.number
         self.repeat(name, wanted)
         return wanted
@@ -412,15 +420,15 @@
 
     def told(self) -> dict:
         return {
-            name: (m.ballots.epoch, m.ballots.held, m.ballots.voting, sorted(m.ballots.voters))
+            name: (m.consensus.epoch, m.consensus.held, m.consensus.voting, sorted(m.consensus.voters))
             for name, m in self.machines.items()
         }
 
     def judge(self, machine: Machine) -> None:
-        members = machine.ballots.members
+        members = machine.consensus.members
         if members["n"] and self.sets.setdefault(members["n"], members) != members:
             raise Broken(f"two sets of epoch {members['n']}: {members} and {self.sets[members['n']]}")
-        value = machine.ballots.value(CONFIG)
+        value = machine.consensus.value(CONFIG)
         if value is None or machine.__dict__.get("judged") is value:
             return
         machine.judged = value
@@ -450,7 +458,7 @@
             names = list(world.machines)
             if names:
                 first, second = self.dice.choice(names), self.dice.choice(names)
-                parent = world.machines[first].ballots.version(CONFIG)
+                parent = world.machines[first].consensus.version(CONFIG)
                 wanted = world.put(first, parent=parent)
                 if self.dice.random() < 0.5:
                     world.put(second, parent=parent)
@@ -520,20 +528,20 @@
         world, dice = self.world, self.dice
         for _ in range(1 + (dice.random() < 0.3)):
             machine = world.machines[dice.choice(sorted(world.machines))]
-            members, peers = machine.ballots.members, machine.peers(world.now)
+            members, peers = machine.consensus.members, machine.peers(world.now)
             spares = [name for name in peers if name not in members["voters"]]
             old, new = dice.choice(sorted(members["voters"])), dice.choice(sorted(spares) or [""])
             made = machine.membership.ordered(members, peers, machine.versions(), old, new)
             if new and made.is_ok():
                 self.counts["swap"] = self.counts.get("swap", 0) + 1
-                change = core.succession(members, made.ok_value.voters)
+                change = core.next_voter_set(members, made.ok_value.voters)
                 machine.propose(core.MEMBERS, change, lambda outcome: None, 1.0)
         world.rest(dice.uniform(0.0, 0.15))
 
     def relay(self) -> None:
         """One leaves by plan while a spare is there; right after its end another is lost."""
         world, dice = self.world, self.dice
-        voters = next(iter(world.machines.values())).ballots.voters
+        voters = next(iter(world.machines.values())).consensus.voters
         if not [name for name in world.machines if name not in voters]:
             return
         leaver, victim = dice.sample(sorted(voters), 2)
--- a/tests/simulation/placement.py
+++ b/tests/simulation/placement.py
@@ -3,8 +3,8 @@
 import random
 
 from bramblewood.common.configuration import Service
-from bramblewood.common.slice_table import FINE, OLD, WORKER, starts_of
-from bramblewood.common.worker_registry import Roll, Row
+from bramblewood.common.slice_table import KEYS_PER_RANGE, PREVIOUS_OWNER, WORKER, starts_of
+from bramblewood.common.worker_registry import WorkerRegistration, WorkerRegistry
 from bramblewood.controller.placement import Placement, apply, freed, met_of
 
 CYCLE = 0.5  # s
@@ -15,10 +15,10 @@
     """Workers of two slots, desks that report each half second, a register that takes every change."""
 
     def __init__(self, seed: int, workers: int) -> None:
-        self.dice, self.now, self.roll, self.table = random.Random(seed), 100.0, Roll(), None
+        self.dice, self.now, self.registry, self.table = random.Random(seed), 100.0, WorkerRegistry(), None
         for i in range(workers):
-            row = Row("s", f"10.0.0.{i}:80", "z", SLOTS, "ready", 1)
-            self.roll.merge(self.now, f"w{i}", row)
+            row = WorkerRegistration("s", f"10.0.0.{i}:80", "z", SLOTS, "ready", 1)
+            self.registry.merge(self.now, f"w{i}", row)
         self.services = {"s": Service("s", "/", 100, True, 0.0)}
         self.placement = Placement(self.now, 1.5)
         self.splits: list[float] = []  # when slices were split
@@ -29,17 +29,23 @@
         self.now += CYCLE
         counts: dict[str, int] = {}
         keys: dict[str, int] = {}
-        told = self.placement.crowds().get("s")
+        told = self.placement.hot_keys().get("s")
         for key, rate in heat.items():
-            put, name = (keys, key) if told and key // FINE in told.watch else (counts, key // FINE)
+            put, name = (
+                (keys, key)
+                if told and key // KEYS_PER_RANGE in told.watch
+                else (counts, key // KEYS_PER_RANGE)
+            )
             put[str(name)] = put.get(str(name), 0) + int(rate * CYCLE + 0.5)
         met = [
-            met_of(life, 8, 0, 0.2, CYCLE, [SLOTS, 1, SLOTS] if life in jammed else [0, 0, SLOTS])
-            for life in self.roll.rows
+            met_of(
+                instance_id, 8, 0, 0.2, CYCLE, [SLOTS, 1, SLOTS] if instance_id in jammed else [0, 0, SLOTS]
+            )
+            for instance_id in self.registry.rows
         ]
         self.placement.report(self.now, "s", "d1", counts, keys, CYCLE, met)
         for _ in range(3):  # the archive looks more often than reports come
-            wanted = self.placement.step(self.now, self.services, {}, self.roll, set(), self.table)
+            wanted = self.placement.step(self.now, self.services, {}, self.registry, set(), self.table)
             if wanted:
                 self.splits += [self.now] * bool(wanted["s"].splits)
                 self.moves += len(wanted["s"].lines)
@@ -48,8 +54,8 @@
 
     def let_go(self) -> None:
         for start, entry in (self.table or {"s": {"s": {}}})["s"]["s"].items():
-            if entry[OLD]:
-                made = freed(self.table, "s", (int(start),), entry[3], entry[OLD], "")[0]
+            if entry[PREVIOUS_OWNER]:
+                made = freed(self.table, "s", (int(start),), entry[3], entry[PREVIOUS_OWNER], "")[0]
                 self.table = made or self.table
 
     def holder(self, key: int) -> str:
--- a/tests/simulation/proxy.py
+++ b/tests/simulation/proxy.py
@@ -2,11 +2,11 @@
 
 import asyncio
 
-from bramblewood.common.configuration import edition_of
+from bramblewood.common.configuration import build_configuration
 from bramblewood.common.settings import Bounds, Settings
-from bramblewood.common.worker_registry import Row
+from bramblewood.common.worker_registry import WorkerRegistration
 from bramblewood.emulator.operator import configuration
-from bramblewood.proxy.server import Desk
+from bramblewood.proxy.server import Proxy
 
 ROUTES = [
     ["look", "h.example", "/look/", "pure", 2, 0.5, 1, 2, "plain"],
@@ -118,25 +118,27 @@
         told = Settings(
             "desk-1", "127.0.0.1", "z", (1, 2), (), False, None, 1.5, {}, 2**28, 100, Bounds(GraceS=grace)
         )
-        self.desk = Desk(told)
+        self.proxy = Proxy(told)
         self.workers: dict[str, Scripted] = {}
         self.lines: list[str] = []
 
     async def start(self, scripts: dict[str, list[str]], limits: dict | None = None) -> None:
-        desk = self.desk
-        desk.loop, desk.changed = asyncio.get_running_loop(), asyncio.Event()
-        desk.edition = edition_of({**CONFIG, "Limits": limits or {}}).ok_value
+        proxy = self.proxy
+        proxy.loop, proxy.changed = asyncio.get_running_loop(), asyncio.Event()
+        proxy.configuration = build_configuration({**CONFIG, "Limits": limits or {}}).ok_value
         for place, (name, script) in enumerate(scripts.items()):
             worker = self.workers[name] = Scripted(name, script)
             await worker.start()
-            desk.steering.roll.merge(0.0, name, Row("plain", worker.address, "z", 2, "ready", place))
+            proxy.load_balancer.registry.merge(
+                0.0, name, WorkerRegistration("plain", worker.address, "z", 2, "ready", place)
+            )
         names = list(scripts)
         table = {
             str(i * 8192): [names[0], names[-1] if len(names) > 1 else "", 0.01, 1, "", ""] for i in range(8)
         }
-        desk.steering.take_table({"n": 1, "s": {"plain": table, "divided": table}})
-        self.server = await desk.loop.create_server(desk.newcomer, "127.0.0.1", 0)
-        desk.front = self.server
+        proxy.load_balancer.take_table({"n": 1, "s": {"plain": table, "divided": table}})
+        self.server = await proxy.loop.create_server(proxy.newcomer, "127.0.0.1", 0)
+        proxy.front = self.server
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def ask(
@@ -165,5 +167,5 @@
         self.server.close()
         for worker in self.workers.values():
             worker.server.close()
-        for line in [line for kept in self.desk.stacks.kept.values() for line in kept]:
+        for line in [line for kept in self.proxy.connection_pool.kept.values() for line in kept]:
             line.close()
--- a/tests/simulation/read_replicas.py
+++ b/tests/simulation/read_replicas.py
@@ -6,11 +6,11 @@
 import random
 
 from bramblewood.common.slice_table import readers_of, with_readers
-from bramblewood.common.worker_registry import Roll, Row
-from bramblewood.controller.read_replicas import Copies, forgotten, taken_off
-from bramblewood.controller.sessions import WORD
+from bramblewood.common.worker_registry import WorkerRegistration, WorkerRegistry
+from bramblewood.controller.read_replicas import ReadReplicas, forgotten, taken_off
+from bramblewood.controller.sessions import QUORUM_CONTACT_VALIDITY
 from bramblewood.proxy import replica_invalidation as words
-from bramblewood.proxy.replica_invalidation import Confirm, Drop, Recall, TakeOff, Until
+from bramblewood.proxy.replica_invalidation import Confirm, Drop, ReplicaInvalidation, TakeOff, Until
 
 STEP = 0.02  # s
 KEY = 4096
@@ -28,7 +28,7 @@
         self.value, self.until, self.drops = 0, 0.0, 0
 
 
-class Desk:
+class Proxy:
     def __init__(self):
         self.n, self.readers, self.sure_at = 1, set(), -1e9
         self.frozen_until = 0.0
@@ -49,13 +49,13 @@
         )
         entry = ["h", "", 0.0, 1, "", ""]
         self.tables = [{"n": 1, "s": {"s": {str(KEY): entry}}}]
-        self.archives = {name: Copies() for name in "ab"}
+        self.controllers = {name: ReadReplicas() for name in "ab"}
         self.views, self.heard = dict.fromkeys("ab", 0), dict.fromkeys("ab", 100.0)
         self.cut = dict.fromkeys(("a", "b", "d1", "d2", *READERS), False)
-        self.desks, self.readers = {"d1": Desk(), "d2": Desk()}, {name: Reader() for name in READERS}
-        self.roll, self.later, self.answered, self.leases = Roll(), [], 0, 0
+        self.proxies, self.readers = {"d1": Proxy(), "d2": Proxy()}, {name: Reader() for name in READERS}
+        self.registry, self.later, self.answered, self.leases = WorkerRegistry(), [], 0, 0
         for name in ("h", *READERS):
-            self.roll.merge(100.0, name, Row("s", f"{name}:1", "z", 2, "ready", 1))
+            self.registry.merge(100.0, name, WorkerRegistration("s", f"{name}:1", "z", 2, "ready", 1))
 
     def after(self, longest, call, *what):
         self.later.append((self.now + STEP + self.dice.random() * longest, call, what))
@@ -71,86 +71,89 @@
 
     def lead(self, name):
         """The scribe of the moment, or one that still believes it is."""
-        copies, dice = self.archives[name], self.dice
+        read_replicas, dice = self.controllers[name], self.dice
         if not self.cut[name] and dice.random() < 0.5:
             if self.views[name] != len(self.tables) - 1:
                 self.views[name] = len(self.tables) - 1
-                copies.learn(self.now, self.tables[-1])
+                read_replicas.learn(self.now, self.tables[-1])
             self.heard[name] = self.now
-        if self.now >= self.heard[name] + WORD:
+        if self.now >= self.heard[name] + QUORUM_CONTACT_VALIDITY:
             return
-        leases, over = copies.step(self.now, self.tables[self.views[name]], self.roll)
+        leases, over = read_replicas.step(self.now, self.tables[self.views[name]], self.registry)
         if over and not self.cut[name]:
             self.change(forgotten(self.tables[-1], over)[0])
         for lease in leases:
-            life = lease.one[2]
-            if self.reach(name, life):
-                self.after(0.25, self.fetch, life, name, lease)
+            instance_id = lease.one[2]
+            if self.reach(name, instance_id):
+                self.after(0.25, self.fetch, instance_id, name, lease)
             else:
-                copies.answered(self.now, lease, 0)
+                read_replicas.answered(self.now, lease, 0)
 
-    def fetch(self, life, name, lease):
+    def fetch(self, instance_id, name, lease):
         """A lease arrives: the reader renews the copy that it has, or fetches the record."""
-        reader = self.readers[life]
-        self.after(0.1, self.install, life, name, lease, self.value, self.now, reader.drops)
+        reader = self.readers[instance_id]
+        self.after(0.1, self.install, instance_id, name, lease, self.value, self.now, reader.drops)
 
-    def install(self, life, name, lease, value, began, drops):
-        reader, status = self.readers[life], 503
+    def install(self, instance_id, name, lease, value, began, drops):
+        reader, status = self.readers[instance_id], 503
         if drops == reader.drops or self.careless == "fetch":
             reader.value, reader.until, status = value, began + 1.0 * 1.02, 200
             self.leases += 1
-        self.archives[name].answered(self.now, lease, status)
+        self.controllers[name].answered(self.now, lease, status)
 
     # --- desks
 
     def work(self, name):
-        desk, dice = self.desks[name], self.dice
+        proxy, dice = self.proxies[name], self.dice
         if dice.random() < 0.004:
-            desk.frozen_until = self.now + 4 * dice.random()
-        if self.now < desk.frozen_until:
+            proxy.frozen_until = self.now + 4 * dice.random()
+        if self.now < proxy.frozen_until:
             return
         if not self.cut[name] and dice.random() < 0.1:
-            self.take(desk, len(self.tables) - 1 - (dice.random() < 0.3))
+            self.take(proxy, len(self.tables) - 1 - (dice.random() < 0.3))
         if dice.random() < 0.03:
             self.value += 1
-            desk.recalls.append((Recall(), self.value, self.now + 6.0))
-        for one in list(desk.recalls):
-            self.recall(name, desk, *one)
-        desk.recalls = [one for one in desk.recalls if one[2] > self.now]
+            proxy.recalls.append((ReplicaInvalidation(), self.value, self.now + 6.0))
+        for one in list(proxy.recalls):
+            self.invalidation(name, proxy, *one)
+        proxy.recalls = [one for one in proxy.recalls if one[2] > self.now]
 
-    def take(self, desk, place):
+    def take(self, proxy, place):
         table = self.tables[max(place, 0)]
-        if table["n"] >= desk.n:
-            desk.n, desk.readers = table["n"], set(readers_of(table["s"]["s"][str(KEY)]))
+        if table["n"] >= proxy.n:
+            proxy.n, proxy.readers = table["n"], set(readers_of(table["s"]["s"][str(KEY)]))
 
-    def recall(self, name, desk, recall, value, until):
-        sure_at = self.now if self.careless == "sure" else desk.sure_at
-        match recall.next(self.now, sure_at, desk.readers):
+    def invalidation(self, name, proxy, invalidation, value, until):
+        sure_at = self.now if self.careless == "sure" else proxy.sure_at
+        match invalidation.next(self.now, sure_at, proxy.readers):
             case words.CLEAR:
                 self.floor, self.answered = max(self.floor, value), self.answered + 1
-                desk.recalls.remove((recall, value, until))
+                proxy.recalls.remove((invalidation, value, until))
             case Confirm():
-                archive = self.dice.choice("ab")
-                if self.reach(name, archive) and self.now < self.heard[archive] + WORD:
-                    self.after(0.5, self.confirmed, desk, self.now, self.views[archive])
-            case Drop(lives):
-                for life in lives:
-                    reached = self.reach(name, life)
+                controller = self.dice.choice("ab")
+                if (
+                    self.reach(name, controller)
+                    and self.now < self.heard[controller] + QUORUM_CONTACT_VALIDITY
+                ):
+                    self.after(0.5, self.confirmed, proxy, self.now, self.views[controller])
+            case Drop(instance_ids):
+                for instance_id in instance_ids:
+                    reached = self.reach(name, instance_id)
                     if reached:
-                        self.readers[life].drops += 1
-                        self.readers[life].until = 0.0
-                    recall.answered(life, reached and self.dice.random() > 0.05)
-            case TakeOff(lives):
+                        self.readers[instance_id].drops += 1
+                        self.readers[instance_id].until = 0.0
+                    invalidation.answered(instance_id, reached and self.dice.random() > 0.05)
+            case TakeOff(instance_ids):
                 if not self.cut[name]:
-                    self.change(taken_off(self.tables[-1], "s", KEY, set(lives))[0])
-                    recall.off(self.now, lives)
+                    self.change(taken_off(self.tables[-1], "s", KEY, set(instance_ids))[0])
+                    invalidation.off(self.now, instance_ids)
             case Until():
                 pass
 
-    def confirmed(self, desk, asked, view):
-        if self.tables[view]["n"] > desk.n:
-            self.take(desk, view)
-        desk.sure_at = max(desk.sure_at, asked)
+    def confirmed(self, proxy, asked, view):
+        if self.tables[view]["n"] > proxy.n:
+            self.take(proxy, view)
+        proxy.sure_at = max(proxy.sure_at, asked)
 
     # --- the run
 
@@ -168,13 +171,13 @@
         self.later = [item for item in self.later if item[0] > self.now]
         for _, call, what in sorted(due, key=lambda item: item[0]):
             call(*what)
-        for name in self.archives:
+        for name in self.controllers:
             self.lead(name)
-        for name in self.desks:
+        for name in self.proxies:
             self.work(name)
-        for life, reader in self.readers.items():
+        for instance_id, reader in self.readers.items():
             if reader.until > self.now and reader.value < self.floor:
-                raise Stale(f"{life} gives {reader.value}, {self.floor} was answered")
+                raise Stale(f"{instance_id} gives {reader.value}, {self.floor} was answered")
 
     def run(self, seconds):
         for _ in range(int(seconds / STEP)):
--- a/tests/simulation/storage_failures.py
+++ b/tests/simulation/storage_failures.py
@@ -20,11 +20,11 @@
 
 import apsw
 
-from benchmarks.shelf import moved, table
+from benchmarks.controller_storage import moved, table
 from bramblewood.common.settings import Bounds, Settings
-from bramblewood.controller.consensus.replica import CONFIG, Ballots, Out
-from bramblewood.controller.server import Archive
-from bramblewood.controller.storage import Shelf
+from bramblewood.controller.consensus.replica import CONFIG, ConsensusReplica, Effects
+from bramblewood.controller.server import Controller
+from bramblewood.controller.storage import Storage
 from bramblewood.controller.value_diff import Made, difference, patched
 from tests.simulation.simulated_disk import Disc, PowerCut
 
@@ -170,29 +170,31 @@
 
 
 PATH = "/d/shelf.db"
-KEYS = ("0", "a", "b", "", 'a",b', "a,", "a-", "[", "\\", "\n", "\u00e9", "\ud800")  # odd ones too
+KEY_SPACE_SIZE = ("0", "a", "b", "", 'a",b', "a,", "a-", "[", "\\", "\n", "\u00e9", "\ud800")  # odd ones too
 REGISTERS = ("config", "table")
 TURN_CALLS = 150  # file calls within which a start turns form 1 into form 2
 
 
-def shelf_on(disc: Disc, swaps=(), kind=Shelf) -> Shelf:
-    shelf = kind("/d", lambda path: Base(disc, path, swaps))
-    shelf.path = PATH
-    return shelf
+def shelf_on(disc: Disc, swaps=(), kind=Storage) -> Storage:
+    storage = kind("/d", lambda path: Base(disc, path, swaps))
+    storage.path = PATH
+    return storage
 
 
 def changed(dice, value, deep=0):
     """Another value: as a rule a map with a key more, less or changed."""
     if not isinstance(value, dict) or deep > 4 or dice.random() < 0.03:
-        deeper = {key: {"c": {"d": [1, {key: 2}]}, "e": 1} for key in dice.sample(KEYS, dice.randrange(4))}
+        deeper = {
+            key: {"c": {"d": [1, {key: 2}]}, "e": 1} for key in dice.sample(KEY_SPACE_SIZE, dice.randrange(4))
+        }
         return dice.choice([None, True, 1, 1.0, "x" * dice.randrange(9000), [1, {"a": 2}], deeper, deeper])
-    key = dice.choice(KEYS)
+    key = dice.choice(KEY_SPACE_SIZE)
     if key in value and dice.random() < 0.3:
         return {one: inner for one, inner in value.items() if one != key}
     return {**value, key: changed(dice, value.get(key), deep + 1)}
 
 
-def ballot(number: int) -> tuple:
+def proposal_number(number: int) -> tuple:
     return (1, number, "a", 1) if number % 2 else ((1, "d"), number)
 
 
@@ -221,7 +223,7 @@
                     value = json.loads(json.dumps(value))  # shares nothing
                 elif name in registers:
                     value = patched(registers[name][2], difference(registers[name][2], value))
-                rows.append((name, ballot(self.number), ballot(self.number - 1), value))
+                rows.append((name, proposal_number(self.number), proposal_number(self.number - 1), value))
                 registers[name] = rows[-1][1:]
             batch.append((rows, told, None))
             facts |= told
@@ -230,17 +232,17 @@
         return batch
 
 
-def life(disc: Disc, told: Told, dice, writes: int, swaps=(), kind=Shelf) -> None:
+def process_lifetime(disc: Disc, told: Told, dice, writes: int, swaps=(), kind=Storage) -> None:
     """One start and some writes."""
-    shelf = shelf_on(disc, swaps, kind)
-    found = shelf.open()
+    storage = shelf_on(disc, swaps, kind)
+    found = storage.open()
     if found.is_err():
         if disc.refusals:
             return
         raise Broken(found.err_value)
     told.found({what: dict(sorted(rows.items())) for what, rows in found.ok_value.items()})
     for _ in range(writes):
-        if shelf.commit(told.next(dice)) is None:
+        if storage.commit(told.next(dice)) is None:
             told.states = told.states[-1:]
             told.acknowledged += 1
 
@@ -274,28 +276,28 @@
     return disc.after_power_cut(dice), Told({"facts": facts, "registers": meant})
 
 
-def play(seed: int, old: bool = False, lives: int = 4, swaps=(), kind=Shelf) -> int:
+def play(seed: int, old: bool = False, lifetimes: int = 4, swaps=(), kind=Storage) -> int:
     """Some lives on one disc, each ended by a power cut at any file call; how often something was
     acknowledged. old: the disc is of form 1, and the first lives end early.
     """
     dice = random.Random(seed)
     disc, told = form_1(dice) if old else (Disc(dice), Told())
     disc.apart = bool(seed % 2)
-    for _ in range(lives):
+    for _ in range(lifetimes):
         disc.cut_at = dice.randrange(1, TURN_CALLS if old else 500)
         if dice.random() < 0.3:
             kind_of_call, code = dice.choice(["write", "flush"]), dice.choice([errno.EIO, errno.ENOSPC])
             disc.refusals = {kind_of_call: lambda code=code: code if dice.random() < 0.05 else 0}
         try:
-            life(disc, told, dice, 60, swaps, kind)
+            process_lifetime(disc, told, dice, 60, swaps, kind)
         except PowerCut:
             pass
         disc = disc.after_power_cut(dice)
-    life(disc, told, dice, 1, swaps, kind)
+    process_lifetime(disc, told, dice, 1, swaps, kind)
     return told.acknowledged
 
 
-class Hasty(Shelf):
+class Hasty(Storage):
     """Takes what a refused transaction was to leave for what is stored."""
 
     def commit(self, batch):
@@ -304,7 +306,7 @@
         return problem
 
 
-class Stepwise(Shelf):
+class Stepwise(Storage):
     """Turns form 1 into form 2 by a transaction for each step."""
 
     def turn(self, base, form, registers):
@@ -316,20 +318,20 @@
         super().turn(bare, form, registers)
 
 
-class Loose(Shelf):
+class Loose(Storage):
     """Takes what Python calls equal for the same."""
 
     def put(self, base, registers, facts):
-        with mock.patch("bramblewood.archive.patches.same", operator.eq):
+        with mock.patch("bramblewood.controller.value_diff.same", operator.eq):
             super().put(base, registers, facts)
 
 
-class Trusting(Shelf):
+class Trusting(Storage):
     """Takes the difference that a value was made by for the one to what is stored."""
 
     def put(self, base, registers, facts):
         known = lambda old, new: new.change if isinstance(new, Made) else difference(old, new)  # noqa: E731
-        with mock.patch("bramblewood.archive.shelf.difference", known):
+        with mock.patch("bramblewood.controller.storage.difference", known):
             super().put(base, registers, facts)
 
 
@@ -382,13 +384,13 @@
         self.commit(self.value)
 
     def start(self) -> None:
-        self.shelf = shelf_on(self.disc)
-        assert self.shelf.open().is_ok()
+        self.storage = shelf_on(self.disc)
+        assert self.storage.open().is_ok()
 
     def commit(self, value) -> None:
         self.value = value
-        row = ("table", ballot(value["n"]), ballot(value["n"]), value)
-        assert self.shelf.commit([([row], {"seen": value["n"]}, None)]) is None
+        row = ("table", proposal_number(value["n"]), proposal_number(value["n"]), value)
+        assert self.storage.commit([([row], {"seen": value["n"]}, None)]) is None
 
     def move(self, count: int, emptied: int = 0) -> None:
         """emptied: a service loses all its slices after so many moves, and gets them back."""
@@ -416,20 +418,22 @@
         self.disc, self.told = Disc(), queue.SimpleQueue()
         self.hangs, self.go = threading.Event(), threading.Event()
         ports = {"Control": ("127.0.0.1", 1)}
-        self.archive = Archive(
+        self.controller = Controller(
             Settings("a", "a", "z", (1, 2), (), False, "/d", 1.5, ports, 2**28, 100, Bounds())
         )
-        self.archive.word = lambda now: now + 1.0
+        self.controller.word = lambda now: now + 1.0
         members = {"n": 1, "voters": {name: name for name in "abc"}, "before": {}}
-        self.archive.ballots = Ballots("a", "a", 1, {}, members, 1)
-        self.archive.loop = types.SimpleNamespace(time=lambda: self.now)
+        self.controller.consensus = ConsensusReplica("a", "a", 1, {}, members, 1)
+        self.controller.loop = types.SimpleNamespace(time=lambda: self.now)
         self.sent = []
-        self.archive.links = types.SimpleNamespace(send=lambda peer, what: self.sent.append((peer, what)))
-        self.shelf = self.archive.shelf = shelf_on(self.disc)
-        assert self.shelf.open().is_ok() and self.shelf.commit([BORN]) is None
+        self.controller.peer_connections = types.SimpleNamespace(
+            send=lambda peer, what: self.sent.append((peer, what))
+        )
+        self.storage = self.controller.storage = shelf_on(self.disc)
+        assert self.storage.open().is_ok() and self.storage.commit([BORN]) is None
         self.disc.refusals = {"flush": self.hang}
-        self.shelf.thread = threading.Thread(target=self.work, daemon=True)
-        self.shelf.start(lambda done, problem: self.told.put((done, problem)))
+        self.storage.thread = threading.Thread(target=self.work, daemon=True)
+        self.storage.start(lambda done, problem: self.told.put((done, problem)))
 
     def hang(self):
         self.hangs.set()
@@ -439,20 +443,20 @@
 
     def work(self):
         try:
-            self.shelf._work()
+            self.storage._work()
         except PowerCut:
             pass  # the machine is off
 
     def promise(self, now):
         self.now = now
         row = (CONFIG, (1, 7, "b", 1), (1, 3, "a", 1), {"n": 1})
-        self.archive.carry(Out([row], [("b", PROMISE)], [], {}))
+        self.controller.carry(Effects([row], [("b", PROMISE)], [], {}))
         assert self.hangs.wait(ANSWER)  # else the moment of what follows would be a matter of luck
 
     def answer(self):
         self.go.set()
-        self.shelf.close()
-        self.shelf.thread.join(ANSWER)
+        self.storage.close()
+        self.storage.thread.join(ANSWER)
         while not self.told.empty():
             done, problem = self.told.get()
             done(problem)
--- a/tests/simulation/worker_connections.py
+++ b/tests/simulation/worker_connections.py
@@ -10,15 +10,15 @@
 from types import SimpleNamespace
 from unittest.mock import patch
 
-from bramblewood.common.configuration import edition_of
-from bramblewood.proxy import request_attempts as errands
+from bramblewood.common.configuration import build_configuration
+from bramblewood.proxy import request_attempts as request_attempts
 from bramblewood.proxy import response_parser
-from bramblewood.proxy.connection_pool import Stacks
-from bramblewood.proxy.request_attempts import Budget, Errand, Send, Wait
+from bramblewood.proxy.connection_pool import ConnectionPool
+from bramblewood.proxy.request_attempts import RequestAttempts, RetryBudget, Send, Wait
 from bramblewood.proxy.worker_connection import Connection, Ended, How, State
 from tests.simulation.proxy import CONFIG, answer
 
-EDITION = edition_of(CONFIG).ok_value
+EDITION = build_configuration(CONFIG).ok_value
 TWO = ("effect", "lookup")
 ROUTES = {"effect": EDITION.route("h.example", "/pay/1"), "lookup": EDITION.route("h.example", "/look/1")}
 MANY = tuple(f"{kind}{place}" for place in range(4) for kind in TWO)
@@ -46,15 +46,15 @@
     def __init__(self, keyed: bool, careless: str = "", names: tuple[str, ...] = TWO) -> None:
         self.keyed, self.careless, self.names = keyed, careless, names
         self.now = dict.fromkeys(names, 0.0)
-        self.stacks, self.budget, self.lines = Stacks(), Budget(1.0, 5.0, 1e6), []
-        self.errands, self.out, self.replies = {}, {}, {}
+        self.connection_pool, self.retry_budget, self.lines = ConnectionPool(), RetryBudget(1.0, 5.0, 1e6), []
+        self.request_attempts, self.out, self.replies = {}, {}, {}
         self.ledger: list[str] = []
         self.given: dict[str, list[tuple]] = {name: [] for name in names}
         self.left: list[str] = []  # requests at workers that the desk has given up
-        self.steering = SimpleNamespace(
+        self.load_balancer = SimpleNamespace(
             pinned=lambda *_: None,
             choose=lambda now, service, key, request, tried, pure: next(
-                (life for life in ("w1", "w2") if life not in tried), None
+                (instance_id for instance_id in ("w1", "w2") if instance_id not in tried), None
             ),
             full=lambda *_: False,
             crowd=lambda *_: False,
@@ -65,30 +65,35 @@
 
     def begin(self, name: str) -> None:
         route, key = ROUTES[name.rstrip("0123456789")], 7 if self.keyed else None
-        self.errands[name] = Errand(0.0, route, "plain", key, name, 1.5)
+        self.request_attempts[name] = RequestAttempts(0.0, route, "plain", key, name, 1.5)
         self.proceed(name)
 
     def proceed(self, name: str) -> None:
         while name not in self.out and name not in self.replies:
-            step = self.errands[name].next(self.now[name], self.steering, self.budget)
+            step = self.request_attempts[name].next(self.now[name], self.load_balancer, self.retry_budget)
             if isinstance(step, Wait):
                 self.now[name] = step.until
             elif isinstance(step, Send):
-                self.send(name, step.life)
+                self.send(name, step.instance_id)
             else:
                 self.replies[name] = step
 
-    def send(self, name: str, life: str) -> None:
-        errand = self.errands[name]
-        carried = set() if self.careless == "same line" else errand.carried
-        line = self.stacks.take(life, 0.0, not errand.route.pure, carried)
+    def send(self, name: str, instance_id: str) -> None:
+        attempts = self.request_attempts[name]
+        carried = set() if self.careless == "same line" else attempts.carried
+        line = self.connection_pool.take(instance_id, 0.0, not attempts.route.pure, carried)
         if line is None:
-            line = Line(number=len(self.lines), connection=made(self.careless), life=life, idle_until=9e9)
+            line = Line(
+                number=len(self.lines),
+                connection=made(self.careless),
+                instance_id=instance_id,
+                idle_until=9e9,
+            )
             line.rests_from, line.lies, line.shut, line.rest, line.asked = 0.0, b"", False, False, None
             self.lines.append(line)
         if line.rest:
             raise Broken("UNASKED: the rest of a body is read as a request")
-        errand.carried.add(line.number)
+        attempts.carried.add(line.number)
         line.connection.send(name, False)
         self.out[name] = line
         if line.shut:
@@ -109,11 +114,11 @@
         if line.asked is not None:  # the desk is done with it, its worker is not
             self.left.append(line.asked)
             line.asked = None
-        self.stacks.give_back(line.life, line, 9)
-        errand = self.errands[name]
+        self.connection_pool.give_back(line.instance_id, line, 9)
+        attempts = self.request_attempts[name]
         if self.careless == "again" and ended.how is How.BROKEN:
-            errand.route = errand.route._replace(pure=True)
-        reply = errand.ended(self.now[name], line.life, ended.how, ended.answer)
+            attempts.route = attempts.route._replace(pure=True)
+        reply = attempts.ended(self.now[name], line.instance_id, ended.how, ended.answer)
         if reply is not None:
             self.replies[name] = reply
         self.proceed(name)
@@ -121,7 +126,7 @@
     # --- workers and the wire
 
     def events(self) -> list[tuple]:
-        found = [("begin", name) for name in self.names if name not in self.errands]
+        found = [("begin", name) for name in self.names if name not in self.request_attempts]
         for line in self.lines:
             if line.asked is not None:
                 found += [(act, line.number) for act in ACTS]
@@ -137,7 +142,7 @@
         if what == "begin":
             self.begin(whom)
         elif what == "silence":
-            self.now[whom] = self.errands[whom].until
+            self.now[whom] = self.request_attempts[whom].until
             line = self.out[whom]
             self.ended(line, line.connection.silence())
         elif what == "late run":
@@ -220,11 +225,15 @@
         for line in self.lines:
             c = line.connection
             lines += [c.state, c.wanted, bytes(c.reader.buffer), c.reader.head, c.surplus]
-            lines += [line.lies, line.shut, line.rest, line.asked, line.life]
-            lines.append(line in self.stacks.kept.get(line.life, ()))
-        tries = [(e.sent, sorted(e.tried), sorted(e.carried), e.ran_maybe) for e in self.errands.values()]
+            lines += [line.lies, line.shut, line.rest, line.asked, line.instance_id]
+            lines.append(line in self.connection_pool.kept.get(line.instance_id, ()))
+        tries = [
+            (e.sent, sorted(e.tried), sorted(e.carried), e.ran_maybe) for e in self.request_attempts.values()
+        ]
         told = [(n, r.status, r.answer is None) for n, r in sorted(self.replies.items())]
-        return repr((lines, tries, list(self.errands), told, self.ledger, self.given, self.left, self.now))
+        return repr(
+            (lines, tries, list(self.request_attempts), told, self.ledger, self.given, self.left, self.now)
+        )
 
 
 # --- guards taken out
@@ -261,16 +270,16 @@
 def without(careless: str):
     """The module's guards that are no method's."""
     if careless == "bare":
-        return patch.object(errands, "PROMISES", ())
+        return patch.object(request_attempts, "PROMISES", ())
     return patch.object(response_parser, "GLUED", NEVER if careless == "glued" else response_parser.GLUED)
 
 
 # --- plays
 
 
-def world(trace: list[tuple], keyed: bool, careless: str = "") -> World:
+def world(format_proposal_number: list[tuple], keyed: bool, careless: str = "") -> World:
     made = World(keyed, careless)
-    for event in trace:
+    for event in format_proposal_number:
         made.play(event)
     return made
 
@@ -281,18 +290,20 @@
     with without(careless):
         for _ in range(depth):
             after = []
-            for trace in level:
-                for event in world(trace, keyed, careless).events():
+            for format_proposal_number in level:
+                for event in world(format_proposal_number, keyed, careless).events():
                     events += 1
                     if events > most:
                         return len(seen), events
                     try:
-                        reached = world([*trace, event], keyed, careless).key()
+                        reached = world([*format_proposal_number, event], keyed, careless).key()
                     except Broken as broken:
-                        raise Broken(f"{broken} after {events} events: {[*trace, event]}") from None
+                        raise Broken(
+                            f"{broken} after {events} events: {[*format_proposal_number, event]}"
+                        ) from None
                     if reached not in seen:
                         seen.add(reached)
-                        after.append([*trace, event])
+                        after.append([*format_proposal_number, event])
             level = after
     return len(seen), events
 
