--- a/bramblewood/adapter/host.py
+++ b/bramblewood/adapter/host.py
@@ -2,9 +2,9 @@
 
 from typing import BinaryIO
 
-from .. import interface as door
-from ..facts import MS, facts_of
+from .. import events
 from ..policy.manager import Manager
+from ..startup_settings import MS, facts_of
 from .wire import EVENTS, ORDERS, UNSAID, Malformed, decode, encode, entry_of
 
 COMPLETE, CACHED, FAILED = 1, 2, 3  # forms of a view
@@ -19,8 +19,8 @@
 
     def view(self, fields: dict):
         if fields["form"] == FAILED:
-            return door.ListFailed()
-        return door.WorkersListed(
+            return events.WorkerListFailed()
+        return events.WorkersListed(
             self.lists[fields["list"]], fields["form"] in (COMPLETE, CACHED), fields["form"] == CACHED
         )
 
@@ -46,11 +46,11 @@
                 what = f"lacks or does not know {problem}" if isinstance(problem, KeyError) else str(problem)
                 raise Malformed(f"{where}: {name}: {what}") from None
         replies = []
-        for who, events in waiting.items():
+        for who, batch in waiting.items():
             try:
                 orders = [
                     ORDERS[type(order)](order)
-                    for order in self.managers[who].handle(now, events)
+                    for order in self.managers[who].handle(now, batch)
                     if type(order) not in UNSAID
                 ]
             except Exception as problem:  # whatever the module raises is reported, never swallowed
--- a/bramblewood/adapter/wire.py
+++ b/bramblewood/adapter/wire.py
@@ -4,11 +4,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from .. import interface as door
-from ..facts import LOAD_WORDS, MS
+from .. import events
+from ..startup_settings import LOAD_WORDS, MS
 
 EVERY_TABLE = 65535
-STATES = {2: door.READY, 0: door.DRAINING, 1: door.GONE}
+STATES = {2: events.READY, 0: events.DRAINING, 1: events.DEREGISTERED}
 ENDINGS = {
     100: "answered",
     301: "errored",
@@ -46,9 +46,9 @@
     }
 
 
-def entry_of(item: dict) -> door.ListedWorker:
+def entry_of(item: dict) -> events.ListedWorker:
     started = item.get("boot_time") or None
-    return door.ListedWorker(
+    return events.ListedWorker(
         item["worker"],
         STATES[item["health"]],
         item.get("w", 0),
@@ -60,8 +60,8 @@
 
 
 EVENTS: dict[str, Callable[[dict], Any]] = {
-    "installed": lambda f: door.MarkAnswered(f["edge"], f["gen"], f["time_taken"] / MS),
-    "heard": lambda f: door.WorkerHeard(
+    "installed": lambda f: events.MessageAcknowledged(f["edge"], f["gen"], f["time_taken"] / MS),
+    "heard": lambda f: events.WorkerReported(
         f["worker"],
         f.get("rack_zone", ""),
         f["n"],
@@ -70,19 +70,23 @@
         f["over"] / MS,
         load_of(f),
     ),
-    "wakeup": lambda f: door.TimerDue(f["nonce"]),
-    "held": lambda f: door.LineHeld(f["table"], f["worker"], f["w"]),
-    "ping_result": lambda f: door.Probed(
+    "wakeup": lambda f: events.TimerFired(f["nonce"]),
+    "held": lambda f: events.RouteStored(f["table"], f["worker"], f["w"]),
+    "ping_result": lambda f: events.HealthCheckFinished(
         f["worker"], ENDINGS.get(f["how"], "unknown"), f.get("time_taken", 0) / MS, load_of(f)
     ),
-    "weight_seen": lambda f: door.SliceHeat(f["table"], f["class"], f["n"], f.get("bad", 0), f["over"] / MS),
-    "traffic": lambda f: door.ProxyTraffic(f["edge"], f["class"], f["n"], f.get("bad", 0), f["over"] / MS),
-    "mail": lambda f: door.PeerNote(f["origin_peer"], bytes.fromhex(f["msg"])),
-    "disconnected": lambda f: door.ProxyLeft(f["edge"]),
-    "enrolled": lambda f: door.ProxyJoined(
+    "weight_seen": lambda f: events.SliceHeatReported(
+        f["table"], f["class"], f["n"], f.get("bad", 0), f["over"] / MS
+    ),
+    "traffic": lambda f: events.ProxyTrafficReported(
+        f["edge"], f["class"], f["n"], f.get("bad", 0), f["over"] / MS
+    ),
+    "mail": lambda f: events.PeerMessageReceived(f["origin_peer"], bytes.fromhex(f["msg"])),
+    "disconnected": lambda f: events.ProxyLeft(f["edge"]),
+    "enrolled": lambda f: events.ProxyJoined(
         f["edge"], f.get("rack_zone", ""), f.get("w", 0), f.get("flag", False)
     ),
-    "handed": lambda f: door.SliceGiven(f["table"], f.get("flag", False)),
+    "handed": lambda f: events.SliceAssigned(f["table"], f.get("flag", False)),
 }
 
 
@@ -91,14 +95,17 @@
 
 
 def table_number(table: int) -> int:
-    return EVERY_TABLE if table == door.ALL_SLICES else table
+    return EVERY_TABLE if table == events.ALL_SLICES else table
 
 
 ORDERS: dict[type, Callable[[Any], tuple[str, dict]]] = {
-    door.SetLine: lambda o: ("set_weight", {"table": o.table, "worker": o.worker, "w": o.weight}),
-    door.ClearTable: lambda o: ("reset_table", {"table": o.table}),
-    door.BindProxy: lambda o: ("hand_table", {"only": bits(o.operations), "table": o.table, "edge": o.proxy}),
-    door.Admit: lambda o: (
+    events.SetRoute: lambda o: ("set_weight", {"table": o.table, "worker": o.worker, "w": o.weight}),
+    events.ClearTable: lambda o: ("reset_table", {"table": o.table}),
+    events.BindProxy: lambda o: (
+        "hand_table",
+        {"only": bits(o.operations), "table": o.table, "edge": o.proxy},
+    ),
+    events.SetAdmission: lambda o: (
         "ration",
         {
             "retry_mode": o.retry,
@@ -107,16 +114,16 @@
             "allowance": o.level,
         },
     ),
-    door.Withdraw: lambda o: ("pull", {"flag": o.out, "worker": o.worker}),
-    door.Mark: lambda o: ("seal", {"gen": o.number, "flag": o.everyone}),
-    door.Wake: lambda o: ("sleep", {"delay": o.after * MS, "nonce": o.token}),
-    door.Probe: lambda o: ("touch", {"worker": o.worker}),
-    door.TellPeer: lambda o: ("say", {"peer": o.manager, "msg": o.payload.hex()}),
-    door.AskList: lambda o: ("query_all", {}),
-    door.FollowList: lambda o: ("follow", {"flag": o.on}),
-    door.Log: lambda o: ("trace", {"what": o.text}),
+    events.ExcludeWorker: lambda o: ("pull", {"flag": o.excluded, "worker": o.worker}),
+    events.RequestAcknowledgement: lambda o: ("seal", {"gen": o.number, "flag": o.everyone}),
+    events.SetTimer: lambda o: ("sleep", {"delay": o.delay * MS, "nonce": o.token}),
+    events.CheckHealth: lambda o: ("touch", {"worker": o.worker}),
+    events.TellPeer: lambda o: ("say", {"peer": o.manager, "msg": o.payload.hex()}),
+    events.RequestWorkerList: lambda o: ("query_all", {}),
+    events.WatchWorkerList: lambda o: ("follow", {"flag": o.on}),
+    events.Log: lambda o: ("trace", {"what": o.text}),
 }
-UNSAID = (door.Doubted,)  # told inside a manager; the wire has no word for it
+UNSAID = (events.WorkerEjected,)  # told inside a manager; the wire has no word for it
 
 
 def encode(name: str, fields: dict) -> bytes:
--- a/bramblewood/controller/placement.py
+++ b/bramblewood/controller/placement.py
@@ -11,7 +11,7 @@
 from collections import Counter
 from typing import Any
 
-from .. import interface as door
+from .. import events
 from ..common.slice_table import (
     EMPTY,
     FENCING_TOKEN,
@@ -45,7 +45,7 @@
 # s that a worker back from a doubt is taken to be new, where no worker told that it was cold
 CYCLE = 0.5  # s, the cycle of the rule: as desks report; a crowd of keys is spread in seconds
 WARM_AFTER = 1.0
-STATES = {READY: door.READY, DRAINING: door.DRAINING, GONE: door.GONE}
+STATES = {READY: events.READY, DRAINING: events.DRAINING, GONE: events.DEREGISTERED}
 SETTLE = 2.2  # beats before a service's first table, so that every worker that is up has called once
 
 
@@ -156,8 +156,8 @@
     said.
     """
     slots = max(load[2], 1) if load else 1
-    told = {"busy": load[0] / slots, "queued": load[1] / slots} if load else {}
-    return door.WorkerHeard(instance_id, "", tries, unanswered, mean_time, over, told)
+    told = {"utilization": load[0] / slots, "queued": load[1] / slots} if load else {}
+    return events.WorkerReported(instance_id, "", tries, unanswered, mean_time, over, told)
 
 
 class ServicePlacement:
@@ -171,10 +171,10 @@
             "pick": "pair",
             "single_owner": keyed,
             "cycle": CYCLE,
-            "load_fields": ["busy", "queued"],
+            "load_fields": ["utilization", "queued"],
             "warm_after": WARM_AFTER,
             "cold_from": COLD_FROM,
-            "usual_retry": door.RETRY_UNSTARTED,
+            "usual_retry": events.RETRY_UNSTARTED,
             "operations": [{"latency_objective": aim, "billed_value": 1.0}],
         }
         self.manager = Manager(f"office:{service}", self.facts)
@@ -223,7 +223,7 @@
         if self.keyed and self.notice:
             self.hot_keys.cycle(self.came, self.by_key, over, self.ability())
         self.came, self.by_key, self.heat_at, self.spans = Counter(), {}, now, {}
-        return [door.SliceHeat(start, "all", sums[start], 0, over) for start in starts]
+        return [events.SliceHeatReported(start, "all", sums[start], 0, over) for start in starts]
 
     def ability(self) -> float:
         """Requests a second that a usual worker can do: its slots over the usual time of an answer."""
@@ -464,11 +464,13 @@
         registry: WorkerRegistry,
         entries: dict | None,
     ):
-        events, listed = self.events.pop(office.service, []), {}
+        batch, listed = self.events.pop(office.service, []), {}
         for instance_id, row in rows.items():
-            state = door.GONE if instance_id in silent else STATES.get(row.phase, door.GONE)
-            if state == door.READY and instance_id in self.leaving:
-                state = door.DRAINING  # by a plan, or ill: its slices move at once, it serves what it has
+            state = (
+                events.DEREGISTERED if instance_id in silent else STATES.get(row.phase, events.DEREGISTERED)
+            )
+            if state == events.READY and instance_id in self.leaving:
+                state = events.DRAINING  # by a plan, or ill: its slices move at once, it serves what it has
             office.facts["warm_after"] = max(office.facts["warm_after"], row.cold)
             listed[instance_id] = (
                 state,
@@ -478,11 +480,11 @@
             )
         if listed != office.listed:
             office.listed, after = listed, office.facts["warm_after"]
-            events.insert(
+            batch.insert(
                 0,
-                door.WorkersListed(
+                events.WorkersListed(
                     tuple(
-                        door.ListedWorker(
+                        events.ListedWorker(
                             instance_id, state, weight, zone, 0, "", warm - after if warm else None
                         )
                         for instance_id, (state, weight, zone, warm) in listed.items()
@@ -492,12 +494,12 @@
             )
         if entries is None:
             entries = {str(i * KEY_SPACE_SIZE // office.count): EMPTY for i in range(office.count)}
-        events += self.told_anew(
+        batch += self.told_anew(
             office, {int(start): tuple(entry[:FENCING_TOKEN]) for start, entry in entries.items()}
         )
-        orders = office.manager.handle(now, [*events, *office.heat(now)])
+        orders = office.manager.handle(now, [*batch, *office.heat(now)])
         lines = {}
-        for start in {order.table for order in orders if isinstance(order, door.SetLine)}:
+        for start in {order.table for order in orders if isinstance(order, events.SetRoute)}:
             line = self.line(office.manager.slices[start])
             if line and line != office.known[start]:
                 lines[start] = office.known[start] = line
@@ -515,17 +517,17 @@
     @staticmethod
     def told_anew(office: ServicePlacement, lines: dict[int, tuple]) -> list:
         """Where the table is another than the manager thinks: tell it the lines that stand."""
-        events = []
+        batch = []
         for start, line in lines.items():
             if office.known.get(start) == line:
                 continue
-            events.append(door.SliceGiven(start, True))
+            batch.append(events.SliceAssigned(start, True))
             if line[WORKER]:
-                events.append(door.LineHeld(start, line[WORKER], 1.0))
+                batch.append(events.RouteStored(start, line[WORKER], 1.0))
             if line[SECOND]:
-                events.append(door.LineHeld(start, line[SECOND], line[SECOND_SHARE]))
+                batch.append(events.RouteStored(start, line[SECOND], line[SECOND_SHARE]))
         office.known = lines
-        return events
+        return batch
 
     @staticmethod
     def line(piece: Any) -> tuple | None:
--- a/bramblewood/ledger/memory.py
+++ b/bramblewood/ledger/memory.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from .. import interface as door
+from .. import events
 from . import records, rules
 from .records import Admitted, Closed, Doubt, Lines, Record, Withdrawn
 from .rules import Promise
@@ -22,15 +22,15 @@
 class Outcome(NamedTuple):
     """A turn's orders in their order, each with whether it may only go with what it rests on on the disc."""
 
-    orders: list[tuple[door.Order, bool]]
+    orders: list[tuple[events.Order, bool]]
     first: bool  # whether any record of the turn should be on the disc before the others too
 
     @property
-    def free(self) -> list[door.Order]:
+    def free(self) -> list[events.Order]:
         return [order for order, strict in self.orders if not strict]
 
     @property
-    def strict(self) -> list[door.Admit]:
+    def strict(self) -> list[events.SetAdmission]:
         return [order for order, strict in self.orders if strict]
 
 
@@ -39,7 +39,7 @@
         self.facts, self.keep = facts, keep
         self.operations = facts.get("operations", [])
         self.timeout = rules.longest_timeout(self.operations)
-        self.usual = facts.get("usual_retry", door.NO_RETRY)
+        self.usual = facts.get("usual_retry", events.NO_RETRY)
         self.closed: dict[str, Closed] = {}
         self.admitted: dict[tuple[int, int], Admitted] = {}
         self.withdrawn: dict[str, Withdrawn] = {}
@@ -53,10 +53,10 @@
         self.proved: set[str] = set()  # of those: as told live, in this life
         self.spoke = False  # whether discovery has told anything live in this life
         # named ready and not believed, and since when discovery itself does so
-        self.kept_out: dict[str, tuple[door.ListedWorker, float | None]] = {}
+        self.kept_out: dict[str, tuple[events.ListedWorker, float | None]] = {}
         self.marks: dict[int, int] = {}  # sent in this life: the module's number by the relay's
         self.taken = 0  # the last mark used
-        self.waiting: dict[tuple, tuple[door.Order, float, str]] = {}  # orders put off: till when, and why
+        self.waiting: dict[tuple, tuple[events.Order, float, str]] = {}  # orders put off: till when, and why
         self.unsent: set[tuple[int, int]] = set()  # further tries that still wait for the disc
         self.standing: set[int] = set()  # slices that the news of this life named as they were remembered
 
@@ -109,7 +109,7 @@
 
     # --- a start
 
-    def begin(self, now: float, damaged: list[str], first_mark: int = 0) -> list[door.Event]:
+    def begin(self, now: float, damaged: list[str], first_mark: int = 0) -> list[events.Event]:
         """A new life: what it makes of what is remembered; what the module is told behind the first list."""
         was = self.life
         down = rules.downtime(was.alive, now)
@@ -148,13 +148,13 @@
             )
         return self.opening(now)
 
-    def opening(self, now: float) -> list[door.Event]:
+    def opening(self, now: float) -> list[events.Event]:
         """What a module that knows nothing is told behind its first list."""
         doubts = [
-            door.DoubtHeld(name, now + rules.doubt_left(doubt.until, doubt.at, now), doubt.doubts)
+            events.EjectionRestored(name, now + rules.doubt_left(doubt.until, doubt.at, now), doubt.doubts)
             for name, doubt in sorted(self.doubts.items())
         ]
-        return [*doubts, *(door.WithdrawalHeld(name) for name in sorted(self.withdrawn))]
+        return [*doubts, *(events.ExclusionRestored(name) for name in sorted(self.withdrawn))]
 
     def alive(self, now: float) -> None:
         """Told about once a second: this life goes on; what was kept for long enough is let go."""
@@ -176,32 +176,32 @@
 
     # --- events
 
-    def hear(self, now: float, events: list[door.Event]) -> list[door.Event]:
+    def hear(self, now: float, batch: list[events.Event]) -> list[events.Event]:
         """The events as the module is to be told them."""
         told = []
-        for event in events:
+        for event in batch:
             match event:
-                case door.WorkersListed():
+                case events.WorkersListed():
                     told.append(self.listed(now, event))
-                case door.MarkAnswered(_, mark):
+                case events.MessageAcknowledged(_, mark):
                     if mark in self.marks:
-                        told.append(event._replace(mark=self.marks[mark]))
-                case door.SliceGiven(number, ours):
+                        told.append(event._replace(number=self.marks[mark]))
+                case events.SliceAssigned(number, ours):
                     self.given(now, number, ours)
                     told.append(event)
-                case door.LineHeld(number, worker, weight):
+                case events.RouteStored(number, worker, weight):
                     self.held(now, number, worker, weight)
                     told.append(event)
                 case _:
                     told.append(event)
         return told
 
-    def listed(self, now: float, event: door.WorkersListed) -> door.WorkersListed:
+    def listed(self, now: float, event: events.WorkersListed) -> events.WorkersListed:
         live, entries = not event.cached, []
         if event.complete:
             named = {entry.worker for entry in event.workers}
             for name in sorted(self.ready - named) if live else ():
-                self.close(now, door.ListedWorker(name, door.GONE), event.version)
+                self.close(now, events.ListedWorker(name, events.DEREGISTERED), event.version)
             self.kept_out = {name: kept for name, kept in self.kept_out.items() if name in named}
             self.ready &= named
         for entry in event.workers:
@@ -220,10 +220,10 @@
             self.kept_out.clear()
         return event._replace(workers=tuple(entries))
 
-    def entry(self, now: float, entry: door.ListedWorker, version: int, live: bool) -> door.ListedWorker:
+    def entry(self, now: float, entry: events.ListedWorker, version: int, live: bool) -> events.ListedWorker:
         """One worker as the module is to be told it."""
         was = self.closed.get(entry.worker)
-        if entry.state != door.READY:
+        if entry.state != events.READY:
             self.kept_out.pop(entry.worker, None)
             if live or was is None:  # a list from before a start may be older than what is remembered
                 self.close(now, entry, version)
@@ -234,13 +234,13 @@
                 since = self.kept_out.get(entry.worker, (entry, None))[1]
                 self.kept_out[entry.worker] = entry, now if live and since is None else since
                 self.ready.discard(entry.worker)
-                return entry._replace(state=door.DRAINING)
+                return entry._replace(state=events.DRAINING)
             self.open(now, entry, why)
         self.kept_out.pop(entry.worker, None)
         self.ready.add(entry.worker)
         return entry
 
-    def close(self, now: float, entry: door.ListedWorker, version: int) -> None:
+    def close(self, now: float, entry: events.ListedWorker, version: int) -> None:
         was = self.closed.get(entry.worker)
         self.ready.discard(entry.worker)
         self.proved.discard(entry.worker)
@@ -256,13 +256,13 @@
                 now + self.keep,
             )
 
-    def open(self, now: float, entry: door.ListedWorker, why: str) -> None:
+    def open(self, now: float, entry: events.ListedWorker, why: str) -> None:
         if self.closed.pop(entry.worker, None):
             self.say(f"{entry.worker} is open again: {why}")
             self.note("closed trails", records.worker_key(b"w", entry.worker), None)
         self.ready.add(entry.worker)
 
-    def insisting(self, now: float) -> door.WorkersListed | None:
+    def insisting(self, now: float) -> events.WorkersListed | None:
         """Those that discovery has named ready for so long that it is believed against what is remembered."""
         due = [
             entry
@@ -272,7 +272,7 @@
         for entry in due:
             del self.kept_out[entry.worker]
             self.open(now, entry, "discovery keeps to it")
-        return door.WorkersListed(tuple(due)) if due else None
+        return events.WorkersListed(tuple(due)) if due else None
 
     def given(self, now: float, number: int, ours: bool) -> None:
         """A slice given or taken away: its levels are the usual ones again, but for one named as it was."""
@@ -306,17 +306,17 @@
 
     # --- orders
 
-    def weigh(self, now: float, orders: list[door.Order]) -> Outcome:
+    def weigh(self, now: float, orders: list[events.Order]) -> Outcome:
         """A turn's orders: those that may go, those that wait for the disc, and what is put off."""
-        going: list[tuple[door.Order, bool]] = []
+        going: list[tuple[events.Order, bool]] = []
         for order in orders:
             match order:
-                case door.Admit():
+                case events.SetAdmission():
                     self.admit(now, order, going)
-                case door.SetLine():
+                case events.SetRoute():
                     if not self.puts_off(now, order):
                         going.append((order, False))
-                case door.Withdraw(worker, out):
+                case events.ExcludeWorker(worker, out):
                     key = records.worker_key(b"o", worker)
                     if out:
                         self.withdrawn[worker] = Withdrawn(now)
@@ -324,10 +324,10 @@
                     elif self.withdrawn.pop(worker, None):
                         self.note("withdrawal", key, None)
                     going.append((order, False))
-                case door.Doubted(worker, until, doubts):
+                case events.WorkerEjected(worker, until, doubts):
                     self.doubts[worker] = Doubt(until, doubts, now)
                     self.note("doubt", records.worker_key(b"d", worker), self.doubts[worker], until)
-                case door.Mark():
+                case events.RequestAcknowledgement():
                     going.append((self.mark(order), False))
                 case _:
                     going.append((order, False))
@@ -336,7 +336,7 @@
         )
         return Outcome(going, first)
 
-    def mark(self, order: door.Mark) -> door.Mark:
+    def mark(self, order: events.RequestAcknowledgement) -> events.RequestAcknowledgement:
         """A mark of the module's under a number that no earlier life has used."""
         self.taken += 1
         if self.taken + rules.MARKS // 2 > self.life.marks:
@@ -350,17 +350,17 @@
 
     def stands(self, table: int, operation: int) -> Admitted | None:
         """What is remembered of an operation at a table: its own record, or a later one for all slices."""
-        everywhere = self.admitted.get((door.ALL_SLICES, operation))
-        if table == door.ALL_SLICES:  # for all of them only if none was given since
+        everywhere = self.admitted.get((events.ALL_SLICES, operation))
+        if table == events.ALL_SLICES:  # for all of them only if none was given since
             return everywhere if everywhere and everywhere.given >= self.life.given else None
         own = self.admitted.get((table, operation))
         if everywhere and table in self.lines and self.lines[table].given > everywhere.given:
             everywhere = None  # the slice was given after that
         return max((found for found in (own, everywhere) if found), key=lambda found: found.at, default=None)
 
-    def admit(self, now: float, order: door.Admit, going: list) -> None:
+    def admit(self, now: float, order: events.SetAdmission, going: list) -> None:
         """Part one order by what each of its operations may do."""
-        if order.table == door.ALL_SLICES:
+        if order.table == events.ALL_SLICES:
             order = self.narrowed(now, order, going)
             if order is None:
                 return
@@ -380,7 +380,7 @@
             parts.setdefault(found.verdict, []).append(k)
             self.waiting.pop(("try", order.table, k), None)
             if found.verdict == "waits":
-                one = door.Admit(order.table, (k,), order.level, order.retry)
+                one = events.SetAdmission(order.table, (k,), order.level, order.retry)
                 self.waiting["try", order.table, k] = one, found.until, found.why
                 self.say(
                     f"{self.operations[k]['name']} at table {order.table} gets no further tries for "
@@ -397,18 +397,18 @@
             if verdict in parts:
                 going.append((order if whole else order._replace(operations=tuple(parts[verdict])), strict))
 
-    def narrowed(self, now: float, order: door.Admit, going: list) -> door.Admit | None:
+    def narrowed(self, now: float, order: events.SetAdmission, going: list) -> events.SetAdmission | None:
         """An order for all slices, less operations that stand so since an earlier life.
 
         Those go to the slices alone that were given since, or an effect would be let in a second time.
         """
         again, rest = {}, []
         for k in order.operations or range(len(self.operations)):
-            was = self.admitted.get((door.ALL_SLICES, k))
+            was = self.admitted.get((events.ALL_SLICES, k))
             if (
                 was
                 and was.life != self.life.number
-                and (self.operations[k]["kind"] != door.IDEMPOTENT and order.retry > self.usual)
+                and (self.operations[k]["kind"] != events.IDEMPOTENT and order.retry > self.usual)
             ):
                 for number, lines in self.lines.items():
                     if lines.given > was.given:
@@ -416,17 +416,17 @@
             else:
                 rest.append(k)
         for number, operations in again.items():
-            self.admit(now, door.Admit(number, tuple(operations), order.level, order.retry), going)
+            self.admit(now, events.SetAdmission(number, tuple(operations), order.level, order.retry), going)
         whole = len(rest) == len(order.operations or self.operations)
         return order if whole else order._replace(operations=tuple(rest)) if rest else None
 
-    def by_slice(self, order: door.Admit) -> list[door.Admit]:
+    def by_slice(self, order: events.SetAdmission) -> list[events.SetAdmission]:
         """An order for all slices as one for each, so that later ones for single slices can make it void."""
-        if order.table != door.ALL_SLICES:
+        if order.table != events.ALL_SLICES:
             return [order]
         return [order._replace(table=number) for number in self.lines]
 
-    def puts_off(self, now: float, order: door.SetLine) -> bool:
+    def puts_off(self, now: float, order: events.SetRoute) -> bool:
         """Whether a line waits till its worker is proved: only after damage, while a proved one serves."""
         key = "line", order.table, order.worker
         self.waiting.pop(key, None)
@@ -443,11 +443,11 @@
             self.waiting[key] = order, self.life.careful_until, "its worker is not proved to be open"
         return off
 
-    def due(self, now: float) -> list[door.Order]:
+    def due(self, now: float) -> list[events.Order]:
         """Orders that were put off and may be weighed again; those of closed workers are let go."""
         found = []
         for key, (order, until, _) in list(self.waiting.items()):
-            line = isinstance(order, door.SetLine)
+            line = isinstance(order, events.SetRoute)
             if (
                 now >= until
                 or line
@@ -464,21 +464,21 @@
                     found.append(order)
         return found
 
-    def carried(self, now: float, order: door.Order) -> None:
+    def carried(self, now: float, order: events.Order) -> None:
         """The relay has carried out an order."""
         match order:
-            case door.Admit(table, operations):
+            case events.SetAdmission(table, operations):
                 for k in operations or range(len(self.operations)):
                     was = self.admitted.get((table, k))
                     if was and (was.level, was.retry) == (order.level, order.retry) and not was.carried:
                         self.admitted[table, k] = msgspec.structs.replace(was, carried=True)
-                        effects = self.operations[k]["kind"] != door.IDEMPOTENT and order.retry > self.usual
+                        effects = self.operations[k]["kind"] != events.IDEMPOTENT and order.retry > self.usual
                         self.note(
                             "try carried out" if effects else "level",
                             records.admit_key(table, k),
                             self.admitted[table, k],
                         )
-            case door.SetLine(table, worker, weight):
+            case events.SetRoute(table, worker, weight):
                 self.held(now, table, worker, weight)
 
     def forgotten(self) -> None:
@@ -518,14 +518,14 @@
         return said
 
 
-def without(held: list, order: door.Admit, everything: int) -> list:
+def without(held: list, order: events.SetAdmission, everything: int) -> list:
     """Held orders to let in, less what a later order on the same operations has made void.
 
     everything: how many operations there are; an order that names none is for all of them.
     """
     kept, later = [], set(order.operations or range(everything))
     for old in held:
-        if order.table in (old.table, door.ALL_SLICES):
+        if order.table in (old.table, events.ALL_SLICES):
             left = tuple(k for k in old.operations or range(everything) if k not in later)
             if left:
                 kept.append(old._replace(operations=left))
--- a/bramblewood/ledger/rules.py
+++ b/bramblewood/ledger/rules.py
@@ -7,7 +7,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from .. import interface as door
+from .. import events
 from .records import Admitted, Closed
 
 LEASE = 5.0  # s down after which the store may have given slices to others, where no fact tells
@@ -46,7 +46,7 @@
 }
 
 
-def believed(entry: door.ListedWorker, was: Closed, version: int, live: bool) -> str | None:
+def believed(entry: events.ListedWorker, was: Closed, version: int, live: bool) -> str | None:
     """Why a worker that was told closed is open again, or None if that stands against this word."""
     if entry.started is not None and (was.started is None or entry.started > was.started):
         return "it has started anew"
@@ -116,7 +116,7 @@
     which proxies try again more than what stands lets them.
     """
     stands = standing.retry if standing and not unsent else usual
-    if kind == door.IDEMPOTENT:
+    if kind == events.IDEMPOTENT:
         return Try("sent", "idempotent")
     earlier = standing is not None and standing.life != life
     if earlier and retry > usual and (retry, level) == (standing.retry, standing.level):
--- a/bramblewood/ledger/stage.py
+++ b/bramblewood/ledger/stage.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from .. import interface as door
+from .. import events
 from ..store.flush import Apart, InLoop
 from ..store.port import Folder
 from ..store.recovery import Refused
@@ -18,7 +18,14 @@
 ALIVE = 1.0  # s between notes that this life goes on; ages at a restart are no finer
 PACE = 0.005  # s between turns while background work waits, and nothing else does
 MS = 1000.0
-TO_RELAY = (door.SetLine, door.ClearTable, door.BindProxy, door.Admit, door.Withdraw, door.Mark)
+TO_RELAY = (
+    events.SetRoute,
+    events.ClearTable,
+    events.BindProxy,
+    events.SetAdmission,
+    events.ExcludeWorker,
+    events.RequestAcknowledgement,
+)
 
 __all__ = ["Ledger", "Refused"]
 
@@ -26,7 +33,7 @@
 class Held:
     """A turn's orders that wait for the batch that they rest on."""
 
-    def __init__(self, number: int, until: float, orders: list[tuple[door.Order, bool]]) -> None:
+    def __init__(self, number: int, until: float, orders: list[tuple[events.Order, bool]]) -> None:
         self.number, self.until, self.orders = number, until, orders
 
 
@@ -56,14 +63,14 @@
         self.memory = Memory(facts, terms.keep)
         self.scheduler = Scheduler(precise, self.work_failed, terms.background)
         self.queue: deque[Held] = deque()  # in the order of their turns
-        self.stuck: list[tuple[int, door.Admit]] = []  # further tries past `hold`, by batch
+        self.stuck: list[tuple[int, events.SetAdmission]] = []  # further tries past `hold`, by batch
         self.committed_at = self.alive_at = 0.0
         self.late = False
         self.first_mark = zlib.crc32(f"{seed}:marks".encode()) % NUMBERS
 
     # --- the start
 
-    def begin(self) -> list[door.Event]:
+    def begin(self) -> list[events.Event]:
         """What the module is told behind its first list."""
         now, store, memory = self.clock(), self.store, self.memory
         with store.snapshot() as snapshot:
@@ -71,7 +78,7 @@
             healed = [value.decode() for _, value in snapshot.scan(DAMAGE)]
             lost = [str(damage) for damage in store.damages if not damage.kept]
             lost += [f"{hole.table} at {hole.offset}: {hole.why}" for hole in snapshot.holes] + odd
-        events = memory.begin(now, list(dict.fromkeys(lost + healed)), self.first_mark)
+        batch = memory.begin(now, list(dict.fromkeys(lost + healed)), self.first_mark)
         for damage in store.damages:
             self.log.warning(
                 "store damaged",
@@ -95,23 +102,23 @@
         self.write(now, [(key, None, 0) for key, _ in store.scan(DAMAGE)])
         store.commit()
         self.say()
-        return events
+        return batch
 
-    def forgotten(self) -> list[door.Event]:
+    def forgotten(self) -> list[events.Event]:
         """The module began anew: what it is told behind its first list."""
         self.memory.forgotten()
         return self.memory.opening(self.clock())
 
     # --- the turn
 
-    def hear(self, now: float, events: list[door.Event]) -> list[door.Event]:
-        return self.memory.hear(now, events)
+    def hear(self, now: float, batch: list[events.Event]) -> list[events.Event]:
+        return self.memory.hear(now, batch)
 
-    def say_orders(self, now: float, orders: list[door.Order]) -> list[door.Order]:
+    def say_orders(self, now: float, orders: list[events.Order]) -> list[events.Order]:
         """The orders of a turn, less those that wait for the disc."""
         outcome = self.memory.weigh(now, orders)
         for order in orders:
-            if isinstance(order, door.Admit):
+            if isinstance(order, events.SetAdmission):
                 self.void(order)
         self.write(now)
         waits = outcome.first or outcome.strict
@@ -124,7 +131,7 @@
             self.queue.append(Held(number, now + self.terms.hold, relayed))
         return at_once + self.release(now)
 
-    def release(self, now: float) -> list[door.Order]:
+    def release(self, now: float) -> list[events.Order]:
         """Held orders whose batch is promised, in order; past `hold`, those that need no promise."""
         promised, going = self.store.promised, []
         while self.queue and (self.queue[0].number <= promised or now >= self.queue[0].until):
@@ -138,7 +145,7 @@
                     self.stuck += [(held.number, one) for one in self.memory.by_slice(order)]
                     continue
                 going.append(order)
-                if isinstance(order, door.Admit):
+                if isinstance(order, events.SetAdmission):
                     self.void(order)  # it goes first, and would come before an older one
             if not self.late:
                 self.late = True
@@ -151,7 +158,7 @@
         self.late = self.late and (self.store.promised < self.store.number)
         return going
 
-    def void(self, order: door.Admit) -> None:
+    def void(self, order: events.SetAdmission) -> None:
         """Further tries that are stuck and that a later order replaces."""
         self.stuck = [
             (number, left)
@@ -159,7 +166,7 @@
             for left in without([old], order, len(self.memory.operations))
         ]
 
-    def turn(self, now: float, busy: float) -> tuple[list[door.Event], list[door.Order]]:
+    def turn(self, now: float, busy: float) -> tuple[list[events.Event], list[events.Order]]:
         """Once a turn, whatever came: flushes that are done, work in the background, orders put off.
 
         busy: part of the time since the last turn in which the loop did not wait.
@@ -184,21 +191,21 @@
         self.say()
         return [back] if back else [], going
 
-    def safe(self, orders: list[door.Order]) -> list[door.Order]:
+    def safe(self, orders: list[events.Order]) -> list[events.Order]:
         """What may go when the ledger itself has failed: all but tries of operations with effects."""
         kinds = [operation["kind"] for operation in self.memory.operations]
         return [
             order
             for order in orders
-            if not isinstance(order, door.Doubted)
+            if not isinstance(order, events.WorkerEjected)
             and not (
-                isinstance(order, door.Admit)
-                and order.retry > door.NO_RETRY
-                and any(kinds[k] != door.IDEMPOTENT for k in order.operations or range(len(kinds)))
+                isinstance(order, events.SetAdmission)
+                and order.retry > events.NO_RETRY
+                and any(kinds[k] != events.IDEMPOTENT for k in order.operations or range(len(kinds)))
             )
         ]
 
-    def carried(self, order: door.Order) -> None:
+    def carried(self, order: events.Order) -> None:
         """The relay has carried out an order; a further try's end is made lasting with the next flush."""
         now = self.clock()
         self.memory.carried(now, order)
--- a/bramblewood/net/program/charter.py
+++ b/bramblewood/net/program/charter.py
@@ -5,8 +5,8 @@
 from collections.abc import Mapping
 from typing import Any, NamedTuple
 
-from ...facts import FACTS, facts_of
-from ...interface import NO_RETRY
+from ...events import NO_RETRY
+from ...startup_settings import FACTS, facts_of
 from ..transport.connection import Address
 
 FEWEST = 32  # descriptors below which a manager can't work: its own streams, a few collectors and probes
--- a/bramblewood/net/program/service.py
+++ b/bramblewood/net/program/service.py
@@ -10,8 +10,7 @@
 
 import structlog
 
-from ... import interface as door
-from ... import stages
+from ... import events, turn_stages
 from ...policy.manager import Manager
 from ..protocol.frames import Scope
 from ..protocol.words import Unreadable
@@ -36,7 +35,14 @@
 MOVED = ("discovery", "relay")  # keys of the configuration that act at once; the rest waits for a start
 
 T = TypeVar("T")
-TO_RELAY = (door.SetLine, door.ClearTable, door.BindProxy, door.Admit, door.Withdraw, door.Mark)
+TO_RELAY = (
+    events.SetRoute,
+    events.ClearTable,
+    events.BindProxy,
+    events.SetAdmission,
+    events.ExcludeWorker,
+    events.RequestAcknowledgement,
+)
 
 
 def at(key: str, where: Address, make: Callable[[], T]) -> T:
@@ -51,7 +57,7 @@
     def __init__(self, charter: Charter, loop: Loop | None = None, log=None, bylaws=None) -> None:
         self.charter, self.bylaws, self.loop = charter, bylaws, loop or Loop()
         self.log = log or structlog.get_logger().bind(manager=charter.name)
-        self.inbox: list[door.Event] = []
+        self.inbox: list[events.Event] = []
         self.manager: Manager | None = None
         self.starts, self.stopping, self.hung_up = 0, False, False  # hung_up: asked to read anew
         notices, tell = Notices(self.log, self.loop.now), self.inbox_tell
@@ -70,7 +76,7 @@
         self.news = News(
             self.loop, charter.relay, notices, NEWS_SILENCE, tell=self.told, stored=self.calls.stored
         )
-        self.stages: list[stages.Stage] = []
+        self.stages: list[turn_stages.Stage] = []
         self.turned_at, self.wakers = self.loop.now(), {}  # wakers: descriptors of stages that wake the loop
         self.probes = Probes(self.loop, self.worker_address, bool(facts["load_fields"]), notices, tell)
         self.peers = None
@@ -101,30 +107,32 @@
         )
 
         try:
-            self.stages = stages.begin(bylaws, facts, charter.seed, self.loop.now, self.log)
+            self.stages = turn_stages.begin(bylaws, facts, charter.seed, self.loop.now, self.log)
         except Exception as problem:  # whatever the folder or its files raise: nothing was begun
             self.listener.close()
             raise Faulty(f"store.folder: {bylaws.store.folder}: {problem}") from None
 
-    def carried(self, order: door.Order) -> None:
+    def carried(self, order: events.Order) -> None:
         """An order that the relay took."""
         self.news.carried(order)
         for stage in self.stages:
             stage.carried(order)
 
-    def inbox_tell(self, event: door.Event) -> None:
+    def inbox_tell(self, event: events.Event) -> None:
         self.inbox.append(event)
 
-    def told(self, event: door.Event) -> None:
+    def told(self, event: events.Event) -> None:
         """The relay's news; answers to marks also settle calls."""
-        if isinstance(event, door.MarkAnswered):
+        if isinstance(event, events.MessageAcknowledged):
             self.calls.answered(event)
             return
-        if isinstance(event, door.SliceGiven):
+        if isinstance(event, events.SliceAssigned):
             never_away = event.slice in self.news.leveled or self.calls.unsettled(event.slice)
             self.calls.given_anew(event.slice)
-            if event.ours and never_away:  # a slice comes with the usual levels; this one may have others
-                self.calls.give([door.Admit(event.slice, (), 1.0, self.charter.facts["usual_retry"])])
+            if event.assigned and never_away:  # a slice comes with the usual levels; this one may have others
+                self.calls.give(
+                    [events.SetAdmission(event.slice, (), 1.0, self.charter.facts["usual_retry"])]
+                )
         self.inbox.append(event)
 
     def worker_address(self, worker: str):
@@ -165,11 +173,11 @@
         if self.stages:
             self.pass_time()
         if self.inbox and self.manager:
-            events, self.inbox = self.inbox, []
+            batch, self.inbox = self.inbox, []
             for stage in self.stages:
-                events = self.staged(stage.hear, events, events)
+                batch = self.staged(stage.hear, batch, batch)
             try:
-                orders = self.manager.handle(self.loop.now(), events)
+                orders = self.manager.handle(self.loop.now(), batch)
             except Exception:  # whatever the module raises: it starts anew, and the manager goes on
                 self.log.exception("the module failed")
                 self.manager = None
@@ -206,13 +214,13 @@
                 self.loop.watch_number(waker, self.wakers.get(k))
                 self.wakers[k] = waker
             try:
-                events, orders = stage.turn(now, busy)
+                batch, orders = stage.turn(now, busy)
             except Exception as problem:
                 self.notices.say(
                     "stage failed", type(stage).__name__, why=repr(problem), where=traceback.format_exc(-3)
                 )
                 continue
-            self.inbox += events
+            self.inbox += batch
             if orders:
                 self.carry_out(orders)
 
@@ -268,21 +276,21 @@
             self.inbox += stage.forgotten()
         self.news.forgotten()
 
-    def carry_out(self, orders: list[door.Order]) -> None:
+    def carry_out(self, orders: list[events.Order]) -> None:
         self.calls.give([order for order in orders if isinstance(order, TO_RELAY)])
         for order in orders:
             match order:
-                case door.Wake(after, token):
-                    self.loop.after(after, lambda token=token: self.inbox.append(door.TimerDue(token)))
-                case door.Log(text):
+                case events.SetTimer(after, token):
+                    self.loop.after(after, lambda token=token: self.inbox.append(events.TimerFired(token)))
+                case events.Log(text):
                     self.log.info(text)
-                case door.FollowList(on):
+                case events.WatchWorkerList(on):
                     self.discovery.follow(on)
-                case door.AskList():
+                case events.RequestWorkerList():
                     self.discovery.ask()
-                case door.Probe():
+                case events.CheckHealth():
                     self.probes.send(order)
-                case door.TellPeer():
+                case events.TellPeer():
                     if self.peers:
                         self.peers.send(order)
                     else:
--- a/bramblewood/net/protocol/frames.py
+++ b/bramblewood/net/protocol/frames.py
@@ -5,7 +5,7 @@
 from collections.abc import Container
 from typing import Any, NamedTuple
 
-from ... import interface as door
+from ... import events
 from ..transport.buffer import Buffer
 from .words import MS, Skipped, Unreadable, load_of, number, text, whole
 
@@ -74,7 +74,7 @@
     return tries, failed, span
 
 
-def event_of(message: dict, scope: Scope, unknown: set) -> door.Event:
+def event_of(message: dict, scope: Scope, unknown: set) -> events.Event:
     """A collector's report as an event; one that is spoilt in any part is skipped whole."""
     kind = message.get("t")
     if kind == "LOAD":
@@ -82,7 +82,7 @@
         mean_time = number(message, "mean_ms", 0 if failed >= tries else None) / MS
         if mean_time > LONGEST_SPAN:
             raise Skipped(f"a mean time of {mean_time} s")
-        return door.WorkerHeard(
+        return events.WorkerReported(
             one_of(text(message, "server"), scope.workers, "server"),
             one_of(text(message, "zone"), scope.zones, "zone"),
             tries,
@@ -96,7 +96,7 @@
         number_ = whole(message, "slice")
         if scope.slices and number_ >= scope.slices:
             raise Skipped(f"slice {number_} does not exist")
-        return door.SliceHeat(
+        return events.SliceHeatReported(
             number_, one_of(text(message, "class"), scope.operations, "class"), tries, failed, span
         )
     raise Skipped(f"kind {kind!r:.40} is not known")
--- a/bramblewood/net/protocol/relay.py
+++ b/bramblewood/net/protocol/relay.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Hashable, Iterable
 
-from ... import interface as door
+from ... import events
 from .words import MS, Skipped, number, whole
 
 LONGEST = 60_000  # bytes of orders in one call; the protocol's
@@ -17,20 +17,20 @@
     return f"{value:.12f}" if "e" in plain else plain
 
 
-def order_text(order: door.Order, operations: list[str]) -> tuple[Hashable, str] | None:
+def order_text(order: events.Order, operations: list[str]) -> tuple[Hashable, str] | None:
     """An order as the relay's text, and what it settles: a later one of the same key replaces it."""
     match order:
-        case door.SetLine(table, worker, weight):
+        case events.SetRoute(table, worker, weight):
             return ("line", table, worker), f"SET,{table},{worker},{figure(weight)}"
-        case door.ClearTable(table):
+        case events.ClearTable(table):
             return ("table", table), f"DEL,{table}"
-        case door.Withdraw(worker, out):
+        case events.ExcludeWorker(worker, out):
             return ("worker", worker), f"{'OUT' if out else 'IN'},{worker}"
-        case door.Admit(table, positions, level, retry):
-            where = "*" if table == door.ALL_SLICES else str(table)
+        case events.SetAdmission(table, positions, level, retry):
+            where = "*" if table == events.ALL_SLICES else str(table)
             which = "+".join(operations[k] for k in positions) or "*"
             return ("level", table, positions), f"LIMIT,{where},{which},{figure(level)},{retry}"
-        case door.Mark(number_, everyone):
+        case events.RequestAcknowledgement(number_, everyone):
             return ("mark",), f"SYNC,{number_},{int(everyone)}"
     return None
 
@@ -47,7 +47,7 @@
     return next((word for word in words if word in (NOT_YET, MALFORMED)), None)
 
 
-def news(line: bytes) -> door.Event | None:
+def news(line: bytes) -> events.Event | None:
     """A line of news as an event; None for a sign of life."""
     if line == ALIVE:
         return None
@@ -70,15 +70,15 @@
                 raise Skipped(f"line {line[:60]!r}") from None
     match words[1]:
         case "SUBSCRIBE":
-            return door.ProxyJoined(
+            return events.ProxyJoined(
                 whole(fields, "proxy"), fields["zone"], number(fields, "weight"), number(fields, "fresh") > 0
             )
         case "CLOSED":
-            return door.ProxyLeft(whole(fields, "proxy"))
+            return events.ProxyLeft(whole(fields, "proxy"))
         case "ACK":
-            return door.MarkAnswered(
+            return events.MessageAcknowledged(
                 whole(fields, "proxy"), whole(fields, "mark"), number(fields, "took_ms") / MS
             )
         case "GRANT":
-            return door.SliceGiven(whole(fields, "slice"), number(fields, "on") > 0)
-    return door.LineHeld(whole(fields, "slice"), fields["server"], number(fields, "weight"))
+            return events.SliceAssigned(whole(fields, "slice"), number(fields, "on") > 0)
+    return events.RouteStored(whole(fields, "slice"), fields["server"], number(fields, "weight"))
--- a/bramblewood/net/protocol/roster.py
+++ b/bramblewood/net/protocol/roster.py
@@ -2,7 +2,7 @@
 
 import json
 
-from ... import interface as door
+from ... import events
 from .words import MS, STATES, Skipped, Unreadable, number, text
 
 LIST = "/catalog/members"
@@ -12,12 +12,12 @@
     return f"{LIST}?stream=1&index={version}"
 
 
-def entry_of(item: object) -> tuple[door.ListedWorker, str]:
+def entry_of(item: object) -> tuple[events.ListedWorker, str]:
     """One worker, and the address at which it answers probes."""
     if not isinstance(item, dict) or text(item, "state") not in STATES:
         raise Skipped(f"entry {item!r:.60}")
     started, cell = number(item, "started_ms", 0), item.get("cell", 0)
-    entry = door.ListedWorker(
+    entry = events.ListedWorker(
         text(item, "id"),
         STATES[item["state"]],
         number(item, "weight", 1.0),
@@ -29,7 +29,7 @@
     return entry, text(item, "addr", "")
 
 
-def read(data: bytes | dict, cached: bool = False) -> tuple[int, door.WorkersListed, dict, list[str]]:
+def read(data: bytes | dict, cached: bool = False) -> tuple[int, events.WorkersListed, dict, list[str]]:
     """A list: its version, the event, addresses by worker, and what of it had to be skipped."""
     try:
         found = data if isinstance(data, dict) else json.loads(data)
@@ -49,5 +49,5 @@
         entries.append(entry)
         addresses[entry.worker] = address
     complete = bool(found.get("full")) or cached
-    event = door.WorkersListed(tuple(entries), complete, cached, version)
+    event = events.WorkersListed(tuple(entries), complete, cached, version)
     return version, event, addresses, problems
--- a/bramblewood/net/protocol/words.py
+++ b/bramblewood/net/protocol/words.py
@@ -2,22 +2,22 @@
 
 from typing import Any
 
-from ... import interface as door
-from ...facts import LOAD_WORDS as SETTINGS_WORDS
-from ...facts import MS
+from ... import events
+from ...startup_settings import LOAD_WORDS as SETTINGS_WORDS
+from ...startup_settings import MS
 
 MOST = 1e15  # a figure above is a fault: as a time it is ages, and as a whole number soon no float
 UNKNOWN = 16  # unknown names kept for the log; a stranger may send new ones without end
-STATES = {"up": door.READY, "draining": door.DRAINING, "removed": door.GONE}
+STATES = {"up": events.READY, "draining": events.DRAINING, "removed": events.DEREGISTERED}
 # the page's words for load, and the settings' own, which the collectors were seen to send
 LOAD_WORDS = {
     **SETTINGS_WORDS,
-    "util": ("busy", 1.0),
+    "util": ("utilization", 1.0),
     "queue": ("queued", 1.0),
-    "inflight": ("held", 1.0),
-    "latency_ms": ("mean_time", 1 / MS),
-    "qps": ("rate", 1.0),
-    "eps": ("errored_rate", 1.0),
+    "inflight": ("in_flight", 1.0),
+    "latency_ms": ("mean_response_time", 1 / MS),
+    "qps": ("request_rate", 1.0),
+    "eps": ("error_rate", 1.0),
 }
 
 
--- a/bramblewood/net/routing/calls.py
+++ b/bramblewood/net/routing/calls.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Hashable
 from typing import NamedTuple
 
-from ... import interface as door
+from ... import events
 from ..protocol import relay
 from ..transport.connection import Address, Connection, growing_wait
 from ..transport.ending import Ending
@@ -30,7 +30,7 @@
 class Out(NamedTuple):
     """An order on its way."""
 
-    order: door.Order
+    order: events.Order
     text: str
 
 
@@ -55,8 +55,8 @@
         address: Address,
         operations: list[str],
         notices: Notices,
-        tell: Callable[[door.Event], None],
-        carried: Callable[[door.Order], None],
+        tell: Callable[[events.Event], None],
+        carried: Callable[[events.Order], None],
         read_store: Callable[[], None],
         dial=Connection.dial,
     ) -> None:
@@ -73,7 +73,7 @@
         self.doubt_until = 0.0  # when the last unanswered call is sent again all the same
         self.failures, self.pause, self.used_at, self.most = 0, None, 0.0, relay.ORDERS
 
-    def give(self, orders: list[door.Order]) -> None:
+    def give(self, orders: list[events.Order]) -> None:
         for order in orders:
             made = relay.order_text(order, self.operations)
             if made is None:
@@ -84,24 +84,28 @@
             fold(self.waiting, key, Out(order, text))
         self.push()
 
-    def alias(self, order: door.Order, earlier: Out | None) -> None:
+    def alias(self, order: events.Order, earlier: Out | None) -> None:
         """A mark that replaces an earlier one stands for it too."""
-        if isinstance(order, door.Mark) and earlier and earlier.order.number != order.number:
+        if (
+            isinstance(order, events.RequestAcknowledgement)
+            and earlier
+            and earlier.order.number != order.number
+        ):
             before = earlier.order.number
             self.aliases[order.number] = [*self.aliases.pop(before, []), before][-ALIASES:]
         for kept in (self.aliases, self.sent_at):
             while len(kept) > ALIASES:
                 del kept[next(iter(kept))]
 
-    def answered(self, event: door.MarkAnswered) -> None:
+    def answered(self, event: events.MessageAcknowledged) -> None:
         """An answer to a mark, as the news tell it: also to those folded into it, and it settles a doubt."""
-        for mark in [*self.aliases.get(event.mark, []), event.mark]:
-            self.tell(event._replace(mark=mark))
-        if event.mark in self.sent_at:
-            took = self.loop.now() - self.sent_at.pop(event.mark)
+        for mark in [*self.aliases.get(event.number, []), event.number]:
+            self.tell(event._replace(number=mark))
+        if event.number in self.sent_at:
+            took = self.loop.now() - self.sent_at.pop(event.number)
             self.first_answer = max(took, (3 * self.first_answer + took) / 4)
         mark = self.doubted.get(("mark",))
-        if mark and mark.order.number == event.mark:
+        if mark and mark.order.number == event.number:
             self.settle(True)
 
     def settle(self, done: bool) -> None:
@@ -121,7 +125,7 @@
         """
         for out in self.doubted.values():
             match out.order:
-                case door.SetLine(table=of, worker=worker, weight=weight) if (
+                case events.SetRoute(table=of, worker=worker, weight=weight) if (
                     of == number and told.get(worker, 0) != weight
                 ):
                     self.settle(abs(table.get(worker, 0) - weight) < ROUNDED)
--- a/bramblewood/net/routing/collectors.py
+++ b/bramblewood/net/routing/collectors.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Callable
 
-from ... import interface as door
+from ... import events
 from ..protocol import frames
 from ..protocol.words import Skipped, Unreadable
 from ..transport.connection import Connection
@@ -23,7 +23,7 @@
 
 
 class Collectors:
-    def __init__(self, notices: Notices, tell: Callable[[door.Event], None], scope: frames.Scope) -> None:
+    def __init__(self, notices: Notices, tell: Callable[[events.Event], None], scope: frames.Scope) -> None:
         self.notices, self.tell, self.scope, self.in_use = notices, tell, scope, False
         self.unknown: set[str] = set()
         self.asked: dict[Connection, None] = {}  # unjoined ones that wait to hear that it is in use
--- a/bramblewood/net/routing/discovery.py
+++ b/bramblewood/net/routing/discovery.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from ... import interface as door
+from ... import events
 from ..protocol import roster
 from ..protocol.http import Answer, get
 from ..protocol.words import Unreadable
@@ -17,7 +17,7 @@
 class Discovery(Stream):
     party = "discovery"
 
-    def __init__(self, *args, tell: Callable[[door.Event], None], **more) -> None:
+    def __init__(self, *args, tell: Callable[[events.Event], None], **more) -> None:
         super().__init__(*args, **more)
         self.tell, self.version, self.addresses, self.held = tell, 0, {}, {}
         self.asked: Ask | None = None
@@ -53,14 +53,14 @@
         self.addresses.update(addresses)
         self.held.update((entry.worker, entry) for entry in event.workers)
         for entry in event.workers:
-            if entry.state == door.GONE:
+            if entry.state == events.DEREGISTERED:
                 self.held.pop(entry.worker, None)
                 self.addresses.pop(entry.worker, None)
         self.tell(event)
 
     def broken(self) -> None:
         if self.report_failure and self.on:
-            self.tell(door.ListFailed())
+            self.tell(events.WorkerListFailed())
 
     def follow(self, on: bool) -> None:
         self.report_failure = on
@@ -75,7 +75,7 @@
 
     def forgotten(self) -> None:
         """A new module knows no list: it is told what is held, and all of it is asked for."""
-        self.tell(door.WorkersListed(tuple(self.held.values()), complete=True, cached=True))
+        self.tell(events.WorkersListed(tuple(self.held.values()), complete=True, cached=True))
         self.ask()
 
 
@@ -106,4 +106,4 @@
     def ended(self, connection: Connection, ending: Ending) -> None:
         if self.discovery.asked is self:
             self.discovery.asked = None
-            self.discovery.tell(door.ListFailed())
+            self.discovery.tell(events.WorkerListFailed())
--- a/bramblewood/net/routing/news.py
+++ b/bramblewood/net/routing/news.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable
 
-from ... import interface as door
+from ... import events
 from ..protocol import relay
 from ..protocol.words import Skipped, Unreadable
 from ..transport.buffer import Buffer
@@ -20,29 +20,29 @@
     """Who is joined and what is held, as told and as ordered since."""
 
     def __init__(self) -> None:
-        self.proxies: dict[int, door.ProxyJoined] = {}
+        self.proxies: dict[int, events.ProxyJoined] = {}
         self.slices: dict[int, dict[str, float]] = {}
         self.leveled: set[int] = set()  # of these slices: those with levels ordered since they were given
 
-    def note(self, event: door.Event | door.Order) -> None:
+    def note(self, event: events.Event | events.Order) -> None:
         match event:
-            case door.ProxyJoined():
+            case events.ProxyJoined():
                 self.proxies[event.proxy] = event
-            case door.ProxyLeft():
+            case events.ProxyLeft():
                 self.proxies.pop(event.proxy, None)
-            case door.SliceGiven(number, ours):
+            case events.SliceAssigned(number, ours):
                 self.leveled.discard(number)
                 self.slices.pop(number, None)
                 if ours:
                     self.slices[number] = {}
-            case door.Admit(number):
+            case events.SetAdmission(number):
                 self.leveled.add(number)
-            case door.LineHeld(number, worker, weight) | door.SetLine(number, worker, weight):
+            case events.RouteStored(number, worker, weight) | events.SetRoute(number, worker, weight):
                 table = self.slices.get(number, {})
                 table.pop(worker, None)
                 if weight:
                     table[worker] = weight
-            case door.ClearTable(number):
+            case events.ClearTable(number):
                 self.slices.get(number, {}).clear()
 
 
@@ -52,7 +52,7 @@
     def __init__(
         self,
         *args,
-        tell: Callable[[door.Event], None],
+        tell: Callable[[events.Event], None],
         stored: Callable[[int, dict, dict], None] = lambda *_: None,
         **more,
     ) -> None:
@@ -60,7 +60,7 @@
         self.tell, self.known, self.stored = tell, Standing(), stored
         self.before = Standing()  # what was known before a break and is not named again yet
         self.whole = False  # whether nothing was missed before this stream took over
-        self.given: list[door.Event] = []  # a slice just given, and its lines so far
+        self.given: list[events.Event] = []  # a slice just given, and its lines so far
         self.leveled: set[int] = set()  # slices with levels that the module of now knows nothing of
 
     def greeting(self) -> bytes:
@@ -88,30 +88,32 @@
         self.known.leveled |= self.before.leveled
         self.before, self.known = self.known, Standing()
 
-    def take(self, event: door.Event | None) -> None:
+    def take(self, event: events.Event | None) -> None:
         """One line of news, None for a sign of life."""
-        if isinstance(event, door.LineHeld) and self.given and event.slice == self.given[0].slice:
+        if isinstance(event, events.RouteStored) and self.given and event.slice == self.given[0].slice:
             self.given.append(event)
             return
         self.lines_told()
         match event:
-            case door.SliceGiven(_, True):  # guards against bytes that come in pieces: it would look empty
+            case events.SliceAssigned(
+                _, True
+            ):  # guards against bytes that come in pieces: it would look empty
                 given = self.given = [event]
                 self.loop.after(LINES, lambda: self.lines_told() if self.given is given else None)
-            case door.ProxyJoined(proxy):
+            case events.ProxyJoined(proxy):
                 known = self.before.proxies.pop(proxy, None)
                 if self.whole and known and event.fresh <= known.fresh:
                     self.known.note(event)  # it never left: nothing of what it was told is lost
                 else:
                     self.pass_on(event)
-            case door.LineHeld():
+            case events.RouteStored():
                 self.pass_on(event)
             case _:
                 self.all_named()
                 if event is not None:
                     self.pass_on(event)
 
-    def pass_on(self, event: door.Event) -> None:
+    def pass_on(self, event: events.Event) -> None:
         self.known.note(event)
         self.tell(event)
 
@@ -122,7 +124,7 @@
             number, named = given[0].slice, Standing()
             for event in given:
                 named.note(event)
-            if given[0].ours and number in self.before.slices:
+            if given[0].assigned and number in self.before.slices:
                 self.stored(number, self.before.slices[number], named.slices[number])
             if self.before.slices.pop(number, None) != named.slices[number]:
                 for event in given:
@@ -136,11 +138,11 @@
         """The end of what stands: who and what has not been named has left."""
         before, self.before = self.before, Standing()
         for proxy in before.proxies:
-            self.pass_on(door.ProxyLeft(proxy))
+            self.pass_on(events.ProxyLeft(proxy))
         for number in before.slices:
-            self.pass_on(door.SliceGiven(number, False))
+            self.pass_on(events.SliceAssigned(number, False))
 
-    def carried(self, order: door.Order) -> None:
+    def carried(self, order: events.Order) -> None:
         """An order that the relay took; what is being read anew may have been written before it."""
         self.known.note(order)
         if getattr(order, "table", None) in self.before.slices:
--- a/bramblewood/net/routing/peers.py
+++ b/bramblewood/net/routing/peers.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from ... import interface as door
+from ... import events
 from ..transport.connection import Address
 from ..transport.datagrams import Datagrams
 from ..transport.loop import Loop
@@ -20,13 +20,13 @@
         everyone: Address | None,
         me: int,
         notices: Notices,
-        tell: Callable[[door.Event], None],
+        tell: Callable[[events.Event], None],
     ) -> None:
         self.peers, self.everyone, self.me, self.notices, self.tell = peers, everyone, me, notices, tell
         self.numbers = {address: number for number, address in enumerate(peers)}
         self.datagrams = Datagrams(loop, listen, self.came)
 
-    def send(self, order: door.TellPeer) -> None:
+    def send(self, order: events.TellPeer) -> None:
         if order.manager is None:
             to = self.everyone
         else:
@@ -42,4 +42,4 @@
         if sender not in self.numbers or len(payload) > LONGEST:
             self.notices.say("datagram skipped", "peers", size=len(payload), known=sender in self.numbers)
         elif self.numbers[sender] != self.me:  # one to all comes back too
-            self.tell(door.PeerNote(self.numbers[sender], payload))
+            self.tell(events.PeerMessageReceived(self.numbers[sender], payload))
--- a/bramblewood/net/routing/probes.py
+++ b/bramblewood/net/routing/probes.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from ... import interface as door
+from ... import events
 from ..protocol.http import Answer, get
 from ..protocol.words import Unreadable, load_of_body
 from ..transport.connection import Address, Connection, spelled
@@ -39,7 +39,9 @@
         done = self.answer.whole
         outcome = outcome_of_status(self.answer.status) if done else outcome_of(ending)
         load = load_of_body(bytes(self.answer.body)) if done and self.probes.path == LOAD else {}
-        self.probes.done(self, door.Probed(self.worker, outcome, self.probes.loop.now() - self.since, load))
+        self.probes.done(
+            self, events.HealthCheckFinished(self.worker, outcome, self.probes.loop.now() - self.since, load)
+        )
 
 
 class Probes:
@@ -49,20 +51,20 @@
         addresses: Callable[[str], Address | None],
         with_load: bool,
         notices: Notices,
-        tell: Callable[[door.Event], None],
+        tell: Callable[[events.Event], None],
         dial=Connection.dial,
     ) -> None:
         self.loop, self.addresses, self.notices, self.tell, self.dial = loop, addresses, notices, tell, dial
         self.path, self.out = LOAD if with_load else PING, set()
 
-    def send(self, order: door.Probe) -> None:
+    def send(self, order: events.CheckHealth) -> None:
         address = self.addresses(order.worker)
         if address is None or len(self.out) >= MOST:
             self.notices.say("probe not sent", "workers", worker=order.worker, known=address is not None)
-            self.tell(door.Probed(order.worker, "unknown", 0.0))
+            self.tell(events.HealthCheckFinished(order.worker, "unknown", 0.0))
         else:
             self.out.add(Probe(self, order.worker, address))
 
-    def done(self, probe: Probe, event: door.Probed) -> None:
+    def done(self, probe: Probe, event: events.HealthCheckFinished) -> None:
         self.out.discard(probe)
         self.tell(event)
--- a/bramblewood/policy/admission.py
+++ b/bramblewood/policy/admission.py
@@ -1,6 +1,6 @@
 """Levels and further tries: a worker under strain lets in less, least billed value first."""
 
-from .. import interface as door
+from .. import events
 from .figures import FEW, LIMIT, STALE, STRAINED, Part
 
 RELAXED = 0.25       # the same, below which more is let in again; the gap keeps levels from swinging
@@ -56,7 +56,7 @@
 
     def rules(self):
         """Level and further tries of each operation; what may take effect twice is never repeated."""
-        return [(round(n, 3), door.NO_RETRY if self.cut else door.RETRY_UNSTARTED) for n in self.admitted]
+        return [(round(n, 3), events.NO_RETRY if self.cut else events.RETRY_UNSTARTED) for n in self.admitted]
 
     def publish(self, changed):
         for piece in [p for p in self.manager.ours() if p.main is self] if changed else ():
--- a/bramblewood/policy/manager.py
+++ b/bramblewood/policy/manager.py
@@ -1,13 +1,13 @@
 """A manager's decisions: which worker serves which slice, which orders go out and when.
 
 Called so: one Manager(seed, facts) at a start, facts being a plain map; then handle(now, events) gives the
-orders to send, in turn. Words: interface.py; the design: docs/design.md. Pure: no input, output or clock.
+orders to send, in turn. Words: events.py; the design: docs/design.md. Pure: no input, output or clock.
 """
 
 import zlib
 from collections import deque
 
-from .. import interface as door
+from .. import events
 from .figures import LONG_AGO, TURN, mean, sound, usual
 from .ordinary import Ordinary
 from .publishing import Publisher
@@ -23,9 +23,10 @@
     """The design's rule, and the urgent moves around it."""
 
     def cycle(self):
+        # ids are new all day
         manager, named = self.manager, {w for piece in self.manager.ours() for w in piece.stored}
         manager.workers = {name: w for name, w in manager.workers.items()
-                           if w.state != door.GONE or w in named or w.silent < FORGET}  # ids are new all day
+                           if w.state != events.DEREGISTERED or w in named or w.silent < FORGET}
         for piece in manager.ours():
             piece.cycle()
         self.answered.append(sum(w.good for w in manager.workers.values()) / manager.facts.get("cycle", 1.0))
@@ -49,7 +50,7 @@
         self.managers, self.turn_at, self.cycle_at = max(facts.get("managers", 1), 1), None, LONG_AGO
         operations = facts.get("operations", [])
         self.objective = min((o["latency_objective"] for o in operations), default=1.0)
-        self.tells_busy = "busy" in facts.get("load_fields", ())
+        self.tells_busy = "utilization" in facts.get("load_fields", ())
         self.by_value = sorted(range(len(operations)), key=lambda k: operations[k]["billed_value"])
 
     def chance(self):
@@ -61,10 +62,10 @@
         return self.workers.get(name) or self.workers.setdefault(name, Worker(self, name))
 
     def log(self, text):
-        self.orders.append(door.Log(text))
+        self.orders.append(events.Log(text))
 
     def ready(self):
-        return [worker for worker in self.workers.values() if worker.state == door.READY]
+        return [worker for worker in self.workers.values() if worker.state == events.READY]
 
     def usable(self):
         return [worker for worker in self.workers.values() if worker.usable]
@@ -72,17 +73,17 @@
     def ours(self):
         return [piece for piece in self.slices.values() if piece.ours]
 
-    def handle(self, now, events):
+    def handle(self, now, batch):
         self.now, self.orders = now, []
         if self.turn_at is None:
             self.turn_at, self.sure_from = now + TURN * self.chance(), now + FORGET
-            self.orders.append(door.Wake(self.turn_at - now, "turn"))
-        for event in events:
+            self.orders.append(events.SetTimer(self.turn_at - now, "turn"))
+        for event in batch:
             self.admit(event)
             self.run()
         if turn := now >= self.turn_at:
             self.turn_at = now + TURN
-            self.orders.append(door.Wake(TURN, "turn"))
+            self.orders.append(events.SetTimer(TURN, "turn"))
             self.roster.tell("turn")
             if now >= self.cycle_at:
                 self.cycle_at = now + self.facts.get("cycle", 1.0) - TURN / 2
@@ -104,31 +105,33 @@
         worker = self.workers.get(getattr(event, "worker", None))
         piece = self.slices.get(getattr(event, "slice", None))
         match event:
-            case door.WorkersListed():
+            case events.WorkersListed():
                 self.roster.tell("listed", event)
-            case door.ListFailed():
+            case events.WorkerListFailed():
                 self.roster.tell("failed")
-            case door.WorkerHeard(_, _, tries, bad, time, over) if worker and sound(tries, bad, time, over):
+            case events.WorkerReported(_, _, tries, bad, time, over) if (
+                    worker and sound(tries, bad, time, over)):
                 worker.tell("heard", event)
-            case door.SliceHeat() if piece and piece.ours and sound(event.invocations, event.over):
+            case events.SliceHeatReported() if (
+                    piece and piece.ours and sound(event.invocations, event.interval)):
                 piece.tell("heat", event)
-            case door.MarkAnswered():
+            case events.MessageAcknowledged():
                 self.publisher.tell("answered", event)
-            case door.ProxyJoined():
+            case events.ProxyJoined():
                 if event.proxy in self.proxies:  # told anew: nobody listened, and answers may be lost
                     self.publisher.gap_at = self.now
                 self.proxies[event.proxy] = event.zone
                 self.publisher.tell("renew")
-            case door.ProxyLeft():
+            case events.ProxyLeft():
                 self.proxies.pop(event.proxy, None)
                 self.publisher.tell("left", event.proxy)
-            case door.SliceGiven():
+            case events.SliceAssigned():
                 piece = self.slices.setdefault(event.slice, piece or Slice(self, event.slice))
-                piece.tell("given", event.ours)
-            case door.WithdrawalHeld():
+                piece.tell("given", event.assigned)
+            case events.ExclusionRestored():
                 self.publisher.open.setdefault(event.worker)
-            case door.DoubtHeld() if worker and sound(event.until, event.doubts):
+            case events.EjectionRestored() if worker and sound(event.until, event.ejections):
                 worker.doubted_until = worker.trusted = event.until
-                worker.doubts = event.doubts
-            case door.LineHeld() if piece and piece.ours and sound(event.weight) and event.weight > 0:
+                worker.ejections = event.ejections
+            case events.RouteStored() if piece and piece.ours and sound(event.weight) and event.weight > 0:
                 piece.tell("held", self.worker(event.worker), event.weight)
--- a/bramblewood/policy/publishing.py
+++ b/bramblewood/policy/publishing.py
@@ -3,7 +3,7 @@
 import math
 from collections import deque
 
-from .. import interface as door
+from .. import events
 from .figures import LONG_AGO, TURN, UNSEEN, Part
 
 TENTH = 10           # turns in which ordinary tables go out; the design page
@@ -28,7 +28,7 @@
 
     def answered(self, event):  # messages leave in order: all before one that is answered have left
         for place, message in enumerate(self.sent):
-            if message["number"] == event.mark:
+            if message["number"] == event.number:
                 message["awaited"].discard(event.proxy)
                 for earlier in range(place):
                     self.sent[earlier]["awaited"].clear()
@@ -39,7 +39,7 @@
         self.others |= {p: None for p in self.manager.ours() if self.open and p not in self.urgent}
 
     def off(self, worker):  # whether all proxies are told to keep off a closed one
-        return worker.state != door.READY and self.open.get(worker.name) is False
+        return worker.state != events.READY and self.open.get(worker.name) is False
 
     def left(self, proxy):
         for message in self.sent:
@@ -57,8 +57,8 @@
         pace = span / (allowed * MESSAGES_PART) if allowed else 0.0
         if pace and self.sent and (len(self.sent) * pace >= span or now < self.sent[-1]["at"] + pace):
             return
-        usual = [door.Admit(door.ALL_SLICES, (), 1.0, door.RETRY_UNSTARTED)] * (
-            facts.get("usual_retry") != door.RETRY_UNSTARTED)  # where the proxies' own way differs
+        usual = [events.SetAdmission(events.ALL_SLICES, (), 1.0, events.RETRY_UNSTARTED)] * (
+            facts.get("usual_retry") != events.RETRY_UNSTARTED)  # where the proxies' own way differs
         head = facts.get("message_head", 0) + 1 + len(usual) * len(self.manager.by_value)
         standing = usual if self.rules_due and self.manager.ours() else []
         rate, most = facts.get("lines_per_second", 0.0), facts.get("most_waiting", 1e9)
@@ -74,7 +74,7 @@
         fit = (room + (most - room) / 3 - waits) // (proxies or 1) - head - len(standing)  # all may never fit
         shut = list({w: 0 for p in queue for w in p.closed()})[:max(int(fit), 0)]
         haste = self.urgent if any(p.closed() or p.stored.get(p.main) != 1.0 for p in self.urgent) else ()
-        orders = [*standing, *(door.Withdraw(w.name, True) for w in shut)]
+        orders = [*standing, *(events.ExcludeWorker(w.name, True) for w in shut)]
         lines = (head + len(orders)) * proxies
         soon = self.sent and now < self.sent[-1]["at"] + TURN * (1 + (waits > 0))  # heads fill a channel
         if soon and not shut and not cold or lines + waits > room + (most - room) / 3 * bool(shut):
@@ -86,7 +86,7 @@
             wanted, rules, changes = piece.changes(piece in haste) if piece.ours else ({}, None, [])
             back = [w for w in wanted if w.usable and w.name in self.open]
             let = [w for w in back if w not in self.manager.planner.stale]  # old lines of it go before
-            changes += [door.Withdraw(w.name, False) for w in let]  # after its line: only holders are told
+            changes += [events.ExcludeWorker(w.name, False) for w in let]
             if lines + len(changes) * proxies + waits > room:
                 break
             for worker in let:
@@ -104,4 +104,4 @@
             self.number = (self.number + 1) % 65536
             self.sent.append({"number": self.number, "lines": lines, "at": now, "until": now,
                               "proxies": proxies, "awaited": set(self.manager.proxies)})
-            self.manager.orders += orders + [door.Mark(self.number)]
+            self.manager.orders += orders + [events.RequestAcknowledgement(self.number)]
--- a/bramblewood/policy/roster.py
+++ b/bramblewood/policy/roster.py
@@ -1,6 +1,6 @@
 """The list of workers, kept to and asked for again."""
 
-from .. import interface as door
+from .. import events
 from .figures import LONG_AGO, Part
 
 PATIENCE = 4.0       # s without an answer before a list is asked for again; calls time out sooner
@@ -17,7 +17,7 @@
     def listed(self, event):
         named = {self.manager.worker(entry.worker): entry for entry in event.workers}
         for worker in self.manager.workers.values() if event.complete else named:
-            worker.tell("listed", named.get(worker) or door.ListedWorker(worker.name, door.GONE))
+            worker.tell("listed", named.get(worker) or events.ListedWorker(worker.name, events.DEREGISTERED))
         if not event.cached:
             self.following, self.called, self.failures = True, False, 0
 
@@ -31,5 +31,5 @@
 
     def turn(self):
         if not self.following and self.manager.now >= self.ask_at:
-            self.manager.orders.append(door.FollowList(True))
+            self.manager.orders.append(events.WatchWorkerList(True))
             self.ask_at, self.called = self.manager.now + PATIENCE, True
--- a/bramblewood/policy/slices.py
+++ b/bramblewood/policy/slices.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from .. import interface as door
+from .. import events
 from .figures import HELD, LONG_AGO, REPORTS, STALE, TURN, Part, mean
 
 TREND = (0.5, 2.0)   # bounds of the trend factor; the design page
@@ -33,7 +33,7 @@
         self.main, self.standby, *_ = [*sorted(self.stored, key=lambda w: -self.stored[w]), None]
 
     def heat(self, report):
-        over = max(report.over, TURN)  # where sums are capped they span seconds, and come as seldom
+        over = max(report.interval, TURN)  # where sums are capped they span seconds, and come as seldom
         self.latest[report.operation] = (report.invocations / over, self.manager.now + STALE * over)
         self.fresh = True
 
@@ -53,7 +53,7 @@
         self.manager.publisher.tell("changed", self, urgent)
 
     def closed(self):
-        return [w for w in self.stored if w.state != door.READY and not self.manager.publisher.off(w)]
+        return [w for w in self.stored if w.state != events.READY and not self.manager.publisher.off(w)]
 
     def bare(self):
         return not any(w.usable for w in self.stored)
@@ -66,18 +66,19 @@
         """To the wanted table, new lines first; in haste a bare one's first alone, withdrawn ones wait."""
         main, standby = self.main, self.standby
         if urgent and self.stored and self.bare() and main and main.usable:
-            return {**self.stored, main: 1.0}, self.rules, [door.SetLine(self.number, main.name, 1.0)]
+            return {**self.stored, main: 1.0}, self.rules, [events.SetRoute(self.number, main.name, 1.0)]
         spare = standby and standby.usable and not standby.cut and standby.ramp() >= 1.0
         spare = spare and main and main.cut and main.full(HELD if main.gap > 1 else REPORTS)
         second = OVERFLOW if spare and self.manager.facts.get("pick") == "pair" else STANDBY  # else it costs
         wanted = {w: part for w, part in ((standby, second), (main, 1.0)) if w is not None}
-        orders = [door.SetLine(self.number, w.name, n) for w, n in wanted.items() if self.stored.get(w) != n]
+        orders = [events.SetRoute(self.number, w.name, part) for w, part in wanted.items()
+                  if self.stored.get(w) != part]
         off = [w for w in self.stored if urgent and self.manager.publisher.off(w)]
         wanted = {**{w: self.stored[w] for w in off[-2:]}, **wanted}  # more would be told to who joins
-        orders += [door.SetLine(self.number, w.name, 0) for w in self.stored if w not in wanted]
-        usual = [(1.0, door.RETRY_UNSTARTED)] * len(self.manager.by_value)
+        orders += [events.SetRoute(self.number, w.name, 0) for w in self.stored if w not in wanted]
+        usual = [(1.0, events.RETRY_UNSTARTED)] * len(self.manager.by_value)
         rules = main.rules() if main else usual
         changed = [k for k, rule in enumerate(rules) if rule != (self.rules or usual)[k]]
-        orders += [door.Admit(self.number, tuple(k for k in changed if rules[k] == rule), *rule)
+        orders += [events.SetAdmission(self.number, tuple(k for k in changed if rules[k] == rule), *rule)
                    for rule in dict.fromkeys(rules[k] for k in changed)]  # equal rules share a line
         return wanted, rules, orders
--- a/bramblewood/policy/urgent.py
+++ b/bramblewood/policy/urgent.py
@@ -3,7 +3,7 @@
 import math
 from collections import Counter
 
-from .. import interface as door
+from .. import events
 from .figures import FEW, SLOW, STRAINED, mean, usual
 from .ranking import Ranking
 
@@ -49,7 +49,7 @@
                 there = standby in piece.stored and standby.usable and standby.ramp() >= 1.0
                 target = standby  # proxies turn to it by themselves, long before a line can reach them
                 if not there or self.total and self.loads[standby] > self.capacity(standby):
-                    target = self.least_loaded(piece.estimate(), main, not main or main.state != door.READY)
+                    target = self.least_loaded(piece.estimate(), main, not main or main.state != events.READY)
             if target:
                 left[main and f"{main.name} ({main.state})"] += 1
                 self.move(piece, target, True)
--- a/bramblewood/policy/workers.py
+++ b/bramblewood/policy/workers.py
@@ -3,7 +3,7 @@
 import math
 from collections import deque
 
-from .. import interface as door
+from .. import events
 from .admission import Admission
 from .figures import JAMMED, LIMIT, LONG_AGO, REPORTS, STALE, mean, sound
 
@@ -16,7 +16,7 @@
 
     def __init__(self, manager, name):
         super().__init__(manager)
-        self.name, self.state, self.weight, self.zone, self.doubts = name, door.GONE, 1.0, "", 0
+        self.name, self.state, self.weight, self.zone, self.ejections = name, events.DEREGISTERED, 1.0, "", 0
         self.started = self.trusted = self.doubted_until = self.taken_at = LONG_AGO
         self.forget()
 
@@ -31,7 +31,7 @@
 
     @property
     def usable(self):
-        return self.state == door.READY and self.doubted_until <= self.manager.now
+        return self.state == events.READY and self.doubted_until <= self.manager.now
 
     def full(self, reports=REPORTS):  # over its limit by its own word, where it is told
         return not self.manager.tells_busy or mean([*self.levels][-reports:]) > LIMIT
@@ -47,33 +47,33 @@
             self.forget()  # a new process: cold, whatever the old one did
             if self.manager.now < self.manager.sure_from:  # an earlier start of ours may have withdrawn it
                 self.manager.publisher.open.setdefault(self.name)
-            self.trusted, self.doubted_until, self.doubts = started, LONG_AGO, 0
+            self.trusted, self.doubted_until, self.ejections = started, LONG_AGO, 0
         for piece in [p for p in self.manager.ours() if entry.state != self.state and self in p.stored]:
             self.manager.publisher.tell("changed", piece, True)  # its withdrawal is due, or over
         self.started, self.state, self.zone = started, entry.state, entry.zone
         self.weight = entry.weight if sound(entry.weight) and entry.weight > 0 else 1.0
 
     def heard(self, report):
-        good = max(report.tries - report.unanswered, 0)
+        good = max(report.attempts - report.unanswered, 0)
         self.good += good
-        if self.manager.now - report.over >= self.doubted_until:  # older sums say nothing of it as it is
+        if self.manager.now - report.interval >= self.doubted_until:  # older sums say nothing of it as it is
             self.outcomes[0] += good
             self.outcomes[1] += report.unanswered
-            self.met += [(report.mean_time, good)] * (good > 0 < report.mean_time)
+            self.met += [(report.mean_response_time, good)] * (good > 0 < report.mean_response_time)
         load = {k: v for k, v in report.load.items() if sound(v)}
-        if "busy" in load:
-            self.latest.append(load["busy"] + QUEUED * load.get("queued", 0.0))
-        elif "held" in load:
-            self.latest.append(load["held"] / self.weight)
-        elif not {"busy", "held"} & set(self.manager.facts.get("load_fields", ())):
-            self.latest.append(report.tries / max(report.over, 0.1) / self.weight)
+        if "utilization" in load:
+            self.latest.append(load["utilization"] + QUEUED * load.get("queued", 0.0))
+        elif "in_flight" in load:
+            self.latest.append(load["in_flight"] / self.weight)
+        elif not {"utilization", "in_flight"} & set(self.manager.facts.get("load_fields", ())):
+            self.latest.append(report.attempts / max(report.interval, 0.1) / self.weight)
 
     def doubt(self, why):
         """Out of use for a while, longer each time; taken back as if new, one slice at a time."""
-        hold, self.doubts = DOUBT * 2 ** self.doubts, min(self.doubts + 1, 2)
+        hold, self.ejections = DOUBT * 2 ** self.ejections, min(self.ejections + 1, 2)
         self.doubted_until = self.trusted = self.manager.now + hold
         self.outcomes, self.carried = [0.0, 0.0], [0.0, 0.0]
-        self.manager.orders.append(door.Doubted(self.name, self.doubted_until, self.doubts))
+        self.manager.orders.append(events.WorkerEjected(self.name, self.doubted_until, self.ejections))
         self.manager.log(f"worker {self.name} out of use for {hold:.0f} s: {why}")
 
     def cycle(self, usual_level, expected):
--- a/bramblewood/facts.py
+++ b/bramblewood/startup_settings.py
@@ -4,21 +4,21 @@
 from collections.abc import Callable
 from typing import Any
 
-from . import interface as door
+from . import events
 
 MS = 1000.0  # the settings' times are in milliseconds
 EFFECTS = {
-    "read_like": door.IDEMPOTENT,
-    "idempotency_key": door.FINGERPRINTED,
-    "non_idempotent": door.SIDE_EFFECTING,
+    "read_like": events.IDEMPOTENT,
+    "idempotency_key": events.FINGERPRINTED,
+    "non_idempotent": events.SIDE_EFFECTING,
 }
 LOAD_WORDS = {
-    "cpu": ("busy", 1.0),
+    "cpu": ("utilization", 1.0),
     "waiting": ("queued", 1.0),
-    "active": ("held", 1.0),
-    "avg_ms": ("mean_time", 1 / MS),
-    "rps": ("rate", 1.0),
-    "err_rps": ("errored_rate", 1.0),
+    "active": ("in_flight", 1.0),
+    "avg_ms": ("mean_response_time", 1 / MS),
+    "rps": ("request_rate", 1.0),
+    "err_rps": ("error_rate", 1.0),
 }
 
 
@@ -120,7 +120,7 @@
 def operation_of(c: dict, writes: bool) -> dict:
     return {
         "name": c["name"],
-        "kind": EFFECTS.get(c["effect"], door.SIDE_EFFECTING),
+        "kind": EFFECTS.get(c["effect"], events.SIDE_EFFECTING),
         "latency_objective": figure(c["objective"]) / MS,
         "integration_timeout": figure(c["deadline"]) / MS,
         "billed_value": figure(c["importance"]),
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -2,7 +2,7 @@
 
 import random
 
-from bramblewood import interface as door
+from bramblewood import events
 from bramblewood.net.transport.connection import DIAL_TIME, Connection
 from bramblewood.net.transport.ending import Ending
 from bramblewood.net.transport.loop import Loop
@@ -12,21 +12,21 @@
 OPERATIONS = [
     {
         "name": "look",
-        "kind": door.IDEMPOTENT,
+        "kind": events.IDEMPOTENT,
         "latency_objective": 1.0,
         "integration_timeout": 4.0,
         "billed_value": 1.0,
     },
     {
         "name": "pay",
-        "kind": door.SIDE_EFFECTING,
+        "kind": events.SIDE_EFFECTING,
         "latency_objective": 1.0,
         "integration_timeout": 3.0,
         "billed_value": 5.0,
     },
     {
         "name": "seat",
-        "kind": door.FINGERPRINTED,
+        "kind": events.FINGERPRINTED,
         "latency_objective": 2.0,
         "integration_timeout": 6.0,
         "billed_value": 4.0,
@@ -50,12 +50,12 @@
     "message_head": 8,
     "messages_allowed": 20,
     "messages_span": 10.0,
-    "load_fields": ["busy"],
+    "load_fields": ["utilization"],
 }
 
 
-def entry(name, state=door.READY, zone="a", started=None, weight=1.0):
-    return door.ListedWorker(name, state, weight, zone, 0, "", started)
+def entry(name, state=events.READY, zone="a", started=None, weight=1.0):
+    return events.ListedWorker(name, state, weight, zone, 0, "", started)
 
 
 class Ledger:
@@ -74,14 +74,14 @@
             event
             for number, table in self.tables.items()
             for event in [
-                door.SliceGiven(number, True),
-                *(door.LineHeld(number, w, part) for w, part in table.items()),
+                events.SliceAssigned(number, True),
+                *(events.RouteStored(number, w, part) for w, part in table.items()),
             ]
         ]
         self.step(
             0.0,
             self.list_of([entry(f"w{k}", zone="ab"[k % 2]) for k in range(workers)], True),
-            *[door.ProxyJoined(p, "a", 5.0) for p in sorted(self.joined)],
+            *[events.ProxyJoined(p, "a", 5.0) for p in sorted(self.joined)],
             *given,
         )
 
@@ -91,21 +91,21 @@
                 self.told[item.worker] = self.now
             self.states[item.worker] = item.state
             self.started[item.worker] = item.started or 0.0
-        return door.WorkersListed(tuple(entries), complete)
+        return events.WorkersListed(tuple(entries), complete)
 
-    def step(self, seconds, *events):
+    def step(self, seconds, *batch):
         """Time goes on; timers and marks that are due come first. Returns the orders."""
         self.now += seconds
-        due = [door.TimerDue(token) for at, token in self.timers if at <= self.now]
+        due = [events.TimerFired(token) for at, token in self.timers if at <= self.now]
         self.timers = [timer for timer in self.timers if timer[0] > self.now]
         answers = [
-            door.MarkAnswered(p, mark, self.now - sent)
+            events.MessageAcknowledged(p, mark, self.now - sent)
             for at, sent, mark in self.marks
             if at <= self.now
             for p in sorted(self.joined)
         ]
         self.marks = [mark for mark in self.marks if mark[0] > self.now]
-        orders = self.manager.handle(self.now, [*due, *answers, *events])
+        orders = self.manager.handle(self.now, [*due, *answers, *batch])
         self.book(orders)
         self.orders += orders
         return orders
@@ -114,19 +114,19 @@
         lines = 0
         for order in orders:
             match order:
-                case door.Wake(after, token):
+                case events.SetTimer(after, token):
                     self.timers.append((self.now + after, token))
-                case door.SetLine(table, worker, weight):
+                case events.SetRoute(table, worker, weight):
                     lines += 1
                     self.tables[table].pop(worker, None)
                     if weight:
                         self.tables[table][worker] = weight
                     if weight == 1.0:
                         self.taken.append((self.now, worker))
-                case door.Withdraw(worker, out):
+                case events.ExcludeWorker(worker, out):
                     lines += 1
                     (self.out.add if out else self.out.discard)(worker)
-                case door.Admit(table, operations, level, retry):
+                case events.SetAdmission(table, operations, level, retry):
                     lines += 1
                     for k in operations or range(len(self.facts["operations"])):
                         self.rules[table, k] = (level, retry)
@@ -136,7 +136,7 @@
             self.free_at = max(self.free_at, self.now) + cost / self.rate
             self.waiting.append((self.free_at, cost))
             self.messages.append(self.now)
-            numbers = [o.number for o in orders if isinstance(o, door.Mark)]
+            numbers = [o.number for o in orders if isinstance(o, events.RequestAcknowledgement)]
             self.marks += [(self.free_at + 0.3, self.now, number) for number in numbers]
         self.most = max(self.most, sum(n for _, n in self.waiting))
 
@@ -150,19 +150,19 @@
 
     def reports(self, heat, heard):
         hot = heat if callable(heat) else lambda number: heat
-        events = [door.SliceHeat(n, "look", hot(n), 0, 1.0) for n in self.tables]
+        batch = [events.SliceHeatReported(n, "look", hot(n), 0, 1.0) for n in self.tables]
         for name, state in self.states.items():
             busy = sum(hot(n) for n, table in self.tables.items() if table.get(name, 0) == 1.0) / 6
             good = {
-                "tries": max(int(6 * busy), 1),
+                "attempts": max(int(6 * busy), 1),
                 "unanswered": 0,
-                "mean_time": 0.2,
-                "over": 1.0,
-                "load": {"busy": busy},
+                "mean_response_time": 0.2,
+                "interval": 1.0,
+                "load": {"utilization": busy},
             }
-            if state != door.GONE:
-                events.append(door.WorkerHeard(name, "a", **{**good, **heard.get(name, {})}))
-        return events
+            if state != events.DEREGISTERED:
+                batch.append(events.WorkerReported(name, "a", **{**good, **heard.get(name, {})}))
+        return batch
 
     def main(self, number):
         table = self.tables[number]
@@ -173,15 +173,15 @@
 
     def check(self):
         """The rules that can be seen from orders, after any step."""
-        open_workers = [name for name, state in self.states.items() if state == door.READY]
+        open_workers = [name for name, state in self.states.items() if state == events.READY]
         for number, table in self.tables.items():
             assert table or not open_workers, f"slice {number} has no line"
             for name, part in table.items():
                 late = self.now - self.told.get(name, self.now)
-                kept = self.states.get(name) == door.READY or late < self.facts["drain_grace"]
+                kept = self.states.get(name) == events.READY or late < self.facts["drain_grace"]
                 kept = kept or name in self.out
                 assert kept or not open_workers, f"slice {number} names {name}, closed {late:.1f} s ago"
-                back = part == 1.0 and self.states.get(name) == door.READY and late > 9.0
+                back = part == 1.0 and self.states.get(name) == events.READY and late > 9.0
                 assert not (back and name in self.out), f"slice {number} is with {name}, kept out"
         warm_since = self.now - self.facts["warm_after"]
         for name in open_workers:
@@ -192,7 +192,7 @@
         for (_, k), (level, retry) in self.rules.items():
             kind = self.facts["operations"][k]["kind"]
             assert 0 <= level <= 1
-            assert kind == door.IDEMPOTENT or retry <= door.RETRY_UNSTARTED
+            assert kind == events.IDEMPOTENT or retry <= events.RETRY_UNSTARTED
         assert self.most <= self.facts["most_waiting"]
         recent = [at for at in self.messages if at > self.now - self.facts["messages_span"]]
         assert len(recent) <= (self.facts["messages_allowed"] or len(recent))
@@ -202,26 +202,26 @@
     """A random day of lists, failures, joins and reports; the rules are checked after every step."""
     dice, ledger = random.Random(seed), Ledger(workers=6, seed=seed, **facts)
     for _ in range(steps):
-        events = []
+        batch = []
         for name in sorted(ledger.states):
             if dice.random() < 0.03:
-                state = dice.choice([door.READY, door.DRAINING, door.GONE])
+                state = dice.choice([events.READY, events.DRAINING, events.DEREGISTERED])
                 was, others = ledger.states[name], [s for n, s in ledger.states.items() if n != name]
-                if state == door.READY or door.READY in others:
-                    started = ledger.now if state == door.READY != was else None
-                    events.append(ledger.list_of([entry(name, state, started=started)]))
+                if state == events.READY or events.READY in others:
+                    started = ledger.now if state == events.READY != was else None
+                    batch.append(ledger.list_of([entry(name, state, started=started)]))
         if dice.random() < 0.05:
             proxy = dice.randrange(4)
-            events += [door.ProxyLeft(proxy), door.ProxyJoined(proxy, "a", 5.0)]
+            batch += [events.ProxyLeft(proxy), events.ProxyJoined(proxy, "a", 5.0)]
         if dice.random() < 0.1:
-            events.append(door.ListFailed())
+            batch.append(events.WorkerListFailed())
         heard = {
-            name: {"tries": 9, "unanswered": dice.randrange(10)}
+            name: {"attempts": 9, "unanswered": dice.randrange(10)}
             for name in ledger.states
             if dice.random() < 0.2
         }
         heats = {n: dice.choice([0, 1, 1, 2, 9]) for n in ledger.tables}
-        ledger.step(0.5, *events, *(ledger.reports(heats.get, heard) if dice.random() < 0.6 else []))
+        ledger.step(0.5, *batch, *(ledger.reports(heats.get, heard) if dice.random() < 0.6 else []))
         ledger.check()
     return ledger
 
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from bramblewood import interface as door
+from bramblewood import events
 from bramblewood.policy.figures import HELD
 from bramblewood.policy.manager import Manager
 from bramblewood.policy.ordinary import BOUND, RESTS
@@ -17,7 +17,7 @@
 def estimates(*rates):
     piece = Slice(Manager(1, FACTS), 0)
     for rate in rates:
-        piece.heat(door.SliceHeat(0, "look", rate, 0, 1.0))
+        piece.heat(events.SliceHeatReported(0, "look", rate, 0, 1.0))
         piece.cycle()
     return list(piece.estimates)
 
@@ -32,7 +32,7 @@
 def test_heat_is_averaged_over_five_reports():
     piece = Slice(Manager(1, FACTS), 0)
     for _ in range(9):
-        piece.heat(door.SliceHeat(0, "look", 4, 0, 1.0))
+        piece.heat(events.SliceHeatReported(0, "look", 4, 0, 1.0))
         piece.cycle()
     assert len(piece.estimates) == 5 and piece.estimate() == 4
 
@@ -60,7 +60,7 @@
 
 
 def test_slices_of_a_closed_worker_go_at_once():
-    for state in (door.DRAINING, door.GONE):
+    for state in (events.DRAINING, events.DEREGISTERED):
         ledger = Ledger()
         ledger.seconds(4)
         ledger.step(0.1, ledger.list_of([entry("w1", state)]))
@@ -77,7 +77,7 @@
     for worker in ledger.manager.workers.values():
         worker.tell("doubt", "a test")
     ledger.manager.run()
-    ledger.step(0.1, ledger.list_of([entry("w1", door.GONE)]))
+    ledger.step(0.1, ledger.list_of([entry("w1", events.DEREGISTERED)]))
     ledger.step(1.0)
     assert "w1" in ledger.out
     ledger.seconds(16)
@@ -89,10 +89,10 @@
     sizes = []
     for _ in range(8):
         orders = ledger.step(0.5)
-        sizes.append(len([o for o in orders if isinstance(o, door.SetLine)]))
+        sizes.append(len([o for o in orders if isinstance(o, events.SetRoute)]))
     assert 0 < max(sizes) <= 4  # forty standby lines, a tenth each turn
     ledger.seconds(30)
-    lines = [o for o in ledger.orders if isinstance(o, door.SetLine)]
+    lines = [o for o in ledger.orders if isinstance(o, events.SetRoute)]
     assert len(lines) == len(set(lines)) == 40 and all(o.weight == STANDBY for o in lines)
 
 
@@ -102,7 +102,7 @@
     ledger.step(
         0.1,
         ledger.list_of([entry("w9", started=ledger.now)]),
-        ledger.list_of([entry("w1", door.GONE), entry("w2", door.GONE)]),
+        ledger.list_of([entry("w1", events.DEREGISTERED), entry("w2", events.DEREGISTERED)]),
     )
     assert len(ledger.on("w9")) <= 1
     ledger.seconds(2)
@@ -123,7 +123,10 @@
     pieces = [ledger.manager.slices[n] for n in ledger.on("w1")]
     seconds = sorted({piece.standby.name for piece in pieces})
     ledger.step(
-        0.1, ledger.list_of([entry("w1", started=ledger.now)] + [entry(name, door.GONE) for name in seconds])
+        0.1,
+        ledger.list_of(
+            [entry("w1", started=ledger.now)] + [entry(name, events.DEREGISTERED) for name in seconds]
+        ),
     )
     kept = [piece for piece in pieces if piece.main.name == "w1"]
     assert len(pieces) == 3 and len(kept) < 3
@@ -132,7 +135,7 @@
 def test_a_failing_worker_is_emptied_and_taken_back_step_by_step():
     ledger = Ledger()
     ledger.seconds(4)
-    failing = {"w2": {"tries": 20, "unanswered": 18, "load": {}}}
+    failing = {"w2": {"attempts": 20, "unanswered": 18, "load": {}}}
     ledger.seconds(3, heard=failing)
     assert not ledger.on("w2")
     worker = ledger.manager.workers["w2"]
@@ -144,7 +147,7 @@
 def test_a_suspicion_of_most_of_the_fleet_is_not_believed():
     ledger = Ledger()
     ledger.seconds(4)
-    failing = {f"w{k}": {"tries": 20, "unanswered": 18, "load": {}} for k in (0, 1, 2)}
+    failing = {f"w{k}": {"attempts": 20, "unanswered": 18, "load": {}} for k in (0, 1, 2)}
     ledger.seconds(4, heard=failing)
     assert all(w.usable for w in ledger.manager.workers.values())
 
@@ -152,12 +155,12 @@
 def test_overload_is_not_failure_retries_are_cut_before_levels_and_come_back():
     ledger = Ledger()
     ledger.seconds(4)
-    full = {"w2": {"tries": 20, "unanswered": 12, "mean_time": 0.5, "load": {"busy": 3.0}}}
+    full = {"w2": {"attempts": 20, "unanswered": 12, "mean_response_time": 0.5, "load": {"utilization": 3.0}}}
     seen = []
     ledger.seconds(6, heard=full, each=lambda now: seen.append(dict(now.rules)))
     assert ledger.manager.workers["w2"].usable
     hot = [rules[n, 0] for rules in seen for n in ledger.on("w2") if (n, 0) in rules]
-    assert hot[0] == (1.0, door.NO_RETRY) and hot[-1][0] < 1.0  # further tries first, then the level
+    assert hot[0] == (1.0, events.NO_RETRY) and hot[-1][0] < 1.0  # further tries first, then the level
     assert all(rules[n, 1][0] == 1.0 for rules in seen for n in ledger.on("w2") if (n, 1) in rules)
     ledger.seconds(30)
     assert all(level == 1.0 for level, _ in ledger.rules.values())
@@ -168,10 +171,17 @@
     """Guards the next one, which a full one's slices would fill; and clients, while one alone is jammed."""
     ledger = Ledger()
     ledger.seconds(4, heat)
-    slow = {"w2": {"tries": 20, "unanswered": 5, "mean_time": 1.5, "load": {"busy": 1.0}}}
+    slow = {"w2": {"attempts": 20, "unanswered": 5, "mean_response_time": 1.5, "load": {"utilization": 1.0}}}
     ledger.seconds(2, heat, heard=slow)
     assert ledger.manager.workers["w2"].cut and ledger.manager.workers["w2"].usable  # tries go first
-    jam = {"w2": {"tries": 20, "unanswered": 18, "mean_time": 1.8, "load": {"busy": 1.0, "queued": 40.0}}}
+    jam = {
+        "w2": {
+            "attempts": 20,
+            "unanswered": 18,
+            "mean_response_time": 1.8,
+            "load": {"utilization": 1.0, "queued": 40.0},
+        }
+    }
     ledger.seconds(4, heat, heard=jam)
     assert ledger.manager.workers["w2"].usable == kept and bool(ledger.on("w2")) == kept
 
@@ -183,13 +193,13 @@
     given = [
         event
         for number in ledger.tables
-        for event in [door.SliceGiven(number, True), door.LineHeld(number, "w0", 1.0)]
+        for event in [events.SliceAssigned(number, True), events.RouteStored(number, "w0", 1.0)]
     ]
     ledger.timers.clear()
     ledger.step(
         0.1,
-        ledger.list_of([entry("w0", door.GONE), *(entry(f"w{k}") for k in (1, 2, 3))], True),
-        *[door.ProxyJoined(p, "a", 5.0) for p in range(4)],
+        ledger.list_of([entry("w0", events.DEREGISTERED), *(entry(f"w{k}") for k in (1, 2, 3))], True),
+        *[events.ProxyJoined(p, "a", 5.0) for p in range(4)],
         *given,
     )
     ledger.seconds(3, heat=0.3)
@@ -199,8 +209,8 @@
 def test_retry_orders_never_repeat_what_may_take_effect_twice():
     ledger = Ledger()
     ledger.seconds(2)
-    assert ledger.rules[door.ALL_SLICES, 1][1] <= door.RETRY_UNSTARTED
-    assert ledger.rules[door.ALL_SLICES, 2][1] <= door.RETRY_UNSTARTED
+    assert ledger.rules[events.ALL_SLICES, 1][1] <= events.RETRY_UNSTARTED
+    assert ledger.rules[events.ALL_SLICES, 2][1] <= events.RETRY_UNSTARTED
 
 
 def test_a_list_is_asked_for_again_without_flooding():
@@ -208,27 +218,27 @@
     ledger.manager.roster.following = False
     asked = []
     for _ in range(80):  # each call fails, and failures of no call of ours come as well
-        if any(isinstance(o, door.FollowList) for o in ledger.step(0.5, door.ListFailed())):
+        if any(isinstance(o, events.WatchWorkerList) for o in ledger.step(0.5, events.WorkerListFailed())):
             asked.append(ledger.now)
     gaps = [later - at for at, later in zip(asked, asked[1:], strict=False)]
     assert 5 <= len(asked) <= 20 and max(gaps) < 10.0 and gaps[-1] > gaps[0]
-    silent = [o for _ in range(24) for o in ledger.step(0.5) if isinstance(o, door.FollowList)]
+    silent = [o for _ in range(24) for o in ledger.step(0.5) if isinstance(o, events.WatchWorkerList)]
     assert 2 <= len(silent) <= 4  # no answer at all: again after some patience
     ledger.step(0.1, ledger.list_of([entry("w0")]))
-    assert not any(isinstance(o, door.FollowList) for _ in range(20) for o in ledger.step(0.5))
+    assert not any(isinstance(o, events.WatchWorkerList) for _ in range(20) for o in ledger.step(0.5))
 
 
 def test_a_crash_is_recovered_from_the_stores_tables():
     ledger = Ledger()
     ledger.seconds(3)
     fresh = Manager(9, ledger.facts)
-    items = [entry(f"w{k}", door.GONE if k == 1 else door.READY) for k in range(4)]
-    events = [door.WorkersListed(tuple(items), True, True)]
+    items = [entry(f"w{k}", events.DEREGISTERED if k == 1 else events.READY) for k in range(4)]
+    batch = [events.WorkersListed(tuple(items), True, True)]
     for number, table in ledger.tables.items():
-        events.append(door.SliceGiven(number, True))
-        events += [door.LineHeld(number, w, part) for w, part in table.items()]
-    orders = fresh.handle(ledger.now, events + [door.ProxyJoined(0, "a", 1.0)])
-    moved = {o.table: o.worker for o in orders if isinstance(o, door.SetLine) and o.weight == 1.0}
+        batch.append(events.SliceAssigned(number, True))
+        batch += [events.RouteStored(number, w, part) for w, part in table.items()]
+    orders = fresh.handle(ledger.now, batch + [events.ProxyJoined(0, "a", 1.0)])
+    moved = {o.table: o.worker for o in orders if isinstance(o, events.SetRoute) and o.weight == 1.0}
     assert set(moved) >= set(ledger.on("w1"))
     assert len(set(moved.values())) == 3  # spread, though no heat is known yet
 
@@ -239,35 +249,35 @@
     state = [list(s.estimates) for s in ledger.manager.slices.values()]
     orders = ledger.step(
         0.0,
-        door.WorkerHeard("nobody", "a", 3, 1, 0.1, 1.0),
-        door.WorkerHeard("w1", "a", -3, 1, 0.1, 1.0),
-        door.WorkerHeard("w1", "a", 3, 1, math.nan, 1.0),
-        door.WorkerHeard("w1", "a", 3, 1, 0.1, math.inf),
-        door.SliceHeat(999, "look", 1, 0, 1.0),
-        door.SliceHeat(1, "look", -1, 0, 1.0),
-        door.TimerDue("late"),
-        door.MarkAnswered(77, 5, 1.0),
-        door.ProxyLeft(99),
-        door.LineHeld(999, "w1", 1.0),
-        door.PeerNote(3, b"x"),
-        door.Probed("nobody", "answered", 0.1),
-        door.ProxyTraffic(1, "look", 1, 0, 1.0),
-        door.LineHeld(1, "w1", -1.0),
-        door.WorkerHeard("w1", "a", 3, 1, 0.1, 1.0, {"busy": math.inf}),
+        events.WorkerReported("nobody", "a", 3, 1, 0.1, 1.0),
+        events.WorkerReported("w1", "a", -3, 1, 0.1, 1.0),
+        events.WorkerReported("w1", "a", 3, 1, math.nan, 1.0),
+        events.WorkerReported("w1", "a", 3, 1, 0.1, math.inf),
+        events.SliceHeatReported(999, "look", 1, 0, 1.0),
+        events.SliceHeatReported(1, "look", -1, 0, 1.0),
+        events.TimerFired("late"),
+        events.MessageAcknowledged(77, 5, 1.0),
+        events.ProxyLeft(99),
+        events.RouteStored(999, "w1", 1.0),
+        events.PeerMessageReceived(3, b"x"),
+        events.HealthCheckFinished("nobody", "answered", 0.1),
+        events.ProxyTrafficReported(1, "look", 1, 0, 1.0),
+        events.RouteStored(1, "w1", -1.0),
+        events.WorkerReported("w1", "a", 3, 1, 0.1, 1.0, {"utilization": math.inf}),
     )
-    assert not [o for o in orders if isinstance(o, door.SetLine | door.Admit)]
+    assert not [o for o in orders if isinstance(o, events.SetRoute | events.SetAdmission)]
     assert [list(s.estimates) for s in ledger.manager.slices.values()] == state
 
 
 def test_urgent_slices_past_what_a_worker_can_do_cut_its_level_ahead():
     ledger = Ledger(workers=3)
     ledger.seconds(6)
-    ledger.step(0.1, ledger.list_of([entry("w1", door.GONE)]))
+    ledger.step(0.1, ledger.list_of([entry("w1", events.DEREGISTERED)]))
     taken = {number for number in ledger.tables if number % 3 == 1}
     ledger.seconds(1)
     levels = [ledger.rules.get((number, 0), (1.0,))[0] for number in taken]
     assert min(levels) == 1.0  # two workers can carry this
-    ledger.step(0.1, ledger.list_of([entry("w2", door.GONE)]))
+    ledger.step(0.1, ledger.list_of([entry("w2", events.DEREGISTERED)]))
     ledger.seconds(1)
     assert all(ledger.rules[number, 0][0] < 1.0 for number in ledger.on("w0"))  # one cannot
     ledger.check()
@@ -278,7 +288,9 @@
     ledger.seconds(20)
     seconds = [min(table, key=table.get) for table in ledger.tables.values()]
     assert all(seconds.count(f"w{k}") == 6 for k in range(4))
-    ledger.step(0.1, ledger.list_of([entry("w3", door.GONE)]))  # many are given out again at one time
+    ledger.step(
+        0.1, ledger.list_of([entry("w3", events.DEREGISTERED)])
+    )  # many are given out again at one time
     ledger.seconds(8)
     seconds = [min(table, key=table.get) for table in ledger.tables.values()]
     assert max(seconds.count(f"w{k}") for k in range(3)) <= 16
@@ -289,10 +301,10 @@
     ledger.seconds(12)
     named = {n for n, table in ledger.tables.items() if "w1" in table}
     for piece in ledger.manager.slices.values():  # levels of all slices wait to go out
-        piece.rules = [(0.5, door.NO_RETRY)] * 3
+        piece.rules = [(0.5, events.NO_RETRY)] * 3
         ledger.manager.publisher.changed(piece, True)
-    orders = ledger.step(0.05, ledger.list_of([entry("w1", door.GONE)]))
-    sent = {o.table for o in orders if isinstance(o, door.SetLine | door.Admit)}
+    orders = ledger.step(0.05, ledger.list_of([entry("w1", events.DEREGISTERED)]))
+    sent = {o.table for o in orders if isinstance(o, events.SetRoute | events.SetAdmission)}
     assert sent and sent <= named and len(sent) < 30
 
 
@@ -302,7 +314,7 @@
     planner, cold = ledger.manager.planner, ledger.manager.worker("w9")
     ledger.step(0.1, ledger.list_of([entry("w9", started=ledger.now)]))
     before = planner.sure(cold)
-    full = {"tries": 12, "unanswered": 9, "load": {"busy": 1.0}}
+    full = {"attempts": 12, "unanswered": 9, "load": {"utilization": 1.0}}
     ledger.seconds(6, heat=lambda n: 4.0, heard={f"w{k}": full for k in range(4)})
     assert planner.total > 40 and planner.sure(cold) < 2 * before  # older, but not four times as able
 
@@ -321,7 +333,7 @@
     ledger = Ledger(messages_allowed=0)
     ledger.seconds(8, heat=lambda n: 1.5)
     ledger.step(0.5)
-    ledger.step(0.5, *[door.SliceHeat(n, "look", 80, 0, 20.0) for n in ledger.tables])
+    ledger.step(0.5, *[events.SliceHeatReported(n, "look", 80, 0, 20.0) for n in ledger.tables])
     ledger.seconds(1, heat=lambda n: 4.0)
     assert any(level < 1 for (_, k), (level, _) in ledger.rules.items() if k == 0)
 
@@ -330,7 +342,9 @@
     ledger = Ledger()
     for count in range(300):
         piece = ledger.manager.slices[count % 12]
-        piece.rules = [(round(0.1 + count % 9 / 10, 1), door.NO_RETRY)] * 3  # a level that must be put right
+        piece.rules = [
+            (round(0.1 + count % 9 / 10, 1), events.NO_RETRY)
+        ] * 3  # a level that must be put right
         ledger.manager.publisher.changed(piece, True)
         ledger.step(0.1)
         ledger.check()
@@ -340,12 +354,14 @@
 def test_closed_workers_are_withdrawn_in_a_line_each_and_let_back_with_their_first_line():
     ledger = Ledger(workers=6, slices=90, most_waiting=400, warm_after=2.0)
     ledger.seconds(6)
-    ledger.step(0.1, ledger.list_of([entry(f"w{k}", door.DRAINING) for k in range(4)]))
+    ledger.step(0.1, ledger.list_of([entry(f"w{k}", events.DRAINING) for k in range(4)]))
     ledger.seconds(1)
     assert ledger.out == {"w0", "w1", "w2", "w3"}
     assert any(name in ledger.out for table in ledger.tables.values() for name in table)
-    ledger.step(0.1, door.ProxyJoined(0, "a", 5.0, True))
-    assert [o for o in ledger.step(1.0) if isinstance(o, door.Withdraw) and o.out]  # it may not know
+    ledger.step(0.1, events.ProxyJoined(0, "a", 5.0, True))
+    assert [
+        o for o in ledger.step(1.0) if isinstance(o, events.ExcludeWorker) and o.excluded
+    ]  # it may not know
     ledger.step(0.1, ledger.list_of([entry(f"w{k}", started=ledger.now) for k in range(4)]))
     ledger.seconds(30, each=Ledger.check)
     assert not ledger.out and ledger.on("w0")
@@ -354,8 +370,12 @@
 def test_quick_answers_keep_levels_whatever_stays_unanswered():
     ledger = Ledger()
     ledger.seconds(4)
-    mute = {"tries": 20, "unanswered": 9, "mean_time": 0.2, "load": {"busy": 0.9}}
-    slow = {"tries": 20, "mean_time": 0.9, "load": {"busy": 0.4}}  # far to reach, but not busy
+    mute = {"attempts": 20, "unanswered": 9, "mean_response_time": 0.2, "load": {"utilization": 0.9}}
+    slow = {
+        "attempts": 20,
+        "mean_response_time": 0.9,
+        "load": {"utilization": 0.4},
+    }  # far to reach, but not busy
     for report in (mute, slow):
         ledger.seconds(8, heard={f"w{k}": report for k in range(4)})
     assert all(level == 1.0 for level, _ in ledger.rules.values())
@@ -364,7 +384,7 @@
 def test_a_few_tries_wait_for_more_before_they_count():
     worker = Ledger().manager.worker("w0")
     for count in range(1, 5):
-        worker.heard(door.WorkerHeard("w0", "a", 1, 0, 0.9, 1.0, {"busy": 1.0}))
+        worker.heard(events.WorkerReported("w0", "a", 1, 0, 0.9, 1.0, {"utilization": 1.0}))
         worker.cycle(1.0, 1.0)
         assert worker.cut == (count >= 4)
 
@@ -374,9 +394,9 @@
     ledger.seconds(30)
     pairs = {number: set(table) for number, table in ledger.tables.items()}
     gone = sorted(pairs[0])
-    ledger.step(0.1, ledger.list_of([entry(name, door.GONE) for name in gone]))
+    ledger.step(0.1, ledger.list_of([entry(name, events.DEREGISTERED) for name in gone]))
     bare = {number for number, names in pairs.items() if names <= set(gone)}
-    first = [o.table for o in ledger.step(1.0) + ledger.step(1.0) if isinstance(o, door.SetLine)]
+    first = [o.table for o in ledger.step(1.0) + ledger.step(1.0) if isinstance(o, events.SetRoute)]
     assert bare and set(first[: len(bare)]) <= bare
 
 
@@ -395,7 +415,7 @@
     ledger.step(0.05, ledger.list_of([entry("w1", started=ledger.now)]))
     left = []
     while not left:
-        left = [o.table for o in ledger.step(0.05) if isinstance(o, door.SetLine) and o.weight == 1.0]
+        left = [o.table for o in ledger.step(0.05) if isinstance(o, events.SetRoute) and o.weight == 1.0]
     leaving = {n for n in range(1, 64, 8) if ledger.manager.slices[n].main.name != "w1"}
     assert leaving and set(left[: min(len(leaving), len(left))]) <= leaving
     assert ledger.now - sent < 0.75
@@ -413,7 +433,7 @@
             sum(
                 "(over)" in o.text
                 for o in ledger.step(0.5, *ledger.reports(heat.get, {}))
-                if isinstance(o, door.Log)
+                if isinstance(o, events.Log)
             )
             for _ in range(12)
         ]
@@ -430,7 +450,7 @@
         sum(
             "(over)" in o.text
             for o in ledger.step(0.5, *ledger.reports(heat.get, {}))
-            if isinstance(o, door.Log)
+            if isinstance(o, events.Log)
         )
         for _ in range(24)
     ]
@@ -447,7 +467,7 @@
         before = len(ledger.orders)
         ledger.seconds(1, heat=heat.get)
         for order in ledger.orders[before:]:
-            if isinstance(order, door.Log) and "(over)" in order.text:
+            if isinstance(order, events.Log) and "(over)" in order.text:
                 moved.setdefault(int(order.text.split()[1]), []).append(ledger.now)
         ledger.check()
     for times in moved.values():
@@ -467,34 +487,41 @@
     is over or has spread. Three everywhere cost the simulator's quick score 0.05 (big-1 0.58 to 0.39).
     """
     ledger = Ledger(slices=8, pick="pair")
-    level = {name: {"load": {"busy": busy}} for name in ("w0", "w1", "w2", "w3")}
-    strained = {**level, "w0": {"load": {"busy": busy + 0.5}, "mean_time": 0.6, "tries": 20}}
+    level = {name: {"load": {"utilization": busy}} for name in ("w0", "w1", "w2", "w3")}
+    strained = {
+        **level,
+        "w0": {"load": {"utilization": busy + 0.5}, "mean_response_time": 0.6, "attempts": 20},
+    }
     for heard, reports in ((level, 8), (strained, times), (level, 2)):
         for _ in range(reports):
             ledger.seconds(1, heat=0.5, heard=heard)
             for _ in range(gap):  # cycles without a word of any worker
                 ledger.step(0.5)
-                heat = [event for event in ledger.reports(0.5, {}) if isinstance(event, door.SliceHeat)]
+                heat = [
+                    event for event in ledger.reports(0.5, {}) if isinstance(event, events.SliceHeatReported)
+                ]
                 ledger.step(0.5, *heat)
-    parts = {part for order in ledger.orders if isinstance(order, door.SetLine) for part in [order.weight]}
+    parts = {part for order in ledger.orders if isinstance(order, events.SetRoute) for part in [order.weight]}
     assert (OVERFLOW in parts) == overflows
 
 
 def test_a_level_does_not_rise_in_cycles_that_thin_reports_leave_out():
     """Guards full size: sums come each third cycle there, and what one cut the next two let in again."""
     ledger = Ledger(slices=8)
-    late = {"w0": {"load": {"busy": 1.2}, "mean_time": 0.8, "tries": 20}}
+    late = {"w0": {"load": {"utilization": 1.2}, "mean_response_time": 0.8, "attempts": 20}}
     ledger.seconds(9, heard=late)
     worker = ledger.manager.workers["w0"]
     low = worker.admitted[0]
     assert low < 1
     for told in (False, False, True) * 4:
-        events = ledger.reports(1.0, late)
+        batch = ledger.reports(1.0, late)
         ledger.step(0.5)
-        ledger.step(0.5, *(e for e in events if told or getattr(e, "worker", "") != "w0"))
+        ledger.step(0.5, *(e for e in batch if told or getattr(e, "worker", "") != "w0"))
         assert worker.admitted[0] <= low
         low = worker.admitted[0]
-    ledger.states["w0"] = door.GONE  # no report of it any more: after three cycles it is let in again
+    ledger.states["w0"] = (
+        events.DEREGISTERED
+    )  # no report of it any more: after three cycles it is let in again
     ledger.seconds(8)
     assert worker.admitted[0] > low
 
@@ -512,7 +539,7 @@
 def test_no_slice_goes_to_a_worker_whose_old_lines_keep_it_withdrawn():
     ledger = Ledger(workers=4, slices=90, most_waiting=400, warm_after=0.0)
     ledger.seconds(30)
-    for state in (door.GONE, door.READY):
+    for state in (events.DEREGISTERED, events.READY):
         ledger.step(0.1, ledger.list_of([entry("w1", state, started=ledger.now)]))
         ledger.step(1.0)
     worker, planner = ledger.manager.workers["w1"], ledger.manager.planner
@@ -551,13 +578,13 @@
     ledger.seconds(6)
     ledger.marks.clear()  # the news fall silent
     for piece in ledger.manager.ours():
-        piece.rules = [(0.5, door.NO_RETRY)] * 3
+        piece.rules = [(0.5, events.NO_RETRY)] * 3
         ledger.manager.publisher.changed(piece, True)
     ledger.step(0.5)
     assert ledger.marks
     ledger.marks.clear()
-    ledger.step(2.6, *[door.ProxyJoined(p, "a", 5.0) for p in range(4)])  # and are read anew
-    ledger.step(0.1, ledger.list_of([entry("w1", door.DRAINING)]))
+    ledger.step(2.6, *[events.ProxyJoined(p, "a", 5.0) for p in range(4)])  # and are read anew
+    ledger.step(0.1, ledger.list_of([entry("w1", events.DRAINING)]))
     ledger.step(0.6)
     assert "w1" in ledger.out
 
@@ -568,12 +595,12 @@
     ledger = Ledger(workers=4, slices=40, most_waiting=400, lines_per_second=400.0)
     ledger.seconds(6)
     for piece in ledger.manager.ours():
-        piece.rules = [(0.5, door.NO_RETRY)] * 3
+        piece.rules = [(0.5, events.NO_RETRY)] * 3
         ledger.manager.publisher.changed(piece, True)
     ledger.step(0.5)
     sent = ledger.manager.publisher.sent[-1]
     ledger.marks.clear()
-    ledger.step(0.5, *[door.ProxyJoined(p, "a", 5.0) for p in range(4)])
+    ledger.step(0.5, *[events.ProxyJoined(p, "a", 5.0) for p in range(4)])
     ledger.step(after)
     assert bool(sent["awaited"]) == held
 
@@ -585,7 +612,7 @@
     ledger.rate, ledger.marks = 0.0001, []
     for second in range(60):
         for piece in ledger.manager.ours():
-            piece.rules = [(0.5 - second % 2 / 10, door.NO_RETRY)] * 3
+            piece.rules = [(0.5 - second % 2 / 10, events.NO_RETRY)] * 3
             ledger.manager.publisher.changed(piece, True)
         ledger.step(1.0)
     ledger.check()
@@ -599,7 +626,7 @@
     ledger.step(0.0, ledger.list_of([entry("w9", started=ledger.now - 1)]))
     ledger.orders.clear()
     ledger.seconds(40, heat=lambda number: 1.0 + number)
-    assert ledger.on("w9") and (door.Withdraw("w9", False) in ledger.orders) == let
+    assert ledger.on("w9") and (events.ExcludeWorker("w9", False) in ledger.orders) == let
 
 
 def test_slices_of_a_closed_worker_go_where_the_proxies_turn_to_while_there_is_room():
@@ -608,7 +635,7 @@
     ledger.seconds(30, heat=0.3)
     held = ledger.on("w5")
     assert {min(ledger.tables[n], key=ledger.tables[n].get) for n in held} == {"w4"}
-    ledger.step(0.1, ledger.list_of([entry("w5", door.DRAINING)]))
+    ledger.step(0.1, ledger.list_of([entry("w5", events.DRAINING)]))
     mains = [ledger.manager.slices[n].main.name for n in held]
     assert mains[0] == "w4" and 1 <= mains.count("w4") < len(held)  # the rest to the least loaded
     ledger.seconds(2, heat=0.3)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from bramblewood import interface as door
+from bramblewood import events
 from bramblewood.ledger import records, rules
 from bramblewood.ledger.memory import Memory
 from bramblewood.ledger.stage import Ledger
@@ -55,19 +55,19 @@
 
     def start(self):
         self.life += 1
-        self.manager, self.timers, self.marks, events = Manager(self.life, self.facts), [], [], []
+        self.manager, self.timers, self.marks, batch = Manager(self.life, self.facts), [], [], []
         version, entries = self.known
-        events.append(door.WorkersListed(tuple(entries), True, True, version))
+        batch.append(events.WorkersListed(tuple(entries), True, True, version))
         self.heard_version = version
         if self.with_ledger:
             store = Store(self.disc.port(), self.clock, new_id=lambda: self.disc.dice.randbytes(16))
             self.stage = Ledger(TERMS, self.facts, str(self.life), self.clock, self.log, store)
-            events += self.stage.begin()
-        events += [door.ProxyJoined(p, "a", 5.0) for p in range(2)]
+            batch += self.stage.begin()
+        batch += [events.ProxyJoined(p, "a", 5.0) for p in range(2)]
         for number, table in self.tables.items():
-            events.append(door.SliceGiven(number, True))
-            events += [door.LineHeld(number, w, x) for w, x in table.items()]
-        self.hand(events)
+            batch.append(events.SliceAssigned(number, True))
+            batch += [events.RouteStored(number, w, x) for w, x in table.items()]
+        self.hand(batch)
         self.watch()
 
     def watch(self):
@@ -76,11 +76,11 @@
             heard, self.heard_version = self.heard_version, self.version
             changed = tuple(e for name, e in self.states.items() if self.told.get(name, 41) > heard)
             for e in changed:
-                if e.state != door.READY:
+                if e.state != events.READY:
                     self.out[e.worker] = self.version
                 else:
                     self.out.pop(e.worker, None)
-            self.hand([door.WorkersListed(changed, False, False, self.version)])
+            self.hand([events.WorkersListed(changed, False, False, self.version)])
 
     def kill(self, power):
         """The process ends with no warning; with the power, what was not flushed is lost in part."""
@@ -88,10 +88,10 @@
         self.disc = self.disc.after_power_cut(self.dice) if power else self.disc
         self.disc.locked = False
 
-    def hand(self, events):
+    def hand(self, batch):
         if self.stage:
-            events = self.stage.hear(self.now, events)
-        orders = self.manager.handle(self.now, events)
+            batch = self.stage.hear(self.now, batch)
+        orders = self.manager.handle(self.now, batch)
         if self.stage:
             orders = self.stage.say_orders(self.now, orders)
         self.carry(orders)
@@ -101,26 +101,26 @@
             return
         for order in orders:
             match order:
-                case door.Wake(after, token):
+                case events.SetTimer(after, token):
                     self.timers.append((self.now + after, token))
-                case door.SetLine(table, worker, weight):
+                case events.SetRoute(table, worker, weight):
                     if weight and worker in self.out:
                         self.wrong.append(f"life {self.life}: {worker}, told closed, set at {table}")
                     self.tables[table].pop(worker, None)
                     if weight:
                         self.tables[table][worker] = weight
-                case door.Admit(table, operations, level, retry):
-                    for n in self.tables if table == door.ALL_SLICES else [table]:
+                case events.SetAdmission(table, operations, level, retry):
+                    for n in self.tables if table == events.ALL_SLICES else [table]:
                         for k in operations or range(3):
                             self.let_in(n, k, level, retry)
-                case door.Mark(number):
+                case events.RequestAcknowledgement(number):
                     self.marks.append((self.now + 0.3, number))
-            if self.stage and isinstance(order, door.SetLine | door.Admit):
+            if self.stage and isinstance(order, events.SetRoute | events.SetAdmission):
                 self.stage.carried(order)
 
     def let_in(self, n, k, level, retry):
         old_level, old, life = self.levels[n, k]
-        counts = OPERATIONS[k]["kind"] != door.IDEMPOTENT and self.now < self.past
+        counts = OPERATIONS[k]["kind"] != events.IDEMPOTENT and self.now < self.past
         if counts and retry > 0 and (old_level, old) == (level, retry) and life != self.life:
             self.wrong.append(f"life {self.life}: further try of {k} at {n} ordered again, from life {life}")
         self.levels[n, k] = level, retry, self.life
@@ -132,9 +132,9 @@
         if self.manager:
             self.hand(
                 [
-                    door.SliceGiven(n, False),
-                    door.SliceGiven(n, True),
-                    *(door.LineHeld(n, w, x) for w, x in self.tables[n].items()),
+                    events.SliceAssigned(n, False),
+                    events.SliceAssigned(n, True),
+                    *(events.RouteStored(n, w, x) for w, x in self.tables[n].items()),
                 ]
             )
 
@@ -148,28 +148,33 @@
         if not self.manager:
             return
         if self.stage:
-            events, orders = self.stage.turn(self.now, 0.1)
+            batch, orders = self.stage.turn(self.now, 0.1)
             self.carry(orders)
         else:
-            events = []
-        events += [door.TimerDue(token) for at, token in self.timers if at <= self.now]
-        events += [
-            door.MarkAnswered(p, mark, 0.3) for at, mark in self.marks if at <= self.now for p in range(2)
+            batch = []
+        batch += [events.TimerFired(token) for at, token in self.timers if at <= self.now]
+        batch += [
+            events.MessageAcknowledged(p, mark, 0.3)
+            for at, mark in self.marks
+            if at <= self.now
+            for p in range(2)
         ]
         self.timers = [timer for timer in self.timers if timer[0] > self.now]
         self.marks = [mark for mark in self.marks if mark[0] > self.now]
         if self.dice.random() < 0.25:
-            events += [door.SliceHeat(n, "look", 1 + n, 0, 1.0) for n in self.tables]
-            events += [
-                door.WorkerHeard(name, "a", 6, 0, 0.2, 1.0, {"busy": 0.3 + self.dice.random() / 2})
+            batch += [events.SliceHeatReported(n, "look", 1 + n, 0, 1.0) for n in self.tables]
+            batch += [
+                events.WorkerReported(
+                    name, "a", 6, 0, 0.2, 1.0, {"utilization": 0.3 + self.dice.random() / 2}
+                )
                 for name, e in self.states.items()
-                if e.state == door.READY
+                if e.state == events.READY
             ]
-        self.hand(events)
+        self.hand(batch)
 
     def check(self):
         assert not self.wrong, self.wrong
-        if any(e.state == door.READY for e in self.states.values()):
+        if any(e.state == events.READY for e in self.states.values()):
             assert all(self.tables.values()), "a table without a line"
 
 
@@ -185,13 +190,13 @@
     dice = town.dice
     town.start()
     for _ in range(steps):
-        what, ready = dice.random(), [n for n, e in town.states.items() if e.state == door.READY]
+        what, ready = dice.random(), [n for n, e in town.states.items() if e.state == events.READY]
         if what < 0.06 and len(ready) > 2:
-            town.change(dice.choice(ready), dice.choice([door.DRAINING, door.GONE]))
+            town.change(dice.choice(ready), dice.choice([events.DRAINING, events.DEREGISTERED]))
         elif what < 0.10:
-            closed = [n for n, e in town.states.items() if e.state != door.READY]
+            closed = [n for n, e in town.states.items() if e.state != events.READY]
             if closed:
-                town.change(dice.choice(closed), door.READY, town.now if dice.random() < 0.6 else None)
+                town.change(dice.choice(closed), events.READY, town.now if dice.random() < 0.6 else None)
         elif what < 0.13:
             town.give(dice.randrange(6))
         elif what < 0.18 and town.manager:
@@ -232,7 +237,7 @@
 
 
 def listed(version, *entries, complete=False, cached=False):
-    return door.WorkersListed(tuple(entries), complete, cached, version)
+    return events.WorkersListed(tuple(entries), complete, cached, version)
 
 
 def states(found, now, event):
@@ -246,7 +251,7 @@
         1000.0,
         [
             listed(41, entry("a"), entry("b"), entry("c"), complete=True),
-            listed(45, entry("a", door.DRAINING, started=500.0)),
+            listed(45, entry("a", events.DRAINING, started=500.0)),
         ],
     )
     first.alive(1001.0)
@@ -257,8 +262,8 @@
     """The configuration's list is old; only a later version, a later start, or insisting opens one again."""
     old = listed(41, entry("a", started=500.0), entry("b"), complete=True, cached=True)
     second, _ = memory(1010.0, drained().items())
-    assert states(second, 1010.0, old) == {"a": door.DRAINING, "b": door.READY}
-    assert states(second, 1011.0, listed(45, entry("a", started=500.0))) == {"a": door.DRAINING}
+    assert states(second, 1010.0, old) == {"a": events.DRAINING, "b": events.READY}
+    assert states(second, 1011.0, listed(45, entry("a", started=500.0))) == {"a": events.DRAINING}
     assert second.insisting(1011.0 + rules.INSISTING - 1) is None
     assert [e.worker for e in second.insisting(1011.0 + rules.INSISTING).workers] == ["a"]
     for event in (
@@ -268,30 +273,30 @@
     ):  # also an id that is used again
         third, _ = memory(1010.0, drained().items())
         third.hear(1010.0, [old])
-        assert states(third, 1011.0, event) == {"a": door.READY}
+        assert states(third, 1011.0, event) == {"a": events.READY}
     hours, _ = memory(1010.0 + 5 * 3600, drained().items())
-    assert states(hours, 19010.0, old)["a"] == door.DRAINING  # a disc that returns after hours
+    assert states(hours, 19010.0, old)["a"] == events.DRAINING  # a disc that returns after hours
 
 
 def test_nobody_is_left_without_a_worker_for_what_is_remembered():
     second, _ = memory(1010.0, drained().items())
-    assert states(second, 1010.0, listed(41, entry("a", started=500.0), cached=True)) == {"a": door.READY}
+    assert states(second, 1010.0, listed(41, entry("a", started=500.0), cached=True)) == {"a": events.READY}
     second, _ = memory(1010.0, drained().items())
     second.hear(1010.0, [listed(41, entry("a", started=500.0), entry("b"), cached=True)])
-    found = states(second, 1011.0, listed(47, entry("b", door.GONE)))
-    assert found == {"b": door.GONE, "a": door.READY}
+    found = states(second, 1011.0, listed(47, entry("b", events.DEREGISTERED)))
+    assert found == {"b": events.DEREGISTERED, "a": events.READY}
 
 
 def test_a_clock_set_back_shortens_nothing_and_lengthens_nothing():
     first, _ = memory()
-    first.weigh(1000.0, [door.Doubted("a", 1006.0, 1), door.Withdraw("b", True)])
+    first.weigh(1000.0, [events.WorkerEjected("a", 1006.0, 1), events.ExcludeWorker("b", True)])
     first.alive(1002.0)
     pairs = lasting(first).items()
-    second, events = memory(400.0, pairs)
-    doubt = next(event for event in events if isinstance(event, door.DoubtHeld))
-    assert doubt.until - 400.0 <= rules.LONGEST_DOUBT and door.WithdrawalHeld("b") in events
+    second, batch = memory(400.0, pairs)
+    doubt = next(event for event in batch if isinstance(event, events.EjectionRestored))
+    assert doubt.until - 400.0 <= rules.LONGEST_DOUBT and events.ExclusionRestored("b") in batch
     assert any("set back" in note for note in second.notes)
-    assert not [event for event in memory(1007.0, pairs)[1] if isinstance(event, door.DoubtHeld)]
+    assert not [event for event in memory(1007.0, pairs)[1] if isinstance(event, events.EjectionRestored)]
 
 
 def test_the_module_keeps_a_doubt_and_lets_back_one_withdrawn_by_an_earlier_life():
@@ -300,28 +305,30 @@
         1000.0,
         [
             listed(41, entry("a"), entry("b"), complete=True),
-            door.DoubtHeld("a", 1005.0, 2),
-            door.WithdrawalHeld("b"),
-            door.ProxyJoined(0, "a", 1.0),
-            door.SliceGiven(0, True),
-            door.LineHeld(0, "b", 1.0),
+            events.EjectionRestored("a", 1005.0, 2),
+            events.ExclusionRestored("b"),
+            events.ProxyJoined(0, "a", 1.0),
+            events.SliceAssigned(0, True),
+            events.RouteStored(0, "b", 1.0),
         ],
     )
     assert [w.name for w in manager.usable()] == ["b"]
     orders = []
     for k in range(40):
-        orders += manager.handle(1000.0 + k / 4, [door.TimerDue("turn")])
-    assert door.Withdraw("b", False) in orders and len(manager.usable()) == 2
+        orders += manager.handle(1000.0 + k / 4, [events.TimerFired("turn")])
+    assert events.ExcludeWorker("b", False) in orders and len(manager.usable()) == 2
 
 
 def test_marks_of_an_earlier_life_mean_nothing_to_a_new_one():
     first, _ = memory()
-    numbers = [first.weigh(1000.0 + k, [door.Mark(k)]).free[0].number for k in range(1, 2000)]
+    numbers = [
+        first.weigh(1000.0 + k, [events.RequestAcknowledgement(k)]).free[0].number for k in range(1, 2000)
+    ]
     second, _ = memory(3010.0, lasting(first).items())
-    fresh = [second.weigh(3010.0, [door.Mark(k)]).free[0].number for k in range(1, 50)]
+    fresh = [second.weigh(3010.0, [events.RequestAcknowledgement(k)]).free[0].number for k in range(1, 50)]
     assert not set(fresh) & set(numbers)
-    answers = [door.MarkAnswered(0, numbers[-1], 0.1), door.MarkAnswered(0, fresh[3], 0.1)]
-    assert second.hear(3011.0, answers) == [door.MarkAnswered(0, 4, 0.1)]
+    answers = [events.MessageAcknowledged(0, numbers[-1], 0.1), events.MessageAcknowledged(0, fresh[3], 0.1)]
+    assert second.hear(3011.0, answers) == [events.MessageAcknowledged(0, 4, 0.1)]
 
 
 def test_after_damage_tries_with_effects_wait_and_unproved_workers_are_spared():
@@ -330,27 +337,29 @@
         1000.0,
         [
             listed(41, entry("b"), entry("c"), complete=True, cached=True),
-            door.SliceGiven(0, True),
-            door.LineHeld(0, "b", 1.0),
+            events.SliceAssigned(0, True),
+            events.RouteStored(0, "b", 1.0),
         ],
     )
-    every = door.Admit(door.ALL_SLICES, (), 1.0, door.RETRY_UNSTARTED)
+    every = events.SetAdmission(events.ALL_SLICES, (), 1.0, events.RETRY_UNSTARTED)
     outcome = found.weigh(1000.0, [every])
     kinds = {
         OPERATIONS[k]["kind"]
         for o in outcome.free + outcome.strict
-        if isinstance(o, door.Admit)
+        if isinstance(o, events.SetAdmission)
         for k in o.operations
     }
-    assert kinds == {door.IDEMPOTENT}
-    assert found.weigh(1000.0, [door.SetLine(0, "c", 1.0), door.SetLine(0, "b", 0)]).free == []
-    assert found.weigh(1000.0, [door.SetLine(1, "c", 1.0)]).free  # an empty table: somebody has to serve
+    assert kinds == {events.IDEMPOTENT}
+    assert found.weigh(1000.0, [events.SetRoute(0, "c", 1.0), events.SetRoute(0, "b", 0)]).free == []
+    assert found.weigh(1000.0, [events.SetRoute(1, "c", 1.0)]).free  # an empty table: somebody has to serve
     found.spoke, found.proved = True, {"b"}
-    assert found.weigh(1001.0, [door.SetLine(0, "c", 1.0), door.SetLine(0, "b", 0)]).free == []
+    assert found.weigh(1001.0, [events.SetRoute(0, "c", 1.0), events.SetRoute(0, "b", 0)]).free == []
     found.hear(1001.5, [listed(50, entry("c"))])
-    assert found.due(1001.5) == [door.SetLine(0, "c", 1.0), door.SetLine(0, "b", 0)]
-    later = [order for order in found.due(1000.0 + found.timeout) if isinstance(order, door.Admit)]
-    assert later == [door.Admit(door.ALL_SLICES, (k,), 1.0, door.RETRY_UNSTARTED) for k in (1, 2)]
+    assert found.due(1001.5) == [events.SetRoute(0, "c", 1.0), events.SetRoute(0, "b", 0)]
+    later = [order for order in found.due(1000.0 + found.timeout) if isinstance(order, events.SetAdmission)]
+    assert later == [
+        events.SetAdmission(events.ALL_SLICES, (k,), 1.0, events.RETRY_UNSTARTED) for k in (1, 2)
+    ]
     assert found.weigh(1000.0 + found.timeout, later).strict == later
     again, _ = memory(1002.0, lasting(found).items())  # a second start goes on being careful
     assert again.life.careful_until > 1005.0
@@ -362,18 +371,18 @@
     stage = Ledger(TERMS, FACTS, "1", lambda: now[0], log, Store(disc.port(), lambda: now[0]))
     stage.begin()
     disc.refusals["flush"] = lambda: errno.EIO
-    tries, line = door.Admit(3, (1,), 1.0, door.RETRY_UNSTARTED), door.SetLine(3, "a", 1.0)
-    assert stage.say_orders(now[0], [line, tries, door.Mark(1)]) == []
+    tries, line = events.SetAdmission(3, (1,), 1.0, events.RETRY_UNSTARTED), events.SetRoute(3, "a", 1.0)
+    assert stage.say_orders(now[0], [line, tries, events.RequestAcknowledgement(1)]) == []
     went = []
     for _ in range(8):
         now[0] += 0.1
         went += stage.turn(now[0], 0.0)[1]
-    assert [type(order) for order in went] == [door.SetLine, door.Mark]
+    assert [type(order) for order in went] == [events.SetRoute, events.RequestAcknowledgement]
     went += stage.say_orders(now[0], [tries])  # asked for again: still not promised, so still not sent
     now[0] += 0.3
     went += stage.turn(now[0], 0.0)[1]
     assert tries not in went
-    none = door.Admit(3, (1,), 0.5, door.NO_RETRY)
+    none = events.SetAdmission(3, (1,), 0.5, events.NO_RETRY)
     went += stage.say_orders(now[0], [none])
     del disc.refusals["flush"]
     for _ in range(200):
@@ -387,16 +396,16 @@
 
 def test_an_order_in_doubt_over_a_restart_goes_out_at_most_once():
     first, _ = memory()
-    tries = door.Admit(3, (1,), 1.0, door.RETRY_UNSTARTED)
-    first.hear(1000.0, [door.SliceGiven(3, True)])
+    tries = events.SetAdmission(3, (1,), 1.0, events.RETRY_UNSTARTED)
+    first.hear(1000.0, [events.SliceAssigned(3, True)])
     assert first.weigh(1000.0, [tries]).strict == [tries]
     first.alive(1000.5)
     second, _ = memory(1001.0, lasting(first).items())
-    second.hear(1001.0, [door.SliceGiven(3, True)])
-    for order in (tries, tries._replace(operations=()), door.Admit(3, (1, 2), 1.0, 1)):
+    second.hear(1001.0, [events.SliceAssigned(3, True)])
+    for order in (tries, tries._replace(operations=()), events.SetAdmission(3, (1, 2), 1.0, 1)):
         outcome = second.weigh(1001.0, [order])
         assert all(1 not in o.operations for o in outcome.free + outcome.strict)
-    second.hear(1002.0, [door.SliceGiven(3, False), door.SliceGiven(3, True)])
+    second.hear(1002.0, [events.SliceAssigned(3, False), events.SliceAssigned(3, True)])
     assert second.weigh(1002.0, [tries]).strict == [tries]  # given anew: the store has forgotten it too
 
 
@@ -415,9 +424,9 @@
 
 def test_a_crash_of_the_module_within_a_life_is_told_what_is_remembered():
     found, _ = memory(1000.0, drained().items())
-    found.weigh(1000.0, [door.Withdraw("b", True)])
+    found.weigh(1000.0, [events.ExcludeWorker("b", True)])
     found.forgotten()
-    assert found.opening(1001.0) == [door.WithdrawalHeld("b")]
+    assert found.opening(1001.0) == [events.ExclusionRestored("b")]
 
 
 def judged_after_damage(town, disc, what):
@@ -448,9 +457,9 @@
     if not town.manager:
         town.start()
     for _ in range(3):
-        town.change(next(n for n, e in town.states.items() if e.state == door.READY), door.DRAINING) if sum(
-            e.state == door.READY for e in town.states.values()
-        ) > 2 else None
+        town.change(
+            next(n for n, e in town.states.items() if e.state == events.READY), events.DRAINING
+        ) if sum(e.state == events.READY for e in town.states.values()) > 2 else None
         town.discovery_up = True
         town.watch()
         town.step(1.0)
@@ -491,7 +500,7 @@
         select.select([stage.waker()], [], [], 5.0)
         stage.turn(now[0], 0.0)
     flusher.process.send_signal(signal.SIGSTOP)
-    line, tries = door.SetLine(3, "a", 1.0), door.Admit(3, (1,), 1.0, door.RETRY_UNSTARTED)
+    line, tries = events.SetRoute(3, "a", 1.0), events.SetAdmission(3, (1,), 1.0, events.RETRY_UNSTARTED)
     went = stage.say_orders(now[0], [line, tries])
     for _ in range(10):
         now[0] += 0.1
@@ -515,8 +524,15 @@
     found, _ = memory()
     for k in range(400):
         now = 1000.0 + 10 * k
-        found.hear(now, [listed(42 + k, entry(f"w{k}", door.DRAINING))])
-        found.weigh(now, [door.Doubted(f"w{k}", now + 6, 1), door.Withdraw(f"w{k}", True), door.Mark(k)])
+        found.hear(now, [listed(42 + k, entry(f"w{k}", events.DRAINING))])
+        found.weigh(
+            now,
+            [
+                events.WorkerEjected(f"w{k}", now + 6, 1),
+                events.ExcludeWorker(f"w{k}", True),
+                events.RequestAcknowledgement(k),
+            ],
+        )
         found.keep = 300.0
         found.alive(now)
     assert max(map(len, (found.closed, found.doubts, found.withdrawn))) <= 51
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from bramblewood import interface as door
+from bramblewood import events
 from bramblewood.ledger import records
 from bramblewood.net.program import charter
 from bramblewood.operator import bylaws
@@ -190,19 +190,19 @@
     site, stage = kept_site, kept_site.service.stages[0]
     sent = []
     site.service.calls.give = lambda orders: sent.extend(orders)
-    site.service.manager.handle = lambda now, events: [
-        door.SetLine(0, "s1", 1.0),
-        door.Admit(0, (), 1.0, door.RETRY_UNSTARTED),
-        door.Doubted("s1", 5.0, 1),
+    site.service.manager.handle = lambda now, batch: [
+        events.SetRoute(0, "s1", 1.0),
+        events.SetAdmission(0, (), 1.0, events.RETRY_UNSTARTED),
+        events.WorkerEjected("s1", 5.0, 1),
     ]
 
     def defect(*_):
         raise RuntimeError("a defect")
 
     stage.memory.weigh = defect
-    site.service.inbox.append(door.TimerDue("turn"))
+    site.service.inbox.append(events.TimerFired("turn"))
     site.service.turn(0)
-    assert sent == [door.SetLine(0, "s1", 1.0)]
+    assert sent == [events.SetRoute(0, "s1", 1.0)]
     assert "stage failed" in [what for what, _ in site.lines]
 
 
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from bramblewood import interface as door
+from bramblewood import events
 from bramblewood.net.protocol import frames, http, relay, roster
 from bramblewood.net.protocol.words import Skipped, Unreadable, load_of_body
 from bramblewood.net.transport.buffer import Buffer, Overfull
@@ -45,28 +45,28 @@
 
 
 def test_reports_become_events_in_our_units():
-    assert frames.event_of(LOAD, frames.Scope(), set()) == door.WorkerHeard(
-        "s1", "a", 212, 3, 0.0415, 1.0, {"held": 7, "busy": 0.61, "queued": 2}
+    assert frames.event_of(LOAD, frames.Scope(), set()) == events.WorkerReported(
+        "s1", "a", 212, 3, 0.0415, 1.0, {"in_flight": 7, "utilization": 0.61, "queued": 2}
     )
-    assert frames.event_of(SHARD, frames.Scope(), set()) == door.SliceHeat(88, "look", 40, 1, 0.5)
+    assert frames.event_of(SHARD, frames.Scope(), set()) == events.SliceHeatReported(88, "look", 40, 1, 0.5)
 
 
 def test_more_may_fail_in_a_span_than_were_tried_in_it():
     """Guards the view of the failing: a worker that had died was told of so, and the report was skipped."""
     heard = frames.event_of({**LOAD, "tries": 0, "failed": 2, "mean_ms": 0.0}, SCOPE, set())
-    assert (heard.tries, heard.unanswered) == (0, 2)
+    assert (heard.attempts, heard.unanswered) == (0, 2)
 
 
 def test_load_words_are_those_that_the_collectors_send():
     """Guards against a module gone blind: the page says util and queue, the first day cpu and waiting."""
     unknown = set()
     heard = frames.event_of({**LOAD, "load": {"cpu": 0.3, "waiting": 4.5, "odd": 1}}, frames.Scope(), unknown)
-    assert heard.load == {"busy": 0.3, "queued": 4.5} and unknown == {"odd"}
+    assert heard.load == {"utilization": 0.3, "queued": 4.5} and unknown == {"odd"}
     for number in range(99):
         frames.event_of({**LOAD, "load": {f"odd-{number}": 1}}, frames.Scope(), unknown)
     assert len(unknown) < 20  # a stranger's words are not kept without bound
     found = load_of_body(b"inflight=7,queue=2,util=0.61,x=,=\r\n")
-    assert found == {"held": 7.0, "queued": 2.0, "busy": 0.61}
+    assert found == {"in_flight": 7.0, "queued": 2.0, "utilization": 0.61}
 
 
 SCOPE = frames.Scope(["a", "b"], ["look", "pay"], 89, {"s1": None})
@@ -152,15 +152,15 @@
 
 
 ORDERS = [
-    (door.SetLine(4, "s1", 1.5), "SET,4,s1,1.5"),
-    (door.SetLine(4, "s1", 0.00001), "SET,4,s1,0.000010000000"),
-    (door.SetLine(4, "s1", 0), "SET,4,s1,0.0"),
-    (door.ClearTable(4), "DEL,4"),
-    (door.Withdraw("s1", True), "OUT,s1"),
-    (door.Withdraw("s1", False), "IN,s1"),
-    (door.Admit(4, (0, 1), 0.9, 1), "LIMIT,4,look+pay,0.9,1"),
-    (door.Admit(door.ALL_SLICES, (), 1, 0), "LIMIT,*,*,1.0,0"),
-    (door.Mark(905, True), "SYNC,905,1"),
+    (events.SetRoute(4, "s1", 1.5), "SET,4,s1,1.5"),
+    (events.SetRoute(4, "s1", 0.00001), "SET,4,s1,0.000010000000"),
+    (events.SetRoute(4, "s1", 0), "SET,4,s1,0.0"),
+    (events.ClearTable(4), "DEL,4"),
+    (events.ExcludeWorker("s1", True), "OUT,s1"),
+    (events.ExcludeWorker("s1", False), "IN,s1"),
+    (events.SetAdmission(4, (0, 1), 0.9, 1), "LIMIT,4,look+pay,0.9,1"),
+    (events.SetAdmission(events.ALL_SLICES, (), 1, 0), "LIMIT,*,*,1.0,0"),
+    (events.RequestAcknowledgement(905, True), "SYNC,905,1"),
 ]
 
 
@@ -171,17 +171,17 @@
 
 
 def test_an_order_without_a_message_has_no_text():
-    assert relay.order_text(door.BindProxy(1, 2), ["look"]) is None
+    assert relay.order_text(events.BindProxy(1, 2), ["look"]) is None
 
 
 NEWS = [
-    (b"* SUBSCRIBE 17 a 21.5 1", door.ProxyJoined(17, "a", 21.5, True)),
+    (b"* SUBSCRIBE 17 a 21.5 1", events.ProxyJoined(17, "a", 21.5, True)),
     (b"*", None),
-    (b"* CLOSED 17", door.ProxyLeft(17)),
-    (b"* ACK 17 905 310.5", door.MarkAnswered(17, 905, 0.3105)),
-    (b"* GRANT 88 1", door.SliceGiven(88, True)),
-    (b"* GRANT 88 0", door.SliceGiven(88, False)),
-    (b"* ROW 88 s1 1.0", door.LineHeld(88, "s1", 1.0)),
+    (b"* CLOSED 17", events.ProxyLeft(17)),
+    (b"* ACK 17 905 310.5", events.MessageAcknowledged(17, 905, 0.3105)),
+    (b"* GRANT 88 1", events.SliceAssigned(88, True)),
+    (b"* GRANT 88 0", events.SliceAssigned(88, False)),
+    (b"* ROW 88 s1 1.0", events.RouteStored(88, "s1", 1.0)),
 ]
 
 
@@ -242,14 +242,16 @@
     }
     version, event, addresses, problems = roster.read(json.dumps(found).encode())
     assert version == 43 and len(problems) == 4 and addresses == {"s1": ITEM["addr"], "s2": ITEM["addr"]}
-    assert event == door.WorkersListed(
+    assert event == events.WorkersListed(
         (
-            door.ListedWorker("s1", door.DRAINING, 1.5, "a", 3, "m2", 1.5),
-            door.ListedWorker("s2", door.GONE, 1.5, "a", 3, "m2", None),
+            events.ListedWorker("s1", events.DRAINING, 1.5, "a", 3, "m2", 1.5),
+            events.ListedWorker("s2", events.DEREGISTERED, 1.5, "a", 3, "m2", None),
         ),
         version=43,
     )
-    assert roster.read({"version": 1, "servers": []}, cached=True)[1] == door.WorkersListed((), True, True, 1)
+    assert roster.read({"version": 1, "servers": []}, cached=True)[1] == events.WorkersListed(
+        (), True, True, 1
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from bramblewood import interface as door
+from bramblewood import events
 from bramblewood.net.protocol import frames
 from bramblewood.net.routing import calls, collectors, discovery, news, outcomes, peers, probes, stream
 from bramblewood.net.transport.ending import Ending
@@ -57,21 +57,23 @@
 
 
 def sets(*lines):
-    return [door.SetLine(number, worker, weight) for number, worker, weight in lines]
+    return [events.SetRoute(number, worker, weight) for number, worker, weight in lines]
 
 
 def test_one_call_is_out_at_a_time_and_what_comes_meanwhile_is_folded():
     relay = Relay()
-    relay.calls.give([*sets((1, "a", 1.0)), door.Mark(1)])
+    relay.calls.give([*sets((1, "a", 1.0)), events.RequestAcknowledgement(1)])
     assert relay.open() and relay.out() == ["SET,1,a,1.0", "SYNC,1,0"]
-    relay.calls.give([*sets((2, "a", 1.0), (1, "a", 0)), door.Mark(2)])
-    relay.calls.give([*sets((1, "a", 0.5)), door.Mark(3)])
+    relay.calls.give([*sets((2, "a", 1.0), (1, "a", 0)), events.RequestAcknowledgement(2)])
+    relay.calls.give([*sets((1, "a", 0.5)), events.RequestAcknowledgement(3)])
     assert len(relay.line().sent) == 1
     relay.line().bring(b"OK ")
     relay.line().bring(b"2\r\n")
     assert relay.out() == ["SET,2,a,1.0", "SET,1,a,0.5", "SYNC,3,0"] and relay.done[0].worker == "a"
-    relay.calls.answered(door.MarkAnswered(7, 3, 0.4))  # the one that went out stands for the one folded
-    assert relay.edge.news() == [door.MarkAnswered(7, 2, 0.4), door.MarkAnswered(7, 3, 0.4)]
+    relay.calls.answered(
+        events.MessageAcknowledged(7, 3, 0.4)
+    )  # the one that went out stands for the one folded
+    assert relay.edge.news() == [events.MessageAcknowledged(7, 2, 0.4), events.MessageAcknowledged(7, 3, 0.4)]
 
 
 def test_emptying_a_table_takes_the_place_of_its_earlier_orders():
@@ -79,8 +81,8 @@
     relay.calls.give(
         [
             *sets((1, "a", 1.0), (2, "a", 1.0)),
-            door.Admit(1, (0,), 0.5, 0),
-            door.ClearTable(1),
+            events.SetAdmission(1, (0,), 0.5, 0),
+            events.ClearTable(1),
             *sets((1, "b", 1.0)),
         ]
     )
@@ -96,8 +98,8 @@
     assert len(relay.line().sent) == 1
     relay.edge.wait(calls.BEFORE + 0.1)
     relay.line().bring(b"ERR limit\r\n")
-    relay.calls.give([door.Mark(1)])
-    relay.calls.give([door.Withdraw("b", True)])
+    relay.calls.give([events.RequestAcknowledgement(1)])
+    relay.calls.give([events.ExcludeWorker("b", True)])
     relay.edge.wait(calls.BEFORE + 0.1)
     assert relay.out() == ["SET,1,a,1.0", "SET,2,a,1.0", "OUT,b", "SYNC,1,0"]  # the mark is for all of them
 
@@ -127,7 +129,7 @@
 def test_a_long_call_is_split_with_nothing_lost_or_out_of_order():
     relay = Relay()
     given = sets(*((number, "worker-" + "x" * 40, 1.0) for number in range(3000)))
-    relay.calls.give([*given, door.Mark(9)])
+    relay.calls.give([*given, events.RequestAcknowledgement(9)])
     relay.open()
     seen = []
     while relay.calls.flight:
@@ -141,22 +143,22 @@
 def test_an_unanswered_call_is_settled_by_the_answer_to_its_mark():
     """Guards the channel: orders that were carried out are not sent a second time."""
     relay = Relay()
-    relay.calls.give([*sets((1, "a", 1.0)), door.Mark(5)])
+    relay.calls.give([*sets((1, "a", 1.0)), events.RequestAcknowledgement(5)])
     relay.open()
     relay.edge.wait(calls.ANSWER + 0.1)
     assert relay.line().ending is Ending.SILENT
     relay.calls.give(sets((2, "b", 1.0)))
-    relay.calls.answered(door.MarkAnswered(0, 5, 0.3))
+    relay.calls.answered(events.MessageAcknowledged(0, 5, 0.3))
     relay.edge.wait(0.05)
     relay.open()
-    assert relay.out() == ["SET,2,b,1.0"] and relay.done[0] == door.SetLine(1, "a", 1.0)
+    assert relay.out() == ["SET,2,b,1.0"] and relay.done[0] == events.SetRoute(1, "a", 1.0)
 
 
 def test_an_unanswered_call_without_a_sign_is_sent_again_before_what_came_later():
     relay = Relay()
-    relay.calls.give([*sets((1, "a", 1.0)), door.Mark(5)])
+    relay.calls.give([*sets((1, "a", 1.0)), events.RequestAcknowledgement(5)])
     relay.open().end(Ending.RESET)
-    relay.calls.give([*sets((2, "b", 1.0)), door.Mark(6)])
+    relay.calls.give([*sets((2, "b", 1.0)), events.RequestAcknowledgement(6)])
     assert len(relay.edge.lines) == 1
     relay.edge.wait(calls.DOUBT + 0.1)
     relay.open()
@@ -168,7 +170,7 @@
     """Guards the channel: a large call sent a second time waited there twice, and broke its limit."""
     relay, told = Relay(), {"a": 1.0}
     given = sets((1, "b", 1.0), (1, "a", 0), (2, "c", 1.0))
-    relay.calls.give([*given, door.Withdraw("a", True), door.Mark(5)])
+    relay.calls.give([*given, events.ExcludeWorker("a", True), events.RequestAcknowledgement(5)])
     relay.open().end(Ending.RESET)
     assert not relay.reads
     relay.edge.wait(calls.STORE_READ + 0.05)
@@ -186,11 +188,11 @@
 def test_on_a_slow_channel_a_sign_of_an_unanswered_call_is_waited_for_longer():
     """Guards the channel's limit: sent again while the first copy still waits, its lines count twice."""
     relay = Relay()
-    relay.calls.give([*sets((1, "a", 1.0)), door.Mark(1)])
+    relay.calls.give([*sets((1, "a", 1.0)), events.RequestAcknowledgement(1)])
     relay.open().bring(b"OK 2\r\n")
     relay.edge.wait(2.0)
-    relay.calls.answered(door.MarkAnswered(0, 1, 2.0))
-    relay.calls.give([*sets((1, "b", 1.0)), door.Mark(2)])
+    relay.calls.answered(events.MessageAcknowledged(0, 1, 2.0))
+    relay.calls.give([*sets((1, "b", 1.0)), events.RequestAcknowledgement(2)])
     relay.line().end(Ending.RESET)
     relay.edge.wait(calls.SIGN * 2.0 - 0.2)
     assert len(relay.edge.lines) == 1
@@ -201,7 +203,7 @@
 def test_orders_from_before_a_slice_was_given_are_dropped():
     """Guards against a line in a table that nobody knows of: it would outlive a drain."""
     relay = Relay()
-    relay.calls.give([*sets((1, "a", 1.0), (2, "a", 1.0)), door.Admit(1, (0,), 0.5, 1)])
+    relay.calls.give([*sets((1, "a", 1.0), (2, "a", 1.0)), events.SetAdmission(1, (0,), 0.5, 1)])
     relay.calls.given_anew(1)
     relay.open()
     assert relay.out() == ["SET,2,a,1.0"]
@@ -247,7 +249,7 @@
                     )
                 )
                 wanted |= {(str(o.table), o.worker): o.weight for o in given}
-                relay.calls.give([*given, door.Mark(mark)])
+                relay.calls.give([*given, events.RequestAcknowledgement(mark)])
             line = relay.line() if relay.edge.lines else None
             if line and line.owner and not line.up:
                 line.end(Ending.REFUSED) if dice.random() < 0.2 else line.open()
@@ -268,7 +270,7 @@
                 elif fate < 0.95:
                     line.bring(b"ERR limit\r\n") if fate >= 0.8 else None
             if due and dice.random() < 0.5:
-                relay.calls.answered(door.MarkAnswered(0, due.pop(0), 0.1))
+                relay.calls.answered(events.MessageAcknowledged(0, due.pop(0), 0.1))
             relay.edge.wait(dice.choice([0.05, 0.05, 0.3]))
         for _ in range(60):
             if not relay.line().up and relay.line().owner:
@@ -344,10 +346,10 @@
         return self.edge.lines[-1]
 
     def take(self):
-        events = self.edge.news()
-        for event in events:
+        batch = self.edge.news()
+        for event in batch:
             self.held.note(event)
-        return events
+        return batch
 
 
 def test_a_slice_is_told_with_its_lines_though_they_come_in_pieces():
@@ -356,9 +358,9 @@
     reader.last().open().bring(b"OK\r\n*\r\n* GRANT 4 1\r\n* RO")
     assert reader.take() == []
     reader.last().bring(b"W 4 a 1.0\r\n* GRANT 6 1\r\n")
-    assert reader.take() == [door.SliceGiven(4, True), door.LineHeld(4, "a", 1.0)]
+    assert reader.take() == [events.SliceAssigned(4, True), events.RouteStored(4, "a", 1.0)]
     reader.edge.wait(news.LINES + 0.1)
-    assert reader.take() == [door.SliceGiven(6, True)]  # empty, as nothing followed in time
+    assert reader.take() == [events.SliceAssigned(6, True)]  # empty, as nothing followed in time
 
 
 def test_after_a_break_who_and_what_is_no_longer_named_has_left():
@@ -367,7 +369,7 @@
         b"OK\r\n* SUBSCRIBE 1 a 2 1\r\n* SUBSCRIBE 2 a 2 1\r\n* GRANT 4 1\r\n"
         b"* ROW 4 a 1.0\r\n* GRANT 6 1\r\n* ROW 6 a 1.0\r\n* GRANT 8 1\r\n*\r\n"
     )
-    reader.news.carried(door.SetLine(6, "b", 0.5))
+    reader.news.carried(events.SetRoute(6, "b", 0.5))
     reader.take()
     reader.last().end(Ending.RESET)
     reader.edge.wait(0.2)
@@ -378,10 +380,10 @@
     assert reader.take() == []  # what stands may not all be told yet; 2 never left, so quick was the break
     reader.last().bring(b"*\r\n")
     assert reader.take() == [
-        door.SliceGiven(8, True),
-        door.LineHeld(8, "c", 1.0),
-        door.ProxyLeft(1),
-        door.SliceGiven(4, False),
+        events.SliceAssigned(8, True),
+        events.RouteStored(8, "c", 1.0),
+        events.ProxyLeft(1),
+        events.SliceAssigned(4, False),
     ]
 
 
@@ -397,7 +399,7 @@
     reader.take()
     reader.last().bring(b"OK\r\n* SUBSCRIBE 1 a 2 1\r\n")
     assert old.ending is Ending.OURS and reader.last().owner
-    assert reader.take() == [door.ProxyJoined(1, "a", 2.0, True)]  # it may have left and come meanwhile
+    assert reader.take() == [events.ProxyJoined(1, "a", 2.0, True)]  # it may have left and come meanwhile
     assert [what for what, _ in reader.edge.said] == ["stream silent", "stream stands again"]
 
 
@@ -432,8 +434,8 @@
     reader.take()
     new.bring(b"OK\r\n* SUBSCRIBE 1 a 2 0\r\n* GRANT 4 1\r\n* ROW 4 a 1.0\r\n*\r\n")
     assert old.ending is Ending.OURS
-    assert reader.take() == [door.MarkAnswered(1, 7, 0.02)]  # who never left has not joined anew
-    assert reader.held.proxies == {1: door.ProxyJoined(1, "a", 2.0, True)}
+    assert reader.take() == [events.MessageAcknowledged(1, 7, 0.02)]  # who never left has not joined anew
+    assert reader.held.proxies == {1: events.ProxyJoined(1, "a", 2.0, True)}
     reader.news.move(("127.0.0.1", 3))
     assert reader.last() is new and new.owner
 
@@ -441,12 +443,15 @@
 def test_a_new_module_is_told_all_again_and_slices_with_the_usual_levels():
     reader = Reader()
     reader.last().open().bring(b"OK\r\n* GRANT 4 1\r\n* ROW 4 a 1.0\r\n*\r\n")
-    reader.news.carried(door.Admit(4, (0,), 0.5, 0))
+    reader.news.carried(events.SetAdmission(4, (0,), 0.5, 0))
     reader.take()
     reader.news.forgotten()
     assert reader.news.leveled == {4}
     reader.last().open().bring(b"OK\r\n* GRANT 4 1\r\n* ROW 4 a 1.0\r\n*\r\n")
-    assert reader.take() == [door.SliceGiven(4, True), door.LineHeld(4, "a", 1.0)] and not reader.news.leveled
+    assert (
+        reader.take() == [events.SliceAssigned(4, True), events.RouteStored(4, "a", 1.0)]
+        and not reader.news.leveled
+    )
 
 
 def test_a_break_amid_what_stands_forgets_nobody():
@@ -458,7 +463,7 @@
         reader.last().end(Ending.RESET)
         reader.edge.wait(1.0)
         reader.last().open().bring(named)
-    assert reader.take() == [door.ProxyJoined(2, "a", 2.0), door.ProxyLeft(1)]
+    assert reader.take() == [events.ProxyJoined(2, "a", 2.0), events.ProxyLeft(1)]
 
 
 def test_through_breaks_and_pieces_the_module_holds_what_the_relay_holds():
@@ -508,9 +513,9 @@
         relay.calls.give(
             [
                 *sets((k % 9, f"w{k}", 1.0), (k % 9, f"w{k - 9}", 0)),
-                door.ClearTable(k % 9),
-                door.Withdraw(f"w{k % 50}", True),
-                door.Mark(k),
+                events.ClearTable(k % 9),
+                events.ExcludeWorker(f"w{k % 50}", True),
+                events.RequestAcknowledgement(k),
             ]
         )
         if relay.line().owner and k > 2000 and not relay.line().up:
@@ -583,7 +588,7 @@
     edge, roster = watched()
     assert b"index=41 " in edge.lines[0].open().sent[0]
     edge.lines[0].bring(HEAD + watch(43, item("s1", "draining"), item("s2")) + b"1\r\n\n\r\n")
-    assert [w.state for w in edge.news()[-1].workers] == [door.DRAINING, door.READY]
+    assert [w.state for w in edge.news()[-1].workers] == [events.DRAINING, events.READY]
     edge.wait(5.5)  # silent for longer than an empty line may take: a second one beside it
     assert b"index=43 " in edge.lines[1].open().sent[0] and edge.lines[0].owner
     edge.lines[1].bring(HEAD + watch(44, item("s2", "removed")))
@@ -633,7 +638,9 @@
     edge.lines[-1].open()
     edge.lines[-1].bring(answer) if answer else edge.wait(discovery.ANSWER + 0.2)
     told = edge.news()
-    assert [type(event) for event in told] == [door.WorkersListed if found == "listed" else door.ListFailed]
+    assert [type(event) for event in told] == [
+        events.WorkersListed if found == "listed" else events.WorkerListFailed
+    ]
 
 
 def test_a_list_that_was_asked_to_be_followed_tells_of_its_break():
@@ -642,7 +649,7 @@
     edge.lines[0].open().bring(HEAD + watch(42))
     edge.news()
     edge.lines[0].end(Ending.RESET)
-    assert edge.news() == [door.ListFailed()]
+    assert edge.news() == [events.WorkerListFailed()]
     edge.wait(0.2)
     roster.follow(False)
     edge.wait(9.0)
@@ -799,13 +806,19 @@
         line.bring(frames.frame({"t": "LOAD", "server": 7}))
     assert line.owner and [what for what, _ in edge.said] == ["report skipped"]
     line.bring(frames.frame(SHARD))
-    assert edge.news() == [door.SliceHeat(1, "look", 2, 0, 1.0)]
+    assert edge.news() == [events.SliceHeatReported(1, "look", 2, 0, 1.0)]
 
 
 @pytest.mark.parametrize(
     "with_load, answer, ending, outcome, load",
     [
-        (True, b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nutil=0.61", None, "answered", {"busy": 0.61}),
+        (
+            True,
+            b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nutil=0.61",
+            None,
+            "answered",
+            {"utilization": 0.61},
+        ),
         (False, b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", None, "answered", {}),
         (True, b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", None, "rate-limited", {}),
         (False, b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", None, "errored", {}),
@@ -817,25 +830,28 @@
 def test_probes_end_in_our_words(with_load, answer, ending, outcome, load):
     edge = Edge()
     prober = probes.Probes(edge.loop, {"s1": ADDRESS}.get, with_load, edge.notices, edge.tell, edge.dial)
-    prober.send(door.Probe("s1"))
+    prober.send(events.CheckHealth("s1"))
     line = edge.lines[0].open()
     assert line.sent[0].startswith(b"GET /_load " if with_load else b"GET /ping ")
     for piece in pieces(random.Random(1), answer):
         line.bring(piece)
     line.end(ending) if ending else None
-    assert edge.told == [door.Probed("s1", outcome, edge.told[0].took, load)] and not prober.out
+    assert (
+        edge.told == [events.HealthCheckFinished("s1", outcome, edge.told[0].elapsed, load)]
+        and not prober.out
+    )
 
 
 def test_probes_that_meet_nobody_end_in_time_and_are_bounded():
     edge = Edge()
     prober = probes.Probes(edge.loop, {"s1": ADDRESS}.get, True, edge.notices, edge.tell, edge.dial)
     for _ in range(probes.MOST + 1):
-        prober.send(door.Probe("s1"))
-    prober.send(door.Probe("nobody"))
-    assert [event.ending for event in edge.news()] == ["unknown", "unknown"]
+        prober.send(events.CheckHealth("s1"))
+    prober.send(events.CheckHealth("nobody"))
+    assert [event.outcome for event in edge.news()] == ["unknown", "unknown"]
     edge.lines[0].open()
     edge.wait(probes.ANSWER + 0.2)
-    ends = [event.ending for event in edge.news()]
+    ends = [event.outcome for event in edge.news()]
     assert ends.count("timed-out") == 1 and ends.count("unreachable") == probes.MOST - 1 and not prober.out
 
 
@@ -856,17 +872,20 @@
     a = peers.Peers(edge.loop, first, [("127.0.0.1", 9), at], at, 4, edge.notices, edge.tell)
     b.numbers = {a.datagrams.sock.getsockname(): 4}
     for order in (
-        door.TellPeer(1, b"one"),
-        door.TellPeer(None, b"all"),
-        door.TellPeer(1, b"x" * 257),
-        door.TellPeer(8, b"nobody"),
+        events.TellPeer(1, b"one"),
+        events.TellPeer(None, b"all"),
+        events.TellPeer(1, b"x" * 257),
+        events.TellPeer(8, b"nobody"),
     ):
         a.send(order)
     edge.loop.turn(1.0)
-    assert edge.news() == [door.PeerNote(4, b"one"), door.PeerNote(4, b"all")] and len(edge.said) == 1
-    b.send(door.TellPeer(None, b"to no one"))
+    assert (
+        edge.news() == [events.PeerMessageReceived(4, b"one"), events.PeerMessageReceived(4, b"all")]
+        and len(edge.said) == 1
+    )
+    b.send(events.TellPeer(None, b"to no one"))
     b.numbers = {}
-    a.send(door.TellPeer(1, b"from a stranger"))
+    a.send(events.TellPeer(1, b"from a stranger"))
     edge.loop.turn(1.0)
     assert edge.news() == []
     for end in (a, b):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from bramblewood import interface as door
+from bramblewood import events
 from bramblewood.policy import publishing
 from bramblewood.policy.manager import FORGET
 
@@ -33,12 +33,12 @@
         ledger.seconds(1)
         ledger.step(
             0.0,
-            ledger.list_of([entry(f"w{k - 4}", door.DRAINING)]),
-            door.ProxyLeft(k % 4),
-            door.ProxyJoined(k % 4, "a", 5.0),
+            ledger.list_of([entry(f"w{k - 4}", events.DRAINING)]),
+            events.ProxyLeft(k % 4),
+            events.ProxyJoined(k % 4, "a", 5.0),
         )
         ledger.seconds(3)
-        ledger.step(0.0, ledger.list_of([entry(f"w{k - 4}", door.GONE)]))
+        ledger.step(0.0, ledger.list_of([entry(f"w{k - 4}", events.DEREGISTERED)]))
         ledger.check()
         planner, publisher = ledger.manager.planner, ledger.manager.publisher
         if k > 60:
@@ -50,9 +50,9 @@
 def test_one_met_again_after_it_was_forgotten_is_let_back():
     """Guards a worker that was cut off for long: the proxies still keep off, and it comes as it was."""
     ledger = Ledger(workers=3)
-    ledger.step(0.0, ledger.list_of([entry("w0", door.DRAINING)]))
+    ledger.step(0.0, ledger.list_of([entry("w0", events.DRAINING)]))
     ledger.seconds(9)
-    ledger.step(0.0, ledger.list_of([entry("w0", door.GONE)]))
+    ledger.step(0.0, ledger.list_of([entry("w0", events.DEREGISTERED)]))
     ledger.seconds(FORGET + 9)
     assert "w0" in ledger.out and "w0" not in ledger.manager.workers
     ledger.step(0.0, ledger.list_of([entry("w0")]))
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -11,8 +11,7 @@
 
 import pytest
 
-from bramblewood import facts
-from bramblewood import interface as door
+from bramblewood import events, startup_settings
 from bramblewood.adapter import wire
 from bramblewood.net.program import charter
 from bramblewood.net.program import service as program
@@ -225,7 +224,9 @@
     path.write_text(json.dumps({key: value for key, value in CONFIG.items() if key != "listen"}))
     told = charter.read({"EDGE_CONFIG": str(path), "EDGE_LISTEN": "127.0.0.9:81"})
     assert told.listen == ("127.0.0.9", 81) and told.relay == ("127.0.0.1", 6400)
-    assert told.facts == facts.facts_of(OPTIONS) and wire.MS == facts.MS  # one translation for both roads
+    assert (
+        told.facts == startup_settings.facts_of(OPTIONS) and wire.MS == startup_settings.MS
+    )  # one translation for both roads
     path.write_text("{")
     for environment in ({}, {"EDGE_CONFIG": str(tmp_path / "none")}, {"EDGE_CONFIG": str(path)}):
         with pytest.raises(charter.Faulty):
@@ -342,9 +343,9 @@
     site.wait(0.2)
     assert len(site.service.manager.ours()) == 2
     first = site.service.manager
-    site.service.news.carried(door.Admit(1, (0,), 0.5, 0))
+    site.service.news.carried(events.SetAdmission(1, (0,), 0.5, 0))
 
-    def defect(now, events):
+    def defect(now, batch):
         raise RuntimeError("a defect")
 
     monkeypatch.setattr(first, "handle", defect)
@@ -405,15 +406,15 @@
 
 
 def test_an_order_that_cannot_be_expressed_does_not_end_the_process(site):
-    site.service.manager.handle = lambda now, events: [door.Admit(1, (99,), 1.0, 0)]
-    site.service.inbox.append(door.TimerDue("turn"))
+    site.service.manager.handle = lambda now, batch: [events.SetAdmission(1, (99,), 1.0, 0)]
+    site.service.inbox.append(events.TimerFired("turn"))
     site.service.turn(0)
     assert "orders not carried out" in [what for what, _ in site.lines]
 
 
 def test_an_order_without_a_message_is_logged_once(site):
     for _ in range(9):
-        site.service.carry_out([door.BindProxy(1, 2), door.TellPeer(None, b"x"), door.Log("kept")])
+        site.service.carry_out([events.BindProxy(1, 2), events.TellPeer(None, b"x"), events.Log("kept")])
     assert [what for what, _ in site.lines].count("order without a message") == 2
     assert [what for what, _ in site.lines].count("kept") == 9
 
