--- a/benchmarks/turn.py
+++ b/benchmarks/turn.py
@@ -9,31 +9,32 @@
 import sys
 import tempfile
 import time
+from dataclasses import replace
 
 from bramblewood import events
 from bramblewood.ledger.stage import Ledger
 from bramblewood.operator.bylaws import StoreTerms
 from bramblewood.policy.manager import Manager
+from bramblewood.startup_settings import Operation, StartupSettings
 
 from .common import machine, ratios, row
 
-OPERATIONS = [
-    {"name": name, "kind": kind, "latency_objective": 1.0, "integration_timeout": 4.0, "billed_value": value}
-    for name, kind, value in (("look", events.IDEMPOTENT, 1.0), ("pay", events.SIDE_EFFECTING, 5.0))
-]
-FACTS = {
-    "operations": OPERATIONS,
-    "managers": 1,
-    "cycle": 1.0,
-    "warm_after": 10.0,
-    "cold_from": 0.25,
-    "drain_grace": 3.0,
-    "usual_retry": 0,
-    "most_waiting": 200_000,
-    "message_head": 8,
-    "load_fields": ["utilization"],
-    "lines_per_second": 100_000.0,
-}
+SETTINGS = StartupSettings(
+    operations=[
+        Operation("look", events.IDEMPOTENT, 1.0, 4.0, 1.0),
+        Operation("pay", events.SIDE_EFFECTING, 1.0, 4.0, 5.0),
+    ],
+    managers=1,
+    cycle=1.0,
+    slow_start_window=10.0,
+    slow_start_minimum=0.25,
+    drain_grace=3.0,
+    default_retry=0,
+    max_waiting_lines=200_000,
+    message_header=8,
+    load_fields=["utilization"],
+    lines_per_second=100_000.0,
+)
 WORKERS = 40
 FLEETS = ((400, 30, 100), (640, 120, 60), (1600, 200, 40))  # proxies, workers, turns; slices as in turns
 INTAKE = 150  # report lines a second that the settings of a large fleet let in
@@ -69,8 +70,8 @@
     now, stage = [1000.0], None
     if folder:
         terms = StoreTerms(folder, "apart", False, 0.002, 0.25, 86400.0)
-        stage = Ledger(terms, FACTS, "1", lambda: now[0], Quiet())
-    manager, marks, took = Manager(1, {**FACTS, "slices": proxies, "proxies": proxies}), [], 0.0
+        stage = Ledger(terms, SETTINGS, "1", lambda: now[0], Quiet())
+    manager, marks, took = Manager(1, replace(SETTINGS, slices=proxies, proxies=proxies)), [], 0.0
     entries = [events.ListedWorker(f"w{k}", events.READY, zone="ab"[k % 2]) for k in range(workers)]
     batch = [events.WorkersListed(tuple(entries), True, True, 1), *(stage.begin() if stage else [])]
     batch += [events.ProxyJoined(p, "a", 5.0) for p in range(proxies)]
--- a/bramblewood/adapter/host.py
+++ b/bramblewood/adapter/host.py
@@ -4,7 +4,7 @@
 
 from .. import events
 from ..policy.manager import Manager
-from ..startup_settings import MS, facts_of
+from ..startup_settings import MS, parse_settings
 from .wire import EVENTS, ORDERS, UNSAID, Malformed, decode, encode, entry_of
 
 COMPLETE, CACHED, FAILED = 1, 2, 3  # forms of a view
@@ -34,7 +34,7 @@
                     continue
                 who = fields["who"]
                 if name == "start":
-                    self.managers[who] = Manager(fields["seed"], facts_of(fields["options"]))
+                    self.managers[who] = Manager(fields["seed"], parse_settings(fields["options"]))
                     waiting[who] = []
                 elif name == "crash_now":
                     self.managers.pop(who, None)
--- a/bramblewood/adapter/wire.py
+++ b/bramblewood/adapter/wire.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from .. import events
-from ..startup_settings import LOAD_WORDS, MS
+from ..startup_settings import LOAD_FIELDS, MS
 
 EVERY_TABLE = 65535
 STATES = {2: events.READY, 0: events.DRAINING, 1: events.DEREGISTERED}
@@ -40,9 +40,9 @@
 def load_of(fields: dict) -> dict:
     """A load report in our words; values we do not know are skipped."""
     return {
-        LOAD_WORDS[k][0]: v * LOAD_WORDS[k][1]
+        LOAD_FIELDS[k][0]: v * LOAD_FIELDS[k][1]
         for k, v in (fields.get("health_info") or {}).items()
-        if k in LOAD_WORDS and isinstance(v, (int, float))
+        if k in LOAD_FIELDS and isinstance(v, (int, float))
     }
 
 
--- a/bramblewood/cli/ledger.py
+++ b/bramblewood/cli/ledger.py
@@ -15,9 +15,10 @@
 def remembered(folder: str):
     """The ledger's memory as the folder has it, read only."""
     from ..ledger.memory import Memory
+    from ..startup_settings import StartupSettings
     from ..store import tools
 
-    memory = Memory({}, 0.0)
+    memory = Memory(StartupSettings(), 0.0)
     return memory, memory.load(reading(folder, lambda port: tools.pairs(port, b"")))
 
 
--- a/bramblewood/cli/manager.py
+++ b/bramblewood/cli/manager.py
@@ -72,7 +72,7 @@
         "managers to message": len(told.peers),
         "descriptors": told.descriptors,
         "known workers": known,
-        "operations": ", ".join(operation["name"] for operation in told.facts["operations"]),
+        "operations": ", ".join(operation.name for operation in told.facts.operations),
     }
     if bylaws:
         rows["operator's file"] = bylaws.path
--- a/bramblewood/controller/drain_plans.py
+++ b/bramblewood/controller/drain_plans.py
@@ -19,7 +19,7 @@
 
 from ..common.slice_table import CLOSED, CLOSING, OUT, PREVIOUS_OWNER, TOLD, WORKER
 from ..common.worker_registry import GONE, READY, WorkerRegistry
-from ..policy.figures import LIMIT
+from ..policy_base.parameters import CAPACITY_LIMIT
 
 RUNNING, STOPPED, BACK, DONE = "running", "stopped", "back", "done"
 LOOK = 3.0  # s after a wave until the next: five reports of half a second that have seen it, and one way
@@ -212,7 +212,7 @@
         found = []
         for instance_id in instance_ids:
             left -= room.slots.get(instance_id, 0.0)
-            if left <= 0 or room.busy > LIMIT * left:
+            if left <= 0 or room.busy > CAPACITY_LIMIT * left:
                 break
             found.append(instance_id)
         return found
--- a/bramblewood/controller/hot_keys.py
+++ b/bramblewood/controller/hot_keys.py
@@ -15,12 +15,12 @@
 from typing import NamedTuple
 
 from ..common.slice_table import KEYS_PER_RANGE
-from ..policy.figures import HELD, LIMIT, REPORTS
+from ..policy_base.parameters import CAPACITY_LIMIT, REPORTS_AVERAGED, REPORTS_HELD
 
 WATCH_PART = 0.5  # of what one worker can be asked for, at which a range is looked at key by key
 WATCH_MOST = 8  # ranges watched at once: a desk then counts 64 keys more at the most
 LET_GO_PART = 0.5  # of what makes a range watched or a key crowded, below which it is let go
-LET_GO_AFTER = 2 * REPORTS  # reports below that
+LET_GO_AFTER = 2 * REPORTS_AVERAGED  # reports below that
 
 
 class Told(NamedTuple):
@@ -34,12 +34,12 @@
     """What has had enough in each of three reports, until it had less than half for ten."""
 
     def __init__(self) -> None:
-        self.reports: deque[Counter] = deque(maxlen=HELD)
+        self.reports: deque[Counter] = deque(maxlen=REPORTS_HELD)
         self.since: dict[int, int] = {}  # reports since it had half of enough
 
     def cycle(self, rates: Counter, enough: float) -> None:
         self.reports.append(rates)
-        if len(self.reports) == HELD and enough > 0:
+        if len(self.reports) == REPORTS_HELD and enough > 0:
             for what in rates:
                 if all(report[what] >= enough for report in self.reports):
                     self.since[what] = 0
@@ -68,7 +68,7 @@
         self.ranges.cycle(rates, WATCH_PART * limit)
         for fine in sorted(self.ranges.since, key=lambda fine: -rates[fine])[WATCH_MOST:]:
             del self.ranges.since[fine]
-        self.keys.cycle(keys, LIMIT * limit)
+        self.keys.cycle(keys, CAPACITY_LIMIT * limit)
 
 
 def believed(proxies: dict[str, int]) -> int:
--- a/bramblewood/controller/outlier_detection.py
+++ b/bramblewood/controller/outlier_detection.py
@@ -13,7 +13,8 @@
 
 from collections import Counter, deque
 
-from ..policy.figures import HELD, REPORTS, usual
+from ..policy_base.averages import median
+from ..policy_base.parameters import REPORTS_AVERAGED, REPORTS_HELD
 
 ILL = 0.25  # of its tries that go wrong; lost and garbled answers stay below a tenth on the days played
 OVER = 3.0  # times the usual worker's part
@@ -39,7 +40,7 @@
 
     def __init__(self) -> None:
         self.now: dict[str, dict[str, list[int]]] = {}  # by worker and desk, since the last cycle: tries, bad
-        self.past: deque[dict[str, dict[str, list[int]]]] = deque(maxlen=REPORTS)
+        self.past: deque[dict[str, dict[str, list[int]]]] = deque(maxlen=REPORTS_AVERAGED)
         self.held: Counter = Counter()
         self.since: dict[tuple[str, int], float] = {}  # by worker and version: when known here
 
@@ -65,12 +66,12 @@
                 if tries >= FEW:
                     parts[instance_id] = sum(b for _, (_, b) in told) / tries
                     proxies[instance_id] = len({proxy for proxy, (_, b) in told if b})
-            common = usual(parts.values())
+            common = median(parts.values())
             for instance_id, part in parts.items():
                 if part >= max(ILL, OVER * common) and proxies[instance_id] >= DESKS:
                     ill.add(instance_id)
         self.held = Counter({instance_id: self.held[instance_id] + 1 for instance_id in ill})
-        return {instance_id for instance_id in ill if self.held[instance_id] >= HELD}
+        return {instance_id for instance_id in ill if self.held[instance_id] >= REPORTS_HELD}
 
     def wanted(
         self, now: float, value: dict, ill: set[str], services: dict[str, list[str]]
--- a/bramblewood/controller/placement.py
+++ b/bramblewood/controller/placement.py
@@ -1,7 +1,7 @@
 """Placement: the present manager's decisions, one of them a service, over the table that the archives agree
 on.
 
-The form of a table: `catalogue/table.py`. Pure: time and facts are handed in.
+The form of a table: `catalogue/table.py`. Pure: time and settings are handed in.
 
 Added to the design: a slice hotter than any limit, which the source leaves open. It is split where its heat
 lies, and its parts go to the least loaded at once (`Office.split`).
@@ -28,8 +28,10 @@
     with_readers,
 )
 from ..common.worker_registry import DRAINING, GONE, READY, WorkerRegistry
-from ..policy.figures import HELD, LIMIT, UNSEEN, mean, usual
 from ..policy.manager import Manager
+from ..policy_base.averages import mean, median
+from ..policy_base.parameters import CAPACITY_LIMIT, REPORT_LAG, REPORTS_HELD
+from ..startup_settings import Operation, StartupSettings
 from .drain_plans import TOLD, Room, steps_of
 from .hot_keys import HotKeys, Told
 from .outlier_detection import unwell
@@ -165,19 +167,19 @@
 
     def __init__(self, service: str, keyed: bool, count: int, aim: float, notice: bool) -> None:
         self.service, self.keyed, self.count, self.notice = service, keyed, count, notice
-        self.facts = {
-            "slices": count,
-            "managers": 1,
-            "pick": "pair",
-            "single_owner": keyed,
-            "cycle": CYCLE,
-            "load_fields": ["utilization", "queued"],
-            "warm_after": WARM_AFTER,
-            "cold_from": COLD_FROM,
-            "usual_retry": events.RETRY_UNSTARTED,
-            "operations": [{"latency_objective": aim, "billed_value": 1.0}],
-        }
-        self.manager = Manager(f"office:{service}", self.facts)
+        self.settings = StartupSettings(
+            slices=count,
+            managers=1,
+            pick="pair",
+            single_owner=keyed,
+            cycle=CYCLE,
+            load_fields=["utilization", "queued"],
+            slow_start_window=WARM_AFTER,
+            slow_start_minimum=COLD_FROM,
+            default_retry=events.RETRY_UNSTARTED,
+            operations=[Operation(latency_objective=aim, billed_value=1.0)],
+        )
+        self.manager = Manager(f"office:{service}", self.settings)
         self.listed: dict[str, tuple] = {}
         self.known: dict[int, tuple] = {}  # lines that the manager was last told or itself asked for
         self.fine: Counter = Counter()  # heat by first key of a range, or by key where watched, fading
@@ -207,13 +209,13 @@
 
     def heat(self, now: float) -> list:
         """Once a cycle, what came at all desks as heat of every slice: none came is heat too."""
-        if now < self.heat_at + self.facts["cycle"] or not self.known:
+        if now < self.heat_at + self.settings.cycle or not self.known:
             return []
         self.proxies = {
-            proxy: at for proxy, at in self.proxies.items() if now - at < 3 * self.facts["cycle"] + 1.0
+            proxy: at for proxy, at in self.proxies.items() if now - at < 3 * self.settings.cycle + 1.0
         }
         over = sum(self.spans.values()) / max(len(self.proxies), 1)  # reports come in crowds: none, then two
-        if over <= self.facts["cycle"] / 4:
+        if over <= self.settings.cycle / 4:
             return []
         starts, sums = sorted(self.known), Counter()
         for fine, count in self.came.items():
@@ -227,9 +229,11 @@
 
     def ability(self) -> float:
         """Requests a second that a usual worker can do: its slots over the usual time of an answer."""
-        workers = [w for w in self.manager.usable() if w.times and mean(w.times) > 0]
-        times = usual(mean(w.times) for w in workers)
-        return usual(w.weight for w in workers) / times if times else 0.0
+        workers = [
+            w for w in self.manager.usable_workers() if w.response_times and mean(w.response_times) > 0
+        ]
+        times = median(mean(w.response_times) for w in workers)
+        return median(w.weight for w in workers) / times if times else 0.0
 
     def own_ranges(self, entries: dict, moved: dict) -> list[tuple[int, int, tuple]]:
         """A slice of its own for each crowded key, at the worker that it has."""
@@ -245,7 +249,7 @@
 
     def readers(self, entries: dict) -> dict[int, list[str]]:
         """Whom to let read copies of the crowded records that have slices of their own; only what changes."""
-        made, usable = {}, {w.name: w for w in self.manager.usable()}
+        made, usable = {}, {w.name: w for w in self.manager.usable_workers()}
         for start, entry in entries.items():
             key, had = int(start), reading(entry)
             kept = [
@@ -268,7 +272,7 @@
         """Slices hotter than a worker's limit, over three reports: their parts go to the least loaded at
         once. `moved`: lines that change in the same turn; these slices wait for the next.
         """
-        if now < self.split_at + self.facts["cycle"]:
+        if now < self.split_at + self.settings.cycle:
             return []
         self.split_at = now
         for fine in list(self.fine):
@@ -279,22 +283,22 @@
         made = self.own_ranges(entries, moved)
         if made:
             return made
-        able = [p for p in manager.ours() if p.main and p.main.usable and p.number not in moved]
+        able = [p for p in manager.own_slices() if p.primary and p.primary.usable and p.number not in moved]
         for piece in [p for p in able if not entries[str(p.number)][PREVIOUS_OWNER]]:
-            limit = LIMIT * manager.planner.capacity(piece.main)
-            recent = [*piece.estimates][-HELD:]
-            if len(recent) < HELD or min(recent) <= limit or not limit:
+            limit = CAPACITY_LIMIT * manager.planner.capacity(piece.primary)
+            recent = [*piece.estimates][-REPORTS_HELD:]
+            if len(recent) < REPORTS_HELD or min(recent) <= limit or not limit:
                 continue
             place = starts.index(piece.number)
             end = starts[place + 1] if place + 1 < len(starts) else KEY_SPACE_SIZE
             cuts = self.cuts(piece.number, end, min(int(2 * piece.estimate() / limit) + 1, PARTS))
             heat = piece.estimate() / (len(cuts) + 1)
             for start in cuts:
-                target = self.lightest(heat, piece.main)
-                if target is None or self.carries(target) + heat > self.carries(piece.main):
-                    target = piece.main
+                target = self.lightest(heat, piece.primary)
+                if target is None or self.carries(target) + heat > self.carries(piece.primary):
+                    target = piece.primary
                 else:
-                    self.shift(now, piece.main, target, heat)
+                    self.shift(now, piece.primary, target, heat)
                 made.append((piece.number, start, (target.name, "", 0.0)))
             if cuts:
                 piece.estimates.clear()
@@ -306,20 +310,24 @@
         """Heat that a worker carries: by its word or by what comes for it, as a full one can't tell how much
         more.
         """
-        return max(self.manager.planner.loads[worker], self.manager.planner.own[worker])
+        return max(self.manager.planner.loads[worker], self.manager.planner.own_loads[worker])
 
     def lightest(self, heat: float, but: Any) -> Any:
         """The worker that carries least of those that may take this heat."""
-        able = [w for w in self.manager.usable() if w is not but and self.manager.planner.has_room(w, heat)]
+        able = [
+            w
+            for w in self.manager.usable_workers()
+            if w is not but and self.manager.planner.can_take(w, heat)
+        ]
         return min(able, key=lambda w: (self.carries(w) / w.weight, w.name), default=None)
 
     def shift(self, now: float, source: Any, target: Any, heat: float) -> None:
         """Book a move that the manager did not make itself."""
         planner = self.manager.planner
-        for books in (planner.loads, planner.own):
+        for books in (planner.loads, planner.own_loads):
             books[source] = max(books[source] - heat, 0.0)
             books[target] += heat
-        planner.moves.append((now, source, target, heat))
+        planner.recent_moves.append((now, source, target, heat))
 
     def relieve(self, now: float, entries: dict) -> dict[int, tuple]:
         """The hottest slices of a worker that can't do what comes, over three reports, go where they fit at
@@ -329,11 +337,11 @@
         capacity; its smallest slices, one a cycle, would take minutes.
         """
         planner, lines = self.manager.planner, {}
-        for worker, pieces in planner.by_main.items() if hasattr(planner, "by_main") else ():
-            levels = [*worker.levels][-HELD:] if worker else []
-            if len(levels) < HELD or min(levels) < JAM or not worker.usable:
+        for worker, pieces in planner.by_primary.items():
+            levels = [*worker.loads][-REPORTS_HELD:] if worker else []
+            if len(levels) < REPORTS_HELD or min(levels) < JAM or not worker.usable:
                 continue
-            if now < self.relieved.get(worker.name, -1e9) + UNSEEN:
+            if now < self.relieved.get(worker.name, -1e9) + REPORT_LAG:
                 continue  # no report can show the last relief yet
             limit, crowded = planner.capacity(worker), self.hot_keys.keys.since
             # a crowded record gets a worker of its own
@@ -345,7 +353,7 @@
                 if heat > limit or entries[str(piece.number)][PREVIOUS_OWNER] or piece.number in crowded:
                     continue
                 target = self.lightest(heat, worker)
-                if target is None or self.carries(target) + heat > LIMIT * planner.capacity(target):
+                if target is None or self.carries(target) + heat > CAPACITY_LIMIT * planner.capacity(target):
                     continue
                 self.shift(now, worker, target, heat)
                 self.relieved[worker.name] = now
@@ -429,7 +437,7 @@
                 office = self.offices[service] = ServicePlacement(
                     service, told.keyed, count, aims.get(service, 1.0), self.notice
                 )
-            office.count = office.facts["slices"] = count
+            office.count = office.settings.slices = count
             lines, splits = self.ask(now, office, rows, silent, registry, entries)
             readers = office.readers(entries) if told.read_replicas and entries else {}
             if lines or splits or readers:
@@ -445,9 +453,9 @@
         """By service, how busy its workers are and how much each can do, what is cold counted as cold."""
         found = {}
         for service, office in self.offices.items():
-            ready = office.manager.ready()
-            busy = sum(mean(w.levels) * w.weight for w in ready)
-            found[service] = Room(busy, {w.name: w.weight * w.ramp() for w in ready if w.usable})
+            ready = office.manager.ready_workers()
+            busy = sum(mean(w.loads) * w.weight for w in ready)
+            found[service] = Room(busy, {w.name: w.weight * w.warmth() for w in ready if w.usable})
         return found
 
     def near(self) -> dict[str, dict[str, float]]:
@@ -471,7 +479,7 @@
             )
             if state == events.READY and instance_id in self.leaving:
                 state = events.DRAINING  # by a plan, or ill: its slices move at once, it serves what it has
-            office.facts["warm_after"] = max(office.facts["warm_after"], row.cold)
+            office.settings.slow_start_window = max(office.settings.slow_start_window, row.cold)
             listed[instance_id] = (
                 state,
                 float(max(row.slots, 1)),
@@ -479,7 +487,7 @@
                 registry.warm_at.get(instance_id, 0.0) if row.cold else None,
             )
         if listed != office.listed:
-            office.listed, after = listed, office.facts["warm_after"]
+            office.listed, after = listed, office.settings.slow_start_window
             batch.insert(
                 0,
                 events.WorkersListed(
@@ -504,10 +512,10 @@
             if line and line != office.known[start]:
                 lines[start] = office.known[start] = line
         if not office.keyed:
-            if now >= office.split_at + office.facts["cycle"]:
+            if now >= office.split_at + office.settings.cycle:
                 office.split_at = now
-                usable = [w for w in office.manager.usable() if w.levels]
-                office.zone_affinity.cycle((w.zone, w.weight, mean(w.levels)) for w in usable)
+                usable = [w for w in office.manager.usable_workers() if w.loads]
+                office.zone_affinity.cycle((w.zone, w.weight, mean(w.loads)) for w in usable)
             return lines, []
         splits = office.split(now, entries, lines)
         office.known.update(office.lines)
@@ -532,12 +540,12 @@
     @staticmethod
     def line(piece: Any) -> tuple | None:
         """A slice's table as the manager sent it, as worker, second and the second's share."""
-        ranked = sorted(piece.stored, key=lambda worker: (worker is not piece.main, -piece.stored[worker]))
+        ranked = sorted(piece.routes, key=lambda worker: (worker is not piece.primary, -piece.routes[worker]))
         if not ranked:
             return None
         second = next((w for w in ranked[1:] if w is piece.standby), None)
         return (
             ranked[0].name,
             second.name if second else "",
-            round(piece.stored[second], 3) if second else 0.0,
+            round(piece.routes[second], 3) if second else 0.0,
         )
--- a/bramblewood/controller/read_replicas.py
+++ b/bramblewood/controller/read_replicas.py
@@ -24,7 +24,7 @@
 )
 from ..common.timeouts import READ_LEASE_DURATION, READ_LEASE_EXPIRY, REPLICA_ANNOUNCEMENT_DELAY
 from ..common.worker_registry import READY, WorkerRegistry
-from ..policy.figures import LIMIT
+from ..policy_base.parameters import CAPACITY_LIMIT
 from .key_leases import AGAIN, RENEW_PART
 
 MOST = 8  # readers of one record; each costs a call each third of a lease and one for each effect
@@ -47,7 +47,7 @@
     """Readers of a record that is asked for at this rate, where one worker can do so much (requests a
     second).
     """
-    return min(max(math.ceil(rate / (LIMIT * ability)) - 1, 0), MOST) if ability > 0 else 0
+    return min(max(math.ceil(rate / (CAPACITY_LIMIT * ability)) - 1, 0), MOST) if ability > 0 else 0
 
 
 class ReadReplicas:
--- a/bramblewood/ledger/memory.py
+++ b/bramblewood/ledger/memory.py
@@ -4,12 +4,13 @@
 over all lives of its module.
 """
 
-from collections.abc import Iterable, Mapping
+from collections.abc import Iterable
 from typing import NamedTuple
 
 import msgspec
 
 from .. import events
+from ..startup_settings import StartupSettings
 from . import records, rules
 from .records import Admitted, Closed, Doubt, Lines, Record, Withdrawn
 from .rules import Promise
@@ -35,11 +36,11 @@
 
 
 class Memory:
-    def __init__(self, facts: Mapping, keep: float) -> None:
-        self.facts, self.keep = facts, keep
-        self.operations = facts.get("operations", [])
+    def __init__(self, settings: StartupSettings, keep: float) -> None:
+        self.settings, self.keep = settings, keep
+        self.operations = settings.operations
         self.timeout = rules.longest_timeout(self.operations)
-        self.usual = facts.get("usual_retry", events.NO_RETRY)
+        self.usual = events.NO_RETRY if settings.default_retry is None else settings.default_retry
         self.closed: dict[str, Closed] = {}
         self.admitted: dict[tuple[int, int], Admitted] = {}
         self.withdrawn: dict[str, Withdrawn] = {}
@@ -129,7 +130,7 @@
                 f"records were damaged: for {careful - now:.1f} s no further tries of operations with "
                 "effects, and no new use of workers that discovery has not named while others serve"
             )
-        if was.number and rules.outlived(down, self.facts.get("lease")):
+        if was.number and rules.outlived(down, self.settings.lease):
             if self.admitted or self.lines:
                 self.say(f"down for {down:.1f} s: levels and tables remembered are no longer counted on")
             for table, operation in list(self.admitted):
@@ -367,7 +368,7 @@
         parts: dict[str, list[int]] = {}
         for k in order.operations or range(len(self.operations)):
             found = rules.judge_try(
-                self.operations[k]["kind"],
+                self.operations[k].kind,
                 order.level,
                 order.retry,
                 self.stands(order.table, k),
@@ -383,7 +384,7 @@
                 one = events.SetAdmission(order.table, (k,), order.level, order.retry)
                 self.waiting["try", order.table, k] = one, found.until, found.why
                 self.say(
-                    f"{self.operations[k]['name']} at table {order.table} gets no further tries for "
+                    f"{self.operations[k].name} at table {order.table} gets no further tries for "
                     f"{found.until - now:.1f} s: {found.why}"
                 )
             elif found.verdict != "stands":
@@ -408,7 +409,7 @@
             if (
                 was
                 and was.life != self.life.number
-                and (self.operations[k]["kind"] != events.IDEMPOTENT and order.retry > self.usual)
+                and (self.operations[k].kind != events.IDEMPOTENT and order.retry > self.usual)
             ):
                 for number, lines in self.lines.items():
                     if lines.given > was.given:
@@ -472,7 +473,7 @@
                     was = self.admitted.get((table, k))
                     if was and (was.level, was.retry) == (order.level, order.retry) and not was.carried:
                         self.admitted[table, k] = msgspec.structs.replace(was, carried=True)
-                        effects = self.operations[k]["kind"] != events.IDEMPOTENT and order.retry > self.usual
+                        effects = self.operations[k].kind != events.IDEMPOTENT and order.retry > self.usual
                         self.note(
                             "try carried out" if effects else "level",
                             records.admit_key(table, k),
--- a/bramblewood/ledger/rules.py
+++ b/bramblewood/ledger/rules.py
@@ -8,6 +8,7 @@
 from typing import NamedTuple
 
 from .. import events
+from ..startup_settings import Operation
 from .records import Admitted, Closed
 
 LEASE = 5.0  # s down after which the store may have given slices to others, where no fact tells
@@ -74,12 +75,12 @@
     return down > (lease or LEASE)
 
 
-def longest_timeout(operations: Sequence[Mapping]) -> float:
+def longest_timeout(operations: Sequence[Operation]) -> float:
     """s after which no invocation that came before can still take effect."""
-    return max((operation["integration_timeout"] for operation in operations), default=0.0)
+    return max((operation.integration_timeout for operation in operations), default=0.0)
 
 
-def careful_until(damaged: bool, before: float, now: float, operations: Sequence[Mapping]) -> float:
+def careful_until(damaged: bool, before: float, now: float, operations: Sequence[Operation]) -> float:
     """Till when a start is careful: a full timeout after damage; an earlier such time goes on, no longer."""
     until = now + longest_timeout(operations)
     return until if damaged else min(before, until)
--- a/bramblewood/ledger/stage.py
+++ b/bramblewood/ledger/stage.py
@@ -3,10 +3,11 @@
 import time
 import zlib
 from collections import deque
-from collections.abc import Callable, Mapping
+from collections.abc import Callable
 from typing import Any
 
 from .. import events
+from ..startup_settings import StartupSettings
 from ..store.flush import Apart, InLoop
 from ..store.port import Folder
 from ..store.recovery import Refused
@@ -43,7 +44,7 @@
     def __init__(
         self,
         terms: Any,
-        facts: Mapping,
+        settings: StartupSettings,
         seed: str,
         clock: Callable[[], float],
         log: Any,
@@ -60,7 +61,7 @@
                 must_exist=terms.must_exist,
             )
         self.store = store
-        self.memory = Memory(facts, terms.keep)
+        self.memory = Memory(settings, terms.keep)
         self.scheduler = Scheduler(precise, self.work_failed, terms.background)
         self.queue: deque[Held] = deque()  # in the order of their turns
         self.stuck: list[tuple[int, events.SetAdmission]] = []  # further tries past `hold`, by batch
@@ -193,7 +194,7 @@
 
     def safe(self, orders: list[events.Order]) -> list[events.Order]:
         """What may go when the ledger itself has failed: all but tries of operations with effects."""
-        kinds = [operation["kind"] for operation in self.memory.operations]
+        kinds = [operation.kind for operation in self.memory.operations]
         return [
             order
             for order in orders
--- a/bramblewood/net/program/charter.py
+++ b/bramblewood/net/program/charter.py
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple
 
 from ...events import NO_RETRY
-from ...startup_settings import FACTS, facts_of
+from ...startup_settings import SOURCES, StartupSettings, parse_settings
 from ..transport.connection import Address
 
 FEWEST = 32  # descriptors below which a manager can't work: its own streams, a few collectors and probes
@@ -27,7 +27,7 @@
     peers: list[Address]
     everyone: Address | None
     known: dict
-    facts: dict
+    facts: StartupSettings
 
 
 def address(text: Any, key: str) -> Address:
@@ -71,14 +71,14 @@
     return check({**{key: value for key, value in told.items() if value}, **found})
 
 
-def in_range(facts: Mapping) -> None:
+def in_range(settings: StartupSettings) -> None:
     """No figure below 0, and none of 0 where it parts others."""
-    for ours, section, key, _ in FACTS:
-        value, least = facts.get(ours, 1), "more than 0" if ours == "cycle" else "0 or more"
-        if isinstance(value, (int, float)) and (value < 0 or ours == "cycle" and not value):
+    for name, section, key, _ in SOURCES:
+        value, least = getattr(settings, name), "more than 0" if name == "cycle" else "0 or more"
+        if isinstance(value, (int, float)) and (value < 0 or name == "cycle" and not value):
             raise Faulty(f"settings.{section and section + '.'}{key}: expected {least}")
-    for k, operation in enumerate(facts["operations"]):
-        if operation["latency_objective"] <= 0 or operation["billed_value"] < 0:
+    for k, operation in enumerate(settings.operations):
+        if operation.latency_objective <= 0 or operation.billed_value < 0:
             raise Faulty(f"settings.classes.{k}: expected an objective above 0 and no figure below 0")
 
 
@@ -91,11 +91,12 @@
         raise Faulty(f"limits.sockets: expected {FEWEST} or more, found {descriptors}")
     peer_listen, everyone = found.get("peer_listen"), found.get("peers_all")
     try:
-        facts = facts_of(of_type(found, "settings", dict))
+        settings = parse_settings(of_type(found, "settings", dict))
     except ValueError as problem:
         raise Faulty(f"settings.{problem}") from None
-    in_range(facts)
-    facts.setdefault("usual_retry", NO_RETRY)
+    in_range(settings)
+    if settings.default_retry is None:
+        settings.default_retry = NO_RETRY
     return Charter(
         of_type(found, "name", str, "manager"),
         address(found.get("listen"), "listen"),
@@ -107,5 +108,5 @@
         [address(peer, f"peers.{k}") for k, peer in enumerate(peers)],
         address(everyone, "peers_all") if everyone else None,
         of_type(found, "known", dict, {}),
-        facts,
+        settings,
     )
--- a/bramblewood/net/program/service.py
+++ b/bramblewood/net/program/service.py
@@ -62,13 +62,13 @@
         self.starts, self.stopping, self.hung_up = 0, False, False  # hung_up: asked to read anew
         notices, tell = Notices(self.log, self.loop.now), self.inbox_tell
         self.notices = notices
-        facts = charter.facts
-        operations = [operation["name"] for operation in facts["operations"]]
+        settings = charter.facts
+        operations = [operation.name for operation in settings.operations]
         self.discovery = Discovery(self.loop, charter.discovery, notices, DISCOVERY_SILENCE, tell=tell)
         self.collectors = Collectors(
             notices,
             tell,
-            Scope(facts.get("zones", ()), operations, facts.get("slices", 0), self.discovery.held),
+            Scope(settings.zones, operations, settings.slices, self.discovery.held),
         )
         self.calls = Calls(
             self.loop, charter.relay, operations, notices, tell, self.carried, lambda: self.news.again()
@@ -78,7 +78,7 @@
         )
         self.stages: list[turn_stages.Stage] = []
         self.turned_at, self.wakers = self.loop.now(), {}  # wakers: descriptors of stages that wake the loop
-        self.probes = Probes(self.loop, self.worker_address, bool(facts["load_fields"]), notices, tell)
+        self.probes = Probes(self.loop, self.worker_address, bool(settings.load_fields), notices, tell)
         self.peers = None
         if charter.peer_listen:
             self.peers = at(
@@ -89,7 +89,7 @@
                     charter.peer_listen,
                     charter.peers,
                     charter.everyone,
-                    facts.get("manager", 0),
+                    settings.manager,
                     notices,
                     tell,
                 ),
@@ -107,7 +107,7 @@
         )
 
         try:
-            self.stages = turn_stages.begin(bylaws, facts, charter.seed, self.loop.now, self.log)
+            self.stages = turn_stages.begin(bylaws, settings, charter.seed, self.loop.now, self.log)
         except Exception as problem:  # whatever the folder or its files raise: nothing was begun
             self.listener.close()
             raise Faulty(f"store.folder: {bylaws.store.folder}: {problem}") from None
@@ -130,9 +130,7 @@
             never_away = event.slice in self.news.leveled or self.calls.unsettled(event.slice)
             self.calls.given_anew(event.slice)
             if event.assigned and never_away:  # a slice comes with the usual levels; this one may have others
-                self.calls.give(
-                    [events.SetAdmission(event.slice, (), 1.0, self.charter.facts["usual_retry"])]
-                )
+                self.calls.give([events.SetAdmission(event.slice, (), 1.0, self.charter.facts.default_retry)])
         self.inbox.append(event)
 
     def worker_address(self, worker: str):
@@ -149,7 +147,7 @@
             self.log.warning("known list not usable", why=str(problem))
         for stage in self.stages:
             self.inbox += stage.begin()
-        if not self.charter.facts.get("must_ask_for_list"):
+        if not self.charter.facts.must_request_list:
             self.discovery.start()
         self.news.start()
         self.loop.after(READY_WITHIN, self.use)
--- a/bramblewood/net/protocol/words.py
+++ b/bramblewood/net/protocol/words.py
@@ -3,15 +3,15 @@
 from typing import Any
 
 from ... import events
-from ...startup_settings import LOAD_WORDS as SETTINGS_WORDS
+from ...startup_settings import LOAD_FIELDS as SETTINGS_LOAD_FIELDS
 from ...startup_settings import MS
 
 MOST = 1e15  # a figure above is a fault: as a time it is ages, and as a whole number soon no float
 UNKNOWN = 16  # unknown names kept for the log; a stranger may send new ones without end
 STATES = {"up": events.READY, "draining": events.DRAINING, "removed": events.DEREGISTERED}
 # the page's words for load, and the settings' own, which the collectors were seen to send
-LOAD_WORDS = {
-    **SETTINGS_WORDS,
+LOAD_FIELDS = {
+    **SETTINGS_LOAD_FIELDS,
     "util": ("utilization", 1.0),
     "queue": ("queued", 1.0),
     "inflight": ("in_flight", 1.0),
@@ -61,8 +61,8 @@
     if not isinstance(pairs, dict | None):
         raise Skipped(f"load is {pairs!r:.40}")
     for name in pairs or ():
-        if name in LOAD_WORDS:
-            ours, unit = LOAD_WORDS[name]
+        if name in LOAD_FIELDS:
+            ours, unit = LOAD_FIELDS[name]
             load[ours] = number(pairs, name) * unit
         else:
             odd.append(name[:40])
--- /dev/null
+++ b/bramblewood/policy/load_accounting.py
@@ -0,0 +1,115 @@
+"""Loads in units of heat, capacities, and who is the least loaded of the workers that can take a slice."""
+
+from collections import Counter, deque
+
+from ..policy_base import parameters
+from ..policy_base.averages import mean
+
+
+class LoadAccounting:
+    """The accounts that both kinds of moves go by."""
+
+    def __init__(self, manager):
+        self.manager = manager
+        self.loads, self.own_loads = Counter(), Counter()  # heat by worker: of all managers' slices, of ours
+        self.standby_counts, self.over_limit_cycles, self.by_primary = Counter(), Counter(), {}
+        self.recent_moves, self.answered_rates = deque(), deque(maxlen=parameters.REPORTS_AVERAGED)
+        self.own_heat = self.total_heat = self.total_load = self.median_load = self.strained_count = 0.0
+        self.total_weight, self.full_load, self.typical_heat = 1.0, 1.0, 1.0
+        self.blocked = set()  # workers that stay excluded until old routes to them are gone
+
+    def update_loads(self):
+        """Loads in heat: reported loads scaled to add up to the heat of all slices, recent moves included."""
+        manager, slices = self.manager, self.manager.own_slices()
+        ready = manager.ready_workers()
+        known_heat = [slice.estimate() for slice in slices if slice.estimates]
+        self.typical_heat = mean(known_heat) or self.typical_heat
+        self.own_loads, self.by_primary = Counter(), {}
+        for slice in slices:
+            self.own_loads[slice.primary] += slice.estimate()
+            self.by_primary.setdefault(slice.primary, []).append(slice)
+        self.own_heat = sum(slice.estimate() for slice in slices)
+        self.total_heat = self.own_heat * max(manager.settings.slices, len(slices)) / max(len(slices), 1)
+        self.total_weight = sum(worker.weight for worker in ready) or 1.0
+        usual_load = min(max(self.median_load, parameters.WORKING_POINT), parameters.MAX_LOAD_FACTOR)
+        self.full_load = usual_load * sum(worker.weight * worker.warmth() for worker in ready) or 1.0
+        self.total_load = sum(mean(worker.loads) * worker.weight for worker in ready)
+        scale = self.total_heat / (self.total_load or 1.0)
+        workers = manager.workers.values()
+        self.loads = Counter({worker: scale * worker.weight * mean(worker.loads) for worker in workers})
+        self.add_recent_moves()
+
+    def add_recent_moves(self):
+        """Add moves that the averaged reports don't show yet, by the share of reports from before them."""
+        now, lag, averaged = self.manager.now, parameters.REPORT_LAG, parameters.REPORTS_AVERAGED
+        while self.recent_moves and self.recent_moves[0][0] < now - lag - averaged:
+            self.recent_moves.popleft()
+        for moved_at, source, target, heat in self.recent_moves:
+            unseen = min(1 - (now - moved_at - lag) / averaged, 1.0)
+            for worker, sign in ((source, -1), (target, 1)):
+                self.loads[worker] = max(self.loads[worker] + sign * heat * unseen, 0.0)
+
+    def capacity(self, worker):
+        """The design's stand-in: the worker's weight share of all load, over the paper's working point."""
+        return worker.weight / self.total_weight * self.total_heat / parameters.WORKING_POINT
+
+    def can_take(self, worker, heat):
+        """Guards slow start: one slice a cycle, and no more than this manager's part of a common budget."""
+        if worker.is_warm:
+            return True
+        waited = worker.last_slice_at <= self.manager.now - 0.9 * self.manager.settings.cycle
+        fits = self.own_loads[worker] + heat <= self.slow_start_budget(worker)
+        return not worker.retries_cut and waited and fits
+
+    def sure_capacity(self, worker):
+        """Heat that a worker surely can do now: its share by warmth of what is answered, retries left out."""
+        answered = mean([rate for rate in self.answered_rates if rate])
+        answered = answered * self.total_heat / (self.own_heat or 1.0)  # of all managers
+        return worker.warmth() * worker.weight * min(answered, self.total_heat) / self.full_load
+
+    def slow_start_budget(self, worker):
+        """Heat of this manager's slices that a warming worker may get; better known from utilization."""
+        known = self.manager.utilization_known and self.total_load
+        headroom = self.full_load / self.total_load if known else 1.0
+        return self.sure_capacity(worker) * headroom * parameters.WARMING_SHARE / self.manager.manager_count
+
+    def relative_load(self, worker):
+        """Load by listed weight, by which workers are ranked."""
+        return self.loads[worker] / worker.weight
+
+    def least_loaded(self, heat, excluded, must=False):
+        """The least loaded worker that can take this heat; where one must, rather ejected than warming."""
+        ready = [w for w in self.manager.ready_workers() if w is not excluded and w not in self.blocked]
+        able = [w for w in ready if w.usable and self.can_take(w, heat)]
+        if must and not able:
+            warm = self.manager.now - self.manager.settings.slow_start_window
+            able = [w for w in ready if w.started <= warm] or ready
+            able = [w for w in able if w.usable] or able
+        return min(able, key=lambda w: (self.relative_load(w) + heat / w.weight, w.name), default=None)
+
+    def move(self, slice, target, urgent):
+        """Move a slice's primary route to another worker, and account for it."""
+        heat, source = slice.estimate(), slice.primary
+        self.own_loads[source] -= heat
+        self.own_loads[target] += heat
+        self.loads[source] = max(self.loads[source] - heat, 0.0)
+        heat *= self.manager.manager_count if urgent else 1  # the others likely send as much the same way
+        self.loads[target] += heat
+        self.recent_moves.append((self.manager.now, source, target, heat))
+        target.last_slice_at = self.manager.now
+        known = sum(rate > 0 for rate in self.answered_rates) >= parameters.REPORTS_HELD
+        if urgent and known:  # a start knows nothing to cut ahead by
+            expected_load = self.loads[target] / (self.sure_capacity(target) or 1.0)
+            self.manager.schedule(target.cut_ahead, expected_load)
+        keeps = slice.standby and slice.standby is not target and slice.standby.usable
+        standby = slice.standby if keeps else self.choose_standby(target)
+        self.manager.schedule(slice.assign_workers, target, standby, urgent)
+
+    def choose_standby(self, primary):
+        """A warm worker for the standby route, of another zone if possible; None on single-owner sites."""
+        allowed = not self.manager.settings.single_owner
+        able = [w for w in self.manager.usable_workers() if allowed and w is not primary and w.is_warm]
+        able.sort(key=lambda w: (w.zone == primary.zone, self.standby_counts[w] / w.weight, w.name))
+        standby = able[0] if able else None
+        self.standby_counts[standby] += 1
+        return standby
--- a/bramblewood/policy/manager.py
+++ b/bramblewood/policy/manager.py
@@ -1,137 +1,116 @@
 """A manager's decisions: which worker serves which slice, which orders go out and when.
 
-Called so: one Manager(seed, facts) at a start, facts being a plain map; then handle(now, events) gives the
-orders to send, in turn. Words: events.py; the design: docs/design.md. Pure: no input, output or clock.
+One Manager(seed, settings) at a start; then handle(now, events) answers each batch of events with orders. The
+types: events.py, startup_settings.py; the design: docs/design.md. Pure: no input, output or clock.
 """
 
 import zlib
-from collections import deque
 
-from .. import events
-from .figures import LONG_AGO, TURN, mean, sound, usual
-from .ordinary import Ordinary
+from ..events import READY, SetTimer
+from ..policy_base import parameters
+from ..policy_base.averages import mean, median
+from ..policy_base.dispatch import Dispatcher
+from .failover import Failover
 from .publishing import Publisher
-from .roster import Roster
+from .rebalancing import Rebalancing
 from .slices import Slice
-from .urgent import Urgent
+from .worker_list import WorkerListSubscription
 from .workers import Worker
 
-FORGET = 60          # cycles without a report after which the gone are forgotten; the cut off return sooner
 
-
-class Planner(Ordinary, Urgent):
+class Planner(Rebalancing, Failover):
     """The design's rule, and the urgent moves around it."""
 
     def cycle(self):
-        # ids are new all day
-        manager, named = self.manager, {w for piece in self.manager.ours() for w in piece.stored}
-        manager.workers = {name: w for name, w in manager.workers.items()
-                           if w.state != events.DEREGISTERED or w in named or w.silent < FORGET}
-        for piece in manager.ours():
-            piece.cycle()
-        self.answered.append(sum(w.good for w in manager.workers.values()) / manager.facts.get("cycle", 1.0))
-        self.judge()
-        self.common = usual(mean(w.latest) for w in manager.workers.values() if w.latest)
+        """Once a cycle: end it for slices and workers, then eject, prepare and rebalance."""
+        manager = self.manager
+        self.forget_workers()
+        for slice in manager.own_slices():
+            slice.end_cycle()
+        answered = sum(worker.answered for worker in manager.workers.values())
+        self.answered_rates.append(answered / manager.settings.cycle)
+        self.eject_failing()
+        self.median_load = median(mean(w.new_loads) for w in manager.workers.values() if w.new_loads)
+        others_share = self.median_load * (1 - 1 / manager.manager_count)
         for worker in manager.workers.values():
-            worker.cycle(self.common, self.common * (1 - 1 / manager.managers) * worker.ramp())
-        self.strained, before = len([w for w in manager.usable() if w.cut]), self.strained
-        if self.strained != before:
-            manager.log(f"{self.strained} workers strained: tries, then levels cut")
-        self.books()
-        self.surge()
-        self.rule()
-
-
-class Manager:
-    def __init__(self, seed, facts):
-        self.seed, self.facts, self.counter, self.now = seed, facts, 0, 0.0
-        self.post, self.orders, self.workers, self.slices, self.proxies = deque(), [], {}, {}, {}
-        self.roster, self.planner, self.publisher = Roster(self), Planner(self), Publisher(self)
-        self.managers, self.turn_at, self.cycle_at = max(facts.get("managers", 1), 1), None, LONG_AGO
-        operations = facts.get("operations", [])
-        self.objective = min((o["latency_objective"] for o in operations), default=1.0)
-        self.tells_busy = "utilization" in facts.get("load_fields", ())
-        self.by_value = sorted(range(len(operations)), key=lambda k: operations[k]["billed_value"])
-
-    def chance(self):
-        self.counter += 1
-        return zlib.crc32(f"{self.seed}:{self.counter}".encode()) / 2 ** 32
+            worker.end_cycle(self.median_load, others_share * worker.warmth())
+        before = self.strained_count
+        self.strained_count = len([worker for worker in manager.usable_workers() if worker.retries_cut])
+        if self.strained_count != before:
+            manager.log(f"{self.strained_count} workers strained: tries, then levels cut")
+        self.update_loads()
+        self.prepare_for_surge()
+        self.rebalance()
+
+    def forget_workers(self):
+        """Forget those long deregistered: ids are new all day, and one that was cut off returns sooner."""
+        named = {worker for slice in self.manager.own_slices() for worker in slice.routes}
+        self.manager.workers = {
+            name: worker
+            for name, worker in self.manager.workers.items()
+            if worker in named or worker.may_return()
+        }
+
+
+class Manager(Dispatcher):
+    """One manager: its parts, and the turns in which they act."""
+
+    def __init__(self, seed, settings):
+        super().__init__()
+        self.seed, self.settings, self.random_count = seed, settings, 0
+        self.worker_list, self.planner = WorkerListSubscription(self), Planner(self)
+        self.publisher = Publisher(self)
+        self.manager_count = max(settings.managers, 1)
+        self.next_turn_at, self.next_cycle_at = None, parameters.LONG_AGO
+        self.restored_until = parameters.LONG_AGO  # until then earlier exclusions may hold
+        operations = settings.operations
+        self.latency_objective = min((o.latency_objective for o in operations), default=1.0)
+        self.utilization_known = "utilization" in settings.load_fields
+        self.operations_by_value = sorted(range(len(operations)), key=lambda k: operations[k].billed_value)
+
+    def handle(self, now, batch):
+        """Take in a batch of events, in order, and return the orders that follow from it."""
+        self.now, self.orders = now, []
+        if self.next_turn_at is None:
+            first = parameters.TURN_INTERVAL * self.random_fraction()
+            self.next_turn_at, self.restored_until = now + first, now + parameters.FORGET_AFTER
+            self.orders.append(SetTimer(self.next_turn_at - now, "turn"))
+        self.accept(batch)
+        if turn := now >= self.next_turn_at:
+            self.next_turn_at = now + parameters.TURN_INTERVAL
+            self.orders.append(SetTimer(parameters.TURN_INTERVAL, "turn"))
+            self.schedule(self.worker_list.turn)
+            if now >= self.next_cycle_at:
+                self.next_cycle_at = now + self.settings.cycle - parameters.TURN_INTERVAL / 2
+                self.schedule(self.planner.cycle)
+            self.run()
+        self.schedule(self.planner.reassign_unserved)
+        self.run()
+        self.schedule(self.publisher.flush, turn)
+        self.run()
+        return self.orders
 
     def worker(self, name):
-        """The worker of this name; one that no list has named, only the store, counts as gone."""
+        """The worker of this name; one that no list has named, only the store, counts as deregistered."""
         return self.workers.get(name) or self.workers.setdefault(name, Worker(self, name))
 
-    def log(self, text):
-        self.orders.append(events.Log(text))
+    def slice(self, number):
+        """The slice of this number, new where it was never assigned."""
+        return self.slices.get(number) or self.slices.setdefault(number, Slice(self, number))
 
-    def ready(self):
-        return [worker for worker in self.workers.values() if worker.state == events.READY]
-
-    def usable(self):
-        return [worker for worker in self.workers.values() if worker.usable]
+    def random_fraction(self):
+        """A number of the seeded sequence, from 0 to 1."""
+        self.random_count += 1
+        return zlib.crc32(f"{self.seed}:{self.random_count}".encode()) / 2**32
 
-    def ours(self):
-        return [piece for piece in self.slices.values() if piece.ours]
+    def ready_workers(self):
+        """Workers that are listed ready, ejected ones too."""
+        return [worker for worker in self.workers.values() if worker.state == READY]
 
-    def handle(self, now, batch):
-        self.now, self.orders = now, []
-        if self.turn_at is None:
-            self.turn_at, self.sure_from = now + TURN * self.chance(), now + FORGET
-            self.orders.append(events.SetTimer(self.turn_at - now, "turn"))
-        for event in batch:
-            self.admit(event)
-            self.run()
-        if turn := now >= self.turn_at:
-            self.turn_at = now + TURN
-            self.orders.append(events.SetTimer(TURN, "turn"))
-            self.roster.tell("turn")
-            if now >= self.cycle_at:
-                self.cycle_at = now + self.facts.get("cycle", 1.0) - TURN / 2
-                self.planner.tell("cycle")
-            self.run()
-        for part, *note in ((self.planner, "settle"), (self.publisher, "flush", turn)):
-            part.tell(*note)
-            self.run()
-        return self.orders
+    def usable_workers(self):
+        """Workers that are listed ready and not ejected."""
+        return [worker for worker in self.workers.values() if worker.usable]
 
-    def run(self):  # the loop that empties the inboxes
-        while self.post:
-            part = self.post.popleft()
-            note, what = part.inbox.popleft()
-            getattr(part, note)(*what)
-
-    def admit(self, event):
-        """The door: ids become objects; what is unknown, unsound or no longer held is let fall."""
-        worker = self.workers.get(getattr(event, "worker", None))
-        piece = self.slices.get(getattr(event, "slice", None))
-        match event:
-            case events.WorkersListed():
-                self.roster.tell("listed", event)
-            case events.WorkerListFailed():
-                self.roster.tell("failed")
-            case events.WorkerReported(_, _, tries, bad, time, over) if (
-                    worker and sound(tries, bad, time, over)):
-                worker.tell("heard", event)
-            case events.SliceHeatReported() if (
-                    piece and piece.ours and sound(event.invocations, event.interval)):
-                piece.tell("heat", event)
-            case events.MessageAcknowledged():
-                self.publisher.tell("answered", event)
-            case events.ProxyJoined():
-                if event.proxy in self.proxies:  # told anew: nobody listened, and answers may be lost
-                    self.publisher.gap_at = self.now
-                self.proxies[event.proxy] = event.zone
-                self.publisher.tell("renew")
-            case events.ProxyLeft():
-                self.proxies.pop(event.proxy, None)
-                self.publisher.tell("left", event.proxy)
-            case events.SliceAssigned():
-                piece = self.slices.setdefault(event.slice, piece or Slice(self, event.slice))
-                piece.tell("given", event.assigned)
-            case events.ExclusionRestored():
-                self.publisher.open.setdefault(event.worker)
-            case events.EjectionRestored() if worker and sound(event.until, event.ejections):
-                worker.doubted_until = worker.trusted = event.until
-                worker.ejections = event.ejections
-            case events.RouteStored() if piece and piece.ours and sound(event.weight) and event.weight > 0:
-                piece.tell("held", self.worker(event.worker), event.weight)
+    def own_slices(self):
+        """Slices that are assigned to this manager."""
+        return [slice for slice in self.slices.values() if slice.assigned]
--- a/bramblewood/policy/publishing.py
+++ b/bramblewood/policy/publishing.py
@@ -1,107 +1,115 @@
-"""Publishing: urgent tables at once, a tenth of the others each turn."""
+"""Publishing: urgent tables at once, a tenth of the others each turn, within what the channel can take."""
 
 import math
-from collections import deque
 
-from .. import events
-from .figures import LONG_AGO, TURN, UNSEEN, Part
+from ..events import ALL_SLICES, READY, RETRY_UNSTARTED, ExcludeWorker, RequestAcknowledgement, SetAdmission
+from ..policy_base import parameters
+from ..policy_base.sent_messages import MessageDraft, SentMessages
+from .slices import Slice
 
-TENTH = 10           # turns in which ordinary tables go out; the design page
-WAITING_PART = 0.6   # part used of the lines that may wait; the rest is for what answers do not tell
-MESSAGES_PART = 0.8  # part of the messages allowed which is used; the rest is for what still travels
-LAPSE = 120.0        # s after which an unanswered message no longer waits; channels were seen 40 s behind
-KEPT_OFF = 1000      # workers remembered as withdrawn; ids may come again long after, and for ever would grow
 
-
-class Publisher(Part):
-    """Urgent tables at once, a tenth of the others each turn, only changes, never too much at once."""
+class Publisher:
+    """Sends urgent tables at once, a tenth of the others each turn: only changes, never too many."""
 
     def __init__(self, manager):
-        super().__init__(manager)
-        self.urgent, self.others, self.sent, self.number, self.rules_due = {}, {}, deque(), 0, False
-        self.open, self.gap_at = {}, LONG_AGO  # by name of the withdrawn: False, or None if some may not know
-
-    def changed(self, piece, urgent):
-        urgent = urgent or piece in self.urgent
-        (self.others if urgent else self.urgent).pop(piece, None)
-        (self.urgent if urgent else self.others)[piece] = None
+        self.manager = manager
+        self.urgent, self.ordinary = {}, {}  # slices whose tables wait, in order
+        self.sent, self.defaults_due = SentMessages(), False
+        self.excluded = {}  # by name of an excluded worker: whether all proxies were told
 
-    def answered(self, event):  # messages leave in order: all before one that is answered have left
-        for place, message in enumerate(self.sent):
-            if message["number"] == event.number:
-                message["awaited"].discard(event.proxy)
-                for earlier in range(place):
-                    self.sent[earlier]["awaited"].clear()
+    def enqueue(self, slice, urgent):
+        """Queue a slice's table; one that is urgent already stays so."""
+        urgent = urgent or slice in self.urgent
+        (self.ordinary if urgent else self.urgent).pop(slice, None)
+        (self.urgent if urgent else self.ordinary)[slice] = None
 
     def renew(self):
-        self.rules_due = True  # a slice given has lost its levels, and a proxy joined the withdrawals
-        self.open = dict.fromkeys(self.open)
-        self.others |= {p: None for p in self.manager.ours() if self.open and p not in self.urgent}
+        """A proxy joined, or a slice was assigned: it has default rules, and may know no exclusion."""
+        self.defaults_due = True
+        self.excluded = dict.fromkeys(self.excluded, False)
+        own = [slice for slice in self.manager.own_slices() if slice not in self.urgent]
+        self.ordinary |= dict.fromkeys(own if self.excluded else ())
+
+    def is_excluded(self, worker):
+        """Whether all proxies were told to keep away from a worker that is draining or gone."""
+        return worker.state != READY and self.excluded.get(worker.name, False)
 
-    def off(self, worker):  # whether all proxies are told to keep off a closed one
-        return worker.state != events.READY and self.open.get(worker.name) is False
+    def is_rate_limited(self):
+        """Whether the number of messages allowed forbids another one now."""
+        allowed, span = self.manager.settings.max_messages, self.manager.settings.messages_window
+        interval = span / (allowed * parameters.MESSAGES_SHARE) if allowed else 0.0
+        many = len(self.sent.messages) * interval >= span
+        return bool(interval) and (many or self.manager.now < self.sent.last_sent_at() + interval)
 
-    def left(self, proxy):
-        for message in self.sent:
-            message["awaited"].discard(proxy)
+    def line_limit(self):
+        """Lines that may wait in the channel, so that a drain still gets through in time."""
+        settings = self.manager.settings
+        rate, most = settings.lines_per_second, settings.max_waiting_lines
+        spare = settings.drain_grace - settings.longest_delay
+        return min(parameters.WAITING_SHARE * most, rate * max(spare, parameters.TURN_INTERVAL) / 2 or most)
+
+    def next_slices(self, turn):
+        """The slices to publish, in order: all urgent ones, in a turn a tenth of the others."""
+        slices = sorted(self.urgent, key=Slice.publishing_priority)
+        if turn:
+            slices += list(self.ordinary)[: math.ceil(len(self.ordinary) / parameters.TURNS_TO_PUBLISH)]
+        return slices
 
     def flush(self, turn):
-        facts, now, proxies = self.manager.facts, self.manager.now, len(self.manager.proxies)
-        span, allowed = facts.get("messages_span", LAPSE), facts.get("messages_allowed", 0)
-        for message in self.sent:
-            if message["at"] < max(min(self.gap_at, (now + self.gap_at) / 2 - UNSEEN), now - LAPSE):
-                message["awaited"].clear()
-            message["until"] = now if message["awaited"] else message["until"]
-        while self.sent and not self.sent[0]["awaited"] and self.sent[0]["until"] < now - span:
-            self.sent.popleft()
-        pace = span / (allowed * MESSAGES_PART) if allowed else 0.0
-        if pace and self.sent and (len(self.sent) * pace >= span or now < self.sent[-1]["at"] + pace):
+        """Send what the channel can take: exclusions, a route each, then tables as far as they fit."""
+        self.sent.expire(self.manager.now, self.manager.settings.messages_window)
+        if self.is_rate_limited():
             return
-        usual = [events.SetAdmission(events.ALL_SLICES, (), 1.0, events.RETRY_UNSTARTED)] * (
-            facts.get("usual_retry") != events.RETRY_UNSTARTED)  # where the proxies' own way differs
-        head = facts.get("message_head", 0) + 1 + len(usual) * len(self.manager.by_value)
-        standing = usual if self.rules_due and self.manager.ours() else []
-        rate, most = facts.get("lines_per_second", 0.0), facts.get("most_waiting", 1e9)
-        spare = facts.get("drain_grace", math.inf) - facts.get("longest_delay", 0.0)
-        waits = sum(m["lines"] * len(m["awaited"]) / m["proxies"] for m in self.sent if m["awaited"])
-        waits = max(waits - rate * facts.get("message_delay", 0.0), 0.0)  # the rest travels already
-        room = min(WAITING_PART * most, rate * max(spare, TURN) / 2 or most)  # a drain must still get through
-        cold = {p for p in self.urgent if p.leaves_cold()}  # it falls over within seconds
-        queue = sorted(self.urgent, key=lambda p: (not p.bare(), not p.closed(), p not in cold,
-                                                   p.main in p.stored))
-        if turn:
-            queue += list(self.others)[:math.ceil(len(self.others) / TENTH)]
-        fit = (room + (most - room) / 3 - waits) // (proxies or 1) - head - len(standing)  # all may never fit
-        shut = list({w: 0 for p in queue for w in p.closed()})[:max(int(fit), 0)]
-        haste = self.urgent if any(p.closed() or p.stored.get(p.main) != 1.0 for p in self.urgent) else ()
-        orders = [*standing, *(events.ExcludeWorker(w.name, True) for w in shut)]
-        lines = (head + len(orders)) * proxies
-        soon = self.sent and now < self.sent[-1]["at"] + TURN * (1 + (waits > 0))  # heads fill a channel
-        if soon and not shut and not cold or lines + waits > room + (most - room) / 3 * bool(shut):
+        settings, now, proxies = self.manager.settings, self.manager.now, len(self.manager.proxies)
+        defaults = [SetAdmission(ALL_SLICES, (), 1.0, RETRY_UNSTARTED)]
+        defaults *= settings.default_retry != RETRY_UNSTARTED  # only where the proxies' own way differs
+        header = settings.message_header + 1 + len(defaults) * len(self.manager.operations_by_value)
+        defaults = defaults if self.defaults_due and self.manager.own_slices() else []
+        travelling = settings.lines_per_second * settings.message_delay
+        waiting, limit = max(self.sent.waiting_lines() - travelling, 0.0), self.line_limit()
+        urgent_limit = limit + (settings.max_waiting_lines - limit) / 3
+        from_warming = any(s.leaves_warming_worker() for s in self.urgent)  # one falls over within seconds
+        slices = self.next_slices(turn)
+        hasty = any(s.closed_workers() or s.routes.get(s.primary) != 1.0 for s in self.urgent)
+        fitting = (urgent_limit - waiting) // (proxies or 1) - header - len(defaults)  # all may never fit
+        closed = list(dict.fromkeys(w for s in slices for w in s.closed_workers()))[: max(int(fitting), 0)]
+        orders = [*defaults, *(ExcludeWorker(worker.name, True) for worker in closed)]
+        draft = MessageDraft(orders, header, proxies, waiting)
+        too_soon = now < self.sent.last_sent_at() + parameters.TURN_INTERVAL * (1 + (waiting > 0))
+        if too_soon and not closed and not from_warming:  # headers fill a channel
+            return
+        if not draft.fits(urgent_limit if closed else limit):
             return
-        self.rules_due = self.rules_due and not standing
-        told = {**self.open, **{w.name: False for w in shut}}  # guards drains: a line each, before all tables
-        self.open = dict(list(told.items())[-KEPT_OFF:])
-        for piece in queue:
-            wanted, rules, changes = piece.changes(piece in haste) if piece.ours else ({}, None, [])
-            back = [w for w in wanted if w.usable and w.name in self.open]
-            let = [w for w in back if w not in self.manager.planner.stale]  # old lines of it go before
-            changes += [events.ExcludeWorker(w.name, False) for w in let]
-            if lines + len(changes) * proxies + waits > room:
-                break
-            for worker in let:
-                del self.open[worker.name]
-            self.urgent.pop(piece, None)
-            self.others.pop(piece, None)
-            if back != let or piece.standby and piece.standby not in wanted:
-                self.urgent[piece] = None
-            elif set(wanted) - {piece.main, piece.standby}:
-                self.others[piece] = None
+        self.defaults_due = self.defaults_due and not defaults
+        excluded = {**self.excluded, **{worker.name: True for worker in closed}}
+        self.excluded = dict(list(excluded.items())[-parameters.MAX_EXCLUDED :])
+        self.add_tables(draft, slices, hasty, limit)
+        if draft.orders:
+            number = self.sent.add(now, draft.lines, set(self.manager.proxies))
+            self.manager.orders += [*draft.orders, RequestAcknowledgement(number)]
+
+    def add_tables(self, draft, slices, hasty, limit):
+        """Add the changes of tables in order, as far as they fit; where it is hasty, what is urgent first."""
+        for slice in slices:
+            urgent = hasty and slice in self.urgent
+            wanted, admission, changes = slice.changes(urgent) if slice.assigned else ({}, None, [])
+            returning = [worker for worker in wanted if worker.usable and worker.name in self.excluded]
+            readmitted = [worker for worker in returning if worker not in self.manager.planner.blocked]
+            changes += [ExcludeWorker(w.name, False) for w in readmitted]  # after its route: fewer are told
+            if not draft.fits(limit, len(changes)):
+                return
+            self.requeue(slice, wanted, returning, readmitted)
             if changes:
-                orders, lines = orders + changes, lines + len(changes) * proxies
-                piece.tell("sent", wanted, rules)
-        if orders:
-            self.number = (self.number + 1) % 65536
-            self.sent.append({"number": self.number, "lines": lines, "at": now, "until": now,
-                              "proxies": proxies, "awaited": set(self.manager.proxies)})
-            self.manager.orders += orders + [events.RequestAcknowledgement(self.number)]
+                draft.add(changes)
+                self.manager.schedule(slice.set_published, wanted, admission)
+
+    def requeue(self, slice, wanted, returning, readmitted):
+        """Take a slice that goes out off the queue, or queue it again where its table is not complete."""
+        for worker in readmitted:
+            del self.excluded[worker.name]
+        self.urgent.pop(slice, None)
+        self.ordinary.pop(slice, None)
+        if returning != readmitted or slice.standby and slice.standby not in wanted:
+            self.urgent[slice] = None
+        elif set(wanted) - {slice.primary, slice.standby}:
+            self.ordinary[slice] = None
--- a/bramblewood/policy/slices.py
+++ b/bramblewood/policy/slices.py
@@ -1,84 +1,90 @@
-"""Slices: heat with the design's trend, the lines a table should have, and the way there."""
-
-from collections import deque
-
-from .. import events
-from .figures import HELD, LONG_AGO, REPORTS, STALE, TURN, Part, mean
-
-TREND = (0.5, 2.0)   # bounds of the trend factor; the design page
-STANDBY = 0.01       # weight of a slice's second line; enough to retry at, too little to be a move
-OVERFLOW = 0.4       # weight of a second line while the first worker is strained and the second is not
-
-
-class Slice(Part):
-    """A slice: its heat, the lines its table should have, and the lines that the store holds."""
-
-    def __init__(self, manager, number):
-        super().__init__(manager)
-        self.number, self.ours = number, False
-        self.main = self.standby = self.rules = None  # rules: what the store's table lets in, or None
-        self.stored, self.latest, self.fresh = {}, {}, False
-        self.estimates, self.before = deque(maxlen=REPORTS), None
-        self.rests_until, self.moves = LONG_AGO, 0  # of ordinary moves
-
-    def given(self, ours):
-        self.ours, self.stored, self.main, self.standby, self.rules = ours, {}, None, None, None
-        self.manager.publisher.tell("renew")
-
-    def sent(self, stored, rules):
-        self.stored, self.rules = stored, rules
-
-    def held(self, worker, weight):  # the heaviest line is the slice's server
-        self.stored[worker] = weight
-        self.main, self.standby, *_ = [*sorted(self.stored, key=lambda w: -self.stored[w]), None]
-
-    def heat(self, report):
-        over = max(report.interval, TURN)  # where sums are capped they span seconds, and come as seldom
-        self.latest[report.operation] = (report.invocations / over, self.manager.now + STALE * over)
-        self.fresh = True
-
-    def cycle(self):
-        """One report of heat, with the design's trend: heat now x (1 + growth), the factor held in bounds."""
-        now = sum(rate for rate, until in self.latest.values() if until > self.manager.now)
-        if self.fresh or not now:
-            trend = now / self.before if self.before else 1.0  # nothing before: no trend
-            self.estimates.append(now * min(max(trend, TREND[0]), TREND[1]))
-            self.before, self.fresh = now, False
-
-    def estimate(self):  # with no report yet it counts as an average one, or all go to one
-        return mean(self.estimates) if self.estimates else self.manager.planner.typical
-
-    def go(self, main, standby, urgent):
-        self.main, self.standby = main, standby
-        self.manager.publisher.tell("changed", self, urgent)
-
-    def closed(self):
-        return [w for w in self.stored if w.state != events.READY and not self.manager.publisher.off(w)]
-
-    def bare(self):
-        return not any(w.usable for w in self.stored)
-
-    def leaves_cold(self):  # its traffic still goes to a cold worker that is not to keep it
-        return any(part == 1.0 and w is not self.main and w.usable and w.ramp() < 1.0
-                   for w, part in self.stored.items())
+"""Slices: heat with the design's trend, the routes that a table should have, and the way there."""
+
+from ..events import READY, RETRY_UNSTARTED, SetAdmission, SetRoute
+from ..policy_base import parameters
+from ..policy_base.averages import mean
+from ..policy_base.state import SliceState
+
+
+class Slice(SliceState):
+    """A slice's estimates of heat, and the changes that its table needs."""
+
+    def set_assigned(self, assigned):
+        """The store assigned the slice or took it away: nothing is known of its table."""
+        self.assigned, self.routes = assigned, {}
+        self.primary = self.standby = self.admission = None
+        self.manager.schedule(self.manager.publisher.renew)
+
+    def set_published(self, routes, admission):
+        """The orders to this table went out."""
+        self.routes, self.admission = routes, admission
+
+    def end_cycle(self):
+        """One estimate of heat with the design's trend: heat now x (1 + growth), the factor in bounds."""
+        heat = sum(rate for rate, valid_until in self.latest.values() if valid_until > self.manager.now)
+        if self.has_new_heat or not heat:
+            trend = heat / self.previous_heat if self.previous_heat else 1.0  # nothing before: no trend
+            lowest, highest = parameters.TREND_BOUNDS
+            self.estimates.append(heat * min(max(trend, lowest), highest))
+            self.previous_heat, self.has_new_heat = heat, False
+
+    def estimate(self):
+        """The heat averaged over the last reports; an average slice's before the first one."""
+        return mean(self.estimates) if self.estimates else self.manager.planner.typical_heat
+
+    def assign_workers(self, primary, standby, urgent):
+        """Name the workers that are to serve the slice, and queue its table."""
+        self.primary, self.standby = primary, standby
+        self.manager.schedule(self.manager.publisher.enqueue, self, urgent)
+
+    def closed_workers(self):
+        """Workers with a route that are draining or gone, and that not all proxies know to be excluded."""
+        is_excluded = self.manager.publisher.is_excluded
+        return [worker for worker in self.routes if worker.state != READY and not is_excluded(worker)]
+
+    def is_unserved(self):
+        """Whether no route leads to a usable worker."""
+        return not any(worker.usable for worker in self.routes)
+
+    def leaves_warming_worker(self):
+        """Whether its traffic still goes to a worker in slow start that is not to keep it."""
+        return any(
+            weight == 1.0 and worker is not self.primary and worker.usable and not worker.is_warm
+            for worker, weight in self.routes.items()
+        )
+
+    def publishing_priority(self):
+        """The order in which urgent tables go: unserved, closed and warming workers first, new primaries."""
+        closed, warming = self.closed_workers(), self.leaves_warming_worker()
+        return not self.is_unserved(), not closed, not warming, self.primary in self.routes
+
+    def standby_weight(self):
+        """The weight of the standby route: more for a strained primary where proxies pick the less loaded."""
+        primary, standby = self.primary, self.standby
+        spare = standby and standby.usable and not standby.retries_cut and standby.is_warm
+        if not (spare and primary and primary.retries_cut and self.manager.settings.pick == "pair"):
+            return parameters.STANDBY_WEIGHT
+        reports = parameters.REPORTS_HELD if primary.report_gap > 1 else parameters.REPORTS_AVERAGED
+        return parameters.OVERFLOW_WEIGHT if primary.is_over_limit(reports) else parameters.STANDBY_WEIGHT
 
     def changes(self, urgent):
-        """To the wanted table, new lines first; in haste a bare one's first alone, withdrawn ones wait."""
-        main, standby = self.main, self.standby
-        if urgent and self.stored and self.bare() and main and main.usable:
-            return {**self.stored, main: 1.0}, self.rules, [events.SetRoute(self.number, main.name, 1.0)]
-        spare = standby and standby.usable and not standby.cut and standby.ramp() >= 1.0
-        spare = spare and main and main.cut and main.full(HELD if main.gap > 1 else REPORTS)
-        second = OVERFLOW if spare and self.manager.facts.get("pick") == "pair" else STANDBY  # else it costs
-        wanted = {w: part for w, part in ((standby, second), (main, 1.0)) if w is not None}
-        orders = [events.SetRoute(self.number, w.name, part) for w, part in wanted.items()
-                  if self.stored.get(w) != part]
-        off = [w for w in self.stored if urgent and self.manager.publisher.off(w)]
-        wanted = {**{w: self.stored[w] for w in off[-2:]}, **wanted}  # more would be told to who joins
-        orders += [events.SetRoute(self.number, w.name, 0) for w in self.stored if w not in wanted]
-        usual = [(1.0, events.RETRY_UNSTARTED)] * len(self.manager.by_value)
-        rules = main.rules() if main else usual
-        changed = [k for k, rule in enumerate(rules) if rule != (self.rules or usual)[k]]
-        orders += [events.SetAdmission(self.number, tuple(k for k in changed if rules[k] == rule), *rule)
-                   for rule in dict.fromkeys(rules[k] for k in changed)]  # equal rules share a line
+        """The routes and admission that the table should have, and the orders that bring it there.
+
+        New routes come first. Where it is urgent, an unserved slice gets its primary route alone, and two
+        routes to excluded workers at most wait.
+        """
+        primary, standby = self.primary, self.standby
+        if urgent and self.routes and self.is_unserved() and primary and primary.usable:
+            return {**self.routes, primary: 1.0}, self.admission, [SetRoute(self.number, primary.name, 1.0)]
+        routes = ((standby, self.standby_weight()), (primary, 1.0))
+        wanted = {worker: weight for worker, weight in routes if worker}
+        orders = [SetRoute(self.number, w.name, n) for w, n in wanted.items() if self.routes.get(w) != n]
+        excluded = [w for w in self.routes if urgent and self.manager.publisher.is_excluded(w)]
+        wanted = {**{w: self.routes[w] for w in excluded[-2:]}, **wanted}
+        orders += [SetRoute(self.number, w.name, 0) for w in self.routes if w not in wanted]
+        default = [(1.0, RETRY_UNSTARTED)] * len(self.manager.operations_by_value)
+        rules = primary.admission_rules() if primary else default
+        changed = [k for k, rule in enumerate(rules) if rule != (self.admission or default)[k]]
+        for rule in dict.fromkeys(rules[k] for k in changed):  # equal rules share an order
+            orders.append(SetAdmission(self.number, tuple(k for k in changed if rules[k] == rule), *rule))
         return wanted, rules, orders
--- a/bramblewood/turn_stages.py
+++ b/bramblewood/turn_stages.py
@@ -4,10 +4,11 @@
 while and passed over with what its `safe` lets through; it can't call another.
 """
 
-from collections.abc import Callable, Mapping
+from collections.abc import Callable
 from typing import Any, Protocol
 
 from . import events
+from .startup_settings import StartupSettings
 
 
 class Stage(Protocol):
@@ -25,11 +26,13 @@
     def end(self) -> None: ...
 
 
-def begin(bylaws: Any, facts: Mapping, seed: str, clock: Callable[[], float], log: Any) -> list[Stage]:
+def begin(
+    bylaws: Any, settings: StartupSettings, seed: str, clock: Callable[[], float], log: Any
+) -> list[Stage]:
     """The stages that the operator's file switches on; raises OSError or a Refused of the store."""
     stages: list[Stage] = []
     if bylaws is not None and bylaws.store:
         from .ledger.stage import Ledger  # what must last is on the disc before it goes out
 
-        stages.append(Ledger(bylaws.store, facts, seed, clock, log))
+        stages.append(Ledger(bylaws.store, settings, seed, clock, log))
     return stages
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -1,6 +1,7 @@
-"""What the tests share: facts, events in short form, a ledger of what the orders amount to, and lines."""
+"""What the tests share: settings, events in short form, a ledger of what the orders amount to, and lines."""
 
 import random
+from dataclasses import replace
 
 from bramblewood import events
 from bramblewood.net.transport.connection import DIAL_TIME, Connection
@@ -8,50 +9,31 @@
 from bramblewood.net.transport.loop import Loop
 from bramblewood.net.transport.notices import Notices
 from bramblewood.policy.manager import Manager
+from bramblewood.startup_settings import Operation, StartupSettings
 
 OPERATIONS = [
-    {
-        "name": "look",
-        "kind": events.IDEMPOTENT,
-        "latency_objective": 1.0,
-        "integration_timeout": 4.0,
-        "billed_value": 1.0,
-    },
-    {
-        "name": "pay",
-        "kind": events.SIDE_EFFECTING,
-        "latency_objective": 1.0,
-        "integration_timeout": 3.0,
-        "billed_value": 5.0,
-    },
-    {
-        "name": "seat",
-        "kind": events.FINGERPRINTED,
-        "latency_objective": 2.0,
-        "integration_timeout": 6.0,
-        "billed_value": 4.0,
-        "group": "pool",
-        "window": 6.0,
-    },
+    Operation("look", events.IDEMPOTENT, 1.0, 4.0, 1.0),
+    Operation("pay", events.SIDE_EFFECTING, 1.0, 3.0, 5.0),
+    Operation("seat", events.FINGERPRINTED, 2.0, 6.0, 4.0, group="pool", window=6.0),
 ]
-FACTS = {
-    "operations": OPERATIONS,
-    "managers": 1,
-    "manager": 0,
-    "slices": 12,
-    "proxies": 4,
-    "cycle": 1.0,
-    "warm_after": 10.0,
-    "cold_from": 0.25,
-    "overload_factor": 3.0,
-    "drain_grace": 3.0,
-    "usual_retry": 0,
-    "most_waiting": 2000,
-    "message_head": 8,
-    "messages_allowed": 20,
-    "messages_span": 10.0,
-    "load_fields": ["utilization"],
-}
+SETTINGS = StartupSettings(
+    operations=OPERATIONS,
+    managers=1,
+    manager=0,
+    slices=12,
+    proxies=4,
+    cycle=1.0,
+    slow_start_window=10.0,
+    slow_start_minimum=0.25,
+    overload_factor=3.0,
+    drain_grace=3.0,
+    default_retry=0,
+    max_waiting_lines=2000,
+    message_header=8,
+    max_messages=20,
+    messages_window=10.0,
+    load_fields=["utilization"],
+)
 
 
 def entry(name, state=events.READY, zone="a", started=None, weight=1.0):
@@ -61,13 +43,13 @@
 class Ledger:
     """Hands a manager its events and keeps the tables, the channel and the messages that its orders make."""
 
-    def __init__(self, workers=4, seed=1, lines_per_second=1000.0, **facts):
-        self.facts = {**FACTS, **facts}
-        self.manager, self.now, self.rate = Manager(seed, self.facts), 100.0, lines_per_second
-        self.tables = {number: {f"w{number % workers}": 1.0} for number in range(self.facts["slices"])}
+    def __init__(self, workers=4, seed=1, lines_per_second=1000.0, **settings):
+        self.settings = replace(SETTINGS, **settings)
+        self.manager, self.now, self.rate = Manager(seed, self.settings), 100.0, lines_per_second
+        self.tables = {number: {f"w{number % workers}": 1.0} for number in range(self.settings.slices)}
         self.timers, self.marks, self.messages, self.orders, self.rules = [], [], [], [], {}
         self.waiting, self.most, self.free_at = [], 0, 0.0  # messages in the channel: (leaves at, lines)
-        self.joined, self.states, self.told = set(range(self.facts["proxies"])), {}, {}
+        self.joined, self.states, self.told = set(range(self.settings.proxies)), {}, {}
         self.started, self.taken = {}, []  # by worker; (when, worker) of each slice that went there
         self.out = set()  # workers that the proxies keep off
         given = [
@@ -128,11 +110,11 @@
                     (self.out.add if out else self.out.discard)(worker)
                 case events.SetAdmission(table, operations, level, retry):
                     lines += 1
-                    for k in operations or range(len(self.facts["operations"])):
+                    for k in operations or range(len(self.settings.operations)):
                         self.rules[table, k] = (level, retry)
         self.waiting = [(at, n) for at, n in self.waiting if at > self.now]
         if lines:
-            cost = (lines + self.facts["message_head"] + 1) * len(self.joined)
+            cost = (lines + self.settings.message_header + 1) * len(self.joined)
             self.free_at = max(self.free_at, self.now) + cost / self.rate
             self.waiting.append((self.free_at, cost))
             self.messages.append(self.now)
@@ -178,29 +160,29 @@
             assert table or not open_workers, f"slice {number} has no line"
             for name, part in table.items():
                 late = self.now - self.told.get(name, self.now)
-                kept = self.states.get(name) == events.READY or late < self.facts["drain_grace"]
+                kept = self.states.get(name) == events.READY or late < self.settings.drain_grace
                 kept = kept or name in self.out
                 assert kept or not open_workers, f"slice {number} names {name}, closed {late:.1f} s ago"
                 back = part == 1.0 and self.states.get(name) == events.READY and late > 9.0
                 assert not (back and name in self.out), f"slice {number} is with {name}, kept out"
-        warm_since = self.now - self.facts["warm_after"]
+        warm_since = self.now - self.settings.slow_start_window
         for name in open_workers:
             lately = sum(worker == name and at > self.now - 0.85 for at, worker in self.taken)
             others = any(self.started[other] <= warm_since for other in open_workers if other != name)
             cold = self.started[name] > warm_since
             assert lately <= 2 or not cold or not others, f"cold {name} took {lately} slices at once"
         for (_, k), (level, retry) in self.rules.items():
-            kind = self.facts["operations"][k]["kind"]
+            kind = self.settings.operations[k].kind
             assert 0 <= level <= 1
             assert kind == events.IDEMPOTENT or retry <= events.RETRY_UNSTARTED
-        assert self.most <= self.facts["most_waiting"]
-        recent = [at for at in self.messages if at > self.now - self.facts["messages_span"]]
-        assert len(recent) <= (self.facts["messages_allowed"] or len(recent))
+        assert self.most <= self.settings.max_waiting_lines
+        recent = [at for at in self.messages if at > self.now - self.settings.messages_window]
+        assert len(recent) <= (self.settings.max_messages or len(recent))
 
 
-def rough_day(seed, steps=120, **facts):
+def rough_day(seed, steps=120, **settings):
     """A random day of lists, failures, joins and reports; the rules are checked after every step."""
-    dice, ledger = random.Random(seed), Ledger(workers=6, seed=seed, **facts)
+    dice, ledger = random.Random(seed), Ledger(workers=6, seed=seed, **settings)
     for _ in range(steps):
         batch = []
         for name in sorted(ledger.states):
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -6,20 +6,25 @@
 import pytest
 
 from bramblewood import events
-from bramblewood.policy.figures import HELD
 from bramblewood.policy.manager import Manager
-from bramblewood.policy.ordinary import BOUND, RESTS
-from bramblewood.policy.slices import OVERFLOW, STANDBY, Slice
+from bramblewood.policy.slices import Slice
+from bramblewood.policy_base.parameters import (
+    FLUCTUATION_BOUND,
+    OVERFLOW_WEIGHT,
+    REPORTS_HELD,
+    REST_TIMES,
+    STANDBY_WEIGHT,
+)
 
-from .helper import FACTS, Ledger, entry
+from .helper import SETTINGS, Ledger, entry
 
 
 def estimates(*rates):
-    piece = Slice(Manager(1, FACTS), 0)
+    slice = Slice(Manager(1, SETTINGS), 0)
     for rate in rates:
-        piece.heat(events.SliceHeatReported(0, "look", rate, 0, 1.0))
-        piece.cycle()
-    return list(piece.estimates)
+        slice.add_heat(events.SliceHeatReported(0, "look", rate, 0, 1.0))
+        slice.end_cycle()
+    return list(slice.estimates)
 
 
 def test_trend_factor_is_held_in_bounds():
@@ -30,11 +35,11 @@
 
 
 def test_heat_is_averaged_over_five_reports():
-    piece = Slice(Manager(1, FACTS), 0)
+    slice = Slice(Manager(1, SETTINGS), 0)
     for _ in range(9):
-        piece.heat(events.SliceHeatReported(0, "look", 4, 0, 1.0))
-        piece.cycle()
-    assert len(piece.estimates) == 5 and piece.estimate() == 4
+        slice.add_heat(events.SliceHeatReported(0, "look", 4, 0, 1.0))
+        slice.end_cycle()
+    assert len(slice.estimates) == 5 and slice.estimate() == 4
 
 
 def test_an_even_load_moves_nothing():
@@ -47,7 +52,7 @@
 def test_the_top_workers_smallest_slice_goes_to_the_least_loaded():
     ledger = Ledger()
     heat = {0: 3, 4: 2, 8: 1, 3: 0.2, 7: 0.2, 11: 0.2}  # w0 is hot, w3 nearly idle
-    ledger.seconds(HELD)
+    ledger.seconds(REPORTS_HELD)
     assert ledger.main(8) == "w0"
     ledger.seconds(8, heat=lambda n: heat.get(n, 1.0))
     assert ledger.main(8) == "w3" and ledger.main(0) == "w0" and ledger.main(4) == "w0"
@@ -56,7 +61,7 @@
 def test_no_move_that_would_overload_the_target():
     ledger = Ledger(workers=2, slices=2)
     ledger.seconds(12, heat=lambda n: (9.0, 3.0)[n])
-    assert BOUND < 3 and ledger.main(0) == "w0"
+    assert FLUCTUATION_BOUND < 3 and ledger.main(0) == "w0"
 
 
 def test_slices_of_a_closed_worker_go_at_once():
@@ -75,7 +80,7 @@
     ledger = Ledger(workers=2)
     ledger.seconds(4)
     for worker in ledger.manager.workers.values():
-        worker.tell("doubt", "a test")
+        ledger.manager.schedule(worker.eject, "a test")
     ledger.manager.run()
     ledger.step(0.1, ledger.list_of([entry("w1", events.DEREGISTERED)]))
     ledger.step(1.0)
@@ -85,7 +90,7 @@
 
 
 def test_ordinary_tables_go_out_a_tenth_each_turn_and_only_changes():
-    ledger = Ledger(slices=40, messages_allowed=0, most_waiting=20000)
+    ledger = Ledger(slices=40, max_messages=0, max_waiting_lines=20000)
     sizes = []
     for _ in range(8):
         orders = ledger.step(0.5)
@@ -93,7 +98,7 @@
     assert 0 < max(sizes) <= 4  # forty standby lines, a tenth each turn
     ledger.seconds(30)
     lines = [o for o in ledger.orders if isinstance(o, events.SetRoute)]
-    assert len(lines) == len(set(lines)) == 40 and all(o.weight == STANDBY for o in lines)
+    assert len(lines) == len(set(lines)) == 40 and all(o.weight == STANDBY_WEIGHT for o in lines)
 
 
 def test_a_new_worker_takes_one_slice_a_cycle_within_its_budget():
@@ -118,18 +123,18 @@
 
 
 def test_a_new_second_line_does_not_keep_a_slice_on_a_worker_that_restarted():
-    ledger = Ledger(workers=5, slices=15, warm_after=30.0)
+    ledger = Ledger(workers=5, slices=15, slow_start_window=30.0)
     ledger.seconds(12)
-    pieces = [ledger.manager.slices[n] for n in ledger.on("w1")]
-    seconds = sorted({piece.standby.name for piece in pieces})
+    slices = [ledger.manager.slices[n] for n in ledger.on("w1")]
+    seconds = sorted({slice.standby.name for slice in slices})
     ledger.step(
         0.1,
         ledger.list_of(
             [entry("w1", started=ledger.now)] + [entry(name, events.DEREGISTERED) for name in seconds]
         ),
     )
-    kept = [piece for piece in pieces if piece.main.name == "w1"]
-    assert len(pieces) == 3 and len(kept) < 3
+    kept = [slice for slice in slices if slice.primary.name == "w1"]
+    assert len(slices) == 3 and len(kept) < 3
 
 
 def test_a_failing_worker_is_emptied_and_taken_back_step_by_step():
@@ -141,7 +146,7 @@
     worker = ledger.manager.workers["w2"]
     assert not worker.usable
     ledger.seconds(6)
-    assert worker.usable and worker.ramp() < 1
+    assert worker.usable and not worker.is_warm
 
 
 def test_a_suspicion_of_most_of_the_fleet_is_not_believed():
@@ -173,7 +178,7 @@
     ledger.seconds(4, heat)
     slow = {"w2": {"attempts": 20, "unanswered": 5, "mean_response_time": 1.5, "load": {"utilization": 1.0}}}
     ledger.seconds(2, heat, heard=slow)
-    assert ledger.manager.workers["w2"].cut and ledger.manager.workers["w2"].usable  # tries go first
+    assert ledger.manager.workers["w2"].retries_cut and ledger.manager.workers["w2"].usable  # tries go first
     jam = {
         "w2": {
             "attempts": 20,
@@ -189,7 +194,7 @@
 def test_a_start_that_knows_nothing_cuts_nothing():
     """Guards a restart: slices of the gone were given out, and all levels cut to an eighth for 10 s."""
     ledger = Ledger(workers=4, slices=24)
-    ledger.manager = Manager(2, ledger.facts)
+    ledger.manager = Manager(2, ledger.settings)
     given = [
         event
         for number in ledger.tables
@@ -203,7 +208,7 @@
         *given,
     )
     ledger.seconds(3, heat=0.3)
-    assert all(w.admitted == [1.0] * 3 for w in ledger.manager.usable()) and not ledger.on("w0")
+    assert all(w.admitted == [1.0] * 3 for w in ledger.manager.usable_workers()) and not ledger.on("w0")
 
 
 def test_retry_orders_never_repeat_what_may_take_effect_twice():
@@ -214,8 +219,8 @@
 
 
 def test_a_list_is_asked_for_again_without_flooding():
-    ledger = Ledger(must_ask_for_list=True, ask_within=10.0)
-    ledger.manager.roster.following = False
+    ledger = Ledger(must_request_list=True, request_list_within=10.0)
+    ledger.manager.worker_list.following = False
     asked = []
     for _ in range(80):  # each call fails, and failures of no call of ours come as well
         if any(isinstance(o, events.WatchWorkerList) for o in ledger.step(0.5, events.WorkerListFailed())):
@@ -231,7 +236,7 @@
 def test_a_crash_is_recovered_from_the_stores_tables():
     ledger = Ledger()
     ledger.seconds(3)
-    fresh = Manager(9, ledger.facts)
+    fresh = Manager(9, ledger.settings)
     items = [entry(f"w{k}", events.DEREGISTERED if k == 1 else events.READY) for k in range(4)]
     batch = [events.WorkersListed(tuple(items), True, True)]
     for number, table in ledger.tables.items():
@@ -284,7 +289,7 @@
 
 
 def test_second_lines_are_spread_over_the_workers():
-    ledger = Ledger(workers=4, slices=24, messages_allowed=0, most_waiting=20000)
+    ledger = Ledger(workers=4, slices=24, max_messages=0, max_waiting_lines=20000)
     ledger.seconds(20)
     seconds = [min(table, key=table.get) for table in ledger.tables.values()]
     assert all(seconds.count(f"w{k}") == 6 for k in range(4))
@@ -297,12 +302,12 @@
 
 
 def test_lines_to_closed_workers_go_before_levels():
-    ledger = Ledger(workers=3, slices=30, most_waiting=600, messages_allowed=0)
+    ledger = Ledger(workers=3, slices=30, max_waiting_lines=600, max_messages=0)
     ledger.seconds(12)
     named = {n for n, table in ledger.tables.items() if "w1" in table}
-    for piece in ledger.manager.slices.values():  # levels of all slices wait to go out
-        piece.rules = [(0.5, events.NO_RETRY)] * 3
-        ledger.manager.publisher.changed(piece, True)
+    for slice in ledger.manager.slices.values():  # levels of all slices wait to go out
+        slice.admission = [(0.5, events.NO_RETRY)] * 3
+        ledger.manager.publisher.enqueue(slice, True)
     orders = ledger.step(0.05, ledger.list_of([entry("w1", events.DEREGISTERED)]))
     sent = {o.table for o in orders if isinstance(o, events.SetRoute | events.SetAdmission)}
     assert sent and sent <= named and len(sent) < 30
@@ -313,10 +318,12 @@
     ledger.seconds(8)
     planner, cold = ledger.manager.planner, ledger.manager.worker("w9")
     ledger.step(0.1, ledger.list_of([entry("w9", started=ledger.now)]))
-    before = planner.sure(cold)
+    before = planner.sure_capacity(cold)
     full = {"attempts": 12, "unanswered": 9, "load": {"utilization": 1.0}}
     ledger.seconds(6, heat=lambda n: 4.0, heard={f"w{k}": full for k in range(4)})
-    assert planner.total > 40 and planner.sure(cold) < 2 * before  # older, but not four times as able
+    assert (
+        planner.total_heat > 40 and planner.sure_capacity(cold) < 2 * before
+    )  # older, but not four times as able
 
 
 def test_a_strained_cold_worker_takes_no_more():
@@ -324,13 +331,13 @@
     ledger.seconds(6)
     ledger.step(0.1, ledger.list_of([entry("w9", started=ledger.now - 2)]))
     cold, planner = ledger.manager.worker("w9"), ledger.manager.planner
-    assert planner.has_room(cold, 0.1)
-    cold.cut = True
-    assert not planner.has_room(cold, 0.1)
+    assert planner.can_take(cold, 0.1)
+    cold.retries_cut = True
+    assert not planner.can_take(cold, 0.1)
 
 
 def test_a_surge_of_all_heat_cuts_levels_before_any_answer_is_slow():
-    ledger = Ledger(messages_allowed=0)
+    ledger = Ledger(max_messages=0)
     ledger.seconds(8, heat=lambda n: 1.5)
     ledger.step(0.5)
     ledger.step(0.5, *[events.SliceHeatReported(n, "look", 80, 0, 20.0) for n in ledger.tables])
@@ -341,18 +348,18 @@
 def test_messages_to_a_proxy_stay_under_the_allowance_however_often_tables_change():
     ledger = Ledger()
     for count in range(300):
-        piece = ledger.manager.slices[count % 12]
-        piece.rules = [
+        slice = ledger.manager.slices[count % 12]
+        slice.admission = [
             (round(0.1 + count % 9 / 10, 1), events.NO_RETRY)
         ] * 3  # a level that must be put right
-        ledger.manager.publisher.changed(piece, True)
+        ledger.manager.publisher.enqueue(slice, True)
         ledger.step(0.1)
         ledger.check()
     assert len(ledger.messages) > 30
 
 
 def test_closed_workers_are_withdrawn_in_a_line_each_and_let_back_with_their_first_line():
-    ledger = Ledger(workers=6, slices=90, most_waiting=400, warm_after=2.0)
+    ledger = Ledger(workers=6, slices=90, max_waiting_lines=400, slow_start_window=2.0)
     ledger.seconds(6)
     ledger.step(0.1, ledger.list_of([entry(f"w{k}", events.DRAINING) for k in range(4)]))
     ledger.seconds(1)
@@ -384,13 +391,13 @@
 def test_a_few_tries_wait_for_more_before_they_count():
     worker = Ledger().manager.worker("w0")
     for count in range(1, 5):
-        worker.heard(events.WorkerReported("w0", "a", 1, 0, 0.9, 1.0, {"utilization": 1.0}))
-        worker.cycle(1.0, 1.0)
-        assert worker.cut == (count >= 4)
+        worker.add_report(events.WorkerReported("w0", "a", 1, 0, 0.9, 1.0, {"utilization": 1.0}))
+        worker.end_cycle(1.0, 1.0)
+        assert worker.retries_cut == (count >= 4)
 
 
 def test_tables_without_an_open_line_leave_before_all_others():
-    ledger = Ledger(workers=6, slices=90, most_waiting=400, lines_per_second=120.0, bare=30.0)
+    ledger = Ledger(workers=6, slices=90, max_waiting_lines=400, lines_per_second=120.0, bare=30.0)
     ledger.seconds(30)
     pairs = {number: set(table) for number, table in ledger.tables.items()}
     gone = sorted(pairs[0])
@@ -406,17 +413,21 @@
     ledger = Ledger(workers=8, slices=64, seed=seed, lines_per_second=1500.0)
     ledger.seconds(20)
     for number in range(0, 64, 8):  # urgent, but nobody falls over
-        ledger.manager.slices[number].tell("go", ledger.manager.workers["w2"], None, True)
+        ledger.manager.schedule(
+            ledger.manager.slices[number].assign_workers, ledger.manager.workers["w2"], None, True
+        )
     ledger.step(0.05)
     sent = ledger.messages[-1]
     assert sent > ledger.now - 0.1
     for number in range(5, 64, 8):
-        ledger.manager.slices[number].tell("go", ledger.manager.workers["w2"], None, True)
+        ledger.manager.schedule(
+            ledger.manager.slices[number].assign_workers, ledger.manager.workers["w2"], None, True
+        )
     ledger.step(0.05, ledger.list_of([entry("w1", started=ledger.now)]))
     left = []
     while not left:
         left = [o.table for o in ledger.step(0.05) if isinstance(o, events.SetRoute) and o.weight == 1.0]
-    leaving = {n for n in range(1, 64, 8) if ledger.manager.slices[n].main.name != "w1"}
+    leaving = {n for n in range(1, 64, 8) if ledger.manager.slices[n].primary.name != "w1"}
     assert leaving and set(left[: min(len(leaving), len(left))]) <= leaving
     assert ledger.now - sent < 0.75
     ledger.check()
@@ -424,7 +435,7 @@
 
 def test_where_many_workers_come_at_once_each_may_take_a_slice_a_cycle():
     for come, most in ((0, 1), (6, 6)):
-        ledger = Ledger(workers=6, slices=60, warm_after=4.0)
+        ledger = Ledger(workers=6, slices=60, slow_start_window=4.0)
         heat = {n: 3.0 if n % 6 < 3 else 0.5 for n in range(60)}  # three of six carry the most
         ledger.seconds(3, heat=heat.get)
         ledger.step(0.1, ledger.list_of([entry(f"x{k}", started=ledger.now) for k in range(come)]))
@@ -442,7 +453,7 @@
 
 def test_a_newcomer_is_none_once_its_load_shows():
     """Guards the price of moves: where all workers are replaced over a day, all counted as new for ever."""
-    ledger = Ledger(workers=6, slices=60, warm_after=4.0)
+    ledger = Ledger(workers=6, slices=60, slow_start_window=4.0)
     ledger.step(0.1, ledger.list_of([entry(f"x{k}", started=ledger.now) for k in range(6)]))
     ledger.seconds(20, heat=0.01)
     heat = {n: 3.0 if n % 6 < 3 else 0.5 for n in range(60)}
@@ -472,7 +483,7 @@
         ledger.check()
     for times in moved.values():
         for k, (at, then) in enumerate(zip(times, times[1:], strict=False)):
-            assert then - at >= min(RESTS[0] * 2**k, RESTS[1]) - 0.01
+            assert then - at >= min(REST_TIMES[0] * 2**k, REST_TIMES[1]) - 0.01
     assert sum(map(len, moved.values())) > 9
 
 
@@ -502,7 +513,7 @@
                 ]
                 ledger.step(0.5, *heat)
     parts = {part for order in ledger.orders if isinstance(order, events.SetRoute) for part in [order.weight]}
-    assert (OVERFLOW in parts) == overflows
+    assert (OVERFLOW_WEIGHT in parts) == overflows
 
 
 def test_a_level_does_not_rise_in_cycles_that_thin_reports_leave_out():
@@ -527,36 +538,43 @@
 
 
 def test_idle_newcomers_do_not_lower_what_others_are_held_to_do():
-    ledger = Ledger(workers=4, warm_after=20.0)
+    ledger = Ledger(workers=4, slow_start_window=20.0)
     ledger.seconds(6)
     planner = ledger.manager.planner
-    before, worker = planner.sure(ledger.manager.workers["w0"]), ledger.manager.workers["w0"]
+    before, worker = planner.sure_capacity(ledger.manager.workers["w0"]), ledger.manager.workers["w0"]
     ledger.step(0.1, ledger.list_of([entry(f"x{k}", started=ledger.now) for k in range(8)]))
     ledger.seconds(2)
-    assert planner.sure(worker) > 0.6 * before  # with their whole weights it would be a third
+    assert planner.sure_capacity(worker) > 0.6 * before  # with their whole weights it would be a third
 
 
 def test_no_slice_goes_to_a_worker_whose_old_lines_keep_it_withdrawn():
-    ledger = Ledger(workers=4, slices=90, most_waiting=400, warm_after=0.0)
+    ledger = Ledger(workers=4, slices=90, max_waiting_lines=400, slow_start_window=0.0)
     ledger.seconds(30)
     for state in (events.DEREGISTERED, events.READY):
         ledger.step(0.1, ledger.list_of([entry("w1", state, started=ledger.now)]))
         ledger.step(1.0)
     worker, planner = ledger.manager.workers["w1"], ledger.manager.planner
-    others = [p for p in ledger.manager.ours() if worker in p.stored and worker not in (p.main, p.standby)]
+    others = [
+        p for p in ledger.manager.own_slices() if worker in p.routes and worker not in (p.primary, p.standby)
+    ]
     planner.loads.clear()
     assert others and "w1" in ledger.out and planner.least_loaded(0.0, None) is not worker
     assert worker is not planner.least_loaded(0.0, None, True)
     ledger.seconds(60)
-    assert "w1" not in ledger.out and not planner.stale
+    assert "w1" not in ledger.out and not planner.blocked
 
 
 def test_many_small_changes_share_a_message():
-    ledger = Ledger(messages_allowed=0)
+    ledger = Ledger(max_messages=0)
     ledger.seconds(4)
     before = len(ledger.messages)
     for k in range(20):
-        ledger.manager.slices[k % 12].tell("go", ledger.manager.workers[f"w{(k + 1) % 4}"], None, True)
+        ledger.manager.schedule(
+            ledger.manager.slices[k % 12].assign_workers,
+            ledger.manager.workers[f"w{(k + 1) % 4}"],
+            None,
+            True,
+        )
         ledger.step(0.1)
     assert 0 < len(ledger.messages) - before <= 5
 
@@ -566,20 +584,20 @@
     for busy in (0.1, 0.7):
         worker = Ledger().manager.worker("w0")
         worker.admitted = [0.1] * 3
-        worker.latest.append(busy)
-        worker.cycle(1.0, 1.0)
+        worker.new_loads.append(busy)
+        worker.end_cycle(1.0, 1.0)
         rises.append(sum(worker.admitted) - 0.3)
     assert 0.2 <= rises[1] < 0.3 < rises[0]
 
 
 def test_answers_that_were_lost_with_the_news_hold_nothing_back():
     """Guards drains: with the answers of one message lost, no withdrawal went out for ten seconds."""
-    ledger = Ledger(workers=4, slices=40, most_waiting=400, lines_per_second=400.0)
+    ledger = Ledger(workers=4, slices=40, max_waiting_lines=400, lines_per_second=400.0)
     ledger.seconds(6)
     ledger.marks.clear()  # the news fall silent
-    for piece in ledger.manager.ours():
-        piece.rules = [(0.5, events.NO_RETRY)] * 3
-        ledger.manager.publisher.changed(piece, True)
+    for slice in ledger.manager.own_slices():
+        slice.admission = [(0.5, events.NO_RETRY)] * 3
+        ledger.manager.publisher.enqueue(slice, True)
     ledger.step(0.5)
     assert ledger.marks
     ledger.marks.clear()
@@ -592,28 +610,28 @@
 @pytest.mark.parametrize("after, held", [(0.5, True), (5.0, False)])
 def test_an_answer_lost_just_before_the_news_are_read_anew_is_waited_for_some_seconds(after, held):
     """Guards the channel, where that message may wait yet, and later all others, which it would hold back."""
-    ledger = Ledger(workers=4, slices=40, most_waiting=400, lines_per_second=400.0)
+    ledger = Ledger(workers=4, slices=40, max_waiting_lines=400, lines_per_second=400.0)
     ledger.seconds(6)
-    for piece in ledger.manager.ours():
-        piece.rules = [(0.5, events.NO_RETRY)] * 3
-        ledger.manager.publisher.changed(piece, True)
+    for slice in ledger.manager.own_slices():
+        slice.admission = [(0.5, events.NO_RETRY)] * 3
+        ledger.manager.publisher.enqueue(slice, True)
     ledger.step(0.5)
-    sent = ledger.manager.publisher.sent[-1]
+    sent = ledger.manager.publisher.sent.messages[-1]
     ledger.marks.clear()
     ledger.step(0.5, *[events.ProxyJoined(p, "a", 5.0) for p in range(4)])
     ledger.step(after)
-    assert bool(sent["awaited"]) == held
+    assert bool(sent.awaited) == held
 
 
 def test_a_channel_far_behind_its_pace_is_not_given_more():
     """Guards the channel's limit: at a tenth of its pace messages wait for half a minute and longer."""
-    ledger = Ledger(workers=4, slices=40, most_waiting=400, lines_per_second=400.0)
+    ledger = Ledger(workers=4, slices=40, max_waiting_lines=400, lines_per_second=400.0)
     ledger.seconds(6)
     ledger.rate, ledger.marks = 0.0001, []
     for second in range(60):
-        for piece in ledger.manager.ours():
-            piece.rules = [(0.5 - second % 2 / 10, events.NO_RETRY)] * 3
-            ledger.manager.publisher.changed(piece, True)
+        for slice in ledger.manager.own_slices():
+            slice.admission = [(0.5 - second % 2 / 10, events.NO_RETRY)] * 3
+            ledger.manager.publisher.enqueue(slice, True)
         ledger.step(1.0)
     ledger.check()
 
@@ -636,7 +654,7 @@
     held = ledger.on("w5")
     assert {min(ledger.tables[n], key=ledger.tables[n].get) for n in held} == {"w4"}
     ledger.step(0.1, ledger.list_of([entry("w5", events.DRAINING)]))
-    mains = [ledger.manager.slices[n].main.name for n in held]
+    mains = [ledger.manager.slices[n].primary.name for n in held]
     assert mains[0] == "w4" and 1 <= mains.count("w4") < len(held)  # the rest to the least loaded
     ledger.seconds(2, heat=0.3)
     ledger.check()
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -5,6 +5,7 @@
 import select
 import signal
 import zlib
+from dataclasses import replace
 
 import pytest
 
@@ -19,7 +20,7 @@
 from bramblewood.store.port import Folder
 from bramblewood.store.store import Store
 
-from .helper import FACTS, OPERATIONS, entry
+from .helper import OPERATIONS, SETTINGS, entry
 from .simulation.simulated_disk import Disc
 
 TERMS = StoreTerms("", "in-loop", False, 0.002, 0.25, 86400.0)
@@ -38,9 +39,12 @@
 class Town:
     """A manager that is killed and started again, discovery and a relay: they hold the truth and judge."""
 
-    def __init__(self, seed, ledger=True, **facts):
+    def __init__(self, seed, ledger=True, **settings):
         self.dice, self.disc, self.now, self.log = random.Random(seed), Disc(), 1000.0, Log()
-        self.facts, self.with_ledger = {**FACTS, "slices": 6, "lease": 30.0, **facts}, ledger
+        self.settings, self.with_ledger = (
+            replace(SETTINGS, **{"slices": 6, "lease": 30.0, **settings}),
+            ledger,
+        )
         self.states = {f"w{k}": entry(f"w{k}", zone="ab"[k % 2]) for k in range(5)}
         self.version, self.told, self.out = 41, {}, {}  # out: told closed to the manager, in some life
         self.known = (41, list(self.states.values()))  # as the configuration was written, long ago
@@ -55,13 +59,13 @@
 
     def start(self):
         self.life += 1
-        self.manager, self.timers, self.marks, batch = Manager(self.life, self.facts), [], [], []
+        self.manager, self.timers, self.marks, batch = Manager(self.life, self.settings), [], [], []
         version, entries = self.known
         batch.append(events.WorkersListed(tuple(entries), True, True, version))
         self.heard_version = version
         if self.with_ledger:
             store = Store(self.disc.port(), self.clock, new_id=lambda: self.disc.dice.randbytes(16))
-            self.stage = Ledger(TERMS, self.facts, str(self.life), self.clock, self.log, store)
+            self.stage = Ledger(TERMS, self.settings, str(self.life), self.clock, self.log, store)
             batch += self.stage.begin()
         batch += [events.ProxyJoined(p, "a", 5.0) for p in range(2)]
         for number, table in self.tables.items():
@@ -120,7 +124,7 @@
 
     def let_in(self, n, k, level, retry):
         old_level, old, life = self.levels[n, k]
-        counts = OPERATIONS[k]["kind"] != events.IDEMPOTENT and self.now < self.past
+        counts = OPERATIONS[k].kind != events.IDEMPOTENT and self.now < self.past
         if counts and retry > 0 and (old_level, old) == (level, retry) and life != self.life:
             self.wrong.append(f"life {self.life}: further try of {k} at {n} ordered again, from life {life}")
         self.levels[n, k] = level, retry, self.life
@@ -184,9 +188,9 @@
     monkeypatch.setattr(plan, "LOG_BYTES", 3000)
 
 
-def lives(seed, ledger=True, steps=240, power=0.5, **facts):
+def lives(seed, ledger=True, steps=240, power=0.5, **settings):
     """A seeded day of drains, returns, slices given anew, kills at any step, discovery often away."""
-    town = Town(seed, ledger, **facts)
+    town = Town(seed, ledger, **settings)
     dice = town.dice
     town.start()
     for _ in range(steps):
@@ -225,8 +229,8 @@
     assert any("told closed" in what for what in wrong) and any("ordered again" in what for what in wrong)
 
 
-def memory(now=1000.0, pairs=(), damaged=(), **facts):
-    found = Memory({**FACTS, **facts}, 86400.0)
+def memory(now=1000.0, pairs=(), damaged=(), **settings):
+    found = Memory(replace(SETTINGS, **settings), 86400.0)
     assert not found.load(pairs)
     return found, found.begin(now, list(damaged))
 
@@ -300,7 +304,7 @@
 
 
 def test_the_module_keeps_a_doubt_and_lets_back_one_withdrawn_by_an_earlier_life():
-    manager = Manager(1, FACTS)
+    manager = Manager(1, SETTINGS)
     manager.handle(
         1000.0,
         [
@@ -312,11 +316,11 @@
             events.RouteStored(0, "b", 1.0),
         ],
     )
-    assert [w.name for w in manager.usable()] == ["b"]
+    assert [w.name for w in manager.usable_workers()] == ["b"]
     orders = []
     for k in range(40):
         orders += manager.handle(1000.0 + k / 4, [events.TimerFired("turn")])
-    assert events.ExcludeWorker("b", False) in orders and len(manager.usable()) == 2
+    assert events.ExcludeWorker("b", False) in orders and len(manager.usable_workers()) == 2
 
 
 def test_marks_of_an_earlier_life_mean_nothing_to_a_new_one():
@@ -344,7 +348,7 @@
     every = events.SetAdmission(events.ALL_SLICES, (), 1.0, events.RETRY_UNSTARTED)
     outcome = found.weigh(1000.0, [every])
     kinds = {
-        OPERATIONS[k]["kind"]
+        OPERATIONS[k].kind
         for o in outcome.free + outcome.strict
         if isinstance(o, events.SetAdmission)
         for k in o.operations
@@ -368,7 +372,7 @@
 def test_a_disc_that_takes_nothing_holds_back_only_what_needs_its_promise():
     """Guards the order of things: tables go, further tries wait, a later order makes a waiting one void."""
     now, disc, log = [1000.0], Disc(), Log()
-    stage = Ledger(TERMS, FACTS, "1", lambda: now[0], log, Store(disc.port(), lambda: now[0]))
+    stage = Ledger(TERMS, SETTINGS, "1", lambda: now[0], log, Store(disc.port(), lambda: now[0]))
     stage.begin()
     disc.refusals["flush"] = lambda: errno.EIO
     tries, line = events.SetAdmission(3, (1,), 1.0, events.RETRY_UNSTARTED), events.SetRoute(3, "a", 1.0)
@@ -415,7 +419,7 @@
     key = dice.choice(sorted(pairs))
     value = bytearray(pairs[key])
     value[dice.randrange(len(value))] ^= 1 << dice.randrange(8)
-    found = Memory(FACTS, 1.0)
+    found = Memory(SETTINGS, 1.0)
     odd = found.load({**pairs, key: bytes(value)}.items())
     assert len(odd) <= 1
     newer = records.ENCODER.encode((records.VERSION + 1, "?"))
@@ -438,7 +442,7 @@
 
     later = deepcopy(town, {id(town.disc): disc, id(town.log): Log()})
     later.known, later.version, later.discovery_up = (41, town.known[1]), town.version, False
-    later.log, later.past = Log(), later.now + max(o["integration_timeout"] for o in OPERATIONS)
+    later.log, later.past = Log(), later.now + max(o.integration_timeout for o in OPERATIONS)
     later.start()
     lost = any(not damage.kept for damage in later.stage.store.damages)
     for k in range(30):
@@ -494,7 +498,7 @@
     """The flushing process stands still: turns go on, tables go after `hold`, tries once it is back."""
     now, folder = [1000.0], Folder(str(tmp_path / "store"))
     flusher = Apart(folder)
-    stage = Ledger(TERMS, FACTS, "1", lambda: now[0], Log(), Store(folder, lambda: now[0], flusher))
+    stage = Ledger(TERMS, SETTINGS, "1", lambda: now[0], Log(), Store(folder, lambda: now[0], flusher))
     stage.begin()
     while stage.store.promised < stage.store.number:
         select.select([stage.waker()], [], [], 5.0)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,8 +3,8 @@
 import pytest
 
 from bramblewood import events
-from bramblewood.policy import publishing
-from bramblewood.policy.manager import FORGET
+from bramblewood.policy_base import parameters
+from bramblewood.policy_base.parameters import FORGET_AFTER
 
 from .helper import Ledger, entry, rough_day
 
@@ -26,7 +26,7 @@
 
 def test_after_hours_of_new_ids_no_more_is_held_than_after_minutes(monkeypatch):
     """Guards memory: workers are replaced by new ids all day, and each was kept for ever."""
-    monkeypatch.setattr(publishing, "KEPT_OFF", 50)
+    monkeypatch.setattr(parameters, "MAX_EXCLUDED", 50)
     ledger, most = Ledger(workers=4, slices=8), 0
     for k in range(4, 400):
         ledger.step(0.0, ledger.list_of([entry(f"w{k}", zone="ab"[k % 2], started=ledger.now)]))
@@ -43,8 +43,22 @@
         planner, publisher = ledger.manager.planner, ledger.manager.publisher
         if k > 60:
             most = max(most, len(ledger.manager.workers))
-    assert most <= 5 + FORGET // 4 + 4 and len(publisher.open) <= 50
-    assert max(map(len, (planner.loads, planner.own, planner.held, planner.moves, publisher.sent))) < 99
+    assert most <= 5 + FORGET_AFTER // 4 + 4 and len(publisher.excluded) <= 50
+    assert (
+        max(
+            map(
+                len,
+                (
+                    planner.loads,
+                    planner.own_loads,
+                    planner.over_limit_cycles,
+                    planner.recent_moves,
+                    publisher.sent.messages,
+                ),
+            )
+        )
+        < 99
+    )
 
 
 def test_one_met_again_after_it_was_forgotten_is_let_back():
@@ -53,7 +67,7 @@
     ledger.step(0.0, ledger.list_of([entry("w0", events.DRAINING)]))
     ledger.seconds(9)
     ledger.step(0.0, ledger.list_of([entry("w0", events.DEREGISTERED)]))
-    ledger.seconds(FORGET + 9)
+    ledger.seconds(FORGET_AFTER + 9)
     assert "w0" in ledger.out and "w0" not in ledger.manager.workers
     ledger.step(0.0, ledger.list_of([entry("w0")]))
     ledger.seconds(60, heat=lambda number: 1.0 + number)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -225,7 +225,7 @@
     told = charter.read({"EDGE_CONFIG": str(path), "EDGE_LISTEN": "127.0.0.9:81"})
     assert told.listen == ("127.0.0.9", 81) and told.relay == ("127.0.0.1", 6400)
     assert (
-        told.facts == startup_settings.facts_of(OPTIONS) and wire.MS == startup_settings.MS
+        told.facts == startup_settings.parse_settings(OPTIONS) and wire.MS == startup_settings.MS
     )  # one translation for both roads
     path.write_text("{")
     for environment in ({}, {"EDGE_CONFIG": str(tmp_path / "none")}, {"EDGE_CONFIG": str(path)}):
@@ -341,7 +341,7 @@
     news, _ = site.accept(site.relay, b"WATCH")
     news.sendall(STANDS)
     site.wait(0.2)
-    assert len(site.service.manager.ours()) == 2
+    assert len(site.service.manager.own_slices()) == 2
     first = site.service.manager
     site.service.news.carried(events.SetAdmission(1, (0,), 0.5, 0))
 
@@ -351,10 +351,10 @@
     monkeypatch.setattr(first, "handle", defect)
     site.wait(program.AGAIN_AFTER + 1.2)
     assert ("the module failed", {}) in site.lines and site.service.manager is not first
-    assert [w.name for w in site.service.manager.ready()] == ["s1", "s2"]
+    assert [w.name for w in site.service.manager.ready_workers()] == ["s1", "s2"]
     news, _ = site.accept(site.relay, b"WATCH")
     news.sendall(STANDS)
-    assert turns(site.edge, lambda: site.service.turn(0) or len(site.service.manager.ours()) == 2)
+    assert turns(site.edge, lambda: site.service.turn(0) or len(site.service.manager.own_slices()) == 2)
     assert any(
         "LIMIT,1,*,1.0," in out.text
         for part in (site.service.calls.waiting, site.service.calls.flight)
@@ -390,7 +390,7 @@
     moved.sendall(HEAD)
     site.wait(0.5)
     assert news.recv(9) == b"" and watching.recv(9) == b""  # the old ones were ended
-    assert not site.service.manager.proxies and len(site.service.manager.ours()) == 2
+    assert not site.service.manager.proxies and len(site.service.manager.own_slices()) == 2
     assert (
         "new configuration taken",
         {"discovery": there[0], "relay": there[1], "at_the_next_start": ["listen", "seed"]},
