--- a/benchmarks/controller_storage.py
+++ b/benchmarks/controller_storage.py
@@ -17,7 +17,7 @@
 
 from bramblewood.controller.proxy_updates import ProxyUpdates
 from bramblewood.controller.storage import NAME, Storage
-from bramblewood.controller.value_diff import difference, patched
+from bramblewood.controller.value_diff import apply_difference, difference
 
 SIZES = (1_000, 10_000, 90_000)  # slices of the table
 SERVICES = 3  # that share them
@@ -40,7 +40,7 @@
     start = list(entries)[at % len(entries)]
     entry = [f"service-0-worker-{at}-life-{at}", *entries[start][1:]]
     made = {**value, "n": value["n"] + 1, "s": {**value["s"], "service-0": {**entries, start: entry}}}
-    return patched(value, difference(value, made))
+    return apply_difference(value, difference(value, made))
 
 
 def middle(call: Callable[[int], None]) -> tuple[float, float]:
--- a/bramblewood/controller/consensus/membership.py
+++ b/bramblewood/controller/consensus/membership.py
@@ -13,14 +13,14 @@
 from result import Err, Ok, Result
 
 from ...common.settings import Tolerance
-from .quorum import Place, bears, enough, first_voters
+from .quorum import FailureDomain, bears, enough, first_voters
 from .replica import CONFIG, TABLE, VoterSet, is_voter, majority
 
-SILENT_PART = 1 / 2  # of CatchUpS without a pulse, after which a voter's seat is given away
-STEADY_PART = 1 / 4  # of CatchUpS with pulses, before an archive may take a seat
+LOST_AFTER_FRACTION = 1 / 2  # of CatchUpS without a pulse, after which a voter's seat is given away
+STEADY_FRACTION = 1 / 4  # of CatchUpS with pulses, before an archive may take a seat
 
 
-class Peer(NamedTuple):
+class PeerStatus(NamedTuple):
     """One archive as it is seen from here; times in s."""
 
     disk: str
@@ -34,7 +34,7 @@
     versions: dict[str, int]  # what it knows to be chosen, by register
 
 
-def votes_in(peer: Peer | None, members: VoterSet, name: str) -> bool:
+def is_active_in(peer: PeerStatus | None, members: VoterSet, name: str) -> bool:
     """Whether it said that it is an active voter of this very epoch, on the disk that this epoch knows."""
     return (
         peer is not None
@@ -44,16 +44,16 @@
     )
 
 
-class Change(NamedTuple):
+class VoterSetChange(NamedTuple):
     voters: dict[str, str]
-    why: str
+    reason: str
 
 
 def replaced(voters: dict[str, str], old: str, new: str, disk: str) -> dict[str, str]:
     return {**{name: kept for name, kept in voters.items() if name != old}, new: disk}
 
 
-def current(peer: Peer, versions: dict[str, int]) -> bool:
+def current(peer: PeerStatus, versions: dict[str, int]) -> bool:
     """Whether it follows what is chosen; not whether it has the newest, as its pulses lag behind."""
     return all(peer.versions.get(name, 0) > 0 or not versions.get(name, 0) for name in (CONFIG, TABLE))
 
@@ -62,27 +62,29 @@
     def __init__(self, tolerance: Tolerance, regions: dict[str, str], catch_up: float) -> None:
         """regions: the region of each zone; catch_up: `CatchUpS` in s."""
         self.tolerance, self.regions = tolerance, regions
-        self.silent, self.steady = catch_up * SILENT_PART, catch_up * STEADY_PART
+        self.lost_after, self.steady_after = catch_up * LOST_AFTER_FRACTION, catch_up * STEADY_FRACTION
 
-    def places(self, peers: dict[str, Peer]) -> dict[str, Place]:
+    def failure_domains(self, peers: dict[str, PeerStatus]) -> dict[str, FailureDomain]:
         return {
-            name: Place(peer.zone, self.regions.get(peer.zone, peer.zone), peer.counted)
+            name: FailureDomain(peer.zone, self.regions.get(peer.zone, peer.zone), peer.counted)
             for name, peer in peers.items()
         }
 
-    def founded(self, seeds: tuple[str, ...], peers: dict[str, Peer], late: bool) -> Change | None:
+    def founding_change(
+        self, seeds: tuple[str, ...], peers: dict[str, PeerStatus], late: bool
+    ) -> VoterSetChange | None:
         """The voters of epoch 1, of those who have shown themselves; None while it is better to wait."""
-        there = {name: peer for name, peer in peers.items() if self.there(peer)}
-        chosen = first_voters(self.places(there), seeds, self.tolerance, late)
-        return Change({name: there[name].disk for name in chosen}, "first boot") if chosen else None
+        there = {name: peer for name, peer in peers.items() if self.is_heard(peer)}
+        chosen = first_voters(self.failure_domains(there), seeds, self.tolerance, late)
+        return VoterSetChange({name: there[name].disk for name in chosen}, "first boot") if chosen else None
 
-    def there(self, peer: Peer | None) -> bool:
+    def is_heard(self, peer: PeerStatus | None) -> bool:
         return peer is not None and peer.steady > 0
 
-    def votes_there(self, peers: dict[str, Peer], members: VoterSet, name: str) -> bool:
-        return self.there(peers.get(name)) and votes_in(peers[name], members, name)
+    def is_active_voter(self, peers: dict[str, PeerStatus], members: VoterSet, name: str) -> bool:
+        return self.is_heard(peers.get(name)) and is_active_in(peers[name], members, name)
 
-    def spares(self, members: VoterSet, peers: dict[str, Peer], versions: dict[str, int]) -> list[str]:
+    def spares(self, members: VoterSet, peers: dict[str, PeerStatus], versions: dict[str, int]) -> list[str]:
         """Archives that may take a seat now."""
         voters = members["voters"]
         whoever = not any(peers[name].counted for name in voters if name in peers)
@@ -90,18 +92,20 @@
             name
             for name, peer in peers.items()
             if name not in voters
-            and peer.steady >= self.steady
+            and peer.steady >= self.steady_after
             and not peer.leaving
             and peer.epoch == members["n"]
             and (peer.counted or whoever)
             and current(peer, versions)
         )
 
-    def best(self, voters: dict[str, str], spares: list[str], peers: dict[str, Peer], old: str = "") -> dict:
+    def best_replacement(
+        self, voters: dict[str, str], spares: list[str], peers: dict[str, PeerStatus], old: str = ""
+    ) -> dict:
         """The voters once one of the spares has the seat of `old`, or one of its own: such that the losses to
         be borne leave a majority, and of a zone with few voters.
         """
-        places, stay = self.places(peers), [name for name in voters if name != old]
+        places, stay = self.failure_domains(peers), [name for name in voters if name != old]
         zones = [places[name].zone for name in stay if name in places]
 
         def rank(name: str) -> tuple:
@@ -111,50 +115,56 @@
         new = min(spares, key=rank)
         return replaced(voters, old, new, peers[new].disk)
 
-    def heirs(self, members: VoterSet, peers: dict[str, Peer]) -> list[str]:
+    def successors(self, members: VoterSet, peers: dict[str, PeerStatus]) -> list[str]:
         """Archives that may take a seat now or soon: who leaves waits for them."""
         voters = members["voters"]
-        return [n for n, peer in peers.items() if n not in voters and self.there(peer) and not peer.leaving]
+        return [
+            n for n, peer in peers.items() if n not in voters and self.is_heard(peer) and not peer.leaving
+        ]
 
-    def wanted(self, members: VoterSet, peers: dict[str, Peer], versions: dict[str, int]) -> Change | None:
+    def due_change(
+        self, members: VoterSet, peers: dict[str, PeerStatus], versions: dict[str, int]
+    ) -> VoterSetChange | None:
         """The change that is due. peers: all archives known, this one too; versions: what is chosen."""
         voters, n = members["voters"], members["n"]
         for name, disk in voters.items():
             peer = peers.get(name)
-            if self.there(peer) and peer.disk == disk and not votes_in(peer, members, name):
+            if self.is_heard(peer) and peer.disk == disk and not is_active_in(peer, members, name):
                 return None  # it is about to be active: one change at a time
         for name, disk in voters.items():
             peer = peers.get(name)
-            if not self.there(peer) or peer.disk == disk or peer.epoch != n or peer.leaving:
+            if not self.is_heard(peer) or peer.disk == disk or peer.epoch != n or peer.leaving:
                 continue
             if not disk or current(peer, versions):
-                return Change(replaced(voters, name, name, peer.disk), "other disk" if disk else "disk named")
+                return VoterSetChange(
+                    replaced(voters, name, name, peer.disk), "other disk" if disk else "disk named"
+                )
         spares = self.spares(members, peers, versions)
         if not spares:
             return None
-        for why, due in (("leaves", self.goes), ("silent", self.lost)):
+        for why, due in (("leaves", self.is_leaving), ("silent", self.is_lost)):
             for name in voters:
                 if due(peers.get(name)):
-                    return Change(self.best(voters, spares, peers, name), f"{name} {why}")
+                    return VoterSetChange(self.best_replacement(voters, spares, peers, name), f"{name} {why}")
         if len(voters) < enough(self.tolerance):
-            return Change(self.best(voters, spares, peers), "a seat is free")
+            return VoterSetChange(self.best_replacement(voters, spares, peers), "a seat is free")
         return None
 
-    def goes(self, peer: Peer | None) -> bool:
-        return self.there(peer) and peer.leaving
+    def is_leaving(self, peer: PeerStatus | None) -> bool:
+        return self.is_heard(peer) and peer.leaving
 
-    def lost(self, peer: Peer | None) -> bool:
-        return peer is None or peer.silent > self.silent
+    def is_lost(self, peer: PeerStatus | None) -> bool:
+        return peer is None or peer.silent > self.lost_after
 
-    def margin(self, members: VoterSet, peers: dict[str, Peer]) -> int:
+    def failure_margin(self, members: VoterSet, peers: dict[str, PeerStatus]) -> int:
         """How many more active voters may be lost with a majority left; below 0: there is none."""
         voters = members["voters"]
-        active = [name for name in voters if self.votes_there(peers, members, name)]
+        active = [name for name in voters if self.is_active_voter(peers, members, name)]
         return len(active) - majority(voters)
 
-    def ordered(
-        self, members: VoterSet, peers: dict[str, Peer], versions: dict[str, int], old: str, new: str
-    ) -> Result[Change, str]:
+    def requested_change(
+        self, members: VoterSet, peers: dict[str, PeerStatus], versions: dict[str, int], old: str, new: str
+    ) -> Result[VoterSetChange, str]:
         """An operator's change; old or new may be empty, for an addition or a removal. The voters as they are
         where that is how they stand already: an order may be repeated.
         """
@@ -162,10 +172,10 @@
         if old and old not in peers:
             return Err(f"{old} is not known")
         if (not old or old not in voters) and (not new or new in voters):
-            return Ok(Change(voters, "stands"))
+            return Ok(VoterSetChange(voters, "stands"))
         if old and old not in voters:
             return Err(f"{old} is no voter of epoch {members['n']}")
-        if new and (new in voters or not self.there(peers.get(new))):
+        if new and (new in voters or not self.is_heard(peers.get(new))):
             return Err(f"{new} {'votes already' if new in voters else 'is not heard'}")
         if new and not current(peers[new], versions):
             return Err(f"{new} has not caught up")
@@ -174,12 +184,14 @@
             made[new] = peers[new].disk
         if len(made) < min(len(voters), enough(self.tolerance)):
             return Err(f"{len(made)} voters don't bear what may be lost: replace it, or add one first")
-        active = [name for name in made if self.votes_there(peers, members, name)]
+        active = [name for name in made if self.is_active_voter(peers, members, name)]
         if len(active) + (1 if new else 0) < majority(made):
             return Err("no majority of that set can be heard")
-        return Ok(Change(made, "by hand"))
+        return Ok(VoterSetChange(made, "by hand"))
 
-    def view(self, me: str, members: VoterSet, peers: dict[str, Peer], versions: dict[str, int]) -> dict:
+    def view(
+        self, me: str, members: VoterSet, peers: dict[str, PeerStatus], versions: dict[str, int]
+    ) -> dict:
         """What operators are shown of who votes, as this archive sees it."""
         voters = members["voters"]
 
@@ -202,27 +214,27 @@
             "members": {name: shown(name) for name in sorted(voters)},
             "others": {name: shown(name) for name in sorted(peers.keys() - voters.keys())},
             "tolerance": self.tolerance.losses,
-            "margin": self.margin(members, peers),
+            "margin": self.failure_margin(members, peers),
         }
 
-    def state(self, members: VoterSet, name: str, peer: Peer) -> str:
+    def state(self, members: VoterSet, name: str, peer: PeerStatus) -> str:
         disk = members["voters"].get(name)
-        if not self.there(peer):
-            return "lost" if disk is not None and self.lost(peer) else "silent"
+        if not self.is_heard(peer):
+            return "lost" if disk is not None and self.is_lost(peer) else "silent"
         if peer.leaving:
             return "leaving"
         if disk is None:
             return "spare" if peer.epoch == members["n"] > 0 else "new"
         if not is_voter({name: disk}, name, peer.disk):
             return "other disk"
-        return "voter" if votes_in(peer, members, name) else "joining"
+        return "voter" if is_active_in(peer, members, name) else "joining"
 
 
-def may_leave(
+def may_shut_down(
     me: str,
     disk: str,
     members: VoterSet,
-    peers: dict[str, Peer],
+    peers: dict[str, PeerStatus],
     accepted: dict[str, tuple],
     durable: dict[str, dict[str, tuple]],
     heirs: bool,
@@ -235,7 +247,7 @@
     """
     voters = members["voters"]
     if not is_voter(voters, me, disk):
-        return sum(votes_in(peers.get(name), members, name) for name in voters) >= majority(voters)
+        return sum(is_active_in(peers.get(name), members, name) for name in voters) >= majority(voters)
     if heirs:
         return False
     others = [name for name in voters if name != me]
@@ -243,7 +255,7 @@
         name
         for name in others
         if name in durable
-        and votes_in(peers.get(name), members, name)
+        and is_active_in(peers.get(name), members, name)
         and all(
             tuple(durable[name].get(register, ())) >= proposal_number
             for register, proposal_number in accepted.items()
--- a/bramblewood/controller/consensus/proposer_backoff.py
+++ b/bramblewood/controller/consensus/proposer_backoff.py
@@ -13,7 +13,7 @@
         self.me, self.patience = me, patience
         self.ahead: dict[str, tuple[Any, float]] = {}
 
-    def heard(self, now: float, register: str, proposal_number: Any) -> None:
+    def observe(self, now: float, register: str, proposal_number: Any) -> None:
         """A voter has promised or accepted this ballot. An archive that comes with one ballot after another,
         none of them chosen, gets the way for the first only: it may hear no answers.
         """
@@ -25,9 +25,9 @@
             until = now + self.patience
         self.ahead[register] = (proposal_number, until)
 
-    def chosen(self, register: str, proposal_number: Any) -> None:
+    def round_finished(self, register: str, proposal_number: Any) -> None:
         if register in self.ahead and self.ahead[register][0] <= proposal_number:
             del self.ahead[register]
 
-    def busy(self, now: float, register: str) -> bool:
+    def must_wait(self, now: float, register: str) -> bool:
         return register in self.ahead and now < self.ahead[register][1]
--- a/bramblewood/controller/consensus/quorum.py
+++ b/bramblewood/controller/consensus/quorum.py
@@ -8,7 +8,7 @@
 from ...common.settings import Tolerance
 
 
-class Place(NamedTuple):
+class FailureDomain(NamedTuple):
     """Where an archive stands, and whether its loss is one of those that `Tolerance` bounds."""
 
     zone: str
@@ -16,7 +16,7 @@
     counted: bool
 
 
-def left(voters: Iterable[str], places: dict[str, Place], tolerance: Tolerance) -> int:
+def left(voters: Iterable[str], places: dict[str, FailureDomain], tolerance: Tolerance) -> int:
     """How many of these voters are there after the worst loss that is to be borne."""
     voters = list(voters)
     worst = 0
@@ -29,7 +29,7 @@
     return len(voters) - worst
 
 
-def bears(voters: Iterable[str], places: dict[str, Place], tolerance: Tolerance) -> bool:
+def bears(voters: Iterable[str], places: dict[str, FailureDomain], tolerance: Tolerance) -> bool:
     voters = list(voters)
     return 2 * left(voters, places, tolerance) > len(voters)
 
@@ -40,7 +40,7 @@
 
 
 def first_voters(
-    places: dict[str, Place], seeds: Iterable[str], tolerance: Tolerance, late: bool
+    places: dict[str, FailureDomain], seeds: Iterable[str], tolerance: Tolerance, late: bool
 ) -> tuple[str, ...] | None:
     """The first voters by name, or None where it is better to wait for more to show themselves.
 
--- a/bramblewood/controller/consensus/replica.py
+++ b/bramblewood/controller/consensus/replica.py
@@ -21,14 +21,14 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple, TypedDict
 
-from ..value_diff import difference, patched
+from ..value_diff import apply_difference, difference
 from .proposer_backoff import ProposerBackoff
 
 ProposalNumber = tuple[int, int, str, int]  # epoch, counter, archive, that archive's life; compared in turn
 NO_PROPOSAL: ProposalNumber = (0, 0, "", 0)
-CONFIG, TABLE, MEMBERS = "config", "table", "members"
-REGISTERS = (CONFIG, TABLE)
-ALL = (*REGISTERS, MEMBERS)  # one group of registers: they share their voters and epochs
+CONFIG, TABLE, VOTER_SET = "config", "table", "members"
+DATA_REGISTERS = (CONFIG, TABLE)
+ALL_REGISTERS = (*DATA_REGISTERS, VOTER_SET)  # one group of registers: they share their voters and epochs
 # kinds of messages between archives that belong to this machine
 CONSENSUS_MESSAGE_KINDS = {
     *("prepare", "promise", "accept", "accepted", "refuse", "done", "fetch", "chosen"),
@@ -49,7 +49,7 @@
     before: dict[str, str]
 
 
-NOBODY: VoterSet = {"n": 0, "voters": {}, "before": {}}
+NO_VOTERS: VoterSet = {"n": 0, "voters": {}, "before": {}}
 
 
 def founding_voters(seeds: tuple[str, ...]) -> VoterSet:
@@ -96,13 +96,13 @@
     def __init__(self, facts: dict) -> None:
         self.facts, self.rows = facts, {}
 
-    def take(self, out: Effects) -> tuple[list, dict]:
+    def prepare_write(self, out: Effects) -> tuple[list, dict]:
         """The rows and facts to write for this Out; none at all where it needs no write."""
         self.facts.update(out.facts)
         self.rows |= {row[0]: row for row in out.writes if out.facts or row[0] in self.rows}
         return list(({row[0]: row for row in out.writes} | self.rows).values()), dict(self.facts)
 
-    def safe(self, rows: list, facts: dict) -> None:
+    def mark_durable(self, rows: list, facts: dict) -> None:
         """These have been written."""
         self.facts = {name: kept for name, kept in self.facts.items() if facts.get(name) != kept}
         self.rows = {row[0]: row for row in self.rows.values() if not any(row is one for one in rows)}
@@ -186,58 +186,64 @@
         """
         stored = stored or {}
         self.me, self.disk, self.incarnation, self.count = me, disk, incarnation, 0
-        self.members: VoterSet = members or NOBODY
-        self.held = held
-        self.joining: EpochJoin | None = None
-        self.acceptors = {name: Acceptor(*stored.get(name, ())) for name in ALL}
-        self.durable = {name: a.accepted for name, a in self.acceptors.items()}
-        self.seen = {name: a.promised[1] for name, a in self.acceptors.items()}
-        self.votes: dict[str, dict[str, ProposalNumber]] = {name: {} for name in ALL}
+        self.voter_set: VoterSet = members or NO_VOTERS
+        self.active_epoch = held
+        self.epoch_join: EpochJoin | None = None
+        self.acceptors = {name: Acceptor(*stored.get(name, ())) for name in ALL_REGISTERS}
+        self.durable_accepted = {name: a.accepted for name, a in self.acceptors.items()}
+        self.highest_counters = {name: a.promised[1] for name, a in self.acceptors.items()}
+        self.acceptances: dict[str, dict[str, ProposalNumber]] = {name: {} for name in ALL_REGISTERS}
         # by register, the highest ballot of this epoch that each voter promised or accepted, as heard here
-        self.bound: dict[str, dict[str, ProposalNumber]] = {name: {} for name in ALL}
-        self.learned: dict[str, tuple[ProposalNumber, Any]] = {name: (NO_PROPOSAL, None) for name in ALL}
-        self.ahead_since: dict[str, float] = {}
-        self.rounds: dict[str, list[ProposalRound]] = {name: [] for name in ALL}
-        self.asked_at: dict[str, float] = {}
-        self.contention = ProposerBackoff(me, PATIENCE)
+        self.peer_commitments: dict[str, dict[str, ProposalNumber]] = {name: {} for name in ALL_REGISTERS}
+        self.chosen: dict[str, tuple[ProposalNumber, Any]] = {
+            name: (NO_PROPOSAL, None) for name in ALL_REGISTERS
+        }
+        self.unfinished_since: dict[str, float] = {}
+        self.rounds: dict[str, list[ProposalRound]] = {name: [] for name in ALL_REGISTERS}
+        self.next_fetch_at: dict[str, float] = {}
+        self.backoff = ProposerBackoff(me, PATIENCE)
         # the newest refusal of a ballot of ours, for the log: who, which ballot, what it had promised
-        self.lost_to: tuple[str, ProposalNumber, ProposalNumber] | None = None
+        self.last_rejection: tuple[str, ProposalNumber, ProposalNumber] | None = None
 
     @property
     def epoch(self) -> int:
-        return self.members["n"]
+        return self.voter_set["n"]
 
     @property
     def voters(self) -> dict[str, str]:
-        return self.members["voters"]
+        return self.voter_set["voters"]
 
     @property
-    def member(self) -> bool:
+    def is_member(self) -> bool:
         return is_voter(self.voters, self.me, self.disk)
 
     @property
-    def named(self) -> bool:
+    def holds_seat(self) -> bool:
         """Whether this very disk is a member. To a seat of any disk only one may go on that was active in the
         epoch before: one that came back empty may not.
         """
-        return self.voters.get(self.me) == self.disk or self.member and 0 <= self.held == self.epoch - 1
+        return (
+            self.voters.get(self.me) == self.disk
+            or self.is_member
+            and 0 <= self.active_epoch == self.epoch - 1
+        )
 
     @property
-    def voting(self) -> bool:
+    def is_active_voter(self) -> bool:
         """Whether this is an active voter of its epoch."""
-        return self.member and self.held == self.epoch
+        return self.is_member and self.active_epoch == self.epoch
 
     @property
     def majority(self) -> int:
         return majority(self.voters)
 
-    def chance(self) -> float:
+    def jitter(self) -> float:
         self.count += 1
         return zlib.crc32(f"{self.me}:{self.incarnation}:{self.count}".encode()) / 2**32
 
     def value(self, register: str) -> Any:
         """The newest value known to be chosen, or None."""
-        return self.learned[register][1]
+        return self.chosen[register][1]
 
     def version(self, register: str) -> int:
         value = self.value(register)
@@ -253,26 +259,26 @@
         """
         out = no_effects()
         self.rounds[register].append(ProposalRound(register, change, tag, now + within))
-        self.advance(now, register, out)
+        self.start_next_round(now, register, out)
         return out
 
-    def advance(self, now: float, register: str, out: Effects) -> None:
+    def start_next_round(self, now: float, register: str, out: Effects) -> None:
         waiting = self.rounds[register]
         while waiting and now >= waiting[0].until:
             out.answers.append((waiting.pop(0).tag, None))
-        if not self.voters or self.epoch == 0 and register != MEMBERS:
+        if not self.voters or self.epoch == 0 and register != VOTER_SET:
             return  # nobody to ask yet
         if not waiting or waiting[0].step != "wait" or now < waiting[0].next_at:
             return
-        if not self.contention.busy(now, register):
+        if not self.backoff.must_wait(now, register):
             # all that wait now; of what comes later, the promises to this ballot may know too little. Sets of
             # voters follow each other one at a time
-            waiting[0].carried = waiting[:1] if register == MEMBERS else list(waiting)
-            self.begin(now, waiting[0], out)
+            waiting[0].carried = waiting[:1] if register == VOTER_SET else list(waiting)
+            self.start_round(now, waiting[0], out)
 
-    def begin(self, now: float, round: ProposalRound, out: Effects) -> None:
-        self.seen[round.register] += 1
-        round.proposal_number = (self.epoch, self.seen[round.register], self.me, self.incarnation)
+    def start_round(self, now: float, round: ProposalRound, out: Effects) -> None:
+        self.highest_counters[round.register] += 1
+        round.proposal_number = (self.epoch, self.highest_counters[round.register], self.me, self.incarnation)
         round.step, round.step_until, round.promises, round.accepts = "prepare", now + PATIENCE, {}, set()
         round.tries += 1
         message = {
@@ -283,14 +289,14 @@
         }
         out.sends.extend((peer, message) for peer in self.voters)
 
-    def lost(self, now: float, round: ProposalRound) -> None:
+    def schedule_retry(self, now: float, round: ProposalRound) -> None:
         """The ballot failed; again after a wait that grows and differs between archives."""
         round.step = "wait"
-        round.next_at = now + BACKOFF * (0.5 + self.chance()) * min(round.tries, 6)
+        round.next_at = now + BACKOFF * (0.5 + self.jitter()) * min(round.tries, 6)
 
-    def promised(self, now: float, peer: str, message: dict, out: Effects) -> None:
-        self.note(peer, message["r"], tuple(message["b"]))
-        round, accepted = self.current(message), tuple(message["a"])
+    def on_promise(self, now: float, peer: str, message: dict, out: Effects) -> None:
+        self.record_commitment(peer, message["r"], tuple(message["b"]))
+        round, accepted = self.current_round(message), tuple(message["a"])
         if round is not None and round.step == "accept" and peer not in round.promises:
             round.promises[peer] = (accepted, None)  # later than a majority
             if accepted != round.base:
@@ -312,12 +318,12 @@
             made, one.outcome = one.change(value)
             if made is not None:
                 following = value = made
-        if following is None and (best == NO_PROPOSAL or self.is_chosen(best, round)):
+        if following is None and (best == NO_PROPOSAL or self.is_already_chosen(best, round)):
             if best != NO_PROPOSAL:
                 self.learn(now, round.register, best, stands, out)
             message = {"k": "done", "r": round.register, "b": round.proposal_number}
             out.sends.extend((peer, message) for peer in self.voters if peer != self.me)
-            return self.finish(now, round, out)  # what stands is chosen already: nothing to write
+            return self.finish_round(now, round, out)  # what stands is chosen already: nothing to write
         round.step, round.step_until = "accept", now + PATIENCE
         message = {"k": "accept", "r": round.register, "b": round.proposal_number}
         round.base, round.whole = best, {**message, "v": value}
@@ -326,7 +332,7 @@
             behind = best == NO_PROPOSAL or round.promises.get(peer, (best, None))[0] != best
             out.sends.append((peer, round.whole if behind else round.difference))
 
-    def is_chosen(self, best: ProposalNumber, round: ProposalRound) -> bool:
+    def is_already_chosen(self, best: ProposalNumber, round: ProposalRound) -> bool:
         """Whether a majority has accepted this very ballot; one that was only carried into the epoch proves
         nothing, as those who carried it may not be those who accepted it.
         """
@@ -334,15 +340,15 @@
             proposal_number == best for proposal_number, _ in round.promises.values()
         )
 
-    def finish(self, now: float, round: ProposalRound, out: Effects) -> None:
+    def finish_round(self, now: float, round: ProposalRound, out: Effects) -> None:
         waiting = self.rounds[round.register]
         for one in round.carried:
             if one in waiting:
                 waiting.remove(one)
                 out.answers.append((one.tag, one.outcome))
-        self.advance(now, round.register, out)
+        self.start_next_round(now, round.register, out)
 
-    def current(self, message: dict) -> ProposalRound | None:
+    def current_round(self, message: dict) -> ProposalRound | None:
         """The round that this message answers, if it is still the one under way."""
         proposal_number = tuple(message["b"])
         for round in self.rounds[message["r"]][:1]:
@@ -352,29 +358,29 @@
 
     # --- the voters
 
-    def hear(self, now: float, peer: str, message: dict) -> Effects:
+    def receive(self, now: float, peer: str, message: dict) -> Effects:
         out = no_effects()
-        kind, register = message["k"], message.get("r", MEMBERS)
+        kind, register = message["k"], message.get("r", VOTER_SET)
         if register not in self.acceptors:
             return out
         if kind == "epoch":
-            self.adopt(now, message["m"], out)
+            self.adopt_voter_set(now, message["m"], out)
             return out
         if kind == "join":
-            self.asked(now, peer, message, out)
+            self.on_join_epoch(now, peer, message, out)
             return out
         if kind == "state":
-            self.gathered(now, peer, message, out)
+            self.on_epoch_state(now, peer, message, out)
             return out
         acceptor, proposal_number = self.acceptors[register], tuple(message["b"])
-        self.seen[register] = max(self.seen[register], proposal_number[1])
+        self.highest_counters[register] = max(self.highest_counters[register], proposal_number[1])
         if kind in ("prepare", "accept") and proposal_number[0] < self.epoch:
-            out.sends.append((peer, {"k": "epoch", "m": self.members}))  # its sender slept through a change
+            out.sends.append((peer, {"k": "epoch", "m": self.voter_set}))  # its sender slept through a change
         elif kind in ("promise", "accepted", "refuse") and not is_voter(self.voters, peer, message["disk"]):
             pass
-        elif kind == "prepare" and self.voting and proposal_number[0] == self.epoch:
+        elif kind == "prepare" and self.is_active_voter and proposal_number[0] == self.epoch:
             if acceptor.prepare(proposal_number):
-                self.contention.heard(now, register, proposal_number)
+                self.backoff.observe(now, register, proposal_number)
                 out.writes.append((register, acceptor.promised, acceptor.accepted, acceptor.value))
                 reply = {"k": "promise", "r": register, "b": proposal_number, "disk": self.disk}
                 reply["a"] = acceptor.accepted
@@ -382,78 +388,78 @@
                     reply["v"] = acceptor.value
                 out.sends.append((peer, reply))
             else:
-                self.refuse(peer, register, proposal_number, out)
-        elif kind == "accept" and self.voting and proposal_number[0] == self.epoch:
+                self.reject(peer, register, proposal_number, out)
+        elif kind == "accept" and self.is_active_voter and proposal_number[0] == self.epoch:
             if "base" in message and tuple(message["base"]) != acceptor.accepted:
                 return out  # it stands on a value that we no longer hold; the next try brings it whole
-            value = patched(acceptor.value, message["d"]) if "base" in message else message["v"]
+            value = apply_difference(acceptor.value, message["d"]) if "base" in message else message["v"]
             if acceptor.accept(proposal_number, value):
-                self.contention.heard(now, register, proposal_number)
+                self.backoff.observe(now, register, proposal_number)
                 out.writes.append((register, acceptor.promised, acceptor.accepted, acceptor.value))
                 told = {"k": "accepted", "r": register, "b": proposal_number, "disk": self.disk}
                 out.sends.extend((other, told) for other in sorted({*self.voters, peer}))
             else:
-                self.refuse(peer, register, proposal_number, out)
+                self.reject(peer, register, proposal_number, out)
         elif kind == "promise":
-            self.promised(now, peer, message, out)
+            self.on_promise(now, peer, message, out)
         elif kind == "accepted":
-            self.voted(now, peer, message["disk"], register, proposal_number, out)
+            self.record_acceptance(now, peer, message["disk"], register, proposal_number, out)
         elif kind == "refuse":
-            round = self.current(message)
-            self.seen[register] = max(self.seen[register], message["p"][1])
-            if self.member:  # others don't hear what is chosen
-                self.contention.heard(now, register, tuple(message["p"]))
+            round = self.current_round(message)
+            self.highest_counters[register] = max(self.highest_counters[register], message["p"][1])
+            if self.is_member:  # others don't hear what is chosen
+                self.backoff.observe(now, register, tuple(message["p"]))
             if round is not None and round.step in ("prepare", "accept"):
-                self.lost_to = (peer, round.proposal_number, tuple(message["p"]))
-                self.lost(now, round)
-        elif kind == "fetch" and self.learned[register][0] >= proposal_number:
-            chosen, value = self.learned[register]
+                self.last_rejection = (peer, round.proposal_number, tuple(message["p"]))
+                self.schedule_retry(now, round)
+        elif kind == "fetch" and self.chosen[register][0] >= proposal_number:
+            chosen, value = self.chosen[register]
             out.sends.append((peer, {"k": "chosen", "r": register, "b": chosen, "v": value}))
         elif kind == "done":  # a ballot that had nothing to write
-            self.contention.chosen(register, proposal_number)
-            self.advance(now, register, out)
+            self.backoff.round_finished(register, proposal_number)
+            self.start_next_round(now, register, out)
         elif kind == "chosen":
             self.learn(now, register, proposal_number, message["v"], out)
         return out
 
-    def refuse(self, peer: str, register: str, proposal_number: ProposalNumber, out: Effects) -> None:
+    def reject(self, peer: str, register: str, proposal_number: ProposalNumber, out: Effects) -> None:
         promised = self.acceptors[register].promised
         out.sends.append(
             (peer, {"k": "refuse", "r": register, "b": proposal_number, "p": promised, "disk": self.disk})
         )
 
-    def stored(self, register: str, accepted: ProposalNumber) -> None:
+    def mark_durable(self, register: str, accepted: ProposalNumber) -> None:
         """A write of this register is safe on disk, the newest so far."""
-        self.durable[register] = accepted
+        self.durable_accepted[register] = accepted
 
     # --- the learner
 
-    def voted(
+    def record_acceptance(
         self, now: float, peer: str, disk: str, register: str, proposal_number: ProposalNumber, out: Effects
     ) -> None:
         """A voter has this ballot accepted and safe on its disk."""
-        if not is_voter(self.voters, peer, disk) or proposal_number < self.votes[register].get(
+        if not is_voter(self.voters, peer, disk) or proposal_number < self.acceptances[register].get(
             peer, NO_PROPOSAL
         ):
             return
-        self.votes[register][peer] = proposal_number
-        self.note(peer, register, proposal_number)
+        self.acceptances[register][peer] = proposal_number
+        self.record_commitment(peer, register, proposal_number)
         if proposal_number[0] != self.epoch:
             return  # carried over, or of a set that is not known here yet
         round = next(iter(self.rounds[register]), None)
         if round is not None and round.proposal_number == proposal_number and round.step == "accept":
             round.accepts.add(peer)
             if len(round.accepts) >= self.majority:
-                self.finish(now, round, out)
-        if proposal_number > self.learned[register][0]:
-            same = sum(b == proposal_number for b in self.votes[register].values())
+                self.finish_round(now, round, out)
+        if proposal_number > self.chosen[register][0]:
+            same = sum(b == proposal_number for b in self.acceptances[register].values())
             if same >= self.majority:
                 acceptor = self.acceptors[register]
                 if acceptor.accepted == proposal_number:
                     self.learn(now, register, proposal_number, acceptor.value, out)
-                    self.advance(now, register, out)
-                elif now >= self.asked_at.get(register, 0.0):
-                    self.asked_at[register] = now + PATIENCE
+                    self.start_next_round(now, register, out)
+                elif now >= self.next_fetch_at.get(register, 0.0):
+                    self.next_fetch_at[register] = now + PATIENCE
                     out.sends.append((peer, {"k": "fetch", "r": register, "b": proposal_number}))
 
     def learn(
@@ -463,50 +469,59 @@
         keeps it like the others from now on: nobody would send it again. A set of voters that is chosen is
         followed at once.
         """
-        if proposal_number > self.learned[register][0]:
-            self.learned[register] = (proposal_number, value)
-            self.contention.chosen(register, proposal_number)
+        if proposal_number > self.chosen[register][0]:
+            self.chosen[register] = (proposal_number, value)
+            self.backoff.round_finished(register, proposal_number)
             acceptor = self.acceptors[register]
-            if self.voting and proposal_number[0] == self.epoch and acceptor.accepted < proposal_number:
+            if (
+                self.is_active_voter
+                and proposal_number[0] == self.epoch
+                and acceptor.accepted < proposal_number
+            ):
                 acceptor.keep(proposal_number, value)
                 out.writes.append((register, acceptor.promised, acceptor.accepted, acceptor.value))
-            if register == MEMBERS:
-                self.adopt(now, value, out)
+            if register == VOTER_SET:
+                self.adopt_voter_set(now, value, out)
 
     def tick(self, now: float) -> Effects:
         out = no_effects()
-        for register in ALL:
+        for register in ALL_REGISTERS:
             for round in self.rounds[register][:1]:
                 if round.step in ("prepare", "accept") and now >= round.step_until:
-                    self.lost(now, round)
-            self.advance(now, register, out)
-            self.settle(now, register, out)
-        if self.named and not self.voting:
-            self.join(now, out)
+                    self.schedule_retry(now, round)
+            self.start_next_round(now, register, out)
+            self.complete_unfinished(now, register, out)
+        if self.holds_seat and not self.is_active_voter:
+            self.request_epoch_state(now, out)
         return out
 
-    def settle(self, now: float, register: str, out: Effects) -> None:
+    def complete_unfinished(self, now: float, register: str, out: Effects) -> None:
         """End a round whose proposer may be gone, and choose anew in this epoch what was carried into it."""
-        known, highest = self.learned[register][0], max(self.votes[register].values(), default=NO_PROPOSAL)
-        carried = register != MEMBERS and NO_PROPOSAL < highest and highest[0] < self.epoch
+        known, highest = (
+            self.chosen[register][0],
+            max(self.acceptances[register].values(), default=NO_PROPOSAL),
+        )
+        carried = register != VOTER_SET and NO_PROPOSAL < highest and highest[0] < self.epoch
         if highest <= known and not carried:
-            self.ahead_since.pop(register, None)
-        elif now >= self.ahead_since.setdefault(register, now) + UNSETTLED * (1 + self.chance()):
-            self.ahead_since[register] = now
-            if not self.rounds[register] and self.voting:
+            self.unfinished_since.pop(register, None)
+        elif now >= self.unfinished_since.setdefault(register, now) + UNSETTLED * (1 + self.jitter()):
+            self.unfinished_since[register] = now
+            if not self.rounds[register] and self.is_active_voter:
                 self.rounds[register].append(
                     ProposalRound(register, lambda value: (None, True), "settle", now + 1.0)
                 )
-                self.advance(now, register, out)
+                self.start_next_round(now, register, out)
 
     # --- epochs
 
-    def note(self, peer: str, register: str, proposal_number: ProposalNumber) -> None:
+    def record_commitment(self, peer: str, register: str, proposal_number: ProposalNumber) -> None:
         """This voter has promised or accepted this ballot."""
         if proposal_number[0] == self.epoch:
-            self.bound[register][peer] = max(proposal_number, self.bound[register].get(peer, NO_PROPOSAL))
+            self.peer_commitments[register][peer] = max(
+                proposal_number, self.peer_commitments[register].get(peer, NO_PROPOSAL)
+            )
 
-    def reminded(self, epoch: int, bound: dict[str, ProposalNumber], disk: str) -> Effects:
+    def check_disk_rollback(self, epoch: int, bound: dict[str, ProposalNumber], disk: str) -> Effects:
         """Another archive tells what it has heard this voter promise or accept in its epoch.
 
         Where that is more than is known here, an older state of the disk has come back: what it forgot may
@@ -514,63 +529,63 @@
         like it, as nothing is told before it is on disk.
         """
         out = no_effects()
-        if epoch == self.epoch and self.named:
+        if epoch == self.epoch and self.holds_seat:
             if any(
                 tuple(proposal_number) > self.acceptors[name].promised
                 for name, proposal_number in bound.items()
             ):
-                self.disk, self.held, self.joining = disk, -1, None
-                self.acceptors = {name: Acceptor() for name in ALL}
-                self.durable = dict.fromkeys(ALL, NO_PROPOSAL)
+                self.disk, self.active_epoch, self.epoch_join = disk, -1, None
+                self.acceptors = {name: Acceptor() for name in ALL_REGISTERS}
+                self.durable_accepted = dict.fromkeys(ALL_REGISTERS, NO_PROPOSAL)
                 out.facts.update(disk=disk, held=-1)
         return out
 
-    def adopt(self, now: float, members: VoterSet, out: Effects) -> None:
+    def adopt_voter_set(self, now: float, members: VoterSet, out: Effects) -> None:
         """A newer set of voters is known to be chosen: no ballot of an earlier epoch is answered any more."""
         if members["n"] <= self.epoch:
             return
-        self.members, self.joining = members, EpochJoin()
+        self.voter_set, self.epoch_join = members, EpochJoin()
         out.facts["members"] = members
-        for kept in (*self.votes.values(), *self.bound.values()):
+        for kept in (*self.acceptances.values(), *self.peer_commitments.values()):
             kept.clear()
         for rounds in self.rounds.values():
             for round in rounds[:1]:
                 if round.step != "wait":
                     round.step, round.next_at = "wait", now + PATIENCE / 2  # what it asked for may be chosen
-        if self.named:
-            self.join(now, out)
+        if self.holds_seat:
+            self.request_epoch_state(now, out)
 
-    def join(self, now: float, out: Effects) -> None:
+    def request_epoch_state(self, now: float, out: Effects) -> None:
         """Ask for what this epoch is to hold: the voters of the one before, and those who are active."""
-        joining = self.joining = self.joining or EpochJoin()
-        before = self.members["before"]
-        if self.held == self.epoch - 1 and is_voter(before, self.me, self.disk):
+        joining = self.epoch_join = self.epoch_join or EpochJoin()
+        before = self.voter_set["before"]
+        if self.active_epoch == self.epoch - 1 and is_voter(before, self.me, self.disk):
             held = {name: (a.accepted, a.value) for name, a in self.acceptors.items()}
-            joining.told[self.me] = (self.held, held)
+            joining.told[self.me] = (self.active_epoch, held)
         elif before.get(self.me) == self.disk:
-            joining.told[self.me] = (self.held, {})
-        if joining.told and self.enough(now, out):
+            joining.told[self.me] = (self.active_epoch, {})
+        if joining.told and self.try_activate(now, out):
             return
         if now < joining.next_at:
             return
         joining.wait = min(2 * joining.wait, JOIN_MOST)
         joining.next_at = now + joining.wait
-        have = {name: max(a.accepted, self.learned[name][0]) for name, a in self.acceptors.items()}
-        message = {"k": "join", "m": self.members, "have": have}
+        have = {name: max(a.accepted, self.chosen[name][0]) for name, a in self.acceptors.items()}
+        message = {"k": "join", "m": self.voter_set, "have": have}
         for peer in sorted({*before, *self.voters} - {self.me}):  # who told as sealed may be active by now
             out.sends.append((peer, {**message, "again": True} if peer in joining.told else message))
 
-    def asked(self, now: float, peer: str, message: dict, out: Effects) -> None:
+    def on_join_epoch(self, now: float, peer: str, message: dict, out: Effects) -> None:
         """Somebody joins an epoch: what this disk holds of it, or of the one before, which that seals."""
         epoch = message["m"]["n"]
-        self.adopt(now, message["m"], out)
+        self.adopt_voter_set(now, message["m"], out)
         if self.epoch > epoch:
-            out.sends.append((peer, {"k": "epoch", "m": self.members}))
-        active = self.held == epoch and is_voter(message["m"]["voters"], self.me, self.disk)
+            out.sends.append((peer, {"k": "epoch", "m": self.voter_set}))
+        active = self.active_epoch == epoch and is_voter(message["m"]["voters"], self.me, self.disk)
         before = message["m"]["before"]
-        sealed = self.held == epoch - 1 and is_voter(before, self.me, self.disk)
+        sealed = self.active_epoch == epoch - 1 and is_voter(before, self.me, self.disk)
         # never active in the epoch before, and never to be: it holds nothing of it, and its seal counts
-        unused = self.held < epoch - 1 and before.get(self.me) == self.disk
+        unused = self.active_epoch < epoch - 1 and before.get(self.me) == self.disk
         if not (active or sealed or unused) or self.epoch < epoch or "again" in message and not active:
             return
         registers = {}
@@ -578,16 +593,19 @@
             told = registers[name] = {"a": acceptor.accepted}
             if tuple(message["have"].get(name, NO_PROPOSAL)) != acceptor.accepted:
                 told["v"] = acceptor.value
-        out.facts["members"] = self.members  # the seal itself may still be on its way to the disk
+        out.facts["members"] = self.voter_set  # the seal itself may still be on its way to the disk
         out.sends.append(
-            (peer, {"k": "state", "e": epoch, "held": self.held, "disk": self.disk, "regs": registers})
+            (
+                peer,
+                {"k": "state", "e": epoch, "held": self.active_epoch, "disk": self.disk, "regs": registers},
+            )
         )
 
-    def gathered(self, now: float, peer: str, message: dict, out: Effects) -> None:
-        joining = self.joining
-        if joining is None or message["e"] != self.epoch or not self.named or self.voting:
+    def on_epoch_state(self, now: float, peer: str, message: dict, out: Effects) -> None:
+        joining = self.epoch_join
+        if joining is None or message["e"] != self.epoch or not self.holds_seat or self.is_active_voter:
             return
-        at = self.voters if message["held"] == self.epoch else self.members["before"]
+        at = self.voters if message["held"] == self.epoch else self.voter_set["before"]
         if not is_voter(at, peer, message["disk"]):
             return
         registers = {}
@@ -597,29 +615,29 @@
                 registers[name] = (accepted, told["v"])
             elif accepted == self.acceptors[name].accepted:
                 registers[name] = (accepted, self.acceptors[name].value)
-            elif accepted == self.learned[name][0]:
-                registers[name] = self.learned[name]
+            elif accepted == self.chosen[name][0]:
+                registers[name] = self.chosen[name]
             else:
                 return  # it left out a value that is no longer held here; the next request says so
         joining.told[peer] = (message["held"], registers)
-        self.enough(now, out)
+        self.try_activate(now, out)
 
-    def enough(self, now: float, out: Effects) -> bool:
+    def try_activate(self, now: float, out: Effects) -> bool:
         """Whether what was told holds all that the epoch before has chosen; if so, this voter is active."""
-        told = self.joining.told.values()
-        if not any(held == self.epoch for held, _ in told) and len(told) < majority(self.members["before"]):
+        told = self.epoch_join.told.values()
+        if not any(held == self.epoch for held, _ in told) and len(told) < majority(self.voter_set["before"]):
             return False
         registers = [registers for held, registers in told if held >= self.epoch - 1]
         if not registers:
             return False  # those who chose this epoch were active in the one before: one is missing
         for name, acceptor in self.acceptors.items():
             best, value = max(
-                (*(held[name] for held in registers), self.learned[name]), key=lambda one: one[0]
+                (*(held[name] for held in registers), self.chosen[name]), key=lambda one: one[0]
             )
             acceptor.promised, acceptor.accepted, acceptor.value = best, best, value
             out.writes.append((name, best, best, value))
-        self.held, self.joining = self.epoch, None
-        out.facts.update(members=self.members, held=self.held)
+        self.active_epoch, self.epoch_join = self.epoch, None
+        out.facts.update(members=self.voter_set, held=self.active_epoch)
         return True
 
 
--- a/bramblewood/controller/proxy_updates.py
+++ b/bramblewood/controller/proxy_updates.py
@@ -11,7 +11,7 @@
 from ..common.slice_table import CLOSING
 from .drain_plans import steps_of
 from .outlier_detection import unwell
-from .value_diff import others
+from .value_diff import changed_keys
 
 KEPT = 200  # changes of the table that a difference can be made of
 
@@ -30,7 +30,9 @@
             before = self.table.get(service, {})
             if entries is before:
                 continue
-            if found := [start for start in others(before, entries) if entries[start] != before.get(start)]:
+            if found := [
+                start for start in changed_keys(before, entries) if entries[start] != before.get(start)
+            ]:
                 changes[service] = found
         leaving = {**dict.fromkeys(unwell(value), CLOSING), **steps_of(value)}
         if leaving != self.leaving:
--- a/bramblewood/controller/row_encoding.py
+++ b/bramblewood/controller/row_encoding.py
@@ -11,7 +11,7 @@
 from itertools import islice
 from typing import Any
 
-from .value_diff import DROP, INTO, SET
+from .value_diff import PATCH_KEYS, REMOVE_KEYS, SET
 
 VALUE = "value"
 AT_ONCE = 1000  # rows that are read in one go: far fewer calls than one by one, far less memory than all
@@ -59,9 +59,9 @@
     elif deep == DEPTH:
         yield PUT, path, text(value)
     else:
-        for key in change.get(DROP, ()):
+        for key in change.get(REMOVE_KEYS, ()):
             yield GONE, below(path, key), ""
-        for key, inner in change[INTO].items():
+        for key, inner in change[PATCH_KEYS].items():
             yield from steps(inner, value[key], below(path, key), deep + 1)
 
 
--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -41,15 +41,15 @@
     plan_call,
     succeed,
 )
-from .consensus.membership import Membership, Peer, may_leave
+from .consensus.membership import Membership, PeerStatus, may_shut_down
 from .consensus.replica import (
-    ALL,
+    ALL_REGISTERS,
     CONFIG,
     CONSENSUS_MESSAGE_KINDS,
-    MEMBERS,
+    DATA_REGISTERS,
     NO_PROPOSAL,
-    REGISTERS,
     TABLE,
+    VOTER_SET,
     ConsensusReplica,
     Effects,
     PendingWrites,
@@ -100,8 +100,8 @@
         self.confirms: dict[int, asyncio.Future] = {}  # by round of leaves
         self.configurations: tuple[int, Any] = (0, None)
         self.aims: dict[str, float] = {}
-        self.shown: dict[str, int] = dict.fromkeys(REGISTERS, 0)
-        self.told_of: dict[str, int] = dict.fromkeys(REGISTERS, 0)  # newest versions in the log
+        self.shown: dict[str, int] = dict.fromkeys(DATA_REGISTERS, 0)
+        self.told_of: dict[str, int] = dict.fromkeys(DATA_REGISTERS, 0)  # newest versions in the log
         self.proxy_updates = ProxyUpdates()
         self.homes: dict[str, PeerConnection] = {}  # desks that are pushed to from here
         self.said, self.sayings = "", 0  # what pulses to desks say seldom, and how often it has changed
@@ -151,7 +151,7 @@
             contract=self.settings.contract,
             epoch=self.consensus.epoch,
             voters=sorted(self.consensus.voters),
-            voting=self.consensus.voting,
+            voting=self.consensus.is_active_voter,
         )
         while not self.may_end(loop.time()):
             self.tick(loop.time())
@@ -161,7 +161,7 @@
                     await asyncio.sleep(TICK)
             except TimeoutError:
                 pass
-        self.consensus.held = -1  # no vote is given any more: who holds what has been looked at
+        self.consensus.active_epoch = -1  # no vote is given any more: who holds what has been looked at
         self.log.info("stopped", step="end")
         for server in servers:
             server.close()
@@ -193,18 +193,18 @@
             self.due.facts["archives"] = sorted(self.controllers)
             self.peer_connections.keep(peer, self.settings.inner)
 
-    def peers(self, now: float) -> dict[str, Peer]:
+    def peers(self, now: float) -> dict[str, PeerStatus]:
         """All archives known as the question of who should vote sees them; one that was never heard counts as
         silent since the start.
         """
         consensus = self.consensus
-        unheard = Peer("", "", True, 0, False, False, now - self.started, 0.0, {})
-        mine = Peer(
+        unheard = PeerStatus("", "", True, 0, False, False, now - self.started, 0.0, {})
+        mine = PeerStatus(
             consensus.disk,
             self.settings.zone,
             self.settings.counted,
             consensus.epoch,
-            consensus.voting,
+            consensus.is_active_voter,
             self.leaving.is_set(),
             0.0,
             now - self.started,
@@ -214,25 +214,29 @@
         return {**known, **self.sessions.peers(now), self.me: mine}
 
     def versions(self) -> dict[str, int]:
-        return {register: self.consensus.version(register) for register in REGISTERS}
+        return {register: self.consensus.version(register) for register in DATA_REGISTERS}
 
     def seats(self, now: float) -> None:
         """Propose the change of the set of voters that is due."""
         consensus = self.consensus
-        if self.changing or not consensus.member and consensus.epoch == 0:
+        if self.changing or not consensus.is_member and consensus.epoch == 0:
             return
         change = None
         if consensus.epoch == 0:
             late = now >= self.started + FOUND_WITHIN
-            change = self.membership.founded(self.settings.seed_ips(), self.peers(now), late)
+            change = self.membership.founding_change(self.settings.seed_ips(), self.peers(now), late)
         elif self.sessions.coordinator(now, self.whole(now)) == self.me:
-            change = self.membership.wanted(consensus.members, self.peers(now), self.versions())
+            change = self.membership.due_change(consensus.voter_set, self.peers(now), self.versions())
         if change is not None:
             self.changing = True
             self.log.info(
-                "member change", step="epoch", epoch=consensus.epoch + 1, why=change.why, voters=change.voters
+                "member change",
+                step="epoch",
+                epoch=consensus.epoch + 1,
+                why=change.reason,
+                voters=change.voters,
             )
-            self.propose(MEMBERS, next_voter_set(consensus.members, change.voters), self.changed, 1.0)
+            self.propose(VOTER_SET, next_voter_set(consensus.voter_set, change.voters), self.changed, 1.0)
 
     def changed(self, outcome: Any) -> None:
         self.changing = False
@@ -243,19 +247,22 @@
             return False
         if self.leaving_at is None:
             self.leaving_at = now
-            self.log.info("ending", step="end", voting=self.consensus.voting)
+            self.log.info("ending", step="end", voting=self.consensus.is_active_voter)
             self.pulse(now)
-        if now >= self.leaving_at + self.settings.bounds.GraceS * GRACE_PART or self.consensus.held < 0:
+        if (
+            now >= self.leaving_at + self.settings.bounds.GraceS * GRACE_PART
+            or self.consensus.active_epoch < 0
+        ):
             return True
         peers = self.peers(now)
-        return may_leave(
+        return may_shut_down(
             self.me,
             self.consensus.disk,
-            self.consensus.members,
+            self.consensus.voter_set,
             peers,
             {name: acceptor.accepted for name, acceptor in self.consensus.acceptors.items()},
             {name: heard.durable for name, heard in self.sessions.heard.items()},
-            bool(self.membership.heirs(self.consensus.members, peers)),
+            bool(self.membership.successors(self.consensus.voter_set, peers)),
         )
 
     # --- turns
@@ -289,12 +296,12 @@
         stalled = self.writing_since is not None and now - self.writing_since > STALL
         return not stalled and self.word(now) > now
 
-    def word(self, now: float, registers: tuple[str, ...] = REGISTERS) -> float:
+    def word(self, now: float, registers: tuple[str, ...] = DATA_REGISTERS) -> float:
         """Until when a majority's word holds that nothing newer is chosen in these registers; 0 for none."""
         consensus = self.consensus
-        known = {name: consensus.learned[name][0] for name in registers}
+        known = {name: consensus.chosen[name][0] for name in registers}
         own = {name: acceptor.accepted for name, acceptor in consensus.acceptors.items()}
-        own = own if consensus.voting else None
+        own = own if consensus.is_active_voter else None
         return self.sessions.word_until(now, consensus.voters, consensus.epoch, known, own)
 
     def contact(self, now: float) -> bool:
@@ -307,17 +314,17 @@
             "k": "pulse",
             "t": now,
             # active on disk too: others leave and change sets on this word
-            "v": consensus.voting and not self.due.facts.keys() & {"members", "held"},
+            "v": consensus.is_active_voter and not self.due.facts.keys() & {"members", "held"},
             "w": self.whole(now),
-            "acc": {name: consensus.acceptors[name].accepted for name in ALL},
-            "dur": consensus.durable,
+            "acc": {name: consensus.acceptors[name].accepted for name in ALL_REGISTERS},
+            "dur": consensus.durable_accepted,
             "ep": consensus.epoch,
             "disk": consensus.disk,
             "ver": self.versions(),
             "leaving": self.leaving.is_set(),
         }
         about = {
-            "members": consensus.members,
+            "members": consensus.voter_set,
             "zone": self.settings.zone,
             "counted": self.settings.counted,
             "archives": sorted({self.me, *self.controllers}),
@@ -332,7 +339,9 @@
                 continue
             told = {**message, "e": self.sessions.stamps.get(peer, -1e9)}
             if peer not in self.sessions.told:  # whoever listens there now may have an older disk
-                told["bound"] = {name: kept[peer] for name, kept in consensus.bound.items() if peer in kept}
+                told["bound"] = {
+                    name: kept[peer] for name, kept in consensus.peer_commitments.items() if peer in kept
+                }
             told |= self.sessions.news(peer, about)
             if int(now / HEARTBEAT_INTERVAL) % 4 == 0:
                 told["heard"] = self.registry.ages(now, 2.0)
@@ -380,13 +389,13 @@
 
     def learned(self) -> None:
         """Show what is newly chosen to the desks."""
-        for register in REGISTERS:
+        for register in DATA_REGISTERS:
             version = self.consensus.version(register)
             if version == self.shown[register]:
                 continue
             if version > self.told_of[register]:
                 self.told_of[register] = version
-                proposal_number = format_proposal_number(self.consensus.learned[register][0])
+                proposal_number = format_proposal_number(self.consensus.chosen[register][0])
                 self.log.info(
                     "chosen",
                     step="ballot",
@@ -628,7 +637,7 @@
 
     def carry(self, out: Effects) -> None:
         """Writes first; sends and answers once they are safe."""
-        rows, facts = self.due.take(out)
+        rows, facts = self.due.prepare_write(out)
         if not rows and not facts:
             if out.sends or out.answers:
                 self.dispatch(out)
@@ -645,9 +654,9 @@
             self.log.error("not written", step="write", problem=problem)
             self.dispatch(no_effects()._replace(answers=[(tag, None) for tag, _ in out.answers]))  # unclear
             return
-        self.due.safe(rows, facts)
+        self.due.mark_durable(rows, facts)
         for register, _, accepted, _ in rows:
-            self.consensus.stored(register, accepted)
+            self.consensus.mark_durable(register, accepted)
         self.dispatch(out)
 
     def dispatch(self, out: Effects) -> None:
@@ -666,21 +675,25 @@
     def stepped(self) -> None:
         """Another epoch is known, or this archive became active in it: on disk by now."""
         consensus = self.consensus
-        if (consensus.epoch, consensus.voting) != self.told_epoch:
-            self.told_epoch = (consensus.epoch, consensus.voting)
+        if (consensus.epoch, consensus.is_active_voter) != self.told_epoch:
+            self.told_epoch = (consensus.epoch, consensus.is_active_voter)
             for peer in consensus.voters:
                 self.know(peer)
             self.log.info(
-                "epoch", step="epoch", epoch=consensus.epoch, voters=consensus.voters, voting=consensus.voting
+                "epoch",
+                step="epoch",
+                epoch=consensus.epoch,
+                voters=consensus.voters,
+                voting=consensus.is_active_voter,
             )
             self.pulse(self.loop.time())  # nobody waits for the next turn
 
     def hear_ballot(self, peer: str, message: dict) -> None:
         consensus = self.consensus
-        self.carry(consensus.hear(self.loop.time(), peer, message))
-        if consensus.lost_to is not None:
-            who, proposal_number, promised = consensus.lost_to
-            consensus.lost_to = None
+        self.carry(consensus.receive(self.loop.time(), peer, message))
+        if consensus.last_rejection is not None:
+            who, proposal_number, promised = consensus.last_rejection
+            consensus.last_rejection = None
             self.log.info(
                 "ballot lost",
                 step="ballot",
@@ -735,7 +748,7 @@
             return
         self.homes[link.peer], link.sent = link, dict(message["have"])
         link.send({"k": "roll", "rows": self.rows(), "all": True})
-        for register in REGISTERS:
+        for register in DATA_REGISTERS:
             self.push(link, register)
 
     def hear(self, link: PeerConnection, message: dict) -> None:
@@ -747,14 +760,14 @@
             self.registry.listen(now, message.get("heard", {}))
             out = no_effects()
             if "members" in message:
-                self.consensus.adopt(now, message["members"], out)
+                self.consensus.adopt_voter_set(now, message["members"], out)
             for register, proposal_number in message["dur"].items():
                 if tuple(proposal_number) != NO_PROPOSAL and message["v"]:
-                    self.consensus.voted(
+                    self.consensus.record_acceptance(
                         now, link.peer, message["disk"], register, tuple(proposal_number), out
                     )
             self.carry(out)
-            reminded = self.consensus.reminded(message["ep"], message.get("bound", {}), new_name())
+            reminded = self.consensus.check_disk_rollback(message["ep"], message.get("bound", {}), new_name())
             if reminded.facts:
                 self.log.error("older disk", step="epoch", peer=link.peer, disk=self.consensus.disk)
                 self.carry(reminded)
@@ -767,7 +780,7 @@
         elif kind == "roll":
             newer = self.take_rows(message["rows"], link.peer)
             if "id" in message:
-                epoch = self.consensus.epoch if self.consensus.voting else -1
+                epoch = self.consensus.epoch if self.consensus.is_active_voter else -1
                 self.peer_connections.send(
                     link.peer, {"k": "rolled", "id": message["id"], "rows": newer, "epoch": epoch}
                 )
@@ -785,7 +798,7 @@
             self.reported(now, link, message)
         elif kind == "confirm":
             if self.whole(now):
-                newest = {register: self.consensus.version(register) for register in REGISTERS}
+                newest = {register: self.consensus.version(register) for register in DATA_REGISTERS}
                 link.send({"k": "confirmed", "t": message["t"], "n": newest})
         elif kind == "off":
             self.take_off(link, message)
@@ -993,15 +1006,17 @@
         """An operator's call about who votes: agreed by a majority of those who do."""
         if isinstance(command, Err):
             return answer(command.err_value.status, command.err_value.reason)
-        command, members = command.ok_value, self.consensus.members
+        command, members = command.ok_value, self.consensus.voter_set
         old, new = getattr(command, "old", ""), getattr(command, "new", "")
-        change = self.membership.ordered(members, self.peers(self.loop.time()), self.versions(), old, new)
+        change = self.membership.requested_change(
+            members, self.peers(self.loop.time()), self.versions(), old, new
+        )
         if isinstance(change, Err):
             return answer(409, change.err_value)
         if change.ok_value.voters == members["voters"]:
             heard = self.contact(self.loop.time())
             return web.json_response({"Epoch": members["n"]}) if heard else answer(503, "no majority heard")
-        told = await self.agreed(MEMBERS, next_voter_set(members, change.ok_value.voters))
+        told = await self.agreed(VOTER_SET, next_voter_set(members, change.ok_value.voters))
         self.log.info("member change", step="epoch", why="by hand", old=old, new=new, told=told)
         if told is None:
             return answer(503, "no majority heard in time")
@@ -1047,7 +1062,7 @@
                 }
             )
         if path == "/view/members":
-            shown = self.membership.view(self.me, self.consensus.members, self.peers(now), self.versions())
+            shown = self.membership.view(self.me, self.consensus.voter_set, self.peers(now), self.versions())
             return web.json_response({**shown, "change": "a change is being agreed" if self.changing else ""})
         if path == "/view/plans":
             return web.json_response(self.plans(now))
@@ -1074,7 +1089,7 @@
                     "me": self.me,
                     "epoch": self.consensus.epoch,
                     "voters": sorted(self.consensus.voters),
-                    "votes": self.consensus.voting,
+                    "votes": self.consensus.is_active_voter,
                     "whole": self.whole(now),
                     "scribe": self.sessions.coordinator(now, self.whole(now)),
                     "archives": {
@@ -1093,7 +1108,7 @@
                 text=metrics.text(
                     {
                         "archive_whole": int(self.whole(now)),
-                        "archive_votes": int(consensus.voting),
+                        "archive_votes": int(consensus.is_active_voter),
                         "archive_scribe": int(self.was_coordinator),
                         "archive_desks": len(self.proxies),
                         "archive_workers": len(self.registry.rows),
--- a/bramblewood/controller/sessions.py
+++ b/bramblewood/controller/sessions.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from ..common.timeouts import QUORUM_CONTACT_VALIDITY
-from .consensus.membership import Peer
+from .consensus.membership import PeerStatus
 from .consensus.replica import NO_PROPOSAL, ProposalNumber, is_voter, majority
 
 HEARTBEAT_INTERVAL = 0.25  # s between pulses; three of them fit into WORD
@@ -117,10 +117,10 @@
             return 0.0
         return sorted(stamps, reverse=True)[needed - 1] + QUORUM_CONTACT_VALIDITY
 
-    def peers(self, now: float) -> dict[str, Peer]:
+    def peers(self, now: float) -> dict[str, PeerStatus]:
         """The other archives as the question of who should vote sees them."""
         return {
-            name: Peer(
+            name: PeerStatus(
                 heard.disk,
                 *self.places.get(name, ("", False)),
                 heard.epoch,
--- a/bramblewood/controller/value_diff.py
+++ b/bramblewood/controller/value_diff.py
@@ -9,23 +9,25 @@
 from typing import Any
 from weakref import ref
 
-SET, DROP, INTO = "=", "-", "+"
+SET, REMOVE_KEYS, PATCH_KEYS = "=", "-", "+"
 MISSING = object()
 NESTED = {dict, list, tuple}
 
 
-class Made(dict):
+class PatchedDict(dict):
     """A map that `patched` made. It knows of which one, as long as that is in use, and by which difference,
     so that nobody needs to look for it again. Its copies are plain.
     """
 
     __slots__ = ("base", "change", "__weakref__")
+    base: Any
+    change: dict
 
     def __reduce__(self) -> tuple:
         return dict, ({**self},)
 
 
-def same(old: Any, new: Any) -> bool:
+def equal_as_json(old: Any, new: Any) -> bool:
     """Equal as JSON texts: 1, 1.0 and true are three values though Python calls them equal, and so are two
     orders of a map's keys (the oldest of a configuration's past versions are forgotten by their order).
     """
@@ -34,14 +36,14 @@
     if type(old) is not type(new) or old != new:
         return False
     if isinstance(old, dict):
-        return [*old] == [*new] and all(map(same, old.values(), new.values()))
+        return [*old] == [*new] and all(map(equal_as_json, old.values(), new.values()))
     if not isinstance(old, (list, tuple)):
         return True
     kinds = [*map(type, old)]
-    return kinds == [*map(type, new)] and (NESTED.isdisjoint(kinds) or all(map(same, old, new)))
+    return kinds == [*map(type, new)] and (NESTED.isdisjoint(kinds) or all(map(equal_as_json, old, new)))
 
 
-def others(old: dict, new: dict) -> Iterator[str]:
+def changed_keys(old: dict, new: dict) -> Iterator[str]:
     """Keys of `new` whose values are other objects than those of `old`."""
     return compress(new, map(is_not, map(old.get, new, repeat(MISSING)), new.values()))
 
@@ -52,12 +54,12 @@
     """
     if old is new:
         return None
-    if isinstance(new, Made) and new.base() is old:
+    if isinstance(new, PatchedDict) and new.base() is old:
         return new.change
     if not isinstance(old, dict) or not isinstance(new, dict):
-        return None if same(old, new) else {SET: new}
+        return None if equal_as_json(old, new) else {SET: new}
     into, added = {}, 0
-    for key in others(old, new):
+    for key in changed_keys(old, new):
         if key not in old:
             into[key], added = {SET: new[key]}, added + 1
         elif (inner := difference(old[key], new[key])) is not None:
@@ -73,20 +75,20 @@
         return {SET: new}
     if not into and not gone:
         return None
-    return {INTO: into, DROP: gone} if gone else {INTO: into}
+    return {PATCH_KEYS: into, REMOVE_KEYS: gone} if gone else {PATCH_KEYS: into}
 
 
-def patched(old: Any, change: dict | None) -> Any:
+def apply_difference(old: Any, change: dict | None) -> Any:
     """`new` from `old` and their difference; `old` itself is left as it is."""
     if change is None:
         return old
     if SET in change:
         return change[SET]
-    made = Made(old)
+    made = PatchedDict(old)
     # a plain map can't be referred to without keeping it: `object()` is none that anybody holds
-    made.change, made.base = change, ref(old) if isinstance(old, Made) else object
-    for key in change.get(DROP, ()):
+    made.change, made.base = change, ref(old) if isinstance(old, PatchedDict) else object
+    for key in change.get(REMOVE_KEYS, ()):
         made.pop(key, None)
-    for key, inner in change[INTO].items():
-        made[key] = patched(made.get(key), inner)
+    for key, inner in change[PATCH_KEYS].items():
+        made[key] = apply_difference(made.get(key), inner)
     return made
--- a/features/steps/core.py
+++ b/features/steps/core.py
@@ -76,7 +76,7 @@
 
 @then("{name} does not vote")
 def silent(context, name):
-    assert not context.core.machines[name].voting
+    assert not context.core.machines[name].is_active_voter
 
 
 @then("in every order of the messages with each one lost in turn, one is taken and one refused")
--- a/features/steps/settings.py
+++ b/features/steps/settings.py
@@ -14,7 +14,7 @@
 from bramblewood.cli.gateway import rooms
 from bramblewood.common import logs
 from bramblewood.common.settings import Bounds, Settings, Tolerance, reread_seeds, settings_of
-from bramblewood.controller.consensus.quorum import Place, first_voters
+from bramblewood.controller.consensus.quorum import FailureDomain, first_voters
 from tests.approved import approve
 
 PAGE = {
@@ -84,7 +84,7 @@
         assert book.has_info("settings read again") and book.has_warning("settings refused")
 
 
-def drawn(seed: int) -> tuple[dict[str, Place], tuple[str, ...], Tolerance]:
+def drawn(seed: int) -> tuple[dict[str, FailureDomain], tuple[str, ...], Tolerance]:
     """Archives in zones of two regions, some of which don't count; the first three are the seeds."""
     dice = random.Random(seed)
     zones = [f"z{i}" for i in range(dice.randint(1, 5))]
@@ -92,7 +92,7 @@
     places = {}
     for name in names:
         zone = dice.choice(zones)
-        places[name] = Place(zone, f"r{int(zone[1]) % 3}", dice.random() < 0.8)
+        places[name] = FailureDomain(zone, f"r{int(zone[1]) % 3}", dice.random() < 0.8)
     tolerance = Tolerance(*dice.choice([(1, 0, 0), (2, 0, 0), (0, 1, 0), (1, 1, 0), (2, 1, 0), (0, 0, 1)]))
     return places, tuple(names[:3]), tolerance
 
@@ -129,6 +129,6 @@
 
 @then("first voters wait for a seed that has said nothing yet, but not for ever")
 def waits(context):
-    places = {name: Place(f"z{name}", "r", True) for name in "abde"}
+    places = {name: FailureDomain(f"z{name}", "r", True) for name in "abde"}
     assert first_voters(places, "cde", Tolerance(), False) is None
     assert first_voters(places, "cde", Tolerance(), True) == ("a", "d", "e")
--- a/tests/simulation/catch_up.py
+++ b/tests/simulation/catch_up.py
@@ -8,7 +8,7 @@
 
 from benchmarks.controller_storage import moved, table
 from benchmarks.gateway import config
-from bramblewood.controller.consensus.replica import CONFIG, REGISTERS, TABLE
+from bramblewood.controller.consensus.replica import CONFIG, DATA_REGISTERS, TABLE
 from tests.simulation.consensus import Core
 
 RATE = 2e6 / 8  # bytes a second that the line to a member carries at the least: 2 Mbit/s
@@ -34,9 +34,9 @@
             self.change(*((CONFIG, self.next_config) if number % 2 else (TABLE, self.next_table)))
         self.start("c")
         self.deflate = {name: zlib.compressobj(wbits=-zlib.MAX_WBITS) for name in ("a", "b")}
-        for register in REGISTERS:  # what the first pulses amount to
+        for register in DATA_REGISTERS:  # what the first pulses amount to
             for name in ("a", "b"):
-                told = {"k": "accepted", "r": register, "b": self.machines[name].durable[register]}
+                told = {"k": "accepted", "r": register, "b": self.machines[name].durable_accepted[register]}
                 told["disk"] = self.machines[name].disk
                 self.wire.append((name, "c", told))
         self.settle()
@@ -87,5 +87,5 @@
             self.machines["c"].value(register) == self.machines["a"].value(register)
             and self.machines["c"].acceptors[register].accepted
             == self.machines["a"].acceptors[register].accepted
-            for register in REGISTERS
+            for register in DATA_REGISTERS
         )
--- a/tests/simulation/configuration_changes.py
+++ b/tests/simulation/configuration_changes.py
@@ -146,7 +146,7 @@
             return  # it stopped before: the write never came to be
         for register, promised, accepted, value in out.writes:
             self.disks[name][register] = (promised, accepted, value)
-            machine.stored(register, accepted)
+            machine.mark_durable(register, accepted)
         self.dispatch(name, machine, out)
 
     def dispatch(self, name: str, machine: ConsensusReplica, out: Effects) -> None:
@@ -173,7 +173,7 @@
 
     def deliver(self, name: str, peer: str, message: dict) -> None:
         if machine := self.machines.get(peer):
-            self.carry(peer, machine, machine.hear(self.now, name, message))
+            self.carry(peer, machine, machine.receive(self.now, name, message))
 
     # --- operators
 
@@ -399,15 +399,15 @@
 class Trusting(ConsensusReplica):
     """Takes the newest value that it is told of for chosen, though a minority may hold it."""
 
-    def promised(self, now: float, peer: str, message: dict, out: Effects) -> None:
-        round = self.current(message)
+    def on_promise(self, now: float, peer: str, message: dict, out: Effects) -> None:
+        round = self.current_round(message)
         if round and round.promises and "v" in message:
             best, value = max(
                 [*round.promises.values(), (tuple(message["a"]), message["v"])], key=lambda t: t[0]
             )
             round.promises = dict.fromkeys(round.promises, (best, value))
             message = {**message, "a": best, "v": value}
-        super().promised(now, peer, message, out)
+        super().on_promise(now, peer, message, out)
 
 
 class Pushing(ConsensusReplica):
@@ -415,24 +415,24 @@
 
     def __init__(self, *told: Any) -> None:
         super().__init__(*told)
-        self.contention.busy = lambda now, register: False
+        self.backoff.must_wait = lambda now, register: False
 
 
 class Latecomers(Pushing):
     """Lets changes into a ballot that were put after it began; pushing, as no rule may rest on waits."""
 
-    def promised(self, now: float, peer: str, message: dict, out: Effects) -> None:
-        if round := self.current(message):
+    def on_promise(self, now: float, peer: str, message: dict, out: Effects) -> None:
+        if round := self.current_round(message):
             round.carried = list(self.rounds[round.register])
-        super().promised(now, peer, message, out)
+        super().on_promise(now, peer, message, out)
 
 
 class Singly(ConsensusReplica):
     """One change in a ballot."""
 
-    def begin(self, now: float, round: Any, out: Effects) -> None:
+    def start_round(self, now: float, round: Any, out: Effects) -> None:
         round.carried = round.carried[:1]
-        super().begin(now, round, out)
+        super().start_round(now, round, out)
 
 
 FEW = partial(succeed, kept=6)  # storms forget what hundreds of changes would
--- a/tests/simulation/consensus.py
+++ b/tests/simulation/consensus.py
@@ -8,10 +8,10 @@
 from bramblewood.common.configuration import Configuration
 from bramblewood.controller.commands import succeed
 from bramblewood.controller.consensus.replica import (
-    ALL,
+    ALL_REGISTERS,
     CONFIG,
-    MEMBERS,
     NO_PROPOSAL,
+    VOTER_SET,
     ConsensusReplica,
     Effects,
     next_voter_set,
@@ -32,17 +32,17 @@
     """A voter that only learns what was chosen while it was away."""
 
     def learn(self, now, register, proposal_number, value, out) -> None:
-        if proposal_number > self.learned[register][0]:
-            self.learned[register] = (proposal_number, value)
-            if register == MEMBERS:
-                self.adopt(now, value, out)
+        if proposal_number > self.chosen[register][0]:
+            self.chosen[register] = (proposal_number, value)
+            if register == VOTER_SET:
+                self.adopt_voter_set(now, value, out)
 
 
 class Unnamed(ConsensusReplica):
     """Goes on in no seat of any disk, so that an old disk waits until its seat has its name."""
 
     @property
-    def named(self) -> bool:
+    def holds_seat(self) -> bool:
         return self.voters.get(self.me) == self.disk
 
 
@@ -50,8 +50,8 @@
     """Goes on in a seat of any disk even with an empty disk."""
 
     @property
-    def named(self) -> bool:
-        return self.member
+    def holds_seat(self) -> bool:
+        return self.is_member
 
 
 class Core:
@@ -112,7 +112,7 @@
         disk = self.disks[name]
         for register, promised, accepted, value in out.writes:
             disk.setdefault("registers", {})[register] = (promised, accepted, value)
-            self.machines[name].stored(register, accepted)
+            self.machines[name].mark_durable(register, accepted)
         disk.update(out.facts)
         self.dispatch(name, out)
 
@@ -128,7 +128,7 @@
     def deliver(self, place: int) -> None:
         sender, peer, message = self.wire.pop(place)
         if peer in self.machines:
-            self.carry(peer, self.machines[peer].hear(self.now, sender, message))
+            self.carry(peer, self.machines[peer].receive(self.now, sender, message))
 
     def put(self, name: str, wanted: Configuration) -> None:
         change = lambda stands: succeed(wanted, stands)  # noqa: E731
@@ -144,8 +144,8 @@
     def tell_epochs(self, name: str) -> None:
         """As pulses do: others hear which set of voters is known here, and what is safe on this disk."""
         machine = self.machines[name]
-        mine, durable = machine.members, machine.durable[CONFIG]
-        if machine.voting and durable != NO_PROPOSAL and self.dice.random() < 0.2:
+        mine, durable = machine.voter_set, machine.durable_accepted[CONFIG]
+        if machine.is_active_voter and durable != NO_PROPOSAL and self.dice.random() < 0.2:
             told = {"k": "accepted", "r": CONFIG, "b": durable, "disk": machine.disk}
             self.wire += [(name, peer, told) for peer in self.machines if peer != name]
         behind = [peer for peer, machine in self.machines.items() if machine.epoch < mine["n"]]
@@ -155,11 +155,11 @@
         """As archives do: a voter that is back with another disk gets its seat anew, one change at a time."""
         machine = self.machines[name]
         for peer, disk in machine.voters.items():
-            if not machine.voting or peer not in self.machines or machine.rounds[MEMBERS]:
+            if not machine.is_active_voter or peer not in self.machines or machine.rounds[VOTER_SET]:
                 continue
             if (here := self.machines[peer].disk) != disk and self.machines[peer].epoch == machine.epoch:
-                change = next_voter_set(machine.members, {**machine.voters, peer: here})
-                self.carry(name, machine.propose(self.now, MEMBERS, change, "members", 2.0))
+                change = next_voter_set(machine.voter_set, {**machine.voters, peer: here})
+                self.carry(name, machine.propose(self.now, VOTER_SET, change, "members", 2.0))
 
     def run(self, steps: int, lose: float = 0.0, double: float = 0.0) -> None:
         """Play on in an order drawn from the seed."""
@@ -255,13 +255,13 @@
     machine = ConsensusReplica(
         "b", "b1", 1, members={"n": 2, "voters": {**before, "b": "b1"}, "before": before}
     )
-    machine.hear(0.0, "a", {"k": "chosen", "r": CONFIG, "b": proposal_number, "v": value})
+    machine.receive(0.0, "a", {"k": "chosen", "r": CONFIG, "b": proposal_number, "v": value})
     machine.tick(0.1)
     for peer in ("a", "c"):  # as they held epoch 1
-        regs = {name: {"a": NO_PROPOSAL, "v": None} for name in ALL}
+        regs = {name: {"a": NO_PROPOSAL, "v": None} for name in ALL_REGISTERS}
         told = {"k": "state", "e": 2, "held": 1, "disk": f"{peer}0", "regs": regs}
-        machine.hear(0.2, peer, told)
-    return machine.voting and machine.acceptors[CONFIG].accepted == proposal_number
+        machine.receive(0.2, peer, told)
+    return machine.is_active_voter and machine.acceptors[CONFIG].accepted == proposal_number
 
 
 def goes_on_empty(kind: type = ConsensusReplica) -> bool:
@@ -269,7 +269,7 @@
     core = Core(1, kind=kind, any_disk=True)
     core.wipe("b")
     core.start("b")
-    core.carry("b", core.machines["b"].hear(0.0, "a", {"k": "epoch", "m": core.machines["a"].members}))
+    core.carry("b", core.machines["b"].receive(0.0, "a", {"k": "epoch", "m": core.machines["a"].voter_set}))
     core.sync("b")
     return any(sender == "b" and message["k"] == "join" for sender, _, message in core.wire)
 
@@ -300,7 +300,7 @@
         changes()
         for _ in range(1000):  # one loss at a time: the next comes once the seat is taken again
             core.run(10)
-            if all(machine.voting for machine in core.machines.values()):
+            if all(machine.is_active_voter for machine in core.machines.values()):
                 break
         else:
             raise Broken("a machine that is back does not vote again")
--- a/tests/simulation/majority_contact.py
+++ b/tests/simulation/majority_contact.py
@@ -539,7 +539,7 @@
     def sets(self):
         """The sets of voters that were the newest at some time within a word's time."""
         for node in self.nodes.values():
-            if node.kind is Controller and node.server is not None and node.server.consensus.voting:
+            if node.kind is Controller and node.server is not None and node.server.consensus.is_active_voter:
                 consensus = node.server.consensus
                 self.epochs.setdefault(consensus.epoch, ({*consensus.voters}, self.now))
         ends = [*sorted(self.epochs), None]
--- a/tests/simulation/membership_commands.py
+++ b/tests/simulation/membership_commands.py
@@ -17,7 +17,7 @@
 
 from bramblewood.cli.gateway import rooms
 from bramblewood.common.settings import Bounds
-from bramblewood.controller.consensus.membership import SILENT_PART
+from bramblewood.controller.consensus.membership import LOST_AFTER_FRACTION
 from bramblewood.emulator.operator import configuration
 from bramblewood.emulator.processes import boot, start
 
@@ -26,7 +26,7 @@
 LOOK = 0.05  # s between looks
 ASK = 2.0  # s for an answer
 ROUTE = ["look", "club.example", "/look/", "pure", 2, 0.5, 1, 2, "register"]
-TAKES_SEAT = Bounds().CatchUpS * SILENT_PART  # s that a lost voter's seat is kept for it
+TAKES_SEAT = Bounds().CatchUpS * LOST_AFTER_FRACTION  # s that a lost voter's seat is kept for it
 # a disk as the program before epochs left it: a row a register, ballots of counter, archive and its life
 FORM_1 = (
     "create table facts (name text primary key, value text not null)",
--- a/tests/simulation/membership_epoch_cases.py
+++ b/tests/simulation/membership_epoch_cases.py
@@ -5,12 +5,12 @@
 from unittest import mock
 
 from bramblewood.common.settings import Tolerance
-from bramblewood.controller.consensus.membership import Membership, Peer, may_leave
+from bramblewood.controller.consensus.membership import Membership, PeerStatus, may_shut_down
 from bramblewood.controller.consensus.replica import (
     CONFIG,
-    MEMBERS,
     NO_PROPOSAL,
     TABLE,
+    VOTER_SET,
     ConsensusReplica,
     Effects,
     PendingWrites,
@@ -38,7 +38,7 @@
 
     def carry(self, name: str, out: Effects) -> None:
         for register, _, accepted, _ in out.writes:
-            self.machines[name].stored(register, accepted)
+            self.machines[name].mark_durable(register, accepted)
         self.wire += [(name, peer, message) for peer, message in out.sends]
         self.answers += out.answers
 
@@ -55,25 +55,25 @@
             ]
             self.wire = [one for one in self.wire if not any(one is other for other in picked)]
             for sender, peer, message in picked:
-                self.carry(peer, self.machines[peer].hear(0.0, sender, message))
+                self.carry(peer, self.machines[peer].receive(0.0, sender, message))
 
     def change(self, by: str, among: str, voters: dict[str, str]) -> None:
         """A change of the set, chosen among these, and heard by all of them."""
         machine = self.machines[by]
-        tag = next_voter_set(machine.members, voters)
-        self.carry(by, machine.propose(0.0, MEMBERS, tag, "members", 99.0))
+        tag = next_voter_set(machine.voter_set, voters)
+        self.carry(by, machine.propose(0.0, VOTER_SET, tag, "members", 99.0))
         self.hear(among)
 
     def lose_disk(self, name: str, incarnation: int = 50) -> None:
         old = self.machines[name]
         self.machines[name] = ConsensusReplica(name, f"{name}{incarnation}", incarnation)
-        self.carry(name, self.machines[name].hear(0.0, "", {"k": "epoch", "m": old.members}))
+        self.carry(name, self.machines[name].receive(0.0, "", {"k": "epoch", "m": old.voter_set}))
 
     def judge(self) -> None:
         taken = {
             outcome[1] for _, outcome in self.answers if isinstance(outcome, tuple) and outcome[0] == 200
         }
-        known = {m.learned[CONFIG][1] for m in self.machines.values() if m.learned[CONFIG][0] != NO_PROPOSAL}
+        known = {m.chosen[CONFIG][1] for m in self.machines.values() if m.chosen[CONFIG][0] != NO_PROPOSAL}
         if len(taken | known) > 1:
             raise Broken(f"acknowledged {sorted(taken)}, known as chosen {sorted(known)}")
 
@@ -85,19 +85,19 @@
 
     def play(older: bool = False) -> None:
         few = Few(voters, spares)
-        few.machines[proposer].seen[CONFIG] = 100
+        few.machines[proposer].highest_counters[CONFIG] = 100
         few.put(proposer, "late")
         few.hear(proposer)
         few.hear(proposer + "a", rounds=2)
         held, few.wire = list(few.wire), []
         if older:  # its disk is as it was before, and its machine hears the proposer's pulse
             few.machines["a"] = ConsensusReplica("a", "a0", 50, {}, few.members, 1)
-            bound = {CONFIG: few.machines[proposer].bound[CONFIG]["a"]}
-            few.carry("a", few.machines["a"].reminded(1, bound, "a50"))
+            bound = {CONFIG: few.machines[proposer].peer_commitments[CONFIG]["a"]}
+            few.carry("a", few.machines["a"].check_disk_rollback(1, bound, "a50"))
         else:
             few.lose_disk("a")
         few.hear(learns + "a")
-        if not few.machines["a"].voting:  # it must not, as itself
+        if not few.machines["a"].is_active_voter:  # it must not, as itself
             few.change("b", learns, {**few.members["voters"], "a": few.machines["a"].disk})
             few.hear(learns + "a")
         few.wire.clear()
@@ -139,7 +139,7 @@
     few.hear("a", "accept accepted")
     few.wire = [one for one in few.wire if one[0] == one[1]]
     b = few.machines["b"]
-    few.carry("b", b.hear(0.0, "a", {"k": "accepted", "r": CONFIG, "b": (1, 1, "a", 1), "disk": "a0"}))
+    few.carry("b", b.receive(0.0, "a", {"k": "accepted", "r": CONFIG, "b": (1, 1, "a", 1), "disk": "a0"}))
     few.carry("b", b.tick(0.1))
     few.carry("b", b.tick(5.0))  # it settles
     few.hear("b")
@@ -163,20 +163,20 @@
         few.machines[name] = ConsensusReplica(name, f"{name}0", 1, {}, seeds, 0)
     sets = ({"a": "a0", "b": "b0", "c": "c0"}, {"a": "a9", "b": "b0", "d": "d0"})
     c = few.machines["c"]
-    few.carry("c", c.propose(0.0, MEMBERS, next_voter_set(seeds, sets[0]), "first", 99.0))
+    few.carry("c", c.propose(0.0, VOTER_SET, next_voter_set(seeds, sets[0]), "first", 99.0))
     few.hear("ac", "prepare promise", rounds=1)
     held = list(few.wire)
     few.wire = []
     few.machines["a"] = ConsensusReplica("a", "a9", 9)  # not its first boot any more
-    few.carry("a", few.machines["a"].hear(0.0, "b", {"k": "epoch", "m": seeds}))
+    few.carry("a", few.machines["a"].receive(0.0, "b", {"k": "epoch", "m": seeds}))
     b = few.machines["b"]
-    few.carry("b", b.propose(0.0, MEMBERS, next_voter_set(seeds, sets[1]), "second", 99.0))
+    few.carry("b", b.propose(0.0, VOTER_SET, next_voter_set(seeds, sets[1]), "second", 99.0))
     few.hear("ab")
-    if few.machines["a"].voting or any(tag == "second" for tag, _ in few.answers):
+    if few.machines["a"].is_active_voter or any(tag == "second" for tag, _ in few.answers):
         raise Broken("a seed whose disk was lost votes in the epoch of the seeds")
     few.wire += held
     few.hear("abcd")
-    found = {str(m.members) for m in few.machines.values() if m.epoch == 1 and m.me != "d"}
+    found = {str(m.voter_set) for m in few.machines.values() if m.epoch == 1 and m.me != "d"}
     if len(found) > 1:
         raise Broken(f"two sets of epoch 1: {found}")
 
@@ -189,7 +189,7 @@
     few.hear("bc", "prepare", rounds=1)
     held, few.wire = [one for one in few.wire if one[2]["k"] == "promise"], []
     few.change("a", "ab", {"a": "a0", "b": "b0", "d": "d0"})
-    few.carry("d", few.machines["d"].hear(0.0, "", {"k": "epoch", "m": few.machines["a"].members}))
+    few.carry("d", few.machines["d"].receive(0.0, "", {"k": "epoch", "m": few.machines["a"].voter_set}))
     few.hear("abd")
     few.put("a", "new")
     few.hear("ad")
@@ -206,12 +206,12 @@
         few.put("b", "x")
         few.hear("bc")
         few.change("a", "ab", {"a": "a0", "b": "b0", "d": "d0"})
-        if not few.machines["a"].voting:
+        if not few.machines["a"].is_active_voter:
             raise Broken("a majority of seals makes no voter active")
         d = few.machines["d"]
-        few.carry("d", d.hear(0.0, "", {"k": "epoch", "m": few.machines["a"].members}))
+        few.carry("d", d.receive(0.0, "", {"k": "epoch", "m": few.machines["a"].voter_set}))
         few.hear("ad" if way == "active" else "bcd")
-        if not d.voting or d.acceptors[CONFIG].value != "x":
+        if not d.is_active_voter or d.acceptors[CONFIG].value != "x":
             raise Broken(f"{way}: d holds {d.acceptors[CONFIG].value}")
 
 
@@ -220,17 +220,17 @@
     few = Few("abc", "d")
     few.change("a", "a", {"a": "a0", "b": "b0", "d": "d0"})
     few.hear("ab", "prepare promise accept accepted")
-    members = few.machines["a"].members
+    members = few.machines["a"].voter_set
     d = few.machines["d"]
-    few.carry("d", d.hear(0.0, "", {"k": "epoch", "m": members}))
+    few.carry("d", d.receive(0.0, "", {"k": "epoch", "m": members}))
     few.hear("ad", "join state")  # a is sealed, and not active yet
     few.hear("ab")
     few.wire.clear()
     for _ in range(3):
         few.carry("d", d.tick(9.0))
         few.hear("ad")
-    if not few.machines["a"].voting or not d.voting:
-        raise Broken(f"d never hears that a is active: {d.joining and [*d.joining.told]}")
+    if not few.machines["a"].is_active_voter or not d.is_active_voter:
+        raise Broken(f"d never hears that a is active: {d.epoch_join and [*d.epoch_join.told]}")
 
 
 def asleep() -> None:
@@ -242,24 +242,26 @@
     few.hear("abc")
     c = few.machines["c"]
     for voters in ("abd", "ade", "bde"):
-        by = next(name for name in voters if few.machines[name].voting)
+        by = next(name for name in voters if few.machines[name].is_active_voter)
         few.change(by, "abde", {name: few.machines[name].disk for name in voters})
         for name in "abde":
-            few.carry(name, few.machines[name].hear(0.0, "", {"k": "epoch", "m": few.machines[by].members}))
+            few.carry(
+                name, few.machines[name].receive(0.0, "", {"k": "epoch", "m": few.machines[by].voter_set})
+            )
         few.hear("abde")
-    if few.machines["e"].epoch != 4 or not few.machines["e"].voting:
-        raise Broken(f"the third change did not come about: {few.machines['e'].members}")
+    if few.machines["e"].epoch != 4 or not few.machines["e"].is_active_voter:
+        raise Broken(f"the third change did not come about: {few.machines['e'].voter_set}")
     a = few.machines["a"]  # removed by now; it starts again with what lies on its disk
     rows = {name: (kept.promised, kept.accepted, kept.value) for name, kept in a.acceptors.items()}
-    few.machines["a"] = ConsensusReplica("a", "a0", 60, rows, a.members, a.held)
+    few.machines["a"] = ConsensusReplica("a", "a0", 60, rows, a.voter_set, a.active_epoch)
     few.put("c", "y")
     few.hear("abcde")
     few.judge()
-    if c.epoch != 4 or few.machines["a"].voting or c.voting:
+    if c.epoch != 4 or few.machines["a"].is_active_voter or c.is_active_voter:
         raise Broken(f"{c.epoch}: it still lives in an older epoch")
     few.change("e", "abcde", {"c": "c0", "d": "d0", "e": "e0"})
     few.hear("abcde")
-    if not c.voting or c.acceptors[CONFIG].value != "x":
+    if not c.is_active_voter or c.acceptors[CONFIG].value != "x":
         raise Broken("it does not take up its seat")
 
 
@@ -276,8 +278,8 @@
             del voters["m2"]
             new = f"m{len(voters) + 1}"
             voters[new] = world.machines[new].consensus.disk
-            change = next_voter_set(machine.consensus.members, voters)
-            machine.propose(MEMBERS, change, lambda outcome: None, 1.0)
+            change = next_voter_set(machine.consensus.voter_set, voters)
+            machine.propose(VOTER_SET, change, lambda outcome: None, 1.0)
             world.rest(0.004 * step)
             (world.wipe if way == "disk" else world.power)("m0")
             world.away["m0"] = None
@@ -301,25 +303,25 @@
     """
     few = Few("abc", "d")
     few.change("a", "ac", {"a": "a0", "b": "b0", "d": "d0"})
-    members = few.machines["a"].members
-    few.carry("d", few.machines["d"].hear(0.0, "", {"k": "epoch", "m": members}))
+    members = few.machines["a"].voter_set
+    few.carry("d", few.machines["d"].receive(0.0, "", {"k": "epoch", "m": members}))
     few.hear("ad")
     few.put("a", "x")
     few.hear("ad")
     third = next_voter_set(
         members, {"b": "b0", "c": "c0", "d": "d0"}
     )  # b has not been heard: it holds epoch 1
-    few.carry("d", few.machines["d"].propose(0.0, MEMBERS, third, "members", 99.0))
+    few.carry("d", few.machines["d"].propose(0.0, VOTER_SET, third, "members", 99.0))
     few.hear("ad", "prepare promise accept accepted")
     few.wire.clear()
     few.lose_disk("a")
-    newest = few.machines["d"].members
+    newest = few.machines["d"].voter_set
     for name in "bcd":
-        few.carry(name, few.machines[name].hear(0.0, "", {"k": "epoch", "m": newest}))
+        few.carry(name, few.machines[name].receive(0.0, "", {"k": "epoch", "m": newest}))
         few.carry(name, few.machines[name].tick(0.0))
     few.hear("bcd")
     b = few.machines["b"]
-    if not b.voting or b.acceptors[CONFIG].value != "x":
+    if not b.is_active_voter or b.acceptors[CONFIG].value != "x":
         raise Broken(f"epoch {b.epoch} does not begin, though a majority of the one before is there")
 
 
@@ -330,18 +332,18 @@
     for name in "abc":
         few.machines[name] = ConsensusReplica(name, f"{name}0", 1, {}, members, 1)
     few.machines["a"] = ConsensusReplica("a", "a9", 9)
-    few.carry("a", few.machines["a"].hear(0.0, "", {"k": "epoch", "m": members}))
+    few.carry("a", few.machines["a"].receive(0.0, "", {"k": "epoch", "m": members}))
     few.hear("abc")
-    if few.machines["a"].voting:
+    if few.machines["a"].is_active_voter:
         raise Broken("an empty disk votes on a seat of any disk")
     peers = {name: seen(f"{name}0") for name in "bc"} | {"a": seen("a9", votes=False)}
-    change = Membership(Tolerance(1), {}, 4.0).wanted(members, peers, {})
+    change = Membership(Tolerance(1), {}, 4.0).due_change(members, peers, {})
     if change is None or change.voters["a"] != "a9":
         raise Broken(f"its seat is not named anew: {change}")
 
 
-def seen(disk: str, epoch: int = 1, votes: bool = True, leaving: bool = False) -> Peer:
-    return Peer(disk, "z", True, epoch, votes, leaving, 0.0, 9.0, {})
+def seen(disk: str, epoch: int = 1, votes: bool = True, leaving: bool = False) -> PeerStatus:
+    return PeerStatus(disk, "z", True, epoch, votes, leaving, 0.0, 9.0, {})
 
 
 def hasty_view() -> None:
@@ -349,7 +351,7 @@
     members: VoterSet = {"n": 2, "voters": {"a": "a0", "b": "b0", "d": "d0"}, "before": {}}
     peers = {"a": seen("a0", 2), "b": seen("b0", 1), "d": seen("d0", 2), "e": seen("e0", 2, False)}
     peers["a"] = peers["a"]._replace(leaving=True)
-    change = Membership(Tolerance(1), {}, 4.0).wanted(members, peers, {})
+    change = Membership(Tolerance(1), {}, 4.0).due_change(members, peers, {})
     if change is not None:
         raise Broken(f"{change} while b is not known to be active")
 
@@ -360,14 +362,14 @@
     """
     members: VoterSet = {"n": 2, "voters": {"a": "a0", "b": "b0", "d": "d0"}, "before": {}}
     peers = {"a": seen("a0", 1), "b": seen("b0", 1), "d": seen("d0", 2, False)}
-    if may_leave("c", "c0", members, peers, {}, {}, False):
+    if may_shut_down("c", "c0", members, peers, {}, {}, False):
         raise Broken("it leaves on pulses of the epoch before")
-    if not may_leave("c", "c0", members, peers | {"a": seen("a0", 2), "b": seen("b0", 2)}, {}, {}, False):
+    if not may_shut_down("c", "c0", members, peers | {"a": seen("a0", 2), "b": seen("b0", 2)}, {}, {}, False):
         raise Broken("it stays, though a majority is active")
     held = {CONFIG: (2, 5, "a", 1)}
     durable = {"b": held, "d": held}
     peers = {"b": seen("b9", 2, False), "d": seen("d0", 2)}
-    if may_leave("a", "a0", members, peers, held, durable, False):
+    if may_shut_down("a", "a0", members, peers, held, durable, False):
         raise Broken("it leaves on what a disk held that is lost")
 
 
@@ -378,17 +380,17 @@
     due, disk = PendingWrites({}), {"facts": {}, "rows": {}}
 
     def write(out: Effects, refused: bool) -> None:
-        rows, facts = due.take(out)
+        rows, facts = due.prepare_write(out)
         if not refused:
             disk["facts"].update(facts)
             disk["rows"].update({row[0]: row for row in rows})
-            due.safe(rows, facts)
+            due.mark_durable(rows, facts)
 
-    rows = [(name, (1, 5, "a", 1), (1, 5, "a", 1), "v") for name in (CONFIG, TABLE, MEMBERS)]
+    rows = [(name, (1, 5, "a", 1), (1, 5, "a", 1), "v") for name in (CONFIG, TABLE, VOTER_SET)]
     write(Effects(rows, [], [], {"held": 2}), refused=True)
     newer = (CONFIG, (2, 6, "a", 1), (1, 5, "a", 1), "v")
     write(Effects([newer], [], [], {}), refused=False)
-    if disk["facts"].get("held") == 2 and disk["rows"].keys() != {CONFIG, TABLE, MEMBERS}:
+    if disk["facts"].get("held") == 2 and disk["rows"].keys() != {CONFIG, TABLE, VOTER_SET}:
         raise Broken(f"the disk says that it holds epoch 2, and has rows of {sorted(disk['rows'])} alone")
     if disk["rows"][CONFIG] != newer or due.rows or due.facts:
         raise Broken("an older row over a newer one, or something is due for ever")
@@ -399,7 +401,7 @@
     world = World(1)
     machine = next(iter(world.machines.values()))
     machine.changing = True
-    out = Effects([], [], [(machine.changed, True)], {"members": machine.consensus.members})
+    out = Effects([], [], [(machine.changed, True)], {"members": machine.consensus.voter_set})
     machine.storage = SimpleNamespace(write=lambda rows, facts, done: done("refused"))
     machine.carry(out)
     world.rest(0.01)
@@ -412,7 +414,7 @@
     world = World(1)
     world.rest(2.0)
     machine, said = world.machines["m0"], []
-    for due in ({}, {"held": 1}, {"members": machine.consensus.members}):
+    for due in ({}, {"held": 1}, {"members": machine.consensus.voter_set}):
         machine.due.facts = due
         with mock.patch.object(
             machine.peer_connections, "send", lambda peer, message: said.append(message["v"])
--- a/tests/simulation/membership_epoch_search.py
+++ b/tests/simulation/membership_epoch_search.py
@@ -19,9 +19,9 @@
 from typing import Any, NamedTuple
 
 from bramblewood.controller.consensus.replica import (
-    ALL,
+    ALL_REGISTERS,
     CONFIG,
-    MEMBERS,
+    VOTER_SET,
     Acceptor,
     ConsensusReplica,
     Effects,
@@ -67,14 +67,14 @@
     return (
         b.disk,
         b.incarnation,
-        b.members,
-        b.held,
-        None if b.joining is None else tuple(sorted(b.joining.told.items(), key=lambda one: one[0])),
+        b.voter_set,
+        b.active_epoch,
+        None if b.epoch_join is None else tuple(sorted(b.epoch_join.told.items(), key=lambda one: one[0])),
         tuple((a.promised, a.accepted, a.value) for a in b.acceptors.values()),
-        tuple(b.durable.values()),
-        tuple(b.seen.values()) if proposes else (0,) * len(ALL),
-        tuple(tuple(sorted(kept.items())) for kept in b.votes.values()),
-        tuple(b.learned.values()),
+        tuple(b.durable_accepted.values()),
+        tuple(b.highest_counters.values()) if proposes else (0,) * len(ALL_REGISTERS),
+        tuple(tuple(sorted(kept.items())) for kept in b.acceptances.values()),
+        tuple(b.chosen.values()),
         tuple(
             (
                 *(r.register, r.tag, r.proposal_number, r.step, r.outcome, len(r.carried)),
@@ -91,14 +91,14 @@
 def thawed(me: str, state: tuple) -> ConsensusReplica:
     disk, incarnation, members, held, told, acceptors, durable, seen, votes, learned, rounds = state
     b = ConsensusReplica(me, disk, incarnation, {}, members, held)
-    b.contention = Turns()
+    b.backoff = Turns()
     if told is not None:
-        b.joining = EpochJoin()
-        b.joining.told = dict(told)
-    for number, name in enumerate(ALL):
+        b.epoch_join = EpochJoin()
+        b.epoch_join.told = dict(told)
+    for number, name in enumerate(ALL_REGISTERS):
         b.acceptors[name] = Acceptor(*acceptors[number])
-        b.durable[name], b.seen[name] = durable[number], seen[number]
-        b.votes[name], b.learned[name] = dict(votes[number]), learned[number]
+        b.durable_accepted[name], b.highest_counters[name] = durable[number], seen[number]
+        b.acceptances[name], b.chosen[name] = dict(votes[number]), learned[number]
     for register, tag, *rest, promises, accepts in rounds:
         r = ProposalRound(register, change_of(tag), tag, 1e9)
         r.proposal_number, r.step, r.outcome, r.carried, r.base, r.difference, r.whole = rest
@@ -111,15 +111,15 @@
 
 
 class Turns:
-    """In place of `Contention`, which says when ballots begin, never what they decide: at any time here."""
+    """In place of `ProposerBackoff`, which says when rounds begin, never what they decide."""
 
-    def heard(self, now: float, register: str, proposal_number: Any) -> None:
+    def observe(self, now: float, register: str, proposal_number: Any) -> None:
         pass
 
-    def chosen(self, register: str, proposal_number: Any) -> None:
+    def round_finished(self, register: str, proposal_number: Any) -> None:
         pass
 
-    def busy(self, now: float, register: str) -> bool:
+    def must_wait(self, now: float, register: str) -> bool:
         return False
 
 
@@ -173,7 +173,7 @@
         due.rows = dict(machine.due[1])
         sends, facts = [], []
         for out in outs:
-            rows, told = due.take(out)
+            rows, told = due.prepare_write(out)
             if rows or told:
                 writes.append((tuple(rows), told, out))
             else:
@@ -182,12 +182,12 @@
         if self.shape.instant:
             while made.writes:
                 made = self.synced(made, b, sends, facts)
-        if b.members != machine.consensus[2]:
-            facts.append(("members", b.epoch, key(b.members)))
-            sends += [("", peer, {"k": "epoch", "m": b.members}) for peer in self.names if peer != b.me]
-        for number, name in enumerate(ALL):
-            if b.learned[name] != machine.consensus[9][number]:
-                facts.append(("learned", name, *b.learned[name]))
+        if b.voter_set != machine.consensus[2]:
+            facts.append(("members", b.epoch, key(b.voter_set)))
+            sends += [("", peer, {"k": "epoch", "m": b.voter_set}) for peer in self.names if peer != b.me]
+        for number, name in enumerate(ALL_REGISTERS):
+            if b.chosen[name] != machine.consensus[9][number]:
+                facts.append(("learned", name, *b.chosen[name]))
         made = made._replace(consensus=frozen(b, b.me in self.proposers))
         return (
             self.number(self.machines, made),
@@ -201,10 +201,10 @@
         stored, kept = dict(machine.disk[1]), {**machine.disk[0], **told}
         due = PendingWrites(machine.due[0])
         due.rows = machine.due[1]
-        due.safe(list(rows), told)
+        due.mark_durable(list(rows), told)
         for register, promised, accepted, value in rows:
             stored[register] = (promised, accepted, value)
-            b.stored(register, accepted)
+            b.mark_durable(register, accepted)
         self.told(machine.name, b, out, sends, facts)
         return machine._replace(disk=(kept, stored), due=(due.facts, due.rows), writes=machine.writes[1:])
 
@@ -218,7 +218,7 @@
                 facts += [("accept", one["r"], one["b"], one["v"]) for one in whole]
         facts += [("answer", *outcome) for tag, outcome in out.answers if tag[0] == "order" and outcome]
         if "held" in out.facts:  # its pulses tell what it holds now
-            for register, kept in b.durable.items():
+            for register, kept in b.durable_accepted.items():
                 if kept[0] == b.epoch:
                     told = {"k": "accepted", "r": register, "b": kept, "disk": b.disk}
                     sends += [(name, peer, told) for peer in self.names if peer != name]
@@ -229,7 +229,7 @@
             self.transitions += 1
             here = self.machines[machine]
             b, (sender, _, what) = thawed(here.name, here.consensus), self.messages[message]
-            step = self.steps[machine, message] = self.seated(here, b, [b.hear(0.0, sender, what)])
+            step = self.steps[machine, message] = self.seated(here, b, [b.receive(0.0, sender, what)])
         return step
 
     # --- all of them
@@ -358,7 +358,7 @@
                 or not here.consensus[3] > 0
             ):
                 return None
-            step = self.begun(machines[place], MEMBERS, ("members", (members, {**voters, new: disk})))
+            step = self.begun(machines[place], VOTER_SET, ("members", (members, {**voters, new: disk})))
         elif kind == "wait":
             place, left = number, (wipes, powers, waits - 1, changes, starts)
             step = self.waited(machines[place])
@@ -430,20 +430,20 @@
             wire.extend((name, peer, message) for peer, message in out.sends)
             answers.extend(out.answers)
             for register, _, accepted, _ in out.writes:
-                machines[name].stored(register, accepted)
+                machines[name].mark_durable(register, accepted)
 
         for turn in range(40):
             now += 0.3
             for name, b in machines.items():
-                newest = max((other.members for other in machines.values()), key=lambda one: one["n"])
-                carry(name, b.hear(now, "", {"k": "epoch", "m": newest}))
+                newest = max((other.voter_set for other in machines.values()), key=lambda one: one["n"])
+                carry(name, b.receive(now, "", {"k": "epoch", "m": newest}))
                 carry(name, b.tick(now))
-                if turn % 5 == 4 and b.voting and not any(b.rounds.values()):
+                if turn % 5 == 4 and b.is_active_voter and not any(b.rounds.values()):
                     carry(name, b.propose(now, CONFIG, lambda stands: (None, True), "read", 1.0))
             while wire:
                 sender, peer, message = wire.pop(0)
                 if peer in machines:
-                    carry(peer, machines[peer].hear(now, sender, message))
+                    carry(peer, machines[peer].receive(now, sender, message))
             if ("read", True) in answers:
                 return True
         return False
@@ -532,7 +532,7 @@
         old, new = one[3], other[3]
         if one[1] == CONFIG and old != new:
             return "proposed over what is chosen"
-        if one[1] == MEMBERS and new["n"] <= old["n"] and new != old:
+        if one[1] == VOTER_SET and new["n"] <= old["n"] and new != old:
             return "a set proposed over the chosen one"
     return ""
 
--- a/tests/simulation/membership_epochs.py
+++ b/tests/simulation/membership_epochs.py
@@ -33,19 +33,19 @@
 
 def no_epoch(play: Any) -> Any:
     """Ballots of an earlier or later epoch count like those of one's own."""
-    hear = ConsensusReplica.hear
+    hear = ConsensusReplica.receive
 
     def careless(self: ConsensusReplica, now: float, peer: str, message: dict) -> Any:
-        if message["k"] in ("prepare", "accept") and self.voting:
-            sent = self.members
-            self.members = {**sent, "n": tuple(message["b"])[0]}
-            self.held = self.epoch
+        if message["k"] in ("prepare", "accept") and self.is_active_voter:
+            sent = self.voter_set
+            self.voter_set = {**sent, "n": tuple(message["b"])[0]}
+            self.active_epoch = self.epoch
             out = hear(self, now, peer, message)
-            self.members, self.held = sent, sent["n"]
+            self.voter_set, self.active_epoch = sent, sent["n"]
             return out
         return hear(self, now, peer, message)
 
-    return mock.patch.object(ConsensusReplica, "hear", careless)
+    return mock.patch.object(ConsensusReplica, "receive", careless)
 
 
 def no_disk(play: Any) -> Any:
@@ -53,27 +53,27 @@
     stack = contextlib.ExitStack()
     stack.enter_context(mock.patch.object(core, "is_voter", lambda voters, name, disk: name in voters))
     stack.enter_context(
-        mock.patch.object(ConsensusReplica, "named", property(lambda self: self.me in self.voters))
+        mock.patch.object(ConsensusReplica, "holds_seat", property(lambda self: self.me in self.voters))
     )
     return stack
 
 
 def few_seals(play: Any) -> Any:
     """One seal less than a majority makes a voter active."""
-    enough = ConsensusReplica.enough
+    enough = ConsensusReplica.try_activate
 
     def careless(self: ConsensusReplica, now: float, out: Any) -> bool:
         with mock.patch.object(core, "majority", lambda voters: max(1, len(voters) // 2)):
             return enough(self, now, out)
 
-    return mock.patch.object(ConsensusReplica, "enough", careless)
+    return mock.patch.object(ConsensusReplica, "try_activate", careless)
 
 
 def chosen_if_carried(play: Any) -> Any:
     """A value that all of a majority hold counts as chosen, also where it was only carried there."""
     return mock.patch.object(
         ConsensusReplica,
-        "is_chosen",
+        "is_already_chosen",
         lambda self, best, round: all(
             proposal_number == best for proposal_number, _ in round.promises.values()
         ),
@@ -82,52 +82,52 @@
 
 def seal_in_memory(play: Any) -> Any:
     """A seal's answer does not wait until the seal is on disk."""
-    asked = ConsensusReplica.asked
+    asked = ConsensusReplica.on_join_epoch
 
     def careless(self: ConsensusReplica, now: float, peer: str, message: dict, out: Any) -> None:
         asked(self, now, peer, message, out)
         out.facts.pop("members", None)
 
-    return mock.patch.object(ConsensusReplica, "asked", careless)
+    return mock.patch.object(ConsensusReplica, "on_join_epoch", careless)
 
 
 def unused_count_not(play: Any) -> Any:
     """The seal of a voter that was never active in the epoch before does not count."""
-    enough = ConsensusReplica.enough
+    enough = ConsensusReplica.try_activate
 
     def careless(self: ConsensusReplica, now: float, out: Any) -> bool:
-        told = self.joining.told
-        self.joining.told = {peer: one for peer, one in told.items() if one[0] >= self.epoch - 1}
+        told = self.epoch_join.told
+        self.epoch_join.told = {peer: one for peer, one in told.items() if one[0] >= self.epoch - 1}
         return enough(self, now, out)
 
-    return mock.patch.object(ConsensusReplica, "enough", careless)
+    return mock.patch.object(ConsensusReplica, "try_activate", careless)
 
 
 def eager(play: Any) -> Any:
     """A member votes from the moment it knows that it is one."""
-    return mock.patch.object(ConsensusReplica, "voting", property(lambda self: self.member))
+    return mock.patch.object(ConsensusReplica, "is_active_voter", property(lambda self: self.is_member))
 
 
 def hasty_change(play: Any) -> Any:
     """A voter that is heard counts as active, in whatever epoch: sets change, leavers go, too soon."""
-    return mock.patch.object(membership, "votes_in", lambda peer, members, name: peer is not None)
+    return mock.patch.object(membership, "is_active_in", lambda peer, members, name: peer is not None)
 
 
 def older_unseen(play: Any) -> Any:
     """Nobody minds an older state of a disk."""
-    return mock.patch.object(ConsensusReplica, "reminded", lambda *_: core.no_effects())
+    return mock.patch.object(ConsensusReplica, "check_disk_rollback", lambda *_: core.no_effects())
 
 
 def leave_at_once(play: Any) -> Any:
     """An archive ends on SIGTERM, whoever holds what it holds."""
-    return mock.patch.object(server, "may_leave", lambda *_: True)
+    return mock.patch.object(server, "may_shut_down", lambda *_: True)
 
 
 def rows_forgotten(play: Any) -> Any:
     """A refused write's rows don't come again with the fact that speaks of them."""
     return mock.patch.object(
         core.PendingWrites,
-        "take",
+        "prepare_write",
         lambda self, out: (self.facts.update(out.facts), (out.writes, dict(self.facts)))[1],
     )
 
@@ -420,12 +420,17 @@
 
     def told(self) -> dict:
         return {
-            name: (m.consensus.epoch, m.consensus.held, m.consensus.voting, sorted(m.consensus.voters))
+            name: (
+                m.consensus.epoch,
+                m.consensus.active_epoch,
+                m.consensus.is_active_voter,
+                sorted(m.consensus.voters),
+            )
             for name, m in self.machines.items()
         }
 
     def judge(self, machine: Machine) -> None:
-        members = machine.consensus.members
+        members = machine.consensus.voter_set
         if members["n"] and self.sets.setdefault(members["n"], members) != members:
             raise Broken(f"two sets of epoch {members['n']}: {members} and {self.sets[members['n']]}")
         value = machine.consensus.value(CONFIG)
@@ -528,14 +533,14 @@
         world, dice = self.world, self.dice
         for _ in range(1 + (dice.random() < 0.3)):
             machine = world.machines[dice.choice(sorted(world.machines))]
-            members, peers = machine.consensus.members, machine.peers(world.now)
+            members, peers = machine.consensus.voter_set, machine.peers(world.now)
             spares = [name for name in peers if name not in members["voters"]]
             old, new = dice.choice(sorted(members["voters"])), dice.choice(sorted(spares) or [""])
-            made = machine.membership.ordered(members, peers, machine.versions(), old, new)
+            made = machine.membership.requested_change(members, peers, machine.versions(), old, new)
             if new and made.is_ok():
                 self.counts["swap"] = self.counts.get("swap", 0) + 1
                 change = core.next_voter_set(members, made.ok_value.voters)
-                machine.propose(core.MEMBERS, change, lambda outcome: None, 1.0)
+                machine.propose(core.VOTER_SET, change, lambda outcome: None, 1.0)
         world.rest(dice.uniform(0.0, 0.15))
 
     def relay(self) -> None:
--- a/tests/simulation/storage_failures.py
+++ b/tests/simulation/storage_failures.py
@@ -25,7 +25,7 @@
 from bramblewood.controller.consensus.replica import CONFIG, ConsensusReplica, Effects
 from bramblewood.controller.server import Controller
 from bramblewood.controller.storage import Storage
-from bramblewood.controller.value_diff import Made, difference, patched
+from bramblewood.controller.value_diff import PatchedDict, apply_difference, difference
 from tests.simulation.simulated_disk import Disc, PowerCut
 
 
@@ -222,7 +222,7 @@
                 if dice.random() < 0.2:
                     value = json.loads(json.dumps(value))  # shares nothing
                 elif name in registers:
-                    value = patched(registers[name][2], difference(registers[name][2], value))
+                    value = apply_difference(registers[name][2], difference(registers[name][2], value))
                 rows.append((name, proposal_number(self.number), proposal_number(self.number - 1), value))
                 registers[name] = rows[-1][1:]
             batch.append((rows, told, None))
@@ -322,7 +322,7 @@
     """Takes what Python calls equal for the same."""
 
     def put(self, base, registers, facts):
-        with mock.patch("bramblewood.controller.value_diff.same", operator.eq):
+        with mock.patch("bramblewood.controller.value_diff.equal_as_json", operator.eq):
             super().put(base, registers, facts)
 
 
@@ -330,7 +330,7 @@
     """Takes the difference that a value was made by for the one to what is stored."""
 
     def put(self, base, registers, facts):
-        known = lambda old, new: new.change if isinstance(new, Made) else difference(old, new)  # noqa: E731
+        known = lambda old, new: new.change if isinstance(new, PatchedDict) else difference(old, new)  # noqa: E731
         with mock.patch("bramblewood.controller.storage.difference", known):
             super().put(base, registers, facts)
 
@@ -372,7 +372,7 @@
     if isinstance(new, dict) and dice.random() < 0.2:
         new = dict(dice.sample([*new.items()], len(new)))
     new = json.loads(json.dumps(new)) if dice.random() < 0.3 else new
-    return repr(patched(old, json.loads(json.dumps(difference(old, new))))) == repr(new)
+    return repr(apply_difference(old, json.loads(json.dumps(difference(old, new))))) == repr(new)
 
 
 class Growing:
