--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -14,7 +14,7 @@
 from bramblewood.common.configuration import Service, build_configuration
 from bramblewood.common.slice_table import KEY_SPACE_SIZE, KEYS_PER_RANGE
 from bramblewood.common.worker_registry import WorkerRegistration, WorkerRegistry
-from bramblewood.controller.placement import Placement, apply, met_of
+from bramblewood.controller.placement import PlacementPlanner, apply_slice_changes, worker_report
 from bramblewood.controller.proxy_updates import ProxyUpdates
 from bramblewood.controller.value_diff import difference
 from bramblewood.emulator.operator import configuration
@@ -58,7 +58,7 @@
             WorkerRegistration(service, f"10.0.{i // 250}.{i % 250}:8080", "z", 4, "ready", 1),
         )
     services = {name: Service(name, "/", 100, name == "keyed", 0.0) for name in ("keyed", "plain")}
-    placement, table, whole = Placement(now, 1.5), None, 0
+    placement, table, whole = PlacementPlanner(now, 1.5), None, 0
     spent = pushed = reports = accepts = whole_accepts = versions = 0.0
     load_balancer = [LoadBalancer(2.5) for _ in range(1)]
     load_balancer[0].registry = registry
@@ -94,14 +94,14 @@
             lines: dict[str, list] = {name: [] for name in heat}
             for instance_id, (tries, bad, mean, load) in told["met"].items():
                 lines[registry.rows[instance_id].service].append(
-                    met_of(instance_id, tries, bad, mean, 0.5, load)
+                    worker_report(instance_id, tries, bad, mean, 0.5, load)
                 )
             for service, some in lines.items():
-                placement.report(now, service, f"d{proxy}", told["heat"][service], {}, 0.5, some)
+                placement.record_report(now, service, f"d{proxy}", told["heat"][service], {}, 0.5, some)
             spent += time.process_time() - at
         at = time.process_time()
-        wanted = placement.step(now, services, {}, registry, set(), table)
-        made = apply(table, wanted, {"keyed"})[0] if wanted else None
+        wanted = placement.plan_changes(now, services, {}, registry, set(), table)
+        made = apply_slice_changes(table, wanted, {"keyed"})[0] if wanted else None
         if made is not None:
             feed.learned(made)
             versions += 1
--- a/bramblewood/controller/drain_plans.py
+++ b/bramblewood/controller/drain_plans.py
@@ -17,17 +17,28 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from ..common.slice_table import CLOSED, CLOSING, OUT, PREVIOUS_OWNER, TOLD, WORKER
+from ..common.slice_table import (
+    DRAIN_ANNOUNCED,
+    DRAIN_STARTED,
+    DRAINED,
+    OUT_OF_SERVICE,
+    PREVIOUS_OWNER,
+    WORKER,
+)
 from ..common.worker_registry import GONE, READY, WorkerRegistry
 from ..policy.figures import LIMIT
 
-RUNNING, STOPPED, BACK, DONE = "running", "stopped", "back", "done"
-LOOK = 3.0  # s after a wave until the next: five reports of half a second that have seen it, and one way
-WAITS = 20.0  # s that a wave waits for room until its plan stops: many times a look, so that a burst may pass
-KEPT = 20  # plans that have ended, kept to be shown
+RUNNING, STOPPED, CANCELLED, DONE = "running", "stopped", "back", "done"
+WAVE_INTERVAL = (
+    3.0  # s after a wave until the next: five reports of half a second that have seen it, and one way
+)
+MAX_CAPACITY_WAIT = (
+    20.0  # s that a wave waits for room until its plan stops: many times a look, so that a burst may pass
+)
+ENDED_PLANS_KEPT = 20  # plans that have ended, kept to be shown
 
 
-class Left(NamedTuple):
+class WorkInFlight(NamedTuple):
     """What a desk has under way at a worker: lookups, effects, and since when the oldest (s)."""
 
     lookups: int
@@ -35,7 +46,7 @@
     oldest: float
 
 
-class Room(NamedTuple):
+class ServiceCapacity(NamedTuple):
     """A service's load by the planner: busy slots of its workers, and by worker its slots, what is cold as
     cold.
     """
@@ -48,25 +59,25 @@
     return value.get("w", {}).get("plans", {}) if value else {}
 
 
-def out_of(value: dict | None) -> dict[str, list]:
+def worker_drains_of(value: dict | None) -> dict[str, list]:
     return value.get("w", {}).get("out", {}) if value else {}
 
 
-def steps_of(value: dict | None) -> dict[str, str]:
+def drain_steps_of(value: dict | None) -> dict[str, str]:
     """By worker its step, as desks and the planner need it."""
-    return {instance_id: step for instance_id, (_, step, _) in out_of(value).items()}
+    return {instance_id: step for instance_id, (_, step, _) in worker_drains_of(value).items()}
 
 
-def changed(value: dict, plans: dict, out: dict) -> dict:
-    ended = [name for name, plan in plans.items() if plan["state"] in (BACK, DONE)]
-    plans = {name: plan for name, plan in plans.items() if name not in ended[:-KEPT]}
+def with_plans(value: dict, plans: dict, out: dict) -> dict:
+    ended = [name for name, plan in plans.items() if plan["state"] in (CANCELLED, DONE)]
+    plans = {name: plan for name, plan in plans.items() if name not in ended[:-ENDED_PLANS_KEPT]}
     return {**value, "n": value["n"] + 1, "w": {"plans": plans, "out": out}}
 
 
-def started(value: dict | None, name: str, service: str, instance_ids: list[str], wave: int, staying: int):
+def start_plan(value: dict | None, name: str, service: str, instance_ids: list[str], wave: int, staying: int):
     """The table with a new plan; (status, reason) is the answer. staying: workers in use that it leaves."""
     value = value or {"n": 0, "s": {}}
-    plans, out = plans_of(value), out_of(value)
+    plans, out = plans_of(value), worker_drains_of(value)
     plan = {"service": service, "lives": instance_ids, "wave": wave, "state": RUNNING, "why": ""}
     if name in plans:
         same = {**plans[name], "state": RUNNING, "why": ""} == plan
@@ -77,23 +88,23 @@
         return None, (409, f"{service} would have no worker left")
     if taken := [instance_id for instance_id in instance_ids if instance_id in out]:
         return None, (409, f"{taken[0]} is in plan {out[taken[0]][0]}")
-    out = {**out, **{instance_id: [name, TOLD, value["n"] + 1] for instance_id in instance_ids}}
-    return changed(value, {**plans, name: plan}, out), (200, RUNNING)
+    out = {**out, **{instance_id: [name, DRAIN_ANNOUNCED, value["n"] + 1] for instance_id in instance_ids}}
+    return with_plans(value, {**plans, name: plan}, out), (200, RUNNING)
 
 
-def ended(value: dict | None, name: str, state: str):
+def end_plan(value: dict | None, name: str, state: str):
     """The table with a plan stopped (no further wave; who was only told stays in use) or taken back."""
-    plans, out = plans_of(value), out_of(value)
+    plans, out = plans_of(value), worker_drains_of(value)
     if name not in plans:
         return None, (404, f"no plan {name}")
-    if plans[name]["state"] == state or plans[name]["state"] == BACK:
+    if plans[name]["state"] == state or plans[name]["state"] == CANCELLED:
         return None, (200, plans[name]["state"])
     left = {
         instance_id: at
         for instance_id, at in out.items()
-        if at[0] != name or state == STOPPED and at[1] != TOLD
+        if at[0] != name or state == STOPPED and at[1] != DRAIN_ANNOUNCED
     }
-    return changed(value, {**plans, name: {**plans[name], "state": state, "why": "asked for"}}, left), (
+    return with_plans(value, {**plans, name: {**plans[name], "state": state, "why": "asked for"}}, left), (
         200,
         state,
     )
@@ -107,23 +118,28 @@
         self.silent_for = silent_for
         self.began: float | None = None
         self.there: dict[str, float] = {}  # when each desk's session last stood
-        self.proxies: dict[str, tuple[int, dict[str, Left]]] = {}  # by its last word: its table, what is left
+        self.proxies: dict[
+            str, tuple[int, dict[str, WorkInFlight]]
+        ] = {}  # by its last word: its table, what is left
         self.looked: dict[str, float] = {}  # by plan: since when its last wave is out, or it waits for room
         self.waits: dict[str, float] = {}
 
-    def present(self, now: float, proxies: set[str]) -> None:
+    def record_connected_proxies(self, now: float, proxies: set[str]) -> None:
         """Each turn, at every archive: the desks whose sessions stand."""
         self.began = now if self.began is None else self.began
         self.there.update(dict.fromkeys(proxies, now))
 
-    def anew(self, proxy: str) -> None:
+    def forget_report(self, proxy: str) -> None:
         """A desk's link stands anew: it may be another life of it, so what was said before counts no more."""
         self.proxies.pop(proxy, None)
 
-    def hear(self, proxy: str, table: int, left: dict[str, list]) -> None:
-        self.proxies[proxy] = (table, {instance_id: Left(*told) for instance_id, told in left.items()})
+    def record_report(self, proxy: str, table: int, left: dict[str, list]) -> None:
+        self.proxies[proxy] = (
+            table,
+            {instance_id: WorkInFlight(*told) for instance_id, told in left.items()},
+        )
 
-    def sending(self, now: float, version: int) -> list[str]:
+    def unconfirmed_proxies(self, now: float, version: int) -> list[str]:
         """Desks that have not said that they follow this version of the table, and so may still start work.
 
         Desks that an archive which has just started may not have met yet count as one.
@@ -132,42 +148,42 @@
         found = sorted(proxy for proxy in found if self.proxies.get(proxy, (0, {}))[0] < version)
         return found if self.began is not None and now >= self.began + self.silent_for else [*found, "?"]
 
-    def under_way(self, now: float, instance_id: str) -> dict[str, Left]:
+    def work_in_flight(self, now: float, instance_id: str) -> dict[str, WorkInFlight]:
         """What desks have under way at a worker; a silent desk's last word counts until its bound."""
         told = {proxy: left[instance_id] for proxy, (_, left) in self.proxies.items() if instance_id in left}
         return {
             proxy: left for proxy, left in told.items() if now < self.there.get(proxy, now) + self.silent_for
         }
 
-    def step(
-        self, now: float, value: dict | None, registry: WorkerRegistry, rooms: dict[str, Room]
+    def next_change(
+        self, now: float, value: dict | None, registry: WorkerRegistry, rooms: dict[str, ServiceCapacity]
     ) -> Callable[[dict], tuple[dict | None, Any]] | None:
         """The next change, or None: a function of the value that stands, as others may have gone on
         meanwhile.
         """
         moves: dict[str, str] = {}
-        rests_on = {instance_id: version for instance_id, (_, _, version) in out_of(value).items()}
-        for instance_id, (_, step, version) in out_of(value).items():
+        rests_on = {instance_id: version for instance_id, (_, _, version) in worker_drains_of(value).items()}
+        for instance_id, (_, step, version) in worker_drains_of(value).items():
             row = registry.rows.get(instance_id)
-            if step != OUT and (row is None or row.phase == GONE):
-                moves[instance_id] = OUT  # it ended early
-            elif step in (CLOSING, CLOSED) and not self.sending(now, version):
-                if step == CLOSING:
-                    moves[instance_id] = CLOSED
-                elif not self.holds(value, instance_id) and not self.under_way(now, instance_id):
-                    moves[instance_id] = OUT
+            if step != OUT_OF_SERVICE and (row is None or row.phase == GONE):
+                moves[instance_id] = OUT_OF_SERVICE  # it ended early
+            elif step in (DRAIN_STARTED, DRAINED) and not self.unconfirmed_proxies(now, version):
+                if step == DRAIN_STARTED:
+                    moves[instance_id] = DRAINED
+                elif not self.owns_keys(value, instance_id) and not self.work_in_flight(now, instance_id):
+                    moves[instance_id] = OUT_OF_SERVICE
         ends: dict[str, tuple[str, str]] = {}
         for name, plan in plans_of(value).items():
             if plan["state"] == RUNNING:
                 self.wave(now, name, plan, value, registry, rooms, moves, ends)
         if not moves and not ends:
             return None
-        return lambda stands: advanced(
+        return lambda stands: advance_plans(
             stands, {instance_id: (step, rests_on[instance_id]) for instance_id, step in moves.items()}, ends
         )
 
     @staticmethod
-    def holds(value: dict, instance_id: str) -> bool:
+    def owns_keys(value: dict, instance_id: str) -> bool:
         return any(
             instance_id in (entry[WORKER], entry[PREVIOUS_OWNER])
             for entries in value["s"].values()
@@ -176,38 +192,38 @@
 
     def wave(self, now, name, plan, value, registry, rooms, moves, ends) -> None:
         """Begin a plan's next wave, or end the plan."""
-        out = {instance_id: at for instance_id, at in out_of(value).items() if at[0] == name}
+        out = {instance_id: at for instance_id, at in worker_drains_of(value).items() if at[0] == name}
         steps = [moves.get(instance_id, step) for instance_id, (_, step, _) in out.items()]
-        if any(step in (CLOSING, CLOSED) for step in steps):
+        if any(step in (DRAIN_STARTED, DRAINED) for step in steps):
             self.looked.pop(name, None)
             return
         told = [
             instance_id
             for instance_id in plan["lives"]
-            if instance_id in out and out[instance_id][1] == TOLD and instance_id not in moves
+            if instance_id in out and out[instance_id][1] == DRAIN_ANNOUNCED and instance_id not in moves
         ]
         if not told:
             ends[name] = (DONE, "")
             return
-        begun = any(step == OUT for step in steps)
-        if now < self.looked.setdefault(name, now - (0.0 if begun else LOOK)) + LOOK:
+        begun = any(step == OUT_OF_SERVICE for step in steps)
+        if now < self.looked.setdefault(name, now - (0.0 if begun else WAVE_INTERVAL)) + WAVE_INTERVAL:
             return
-        fits = self.fits(rooms.get(plan["service"]), told[: max(plan["wave"], 1)], out_of(value))
+        fits = self.fits(rooms.get(plan["service"]), told[: max(plan["wave"], 1)], worker_drains_of(value))
         if fits:
             self.waits.pop(name, None)
-            moves.update(dict.fromkeys(fits, CLOSING))
-        elif now >= self.waits.setdefault(name, now) + WAITS:
+            moves.update(dict.fromkeys(fits, DRAIN_STARTED))
+        elif now >= self.waits.setdefault(name, now) + MAX_CAPACITY_WAIT:
             ends[name] = (STOPPED, "what stays would not carry the load")
 
     @staticmethod
-    def fits(room: Room | None, instance_ids: list[str], out: dict[str, list]) -> list[str]:
+    def fits(room: ServiceCapacity | None, instance_ids: list[str], out: dict[str, list]) -> list[str]:
         """As many of these, in turn, as leave enough for what is busy now; closed ones count as away."""
         if room is None:
             return []
         left = sum(
             slots
             for instance_id, slots in room.slots.items()
-            if instance_id not in out or out[instance_id][1] == TOLD
+            if instance_id not in out or out[instance_id][1] == DRAIN_ANNOUNCED
         )
         found = []
         for instance_id in instance_ids:
@@ -218,7 +234,7 @@
         return found
 
 
-def advanced(
+def advance_plans(
     value: dict | None, moves: dict[str, tuple[str, int]], ends: dict[str, tuple[str, str]]
 ) -> tuple[dict | None, bool]:
     """The table with workers a step further and plans ended, as far as they still stand there.
@@ -226,7 +242,7 @@
     A move names the version of the step that it follows, its fence: the desks' word that they follow that
     version says nothing of a later plan's.
     """
-    plans, out, found = dict(plans_of(value)), dict(out_of(value)), False
+    plans, out, found = dict(plans_of(value)), dict(worker_drains_of(value)), False
     for instance_id, (step, version) in moves.items():
         if instance_id in out and out[instance_id][2] == version:
             out[instance_id], found = [out[instance_id][0], step, value["n"] + 1], True
@@ -234,11 +250,15 @@
         if name in plans and plans[name]["state"] == RUNNING:
             plans[name], found = {**plans[name], "state": state, "why": why}, True
             if state == STOPPED:
-                out = {instance_id: at for instance_id, at in out.items() if at[0] != name or at[1] != TOLD}
-    return (changed(value, plans, out), True) if found else (None, True)
+                out = {
+                    instance_id: at
+                    for instance_id, at in out.items()
+                    if at[0] != name or at[1] != DRAIN_ANNOUNCED
+                }
+    return (with_plans(value, plans, out), True) if found else (None, True)
 
 
-def in_use(registry: WorkerRegistry, service: str, out: dict[str, list]) -> list[str]:
+def workers_in_use(registry: WorkerRegistry, service: str, out: dict[str, list]) -> list[str]:
     """Workers of a service that are ready and in no plan."""
     return [
         instance_id
--- a/bramblewood/controller/outlier_detection.py
+++ b/bramblewood/controller/outlier_detection.py
@@ -15,23 +15,25 @@
 
 from ..policy.figures import HELD, REPORTS, usual
 
-ILL = 0.25  # of its tries that go wrong; lost and garbled answers stay below a tenth on the days played
-OVER = 3.0  # times the usual worker's part
-FEW = 10  # tries over the reports, fewer say nothing
-DESKS = 2  # that met it
-MOST = 0.2  # of a service's workers out at once; more is a fault of the view
-REST = 4.0  # s out at the first time, doubled each time
-DOUBLED = 3  # times that it doubles: 32 s
-FORGIVEN = 60.0  # s in use after which its times are forgotten
-
-
-def out_of_health(value: dict | None) -> dict[str, list]:
+MIN_FAILURE_RATE = (
+    0.25  # of its tries that go wrong; lost and garbled answers stay below a tenth on the days played
+)
+USUAL_RATE_FACTOR = 3.0  # times the usual worker's part
+MIN_ATTEMPTS = 10  # tries over the reports, fewer say nothing
+MIN_PROXIES = 2  # that met it
+MAX_EJECTED_SHARE = 0.2  # of a service's workers out at once; more is a fault of the view
+FIRST_EJECTION = 4.0  # s out at the first time, doubled each time
+MAX_DOUBLINGS = 3  # times that it doubles: 32 s
+EJECTION_MEMORY = 60.0  # s in use after which its times are forgotten
+
+
+def ejections_of(value: dict | None) -> dict[str, list]:
     return value.get("h", {}) if value else {}
 
 
-def unwell(value: dict | None) -> list[str]:
+def ejected_workers(value: dict | None) -> list[str]:
     """The workers that are out."""
-    return sorted(instance_id for instance_id, (_, version) in out_of_health(value).items() if version > 0)
+    return sorted(instance_id for instance_id, (_, version) in ejections_of(value).items() if version > 0)
 
 
 class OutlierDetection:
@@ -43,16 +45,16 @@
         self.held: Counter = Counter()
         self.since: dict[tuple[str, int], float] = {}  # by worker and version: when known here
 
-    def report(self, proxy: str, instance_id: str, tries: int, bad: int) -> None:
+    def record_attempts(self, proxy: str, instance_id: str, tries: int, bad: int) -> None:
         told = self.now.setdefault(instance_id, {}).setdefault(proxy, [0, 0])
         told[0] += tries
         told[1] += bad
 
-    def learn(self, now: float, value: dict) -> None:
-        stands = {(instance_id, version) for instance_id, (_, version) in out_of_health(value).items()}
+    def record_table(self, now: float, value: dict) -> None:
+        stands = {(instance_id, version) for instance_id, (_, version) in ejections_of(value).items()}
         self.since = {one: self.since.get(one, now) for one in stands}
 
-    def cycle(self, services: dict[str, list[str]]) -> set[str]:
+    def find_outliers(self, services: dict[str, list[str]]) -> set[str]:
         """Once a cycle: the workers that look ill now; services: those in use, by service."""
         self.past.append(self.now)
         self.now = {}
@@ -62,32 +64,34 @@
             for instance_id in instance_ids:
                 told = [proxy for cycle in self.past for proxy in cycle.get(instance_id, {}).items()]
                 tries = sum(t for _, (t, _) in told)
-                if tries >= FEW:
+                if tries >= MIN_ATTEMPTS:
                     parts[instance_id] = sum(b for _, (_, b) in told) / tries
                     proxies[instance_id] = len({proxy for proxy, (_, b) in told if b})
             common = usual(parts.values())
             for instance_id, part in parts.items():
-                if part >= max(ILL, OVER * common) and proxies[instance_id] >= DESKS:
+                if (
+                    part >= max(MIN_FAILURE_RATE, USUAL_RATE_FACTOR * common)
+                    and proxies[instance_id] >= MIN_PROXIES
+                ):
                     ill.add(instance_id)
         self.held = Counter({instance_id: self.held[instance_id] + 1 for instance_id in ill})
         return {instance_id for instance_id in ill if self.held[instance_id] >= HELD}
 
-    def wanted(
+    def plan_ejections(
         self, now: float, value: dict, ill: set[str], services: dict[str, list[str]]
     ) -> dict[str, list]:
         """What should stand under "h", but for versions: [times, out]."""
         told = {
-            instance_id: [times, version > 0]
-            for instance_id, (times, version) in out_of_health(value).items()
+            instance_id: [times, version > 0] for instance_id, (times, version) in ejections_of(value).items()
         }
-        for instance_id, (times, version) in out_of_health(value).items():
+        for instance_id, (times, version) in ejections_of(value).items():
             age = now - self.since.get((instance_id, version), now)
-            if version > 0 and age >= REST * 2 ** min(times - 1, DOUBLED):
+            if version > 0 and age >= FIRST_EJECTION * 2 ** min(times - 1, MAX_DOUBLINGS):
                 told[instance_id] = [times, False]
-            elif version < 0 and age >= FORGIVEN:
+            elif version < 0 and age >= EJECTION_MEMORY:
                 del told[instance_id]
         for instance_ids in services.values():
-            room = int(MOST * len(instance_ids)) - sum(
+            room = int(MAX_EJECTED_SHARE * len(instance_ids)) - sum(
                 told.get(instance_id, [0, False])[1] for instance_id in instance_ids
             )
             for instance_id in sorted(ill.intersection(instance_ids)):
@@ -98,12 +102,14 @@
         return {instance_id: one for instance_id, one in told.items() if instance_id in known}
 
 
-def judged(value: dict | None, told: dict[str, list], seen: dict[str, list]) -> tuple[dict | None, bool]:
+def with_ejections(
+    value: dict | None, told: dict[str, list], seen: dict[str, list]
+) -> tuple[dict | None, bool]:
     """The table with these judgements; what changes gets the new version, less it where a worker is back.
 
     seen: what stood when it was judged. Where another archive has judged since, this changes nothing.
     """
-    had, number = out_of_health(value), (value["n"] if value else 0) + 1
+    had, number = ejections_of(value), (value["n"] if value else 0) + 1
     if had != seen:
         return None, True
     made = {}
--- a/bramblewood/controller/placement.py
+++ b/bramblewood/controller/placement.py
@@ -30,48 +30,53 @@
 from ..common.worker_registry import DRAINING, GONE, READY, WorkerRegistry
 from ..policy.figures import HELD, LIMIT, UNSEEN, mean, usual
 from ..policy.manager import Manager
-from .drain_plans import TOLD, Room, steps_of
-from .hot_keys import HotKeys, Told
-from .outlier_detection import unwell
+from .drain_plans import DRAIN_ANNOUNCED, ServiceCapacity, drain_steps_of
+from .hot_keys import HotKeyNotice, HotKeys
+from .outlier_detection import ejected_workers
 from .read_replicas import wanted as readers_wanted
 from .zone_affinity import ZoneAffinity
 
-A_WORKER = 6  # slices a worker at least, so that one is a small step; each keyed slice costs a renewal
-LEAST = 32
-FADE = 0.8  # part of a fine count that a cycle leaves: five reports, as the design averages
-PARTS = 16  # parts that a hot slice is split into at most at one time
-JAM = 1.0  # load of a worker, by its own word, at which all its slots are taken
-COLD_FROM = 0.5  # part of its speed that a new worker is taken to have; the protocol says "slow" only
+MIN_SLICES_PER_WORKER = (
+    6  # slices a worker at least, so that one is a small step; each keyed slice costs a renewal
+)
+MIN_SLICES = 32
+HEAT_DECAY = 0.8  # part of a fine count that a cycle leaves: five reports, as the design averages
+MAX_SPLIT_PARTS = 16  # parts that a hot slice is split into at most at one time
+FULL_UTILIZATION = 1.0  # load of a worker, by its own word, at which all its slots are taken
+SLOW_START_SPEED = 0.5  # part of its speed that a new worker is taken to have; the protocol says "slow" only
 # s that a worker back from a doubt is taken to be new, where no worker told that it was cold
-CYCLE = 0.5  # s, the cycle of the rule: as desks report; a crowd of keys is spread in seconds
-WARM_AFTER = 1.0
-STATES = {READY: door.READY, DRAINING: door.DRAINING, GONE: door.GONE}
-SETTLE = 2.2  # beats before a service's first table, so that every worker that is up has called once
+REPORT_CYCLE = 0.5  # s, the cycle of the rule: as desks report; a crowd of keys is spread in seconds
+DEFAULT_WARM_UP = 1.0
+POLICY_STATES = {READY: door.READY, DRAINING: door.DRAINING, GONE: door.GONE}
+FIRST_TABLE_HEARTBEATS = (
+    2.2  # beats before a service's first table, so that every worker that is up has called once
+)
 
 
-def slices_for(workers: int) -> int:
-    count = LEAST
-    while count < A_WORKER * workers:
+def initial_slice_count(workers: int) -> int:
+    count = MIN_SLICES
+    while count < MIN_SLICES_PER_WORKER * workers:
         count *= 2
     return count
 
 
-class Changes:
+class SliceChanges:
     """What one service's manager asks for: lines by slice, slices to split off: (parent, start, line), and
     readers of crowded records.
     """
 
     def __init__(
         self,
-        lines: dict[int, tuple],
+        assignments: dict[int, tuple],
         splits: list[tuple[int, int, tuple]],
-        count: int,
+        slice_count: int,
         readers: dict[int, list[str]] | None = None,
     ) -> None:
-        self.lines, self.splits, self.count, self.readers = lines, splits, count, readers or {}
+        self.assignments, self.splits, self.slice_count = assignments, splits, slice_count
+        self.readers = readers or {}
 
 
-def moved(entry: list, line: tuple, keyed: bool, number: int) -> list:
+def reassigned(entry: list, line: tuple, keyed: bool, number: int) -> list:
     """An entry after a change of its line; a keyed one's old holder must first let go."""
     made = list(entry)
     if made[WORKER] != line[0]:
@@ -84,24 +89,26 @@
     )
 
 
-def apply(value: dict | None, wanted: dict[str, Changes], keyed: set[str]) -> tuple[dict | None, bool]:
+def apply_slice_changes(
+    value: dict | None, wanted: dict[str, SliceChanges], keyed: set[str]
+) -> tuple[dict | None, bool]:
     """The table after these changes; None where nothing changes."""
     value = value or {"n": 0, "s": {}}
     number, made, changed = value["n"] + 1, dict(value["s"]), False
     for service, changes in wanted.items():
         entries = dict(
             made.get(service)
-            or {str(i * KEY_SPACE_SIZE // changes.count): EMPTY for i in range(changes.count)}
+            or {str(i * KEY_SPACE_SIZE // changes.slice_count): EMPTY for i in range(changes.slice_count)}
         )
         for parent, start, line in changes.splits:
             entry = entries.get(str(parent))
             if entry is not None and str(start) not in entries:
-                entries[str(start)] = moved(entry[:READERS], line, service in keyed, number)
+                entries[str(start)] = reassigned(entry[:READERS], line, service in keyed, number)
                 changed = True
-        for start, line in changes.lines.items():
+        for start, line in changes.assignments.items():
             entry = entries.get(str(start))
             if entry is not None and tuple(entry[:FENCING_TOKEN]) != line:
-                entries[str(start)], changed = moved(entry, line, service in keyed, number), True
+                entries[str(start)], changed = reassigned(entry, line, service in keyed, number), True
         for start, readers in changes.readers.items():
             entry = entries.get(str(start))
             if entry is not None and reading(entry) != readers:
@@ -110,7 +117,7 @@
     return ({**value, "n": number, "s": made}, True) if changed else (None, False)
 
 
-def changed_slices(
+def with_changed_entries(
     value: dict | None, service: str, starts: tuple[int, ...], change: Any
 ) -> tuple[dict | None, bool]:
     """The table with change(entry, number) put for these slices where that gives one."""
@@ -125,7 +132,7 @@
     return ({**value, "n": number, "s": {**value["s"], service: entries}}, True) if found else (None, False)
 
 
-def freed(
+def clear_previous_owner(
     value: dict | None, service: str, starts: tuple[int, ...], fencing_token: int, old: str, handover: str
 ):
     """The table once the old holder has let go of these slices."""
@@ -136,10 +143,10 @@
         entry[PREVIOUS_OWNER], entry[HANDOVER] = "", handover
         return entry
 
-    return changed_slices(value, service, starts, change)
+    return with_changed_entries(value, service, starts, change)
 
 
-def refenced(value: dict | None, service: str, starts: tuple[int, ...], fencing_token: int):
+def raise_fencing_tokens(value: dict | None, service: str, starts: tuple[int, ...], fencing_token: int):
     """The table with a higher fence for these slices: their worker has seen a higher one than this."""
 
     def change(entry: list, number: int) -> list | None:
@@ -148,10 +155,12 @@
         entry[FENCING_TOKEN] = number
         return entry
 
-    return changed_slices(value, service, starts, change)
+    return with_changed_entries(value, service, starts, change)
 
 
-def met_of(instance_id: str, tries: int, unanswered: int, mean_time: float, over: float, load: list | None):
+def worker_report(
+    instance_id: str, tries: int, unanswered: int, mean_time: float, over: float, load: list | None
+):
     """What a desk met at a worker, as the manager is told; load is running, waiting and slots, as the worker
     said.
     """
@@ -170,10 +179,10 @@
             "managers": 1,
             "pick": "pair",
             "single_owner": keyed,
-            "cycle": CYCLE,
+            "cycle": REPORT_CYCLE,
             "load_fields": ["busy", "queued"],
-            "warm_after": WARM_AFTER,
-            "cold_from": COLD_FROM,
+            "warm_after": DEFAULT_WARM_UP,
+            "cold_from": SLOW_START_SPEED,
             "usual_retry": door.RETRY_UNSTARTED,
             "operations": [{"latency_objective": aim, "billed_value": 1.0}],
         }
@@ -191,7 +200,7 @@
         self.lines: dict[int, tuple] = {}  # what `relieve` asks for
         self.zone_affinity = ZoneAffinity()
 
-    def add_heat(
+    def record_request_counts(
         self, proxy: str, now: float, counts: dict[str, int], keys: dict[str, int], over: float
     ) -> None:
         """A desk's counts over so many seconds: by FINE keys, and by key of the ranges that are watched."""
@@ -221,7 +230,7 @@
         for key, proxies in self.by_key.items():
             sums[starts[bisect_right(starts, key) - 1]] += sum(proxies.values())
         if self.keyed and self.notice:
-            self.hot_keys.cycle(self.came, self.by_key, over, self.ability())
+            self.hot_keys.record_cycle(self.came, self.by_key, over, self.ability())
         self.came, self.by_key, self.heat_at, self.spans = Counter(), {}, now, {}
         return [door.SliceHeat(start, "all", sums[start], 0, over) for start in starts]
 
@@ -231,13 +240,13 @@
         times = usual(mean(w.times) for w in workers)
         return usual(w.weight for w in workers) / times if times else 0.0
 
-    def own_ranges(self, entries: dict, moved: dict) -> list[tuple[int, int, tuple]]:
+    def own_ranges(self, entries: dict, reassigned: dict) -> list[tuple[int, int, tuple]]:
         """A slice of its own for each crowded key, at the worker that it has."""
         made, starts = [], sorted(self.known)
-        for key in self.hot_keys.told().keys:
+        for key in self.hot_keys.notice().keys:
             place = bisect_right(starts, key) - 1
             start, end = starts[place], starts[place + 1] if place + 1 < len(starts) else KEY_SPACE_SIZE
-            if start in moved or entries[str(start)][PREVIOUS_OWNER]:
+            if start in reassigned or entries[str(start)][PREVIOUS_OWNER]:
                 continue
             line = tuple(entries[str(start)][:FENCING_TOKEN])
             made += [(start, cut, line) for cut in (key, key + 1) if start < cut < end]
@@ -264,7 +273,7 @@
                 made[key] = kept
         return made
 
-    def split(self, now: float, entries: dict, moved: dict) -> list[tuple[int, int, tuple]]:
+    def split(self, now: float, entries: dict, reassigned: dict) -> list[tuple[int, int, tuple]]:
         """Slices hotter than a worker's limit, over three reports: their parts go to the least loaded at
         once. `moved`: lines that change in the same turn; these slices wait for the next.
         """
@@ -272,14 +281,14 @@
             return []
         self.split_at = now
         for fine in list(self.fine):
-            self.fine[fine] *= FADE
+            self.fine[fine] *= HEAT_DECAY
             if self.fine[fine] < 0.05:
                 del self.fine[fine]
         manager, made, starts = self.manager, [], sorted(self.known)
-        made = self.own_ranges(entries, moved)
+        made = self.own_ranges(entries, reassigned)
         if made:
             return made
-        able = [p for p in manager.ours() if p.main and p.main.usable and p.number not in moved]
+        able = [p for p in manager.ours() if p.main and p.main.usable and p.number not in reassigned]
         for piece in [p for p in able if not entries[str(p.number)][PREVIOUS_OWNER]]:
             limit = LIMIT * manager.planner.capacity(piece.main)
             recent = [*piece.estimates][-HELD:]
@@ -287,7 +296,7 @@
                 continue
             place = starts.index(piece.number)
             end = starts[place + 1] if place + 1 < len(starts) else KEY_SPACE_SIZE
-            cuts = self.cuts(piece.number, end, min(int(2 * piece.estimate() / limit) + 1, PARTS))
+            cuts = self.cuts(piece.number, end, min(int(2 * piece.estimate() / limit) + 1, MAX_SPLIT_PARTS))
             heat = piece.estimate() / (len(cuts) + 1)
             for start in cuts:
                 target = self.lightest(heat, piece.main)
@@ -298,7 +307,7 @@
                 made.append((piece.number, start, (target.name, "", 0.0)))
             if cuts:
                 piece.estimates.clear()
-        if not made and not moved:
+        if not made and not reassigned:
             self.lines = self.relieve(now, entries)
         return made
 
@@ -331,7 +340,7 @@
         planner, lines = self.manager.planner, {}
         for worker, pieces in planner.by_main.items() if hasattr(planner, "by_main") else ():
             levels = [*worker.levels][-HELD:] if worker else []
-            if len(levels) < HELD or min(levels) < JAM or not worker.usable:
+            if len(levels) < HELD or min(levels) < FULL_UTILIZATION or not worker.usable:
                 continue
             if now < self.relieved.get(worker.name, -1e9) + UNSEEN:
                 continue  # no report can show the last relief yet
@@ -340,7 +349,7 @@
             alone = any(piece.number in crowded for piece in pieces)
             for piece in sorted(pieces, key=lambda p: (-p.estimate(), p.number)):
                 heat = piece.estimate()
-                if self.carries(worker) <= limit and not alone or heat < limit / PARTS:
+                if self.carries(worker) <= limit and not alone or heat < limit / MAX_SPLIT_PARTS:
                     break  # relieved, or down to slices that only cost
                 if heat > limit or entries[str(piece.number)][PREVIOUS_OWNER] or piece.number in crowded:
                     continue
@@ -367,18 +376,22 @@
         return found
 
 
-class Placement:
+class PlacementPlanner:
     """Turns the roll, the desks' reports and the agreed table into the changes that the design asks for."""
 
     def __init__(self, start: float, beat: float, notice: bool = True) -> None:
         self.notice = notice
-        self.offices: dict[str, ServicePlacement] = {}
+        self.services: dict[str, ServicePlacement] = {}
         self.events: dict[str, list] = {}
         self.first_at: dict[str, float] = {}
         self.start, self.beat = start, beat
         self.leaving: set[str] = set()  # workers that a plan takes out of use, or that are ill
 
-    def report(
+    def reset(self) -> None:
+        """Forget what was asked for: begin again from the table that stands."""
+        self.services.clear()
+
+    def record_report(
         self,
         now: float,
         service: str,
@@ -388,12 +401,12 @@
         over: float,
         met: list,
     ) -> None:
-        office = self.offices.get(service)
+        office = self.services.get(service)
         if office is not None:
-            office.add_heat(proxy, now, heat, keys, over)
+            office.record_request_counts(proxy, now, heat, keys, over)
             self.events.setdefault(service, []).extend(met)
 
-    def step(
+    def plan_changes(
         self,
         now: float,
         services: dict[str, Any],
@@ -401,12 +414,12 @@
         registry: WorkerRegistry,
         silent: set[str],
         table: dict | None,
-    ) -> dict[str, Changes]:
+    ) -> dict[str, SliceChanges]:
         """The changes to ask for now; nothing where the table is as it should be."""
         wanted = {}
-        stands, steps = table["s"] if table else {}, steps_of(table)
-        self.leaving = {instance_id for instance_id, step in steps.items() if step != TOLD} | set(
-            unwell(table)
+        stands, steps = table["s"] if table else {}, drain_steps_of(table)
+        self.leaving = {instance_id for instance_id, step in steps.items() if step != DRAIN_ANNOUNCED} | set(
+            ejected_workers(table)
         )
         for service, told in services.items():
             rows = {instance_id: row for instance_id, row in registry.rows.items() if row.service == service}
@@ -417,42 +430,44 @@
             ]
             ready = [instance_id for instance_id in ready if instance_id not in self.leaving]
             if service not in stands:  # the first table waits until those that are up have been heard
-                if not ready or now < self.first_at.setdefault(service, now + self.beat * SETTLE):
+                if not ready or now < self.first_at.setdefault(
+                    service, now + self.beat * FIRST_TABLE_HEARTBEATS
+                ):
                     continue
             entries = stands.get(service)
-            if entries and now < self.start + self.beat * SETTLE:
+            if entries and now < self.start + self.beat * FIRST_TABLE_HEARTBEATS:
                 if any(entry[WORKER] and entry[WORKER] not in registry.rows for entry in entries.values()):
                     continue  # just started: a worker not heard yet is not a worker that is gone
-            count = len(entries) if entries else slices_for(len(ready))
-            office = self.offices.get(service)
+            count = len(entries) if entries else initial_slice_count(len(ready))
+            office = self.services.get(service)
             if office is None or office.keyed != told.keyed:
-                office = self.offices[service] = ServicePlacement(
+                office = self.services[service] = ServicePlacement(
                     service, told.keyed, count, aims.get(service, 1.0), self.notice
                 )
             office.count = office.facts["slices"] = count
             lines, splits = self.ask(now, office, rows, silent, registry, entries)
             readers = office.readers(entries) if told.read_replicas and entries else {}
             if lines or splits or readers:
-                wanted[service] = Changes(lines, splits, count, readers)
+                wanted[service] = SliceChanges(lines, splits, count, readers)
         return wanted
 
-    def hot_keys(self) -> dict[str, Told]:
+    def hot_keys(self) -> dict[str, HotKeyNotice]:
         """By service, what desks are to know of crowded records; services without any are left out."""
-        found = {service: office.hot_keys.told() for service, office in self.offices.items()}
-        return {service: told for service, told in found.items() if told.watch}
+        found = {service: office.hot_keys.notice() for service, office in self.services.items()}
+        return {service: told for service, told in found.items() if told.watched_ranges}
 
-    def rooms(self) -> dict[str, Room]:
+    def service_capacities(self) -> dict[str, ServiceCapacity]:
         """By service, how busy its workers are and how much each can do, what is cold counted as cold."""
         found = {}
-        for service, office in self.offices.items():
+        for service, office in self.services.items():
             ready = office.manager.ready()
             busy = sum(mean(w.levels) * w.weight for w in ready)
-            found[service] = Room(busy, {w.name: w.weight * w.ramp() for w in ready if w.usable})
+            found[service] = ServiceCapacity(busy, {w.name: w.weight * w.ramp() for w in ready if w.usable})
         return found
 
-    def near(self) -> dict[str, dict[str, float]]:
+    def zone_shares(self) -> dict[str, dict[str, float]]:
         """By service and zone, the part of the zone's requests that stay in it."""
-        found = {service: office.zone_affinity.parts for service, office in self.offices.items()}
+        found = {service: office.zone_affinity.local_shares for service, office in self.services.items()}
         return {service: parts for service, parts in found.items() if parts}
 
     def ask(
@@ -466,7 +481,7 @@
     ):
         events, listed = self.events.pop(office.service, []), {}
         for instance_id, row in rows.items():
-            state = door.GONE if instance_id in silent else STATES.get(row.phase, door.GONE)
+            state = door.GONE if instance_id in silent else POLICY_STATES.get(row.phase, door.GONE)
             if state == door.READY and instance_id in self.leaving:
                 state = door.DRAINING  # by a plan, or ill: its slices move at once, it serves what it has
             office.facts["warm_after"] = max(office.facts["warm_after"], row.cold)
@@ -505,7 +520,7 @@
             if now >= office.split_at + office.facts["cycle"]:
                 office.split_at = now
                 usable = [w for w in office.manager.usable() if w.levels]
-                office.zone_affinity.cycle((w.zone, w.weight, mean(w.levels)) for w in usable)
+                office.zone_affinity.adjust((w.zone, w.weight, mean(w.levels)) for w in usable)
             return lines, []
         splits = office.split(now, entries, lines)
         office.known.update(office.lines)
--- a/bramblewood/controller/proxy_updates.py
+++ b/bramblewood/controller/proxy_updates.py
@@ -8,9 +8,9 @@
 
 from collections import deque
 
-from ..common.slice_table import CLOSING
-from .drain_plans import steps_of
-from .outlier_detection import unwell
+from ..common.slice_table import DRAIN_STARTED
+from .drain_plans import drain_steps_of
+from .outlier_detection import ejected_workers
 from .value_diff import others
 
 KEPT = 200  # changes of the table that a difference can be made of
@@ -32,7 +32,7 @@
                 continue
             if found := [start for start in others(before, entries) if entries[start] != before.get(start)]:
                 changes[service] = found
-        leaving = {**dict.fromkeys(unwell(value), CLOSING), **steps_of(value)}
+        leaving = {**dict.fromkeys(ejected_workers(value), DRAIN_STARTED), **drain_steps_of(value)}
         if leaving != self.leaving:
             self.leaving, self.left_at = leaving, value["n"]
         self.log.append((self.n, value["n"], changes))
--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -59,9 +59,19 @@
     no_effects,
 )
 from .deregistration import HELD_WITHIN, Deregistrations
-from .drain_plans import CLOSING, TOLD, DrainPlans, ended, in_use, out_of, plans_of, started, steps_of
+from .drain_plans import (
+    DRAIN_ANNOUNCED,
+    DRAIN_STARTED,
+    DrainPlans,
+    drain_steps_of,
+    end_plan,
+    plans_of,
+    start_plan,
+    worker_drains_of,
+    workers_in_use,
+)
 from .key_leases import RENEW_PART, Call, KeyLeases, ReleasedKeys
-from .outlier_detection import OutlierDetection, judged, out_of_health
+from .outlier_detection import OutlierDetection, ejections_of, with_ejections
 from .proxy_updates import ProxyUpdates
 from .read_replicas import Lease, ReadReplicas, forgotten, taken_off
 from .sessions import HEARTBEAT_INTERVAL, Sessions
@@ -128,7 +138,7 @@
             return 2
         facts = found.ok_value["facts"]
         self.begin(facts, found.ok_value["registers"])
-        self.placement = placement.Placement(loop.time(), self.settings.beat, self.settings.notice)
+        self.placement = placement.PlacementPlanner(loop.time(), self.settings.beat, self.settings.notice)
         self.storage.start(lambda done, problem: loop.call_soon_threadsafe(done, problem))
         self.carry(no_effects())
         for peer in {*self.settings.seed_ips(), *self.consensus.voters, *facts.get("archives", ())}:
@@ -277,7 +287,7 @@
         if now >= self.turn_at:
             self.turn_at = now + TURN
             self.registry.forget(now)
-            self.drain_plans.present(now, self.sessions.all_proxies(now, list(self.proxies)))
+            self.drain_plans.record_connected_proxies(now, self.sessions.all_proxies(now, list(self.proxies)))
         self.steer(now)
 
     def whole(self, now: float) -> bool:
@@ -353,7 +363,7 @@
         message = json.dumps(told, separators=(",", ":"))
         about = {"zone": self.settings.zone, "archives": sorted({self.me, *self.controllers})}
         if coordinator == self.me:
-            about["near"] = self.placement.near()
+            about["near"] = self.placement.zone_shares()
             if hot_keys := self.placement.hot_keys():
                 about["crowds"] = hot_keys
         seldom = json.dumps({**told, **about}, separators=(",", ":"))
@@ -398,7 +408,7 @@
                 if version > self.proxy_updates.n:
                     self.proxy_updates.learned(self.consensus.value(TABLE))
                     self.read_replicas.learn(self.loop.time(), self.consensus.value(TABLE))
-                    self.outlier_detection.learn(self.loop.time(), self.consensus.value(TABLE))
+                    self.outlier_detection.record_table(self.loop.time(), self.consensus.value(TABLE))
                 self.loop.call_later(GRANT_FIRST, self.show, register, version)
             else:
                 self.show(register, version)
@@ -427,7 +437,7 @@
             self.was_coordinator = coordinator
             self.log.info("scribe" if coordinator else "not scribe", step="steer")
             if coordinator:
-                self.placement.offices.clear()  # others have moved things since
+                self.placement.reset()  # others have moved things since
                 self.key_leases.out.clear()
         if not coordinator:
             return
@@ -446,35 +456,39 @@
                 asyncio.ensure_future(self.lease(lease, until))
             if over and not self.proposing:
                 self.move(lambda value: forgotten(value, over))
-            if out_of(table) and not self.proposing:
+            if worker_drains_of(table) and not self.proposing:
                 self.withdraw(now, table)
         if table is not None and now >= self.health_at:
             self.health_at = now + TURN
             self.judge(now, table)
         if not self.proposing:
-            wanted = self.placement.step(now, services, self.aims, self.registry, self.silent(now), table)
+            wanted = self.placement.plan_changes(
+                now, services, self.aims, self.registry, self.silent(now), table
+            )
             if wanted:
-                moves = {service: (len(c.lines), len(c.splits)) for service, c in wanted.items()}
+                moves = {service: (len(c.assignments), len(c.splits)) for service, c in wanted.items()}
                 self.log.info("moves", step="placement", moves=moves, table=self.consensus.version(TABLE))
-                self.move(lambda value: placement.apply(value, wanted, keyed))
+                self.move(lambda value: placement.apply_slice_changes(value, wanted, keyed))
 
     def withdraw(self, now: float, table: dict) -> None:
         """The next step of the plans that take workers out of service."""
-        change = self.drain_plans.step(now, table, self.registry, self.placement.rooms())
+        change = self.drain_plans.next_change(now, table, self.registry, self.placement.service_capacities())
         if change is not None:
             self.move(change)
 
     def judge(self, now: float, table: dict) -> None:
         """Take workers out that look ill to the desks, and back after a while."""
-        leaving, in_service = self.silent(now) | steps_of(table).keys(), {}
+        leaving, in_service = self.silent(now) | drain_steps_of(table).keys(), {}
         for instance_id, row in self.registry.rows.items():
             if row.phase == READY and instance_id not in leaving:
                 in_service.setdefault(row.service, []).append(instance_id)
-        told = self.outlier_detection.wanted(now, table, self.outlier_detection.cycle(in_service), in_service)
-        seen = out_of_health(table)
-        if judged(table, told, seen)[0] is not None and not self.proposing:
+        told = self.outlier_detection.plan_ejections(
+            now, table, self.outlier_detection.find_outliers(in_service), in_service
+        )
+        seen = ejections_of(table)
+        if with_ejections(table, told, seen)[0] is not None and not self.proposing:
             self.log.info("health", step="placement", told=told)
-            self.move(lambda value: judged(value, told, seen))
+            self.move(lambda value: with_ejections(value, told, seen))
 
     def move(self, change: Any) -> None:
         """A change of the table by the scribe; void if this archive is whole no more when its turn comes."""
@@ -485,7 +499,7 @@
     def proposed(self, outcome: Any) -> None:
         self.proposing = False
         if outcome is None:
-            self.placement.offices.clear()  # unclear: begin again from what stands
+            self.placement.reset()  # unclear: begin again from what stands
         self.learned()
 
     def free(self, one: ReleasedKeys) -> None:
@@ -498,7 +512,7 @@
             def change(value: dict | None) -> tuple[dict | None, bool]:
                 made, changed = value, False
                 for each in some:
-                    after, found = placement.freed(
+                    after, found = placement.clear_previous_owner(
                         made, each.service, each.starts, each.fencing_token, each.old, each.handover
                     )
                     made, changed = (after, True) if found else (made, changed)
@@ -566,7 +580,9 @@
         if status == 409:
             self.propose(
                 TABLE,
-                lambda value: placement.refenced(value, call.service, call.starts, call.fencing_token),
+                lambda value: placement.raise_fencing_tokens(
+                    value, call.service, call.starts, call.fencing_token
+                ),
                 self.refreshed,
                 1.0,
             )
@@ -718,7 +734,7 @@
             self.take_rows(message.get("rows", {}), link.peer, message.get("ages"))
             return
         self.proxies[link.peer] = link
-        self.drain_plans.anew(link.peer)
+        self.drain_plans.forget_report(link.peer)
         self.take_rows(message.get("rows", {}))  # what all archives forgot in a restart, desks have kept
         link.send({"k": "roll", "rows": self.registry.leaving()})
         self.pulse_desks(self.loop.time())
@@ -810,22 +826,22 @@
     def reported(self, now: float, link: PeerConnection, message: dict) -> None:
         over, by_key = message["over"], message.get("keys", {})
         if "n" in message:
-            self.drain_plans.hear(link.peer, message["n"], message.get("left", {}))
+            self.drain_plans.record_report(link.peer, message["n"], message.get("left", {}))
         met: dict[str, list] = {service: [] for service in {**message["heat"], **by_key}}
         for instance_id, (tries, unanswered, mean_time, load, *bad) in message["met"].items():
             row = self.registry.rows.get(instance_id)
             if row is None:
                 continue
-            self.outlier_detection.report(link.peer, instance_id, tries, sum(bad))
+            self.outlier_detection.record_attempts(link.peer, instance_id, tries, sum(bad))
             if tries > unanswered:
                 self.registry.heard[instance_id] = max(self.registry.heard.get(instance_id, 0.0), now - over)
             met.setdefault(row.service, []).append(
-                placement.met_of(instance_id, tries, unanswered, mean_time, over, load)
+                placement.worker_report(instance_id, tries, unanswered, mean_time, over, load)
             )
         if self.was_coordinator:
             for service, some in met.items():
                 heat, keys = message["heat"].get(service, {}), by_key.get(service, {})
-                self.placement.report(now, service, link.peer, heat, keys, over, some)
+                self.placement.record_report(now, service, link.peer, heat, keys, over, some)
 
     def take_rows(self, rows: dict, sender: str = "", ages: dict | None = None) -> dict[str, list]:
         """Take rows that another manager sent; those of its workers that leave of which we have a newer word.
@@ -949,11 +965,14 @@
 
         def start(value: dict | None) -> tuple[dict | None, tuple[int, str]]:
             instance_ids = self.chosen(command, value)
-            staying = len(set(in_use(self.registry, command.service, out_of(value))) - set(instance_ids))
-            return started(value, command.name, command.service, instance_ids, command.wave, staying)
+            staying = len(
+                set(workers_in_use(self.registry, command.service, worker_drains_of(value)))
+                - set(instance_ids)
+            )
+            return start_plan(value, command.name, command.service, instance_ids, command.wave, staying)
 
         if isinstance(command, EndDrainPlan):
-            told = await self.agreed(TABLE, lambda value: ended(value, command.name, command.state))
+            told = await self.agreed(TABLE, lambda value: end_plan(value, command.name, command.state))
         elif command.only_tell:
             read = lambda value: (None, (self.chosen(command, value), start(value)[1]))  # noqa: E731
             if (told := await self.agreed(TABLE, read)) is not None:
@@ -971,7 +990,7 @@
         """The workers that a plan names, by the table that stands."""
         if command.name in plans_of(value):
             return plans_of(value)[command.name]["lives"]  # asked again
-        able = in_use(self.registry, command.service, out_of(value))
+        able = workers_in_use(self.registry, command.service, worker_drains_of(value))
         instance_ids = [
             instance_id
             for instance_id in able
@@ -1018,13 +1037,13 @@
                 "workers": {
                     instance_id: {
                         "step": step,
-                        "sending": told.sending(now, version) if step == CLOSING else [],
+                        "sending": told.unconfirmed_proxies(now, version) if step == DRAIN_STARTED else [],
                         "under way": {
-                            proxy: [*left] for proxy, left in told.under_way(now, instance_id).items()
+                            proxy: [*left] for proxy, left in told.work_in_flight(now, instance_id).items()
                         },
-                        "keys": step != TOLD and told.holds(table, instance_id),
+                        "keys": step != DRAIN_ANNOUNCED and told.owns_keys(table, instance_id),
                     }
-                    for instance_id, (plan_of, step, version) in out_of(table).items()
+                    for instance_id, (plan_of, step, version) in worker_drains_of(table).items()
                     if plan_of == name
                 },
             }
--- a/bramblewood/controller/zone_affinity.py
+++ b/bramblewood/controller/zone_affinity.py
@@ -8,16 +8,19 @@
 
 from collections.abc import Iterable
 
-GROWS, SHRINKS = 0.1, 0.2  # of all its requests, a cycle: full use in the time that five reports take, twice
-EVEN = 1.1  # times the mean busyness that a zone's may be
-IDLE = 0.5  # busyness below which nothing waits, whatever the others have; half of the slots
+SHARE_INCREASE, SHARE_DECREASE = (
+    0.1,
+    0.2,
+)  # of all its requests, a cycle: full use in the time that five reports take, twice
+EVEN_UTILIZATION_FACTOR = 1.1  # times the mean busyness that a zone's may be
+IDLE_UTILIZATION = 0.5  # busyness below which nothing waits, whatever the others have; half of the slots
 
 
 class ZoneAffinity:
     def __init__(self) -> None:
-        self.parts: dict[str, float] = {}  # by zone
+        self.local_shares: dict[str, float] = {}  # by zone
 
-    def cycle(self, busy: Iterable[tuple[str, float, float]]) -> None:
+    def adjust(self, busy: Iterable[tuple[str, float, float]]) -> None:
         """Once a cycle: (zone, slots, busyness averaged over five reports) of each worker in use."""
         slots: dict[str, float] = {}
         taken: dict[str, float] = {}
@@ -25,9 +28,9 @@
             slots[zone] = slots.get(zone, 0.0) + weight
             taken[zone] = taken.get(zone, 0.0) + weight * level
         mean = sum(taken.values()) / (sum(slots.values()) or 1.0)
-        parts = {}
+        local_shares = {}
         for zone in slots:
-            calm = taken[zone] / slots[zone] <= max(EVEN * mean, IDLE)
-            part = self.parts.get(zone, 0.0) + (GROWS if calm else -SHRINKS)
-            parts[zone] = round(min(max(part, 0.0), 1.0), 2)
-        self.parts = parts
+            calm = taken[zone] / slots[zone] <= max(EVEN_UTILIZATION_FACTOR * mean, IDLE_UTILIZATION)
+            share = self.local_shares.get(zone, 0.0) + (SHARE_INCREASE if calm else -SHARE_DECREASE)
+            local_shares[zone] = round(min(max(share, 0.0), 1.0), 2)
+        self.local_shares = local_shares
--- a/bramblewood/proxy/load_balancing.py
+++ b/bramblewood/proxy/load_balancing.py
@@ -12,13 +12,13 @@
 from cachetools import LRUCache
 
 from ..common.slice_table import (
+    DRAIN_ANNOUNCED,
     FENCING_TOKEN,
     KEY_SPACE_SIZE,
     KEYS_PER_RANGE,
     PREVIOUS_OWNER,
     SECOND,
     SECOND_SHARE,
-    TOLD,
     WORKER,
     readers_of,
     reading,
@@ -174,7 +174,7 @@
             row is not None
             and row.phase == READY
             and instance_id not in self.silent
-            and self.leaving.get(instance_id, TOLD) == TOLD
+            and self.leaving.get(instance_id, DRAIN_ANNOUNCED) == DRAIN_ANNOUNCED
             and self.of(instance_id).rests_until <= now
         )
 
@@ -245,7 +245,9 @@
 
     def pin(self, now: float, service: str, key: str, instance_id: str, lasts: float) -> None:
         """What this key's client does next on such a route goes to the same worker, for so long (s)."""
-        if self.leaving.get(instance_id, TOLD) == TOLD:  # else it keeps the bound that it has
+        if (
+            self.leaving.get(instance_id, DRAIN_ANNOUNCED) == DRAIN_ANNOUNCED
+        ):  # else it keeps the bound that it has
             self.pins[service, key] = (instance_id, now + lasts)
 
     def pinned(self, now: float, service: str, key: str) -> str | None:
--- a/features/steps/crowds.py
+++ b/features/steps/crowds.py
@@ -24,7 +24,7 @@
             by_key.setdefault(key, {})[proxy] = rate * OVER
         else:
             came[key // KEYS_PER_RANGE] += rate * OVER
-    context.hot_keys.cycle(came, by_key, OVER, context.ability)
+    context.hot_keys.record_cycle(came, by_key, OVER, context.ability)
 
 
 def even(key, rate):
@@ -57,27 +57,27 @@
 
 @then("its range is watched, and nothing is crowded")
 def watched(context):
-    assert context.hot_keys.told() == ((4001 // KEYS_PER_RANGE,), ())
+    assert context.hot_keys.notice() == ((4001 // KEYS_PER_RANGE,), ())
 
 
 @then("{key:d} is crowded")
 def crowded(context, key):
-    assert context.hot_keys.told().keys == (key,)
+    assert context.hot_keys.notice().keys == (key,)
 
 
 @then("nothing is crowded")
 def calm(context):
-    assert context.hot_keys.told().keys == ()
+    assert context.hot_keys.notice().keys == ()
 
 
 @then("nothing is crowded, and at most {most:d} ranges are watched")
 def few(context, most):
-    assert context.hot_keys.told().keys == () and len(context.hot_keys.told().watch) <= most
+    assert context.hot_keys.notice().keys == () and len(context.hot_keys.notice().watched_ranges) <= most
 
 
 @then("nothing is watched")
 def none(context):
-    assert context.hot_keys.told() == ((), ())
+    assert context.hot_keys.notice() == ((), ())
 
 
 @when(
--- a/features/steps/health.py
+++ b/features/steps/health.py
@@ -1,6 +1,11 @@
 from behave import given, then, when
 
-from bramblewood.controller.outlier_detection import OutlierDetection, judged, out_of_health, unwell
+from bramblewood.controller.outlier_detection import (
+    OutlierDetection,
+    ejected_workers,
+    ejections_of,
+    with_ejections,
+)
 
 CYCLE = 0.5  # s
 
@@ -14,20 +19,22 @@
 def cycle(context, bad, proxies):
     """One report: so many of the tries of some workers go wrong at some desks."""
     context.now += CYCLE
-    out = unwell(context.value)
+    out = ejected_workers(context.value)
     for instance_id in context.instance_ids:
         for proxy in ("d1", "d2", "d3"):
             if instance_id not in out:
-                context.outlier_detection.report(
+                context.outlier_detection.record_attempts(
                     proxy, instance_id, context.tries, bad.get(instance_id, 0) if proxy in proxies else 0
                 )
-    ill = context.outlier_detection.cycle({"s": context.instance_ids})
-    told = context.outlier_detection.wanted(context.now, context.value, ill, {"s": context.instance_ids})
-    context.value = judged(context.value, told, out_of_health(context.value))[0] or context.value
-    context.outlier_detection.learn(context.now, context.value)
+    ill = context.outlier_detection.find_outliers({"s": context.instance_ids})
+    told = context.outlier_detection.plan_ejections(
+        context.now, context.value, ill, {"s": context.instance_ids}
+    )
+    context.value = with_ejections(context.value, told, ejections_of(context.value))[0] or context.value
+    context.outlier_detection.record_table(context.now, context.value)
 
 
-@when("{names} fails {bad:d} of 4 at {desks} for {count:d} reports")
+@when("{names} fails {bad:d} of 4 at {proxies} for {count:d} reports")
 def fails(context, names, bad, proxies, count):
     some = context.instance_ids if names == "every worker" else [names]
     for _ in range(count):
@@ -42,35 +49,35 @@
 
 @then("nobody is out")
 def nobody(context):
-    assert unwell(context.value) == []
+    assert ejected_workers(context.value) == []
 
 
 @then("two are out")
 def two(context):
-    assert len(unwell(context.value)) == 2
+    assert len(ejected_workers(context.value)) == 2
 
 
-@then("{life} is out, and for {span:g} s")
+@then("{instance_id} is out, and for {span:g} s")
 def out(context, instance_id, span):
-    assert unwell(context.value) == [instance_id]
+    assert ejected_workers(context.value) == [instance_id]
     began = context.now
-    while unwell(context.value):
+    while ejected_workers(context.value):
         cycle(context, {}, ())
     assert abs(context.now - began - span) <= 2 * CYCLE, context.now - began
 
 
 @given("a table in which w0 is out")
 def one_out(context):
-    context.value = judged({"n": 1, "s": {}}, {"w0": [1, True]}, {})[0]
+    context.value = with_ejections({"n": 1, "s": {}}, {"w0": [1, True]}, {})[0]
 
 
 @when("one archive judges that w1 is out too, and another, which missed that, that w0 may serve again")
 def two_judge(context):
-    seen = out_of_health(context.value)
+    seen = ejections_of(context.value)
     for told in ({"w0": [1, True], "w1": [1, True]}, {"w0": [1, False]}):
-        context.value = judged(context.value, told, seen)[0] or context.value
+        context.value = with_ejections(context.value, told, seen)[0] or context.value
 
 
 @then("w0 and w1 are out")
 def both_out(context):
-    assert unwell(context.value) == ["w0", "w1"]
+    assert ejected_workers(context.value) == ["w0", "w1"]
--- a/features/steps/placement.py
+++ b/features/steps/placement.py
@@ -50,15 +50,15 @@
 @then("after {cycles:d} cycles all of a's requests stay")
 def stay(context, cycles):
     for _ in range(cycles):
-        context.zone_affinity.cycle(context.busy)
-    assert context.zone_affinity.parts["a"] == 1.0
+        context.zone_affinity.adjust(context.busy)
+    assert context.zone_affinity.local_shares["a"] == 1.0
 
 
 @then("after {cycles:d} cycles {part:g} of a's requests stay, and all of b's")
 def fewer(context, cycles, part):
     for _ in range(cycles):
-        context.zone_affinity.cycle(context.busy)
-    assert context.zone_affinity.parts == {"a": part, "b": 1.0}
+        context.zone_affinity.adjust(context.busy)
+    assert context.zone_affinity.local_shares == {"a": part, "b": 1.0}
 
 
 @given("a desk of zone a, of whose requests {part:g} are to stay, with workers in a and b")
--- a/features/steps/withdrawal.py
+++ b/features/steps/withdrawal.py
@@ -4,9 +4,16 @@
 
 from bramblewood.common.worker_registry import WorkerRegistration, WorkerRegistry
 from bramblewood.controller import drain_plans
-from bramblewood.controller.drain_plans import DrainPlans, Room, out_of, plans_of, started, steps_of
+from bramblewood.controller.drain_plans import (
+    DrainPlans,
+    ServiceCapacity,
+    drain_steps_of,
+    plans_of,
+    start_plan,
+    worker_drains_of,
+)
 from tests.approved import approve
-from tests.simulation.drain_plans import Play, TooSoon
+from tests.simulation.drain_plans import OutOfServiceTooSoon, Play
 
 
 @then("in {count:d} plays of {seconds:d} s no desk that is there has work at a worker that is out")
@@ -19,7 +26,7 @@
     for seed in range(count):
         try:
             Play(seed, careless).run(120)
-        except TooSoon:
+        except OutOfServiceTooSoon:
             return True
     return False
 
@@ -36,22 +43,24 @@
 
 @then("without the version that a step rests on a worker is out too soon within {count:d} plays")
 def version(context, count):
-    advanced, order = drain_plans.advanced, ["told", "closing", "closed", "out"]
+    advance_plans, order = drain_plans.advance_plans, ["told", "closing", "closed", "out"]
 
     def unfenced(value, moves, ends):
-        stands = {instance_id: at for instance_id, at in out_of(value).items() if instance_id in moves}
+        stands = {
+            instance_id: at for instance_id, at in worker_drains_of(value).items() if instance_id in moves
+        }
         later = {
             instance_id
             for instance_id, at in stands.items()
             if order.index(at[1]) < order.index(moves[instance_id][0])
         }
-        return advanced(
+        return advance_plans(
             value,
             {instance_id: (moves[instance_id][0], stands[instance_id][2]) for instance_id in later},
             ends,
         )
 
-    with mock.patch.object(drain_plans, "advanced", unfenced):
+    with mock.patch.object(drain_plans, "advance_plans", unfenced):
         assert found(count, "")
 
 
@@ -61,7 +70,7 @@
 
 
 def ask(context, name, instance_ids, staying):
-    made, (status, reason) = started(context.value, name, "s", instance_ids, 1, staying)
+    made, (status, reason) = start_plan(context.value, name, "s", instance_ids, 1, staying)
     context.value = made or context.value
     context.lines.append(f"{name} takes {', '.join(instance_ids)}: {status} {reason}")
 
@@ -95,20 +104,20 @@
     registry, machine = WorkerRegistry(), DrainPlans(7.4)
     for name in ("w1", "w2", "w3"):
         registry.merge(0.0, name, WorkerRegistration("s", f"{name}:1", "z", 2, "ready", 1))
-    room = {"s": Room(5.0, {"w1": 2.0, "w2": 2.0, "w3": 2.0})}
+    room = {"s": ServiceCapacity(5.0, {"w1": 2.0, "w2": 2.0, "w3": 2.0})}
     for tenth in range(10 * last):
-        machine.present(tenth / 10, set())
-        change = machine.step(tenth / 10, context.value, registry, room)
+        machine.record_connected_proxies(tenth / 10, set())
+        change = machine.next_change(tenth / 10, context.value, registry, room)
         if change is not None:
             context.value = change(context.value)[0] or context.value
         if tenth == 10 * first:
-            assert set(steps_of(context.value).values()) == {"told"}
+            assert set(drain_steps_of(context.value).values()) == {"told"}
     assert (plans_of(context.value)["a"]["state"], plans_of(context.value)["a"]["why"]) == ("stopped", why)
 
 
 @then("w1 is in use")
 def use(context):
-    assert "w1" not in out_of(context.value)
+    assert "w1" not in worker_drains_of(context.value)
 
 
 def plan(context, step):
--- a/tests/simulation/drain_plans.py
+++ b/tests/simulation/drain_plans.py
@@ -8,14 +8,14 @@
 from bramblewood.common.slice_table import PREVIOUS_OWNER, WORKER
 from bramblewood.common.worker_registry import WorkerRegistration, WorkerRegistry
 from bramblewood.controller.drain_plans import (
-    OUT,
+    OUT_OF_SERVICE,
     DrainPlans,
-    Room,
-    ended,
-    in_use,
-    out_of,
-    started,
-    steps_of,
+    ServiceCapacity,
+    drain_steps_of,
+    end_plan,
+    start_plan,
+    worker_drains_of,
+    workers_in_use,
 )
 
 STEP = 0.1  # s
@@ -23,7 +23,7 @@
 WORKERS = tuple(f"w{i}" for i in range(6))
 
 
-class TooSoon(AssertionError):
+class OutOfServiceTooSoon(AssertionError):
     """A worker is out, and a desk that is there still has or starts work on it."""
 
 
@@ -58,7 +58,7 @@
         dice = self.dice
         if dice.random() < 0.004:  # killed: what it had under way is broken off, it starts with the newest
             proxy.under_way, proxy.n = [], self.value["n"]
-            proxy.steps = steps_of(self.value)
+            proxy.steps = drain_steps_of(self.value)
         if dice.random() < 0.008 and self.now >= proxy.cut_until:
             proxy.cut_until = self.now + 12 * dice.random()
             if proxy.cut_until > self.now + PEER_TIMEOUT:
@@ -70,14 +70,14 @@
             if dice.random() < 0.5:
                 table = self.tables[max(len(self.tables) - 1 - dice.randrange(2), 0)]
                 if table["n"] >= proxy.n:
-                    proxy.n, proxy.steps = table["n"], steps_of(table)
+                    proxy.n, proxy.steps = table["n"], drain_steps_of(table)
                     proxy.excused = min(proxy.excused, self.now)
             left = {}
             for instance_id, _, begun in proxy.under_way:
                 left.setdefault(instance_id, [0, 0, self.now - begun])[1] += 1
             for controller in self.controllers.values():
                 if dice.random() < 0.8:
-                    controller.hear(name, proxy.n, left)
+                    controller.record_report(name, proxy.n, left)
         able = [w for w in WORKERS if proxy.steps.get(w, "told") == "told" and self.ready(w)]
         if able and dice.random() < 0.6:
             instance_id = dice.choice(able)
@@ -94,14 +94,14 @@
                 PEER_TIMEOUT
             )  # restarted: it knows nothing of the desks
         there = {proxy for proxy, one in self.proxies.items() if self.now >= one.cut_until}
-        rooms = {"s": Room(3.0, {w: 2.0 for w in WORKERS if self.ready(w)})}
+        rooms = {"s": ServiceCapacity(3.0, {w: 2.0 for w in WORKERS if self.ready(w)})}
         view = self.tables[max(len(self.tables) - 1 - self.dice.randrange(2), 0)]
-        machine.present(self.now, there)
+        machine.record_connected_proxies(self.now, there)
         if self.careless == "word":
-            machine.sending = lambda *_: []
+            machine.unconfirmed_proxies = lambda *_: []
         if self.careless == "work":
-            machine.under_way = lambda *_: {}
-        if change := machine.step(self.now, view, self.registry, rooms):
+            machine.work_in_flight = lambda *_: {}
+        if change := machine.next_change(self.now, view, self.registry, rooms):
             if self.dice.random() < 0.1:
                 self.late.append((self.now + 10 * self.dice.random(), change))
             else:
@@ -113,34 +113,38 @@
         for start, entry in entries.items():
             if entry[PREVIOUS_OWNER] and self.dice.random() < 0.2:
                 entries[start] = [*entry[:PREVIOUS_OWNER], ""]
-            elif steps_of(self.value).get(entry[WORKER], "told") != "told" and self.dice.random() < 0.3:
-                target = self.dice.choice([w for w in WORKERS if w not in out_of(self.value)])
+            elif drain_steps_of(self.value).get(entry[WORKER], "told") != "told" and self.dice.random() < 0.3:
+                target = self.dice.choice([w for w in WORKERS if w not in worker_drains_of(self.value)])
                 entries[start] = [target, "", 0.0, 1, "", entry[WORKER]]
         if entries != self.value["s"]["s"]:
             self.tables.append({**self.value, "n": self.value["n"] + 1, "s": {"s": entries}})
 
     def operator(self):
-        able = in_use(self.registry, "s", out_of(self.value))
+        able = workers_in_use(self.registry, "s", worker_drains_of(self.value))
         if self.dice.random() < 0.01 and len(able) > 3:
             self.plans += 1
             instance_ids, wave = able[: self.dice.randrange(1, 4)], self.dice.randrange(1, 3)
             self.change(
-                started(self.value, f"p{self.plans}", "s", instance_ids, wave, len(able) - len(instance_ids))
+                start_plan(
+                    self.value, f"p{self.plans}", "s", instance_ids, wave, len(able) - len(instance_ids)
+                )
             )
         elif self.dice.random() < 0.01 and self.plans:
-            self.change(ended(self.value, f"p{self.plans}", self.dice.choice(["stopped", "back"])))
+            self.change(end_plan(self.value, f"p{self.plans}", self.dice.choice(["stopped", "back"])))
         elif self.dice.random() < 0.02 and self.plans:
-            self.change(ended(self.value, f"p{self.dice.randrange(1, self.plans + 1)}", "back"))
+            self.change(end_plan(self.value, f"p{self.dice.randrange(1, self.plans + 1)}", "back"))
 
     def judge(self):
-        out = {instance_id for instance_id, step in steps_of(self.value).items() if step == OUT}
+        out = {
+            instance_id for instance_id, step in drain_steps_of(self.value).items() if step == OUT_OF_SERVICE
+        }
         self.outs += len(out)
         for name, proxy in self.proxies.items():
             if self.now < proxy.cut_until:
                 continue  # not there: its word is not asked, its bound was waited for
             for instance_id, _, begun in proxy.under_way:
                 if instance_id in out and begun >= proxy.excused:
-                    raise TooSoon(
+                    raise OutOfServiceTooSoon(
                         f"{name} has work at {instance_id}, begun at {begun:.1f}, now {self.now:.1f}"
                     )
 
--- a/tests/simulation/key_leases.py
+++ b/tests/simulation/key_leases.py
@@ -13,7 +13,7 @@
 from bramblewood.common.slice_table import FENCING_TOKEN, KEY_SPACE_SIZE, PREVIOUS_OWNER
 from bramblewood.common.worker_registry import WorkerRegistration, WorkerRegistry
 from bramblewood.controller.key_leases import AGAIN, ARRIVES, KeyLeases, ReleasedKeys
-from bramblewood.controller.placement import Changes, apply, freed
+from bramblewood.controller.placement import SliceChanges, apply_slice_changes, clear_previous_owner
 from bramblewood.controller.sessions import QUORUM_CONTACT_VALIDITY
 
 STEP = 0.05  # s
@@ -101,7 +101,11 @@
         if dice.random() < 0.08 and not all(self.cut.values()):
             start = dice.randrange(SLICES) * KEY_SPACE_SIZE // SLICES
             worker = dice.choice([worker.instance_id for worker in self.workers.values()])
-            self.change(apply(self.tables[-1], {"s": Changes({start: (worker, "", 0.0)}, [], SLICES)}, {"s"}))
+            self.change(
+                apply_slice_changes(
+                    self.tables[-1], {"s": SliceChanges({start: (worker, "", 0.0)}, [], SLICES)}, {"s"}
+                )
+            )
             self.moves += 1
         for name, holds in self.controllers.items():
             self.act(name, holds)
@@ -169,7 +173,11 @@
             self.free(one)
 
     def free(self, one: ReleasedKeys) -> None:
-        self.change(freed(self.tables[-1], one.service, one.starts, one.fencing_token, one.old, one.handover))
+        self.change(
+            clear_previous_owner(
+                self.tables[-1], one.service, one.starts, one.fencing_token, one.old, one.handover
+            )
+        )
 
     def judge(self) -> None:
         for place in range(SLICES):
@@ -214,7 +222,7 @@
         elif what == "move":
             other = {"w1": "w2", "w2": "w1"}[self.tables[-1]["s"]["s"]["0"][0].partition(".")[0]]
             line = (self.workers[other].instance_id, "", 0.0)
-            self.change(apply(self.tables[-1], {"s": Changes({0: line}, [], 1)}, {"s"}))
+            self.change(apply_slice_changes(self.tables[-1], {"s": SliceChanges({0: line}, [], 1)}, {"s"}))
         elif what in ("again", "wait"):  # a failed call's pause; the whole wait, in which all ways end
             self.now += AGAIN if what == "again" else self.controllers["a"].expiry
             for _, name, call, sent, *_ in self.wire if what == "wait" else ():
--- a/tests/simulation/majority_contact.py
+++ b/tests/simulation/majority_contact.py
@@ -30,7 +30,7 @@
     RegisterWorker,
 )
 from bramblewood.controller.consensus.replica import CONFIG, TABLE
-from bramblewood.controller.placement import Placement
+from bramblewood.controller.placement import PlacementPlanner
 from bramblewood.controller.server import Controller
 from bramblewood.emulator.operator import configuration
 from bramblewood.proxy.server import Proxy
@@ -257,7 +257,7 @@
         made.controllers = set(self.play.controllers) - {self.name}
         made.storage, made.calls, made.fresh = self, Calls(self), Calls(self)
         made.started, made.lonely_at = self.play.now, 1e9
-        made.placement = Placement(self.play.now, BEAT, False)
+        made.placement = PlacementPlanner(self.play.now, BEAT, False)
 
     def write(self, rows, facts, done):
         """What `archive.shelf.Shelf` is to its shell."""
--- a/tests/simulation/placement.py
+++ b/tests/simulation/placement.py
@@ -5,7 +5,12 @@
 from bramblewood.common.configuration import Service
 from bramblewood.common.slice_table import KEYS_PER_RANGE, PREVIOUS_OWNER, WORKER, starts_of
 from bramblewood.common.worker_registry import WorkerRegistration, WorkerRegistry
-from bramblewood.controller.placement import Placement, apply, freed, met_of
+from bramblewood.controller.placement import (
+    PlacementPlanner,
+    apply_slice_changes,
+    clear_previous_owner,
+    worker_report,
+)
 
 CYCLE = 0.5  # s
 SLOTS = 2
@@ -20,7 +25,7 @@
             row = WorkerRegistration("s", f"10.0.0.{i}:80", "z", SLOTS, "ready", 1)
             self.registry.merge(self.now, f"w{i}", row)
         self.services = {"s": Service("s", "/", 100, True, 0.0)}
-        self.placement = Placement(self.now, 1.5)
+        self.placement = PlacementPlanner(self.now, 1.5)
         self.splits: list[float] = []  # when slices were split
         self.moves = 0
 
@@ -33,29 +38,33 @@
         for key, rate in heat.items():
             put, name = (
                 (keys, key)
-                if told and key // KEYS_PER_RANGE in told.watch
+                if told and key // KEYS_PER_RANGE in told.watched_ranges
                 else (counts, key // KEYS_PER_RANGE)
             )
             put[str(name)] = put.get(str(name), 0) + int(rate * CYCLE + 0.5)
         met = [
-            met_of(
+            worker_report(
                 instance_id, 8, 0, 0.2, CYCLE, [SLOTS, 1, SLOTS] if instance_id in jammed else [0, 0, SLOTS]
             )
             for instance_id in self.registry.rows
         ]
-        self.placement.report(self.now, "s", "d1", counts, keys, CYCLE, met)
+        self.placement.record_report(self.now, "s", "d1", counts, keys, CYCLE, met)
         for _ in range(3):  # the archive looks more often than reports come
-            wanted = self.placement.step(self.now, self.services, {}, self.registry, set(), self.table)
+            wanted = self.placement.plan_changes(
+                self.now, self.services, {}, self.registry, set(), self.table
+            )
             if wanted:
                 self.splits += [self.now] * bool(wanted["s"].splits)
-                self.moves += len(wanted["s"].lines)
-                self.table = apply(self.table, wanted, {"s"})[0] or self.table
+                self.moves += len(wanted["s"].assignments)
+                self.table = apply_slice_changes(self.table, wanted, {"s"})[0] or self.table
             self.let_go()
 
     def let_go(self) -> None:
         for start, entry in (self.table or {"s": {"s": {}}})["s"]["s"].items():
             if entry[PREVIOUS_OWNER]:
-                made = freed(self.table, "s", (int(start),), entry[3], entry[PREVIOUS_OWNER], "")[0]
+                made = clear_previous_owner(
+                    self.table, "s", (int(start),), entry[3], entry[PREVIOUS_OWNER], ""
+                )[0]
                 self.table = made or self.table
 
     def holder(self, key: int) -> str:
