--- a/bramblewood/common/slice_table.py
+++ b/bramblewood/common/slice_table.py
@@ -10,7 +10,7 @@
 WORKER, SECOND, SECOND_SHARE, FENCING_TOKEN, HANDOVER, PREVIOUS_OWNER = range(6)
 READERS = 6
 # steps of a worker in a drain plan, as they are stored and sent
-DRAIN_ANNOUNCED, DRAIN_STARTED, DRAINED, OUT_OF_SERVICE = "told", "closing", "closed", "out"
+DRAIN_ANNOUNCED, DRAIN_IN_PROGRESS, DRAINED, OUT_OF_SERVICE = "told", "closing", "closed", "out"
 EMPTY = ["", "", 0.0, 0, "", ""]
 KEY_SPACE_SIZE = 65536
 KEYS_PER_RANGE = 8  # keys that a count of heat covers: the finest that a slice is split to
--- a/bramblewood/controller/drain_plans.py
+++ b/bramblewood/controller/drain_plans.py
@@ -19,7 +19,7 @@
 
 from ..common.slice_table import (
     DRAIN_ANNOUNCED,
-    DRAIN_STARTED,
+    DRAIN_IN_PROGRESS,
     DRAINED,
     OUT_OF_SERVICE,
     PREVIOUS_OWNER,
@@ -167,8 +167,8 @@
             row = registry.rows.get(instance_id)
             if step != OUT_OF_SERVICE and (row is None or row.phase == GONE):
                 moves[instance_id] = OUT_OF_SERVICE  # it ended early
-            elif step in (DRAIN_STARTED, DRAINED) and not self.unconfirmed_proxies(now, version):
-                if step == DRAIN_STARTED:
+            elif step in (DRAIN_IN_PROGRESS, DRAINED) and not self.unconfirmed_proxies(now, version):
+                if step == DRAIN_IN_PROGRESS:
                     moves[instance_id] = DRAINED
                 elif not self.owns_keys(value, instance_id) and not self.work_in_flight(now, instance_id):
                     moves[instance_id] = OUT_OF_SERVICE
@@ -194,7 +194,7 @@
         """Begin a plan's next wave, or end the plan."""
         out = {instance_id: at for instance_id, at in worker_drains_of(value).items() if at[0] == name}
         steps = [moves.get(instance_id, step) for instance_id, (_, step, _) in out.items()]
-        if any(step in (DRAIN_STARTED, DRAINED) for step in steps):
+        if any(step in (DRAIN_IN_PROGRESS, DRAINED) for step in steps):
             self.looked.pop(name, None)
             return
         told = [
@@ -211,7 +211,7 @@
         fits = self.fits(rooms.get(plan["service"]), told[: max(plan["wave"], 1)], worker_drains_of(value))
         if fits:
             self.waits.pop(name, None)
-            moves.update(dict.fromkeys(fits, DRAIN_STARTED))
+            moves.update(dict.fromkeys(fits, DRAIN_IN_PROGRESS))
         elif now >= self.waits.setdefault(name, now) + MAX_CAPACITY_WAIT:
             ends[name] = (STOPPED, "what stays would not carry the load")
 
--- a/bramblewood/controller/proxy_updates.py
+++ b/bramblewood/controller/proxy_updates.py
@@ -8,7 +8,7 @@
 
 from collections import deque
 
-from ..common.slice_table import DRAIN_STARTED
+from ..common.slice_table import DRAIN_IN_PROGRESS
 from .drain_plans import drain_steps_of
 from .outlier_detection import ejected_workers
 from .value_diff import others
@@ -32,7 +32,7 @@
                 continue
             if found := [start for start in others(before, entries) if entries[start] != before.get(start)]:
                 changes[service] = found
-        leaving = {**dict.fromkeys(ejected_workers(value), DRAIN_STARTED), **drain_steps_of(value)}
+        leaving = {**dict.fromkeys(ejected_workers(value), DRAIN_IN_PROGRESS), **drain_steps_of(value)}
         if leaving != self.leaving:
             self.leaving, self.left_at = leaving, value["n"]
         self.log.append((self.n, value["n"], changes))
--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -61,7 +61,7 @@
 from .deregistration import HELD_WITHIN, Deregistrations
 from .drain_plans import (
     DRAIN_ANNOUNCED,
-    DRAIN_STARTED,
+    DRAIN_IN_PROGRESS,
     DrainPlans,
     drain_steps_of,
     end_plan,
@@ -1037,7 +1037,9 @@
                 "workers": {
                     instance_id: {
                         "step": step,
-                        "sending": told.unconfirmed_proxies(now, version) if step == DRAIN_STARTED else [],
+                        "sending": told.unconfirmed_proxies(now, version)
+                        if step == DRAIN_IN_PROGRESS
+                        else [],
                         "under way": {
                             proxy: [*left] for proxy, left in told.work_in_flight(now, instance_id).items()
                         },
