--- a/bramblewood/controller/consensus/membership.py
+++ b/bramblewood/controller/consensus/membership.py
@@ -14,7 +14,8 @@
 
 from ...common.settings import Tolerance
 from .quorum import FailureDomain, bears, enough, first_voters
-from .replica import CONFIG, TABLE, VoterSet, is_voter, majority
+from .registers import CONFIG, TABLE
+from .voter_set import VoterSet, is_voter, majority
 
 LOST_AFTER_FRACTION = 1 / 2  # of CatchUpS without a pulse, after which a voter's seat is given away
 STEADY_FRACTION = 1 / 4  # of CatchUpS with pulses, before an archive may take a seat
--- /dev/null
+++ b/bramblewood/controller/consensus/messages.py
@@ -0,0 +1,271 @@
+"""The messages of consensus between controllers, and their form on the wire.
+
+On the wire a message is a JSON map. Its keys: k kind, r register, b number of the proposal (for `chosen`, of
+the value), disk name of the sender's disk, a number last accepted, v value, p number promised, m set of
+voters. Machines of different versions run side by side, so the keys, and which of them are left out, stay as
+they are.
+"""
+
+from typing import Any, NamedTuple, Protocol
+
+from .proposal_number import ProposalNumber
+from .voter_set import VoterSet
+
+# kinds, as `k` on the wire
+PREPARE = "prepare"
+PROMISE = "promise"
+ACCEPT = "accept"
+ACCEPTED = "accepted"
+REJECTED = "refuse"
+ROUND_DONE = "done"
+FETCH_CHOSEN = "fetch"
+CHOSEN = "chosen"
+EPOCH_NOTICE = "epoch"
+JOIN_EPOCH = "join"
+EPOCH_STATE = "state"
+
+OMITTED: Any = object()  # in place of a value that the receiver is expected to hold already
+
+number_from = ProposalNumber.from_wire
+
+
+class Message(Protocol):
+    def to_wire(self) -> dict: ...
+
+
+class Prepare(NamedTuple):
+    """A proposer asks for a promise. held: what it has accepted itself; a voter that has the same leaves out
+    its value in the reply.
+    """
+
+    register: str
+    proposal_number: ProposalNumber
+    held: ProposalNumber
+
+    @classmethod
+    def from_wire(cls, wire: dict) -> "Prepare":
+        return cls(wire["r"], number_from(wire["b"]), number_from(wire["have"]))
+
+    def to_wire(self) -> dict:
+        return {"k": PREPARE, "r": self.register, "b": self.proposal_number, "have": self.held}
+
+
+class Promise(NamedTuple):
+    """A voter answers no lower proposal any more. accepted, value: what it accepted last."""
+
+    register: str
+    proposal_number: ProposalNumber
+    disk: str
+    accepted: ProposalNumber
+    value: Any = OMITTED
+
+    @property
+    def has_value(self) -> bool:
+        return self.value is not OMITTED
+
+    @classmethod
+    def from_wire(cls, wire: dict) -> "Promise":
+        return cls(
+            wire["r"], number_from(wire["b"]), wire["disk"], number_from(wire["a"]), wire.get("v", OMITTED)
+        )
+
+    def to_wire(self) -> dict:
+        wire = {"k": PROMISE, "r": self.register, "b": self.proposal_number, "disk": self.disk}
+        wire["a"] = self.accepted
+        if self.has_value:
+            wire["v"] = self.value
+        return wire
+
+
+class Accept(NamedTuple):
+    """A proposer asks a voter to accept this value."""
+
+    register: str
+    proposal_number: ProposalNumber
+    value: Any
+
+    @classmethod
+    def from_wire(cls, wire: dict) -> "Accept | AcceptDifference":
+        if "base" in wire:
+            return AcceptDifference(wire["r"], number_from(wire["b"]), number_from(wire["base"]), wire["d"])
+        return cls(wire["r"], number_from(wire["b"]), wire["v"])
+
+    def to_wire(self) -> dict:
+        return {"k": ACCEPT, "r": self.register, "b": self.proposal_number, "v": self.value}
+
+
+class AcceptDifference(NamedTuple):
+    """The same, with the value given by how it differs from the one that the voter accepted under `base`."""
+
+    register: str
+    proposal_number: ProposalNumber
+    base: ProposalNumber
+    difference: dict | None
+
+    def to_wire(self) -> dict:
+        wire = {"k": ACCEPT, "r": self.register, "b": self.proposal_number}
+        return {**wire, "base": self.base, "d": self.difference}
+
+
+class Accepted(NamedTuple):
+    """A voter tells all voters what it has accepted, and has safe on its disk."""
+
+    register: str
+    proposal_number: ProposalNumber
+    disk: str
+
+    @classmethod
+    def from_wire(cls, wire: dict) -> "Accepted":
+        return cls(wire["r"], number_from(wire["b"]), wire["disk"])
+
+    def to_wire(self) -> dict:
+        return {"k": ACCEPTED, "r": self.register, "b": self.proposal_number, "disk": self.disk}
+
+
+class Rejected(NamedTuple):
+    """A voter has promised a higher proposal than the one that it was asked about."""
+
+    register: str
+    proposal_number: ProposalNumber
+    promised: ProposalNumber
+    disk: str
+
+    @classmethod
+    def from_wire(cls, wire: dict) -> "Rejected":
+        return cls(wire["r"], number_from(wire["b"]), number_from(wire["p"]), wire["disk"])
+
+    def to_wire(self) -> dict:
+        wire = {"k": REJECTED, "r": self.register, "b": self.proposal_number}
+        return {**wire, "p": self.promised, "disk": self.disk}
+
+
+class RoundDone(NamedTuple):
+    """A proposer tells that its round had nothing to write, so others need not wait for it."""
+
+    register: str
+    proposal_number: ProposalNumber
+
+    @classmethod
+    def from_wire(cls, wire: dict) -> "RoundDone":
+        return cls(wire["r"], number_from(wire["b"]))
+
+    def to_wire(self) -> dict:
+        return {"k": ROUND_DONE, "r": self.register, "b": self.proposal_number}
+
+
+class FetchChosen(NamedTuple):
+    """Ask for the value chosen under this number, or a newer one."""
+
+    register: str
+    proposal_number: ProposalNumber
+
+    @classmethod
+    def from_wire(cls, wire: dict) -> "FetchChosen":
+        return cls(wire["r"], number_from(wire["b"]))
+
+    def to_wire(self) -> dict:
+        return {"k": FETCH_CHOSEN, "r": self.register, "b": self.proposal_number}
+
+
+class Chosen(NamedTuple):
+    """This value is chosen, under this number."""
+
+    register: str
+    proposal_number: ProposalNumber
+    value: Any
+
+    @classmethod
+    def from_wire(cls, wire: dict) -> "Chosen":
+        return cls(wire["r"], number_from(wire["b"]), wire["v"])
+
+    def to_wire(self) -> dict:
+        return {"k": CHOSEN, "r": self.register, "b": self.proposal_number, "v": self.value}
+
+
+class EpochNotice(NamedTuple):
+    """The newest set of voters that the sender knows to be chosen."""
+
+    voter_set: VoterSet
+
+    @classmethod
+    def from_wire(cls, wire: dict) -> "EpochNotice":
+        return cls(wire["m"])
+
+    def to_wire(self) -> dict:
+        return {"k": EPOCH_NOTICE, "m": self.voter_set}
+
+
+class JoinEpoch(NamedTuple):
+    """A voter of this set asks for what its epoch begins with. held: by register, the newest number of which
+    it has the value. repeated: the receiver has answered as a sealed voter, and is to answer again only as an
+    active one.
+    """
+
+    voter_set: VoterSet
+    held: dict[str, ProposalNumber]
+    repeated: bool = False
+
+    @classmethod
+    def from_wire(cls, wire: dict) -> "JoinEpoch":
+        held = {register: number_from(number) for register, number in wire["have"].items()}
+        return cls(wire["m"], held, "again" in wire)
+
+    def to_wire(self) -> dict:
+        wire = {"k": JOIN_EPOCH, "m": self.voter_set, "have": self.held}
+        return {**wire, "again": True} if self.repeated else wire
+
+
+class AcceptedState(NamedTuple):
+    """What a disk has accepted in one register."""
+
+    accepted: ProposalNumber
+    value: Any = OMITTED
+
+    @classmethod
+    def from_wire(cls, wire: dict) -> "AcceptedState":
+        return cls(number_from(wire["a"]), wire.get("v", OMITTED))
+
+    def to_wire(self) -> dict:
+        return {"a": self.accepted} if self.value is OMITTED else {"a": self.accepted, "v": self.value}
+
+
+class EpochState(NamedTuple):
+    """Answers JoinEpoch: what the sender's disk holds. active_epoch: the newest epoch in which that disk was
+    active, -1 for none.
+    """
+
+    epoch: int
+    active_epoch: int
+    disk: str
+    registers: dict[str, AcceptedState]
+
+    @classmethod
+    def from_wire(cls, wire: dict) -> "EpochState":
+        registers = {register: AcceptedState.from_wire(state) for register, state in wire["regs"].items()}
+        return cls(wire["e"], wire["held"], wire["disk"], registers)
+
+    def to_wire(self) -> dict:
+        registers = {register: state.to_wire() for register, state in self.registers.items()}
+        wire = {"k": EPOCH_STATE, "e": self.epoch, "held": self.active_epoch, "disk": self.disk}
+        return {**wire, "regs": registers}
+
+
+MESSAGE_TYPES: dict[str, Any] = {
+    PREPARE: Prepare,
+    PROMISE: Promise,
+    ACCEPT: Accept,
+    ACCEPTED: Accepted,
+    REJECTED: Rejected,
+    ROUND_DONE: RoundDone,
+    FETCH_CHOSEN: FetchChosen,
+    CHOSEN: Chosen,
+    EPOCH_NOTICE: EpochNotice,
+    JOIN_EPOCH: JoinEpoch,
+    EPOCH_STATE: EpochState,
+}
+CONSENSUS_MESSAGE_KINDS = frozenset(MESSAGE_TYPES)  # of the messages on a link that consensus handles
+
+
+def decode(wire: dict) -> Any:
+    """The message of this wire form. KeyError where its kind or a key of it is unknown or missing."""
+    return MESSAGE_TYPES[wire["k"]].from_wire(wire)
--- a/bramblewood/controller/consensus/proposer_backoff.py
+++ b/bramblewood/controller/consensus/proposer_backoff.py
@@ -1,33 +1,43 @@
-"""Leaving the way to another archive's ballot that is under way, so that proposers don't overtake each other
-for ever. When ballots begin rests on this, never what they decide. Pure.
+"""Waiting for another controller's round that is under way, so that proposers do not overtake each other for
+ever. When rounds begin rests on this, never what they decide. Pure.
 """
 
-from typing import Any
+from typing import NamedTuple
+
+from .proposal_number import ProposalNumber
+
+
+class CompetingRound(NamedTuple):
+    proposal_number: ProposalNumber
+    wait_until: float  # s on the caller's clock
 
 
 class ProposerBackoff:
-    """The newest ballot of another archive that is known here, by register, and until when it has the way."""
+    """By register, the newest round of another controller known here, and until when to wait for it."""
 
-    def __init__(self, me: str, patience: float) -> None:
-        """patience: s that one step of a ballot may take."""
-        self.me, self.patience = me, patience
-        self.ahead: dict[str, tuple[Any, float]] = {}
+    def __init__(self, address: str, phase_timeout: float) -> None:
+        """address: this controller's; phase_timeout: s that one phase of a round may take."""
+        self.address, self.phase_timeout = address, phase_timeout
+        self.competing: dict[str, CompetingRound] = {}
 
-    def observe(self, now: float, register: str, proposal_number: Any) -> None:
-        """A voter has promised or accepted this ballot. An archive that comes with one ballot after another,
-        none of them chosen, gets the way for the first only: it may hear no answers.
+    def observe(self, now: float, register: str, number: ProposalNumber) -> None:
+        """A voter has promised or accepted this proposal. A controller that comes with one round after
+        another, none of them chosen, is waited for in the first only: it may hear no answers.
         """
-        ahead, until = self.ahead.get(register, (None, 0.0))
-        proposer = proposal_number[-2]
-        if proposer == self.me or ahead is not None and proposal_number < ahead:
+        competing = self.competing.get(register)
+        if number.proposer == self.address or competing is not None and number < competing.proposal_number:
             return
-        if ahead is None or ahead == proposal_number or ahead[-2] != proposer:
-            until = now + self.patience
-        self.ahead[register] = (proposal_number, until)
+        wait_until = now + self.phase_timeout
+        if competing is not None and competing.proposal_number != number:
+            if competing.proposal_number.proposer == number.proposer:
+                wait_until = competing.wait_until
+        self.competing[register] = CompetingRound(number, wait_until)
 
-    def round_finished(self, register: str, proposal_number: Any) -> None:
-        if register in self.ahead and self.ahead[register][0] <= proposal_number:
-            del self.ahead[register]
+    def round_finished(self, register: str, number: ProposalNumber) -> None:
+        """This proposal was chosen, or had nothing to write: nobody need wait for it or an older one."""
+        competing = self.competing.get(register)
+        if competing is not None and competing.proposal_number <= number:
+            del self.competing[register]
 
     def must_wait(self, now: float, register: str) -> bool:
-        return register in self.ahead and now < self.ahead[register][1]
+        return register in self.competing and now < self.competing[register].wait_until
--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -41,23 +41,13 @@
     plan_call,
     succeed,
 )
+from .consensus.effects import Effects, PendingWrites, no_effects
 from .consensus.membership import Membership, PeerStatus, may_shut_down
-from .consensus.replica import (
-    ALL_REGISTERS,
-    CONFIG,
-    CONSENSUS_MESSAGE_KINDS,
-    DATA_REGISTERS,
-    NO_PROPOSAL,
-    TABLE,
-    VOTER_SET,
-    ConsensusReplica,
-    Effects,
-    PendingWrites,
-    format_proposal_number,
-    founding_voters,
-    next_voter_set,
-    no_effects,
-)
+from .consensus.messages import CONSENSUS_MESSAGE_KINDS
+from .consensus.proposal_number import NO_PROPOSAL, format_proposal_number
+from .consensus.registers import ALL_REGISTERS, CONFIG, DATA_REGISTERS, TABLE, VOTER_SET
+from .consensus.replica import ConsensusReplica
+from .consensus.voter_set import founding_voters, next_voter_set
 from .deregistration import HELD_WITHIN, Deregistrations
 from .drain_plans import (
     DRAIN_ANNOUNCED,
@@ -171,7 +161,7 @@
                     await asyncio.sleep(TICK)
             except TimeoutError:
                 pass
-        self.consensus.active_epoch = -1  # no vote is given any more: who holds what has been looked at
+        self.consensus.stop_voting()  # no vote is given any more: who holds what has been looked at
         self.log.info("stopped", step="end")
         for server in servers:
             server.close()
@@ -707,9 +697,9 @@
     def hear_ballot(self, peer: str, message: dict) -> None:
         consensus = self.consensus
         self.carry(consensus.receive(self.loop.time(), peer, message))
-        if consensus.last_rejection is not None:
-            who, proposal_number, promised = consensus.last_rejection
-            consensus.last_rejection = None
+        rejection = consensus.take_last_rejection()
+        if rejection is not None:
+            who, proposal_number, promised = rejection
             self.log.info(
                 "ballot lost",
                 step="ballot",
--- a/bramblewood/controller/sessions.py
+++ b/bramblewood/controller/sessions.py
@@ -15,7 +15,8 @@
 
 from ..common.timeouts import QUORUM_CONTACT_VALIDITY
 from .consensus.membership import PeerStatus
-from .consensus.replica import NO_PROPOSAL, ProposalNumber, is_voter, majority
+from .consensus.proposal_number import NO_PROPOSAL, ProposalNumber
+from .consensus.voter_set import is_voter, majority
 
 HEARTBEAT_INTERVAL = 0.25  # s between pulses; three of them fit into WORD
 PEER_TIMEOUT = 0.9  # s without a pulse after which an archive counts as away: three pulses and some way
--- a/features/steps/contact.py
+++ b/features/steps/contact.py
@@ -7,7 +7,8 @@
 from bramblewood.common.worker_registry import GONE, WorkerRegistration, WorkerRegistry
 from bramblewood.controller import server
 from bramblewood.controller.commands import DeregisterWorker
-from bramblewood.controller.consensus.replica import NO_PROPOSAL, TABLE
+from bramblewood.controller.consensus.proposal_number import NO_PROPOSAL
+from bramblewood.controller.consensus.registers import TABLE
 from bramblewood.controller.deregistration import Deregistrations
 from bramblewood.controller.key_leases import KeyLeases
 from bramblewood.controller.server import Controller
--- a/features/steps/core.py
+++ b/features/steps/core.py
@@ -4,9 +4,9 @@
     CONFIG,
     Broken,
     Core,
-    Unkept,
-    Unnamed,
-    Whoever,
+    EverySeatOfAnyDisk,
+    LearnsOnly,
+    NoSeatOfAnyDisk,
     caught_up,
     configuration,
     goes_on_empty,
@@ -114,8 +114,11 @@
 
 FAULTS = {
     "the name of a disk that was lost": {"careless": True},
-    "a seat of any disk, where no disk may go on": {"kind": Unnamed, "any_disk": True},
-    "a seat of any disk, where an empty disk may go on": {"kind": Whoever, "any_disk": True},
+    "a seat of any disk, where no disk may go on": {"replica_class": NoSeatOfAnyDisk, "any_disk": True},
+    "a seat of any disk, where an empty disk may go on": {
+        "replica_class": EverySeatOfAnyDisk,
+        "any_disk": True,
+    },
 }
 
 
@@ -136,10 +139,10 @@
 
 @then("a voter that was away holds on its disk what was chosen meanwhile; one that only learns it does not")
 def kept(context):
-    assert caught_up() and not caught_up(Unkept)
+    assert caught_up() and not caught_up(LearnsOnly)
     assert kept_as_it_joined()
 
 
 @then("an empty disk does not go on in a seat of any disk; one to which every seat there is its own does")
 def empty(context):
-    assert not goes_on_empty() and goes_on_empty(Whoever)
+    assert not goes_on_empty() and goes_on_empty(EverySeatOfAnyDisk)
--- a/features/steps/leaving.py
+++ b/features/steps/leaving.py
@@ -5,7 +5,8 @@
 from behave import given, then, when
 
 from bramblewood.common.worker_registry import WorkerRegistration
-from bramblewood.controller.consensus.replica import NO_PROPOSAL, TABLE
+from bramblewood.controller.consensus.proposal_number import NO_PROPOSAL
+from bramblewood.controller.consensus.registers import TABLE
 from bramblewood.proxy import server
 from bramblewood.proxy.load_balancing import LoadBalancer
 from tests.simulation.proxy import Play
--- a/features/steps/orders.py
+++ b/features/steps/orders.py
@@ -21,8 +21,8 @@
 FAR = {"delays": (0.055, 0.06)}
 SITES = {"far": FAR, "one slow": {"slow": 0.25}}
 KINDS = {
-    "a majority": configuration_changes.Hasty,
-    "a value that a minority holds is not yet chosen": configuration_changes.Trusting,
+    "a majority": configuration_changes.BelowMajority,
+    "a value that a minority holds is not yet chosen": configuration_changes.TrustsMinority,
 }
 RULES = {
     "what is forgotten is not refused": configuration_changes.forgetful,
@@ -102,12 +102,12 @@
 @then("the same with waits left out, as no rule rests on waits")
 def pushing_readers(context):
     for seed in range(context.count):
-        readers(seed, context.voters, kind(configuration_changes.Pushing))
+        readers(seed, context.voters, kind(configuration_changes.NoBackoff))
 
 
 @then("letting changes into a ballot that has begun is found out within {count:d} of these")
 def late_comers(context, count):
-    found_out(lambda seed: readers(seed, context.voters, kind(configuration_changes.Latecomers)), count)
+    found_out(lambda seed: readers(seed, context.voters, kind(configuration_changes.JoinsLate)), count)
 
 
 @then("a day of {count:d} changes acknowledges all, and each repeat")
@@ -172,7 +172,7 @@
 @then("leaving the way to nobody is found out by the time within {count:d} seeds")
 def no_way(context, count):
     worst = max(
-        max(eight(seed, Site(5, **FAR), make=kind(configuration_changes.Pushing))) for seed in range(count)
+        max(eight(seed, Site(5, **FAR), make=kind(configuration_changes.NoBackoff))) for seed in range(count)
     )
     assert worst > Bounds.AckS / 2, worst
 
@@ -191,4 +191,4 @@
 
 @then("one change in a ballot is found out by that within {count:d} seeds")
 def singly(context, count):
-    assert any(at_one(seed, configuration_changes.Singly) > 3 for seed in range(count))
+    assert any(at_one(seed, configuration_changes.NoBatches) > 3 for seed in range(count))
--- a/features/steps/sessions.py
+++ b/features/steps/sessions.py
@@ -1,7 +1,8 @@
 from behave import given, then, when
 
 from bramblewood.common.worker_registry import GONE, READY, WorkerRegistration, WorkerRegistry
-from bramblewood.controller.consensus.replica import NO_PROPOSAL, TABLE
+from bramblewood.controller.consensus.proposal_number import NO_PROPOSAL
+from bramblewood.controller.consensus.registers import TABLE
 from bramblewood.controller.sessions import Sessions
 
 ABOUT = {"voters": ["a", "b", "c"], "archives": ["a", "b", "c"], "desks": ["d1"]}
--- a/tests/simulation/catch_up.py
+++ b/tests/simulation/catch_up.py
@@ -8,7 +8,7 @@
 
 from benchmarks.controller_storage import moved, table
 from benchmarks.gateway import config
-from bramblewood.controller.consensus.replica import CONFIG, DATA_REGISTERS, TABLE
+from bramblewood.controller.consensus.registers import CONFIG, DATA_REGISTERS, TABLE
 from tests.simulation.consensus import Core
 
 RATE = 2e6 / 8  # bytes a second that the line to a member carries at the least: 2 Mbit/s
--- a/tests/simulation/configuration_changes.py
+++ b/tests/simulation/configuration_changes.py
@@ -12,7 +12,14 @@
 
 from bramblewood.common.configuration import Configuration
 from bramblewood.controller.commands import final_answer, succeed
-from bramblewood.controller.consensus.replica import CONFIG, ConsensusReplica, Effects
+from bramblewood.controller.consensus.acceptor import NumberedValue
+from bramblewood.controller.consensus.effects import Effects
+from bramblewood.controller.consensus.local_member import LocalMember
+from bramblewood.controller.consensus.messages import Promise
+from bramblewood.controller.consensus.proposal_round import ProposalRound
+from bramblewood.controller.consensus.proposer import Proposer
+from bramblewood.controller.consensus.registers import CONFIG
+from bramblewood.controller.consensus.replica import ConsensusReplica
 
 from .consensus import Broken, configuration
 
@@ -388,51 +395,54 @@
 # --- guards taken out, one each
 
 
-class Hasty(ConsensusReplica):
+class BelowMajority(ConsensusReplica):
     """Counts one voter less than a majority."""
 
-    @property
-    def majority(self) -> int:
-        return super().majority - 1
+    class member_class(LocalMember):
+        @property
+        def majority(self) -> int:
+            return super().majority - 1
 
 
-class Trusting(ConsensusReplica):
+class TrustsMinority(ConsensusReplica):
     """Takes the newest value that it is told of for chosen, though a minority may hold it."""
 
-    def on_promise(self, now: float, peer: str, message: dict, out: Effects) -> None:
-        round = self.current_round(message)
-        if round and round.promises and "v" in message:
-            best, value = max(
-                [*round.promises.values(), (tuple(message["a"]), message["v"])], key=lambda t: t[0]
-            )
-            round.promises = dict.fromkeys(round.promises, (best, value))
-            message = {**message, "a": best, "v": value}
-        super().on_promise(now, peer, message, out)
+    class proposer_class(Proposer):
+        def on_promise(self, now: float, peer: str, promise: Promise, effects: Effects) -> None:
+            round = self.current_round(promise.register, promise.proposal_number)
+            if round and round.promises and promise.has_value:
+                promised = NumberedValue(promise.accepted, promise.value)
+                newest = max([*round.promises.values(), promised], key=lambda one: one.proposal_number)
+                round.promises = dict.fromkeys(round.promises, newest)
+                promise = promise._replace(accepted=newest.proposal_number, value=newest.value)
+            super().on_promise(now, peer, promise, effects)
 
 
-class Pushing(ConsensusReplica):
-    """Leaves the way to nobody."""
+class NoBackoff(ConsensusReplica):
+    """Waits for nobody else's round."""
 
-    def __init__(self, *told: Any) -> None:
-        super().__init__(*told)
-        self.backoff.must_wait = lambda now, register: False
+    def __init__(self, *arguments: Any) -> None:
+        super().__init__(*arguments)
+        self.proposer.backoff.must_wait = lambda now, register: False
 
 
-class Latecomers(Pushing):
-    """Lets changes into a ballot that were put after it began; pushing, as no rule may rest on waits."""
+class JoinsLate(NoBackoff):
+    """Lets changes into a round that were put after it began; without backoff, as no rule rests on waits."""
 
-    def on_promise(self, now: float, peer: str, message: dict, out: Effects) -> None:
-        if round := self.current_round(message):
-            round.carried = list(self.rounds[round.register])
-        super().on_promise(now, peer, message, out)
+    class proposer_class(Proposer):
+        def on_promise(self, now: float, peer: str, promise: Promise, effects: Effects) -> None:
+            if round := self.current_round(promise.register, promise.proposal_number):
+                round.batch = list(self.rounds[round.register])
+            super().on_promise(now, peer, promise, effects)
 
 
-class Singly(ConsensusReplica):
-    """One change in a ballot."""
+class NoBatches(ConsensusReplica):
+    """One change in a round."""
 
-    def start_round(self, now: float, round: Any, out: Effects) -> None:
-        round.carried = round.carried[:1]
-        super().start_round(now, round, out)
+    class proposer_class(Proposer):
+        def start_round(self, now: float, round: ProposalRound, effects: Effects) -> None:
+            round.batch = round.batch[:1]
+            super().start_round(now, round, effects)
 
 
 FEW = partial(succeed, kept=6)  # storms forget what hundreds of changes would
--- a/tests/simulation/consensus.py
+++ b/tests/simulation/consensus.py
@@ -7,15 +7,14 @@
 
 from bramblewood.common.configuration import Configuration
 from bramblewood.controller.commands import succeed
-from bramblewood.controller.consensus.replica import (
-    ALL_REGISTERS,
-    CONFIG,
-    NO_PROPOSAL,
-    VOTER_SET,
-    ConsensusReplica,
-    Effects,
-    next_voter_set,
-)
+from bramblewood.controller.consensus.acceptor import NumberedValue
+from bramblewood.controller.consensus.effects import Effects
+from bramblewood.controller.consensus.learner import Learner
+from bramblewood.controller.consensus.local_member import LocalMember
+from bramblewood.controller.consensus.proposal_number import NO_PROPOSAL
+from bramblewood.controller.consensus.registers import ALL_REGISTERS, CONFIG, VOTER_SET
+from bramblewood.controller.consensus.replica import ConsensusReplica
+from bramblewood.controller.consensus.voter_set import next_voter_set
 
 NAMES = ("a", "b", "c")
 
@@ -28,41 +27,48 @@
     """A judge's word."""
 
 
-class Unkept(ConsensusReplica):
-    """A voter that only learns what was chosen while it was away."""
+class LearnsOnly(ConsensusReplica):
+    """A voter that only learns what was chosen while it was away, and doesn't accept it."""
 
-    def learn(self, now, register, proposal_number, value, out) -> None:
-        if proposal_number > self.chosen[register][0]:
-            self.chosen[register] = (proposal_number, value)
-            if register == VOTER_SET:
-                self.adopt_voter_set(now, value, out)
+    class learner_class(Learner):
+        def learn(self, now, register, number, value, effects) -> None:
+            if number > self.chosen[register].proposal_number:
+                self.chosen[register] = NumberedValue(number, value)
+                if register == VOTER_SET:
+                    self.adopt_voter_set(now, value, effects)
 
 
-class Unnamed(ConsensusReplica):
+class NoSeatOfAnyDisk(ConsensusReplica):
     """Goes on in no seat of any disk, so that an old disk waits until its seat has its name."""
 
-    @property
-    def holds_seat(self) -> bool:
-        return self.voters.get(self.me) == self.disk
+    class member_class(LocalMember):
+        @property
+        def holds_seat(self) -> bool:
+            return self.voters.get(self.address) == self.disk
 
 
-class Whoever(ConsensusReplica):
+class EverySeatOfAnyDisk(ConsensusReplica):
     """Goes on in a seat of any disk even with an empty disk."""
 
-    @property
-    def holds_seat(self) -> bool:
-        return self.is_member
+    class member_class(LocalMember):
+        @property
+        def holds_seat(self) -> bool:
+            return self.is_member
 
 
 class Core:
     def __init__(
-        self, seed: int, careless: bool = False, kind: type = ConsensusReplica, any_disk: bool = False
+        self,
+        seed: int,
+        careless: bool = False,
+        replica_class: type = ConsensusReplica,
+        any_disk: bool = False,
     ) -> None:
         """careless: a machine whose disk was lost goes by the name of its old disk, as it must not. any_disk:
         the disks knew no epochs, so the seats are of any disk at first.
         """
         self.dice, self.careless, self.now, self.incarnations = random.Random(seed), careless, 0.0, 0
-        self.kind = kind
+        self.replica_class = replica_class
         members = {"n": 1, "voters": {name: "" if any_disk else f"{name}0" for name in NAMES}, "before": {}}
         self.disks: dict[str, dict] = {
             name: {"disk": f"{name}0", "members": members, "held": 1} for name in NAMES
@@ -81,7 +87,7 @@
     def start(self, name: str) -> None:
         disk, self.incarnations = self.disks[name], self.incarnations + 1
         disk.setdefault("disk", f"{name}{self.incarnations}")
-        self.machines[name] = self.kind(
+        self.machines[name] = self.replica_class(
             name,
             disk["disk"],
             self.incarnations,
@@ -155,7 +161,7 @@
         """As archives do: a voter that is back with another disk gets its seat anew, one change at a time."""
         machine = self.machines[name]
         for peer, disk in machine.voters.items():
-            if not machine.is_active_voter or peer not in self.machines or machine.rounds[VOTER_SET]:
+            if not machine.is_active_voter or peer not in self.machines or machine.proposer.rounds[VOTER_SET]:
                 continue
             if (here := self.machines[peer].disk) != disk and self.machines[peer].epoch == machine.epoch:
                 change = next_voter_set(machine.voter_set, {**machine.voters, peer: here})
@@ -234,9 +240,9 @@
                 raise Broken(f"{mark} was refused, and is in force")
 
 
-def caught_up(kind: type = ConsensusReplica) -> bool:
+def caught_up(replica_class: type = ConsensusReplica) -> bool:
     """Whether a voter that was away as a version was chosen holds it on disk soon after."""
-    core = Core(1, kind=kind)
+    core = Core(1, replica_class=replica_class)
     core.stop("c")
     core.put("a", configuration(1, 0, "first"))
     core.quiet()
@@ -253,7 +259,7 @@
         {"n": 1, "past": {}},
     )
     machine = ConsensusReplica(
-        "b", "b1", 1, members={"n": 2, "voters": {**before, "b": "b1"}, "before": before}
+        "b", "b1", 1, voter_set={"n": 2, "voters": {**before, "b": "b1"}, "before": before}
     )
     machine.receive(0.0, "a", {"k": "chosen", "r": CONFIG, "b": proposal_number, "v": value})
     machine.tick(0.1)
@@ -264,9 +270,9 @@
     return machine.is_active_voter and machine.acceptors[CONFIG].accepted == proposal_number
 
 
-def goes_on_empty(kind: type = ConsensusReplica) -> bool:
+def goes_on_empty(replica_class: type = ConsensusReplica) -> bool:
     """Whether a disk that came back empty to a seat of any disk asks for what the epoch holds."""
-    core = Core(1, kind=kind, any_disk=True)
+    core = Core(1, replica_class=replica_class, any_disk=True)
     core.wipe("b")
     core.start("b")
     core.carry("b", core.machines["b"].receive(0.0, "a", {"k": "epoch", "m": core.machines["a"].voter_set}))
--- a/tests/simulation/majority_contact.py
+++ b/tests/simulation/majority_contact.py
@@ -29,7 +29,7 @@
     PutConfiguration,
     RegisterWorker,
 )
-from bramblewood.controller.consensus.replica import CONFIG, TABLE
+from bramblewood.controller.consensus.registers import CONFIG, TABLE
 from bramblewood.controller.placement import PlacementPlanner
 from bramblewood.controller.server import Controller
 from bramblewood.emulator.operator import configuration
--- a/tests/simulation/membership_epoch_cases.py
+++ b/tests/simulation/membership_epoch_cases.py
@@ -5,19 +5,12 @@
 from unittest import mock
 
 from bramblewood.common.settings import Tolerance
+from bramblewood.controller.consensus.effects import Effects, PendingWrites
 from bramblewood.controller.consensus.membership import Membership, PeerStatus, may_shut_down
-from bramblewood.controller.consensus.replica import (
-    CONFIG,
-    NO_PROPOSAL,
-    TABLE,
-    VOTER_SET,
-    ConsensusReplica,
-    Effects,
-    PendingWrites,
-    VoterSet,
-    founding_voters,
-    next_voter_set,
-)
+from bramblewood.controller.consensus.proposal_number import NO_PROPOSAL
+from bramblewood.controller.consensus.registers import CONFIG, TABLE, VOTER_SET
+from bramblewood.controller.consensus.replica import ConsensusReplica
+from bramblewood.controller.consensus.voter_set import VoterSet, founding_voters, next_voter_set
 from bramblewood.controller.sessions import Sessions
 from tests.simulation.consensus import Broken
 from tests.simulation.membership_epoch_search import order
@@ -85,7 +78,7 @@
 
     def play(older: bool = False) -> None:
         few = Few(voters, spares)
-        few.machines[proposer].highest_counters[CONFIG] = 100
+        few.machines[proposer].proposer.highest_counters[CONFIG] = 100
         few.put(proposer, "late")
         few.hear(proposer)
         few.hear(proposer + "a", rounds=2)
@@ -176,7 +169,7 @@
         raise Broken("a seed whose disk was lost votes in the epoch of the seeds")
     few.wire += held
     few.hear("abcd")
-    found = {str(m.voter_set) for m in few.machines.values() if m.epoch == 1 and m.me != "d"}
+    found = {str(m.voter_set) for m in few.machines.values() if m.epoch == 1 and m.address != "d"}
     if len(found) > 1:
         raise Broken(f"two sets of epoch 1: {found}")
 
@@ -230,7 +223,7 @@
         few.carry("d", d.tick(9.0))
         few.hear("ad")
     if not few.machines["a"].is_active_voter or not d.is_active_voter:
-        raise Broken(f"d never hears that a is active: {d.epoch_join and [*d.epoch_join.told]}")
+        raise Broken(f"d never hears that a is active: {d.epochs.join and [*d.epochs.join.reports]}")
 
 
 def asleep() -> None:
--- a/tests/simulation/membership_epoch_search.py
+++ b/tests/simulation/membership_epoch_search.py
@@ -18,18 +18,13 @@
 import time
 from typing import Any, NamedTuple
 
-from bramblewood.controller.consensus.replica import (
-    ALL_REGISTERS,
-    CONFIG,
-    VOTER_SET,
-    Acceptor,
-    ConsensusReplica,
-    Effects,
-    EpochJoin,
-    PendingWrites,
-    ProposalRound,
-    next_voter_set,
-)
+from bramblewood.controller.consensus.acceptor import Acceptor
+from bramblewood.controller.consensus.effects import Effects, PendingWrites
+from bramblewood.controller.consensus.epochs import EpochJoin
+from bramblewood.controller.consensus.proposal_round import ProposalRound
+from bramblewood.controller.consensus.registers import ALL_REGISTERS, CONFIG, VOTER_SET
+from bramblewood.controller.consensus.replica import ConsensusReplica
+from bramblewood.controller.consensus.voter_set import next_voter_set
 from tests.simulation.consensus import Broken
 
 LATER = 100.0  # s, beyond every wait
@@ -64,25 +59,26 @@
 
 def frozen(b: ConsensusReplica, proposes: bool) -> tuple:
     """All that decides what it does next. The counters of one that never proposes decide nothing."""
+    join, proposer, learner = b.epochs.join, b.proposer, b.learner
     return (
         b.disk,
-        b.incarnation,
+        b.member.incarnation,
         b.voter_set,
         b.active_epoch,
-        None if b.epoch_join is None else tuple(sorted(b.epoch_join.told.items(), key=lambda one: one[0])),
+        None if join is None else tuple(sorted(join.reports.items(), key=lambda one: one[0])),
         tuple((a.promised, a.accepted, a.value) for a in b.acceptors.values()),
         tuple(b.durable_accepted.values()),
-        tuple(b.highest_counters.values()) if proposes else (0,) * len(ALL_REGISTERS),
-        tuple(tuple(sorted(kept.items())) for kept in b.acceptances.values()),
-        tuple(b.chosen.values()),
+        tuple(proposer.highest_counters.values()) if proposes else (0,) * len(ALL_REGISTERS),
+        tuple(tuple(sorted(kept.items())) for kept in learner.acceptances.values()),
+        tuple(learner.chosen.values()),
         tuple(
             (
-                *(r.register, r.tag, r.proposal_number, r.step, r.outcome, len(r.carried)),
-                *(r.base, r.difference, r.whole),
+                *(r.register, r.tag, r.proposal_number, r.phase, r.outcome, len(r.batch)),
+                *(r.base, r.accept_difference, r.accept_value),
                 tuple(sorted(r.promises.items(), key=lambda one: one[0])),
-                tuple(sorted(r.accepts)),
+                tuple(sorted(r.accepted_by)),
             )
-            for rounds in b.rounds.values()
+            for rounds in proposer.rounds.values()
             for r in rounds
         ),
     )
@@ -91,22 +87,22 @@
 def thawed(me: str, state: tuple) -> ConsensusReplica:
     disk, incarnation, members, held, told, acceptors, durable, seen, votes, learned, rounds = state
     b = ConsensusReplica(me, disk, incarnation, {}, members, held)
-    b.backoff = Turns()
+    b.learner.backoff = b.proposer.backoff = Turns()
     if told is not None:
-        b.epoch_join = EpochJoin()
-        b.epoch_join.told = dict(told)
+        b.epochs.join = EpochJoin()
+        b.epochs.join.reports = dict(told)
     for number, name in enumerate(ALL_REGISTERS):
         b.acceptors[name] = Acceptor(*acceptors[number])
-        b.durable_accepted[name], b.highest_counters[name] = durable[number], seen[number]
-        b.acceptances[name], b.chosen[name] = dict(votes[number]), learned[number]
+        b.durable_accepted[name], b.proposer.highest_counters[name] = durable[number], seen[number]
+        b.learner.acceptances[name], b.learner.chosen[name] = dict(votes[number]), learned[number]
     for register, tag, *rest, promises, accepts in rounds:
         r = ProposalRound(register, change_of(tag), tag, 1e9)
-        r.proposal_number, r.step, r.outcome, r.carried, r.base, r.difference, r.whole = rest
-        r.promises, r.accepts = dict(promises), set(accepts)
-        b.rounds[register].append(r)
-    for waiting in b.rounds.values():
+        r.proposal_number, r.phase, r.outcome, r.batch, r.base, r.accept_difference, r.accept_value = rest
+        r.promises, r.accepted_by = dict(promises), set(accepts)
+        b.proposer.rounds[register].append(r)
+    for waiting in b.proposer.rounds.values():
         for r in waiting:
-            r.carried = waiting[: r.carried]  # a ballot carries the first that waited as it began
+            r.batch = waiting[: r.batch]  # a ballot carries the first that waited as it began
     return b
 
 
@@ -184,11 +180,13 @@
                 made = self.synced(made, b, sends, facts)
         if b.voter_set != machine.consensus[2]:
             facts.append(("members", b.epoch, key(b.voter_set)))
-            sends += [("", peer, {"k": "epoch", "m": b.voter_set}) for peer in self.names if peer != b.me]
+            sends += [
+                ("", peer, {"k": "epoch", "m": b.voter_set}) for peer in self.names if peer != b.address
+            ]
         for number, name in enumerate(ALL_REGISTERS):
             if b.chosen[name] != machine.consensus[9][number]:
                 facts.append(("learned", name, *b.chosen[name]))
-        made = made._replace(consensus=frozen(b, b.me in self.proposers))
+        made = made._replace(consensus=frozen(b, b.address in self.proposers))
         return (
             self.number(self.machines, made),
             tuple(self.number(self.messages, one) for one in sends),
@@ -214,8 +212,12 @@
                 message = {**message, "have": {}}
             sends.append(("" if message["k"] == "epoch" else name, peer, message))
             if message["k"] == "accept":
-                whole = [r.whole for r in b.rounds[message["r"]] if r.proposal_number == message["b"]]
-                facts += [("accept", one["r"], one["b"], one["v"]) for one in whole]
+                whole = [
+                    r.accept_value
+                    for r in b.proposer.rounds[message["r"]]
+                    if r.proposal_number == message["b"]
+                ]
+                facts += [("accept", *one) for one in whole]
         facts += [("answer", *outcome) for tag, outcome in out.answers if tag[0] == "order" and outcome]
         if "held" in out.facts:  # its pulses tell what it holds now
             for register, kept in b.durable_accepted.items():
@@ -389,10 +391,10 @@
         here = self.machines[machine]
         b = thawed(here.name, here.consensus)
         outs = [b.tick(1.0)]
-        busy = any(b.rounds.values())
-        for rounds in b.rounds.values():
+        busy = any(b.proposer.rounds.values())
+        for rounds in b.proposer.rounds.values():
             for one in rounds:
-                one.next_at = 0.0
+                one.next_attempt_at = 0.0
         outs.append(b.tick(1.0 if busy else LATER))
         return self.seated(here, b, outs)
 
@@ -422,7 +424,7 @@
             while here.writes:
                 here = self.synced(here, thawed(here.name, here.consensus), [], [])
             machines[here.name] = b = thawed(here.name, here.consensus)
-            for kept in b.rounds.values():
+            for kept in b.proposer.rounds.values():
                 kept.clear()
         answers, wire = [], []
 
@@ -438,7 +440,7 @@
                 newest = max((other.voter_set for other in machines.values()), key=lambda one: one["n"])
                 carry(name, b.receive(now, "", {"k": "epoch", "m": newest}))
                 carry(name, b.tick(now))
-                if turn % 5 == 4 and b.is_active_voter and not any(b.rounds.values()):
+                if turn % 5 == 4 and b.is_active_voter and not any(b.proposer.rounds.values()):
                     carry(name, b.propose(now, CONFIG, lambda stands: (None, True), "read", 1.0))
             while wire:
                 sender, peer, message = wire.pop(0)
--- a/tests/simulation/membership_epochs.py
+++ b/tests/simulation/membership_epochs.py
@@ -15,9 +15,14 @@
 from bramblewood.common.settings import Bounds, Settings, Tolerance
 from bramblewood.controller import server
 from bramblewood.controller.commands import succeed
-from bramblewood.controller.consensus import membership
-from bramblewood.controller.consensus import replica as core
-from bramblewood.controller.consensus.replica import CONFIG, ConsensusReplica
+from bramblewood.controller.consensus import epochs, local_member, membership
+from bramblewood.controller.consensus.effects import PendingWrites, no_effects
+from bramblewood.controller.consensus.epochs import EpochTransition
+from bramblewood.controller.consensus.local_member import LocalMember
+from bramblewood.controller.consensus.proposer import Proposer
+from bramblewood.controller.consensus.registers import CONFIG, VOTER_SET
+from bramblewood.controller.consensus.replica import ConsensusReplica
+from bramblewood.controller.consensus.voter_set import next_voter_set
 from tests.simulation.consensus import Broken, configuration
 
 BOUNDS = Bounds()
@@ -32,18 +37,18 @@
 
 
 def no_epoch(play: Any) -> Any:
-    """Ballots of an earlier or later epoch count like those of one's own."""
-    hear = ConsensusReplica.receive
+    """Proposals of an earlier or later epoch count like those of one's own."""
+    receive = ConsensusReplica.receive
 
     def careless(self: ConsensusReplica, now: float, peer: str, message: dict) -> Any:
         if message["k"] in ("prepare", "accept") and self.is_active_voter:
-            sent = self.voter_set
-            self.voter_set = {**sent, "n": tuple(message["b"])[0]}
-            self.active_epoch = self.epoch
-            out = hear(self, now, peer, message)
-            self.voter_set, self.active_epoch = sent, sent["n"]
-            return out
-        return hear(self, now, peer, message)
+            member, voter_set = self.member, self.voter_set
+            member.voter_set = {**voter_set, "n": tuple(message["b"])[0]}
+            member.active_epoch = self.epoch
+            effects = receive(self, now, peer, message)
+            member.voter_set, member.active_epoch = voter_set, voter_set["n"]
+            return effects
+        return receive(self, now, peer, message)
 
     return mock.patch.object(ConsensusReplica, "receive", careless)
 
@@ -51,61 +56,62 @@
 def no_disk(play: Any) -> Any:
     """A member is known by its address alone, whatever disk came back there."""
     stack = contextlib.ExitStack()
-    stack.enter_context(mock.patch.object(core, "is_voter", lambda voters, name, disk: name in voters))
-    stack.enter_context(
-        mock.patch.object(ConsensusReplica, "holds_seat", property(lambda self: self.me in self.voters))
-    )
+    for module in (local_member, epochs):
+        by_address = lambda voters, address, disk: address in voters  # noqa: E731
+        stack.enter_context(mock.patch.object(module, "is_voter", by_address))
+    has_seat = property(lambda self: self.address in self.voters)
+    stack.enter_context(mock.patch.object(LocalMember, "holds_seat", has_seat))
     return stack
 
 
 def few_seals(play: Any) -> Any:
     """One seal less than a majority makes a voter active."""
-    enough = ConsensusReplica.try_activate
+    try_activate = EpochTransition.try_activate
 
-    def careless(self: ConsensusReplica, now: float, out: Any) -> bool:
-        with mock.patch.object(core, "majority", lambda voters: max(1, len(voters) // 2)):
-            return enough(self, now, out)
+    def careless(self: EpochTransition, now: float, effects: Any) -> bool:
+        with mock.patch.object(epochs, "majority", lambda voters: max(1, len(voters) // 2)):
+            return try_activate(self, now, effects)
 
-    return mock.patch.object(ConsensusReplica, "try_activate", careless)
+    return mock.patch.object(EpochTransition, "try_activate", careless)
 
 
 def chosen_if_carried(play: Any) -> Any:
     """A value that all of a majority hold counts as chosen, also where it was only carried there."""
     return mock.patch.object(
-        ConsensusReplica,
+        Proposer,
         "is_already_chosen",
-        lambda self, best, round: all(
-            proposal_number == best for proposal_number, _ in round.promises.values()
+        lambda self, number, round: all(
+            promise.proposal_number == number for promise in round.promises.values()
         ),
     )
 
 
 def seal_in_memory(play: Any) -> Any:
     """A seal's answer does not wait until the seal is on disk."""
-    asked = ConsensusReplica.on_join_epoch
+    on_join_epoch = EpochTransition.on_join_epoch
 
-    def careless(self: ConsensusReplica, now: float, peer: str, message: dict, out: Any) -> None:
-        asked(self, now, peer, message, out)
-        out.facts.pop("members", None)
+    def careless(self: EpochTransition, now: float, peer: str, request: Any, effects: Any) -> None:
+        on_join_epoch(self, now, peer, request, effects)
+        effects.facts.pop("members", None)
 
-    return mock.patch.object(ConsensusReplica, "on_join_epoch", careless)
+    return mock.patch.object(EpochTransition, "on_join_epoch", careless)
 
 
 def unused_count_not(play: Any) -> Any:
     """The seal of a voter that was never active in the epoch before does not count."""
-    enough = ConsensusReplica.try_activate
+    try_activate = EpochTransition.try_activate
 
-    def careless(self: ConsensusReplica, now: float, out: Any) -> bool:
-        told = self.epoch_join.told
-        self.epoch_join.told = {peer: one for peer, one in told.items() if one[0] >= self.epoch - 1}
-        return enough(self, now, out)
+    def careless(self: EpochTransition, now: float, effects: Any) -> bool:
+        reports, before = self.join.reports, self.member.epoch - 1
+        self.join.reports = {peer: one for peer, one in reports.items() if one.active_epoch >= before}
+        return try_activate(self, now, effects)
 
-    return mock.patch.object(ConsensusReplica, "try_activate", careless)
+    return mock.patch.object(EpochTransition, "try_activate", careless)
 
 
 def eager(play: Any) -> Any:
     """A member votes from the moment it knows that it is one."""
-    return mock.patch.object(ConsensusReplica, "is_active_voter", property(lambda self: self.is_member))
+    return mock.patch.object(LocalMember, "is_active_voter", property(lambda self: self.is_member))
 
 
 def hasty_change(play: Any) -> Any:
@@ -115,7 +121,7 @@
 
 def older_unseen(play: Any) -> Any:
     """Nobody minds an older state of a disk."""
-    return mock.patch.object(ConsensusReplica, "check_disk_rollback", lambda *_: core.no_effects())
+    return mock.patch.object(ConsensusReplica, "check_disk_rollback", lambda *_: no_effects())
 
 
 def leave_at_once(play: Any) -> Any:
@@ -126,7 +132,7 @@
 def rows_forgotten(play: Any) -> Any:
     """A refused write's rows don't come again with the fact that speaks of them."""
     return mock.patch.object(
-        core.PendingWrites,
+        PendingWrites,
         "prepare_write",
         lambda self, out: (self.facts.update(out.facts), (out.writes, dict(self.facts)))[1],
     )
@@ -202,7 +208,7 @@
         self.loop = SimpleNamespace(time=lambda: world.now, call_soon=self.soon)
         self.leaving = SimpleNamespace(is_set=lambda: self.told_to_leave)
         self.told_to_leave, self.started = False, world.now
-        self.carry(core.no_effects())
+        self.carry(no_effects())
         for peer in sorted(
             {*told.seed_ips(), *self.consensus.voters, *self.disk["facts"].get("archives", ())}
         ):
@@ -539,8 +545,8 @@
             made = machine.membership.requested_change(members, peers, machine.versions(), old, new)
             if new and made.is_ok():
                 self.counts["swap"] = self.counts.get("swap", 0) + 1
-                change = core.next_voter_set(members, made.ok_value.voters)
-                machine.propose(core.VOTER_SET, change, lambda outcome: None, 1.0)
+                change = next_voter_set(members, made.ok_value.voters)
+                machine.propose(VOTER_SET, change, lambda outcome: None, 1.0)
         world.rest(dice.uniform(0.0, 0.15))
 
     def relay(self) -> None:
--- a/tests/simulation/storage_failures.py
+++ b/tests/simulation/storage_failures.py
@@ -22,7 +22,9 @@
 
 from benchmarks.controller_storage import moved, table
 from bramblewood.common.settings import Bounds, Settings
-from bramblewood.controller.consensus.replica import CONFIG, ConsensusReplica, Effects
+from bramblewood.controller.consensus.effects import Effects
+from bramblewood.controller.consensus.registers import CONFIG
+from bramblewood.controller.consensus.replica import ConsensusReplica
 from bramblewood.controller.server import Controller
 from bramblewood.controller.storage import Storage
 from bramblewood.controller.value_diff import PatchedDict, apply_difference, difference
