--- a/features/steps/health.py
+++ b/features/steps/health.py
@@ -2,6 +2,7 @@
 
 from bramblewood.controller.outlier_detection import (
     OutlierDetection,
+    WantedEjection,
     ejected_workers,
     ejections_of,
     with_ejections,
@@ -68,13 +69,14 @@
 
 @given("a table in which w0 is out")
 def one_out(context):
-    context.value = with_ejections({"n": 1, "s": {}}, {"w0": [1, True]}, {})[0]
+    context.value = with_ejections({"n": 1, "s": {}}, {"w0": WantedEjection(1, True)}, {})[0]
 
 
 @when("one archive judges that w1 is out too, and another, which missed that, that w0 may serve again")
 def two_judge(context):
     seen = ejections_of(context.value)
-    for told in ({"w0": [1, True], "w1": [1, True]}, {"w0": [1, False]}):
+    ejected, back = WantedEjection(1, True), WantedEjection(1, False)
+    for told in ({"w0": ejected, "w1": ejected}, {"w0": back}):
         context.value = with_ejections(context.value, told, seen)[0] or context.value
 
 
