--- a/bramblewood/controller/hot_keys.py
+++ b/bramblewood/controller/hot_keys.py
@@ -1,79 +1,130 @@
-"""Crowded records: which single keys are asked for more than a worker can do. Pure; one service's, at the
-scribe.
+"""Detection of hot keys: single keys that are asked for more than one worker can do. Pure.
 
-Desks count heat by ranges of FINE keys. Where a range has half of what one worker can do, over three
-reports, it is watched: desks then count its keys one by one, exactly. So a desk's count is bounded by what
-it carried since its last report, nothing more is told without a crush, and the error of a watched key is
-what came before the desks had heard of the watch. A key is crowded once it has what the design lets a
-worker be asked for, over three reports, and is let go once it had less than half of that for ten.
+One `HotKeys` a service, at the coordinator. Proxies count requests by ranges of `KEYS_PER_RANGE` keys. A
+range that gets half of what one worker can do, in three reports in a row, is watched: proxies then count its
+keys one by one, exactly. So a proxy's counters are bounded by what it carried since its last report, nothing
+is counted by key while no range is busy, and the error of a watched key is what came before the proxies had
+heard of the watch. A key is hot once it gets `LIMIT` of what one worker can do, in three reports in a row,
+and no longer once it got less than half of that in more than ten.
 
-A desk that lies or repeats itself crowds nothing: of a key's count no desk's part is taken as more than all
-others' together, where there are others.
+A proxy that reports too much makes no key hot: of a key's requests none may have more than all others
+together, where several proxies report it.
 """
 
 from collections import Counter, deque
+from collections.abc import Mapping
 from typing import NamedTuple
 
 from ..common.slice_table import KEYS_PER_RANGE
 from ..policy.figures import HELD, LIMIT, REPORTS
 
-WATCH_RATE_SHARE = 0.5  # of what one worker can be asked for, at which a range is looked at key by key
-MAX_WATCHED_RANGES = 8  # ranges watched at once: a desk then counts 64 keys more at the most
-RELEASE_RATE_SHARE = 0.5  # of what makes a range watched or a key crowded, below which it is let go
-RELEASE_REPORTS = 2 * REPORTS  # reports below that
+WATCH_RATE_SHARE = 0.5  # of one worker's throughput, at which a range is counted key by key
+MAX_WATCHED_RANGES = 8  # at once: a proxy then has 64 more counters at the most
+RELEASE_RATE_SHARE = 0.5  # of the threshold, below which a range or key is on its way to being released
+RELEASE_REPORTS = 2 * REPORTS  # reports below that, after which it is released
 
 
 class HotKeyNotice(NamedTuple):
-    """What the desks are to know: ranges to count by key, keys that are crowded."""
+    """What proxies are told of a service: ranges to count key by key, and keys that are hot.
+
+    Travels as a list of two lists; a range is named by its first key over `KEYS_PER_RANGE`.
+    """
 
     watched_ranges: tuple[int, ...]
-    keys: tuple[int, ...]
+    hot_keys: tuple[int, ...]
 
 
 class SustainedRates:
-    """What has had enough in each of three reports, until it had less than half for ten."""
+    """Ranges or keys whose rate reached a threshold in each of `HELD` reports, until it has been under
+    `RELEASE_RATE_SHARE` of it for more than `RELEASE_REPORTS`.
+    """
 
     def __init__(self) -> None:
-        self.reports: deque[Counter] = deque(maxlen=HELD)
-        self.since: dict[int, int] = {}  # reports since it had half of enough
+        self._recent_rates: deque[Counter] = deque(maxlen=HELD)
+        self._reports_below: dict[int, int] = {}  # in a row, by sustained range or key
+
+    def __contains__(self, name: int) -> bool:
+        return name in self._reports_below
+
+    def sustained(self) -> list[int]:
+        return list(self._reports_below)
+
+    def latest_rate(self, name: int) -> float:
+        """Requests a second in the newest report."""
+        return self._recent_rates[-1][name]
+
+    def record_rates(self, rates: Counter, threshold: float) -> None:
+        """One report: requests a second by range or key, and the rate that counts as reached."""
+        self._recent_rates.append(rates)
+        if len(self._recent_rates) == HELD and threshold > 0:
+            for name in rates:
+                if all(report[name] >= threshold for report in self._recent_rates):
+                    self._reports_below[name] = 0
+        for name in self.sustained():
+            is_below = rates[name] < RELEASE_RATE_SHARE * threshold
+            self._reports_below[name] = self._reports_below[name] + 1 if is_below else 0
+            if self._reports_below[name] > RELEASE_REPORTS:
+                self.release(name)
 
-    def cycle(self, rates: Counter, enough: float) -> None:
-        self.reports.append(rates)
-        if len(self.reports) == HELD and enough > 0:
-            for what in rates:
-                if all(report[what] >= enough for report in self.reports):
-                    self.since[what] = 0
-        for what in list(self.since):
-            self.since[what] = 0 if rates[what] >= RELEASE_RATE_SHARE * enough else self.since[what] + 1
-            if self.since[what] > RELEASE_REPORTS:
-                del self.since[what]
+    def release(self, name: int) -> None:
+        del self._reports_below[name]
 
 
 class HotKeys:
+    """The watched ranges and hot keys of one service."""
+
     def __init__(self) -> None:
-        self.ranges, self.keys = SustainedRates(), SustainedRates()
+        self._watched_ranges = SustainedRates()
+        self._hot_keys = SustainedRates()
 
     def notice(self) -> HotKeyNotice:
-        return HotKeyNotice(tuple(sorted(self.ranges.since)), tuple(sorted(self.keys.since)))
+        return HotKeyNotice(
+            tuple(sorted(self._watched_ranges.sustained())), tuple(sorted(self._hot_keys.sustained()))
+        )
+
+    def is_watched(self, key: int) -> bool:
+        """Whether the range of this key is counted key by key."""
+        return key // KEYS_PER_RANGE in self._watched_ranges
+
+    def is_hot(self, key: int) -> bool:
+        return key in self._hot_keys
+
+    def latest_rate(self, key: int) -> float:
+        """Requests a second for this key in the newest report."""
+        return self._hot_keys.latest_rate(key)
 
     def record_cycle(
-        self, came: Counter, by_key: dict[int, dict[str, int]], over: float, limit: float
+        self,
+        range_counts: Mapping[int, int],
+        key_counts: Mapping[int, Mapping[str, int]],
+        interval: float,
+        worker_throughput: float,
     ) -> None:
-        """One report over so many seconds: what came by ranges, and of watched ones by key and desk.
+        """Take in what came at all proxies in one cycle.
 
-        limit: requests a second that one worker can be asked for.
+        Args:
+            range_counts: requests by range, of ranges that were not watched.
+            key_counts: requests by key and proxy, of watched ranges.
+            interval: s that the counts span.
+            worker_throughput: requests a second that one worker can do.
         """
-        rates = Counter({fine: count / over for fine, count in came.items()})
-        keys = Counter({key: plausible_count(proxies) / over for key, proxies in by_key.items()})
-        for key, rate in keys.items():
-            rates[key // KEYS_PER_RANGE] += rate
-        self.ranges.cycle(rates, WATCH_RATE_SHARE * limit)
-        for fine in sorted(self.ranges.since, key=lambda fine: -rates[fine])[MAX_WATCHED_RANGES:]:
-            del self.ranges.since[fine]
-        self.keys.cycle(keys, LIMIT * limit)
-
-
-def plausible_count(proxies: dict[str, int]) -> int:
-    """What came of a key: no desk's part is more than that of all others, where there are others."""
-    most, total = max(proxies.values()), sum(proxies.values())
-    return total if len(proxies) == 1 else min(total, 2 * (total - most))
+        range_rates = Counter({index: count / interval for index, count in range_counts.items()})
+        key_rates = Counter(
+            {key: plausible_count(by_proxy) / interval for key, by_proxy in key_counts.items()}
+        )
+        for key, rate in key_rates.items():
+            range_rates[key // KEYS_PER_RANGE] += rate
+        self._watched_ranges.record_rates(range_rates, WATCH_RATE_SHARE * worker_throughput)
+        self._release_coolest_ranges(range_rates)
+        self._hot_keys.record_rates(key_rates, LIMIT * worker_throughput)
+
+    def _release_coolest_ranges(self, range_rates: Counter) -> None:
+        hottest_first = sorted(self._watched_ranges.sustained(), key=lambda index: -range_rates[index])
+        for index in hottest_first[MAX_WATCHED_RANGES:]:
+            self._watched_ranges.release(index)
+
+
+def plausible_count(by_proxy: Mapping[str, int]) -> int:
+    """Requests for a key, none of the proxies' counts taken as more than all others' together."""
+    largest, total = max(by_proxy.values()), sum(by_proxy.values())
+    return total if len(by_proxy) == 1 else min(total, 2 * (total - largest))
--- /dev/null
+++ b/bramblewood/controller/placement/slice_changes.py
@@ -0,0 +1,197 @@
+"""What a move, a split or a release does to the agreed slice table. Pure.
+
+Functions take the register's value (`common/slice_table.py` has its form) and give the value to propose next,
+or None where nothing changes; the value that was handed in is never altered. Of a keyed service no slice has
+two owners: its entry names the previous owner until that one has released its keys, and a new owner comes
+with a new fencing token, which is the version of the table that made it one.
+"""
+
+from collections.abc import Callable, Iterable, Mapping, Sequence
+from dataclasses import dataclass, field
+from typing import Any, NamedTuple
+
+from ...common.slice_table import (
+    EMPTY,
+    FENCING_TOKEN,
+    HANDOVER,
+    KEY_SPACE_SIZE,
+    PREVIOUS_OWNER,
+    READERS,
+    SECOND,
+    SECOND_SHARE,
+    WORKER,
+    reading,
+    with_readers,
+)
+
+MIN_SLICES = 32
+MIN_SLICES_PER_WORKER = 6  # so that one slice is a small step; each keyed slice costs a renewal of its lease
+
+TableValue = dict[str, Any]
+Entry = list[Any]  # a row of the slice table
+ProposedTable = tuple[TableValue | None, bool]  # the value to propose, if any; whether that changes anything
+
+
+class Assignment(NamedTuple):
+    """Who serves a slice: its worker, a second one if any, and the share (0 to 1) that the second gets."""
+
+    worker: str
+    second_worker: str = ""
+    second_share: float = 0.0
+
+    @classmethod
+    def of_entry(cls, entry: Sequence[Any]) -> "Assignment":
+        return cls(*entry[:FENCING_TOKEN])
+
+
+class SliceSplit(NamedTuple):
+    """A slice to be split off: the first key of the slice that it comes from, its own, and who serves it."""
+
+    parent: int
+    start: int
+    assignment: Assignment
+
+
+@dataclass
+class SliceChanges:
+    """What is to change in one service's part of the table; slices are named by their first keys.
+
+    `slice_count` is how many slices a service's first table gets; `readers` are the workers with read
+    replicas that a hot key's slice is to have.
+    """
+
+    assignments: dict[int, Assignment]
+    splits: list[SliceSplit]
+    slice_count: int
+    readers: dict[int, list[str]] = field(default_factory=dict)
+
+
+def initial_slice_count(workers: int) -> int:
+    """How many slices a service's first table gets: a power of two."""
+    count = MIN_SLICES
+    while count < MIN_SLICES_PER_WORKER * workers:
+        count *= 2
+    return count
+
+
+def initial_entries(count: int) -> dict[str, Entry]:
+    """Entries of `count` equal slices that nobody serves yet, by first key."""
+    return {str(i * KEY_SPACE_SIZE // count): EMPTY for i in range(count)}
+
+
+def reassigned(entry: Entry, assignment: Assignment, keyed: bool, version: int) -> Entry:
+    """The entry with another assignment. The owner of a keyed slice must first release its keys."""
+    new_entry = list(entry)
+    worker, second_worker, second_share = assignment
+    if new_entry[WORKER] != worker:
+        if keyed:
+            new_entry[PREVIOUS_OWNER] = new_entry[PREVIOUS_OWNER] or new_entry[WORKER]
+            new_entry[HANDOVER] = ""
+        new_entry[FENCING_TOKEN] = version
+    new_entry[WORKER], new_entry[SECOND], new_entry[SECOND_SHARE] = worker, second_worker, second_share
+    readers = [instance_id for instance_id in reading(new_entry) if instance_id != worker]
+    return with_readers(new_entry, readers, version)
+
+
+def apply_slice_changes(
+    value: TableValue | None, changes: Mapping[str, SliceChanges], keyed: set[str]
+) -> ProposedTable:
+    """The table with these changes by service. What another controller has changed meanwhile is left out:
+    a split of a slice that is gone, or an assignment that stands already.
+
+    Args:
+        keyed: the services whose slices have one owner at a time.
+    """
+    value = value or {"n": 0, "s": {}}
+    version, services, any_change = value["n"] + 1, dict(value["s"]), False
+    for service, wanted in changes.items():
+        entries = dict(services.get(service) or initial_entries(wanted.slice_count))
+        any_change |= _change_entries(entries, wanted, service in keyed, version)
+        services[service] = entries
+    return ({**value, "n": version, "s": services}, True) if any_change else (None, False)
+
+
+def _change_entries(entries: dict[str, Entry], wanted: SliceChanges, keyed: bool, version: int) -> bool:
+    """Put these changes into one service's entries; whether any did."""
+    any_change = False
+    for parent, start, assignment in wanted.splits:
+        entry = entries.get(str(parent))
+        if entry is not None and str(start) not in entries:
+            entries[str(start)] = reassigned(entry[:READERS], assignment, keyed, version)
+            any_change = True
+    for first_key, assignment in wanted.assignments.items():
+        entry = entries.get(str(first_key))
+        if entry is not None and Assignment.of_entry(entry) != assignment:
+            entries[str(first_key)] = reassigned(entry, assignment, keyed, version)
+            any_change = True
+    for first_key, readers in wanted.readers.items():
+        entry = entries.get(str(first_key))
+        if entry is not None and reading(entry) != readers:
+            entries[str(first_key)] = with_readers(entry, readers, version)
+            any_change = True
+    return any_change
+
+
+def with_changed_entries(
+    value: TableValue | None,
+    service: str,
+    starts: Iterable[int],
+    change: Callable[[Entry, int], Entry | None],
+) -> ProposedTable:
+    """The table with `change(entry, version)` in place of these slices' entries, where that gives one.
+
+    Args:
+        starts: first keys of slices; those that are gone are left out.
+        change: gets a copy of the entry, and the version that the table will have.
+    """
+    if not value or service not in value["s"]:
+        return None, False
+    entries, version, any_change = dict(value["s"][service]), value["n"] + 1, False
+    for start in starts:
+        entry = entries.get(str(start))
+        new_entry = change(list(entry), version) if entry else None
+        if new_entry is not None:
+            entries[str(start)], any_change = new_entry, True
+    if not any_change:
+        return None, False
+    return {**value, "n": version, "s": {**value["s"], service: entries}}, True
+
+
+def clear_previous_owner(
+    value: TableValue | None,
+    service: str,
+    starts: Iterable[int],
+    fencing_token: int,
+    previous_owner: str,
+    handover: str,
+) -> ProposedTable:
+    """The table once the previous owner has released these slices.
+
+    Args:
+        fencing_token: the token under which the release was asked for; another one stands for a later move.
+        handover: what the previous owner tells the new one, empty if nothing.
+    """
+
+    def release(entry: Entry, _version: int) -> Entry | None:
+        if entry[PREVIOUS_OWNER] != previous_owner or entry[FENCING_TOKEN] != fencing_token:
+            return None
+        entry[PREVIOUS_OWNER], entry[HANDOVER] = "", handover
+        return entry
+
+    return with_changed_entries(value, service, starts, release)
+
+
+def raise_fencing_tokens(
+    value: TableValue | None, service: str, starts: Iterable[int], fencing_token: int
+) -> ProposedTable:
+    """The table with a new fencing token for those slices that still have this one: their worker has seen a
+    higher one.
+    """
+
+    def raise_token(entry: Entry, version: int) -> Entry | None:
+        if entry[FENCING_TOKEN] != fencing_token:
+            return None
+        entry[FENCING_TOKEN] = version
+        return entry
+
+    return with_changed_entries(value, service, starts, raise_token)
--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -21,6 +21,7 @@
     create_connection_socket,
 )
 from ..common.settings import SEED_REREAD_INTERVAL, Settings, reread_seeds
+from ..common.slice_table import DRAIN_ANNOUNCED, DRAIN_IN_PROGRESS
 from ..common.timeouts import READ_LEASE_DURATION
 from ..common.worker_registry import GONE, READY, WorkerRegistration, WorkerRegistry
 from . import placement
@@ -60,9 +61,6 @@
 )
 from .deregistration import HELD_WITHIN, Deregistrations
 from .drain_plans import (
-    DRAIN_ANNOUNCED,
-    DRAIN_IN_PROGRESS,
-    DrainPlans,
     drain_steps_of,
     end_plan,
     plans_of,
@@ -70,6 +68,7 @@
     worker_drains_of,
     workers_in_use,
 )
+from .drain_progress import DrainProgress
 from .key_leases import RENEW_PART, Call, KeyLeases, ReleasedKeys
 from .outlier_detection import OutlierDetection, ejections_of, with_ejections
 from .proxy_updates import ProxyUpdates
@@ -105,7 +104,7 @@
         self.changing = False  # the set of voters, from here
         self.proxies: dict[str, PeerConnection] = {}
         self.key_leases, self.read_replicas = KeyLeases(told.bounds.HoldMaxS), ReadReplicas()
-        self.drain_plans, self.outlier_detection = DrainPlans(self.key_leases.expiry), OutlierDetection()
+        self.drain_plans, self.outlier_detection = DrainProgress(self.key_leases.expiry), OutlierDetection()
         self.deregistrations = Deregistrations(self.me)
         self.confirms: dict[int, asyncio.Future] = {}  # by round of leaves
         self.configurations: tuple[int, Any] = (0, None)
@@ -989,7 +988,7 @@
     def chosen(self, command: StartDrainPlan, value: dict | None) -> list[str]:
         """The workers that a plan names, by the table that stands."""
         if command.name in plans_of(value):
-            return plans_of(value)[command.name]["lives"]  # asked again
+            return plans_of(value)[command.name].instance_ids  # asked again
         able = workers_in_use(self.registry, command.service, worker_drains_of(value))
         instance_ids = [
             instance_id
@@ -1033,7 +1032,7 @@
         table, told = self.consensus.value(TABLE), self.drain_plans
         return {
             name: {
-                **plan,
+                **plan.stored(),
                 "workers": {
                     instance_id: {
                         "step": step,
--- a/bramblewood/controller/zone_affinity.py
+++ b/bramblewood/controller/zone_affinity.py
@@ -1,36 +1,46 @@
-"""How many of a zone's requests stay in it, for services whose requests may go to any worker. Pure.
+"""Zone affinity: what share of a zone's requests stays in the zone, for services without keys. Pure.
 
-Such a request's slice is a hash of its id, so a desk may as well draw it among the slices whose workers stand
-in its own zone; bytes between zones are paid for. What speaks against it is a zone with more requests than
-its part of the workers. So each zone's part of requests that stay begins at nothing, grows while its workers
-are no busier than the others or half idle, and shrinks at twice the pace while they are.
+A request of such a service may go to any worker: its slice is a hash of its id, so a proxy may as well choose
+among the slices whose workers stand in its own zone. That saves traffic between zones, which is paid for, but
+overloads a zone with more requests than its part of the workers. So each zone's share starts at 0, grows
+while its workers are no busier than the others or half idle, and shrinks at twice the pace otherwise.
 """
 
 from collections.abc import Iterable
+from typing import NamedTuple
 
-SHARE_INCREASE, SHARE_DECREASE = (
-    0.1,
-    0.2,
-)  # of all its requests, a cycle: full use in the time that five reports take, twice
-EVEN_UTILIZATION_FACTOR = 1.1  # times the mean busyness that a zone's may be
-IDLE_UTILIZATION = 0.5  # busyness below which nothing waits, whatever the others have; half of the slots
+# a cycle, of all the zone's requests: from 0 to all of them in twice the time that five reports take
+SHARE_INCREASE, SHARE_DECREASE = 0.1, 0.2
+EVEN_UTILIZATION_FACTOR = 1.1  # times the mean of all zones that a zone's utilization may be
+IDLE_UTILIZATION = 0.5  # below it nothing waits, whatever the others have
+
+
+class WorkerUtilization(NamedTuple):
+    """A worker in use: the part of its slots that was taken, averaged over five reports."""
+
+    zone: str
+    slots: float
+    utilization: float
 
 
 class ZoneAffinity:
+    """The local shares of one service's zones, 0 to 1."""
+
     def __init__(self) -> None:
         self.local_shares: dict[str, float] = {}  # by zone
 
-    def adjust(self, busy: Iterable[tuple[str, float, float]]) -> None:
-        """Once a cycle: (zone, slots, busyness averaged over five reports) of each worker in use."""
+    def adjust(self, workers: Iterable[WorkerUtilization]) -> None:
+        """Move each zone's share one step; called once a cycle with all workers in use."""
         slots: dict[str, float] = {}
-        taken: dict[str, float] = {}
-        for zone, weight, level in busy:
-            slots[zone] = slots.get(zone, 0.0) + weight
-            taken[zone] = taken.get(zone, 0.0) + weight * level
-        mean = sum(taken.values()) / (sum(slots.values()) or 1.0)
+        busy_slots: dict[str, float] = {}
+        for zone, worker_slots, utilization in workers:
+            slots[zone] = slots.get(zone, 0.0) + worker_slots
+            busy_slots[zone] = busy_slots.get(zone, 0.0) + worker_slots * utilization
+        mean_utilization = sum(busy_slots.values()) / (sum(slots.values()) or 1.0)
+        highest_utilization = max(EVEN_UTILIZATION_FACTOR * mean_utilization, IDLE_UTILIZATION)
         local_shares = {}
         for zone in slots:
-            calm = taken[zone] / slots[zone] <= max(EVEN_UTILIZATION_FACTOR * mean, IDLE_UTILIZATION)
-            share = self.local_shares.get(zone, 0.0) + (SHARE_INCREASE if calm else -SHARE_DECREASE)
+            may_grow = busy_slots[zone] / slots[zone] <= highest_utilization
+            share = self.local_shares.get(zone, 0.0) + (SHARE_INCREASE if may_grow else -SHARE_DECREASE)
             local_shares[zone] = round(min(max(share, 0.0), 1.0), 2)
         self.local_shares = local_shares
--- a/features/steps/crowds.py
+++ b/features/steps/crowds.py
@@ -20,7 +20,7 @@
     """
     came, by_key = Counter(), {}
     for (key, proxy), rate in rates.items():
-        if key // KEYS_PER_RANGE in context.hot_keys.ranges.since:
+        if context.hot_keys.is_watched(key):
             by_key.setdefault(key, {})[proxy] = rate * OVER
         else:
             came[key // KEYS_PER_RANGE] += rate * OVER
@@ -62,17 +62,17 @@
 
 @then("{key:d} is crowded")
 def crowded(context, key):
-    assert context.hot_keys.notice().keys == (key,)
+    assert context.hot_keys.notice().hot_keys == (key,)
 
 
 @then("nothing is crowded")
 def calm(context):
-    assert context.hot_keys.notice().keys == ()
+    assert context.hot_keys.notice().hot_keys == ()
 
 
 @then("nothing is crowded, and at most {most:d} ranges are watched")
 def few(context, most):
-    assert context.hot_keys.notice().keys == () and len(context.hot_keys.notice().watched_ranges) <= most
+    assert context.hot_keys.notice().hot_keys == () and len(context.hot_keys.notice().watched_ranges) <= most
 
 
 @then("nothing is watched")
--- a/features/steps/withdrawal.py
+++ b/features/steps/withdrawal.py
@@ -3,15 +3,15 @@
 from behave import given, then, when
 
 from bramblewood.common.worker_registry import WorkerRegistration, WorkerRegistry
-from bramblewood.controller import drain_plans
+from bramblewood.controller import drain_progress
 from bramblewood.controller.drain_plans import (
-    DrainPlans,
-    ServiceCapacity,
+    StepChange,
     drain_steps_of,
     plans_of,
     start_plan,
     worker_drains_of,
 )
+from bramblewood.controller.drain_progress import DrainProgress, ServiceCapacity
 from tests.approved import approve
 from tests.simulation.drain_plans import OutOfServiceTooSoon, Play
 
@@ -43,24 +43,19 @@
 
 @then("without the version that a step rests on a worker is out too soon within {count:d} plays")
 def version(context, count):
-    advance_plans, order = drain_plans.advance_plans, ["told", "closing", "closed", "out"]
+    advance_plans, order = drain_progress.advance_plans, ["told", "closing", "closed", "out"]
 
-    def unfenced(value, moves, ends):
-        stands = {
-            instance_id: at for instance_id, at in worker_drains_of(value).items() if instance_id in moves
-        }
+    def unfenced(value, step_changes, plan_ends):
+        """Every step to a later one is made, whatever version it rests on."""
         later = {
-            instance_id
-            for instance_id, at in stands.items()
-            if order.index(at[1]) < order.index(moves[instance_id][0])
+            instance_id: StepChange(step_changes[instance_id].step, drain.version)
+            for instance_id, drain in worker_drains_of(value).items()
+            if instance_id in step_changes
+            and order.index(drain.step) < order.index(step_changes[instance_id].step)
         }
-        return advance_plans(
-            value,
-            {instance_id: (moves[instance_id][0], stands[instance_id][2]) for instance_id in later},
-            ends,
-        )
+        return advance_plans(value, later, plan_ends)
 
-    with mock.patch.object(drain_plans, "advance_plans", unfenced):
+    with mock.patch.object(drain_progress, "advance_plans", unfenced):
         assert found(count, "")
 
 
@@ -101,7 +96,7 @@
 
 @then("after {first:d} s none of them closes, and after {last:d} s the plan is stopped: {why}")
 def waits(context, first, last, why):
-    registry, machine = WorkerRegistry(), DrainPlans(7.4)
+    registry, machine = WorkerRegistry(), DrainProgress(7.4)
     for name in ("w1", "w2", "w3"):
         registry.merge(0.0, name, WorkerRegistration("s", f"{name}:1", "z", 2, "ready", 1))
     room = {"s": ServiceCapacity(5.0, {"w1": 2.0, "w2": 2.0, "w3": 2.0})}
@@ -112,7 +107,8 @@
             context.value = change(context.value)[0] or context.value
         if tenth == 10 * first:
             assert set(drain_steps_of(context.value).values()) == {"told"}
-    assert (plans_of(context.value)["a"]["state"], plans_of(context.value)["a"]["why"]) == ("stopped", why)
+    plan = plans_of(context.value)["a"]
+    assert (plan.state, plan.reason) == ("stopped", why)
 
 
 @then("w1 is in use")
--- a/tests/simulation/drain_plans.py
+++ b/tests/simulation/drain_plans.py
@@ -5,18 +5,16 @@
 
 import random
 
-from bramblewood.common.slice_table import PREVIOUS_OWNER, WORKER
+from bramblewood.common.slice_table import OUT_OF_SERVICE, PREVIOUS_OWNER, WORKER
 from bramblewood.common.worker_registry import WorkerRegistration, WorkerRegistry
 from bramblewood.controller.drain_plans import (
-    OUT_OF_SERVICE,
-    DrainPlans,
-    ServiceCapacity,
     drain_steps_of,
     end_plan,
     start_plan,
     worker_drains_of,
     workers_in_use,
 )
+from bramblewood.controller.drain_progress import DrainProgress, ServiceCapacity
 
 STEP = 0.1  # s
 PEER_TIMEOUT = 7.4  # s: the longest hold behind a silent desk
@@ -39,7 +37,7 @@
         self.dice, self.careless, self.now = random.Random(seed), careless, 100.0
         entries = {str(i * 4096): [WORKERS[i % 6], "", 0.0, 1, "", ""] for i in range(12)}
         self.tables = [{"n": 1, "s": {"s": entries}}]
-        self.controllers = {name: DrainPlans(PEER_TIMEOUT) for name in "ab"}
+        self.controllers = {name: DrainProgress(PEER_TIMEOUT) for name in "ab"}
         self.proxies = {f"d{i}": Proxy(1) for i in range(3)}
         self.registry, self.begun, self.outs, self.plans = WorkerRegistry(), 0, 0, 0
         self.late = []  # proposals of archives that are slow or were frozen: (when, change)
@@ -90,7 +88,7 @@
     def controller(self, name):
         machine = self.controllers[name]
         if self.dice.random() < 0.002:
-            self.controllers[name] = machine = DrainPlans(
+            self.controllers[name] = machine = DrainProgress(
                 PEER_TIMEOUT
             )  # restarted: it knows nothing of the desks
         there = {proxy for proxy, one in self.proxies.items() if self.now >= one.cut_until}
