--- a/bramblewood/proxy/load_balancing.py
+++ b/bramblewood/proxy/load_balancing.py
@@ -52,7 +52,7 @@
         "rests_until",
         "rest",
         "full_until",
-        "gate",
+        "hot_key_queue",
         "tries",
         "unanswered",
         "bad",
