--- a/bramblewood/__main__.py
+++ b/bramblewood/__main__.py
@@ -11,40 +11,40 @@
 signal.signal(signal.SIGHUP, lambda _number, _frame: None)
 signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
 
-# the gateway's commands; what they need is not imported by the manager
-ROOMS = (
-    "desk",
-    "archive",
-    "config",
-    "roll",
-    "holds",
-    "sessions",
-    "explain",
-    "shelf",
-    "lab",
-    "members",
-    "withdraw",
-)
-
-
-def gateway(words: list[str]) -> bool:
+from .cli.command_names import GATEWAY_COMMANDS, current_name  # noqa: E402 - signals come first
+
+
+def is_gateway_call(arguments: list[str]) -> bool:
     """Whether a call is for the gateway; `check` is the manager's where that one's file is named."""
-    if words[:1] == ["check"]:
-        return "--boot" in words or "--config" in words or "EDGE_CONFIG" not in os.environ and len(words) == 1
-    return words[:1] != [] and words[0] in ROOMS
+    if arguments[:1] == ["check"]:
+        names_settings = "--boot" in arguments or "--config" in arguments
+        return names_settings or ("EDGE_CONFIG" not in os.environ and len(arguments) == 1)
+    return arguments[:1] != [] and current_name(arguments[0]) in GATEWAY_COMMANDS
 
 
-def run() -> None:
-    """The installed command."""
-    if gateway(sys.argv[1:]):
-        doors = {}
-        if sys.argv[1:] == ["desk"]:  # before the rest is imported, which takes tenths of a second
-            from .common.listeners import open_listeners_early
+def run_gateway_command(arguments: list[str]) -> None:
+    """Run one of the gateway's commands, and end the process."""
+    early_listeners = {}
+    if [current_name(argument) for argument in arguments] == ["proxy"]:
+        # before the rest is imported, which takes tenths of a second
+        from .common.listeners import open_listeners_early
 
-            doors = open_listeners_early(("Front", "ReadyProbe"))
-        from .cli.gateway import rooms
+        early_listeners = open_listeners_early(("Front", "ReadyProbe"))
+    from .cli.gateway import gateway
 
-        rooms(prog_name="bramblewood", obj=doors)
+    gateway(prog_name="bramblewood", obj=early_listeners)
+
+
+def run() -> None:
+    """The installed command."""
+    arguments = sys.argv[1:]
+    if arguments == ["--help"]:
+        from .cli.overview import overview
+
+        print(overview())
+        return
+    if is_gateway_call(arguments):
+        run_gateway_command(arguments)
     from .cli.app import main
 
     sys.exit(main())
--- a/bramblewood/cli/drain.py
+++ b/bramblewood/cli/drain.py
@@ -1,39 +1,30 @@
-"""Commands that take backends out of service: withdraw start, plan, show, stop, back. All are safe to
-repeat.
-"""
+"""The commands `drain plan|start|show|stop|back`: take workers out of service. All are safe to repeat."""
 
-import json
 import sys
 import time
 
 import click
 
-from .boot import BOOT, fail
-from .exit_codes import FOUND
-from .inspection import ARCHIVE, JSON, ask, call, out, places
+from .controller_client import Response, get_view, post_order
+from .exit_codes import PROBLEM_FOUND, SUCCESS
+from .options import BOOT, CONTROLLER, JSON
+from .output import fail, write_result
 
-LOOK = 0.5  # s between looks while `show --wait` waits
+POLL_INTERVAL = 0.5  # s between two views while `show --wait` waits
+PATH = "/plan"  # of orders about drain plans
+RUNNING = "running"  # a plan's state while it has waves to go
 
 
 @click.group()
-def withdraw() -> None:
-    """Take backends out of service, in waves; every node agrees on each step.
+def drain() -> None:
+    """Take workers out of service, in waves: plan, start, show, stop, back.
 
-    Exit codes: 0 taken or as asked, 1 refused or no such plan, 2 nobody answers or faulty words.
+    Every controller and proxy agrees on each step. Exit codes: 0 taken or as asked, 1 refused or no such
+    plan, 2 nobody answers or invalid arguments.
     """
 
 
-def told(body: dict, archive: str | None, boot: str | None) -> tuple[int, dict]:
-    status, answer = call(places(archive, boot), "POST", "/plan", json.dumps(body).encode())
-    return status, json.loads(answer or b"{}")
-
-
-def ended(status: int, reason: str, good: str, as_json: bool) -> None:
-    out({"status": status, "reason": reason}, as_json, [good if status == 200 else f"refused: {reason}"])
-    sys.exit(0 if status == 200 else FOUND)
-
-
-def chosen(command):
+def selection_options(command):
     """The options that say which workers."""
     for option in (
         click.option("--service", required=True),
@@ -47,96 +38,108 @@
     return command
 
 
-def body_of(do: str, name: str, service, workers, zone, revision, count, wave) -> dict:
-    body = {"Do": do, "Name": name, "Service": service, "Workers": list(workers), "Wave": wave}
-    body |= {"Zone": zone, "Revision": revision}
-    return {**body, "Count": count} if count else body
+def plan_order(do: str, name: str, service, workers, zone, revision, count, wave) -> dict:
+    """The body of an order that selects workers."""
+    order = {"Do": do, "Name": name, "Service": service, "Workers": list(workers), "Wave": wave}
+    order |= {"Zone": zone, "Revision": revision}
+    return {**order, "Count": count} if count else order
+
+
+def end_with(response: Response, success: str, as_json: bool) -> None:
+    """Show whether an order was taken, and end the command."""
+    taken, reason = response.status == 200, response.json().get("Failure", "")
+    line = success if taken else f"refused: {reason}"
+    write_result({"status": response.status, "reason": reason}, as_json, [line])
+    sys.exit(SUCCESS if taken else PROBLEM_FOUND)
 
 
-@withdraw.command("start")
+@drain.command("start")
 @click.argument("name")
-@chosen
-@ARCHIVE
+@selection_options
+@CONTROLLER
 @BOOT
 @JSON
-def withdraw_start(name, service, workers, zone, revision, count, wave, archive, boot, as_json) -> None:
+def start(name, service, workers, zone, revision, count, wave, controller, boot, as_json) -> None:
     """Begin the plan NAME: these workers leave, so many at a time."""
-    body = body_of("start", name, service, workers, zone, revision, count, wave)
-    status, answer = told(body, archive, boot)
-    ended(status, answer.get("Failure", ""), f"{name} begins", as_json)
+    order = plan_order("start", name, service, workers, zone, revision, count, wave)
+    end_with(post_order(controller, boot, PATH, order), f"{name} begins", as_json)
 
 
-@withdraw.command("plan")
-@chosen
-@ARCHIVE
+@drain.command("plan")
+@selection_options
+@CONTROLLER
 @BOOT
 @JSON
-def withdraw_plan(service, workers, zone, revision, count, wave, archive, boot, as_json) -> None:
+def plan(service, workers, zone, revision, count, wave, controller, boot, as_json) -> None:
     """Say what a plan would do, and change nothing."""
-    body = body_of("plan", "trial", service, workers, zone, revision, count, wave)
-    status, answer = told(body, archive, boot)
+    order = plan_order("plan", "trial", service, workers, zone, revision, count, wave)
+    response = post_order(controller, boot, PATH, order)
+    answer = response.json()
     reason = answer.get("Failure", "")
     lines = [f"wave {i + 1}: {', '.join(wave)}" for i, wave in enumerate(answer.get("Waves", []))]
-    out(answer, as_json, [*lines, *([f"would be refused: {reason}"] if reason else [])])
-    sys.exit(FOUND if reason or status != 200 else 0)
+    lines += [f"would be refused: {reason}"] if reason else []
+    write_result(answer, as_json, lines)
+    sys.exit(PROBLEM_FOUND if reason or response.status != 200 else SUCCESS)
 
 
-def shown(name: str, plan: dict) -> list[str]:
+def worker_line(instance_id: str, worker: dict) -> str:
+    """One worker of a plan: its step, and what the next step still waits for."""
+    pending = [f"not yet closed at {', '.join(worker['sending'])}"] if worker["sending"] else []
+    pending += ["keys still to pass on"] if worker["keys"] else []
+    pending += [
+        f"{proxy}: {lookups} lookups, {effects} effects, the oldest for {oldest} s"
+        for proxy, (lookups, effects, oldest) in worker["under way"].items()
+    ]
+    return "; ".join([f"  {instance_id} {worker['step']}", *pending])
+
+
+def plan_lines(name: str, plan: dict) -> list[str]:
+    """A plan and its workers, for people."""
     why = f", {plan['why']}" if plan["why"] else ""
-    lines = [f"{name}: {plan['service']}, {plan['state']}{why}, {plan['wave']} at a time"]
-    for instance_id, one in plan["workers"].items():
-        rest = [f"not yet closed at {', '.join(one['sending'])}"] if one["sending"] else []
-        rest += ["keys still to pass on"] if one["keys"] else []
-        rest += [
-            f"{proxy}: {lookups} lookups, {effects} effects, the oldest for {oldest} s"
-            for proxy, (lookups, effects, oldest) in one["under way"].items()
-        ]
-        lines.append(f"  {instance_id} {one['step']}" + ("; " + "; ".join(rest) if rest else ""))
-    return lines
-
-
-@withdraw.command("show")
+    first = f"{name}: {plan['service']}, {plan['state']}{why}, {plan['wave']} at a time"
+    return [first, *(worker_line(instance_id, worker) for instance_id, worker in plan["workers"].items())]
+
+
+@drain.command("show")
 @click.argument("name", required=False)
 @click.option("--wait", type=float, default=0.0, help="s to wait until NAME has ended")
-@ARCHIVE
+@CONTROLLER
 @BOOT
 @JSON
-def withdraw_show(name, wait, archive, boot, as_json) -> None:
+def show(name, wait, controller, boot, as_json) -> None:
     """Show the plans: each worker's step, what is still under way, where, since when."""
-    until = time.monotonic() + wait
+    deadline = time.monotonic() + wait
     while True:
-        plans = ask(archive, boot, "plans")
+        plans = get_view(controller, boot, "plans")
         if name and name not in plans:
-            fail(f"no plan {name}", FOUND)
+            fail(f"no plan {name}", PROBLEM_FOUND)
         plans = {name: plans[name]} if name else plans
-        running = any(plan["state"] == "running" for plan in plans.values())
-        if not running or time.monotonic() >= until:
+        running = any(plan["state"] == RUNNING for plan in plans.values())
+        if not running or time.monotonic() >= deadline:
             break
-        time.sleep(LOOK)
-    out(plans, as_json, [line for one, plan in plans.items() for line in shown(one, plan)] or ["no plan"])
-    sys.exit(FOUND if wait and running else 0)
-
-
-def end(do: str, good: str, name: str, archive, boot, as_json) -> None:
-    status, answer = told({"Do": do, "Name": name}, archive, boot)
-    ended(status, answer.get("Failure", ""), f"{name}: {good}", as_json)
+        time.sleep(POLL_INTERVAL)
+    lines = [line for plan_name, plan in plans.items() for line in plan_lines(plan_name, plan)]
+    write_result(plans, as_json, lines or ["no plan"])
+    sys.exit(PROBLEM_FOUND if wait and running else SUCCESS)
 
 
-@withdraw.command("stop")
+@drain.command("stop")
 @click.argument("name")
-@ARCHIVE
+@CONTROLLER
 @BOOT
 @JSON
-def withdraw_stop(name, archive, boot, as_json) -> None:
+def stop(name, controller, boot, as_json) -> None:
     """Begin no further wave of a plan; those under way go on to their end."""
-    end("stop", "no further wave", name, archive, boot, as_json)
+    response = post_order(controller, boot, PATH, {"Do": "stop", "Name": name})
+    end_with(response, f"{name}: no further wave", as_json)
 
 
-@withdraw.command("back")
+@drain.command("back")
 @click.argument("name")
-@ARCHIVE
+@CONTROLLER
 @BOOT
 @JSON
-def withdraw_back(name, archive, boot, as_json) -> None:
+def back(name, controller, boot, as_json) -> None:
     """Take all workers of a plan that still run back into use."""
-    end("back", "its workers are in use again", name, archive, boot, as_json)
+    response = post_order(controller, boot, PATH, {"Do": "back", "Name": name})
+    end_with(response, f"{name}: its workers are in use again", as_json)
--- a/bramblewood/cli/exit_codes.py
+++ b/bramblewood/cli/exit_codes.py
@@ -1,3 +1,5 @@
 """Exit codes of all commands."""
 
-DONE, FOUND, FAULTY = 0, 1, 2  # done; damage or no such thing; faulty words, file or folder
+SUCCESS = 0  # done, sound, or ended by SIGTERM
+PROBLEM_FOUND = 1  # damage found, refused, or no such thing
+INVALID_INPUT = 2  # invalid arguments, settings, file or folder; or nobody answers
--- a/bramblewood/cli/gateway.py
+++ b/bramblewood/cli/gateway.py
@@ -1,57 +1,45 @@
-"""The commands of the gateway's programs: desk and archive. Not imported by `serve`."""
+"""The gateway's commands as one click group. A command's module is imported when that command is called.
 
-import asyncio
-import signal
-import sys
+So a program in service has none of the other commands' memory and start-up time. Names of earlier releases
+are taken too; a line on standard error names the present one.
+"""
 
-import click
-
-from .boot import BOOT, load_settings
-from .exit_codes import FAULTY
-
-
-@click.group(
-    help="bramblewood: a gateway. Exit codes: 0 done or ended by SIGTERM, 1 damage found or no such thing, "
-    "2 faulty words, settings, folder or address."
-)
-def rooms() -> None:
-    pass
-
-
-def play(program) -> None:
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
-    try:
-        code = asyncio.run(program.run())
-    except OSError as problem:
-        click.echo(f"bramblewood: {problem}", err=True)
-        code = FAULTY
-    sys.exit(code)
+import importlib
 
+import click
 
-@rooms.command()
-@BOOT
-@click.pass_obj
-def desk(doors: dict, boot: str | None) -> None:
-    """Run a desk: take clients' requests and carry them to workers."""
-    from ..proxy.server import Proxy
+from .command_names import EARLIER_NAMES, GATEWAY_COMMANDS, current_name
+from .output import write_error
 
-    play(Proxy(load_settings(boot, "Front", "ReadyProbe"), doors))
 
+class LazyGroup(click.Group):
+    """A group of commands that are imported one by one."""
 
-@rooms.command()
-@BOOT
-def archive(boot: str | None) -> None:
-    """Run an archive: keep the configuration, the roll of workers and the tables."""
-    from ..controller.server import Controller
+    def list_commands(self, ctx: click.Context) -> list[str]:
+        """Names for `--help`; earlier names are not shown."""
+        return list(GATEWAY_COMMANDS)
 
-    play(Controller(load_settings(boot, "Control")))
+    def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
+        """The command of this present name; None where there is none."""
+        if cmd_name not in GATEWAY_COMMANDS:
+            return None
+        module, _ = GATEWAY_COMMANDS[cmd_name]
+        return getattr(importlib.import_module(f".{module}", __package__), cmd_name)
 
+    def resolve_command(
+        self, ctx: click.Context, args: list[str]
+    ) -> tuple[str | None, click.Command | None, list[str]]:
+        """The command that the arguments begin with, by its present or its earlier name."""
+        if args[0] in EARLIER_NAMES:
+            write_error(f"`{args[0]}` is now called `{current_name(args[0])}`")
+            args = [current_name(args[0]), *args[1:]]
+        return super().resolve_command(ctx, args)
 
-if sys.argv[1:2] not in (["desk"], ["archive"]):  # programs at work need none of the other commands' memory
-    from .drain import withdraw
-    from .emulator import lab
-    from .inspection import COMMANDS
-    from .members import members
 
-    for command in (*COMMANDS, lab, members, withdraw):
-        rooms.add_command(command)
+@click.group(
+    cls=LazyGroup,
+    help="bramblewood: a gateway. Exit codes: 0 done or ended by SIGTERM, 1 damage found or no such thing, "
+    "2 invalid arguments, settings, folder or address.",
+)
+def gateway() -> None:
+    pass
--- /dev/null
+++ b/bramblewood/cli/leases.py
@@ -0,0 +1,55 @@
+"""The command `leases`."""
+
+import click
+
+from ..common.slice_table import FENCING_TOKEN, PREVIOUS_OWNER, SECOND, WORKER, starts_of
+from .controller_client import get_view
+from .options import BOOT, CONTROLLER, JSON
+from .output import write_result
+
+GRANTS_VIEW = "holds"  # the grants' name on the wire
+
+
+def lease_rows(table: dict, grants: list[dict]) -> list[dict]:
+    """One row a slice: its workers and fencing token, and until when its last grant holds, in s from now."""
+    expiry = {(grant["service"], grant["from"], grant["life"]): grant["until"] for grant in grants}
+    rows = []
+    for service, entries in sorted(table["s"].items()):
+        for start in starts_of(entries):
+            entry = entries[str(start)]
+            rows.append(
+                {
+                    "service": service,
+                    "from": start,
+                    "worker": entry[WORKER],
+                    "second": entry[SECOND],
+                    "fence": entry[FENCING_TOKEN],
+                    "old": entry[PREVIOUS_OWNER],
+                    "until": expiry.get((service, start, entry[WORKER])),
+                }
+            )
+    return rows
+
+
+def lease_line(row: dict) -> str:
+    """One slice, for people."""
+    line = f"{row['service']} from {row['from']}: {row['worker'] or 'nobody'}, fence {row['fence']}"
+    if row["until"] is not None:
+        line += f", until {row['until']} s from now"
+    if row["old"]:
+        line += f", still to be released by {row['old']}"
+    return line
+
+
+@click.command()
+@CONTROLLER
+@BOOT
+@JSON
+def leases(controller: str | None, boot: str | None, as_json: bool) -> None:
+    """Show key leases: slices, their workers, fencing tokens and expiry.
+
+    Expiry is that of the last grant that the coordinator has sent.
+    """
+    table = get_view(controller, boot, "table")
+    rows = lease_rows(table, get_view(controller, boot, GRANTS_VIEW))
+    write_result(rows, as_json, map(lease_line, rows))
--- a/bramblewood/cli/ledger.py
+++ b/bramblewood/cli/ledger.py
@@ -4,11 +4,13 @@
 
 import typer
 
-from .output import FOLDER, FOUND, JSON, out, reading
+from .exit_codes import PROBLEM_FOUND
+from .output import write_result
+from .store_folder import FOLDER, JSON, read_folder
 
 app = typer.Typer(
     help="What a manager's store remembers. Exit codes: 0 done, 1 nothing remembered of that "
-    "worker, 2 faulty words, or a folder that can't be used."
+    "worker, 2 invalid arguments, or a folder that can't be used."
 )
 
 
@@ -18,7 +20,7 @@
     from ..store import tools
 
     memory = Memory({}, 0.0)
-    return memory, memory.load(reading(folder, lambda port: tools.pairs(port, b"")))
+    return memory, memory.load(read_folder(folder, lambda port: tools.pairs(port, b"")))
 
 
 @app.command()
@@ -75,7 +77,7 @@
         f"slice {number}: " + ", ".join(f"{name} {part:g}" for name, part in lines.lines.items())
         for number, lines in sorted(memory.lines.items())
     ]
-    out(value, as_json, rows + [f"not usable: {what}" for what in odd])
+    write_result(value, as_json, rows + [f"not usable: {what}" for what in odd])
 
 
 @app.command()
@@ -85,7 +87,7 @@
     """What a restart now would make of a worker, and why."""
     memory, _ = remembered(folder)
     said = memory.explain(worker, time())
-    out({"worker": worker, "said": said}, as_json, [f"{worker}: {text}" for text in said])
+    write_result({"worker": worker, "said": said}, as_json, [f"{worker}: {text}" for text in said])
     known = worker in memory.closed or worker in memory.withdrawn or worker in memory.doubts
     if not known and not any(worker in lines.lines for lines in memory.lines.values()):
-        raise typer.Exit(FOUND)
+        raise typer.Exit(PROBLEM_FOUND)
--- a/bramblewood/cli/manager.py
+++ b/bramblewood/cli/manager.py
@@ -1,4 +1,4 @@
-"""serve, check, version."""
+"""The manager's commands serve, check and version."""
 
 import os
 
@@ -20,7 +20,7 @@
 )
 
 
-def read(path: str | None = None) -> charter.Charter:
+def read_settings(path: str | None = None) -> charter.Charter:
     try:
         return charter.read(path=path)
     except charter.Faulty as problem:
@@ -44,10 +44,10 @@
     """Run one manager in the foreground, as the configuration that EDGE_CONFIG names tells it."""
     from ..net.program.service import Service
 
-    told, bylaws = read(), read_bylaws(operator)
+    settings, bylaws = read_settings(), read_bylaws(operator)
     logs.begin()
     try:
-        service = Service(told, bylaws=bylaws)
+        service = Service(settings, bylaws=bylaws)
     except charter.Faulty as problem:
         fail(problem)
     raise typer.Exit(service.serve())
@@ -58,21 +58,21 @@
     operator: str = OPERATORS_FILE,
 ) -> None:
     """Read a configuration and say what it would listen on and dial, or what is wrong with it."""
-    told, bylaws = read(path), read_bylaws(operator)
+    settings, bylaws = read_settings(path), read_bylaws(operator)
     try:
-        known = len(roster.read(told.known, cached=True)[1].workers) if told.known else 0
+        known = len(roster.read(settings.known, cached=True)[1].workers) if settings.known else 0
     except Unreadable as problem:
         fail(f"known: {problem}")
     rows = {
-        "name": told.name,
-        "listen": told.listen,
-        "discovery": told.discovery,
-        "relay": told.relay,
-        "messages between managers at": told.peer_listen,
-        "managers to message": len(told.peers),
-        "descriptors": told.descriptors,
+        "name": settings.name,
+        "listen": settings.listen,
+        "discovery": settings.discovery,
+        "relay": settings.relay,
+        "messages between managers at": settings.peer_listen,
+        "managers to message": len(settings.peers),
+        "descriptors": settings.descriptors,
         "known workers": known,
-        "operations": ", ".join(operation["name"] for operation in told.facts["operations"]),
+        "operations": ", ".join(operation["name"] for operation in settings.facts["operations"]),
     }
     if bylaws:
         rows["operator's file"] = bylaws.path
--- a/bramblewood/cli/options.py
+++ b/bramblewood/cli/options.py
@@ -1,29 +1,33 @@
-"""The settings file, as the gateway's commands take it."""
-
-import sys
+"""Options that the gateway's commands share, and the settings file that `--boot` names."""
 
 import click
 from result import Err
 
 from ..common import settings
-from .exit_codes import FAULTY
+from .output import fail
 
 BOOT = click.option(
     "--boot", metavar="FILE", help=f"the settings file; else the one that {settings.VARIABLE} names"
 )
+JSON = click.option("--json", "as_json", is_flag=True, help="one JSON value")
+CONTROLLER = click.option(
+    "--controller",
+    "--archive",  # its earlier name
+    "controller",
+    metavar="HOST:PORT",
+    help="a controller's inner address; else the settings' seeds",
+)
+CONTROL = click.option(
+    "--control", metavar="HOST:PORT", help="a controller's Control address; else the settings' seeds"
+)
 
 
-def fail(what: object, code: int = FAULTY) -> None:
-    click.echo(f"bramblewood: {what}", err=True)
-    sys.exit(code)
-
-
-def load_settings(path: str | None, *listens: str) -> settings.Settings:
-    """The settings; listens: what `BindMap` has to name for this program."""
-    told = settings.load(path)
-    if isinstance(told, Err):
-        fail(told.err_value)
-    for name in listens:
-        if name not in told.ok_value.listen:
-            fail(f"{told.ok_value.path}: BindMap.{name}: expected host:port, found nothing")
-    return told.ok_value
+def load_settings(path: str | None, *listeners: str) -> settings.Settings:
+    """The settings; ends the command with what is wrong. listeners: names that `BindMap` must have."""
+    loaded = settings.load(path)
+    if isinstance(loaded, Err):
+        fail(loaded.err_value)
+    for name in listeners:
+        if name not in loaded.ok_value.listen:
+            fail(f"{loaded.ok_value.path}: BindMap.{name}: expected host:port, found nothing")
+    return loaded.ok_value
--- a/bramblewood/cli/store.py
+++ b/bramblewood/cli/store.py
@@ -4,15 +4,17 @@
 
 import typer
 
-from .output import DONE, FOLDER, FOUND, JSON, fail, out, progress, reading, shown
+from .exit_codes import PROBLEM_FOUND, SUCCESS
+from .output import fail, printable, progress, write_error, write_result
+from .store_folder import FOLDER, JSON, read_folder
 
 app = typer.Typer(
     help="A folder of the embedded store. Exit codes: 0 done, 1 damage found or no such key, "
-    "2 faulty words, or a folder that can't be used."
+    "2 invalid arguments, or a folder that can't be used."
 )
 
 
-def opened(folder: str, new: bool = False):
+def open_store(folder: str, new: bool = False):
     """The store of a folder, to be written by this process alone."""
     from time import time
 
@@ -31,7 +33,7 @@
 
 def fill(folder: str, batches, what: str) -> int:
     """A new store of these batches; how many operations they hold."""
-    store, count = opened(folder, new=True), 0
+    store, count = open_store(folder, new=True), 0
     for operations in progress(batches, what):
         store.write(operations)
         store.commit()
@@ -45,12 +47,12 @@
     """How much the folder holds, and in which files."""
     from ..store import tools
 
-    found = reading(folder, tools.info)
+    found = read_folder(folder, tools.info)
     rows = [f"{name}: {value}" for name, value in found.items() if name != "files"]
     rows += [
         f"  {file['name']}  {file['kind']}  {file['bytes']} bytes  {file['holds']}" for file in found["files"]
     ]
-    out(found, as_json, rows)
+    write_result(found, as_json, rows)
 
 
 @app.command()
@@ -58,7 +60,7 @@
     """Read every byte and name each damaged record by file and offset; changes nothing."""
     from ..store import tools
 
-    found = reading(folder, lambda port: tools.check(port, progress))
+    found = read_folder(folder, lambda port: tools.check(port, progress))
     rows = [
         f"{d['file']} at {d['offset']}: {d['what']}{'' if d['lost'] else ' (nothing lost)'}"
         for d in found["damaged"]
@@ -70,8 +72,8 @@
         f"{found['keys']} keys, {found['files']} files, {found['bytes']} bytes: "
         + ("data was lost" if lost else "damaged, nothing lost" if found["damaged"] else "sound")
     )
-    out(found, as_json, rows)
-    raise typer.Exit(FOUND if found["damaged"] else DONE)
+    write_result(found, as_json, rows)
+    raise typer.Exit(PROBLEM_FOUND if found["damaged"] else SUCCESS)
 
 
 @app.command("list")
@@ -84,9 +86,9 @@
     """The keys in order, one a line."""
     from ..store import tools
 
-    for key, value in reading(folder, lambda port: tools.pairs(port, prefix.encode())):
-        row = {"key": shown(key)} | ({"value": shown(value)} if values else {})
-        out(row, as_json, ["\t".join(row.values())])
+    for key, value in read_folder(folder, lambda port: tools.pairs(port, prefix.encode())):
+        row = {"key": printable(key)} | ({"value": printable(value)} if values else {})
+        write_result(row, as_json, ["\t".join(row.values())])
 
 
 @app.command()
@@ -97,26 +99,28 @@
     from ..store import tools
 
     try:
-        value = reading(folder, lambda port: tools.value(port, key.encode()))
+        value = read_folder(folder, lambda port: tools.value(port, key.encode()))
     except tools.Unreadable as problem:
-        typer.echo(f"bramblewood: {key}: {problem}", err=True)
-        raise typer.Exit(FOUND) from None
+        write_error(f"{key}: {problem}")
+        raise typer.Exit(PROBLEM_FOUND) from None
     if value is None:
-        typer.echo(f"bramblewood: {key}: no such key", err=True)
-        raise typer.Exit(FOUND)
-    out({"key": key, "value": shown(value)}, as_json, [shown(value)])
+        write_error(f"{key}: no such key")
+        raise typer.Exit(PROBLEM_FOUND)
+    write_result({"key": key, "value": printable(value)}, as_json, [printable(value)])
 
 
 @app.command()
 def compact(folder: str = FOLDER, as_json: bool = JSON) -> None:
     """Merge all tables to one; the manager must be stopped."""
-    store = opened(folder)
+    store = open_store(folder)
     before = sum(table.size for table in store.tables)
     try:
         for _ in progress(store.compact(), "compacting"):
             pass
         after = sum(table.size for table in store.tables)
-        out({"before": before, "after": after}, as_json, [f"{before} bytes of tables before, {after} after"])
+        write_result(
+            {"before": before, "after": after}, as_json, [f"{before} bytes of tables before, {after} after"]
+        )
     except OSError as problem:
         fail(f"{folder}: {problem.strerror or problem}")
     finally:
@@ -133,11 +137,11 @@
     from ..store import tools
 
     try:
-        count = tools.export(reading(folder, tools.operations_of), file, progress)
+        count = tools.export(read_folder(folder, tools.operations_of), file, progress)
     except OSError as problem:
         fail(f"{file}: {problem.strerror}")
     size = os.path.getsize(file)
-    out({"keys": count, "bytes": size}, as_json, [f"{count} keys, {size} bytes"])
+    write_result({"keys": count, "bytes": size}, as_json, [f"{count} keys, {size} bytes"])
 
 
 @app.command("import")
@@ -155,7 +159,7 @@
     except (OSError, tools.Unfit) as problem:
         fail(problem if isinstance(problem, tools.Unfit) else f"{problem.filename}: {problem.strerror}")
     count = fill(folder, batches, "importing")
-    out({"keys": count}, as_json, [f"{count} keys"])
+    write_result({"keys": count}, as_json, [f"{count} keys"])
 
 
 @app.command()
@@ -171,8 +175,10 @@
         tools.must_be_new(new)
     except tools.Unfit as problem:
         fail(problem)
-    found = reading(folder, tools.sound)
+    found = read_folder(folder, tools.sound)
     fill(new, found.batches(), "writing")
-    told = {"keys": found.count, "lost": found.lost}
-    out(told, as_json, [f"{found.count} keys written to {new}", *(f"lost: {what}" for what in found.lost)])
-    raise typer.Exit(FOUND if found.lost else DONE)
+    result = {"keys": found.count, "lost": found.lost}
+    write_result(
+        result, as_json, [f"{found.count} keys written to {new}", *(f"lost: {what}" for what in found.lost)]
+    )
+    raise typer.Exit(PROBLEM_FOUND if found.lost else SUCCESS)
--- a/bramblewood/emulator/run.py
+++ b/bramblewood/emulator/run.py
@@ -77,7 +77,7 @@
             self.outer[name], self.wire.outer[inner] = ip, ip
             listen = {"Front": f"{ip}:{FRONT}", "ReadyProbe": f"{ip}:{READY}"}
             fronts[name] = (listen["Front"], listen["ReadyProbe"])
-            self.settle(name, ["desk"], ip, listen, self.zones[n % len(self.zones)], inner)
+            self.settle(name, ["proxy"], ip, listen, self.zones[n % len(self.zones)], inner)
         for service in self.scenario["services"]:
             for n in range(service["workers"]):
                 self.worker(service, n)
@@ -93,7 +93,7 @@
         for port in (INNER, CONTROL):
             await self.wire.relay(outer, inner, port)
         listen = {"Control": f"{inner}:{CONTROL}"}
-        self.settle(name, ["archive"], outer, listen, self.zones[n % len(self.zones)], inner, first)
+        self.settle(name, ["controller"], outer, listen, self.zones[n % len(self.zones)], inner, first)
         self.list_controls({**self.controls, name: f"{outer}:{CONTROL}"})
         return name
 
@@ -124,7 +124,7 @@
         name, place = f"{service['name']}-{n + 1}", len(self.instance_ids) + 1
         zone = self.zones[n % len(self.zones)]
         words = [
-            "lab",
+            "emulator",
             "worker",
             "--service",
             service["name"],
--- a/example/small.py
+++ b/example/small.py
@@ -47,12 +47,12 @@
                 for n in (1, 2, 3):
                     listen = {"Control": SEEDS[n - 1]}
                     path = boot(f"{folder}/archive-{n}.toml", f"127.0.0.{n}", SEEDS, PORTS["inner"], listen)
-                    processes.append(await start(["archive"], path))
+                    processes.append(await start(["controller"], path))
                 for n in (4, 5):
                     ip = f"127.0.0.{n}"
                     listen = {"Front": f"{ip}:{PORTS['front']}", "ReadyProbe": f"{ip}:{PORTS['ready']}"}
                     path = boot(f"{folder}/desk-{n}.toml", ip, SEEDS, PORTS["inner"], listen)
-                    processes.append(await start(["desk"], path))
+                    processes.append(await start(["proxy"], path))
                 for n, (service, keyed) in enumerate((("register", True), ("payments", False))):
                     address = ("127.0.0.6", PORTS["worker"] + n)
                     worker = WorkerStub(service, address, "here", 2, keyed, lambda request: 0.05)
--- a/features/settings.feature
+++ b/features/settings.feature
@@ -19,9 +19,9 @@
     And a program tells once, as it starts, which parts are in force and which it does not know
 
   Scenario: A program whose address is not named, or whose file is faulty, does not start
-    Then "archive" by "BindMap = {}" ends with "BindMap.Control: expected host:port, found nothing"
-    And "desk" by "BindMap = {Front = "10.0.0.4:80"}" ends with "BindMap.ReadyProbe: expected host:port, found nothing"
-    And "desk" by "Ip = 7" ends with "Ip: expected a text, found 7"
+    Then "controller" by "BindMap = {}" ends with "BindMap.Control: expected host:port, found nothing"
+    And "proxy" by "BindMap = {Front = "10.0.0.4:80"}" ends with "BindMap.ReadyProbe: expected host:port, found nothing"
+    And "proxy" by "Ip = 7" ends with "Ip: expected a text, found 7"
 
   Scenario: A file that names other managers has them dialled; a faulty one has nobody, and is told
     Then a program that runs dials 10.0.0.7 once "SeedNodes = ["10.0.0.7:8544"]", and nobody once "SeedNodes = ["
--- a/features/steps/members.py
+++ b/features/steps/members.py
@@ -7,7 +7,7 @@
 from behave import given, then, when
 from click.testing import CliRunner
 
-from bramblewood.cli.gateway import rooms
+from bramblewood.cli.gateway import gateway
 from bramblewood.common.settings import Bounds
 from bramblewood.controller.commands import members_call
 from bramblewood.controller.sessions import HEARTBEAT_INTERVAL
@@ -61,7 +61,7 @@
         web.Server(answer, access_log=None), "127.0.0.1", 0
     )
     place = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-    result = await asyncio.to_thread(CliRunner().invoke, rooms, [*words.split(), "--archive", place])
+    result = await asyncio.to_thread(CliRunner().invoke, gateway, [*words.split(), "--controller", place])
     server.close()
     output = result.output.replace(place, "HOST:PORT").splitlines()
     return [f"$ {words}   # {change}".strip(" #"), *asked, *output, f"exit code {result.exit_code}", ""]
--- a/features/steps/settings.py
+++ b/features/steps/settings.py
@@ -11,7 +11,7 @@
 from behave import then
 from click.testing import CliRunner
 
-from bramblewood.cli.gateway import rooms
+from bramblewood.cli.gateway import gateway
 from bramblewood.common import logs
 from bramblewood.common.settings import Bounds, Settings, Tolerance, reread_seeds, settings_of
 from bramblewood.controller.consensus.quorum import Place, first_voters
@@ -68,9 +68,9 @@
 
 
 @then('"{program}" by "{lines}" ends with "{words}"')
-def ends(context, server, lines, words):
+def ends(context, program, lines, words):
     path = written(context, lines)
-    result = CliRunner().invoke(rooms, [server, "--boot", path])
+    result = CliRunner().invoke(gateway, [program, "--boot", path])
     assert (result.exit_code, result.output) == (2, f"bramblewood: {path}: {words}\n"), result.output
 
 
--- a/features/steps/shelf.py
+++ b/features/steps/shelf.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 from click.testing import CliRunner
 
-from bramblewood.cli.inspection import shelf as shelf_commands
+from bramblewood.cli.storage import storage as storage_commands
 from bramblewood.controller.storage import Storage
 from tests.simulation.storage_failures import (
     PROMISE,
@@ -141,7 +141,7 @@
         for name, inode in disc.names.items():
             with open(os.path.join(folder, os.path.basename(name)), "wb") as file:
                 file.write(inode.seen)
-        ask = lambda *words: CliRunner().invoke(shelf_commands, [*words, folder])  # noqa: E731
+        ask = lambda *words: CliRunner().invoke(storage_commands, [*words, folder])  # noqa: E731
         before = [ask(word) for word in ("check", "show", "export")]
         storage = Storage(folder)
         assert storage.open().ok_value == told.states[0]
--- a/tests/simulation/membership_commands.py
+++ b/tests/simulation/membership_commands.py
@@ -15,7 +15,7 @@
 
 from click.testing import CliRunner
 
-from bramblewood.cli.gateway import rooms
+from bramblewood.cli.gateway import gateway
 from bramblewood.common.settings import Bounds
 from bramblewood.controller.consensus.membership import SILENT_PART
 from bramblewood.emulator.operator import configuration
@@ -67,7 +67,7 @@
             self.paths[n] = boot(path, self.ip(n), seeds, INNER, listen, first=n <= voters)
 
     def start(self, n: int) -> None:
-        begun = start(["archive"], self.paths[n], f"{self.folder.name}/{n}.log")
+        begun = start(["controller"], self.paths[n], f"{self.folder.name}/{n}.log")
         self.running[n] = self.loop.run_until_complete(begun)
 
     def kill(self, n: int) -> None:
@@ -192,7 +192,7 @@
         """A command at one archive, with what differs between runs taken out of its words."""
         self.epoch = self.epoch or self.seen(at)["epoch"]
         words = re.sub(r"\barchive-(\d)", lambda found: self.ip(int(found[1])), words)
-        told = self.calls.invoke(rooms, [*words.split(), "--archive", f"{self.ip(at)}:{INNER}"])
+        told = self.calls.invoke(gateway, [*words.split(), "--controller", f"{self.ip(at)}:{INNER}"])
         text = f"$ {words}\n{told.output}exit code {told.exit_code}\n"
         for pattern, by in (
             (rf"{re.escape(self.net)}\.(\d)", r"archive-\1"),
