--- a/bramblewood/cli/output.py
+++ b/bramblewood/cli/output.py
@@ -1,55 +1,49 @@
-"""What the commands share: one line for what is wrong, exit codes, tables or JSON."""
+"""How commands answer: one JSON value or lines for people on standard output, one line for an error.
+
+Used by the commands of click and of typer alike, so it needs neither.
+"""
 
 import json
 import sys
-from collections.abc import Callable, Iterable, Iterator
-from typing import Any
-
-import typer
+from collections.abc import Iterable, Iterator
+from typing import Any, NoReturn
 
-from .exit_codes import DONE, FAULTY, FOUND  # noqa: F401
+from .exit_codes import INVALID_INPUT
 
-FOLDER = typer.Argument(..., help="the store's folder")
-JSON = typer.Option(False, "--json", help="one JSON value")
 
+def write_line(text: str) -> None:
+    """One line on standard output, written at once."""
+    print(text, flush=True)
 
-def fail(what: object) -> None:
-    typer.echo(f"bramblewood: {what}", err=True)
-    raise typer.Exit(FAULTY)
 
+def write_result(value: Any, as_json: bool, lines: Iterable[str]) -> None:
+    """The result of a command: `value` as one JSON text, or `lines` for people."""
+    write_line(json.dumps(value, separators=(",", ":")) if as_json else "\n".join(lines))
 
-def reading(folder: str, what: Callable) -> Any:
-    """What a reading of a store's folder gives; it changes nothing, and a manager may go on meanwhile."""
-    from ..store import tools
-    from ..store.recovery import Refused
 
-    try:
-        return tools.reading(folder, what)
-    except (Refused, OSError) as problem:
-        fail(f"{folder}: {getattr(problem, 'strerror', None) or problem}")
+def write_error(message: object) -> None:
+    """One line on standard error."""
+    print(f"bramblewood: {message}", file=sys.stderr, flush=True)
 
 
-def out(value: Any, as_json: bool, rows: Iterable[str]) -> None:
-    """One JSON value, or lines for people."""
-    if as_json:
-        typer.echo(json.dumps(value, separators=(",", ":")))
-    else:
-        for row in rows:
-            typer.echo(row)
+def fail(message: object, code: int = INVALID_INPUT) -> NoReturn:
+    """Say in one line what is wrong, and end with this exit code."""
+    write_error(message)
+    sys.exit(code)
 
 
-def shown(text: bytes) -> str:
-    """Bytes as text where they are, else escaped."""
-    decoded = text.decode("utf-8", "backslashreplace")
-    return decoded if decoded.isprintable() else repr(text)[2:-1]
+def printable(data: bytes) -> str:
+    """Bytes as text where they are text, else escaped."""
+    decoded = data.decode("utf-8", "backslashreplace")
+    return decoded if decoded.isprintable() else repr(data)[2:-1]
 
 
-def progress(steps: Iterable, what: str, total: int | None = None) -> Iterator:
-    """The steps of long work; on a terminal a bar that says how far it is."""
+def progress(steps: Iterable, description: str, total: int | None = None) -> Iterator:
+    """The steps of long work; on a terminal with a progress bar."""
     if not sys.stderr.isatty():
         yield from steps
         return
     from rich.console import Console
     from rich.progress import track
 
-    yield from track(steps, what, total, console=Console(stderr=True), transient=True)
+    yield from track(steps, description, total, console=Console(stderr=True), transient=True)
