--- a/bramblewood/controller/drain_plans.py
+++ b/bramblewood/controller/drain_plans.py
@@ -44,6 +44,7 @@
 
     @classmethod
     def from_stored(cls, stored: Mapping[str, Any]) -> "DrainPlan":
+        """A plan from its form in the table's value."""
         return cls(stored["service"], stored["lives"], stored["wave"], stored["state"], stored["why"])
 
     def stored(self) -> dict[str, Any]:
@@ -175,7 +176,7 @@
     if plans[name].state in (state, CANCELLED):
         return None, Answer(200, plans[name].state)
     plans[name] = plans[name]._replace(state=state, reason=STOPPED_BY_OPERATOR)
-    drains = _without_drains_of(name, drains, keep_begun=state == STOPPED)
+    drains = _without_drains_of(name, drains, keep_started=state == STOPPED)
     return _with_plans(value, plans, drains), Answer(200, state)
 
 
@@ -196,16 +197,16 @@
             plans[name] = plans[name]._replace(state=state, reason=reason)
             any_change = True
             if state == STOPPED:
-                drains = _without_drains_of(name, drains, keep_begun=True)
+                drains = _without_drains_of(name, drains, keep_started=True)
     return (_with_plans(value, plans, drains), True) if any_change else (None, True)
 
 
 def _without_drains_of(
-    plan: str, drains: Mapping[str, WorkerDrain], keep_begun: bool
+    plan: str, drains: Mapping[str, WorkerDrain], keep_started: bool
 ) -> dict[str, WorkerDrain]:
-    """The drains without those of a plan; `keep_begun`: only without those that are merely announced."""
+    """The drains without those of a plan; `keep_started`: only without those that are merely announced."""
     return {
         instance_id: drain
         for instance_id, drain in drains.items()
-        if drain.plan != plan or (keep_begun and drain.step != DRAIN_ANNOUNCED)
+        if drain.plan != plan or (keep_started and drain.step != DRAIN_ANNOUNCED)
     }
--- a/bramblewood/controller/drain_progress.py
+++ b/bramblewood/controller/drain_progress.py
@@ -75,9 +75,9 @@
 class DrainProgress:
     """What proxies reported to this controller, and the next change of the drain plans."""
 
-    def __init__(self, silence_bound: float) -> None:
-        """Args: silence_bound: s that a proxy which is cut off counts as still sending."""
-        self._silence_bound = silence_bound
+    def __init__(self, disconnect_timeout: float) -> None:
+        """Args: disconnect_timeout: s that a proxy which is cut off counts as still sending."""
+        self._disconnect_timeout = disconnect_timeout
         self._observing_since: float | None = None
         self._connected_at: dict[str, float] = {}  # when each proxy's session last stood
         self._reports: dict[str, ProxyReport] = {}
@@ -106,22 +106,23 @@
         unconfirmed = sorted(
             proxy
             for proxy, connected_at in self._connected_at.items()
-            if now < connected_at + self._silence_bound
+            if now < connected_at + self._disconnect_timeout
             and self._reports.get(proxy, never_reported).table_version < table_version
         )
         may_know_all = (
-            self._observing_since is not None and now >= self._observing_since + self._silence_bound
+            self._observing_since is not None and now >= self._observing_since + self._disconnect_timeout
         )
         return unconfirmed if may_know_all else [*unconfirmed, UNKNOWN_PROXIES]
 
     def work_in_flight(self, now: float, instance_id: str) -> dict[str, WorkInFlight]:
         """What proxies have in flight at a worker, by proxy. Of one that is cut off its last report counts
-        until the silence bound.
+        until `disconnect_timeout`.
         """
         return {
             proxy: report.work[instance_id]
             for proxy, report in self._reports.items()
-            if instance_id in report.work and now < self._connected_at.get(proxy, now) + self._silence_bound
+            if instance_id in report.work
+            and now < self._connected_at.get(proxy, now) + self._disconnect_timeout
         }
 
     @staticmethod
--- a/bramblewood/controller/hot_keys.py
+++ b/bramblewood/controller/hot_keys.py
@@ -24,7 +24,7 @@
 RELEASE_REPORTS = 2 * REPORTS  # reports below that, after which it is released
 
 
-class HotKeyNotice(NamedTuple):
+class HotKeyStatus(NamedTuple):
     """What proxies are told of a service: ranges to count key by key, and keys that are hot.
 
     Travels as a list of two lists; a range is named by its first key over `KEYS_PER_RANGE`.
@@ -47,6 +47,7 @@
         return name in self._reports_below
 
     def sustained(self) -> list[int]:
+        """The ranges or keys themselves."""
         return list(self._reports_below)
 
     def latest_rate(self, name: int) -> float:
@@ -67,6 +68,7 @@
                 self.release(name)
 
     def release(self, name: int) -> None:
+        """Drop a range or key; it comes back once it has reached the threshold anew."""
         del self._reports_below[name]
 
 
@@ -77,8 +79,9 @@
         self._watched_ranges = SustainedRates()
         self._hot_keys = SustainedRates()
 
-    def notice(self) -> HotKeyNotice:
-        return HotKeyNotice(
+    def status(self) -> HotKeyStatus:
+        """What proxies are to know."""
+        return HotKeyStatus(
             tuple(sorted(self._watched_ranges.sustained())), tuple(sorted(self._hot_keys.sustained()))
         )
 
@@ -87,6 +90,7 @@
         return key // KEYS_PER_RANGE in self._watched_ranges
 
     def is_hot(self, key: int) -> bool:
+        """Whether this key is asked for more than one worker can do."""
         return key in self._hot_keys
 
     def latest_rate(self, key: int) -> float:
--- a/bramblewood/controller/outlier_detection.py
+++ b/bramblewood/controller/outlier_detection.py
@@ -41,6 +41,7 @@
 
     @property
     def is_ejected(self) -> bool:
+        """Whether the worker is ejected now, not back."""
         return self.version > 0
 
 
--- a/bramblewood/controller/placement/planner.py
+++ b/bramblewood/controller/placement/planner.py
@@ -8,7 +8,7 @@
 from ...common.worker_registry import DRAINING, GONE, READY, WorkerRegistration, WorkerRegistry
 from ..drain_plans import drain_steps_of
 from ..drain_progress import ServiceCapacity
-from ..hot_keys import HotKeyNotice
+from ..hot_keys import HotKeyStatus
 from ..outlier_detection import ejected_workers
 from .service_placement import ListedWorker, ServicePlacement, ServiceWorkers
 from .slice_changes import Entry, SliceChanges, TableValue, initial_slice_count
@@ -24,8 +24,8 @@
 
     def __init__(self, start: float, heartbeat: float, detects_hot_keys: bool = True) -> None:
         """Args: start: when this controller began (s); heartbeat: s between the calls of a worker."""
-        self._settling_time = FIRST_TABLE_HEARTBEATS * heartbeat
-        self._settled_at = start + self._settling_time
+        self._discovery_time = FIRST_TABLE_HEARTBEATS * heartbeat
+        self._discovery_ends_at = start + self._discovery_time
         self._detects_hot_keys = detects_hot_keys
         self._services: dict[str, ServicePlacement] = {}
         self._worker_reports: dict[str, list[events.WorkerHeard]] = {}  # by service, since its last plan
@@ -64,24 +64,25 @@
         services: Mapping[str, Service],
         latency_targets: Mapping[str, float],
         registry: WorkerRegistry,
-        silent: set[str],
+        timed_out: set[str],
         table: TableValue | None,
     ) -> dict[str, SliceChanges]:
         """The changes to propose now, by service; empty where the table is as it should be.
 
         Args:
             latency_targets: s, by service.
-            silent: workers that no controller has heard of late.
+            timed_out: workers that no controller has heard of late.
             table: the agreed slice table; None before the first.
         """
         changes = {}
         agreed, out_of_use = table["s"] if table else {}, _workers_out_of_use(table)
+        unusable = timed_out | out_of_use
         for name, service in services.items():
             registrations = {
                 instance_id: row for instance_id, row in registry.rows.items() if row.service == name
             }
             ready_count = sum(
-                row.phase == READY and instance_id not in silent and instance_id not in out_of_use
+                row.phase == READY and instance_id not in unusable
                 for instance_id, row in registrations.items()
             )
             entries = agreed.get(name)
@@ -89,24 +90,22 @@
                 continue
             slice_count = len(entries) if entries else initial_slice_count(ready_count)
             placement = self._placement_of(name, service.keyed, slice_count, latency_targets)
+            workers = _list_workers(registrations, timed_out, out_of_use, registry.warm_at)
+            worker_reports = self._worker_reports.pop(name, [])
             service_changes = placement.plan_changes(
-                now,
-                _list_workers(registrations, silent, out_of_use, registry.warm_at),
-                entries,
-                slice_count,
-                self._worker_reports.pop(name, []),
-                service.read_replicas,
+                now, workers, entries, slice_count, worker_reports, service.read_replicas
             )
             if service_changes:
                 changes[name] = service_changes
         return changes
 
-    def hot_keys(self) -> dict[str, HotKeyNotice]:
+    def hot_keys(self) -> dict[str, HotKeyStatus]:
         """What proxies are to know of hot keys, by service; services without any are left out."""
-        notices = {name: placement.hot_key_notice() for name, placement in self._services.items()}
-        return {name: notice for name, notice in notices.items() if notice.watched_ranges}
+        statuses = {name: placement.hot_key_status() for name, placement in self._services.items()}
+        return {name: status for name, status in statuses.items() if status.watched_ranges}
 
     def service_capacities(self) -> dict[str, ServiceCapacity]:
+        """How busy each service is, and how much its workers can do."""
         return {name: placement.capacity() for name, placement in self._services.items()}
 
     def zone_shares(self) -> dict[str, dict[str, float]]:
@@ -126,8 +125,8 @@
         if entries is None:  # its first table waits for a worker, and until all that are up have called
             if not ready_count:
                 return False
-            return now >= self._first_table_at.setdefault(service, now + self._settling_time)
-        if now >= self._settled_at:
+            return now >= self._first_table_at.setdefault(service, now + self._discovery_time)
+        if now >= self._discovery_ends_at:
             return True
         # this controller has just started: a worker that it hasn't heard of may yet be there
         return not any(entry[WORKER] and entry[WORKER] not in registry.rows for entry in entries.values())
@@ -151,14 +150,14 @@
 
 def _list_workers(
     registrations: Mapping[str, WorkerRegistration],
-    silent: set[str],
+    timed_out: set[str],
     out_of_use: set[str],
     warm_at: Mapping[str, float],
 ) -> ServiceWorkers:
     """The workers of a service as its manager is to know them."""
     listed, longest_warm_up = {}, 0.0
     for instance_id, row in registrations.items():
-        state = events.GONE if instance_id in silent else POLICY_STATES.get(row.phase, events.GONE)
+        state = events.GONE if instance_id in timed_out else POLICY_STATES.get(row.phase, events.GONE)
         if state == events.READY and instance_id in out_of_use:
             state = events.DRAINING  # its slices move at once, and it serves what it has
         longest_warm_up = max(longest_warm_up, row.cold)
--- a/bramblewood/controller/placement/rebalancing.py
+++ b/bramblewood/controller/placement/rebalancing.py
@@ -65,13 +65,17 @@
     ) -> list[SliceSplit]:
         """A slice of its own for each hot key, at the worker that it has."""
         splits = []
-        for key in self._load.hot_keys.notice().hot_keys:
+        for key in self._load.hot_keys.status().hot_keys:
             start, end = _bounds_of(starts, key)
             entry = entries[str(start)]
             if start in changing or entry[PREVIOUS_OWNER]:
                 continue
             assignment = Assignment.of_entry(entry)
-            splits += [SliceSplit(start, cut, assignment) for cut in (key, key + 1) if start < cut < end]
+            splits += [
+                SliceSplit(start, split_start, assignment)
+                for split_start in (key, key + 1)
+                if start < split_start < end
+            ]
         return splits
 
     def _split_hot_slices(
@@ -95,12 +99,12 @@
             start, end = _bounds_of(starts, hot_slice.number)
             part_count = min(int(2 * hot_slice.estimate() / limit) + 1, MAX_SPLIT_PARTS)
             points = self._load.split_points(start, end, part_count)
-            splits += self._place_parts(now, hot_slice, points)
+            splits += self._assign_parts(now, hot_slice, points)
             if points:
                 hot_slice.estimates.clear()
         return splits
 
-    def _place_parts(self, now: float, hot_slice: Slice, points: list[int]) -> list[SliceSplit]:
+    def _assign_parts(self, now: float, hot_slice: Slice, points: list[int]) -> list[SliceSplit]:
         """The parts that begin at these keys, each at the least loaded worker that can take it."""
         parts, owner = [], hot_slice.main
         heat = hot_slice.estimate() / (len(points) + 1)
--- a/bramblewood/controller/placement/service_load.py
+++ b/bramblewood/controller/placement/service_load.py
@@ -48,9 +48,8 @@
     def __init__(self, detects_hot_keys: bool) -> None:
         self.hot_keys = HotKeys()
         self._detects_hot_keys = detects_hot_keys
-        self._recent_heat: dict[int, float] = defaultdict(
-            float
-        )  # requests by first key of a range, or by watched key
+        # requests by first key of a range, or by watched key, fading
+        self._recent_heat: dict[int, float] = defaultdict(float)
         self._range_counts: Counter[int] = Counter()  # since the last cycle
         self._key_counts: dict[int, dict[str, int]] = {}  # of watched ranges: by key and proxy, since then
         self._reported_seconds: dict[str, float] = {}  # by proxy, what its reports since then span
--- a/bramblewood/controller/placement/service_placement.py
+++ b/bramblewood/controller/placement/service_placement.py
@@ -12,7 +12,7 @@
 from ...policy.manager import Manager
 from ...policy.slices import Slice
 from ..drain_progress import ServiceCapacity
-from ..hot_keys import HotKeyNotice
+from ..hot_keys import HotKeyStatus
 from ..zone_affinity import WorkerUtilization, ZoneAffinity
 from .rebalancing import Rebalancer
 from .replica_placement import replica_changes
@@ -83,10 +83,12 @@
         """As `ServiceLoad.record_request_counts`."""
         self._load.record_request_counts(now, proxy, range_counts, key_counts, interval)
 
-    def hot_key_notice(self) -> HotKeyNotice:
-        return self._load.hot_keys.notice()
+    def hot_key_status(self) -> HotKeyStatus:
+        """What proxies are to know of the service's hot keys."""
+        return self._load.hot_keys.status()
 
     def capacity(self) -> ServiceCapacity:
+        """How busy the service is now, and how much its workers can do."""
         ready = self._manager.ready()
         busy_slots = sum(mean(worker.levels) * worker.weight for worker in ready)
         slots = {worker.name: worker.weight * worker.ramp() for worker in ready if worker.usable}
--- a/bramblewood/controller/placement/slice_changes.py
+++ b/bramblewood/controller/placement/slice_changes.py
@@ -41,6 +41,7 @@
 
     @classmethod
     def of_entry(cls, entry: Sequence[Any]) -> "Assignment":
+        """The assignment that an entry of the slice table states."""
         return cls(*entry[:FENCING_TOKEN])
 
 
--- a/bramblewood/controller/placement/worker_loads.py
+++ b/bramblewood/controller/placement/worker_loads.py
@@ -12,6 +12,7 @@
         self._manager = manager
 
     def usable_workers(self) -> list[Worker]:
+        """The workers that slices may be assigned to."""
         return self._manager.usable()
 
     def throughput(self) -> float:
@@ -23,6 +24,7 @@
         return usual(worker.weight for worker in workers) / answer_time if answer_time else 0.0
 
     def capacity(self, worker: Worker) -> float:
+        """Requests a second that this worker can do, as the policy estimates it."""
         return self._manager.planner.capacity(worker)
 
     def load_of(self, worker: Worker) -> float:
@@ -33,6 +35,7 @@
         return max(planner.loads[worker], planner.own[worker])
 
     def load_per_slot(self, worker: Worker) -> float:
+        """The load over the worker's slots: what workers are ranked by."""
         return self.load_of(worker) / worker.weight
 
     def least_loaded(self, heat: float, excluding: Worker) -> Worker | None:
--- a/features/steps/crowds.py
+++ b/features/steps/hot_keys.py
@@ -6,99 +6,106 @@
 from bramblewood.controller.hot_keys import HotKeys
 from bramblewood.proxy.hot_key_queue import TURNED, HotKeyQueue
 
-OVER = 0.5  # s of a report
+REPORT_INTERVAL = 0.5  # s
 
 
-@given("desks d1 to d4 and workers that can do {ability:g} requests a second")
-def proxies(context, ability):
-    context.hot_keys, context.ability = HotKeys(), ability
+@given("proxies d1 to d4 and workers that can do {throughput:g} requests a second")
+def proxies(context, throughput):
+    context.hot_keys, context.worker_throughput = HotKeys(), throughput
 
 
 def report(context, rates):
-    """One report: requests a second by key and desk, told as desks do, by key only where the range is
-    watched.
+    """One cycle of reports of requests a second by (key, proxy), as proxies count them: by key only where the
+    range is watched.
     """
-    came, by_key = Counter(), {}
+    range_counts, key_counts = Counter(), {}
     for (key, proxy), rate in rates.items():
         if context.hot_keys.is_watched(key):
-            by_key.setdefault(key, {})[proxy] = rate * OVER
+            key_counts.setdefault(key, {})[proxy] = rate * REPORT_INTERVAL
         else:
-            came[key // KEYS_PER_RANGE] += rate * OVER
-    context.hot_keys.record_cycle(came, by_key, OVER, context.ability)
+            range_counts[key // KEYS_PER_RANGE] += rate * REPORT_INTERVAL
+    context.hot_keys.record_cycle(range_counts, key_counts, REPORT_INTERVAL, context.worker_throughput)
 
 
-def even(key, rate):
+def spread_evenly(key, rate):
     return {(key, f"d{i}"): rate / 4 for i in range(1, 5)}
 
 
-@when("{count:d} reports tell of {rate:g} a second for key {key:d}")
-def tell(context, count, rate, key):
+@when("{count:d} reports state {rate:g} requests a second for key {key:d}")
+def report_key(context, count, rate, key):
     for _ in range(count):
-        report(context, even(key, rate))
+        report(context, spread_evenly(key, rate))
 
 
-@when("{count:d} reports tell of {rate:g} a second for one key of {first:d} to {last:d} after the other")
-def wander(context, count, rate, first, last):
+@when(
+    "{count:d} reports state {rate:g} requests a second for one key of {first:d} to {last:d} after the other"
+)
+def report_wandering_load(context, count, rate, first, last):
     for i in range(count):
-        report(context, even(first + i % (last - first + 1), rate))
+        report(context, spread_evenly(first + i % (last - first + 1), rate))
 
 
-@when("{count:d} reports tell of {rate:g} a second for each of {keys:d} keys")
-def warm(context, count, rate, keys):
+@when("{count:d} reports state {rate:g} requests a second for each of {keys:d} keys")
+def report_warm_keys(context, count, rate, keys):
+    rates = {one: share for i in range(keys) for one, share in spread_evenly(i * 97, rate).items()}
     for _ in range(count):
-        report(context, {k: v for i in range(keys) for k, v in even(i * 97, rate).items()})
+        report(context, rates)
 
 
-@when("{count:d} reports of d1 alone tell of {rate:g} a second for key {key:d}, and the others of {rest:g}")
-def lie(context, count, rate, key, rest):
+@when(
+    "{count:d} reports of d1 alone state {rate:g} requests a second for key {key:d}, "
+    "and those of the others {rest:g}"
+)
+def report_too_much(context, count, rate, key, rest):
     for _ in range(count):
         report(context, {(key, "d1"): rate} | {(key, f"d{i}"): rest / 3 for i in (2, 3, 4)})
 
 
-@then("its range is watched, and nothing is crowded")
-def watched(context):
-    assert context.hot_keys.notice() == ((4001 // KEYS_PER_RANGE,), ())
+@then("its range is watched, and no key is hot")
+def range_is_watched(context):
+    assert context.hot_keys.status() == ((4001 // KEYS_PER_RANGE,), ())
 
 
-@then("{key:d} is crowded")
-def crowded(context, key):
-    assert context.hot_keys.notice().hot_keys == (key,)
+@then("key {key:d} is hot")
+def key_is_hot(context, key):
+    assert context.hot_keys.status().hot_keys == (key,)
 
 
-@then("nothing is crowded")
-def calm(context):
-    assert context.hot_keys.notice().hot_keys == ()
+@then("no key is hot")
+def no_key_is_hot(context):
+    assert context.hot_keys.status().hot_keys == ()
 
 
-@then("nothing is crowded, and at most {most:d} ranges are watched")
-def few(context, most):
-    assert context.hot_keys.notice().hot_keys == () and len(context.hot_keys.notice().watched_ranges) <= most
+@then("no key is hot, and at most {most:d} ranges are watched")
+def few_ranges_are_watched(context, most):
+    status = context.hot_keys.status()
+    assert status.hot_keys == () and len(status.watched_ranges) <= most
 
 
-@then("nothing is watched")
-def none(context):
-    assert context.hot_keys.notice() == ((), ())
+@then("no range is watched")
+def no_range_is_watched(context):
+    assert context.hot_keys.status() == ((), ())
 
 
 @when(
-    "{reports:d} reports tell of {hot:g} requests a second for key {key:d}, "
+    "{reports:d} reports state {hot:g} requests a second for key {key:d}, "
     "{rest:g} on each other slice of its worker, which is full"
 )
-def crowd(context, reports, hot, key, rest):
+def report_full_worker(context, reports, hot, key, rest):
     play = context.play
-    entries, worker = play.table["s"]["s"], play.holder(key)
-    heat = {int(start) + 256: rest for start, entry in entries.items() if entry[WORKER] == worker}
-    heat[key] = hot
+    entries, worker = play.table["s"]["s"], play.owner(key)
+    rates = {int(start) + 256: rest for start, entry in entries.items() if entry[WORKER] == worker}
+    rates[key] = hot
     for _ in range(reports):
-        play.cycle(heat, {play.holder(key)})
-    context.heat = heat
+        play.run_cycle(rates, {play.owner(key)})
+    context.rates = rates
 
 
-@then("key {key:d} is a slice of its own, and its worker has no other slice that is asked for")
-def own(context, key):
-    play, worker = context.play, context.play.holder(key)
+@then("key {key:d} is a slice of its own, and its worker has no other slice that gets requests")
+def key_is_alone(context, key):
+    play, worker = context.play, context.play.owner(key)
     assert {key, key + 1} <= set(starts_of(play.table["s"]["s"]))
-    others = [one for one in context.heat if one != key and play.holder(one) == worker]
+    others = [one for one in context.rates if one != key and play.owner(one) == worker]
     assert not others, others
 
 
--- /dev/null
+++ b/features/steps/zone_affinity.py
@@ -0,0 +1,71 @@
+from behave import given, then, when
+
+from bramblewood.common.worker_registry import WorkerRegistration
+from bramblewood.controller.zone_affinity import WorkerUtilization, ZoneAffinity
+from bramblewood.proxy.load_balancing import LoadBalancer
+
+SLOTS = 2  # of each worker
+
+
+@given("workers in zones a and b, with utilization {a:g} and {b:g}")
+def zones(context, a, b):
+    context.zone_affinity = ZoneAffinity()
+    set_utilization(context, a, b)
+
+
+@when("their utilization is {a:g} and {b:g}")
+def set_utilization(context, a, b):
+    context.utilizations = [
+        WorkerUtilization("a", SLOTS, a),
+        WorkerUtilization("a", SLOTS, a),
+        WorkerUtilization("b", SLOTS, b),
+    ]
+
+
+@then("after {cycles:d} cycles all of a's requests stay")
+def all_requests_stay(context, cycles):
+    for _ in range(cycles):
+        context.zone_affinity.adjust(context.utilizations)
+    assert context.zone_affinity.local_shares["a"] == 1.0
+
+
+@then("after {cycles:d} cycles {share:g} of a's requests stay, and all of b's")
+def fewer_requests_stay(context, cycles, share):
+    for _ in range(cycles):
+        context.zone_affinity.adjust(context.utilizations)
+    assert context.zone_affinity.local_shares == {"a": share, "b": 1.0}
+
+
+@given("a proxy of zone a whose zone keeps {share:g} of its requests, with workers in a and b")
+def proxy_of_zone(context, share):
+    context.load_balancer = LoadBalancer(2.5, "a")
+    context.load_balancer.near = {"s": share}
+    for name, zone in (("w1", "a"), ("w2", "a"), ("w3", "b"), ("w4", "b")):
+        context.load_balancer.registry.merge(
+            0.0, name, WorkerRegistration("s", f"{name}:1", zone, 2, "ready", 1)
+        )
+    names = ("w1", "w2", "w3", "w4")
+    entries = {str(i * 8192): [names[i % 4], "", 0.01, 1, "", ""] for i in range(8)}
+    context.load_balancer.take_table({"n": 1, "s": {"s": entries}})
+    context.now = 10.0
+
+
+@when("the workers of a drain")
+def workers_drain(context):
+    context.now += 1.0
+    for name in ("w1", "w2"):
+        context.load_balancer.registry.merge(
+            context.now, name, WorkerRegistration("s", f"{name}:1", "a", 2, "draining", 2)
+        )
+
+
+@then("of {count:d} requests {share} to workers of a")
+def requests_go(context, count, share):
+    chosen = [
+        context.load_balancer.choose(context.now, "s", None, f"request {i}", set()) for i in range(count)
+    ]
+    local = sum(instance_id in ("w1", "w2") for instance_id in chosen)
+    if share.startswith("none"):
+        assert local == 0, local
+    else:
+        assert abs(local / count - 0.75) < 0.06, local
--- a/tests/simulation/placement.py
+++ b/tests/simulation/placement.py
@@ -1,9 +1,9 @@
-"""One keyed service's placement fed with reports from a seed, without sockets: who is asked for how much."""
+"""Placement of one keyed service, fed with reports of given request rates, without sockets."""
 
 import random
 
 from bramblewood.common.configuration import Service
-from bramblewood.common.slice_table import KEYS_PER_RANGE, PREVIOUS_OWNER, WORKER, starts_of
+from bramblewood.common.slice_table import FENCING_TOKEN, KEYS_PER_RANGE, PREVIOUS_OWNER, WORKER, starts_of
 from bramblewood.common.worker_registry import WorkerRegistration, WorkerRegistry
 from bramblewood.controller.placement import (
     PlacementPlanner,
@@ -12,62 +12,68 @@
     worker_report,
 )
 
-CYCLE = 0.5  # s
-SLOTS = 2
+CYCLE = 0.5  # s, between reports of a proxy
+HEARTBEAT = 1.5  # s, between calls of a worker
+SLOTS = 2  # of each worker
+PLANS_PER_CYCLE = 3  # a controller plans more often than reports come
+FULL_LOAD, IDLE_LOAD = [SLOTS, 1, SLOTS], [0, 0, SLOTS]  # running, waiting, slots
 
 
 class Play:
-    """Workers of two slots, desks that report each half second, a register that takes every change."""
+    """Workers, one proxy that reports each half second, and a table that takes every change."""
 
     def __init__(self, seed: int, workers: int) -> None:
-        self.dice, self.now, self.registry, self.table = random.Random(seed), 100.0, WorkerRegistry(), None
+        self.random, self.now, self.registry, self.table = random.Random(seed), 100.0, WorkerRegistry(), None
         for i in range(workers):
             row = WorkerRegistration("s", f"10.0.0.{i}:80", "z", SLOTS, "ready", 1)
             self.registry.merge(self.now, f"w{i}", row)
         self.services = {"s": Service("s", "/", 100, True, 0.0)}
-        self.placement = PlacementPlanner(self.now, 1.5)
-        self.splits: list[float] = []  # when slices were split
+        self.planner = PlacementPlanner(self.now, HEARTBEAT)
+        self.split_times: list[float] = []
         self.moves = 0
 
-    def cycle(self, heat: dict[int, float], jammed: set[str] = frozenset()) -> None:
-        """One cycle: requests a second by key; workers named are full by their own word, others idle."""
+    def run_cycle(self, rates: dict[int, float], full_workers: set[str] = frozenset()) -> None:
+        """One cycle: requests a second by key; the workers named state that they are full, others idle."""
         self.now += CYCLE
-        counts: dict[str, int] = {}
-        keys: dict[str, int] = {}
-        told = self.placement.hot_keys().get("s")
-        for key, rate in heat.items():
-            put, name = (
-                (keys, key)
-                if told and key // KEYS_PER_RANGE in told.watched_ranges
-                else (counts, key // KEYS_PER_RANGE)
-            )
-            put[str(name)] = put.get(str(name), 0) + int(rate * CYCLE + 0.5)
-        met = [
+        self.report(rates, full_workers)
+        for _ in range(PLANS_PER_CYCLE):
+            changes = self.planner.plan_changes(self.now, self.services, {}, self.registry, set(), self.table)
+            if changes:
+                self.split_times += [self.now] * bool(changes["s"].splits)
+                self.moves += len(changes["s"].assignments)
+                self.table = apply_slice_changes(self.table, changes, {"s"})[0] or self.table
+            self.release_moved_slices()
+
+    def report(self, rates: dict[int, float], full_workers: set[str]) -> None:
+        """What the proxy reports of one cycle."""
+        range_counts: dict[str, int] = {}
+        key_counts: dict[str, int] = {}
+        status = self.planner.hot_keys().get("s")
+        for key, rate in rates.items():
+            if status and key // KEYS_PER_RANGE in status.watched_ranges:
+                counts, name = key_counts, str(key)
+            else:
+                counts, name = range_counts, str(key // KEYS_PER_RANGE)
+            counts[name] = counts.get(name, 0) + int(rate * CYCLE + 0.5)
+        worker_reports = [
             worker_report(
-                instance_id, 8, 0, 0.2, CYCLE, [SLOTS, 1, SLOTS] if instance_id in jammed else [0, 0, SLOTS]
+                instance_id, 8, 0, 0.2, CYCLE, FULL_LOAD if instance_id in full_workers else IDLE_LOAD
             )
             for instance_id in self.registry.rows
         ]
-        self.placement.record_report(self.now, "s", "d1", counts, keys, CYCLE, met)
-        for _ in range(3):  # the archive looks more often than reports come
-            wanted = self.placement.plan_changes(
-                self.now, self.services, {}, self.registry, set(), self.table
-            )
-            if wanted:
-                self.splits += [self.now] * bool(wanted["s"].splits)
-                self.moves += len(wanted["s"].assignments)
-                self.table = apply_slice_changes(self.table, wanted, {"s"})[0] or self.table
-            self.let_go()
+        self.planner.record_report(self.now, "s", "d1", range_counts, key_counts, CYCLE, worker_reports)
 
-    def let_go(self) -> None:
+    def release_moved_slices(self) -> None:
+        """Every previous owner releases at once."""
         for start, entry in (self.table or {"s": {"s": {}}})["s"]["s"].items():
-            if entry[PREVIOUS_OWNER]:
-                made = clear_previous_owner(
-                    self.table, "s", (int(start),), entry[3], entry[PREVIOUS_OWNER], ""
-                )[0]
-                self.table = made or self.table
+            if previous_owner := entry[PREVIOUS_OWNER]:
+                changed, _ = clear_previous_owner(
+                    self.table, "s", (int(start),), entry[FENCING_TOKEN], previous_owner, ""
+                )
+                self.table = changed or self.table
 
-    def holder(self, key: int) -> str:
+    def owner(self, key: int) -> str:
+        """The worker whose slice has this key."""
         entries = self.table["s"]["s"]
         start = max(s for s in starts_of(entries) if s <= key)
         return entries[str(start)][WORKER]
