--- a/features/copies.feature
+++ b/features/copies.feature
@@ -11,10 +11,10 @@
 
   Scenario: Off unless the operator says so
     Given 18 workers with their first table
-    When 14 reports tell of 30 requests a second for key 8193, 2 on each other slice of its worker, which is full
+    When 14 reports state 30 requests a second for key 8193, 2 on each other slice of its worker, which is full
     Then no record has readers
     When the operator lets records be copied
-    And 14 reports tell of 30 requests a second for key 8193, 2 on each other slice of its worker, which is full
+    And 14 reports state 30 requests a second for key 8193, 2 on each other slice of its worker, which is full
     Then key 8193 has readers beside its worker
-    When 14 reports tell of 1 requests a second for key 8193, 0 on each other slice of its worker, which is full
+    When 14 reports state 1 requests a second for key 8193, 0 on each other slice of its worker, which is full
     Then no record has readers
--- a/features/steps/copies.py
+++ b/features/steps/copies.py
@@ -62,4 +62,4 @@
 @then("key {key:d} has readers beside its worker")
 def some(context, key):
     found = with_readers(context)
-    assert list(found) == [str(key)] and context.play.holder(key) not in reading(found[str(key)]), found
+    assert list(found) == [str(key)] and context.play.owner(key) not in reading(found[str(key)]), found
