--- /dev/null
+++ b/bramblewood/cli/options.py
@@ -0,0 +1,33 @@
+"""Options that the gateway's commands share, and the settings file that `--boot` names."""
+
+import click
+from result import Err
+
+from ..common import settings
+from .output import fail
+
+BOOT = click.option(
+    "--boot", metavar="FILE", help=f"the settings file; else the one that {settings.VARIABLE} names"
+)
+JSON = click.option("--json", "as_json", is_flag=True, help="one JSON value")
+CONTROLLER = click.option(
+    "--controller",
+    "--archive",  # its earlier name
+    "controller",
+    metavar="HOST:PORT",
+    help="a controller's inner address; else the settings' seeds",
+)
+CONTROL = click.option(
+    "--control", metavar="HOST:PORT", help="a controller's Control address; else the settings' seeds"
+)
+
+
+def load_settings(path: str | None, *listeners: str) -> settings.Settings:
+    """The settings; ends the command with what is wrong. listeners: names that `BindMap` must have."""
+    loaded = settings.load(path)
+    if isinstance(loaded, Err):
+        fail(loaded.err_value)
+    for name in listeners:
+        if name not in loaded.ok_value.listen:
+            fail(f"{loaded.ok_value.path}: BindMap.{name}: expected host:port, found nothing")
+    return loaded.ok_value
