--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -21,6 +21,7 @@
     create_connection_socket,
 )
 from ..common.settings import SEED_REREAD_INTERVAL, Settings, reread_seeds
+from ..common.slice_table import DRAIN_ANNOUNCED, DRAIN_IN_PROGRESS
 from ..common.timeouts import READ_LEASE_DURATION
 from ..common.worker_registry import GONE, READY, WorkerRegistration, WorkerRegistry
 from . import placement
@@ -41,27 +42,25 @@
     plan_call,
     succeed,
 )
-from .consensus.membership import Membership, Peer, may_leave
-from .consensus.replica import (
-    ALL,
-    CONFIG,
-    CONSENSUS_MESSAGE_KINDS,
-    MEMBERS,
-    NO_PROPOSAL,
-    REGISTERS,
-    TABLE,
-    ConsensusReplica,
-    Effects,
-    PendingWrites,
-    format_proposal_number,
-    founding_voters,
-    next_voter_set,
-    no_effects,
-)
+from .consensus.effects import Effects, PendingWrites, no_effects
+from .consensus.membership import Membership, PeerStatus, may_shut_down
+from .consensus.messages import CONSENSUS_MESSAGE_KINDS
+from .consensus.proposal_number import NO_PROPOSAL, format_proposal_number
+from .consensus.registers import ALL_REGISTERS, CONFIG, DATA_REGISTERS, TABLE, VOTER_SET
+from .consensus.replica import ConsensusReplica
+from .consensus.voter_set import founding_voters, next_voter_set
 from .deregistration import HELD_WITHIN, Deregistrations
-from .drain_plans import CLOSING, TOLD, DrainPlans, ended, in_use, out_of, plans_of, started, steps_of
+from .drain_plans import (
+    drain_steps_of,
+    end_plan,
+    plans_of,
+    start_plan,
+    worker_drains_of,
+    workers_in_use,
+)
+from .drain_progress import DrainProgress
 from .key_leases import RENEW_PART, Call, KeyLeases, ReleasedKeys
-from .outlier_detection import OutlierDetection, judged, out_of_health
+from .outlier_detection import OutlierDetection, ejections_of, with_ejections
 from .proxy_updates import ProxyUpdates
 from .read_replicas import Lease, ReadReplicas, forgotten, taken_off
 from .sessions import HEARTBEAT_INTERVAL, Sessions
@@ -95,13 +94,13 @@
         self.changing = False  # the set of voters, from here
         self.proxies: dict[str, PeerConnection] = {}
         self.key_leases, self.read_replicas = KeyLeases(told.bounds.HoldMaxS), ReadReplicas()
-        self.drain_plans, self.outlier_detection = DrainPlans(self.key_leases.expiry), OutlierDetection()
+        self.drain_plans, self.outlier_detection = DrainProgress(self.key_leases.expiry), OutlierDetection()
         self.deregistrations = Deregistrations(self.me)
         self.confirms: dict[int, asyncio.Future] = {}  # by round of leaves
         self.configurations: tuple[int, Any] = (0, None)
         self.aims: dict[str, float] = {}
-        self.shown: dict[str, int] = dict.fromkeys(REGISTERS, 0)
-        self.told_of: dict[str, int] = dict.fromkeys(REGISTERS, 0)  # newest versions in the log
+        self.shown: dict[str, int] = dict.fromkeys(DATA_REGISTERS, 0)
+        self.told_of: dict[str, int] = dict.fromkeys(DATA_REGISTERS, 0)  # newest versions in the log
         self.proxy_updates = ProxyUpdates()
         self.homes: dict[str, PeerConnection] = {}  # desks that are pushed to from here
         self.said, self.sayings = "", 0  # what pulses to desks say seldom, and how often it has changed
@@ -128,7 +127,7 @@
             return 2
         facts = found.ok_value["facts"]
         self.begin(facts, found.ok_value["registers"])
-        self.placement = placement.Placement(loop.time(), self.settings.beat, self.settings.notice)
+        self.placement = placement.PlacementPlanner(loop.time(), self.settings.beat, self.settings.notice)
         self.storage.start(lambda done, problem: loop.call_soon_threadsafe(done, problem))
         self.carry(no_effects())
         for peer in {*self.settings.seed_ips(), *self.consensus.voters, *facts.get("archives", ())}:
@@ -151,7 +150,7 @@
             contract=self.settings.contract,
             epoch=self.consensus.epoch,
             voters=sorted(self.consensus.voters),
-            voting=self.consensus.voting,
+            voting=self.consensus.is_active_voter,
         )
         while not self.may_end(loop.time()):
             self.tick(loop.time())
@@ -161,7 +160,7 @@
                     await asyncio.sleep(TICK)
             except TimeoutError:
                 pass
-        self.consensus.held = -1  # no vote is given any more: who holds what has been looked at
+        self.consensus.stop_voting()  # no vote is given any more: who holds what has been looked at
         self.log.info("stopped", step="end")
         for server in servers:
             server.close()
@@ -193,18 +192,18 @@
             self.due.facts["archives"] = sorted(self.controllers)
             self.peer_connections.keep(peer, self.settings.inner)
 
-    def peers(self, now: float) -> dict[str, Peer]:
+    def peers(self, now: float) -> dict[str, PeerStatus]:
         """All archives known as the question of who should vote sees them; one that was never heard counts as
         silent since the start.
         """
         consensus = self.consensus
-        unheard = Peer("", "", True, 0, False, False, now - self.started, 0.0, {})
-        mine = Peer(
+        unheard = PeerStatus("", "", True, 0, False, False, now - self.started, 0.0, {})
+        mine = PeerStatus(
             consensus.disk,
             self.settings.zone,
             self.settings.counted,
             consensus.epoch,
-            consensus.voting,
+            consensus.is_active_voter,
             self.leaving.is_set(),
             0.0,
             now - self.started,
@@ -214,25 +213,29 @@
         return {**known, **self.sessions.peers(now), self.me: mine}
 
     def versions(self) -> dict[str, int]:
-        return {register: self.consensus.version(register) for register in REGISTERS}
+        return {register: self.consensus.version(register) for register in DATA_REGISTERS}
 
     def seats(self, now: float) -> None:
         """Propose the change of the set of voters that is due."""
         consensus = self.consensus
-        if self.changing or not consensus.member and consensus.epoch == 0:
+        if self.changing or not consensus.is_member and consensus.epoch == 0:
             return
         change = None
         if consensus.epoch == 0:
             late = now >= self.started + FOUND_WITHIN
-            change = self.membership.founded(self.settings.seed_ips(), self.peers(now), late)
+            change = self.membership.founding_change(self.settings.seed_ips(), self.peers(now), late)
         elif self.sessions.coordinator(now, self.whole(now)) == self.me:
-            change = self.membership.wanted(consensus.members, self.peers(now), self.versions())
+            change = self.membership.due_change(consensus.voter_set, self.peers(now), self.versions())
         if change is not None:
             self.changing = True
             self.log.info(
-                "member change", step="epoch", epoch=consensus.epoch + 1, why=change.why, voters=change.voters
+                "member change",
+                step="epoch",
+                epoch=consensus.epoch + 1,
+                why=change.reason,
+                voters=change.voters,
             )
-            self.propose(MEMBERS, next_voter_set(consensus.members, change.voters), self.changed, 1.0)
+            self.propose(VOTER_SET, next_voter_set(consensus.voter_set, change.voters), self.changed, 1.0)
 
     def changed(self, outcome: Any) -> None:
         self.changing = False
@@ -243,19 +246,22 @@
             return False
         if self.leaving_at is None:
             self.leaving_at = now
-            self.log.info("ending", step="end", voting=self.consensus.voting)
+            self.log.info("ending", step="end", voting=self.consensus.is_active_voter)
             self.pulse(now)
-        if now >= self.leaving_at + self.settings.bounds.GraceS * GRACE_PART or self.consensus.held < 0:
+        if (
+            now >= self.leaving_at + self.settings.bounds.GraceS * GRACE_PART
+            or self.consensus.active_epoch < 0
+        ):
             return True
         peers = self.peers(now)
-        return may_leave(
+        return may_shut_down(
             self.me,
             self.consensus.disk,
-            self.consensus.members,
+            self.consensus.voter_set,
             peers,
             {name: acceptor.accepted for name, acceptor in self.consensus.acceptors.items()},
             {name: heard.durable for name, heard in self.sessions.heard.items()},
-            bool(self.membership.heirs(self.consensus.members, peers)),
+            bool(self.membership.successors(self.consensus.voter_set, peers)),
         )
 
     # --- turns
@@ -277,7 +283,7 @@
         if now >= self.turn_at:
             self.turn_at = now + TURN
             self.registry.forget(now)
-            self.drain_plans.present(now, self.sessions.all_proxies(now, list(self.proxies)))
+            self.drain_plans.record_connected_proxies(now, self.sessions.all_proxies(now, list(self.proxies)))
         self.steer(now)
 
     def whole(self, now: float) -> bool:
@@ -289,12 +295,12 @@
         stalled = self.writing_since is not None and now - self.writing_since > STALL
         return not stalled and self.word(now) > now
 
-    def word(self, now: float, registers: tuple[str, ...] = REGISTERS) -> float:
+    def word(self, now: float, registers: tuple[str, ...] = DATA_REGISTERS) -> float:
         """Until when a majority's word holds that nothing newer is chosen in these registers; 0 for none."""
         consensus = self.consensus
-        known = {name: consensus.learned[name][0] for name in registers}
+        known = {name: consensus.chosen[name][0] for name in registers}
         own = {name: acceptor.accepted for name, acceptor in consensus.acceptors.items()}
-        own = own if consensus.voting else None
+        own = own if consensus.is_active_voter else None
         return self.sessions.word_until(now, consensus.voters, consensus.epoch, known, own)
 
     def contact(self, now: float) -> bool:
@@ -307,17 +313,17 @@
             "k": "pulse",
             "t": now,
             # active on disk too: others leave and change sets on this word
-            "v": consensus.voting and not self.due.facts.keys() & {"members", "held"},
+            "v": consensus.is_active_voter and not self.due.facts.keys() & {"members", "held"},
             "w": self.whole(now),
-            "acc": {name: consensus.acceptors[name].accepted for name in ALL},
-            "dur": consensus.durable,
+            "acc": {name: consensus.acceptors[name].accepted for name in ALL_REGISTERS},
+            "dur": consensus.durable_accepted,
             "ep": consensus.epoch,
             "disk": consensus.disk,
             "ver": self.versions(),
             "leaving": self.leaving.is_set(),
         }
         about = {
-            "members": consensus.members,
+            "members": consensus.voter_set,
             "zone": self.settings.zone,
             "counted": self.settings.counted,
             "archives": sorted({self.me, *self.controllers}),
@@ -332,7 +338,9 @@
                 continue
             told = {**message, "e": self.sessions.stamps.get(peer, -1e9)}
             if peer not in self.sessions.told:  # whoever listens there now may have an older disk
-                told["bound"] = {name: kept[peer] for name, kept in consensus.bound.items() if peer in kept}
+                told["bound"] = {
+                    name: kept[peer] for name, kept in consensus.peer_commitments.items() if peer in kept
+                }
             told |= self.sessions.news(peer, about)
             if int(now / HEARTBEAT_INTERVAL) % 4 == 0:
                 told["heard"] = self.registry.ages(now, 2.0)
@@ -353,7 +361,7 @@
         message = json.dumps(told, separators=(",", ":"))
         about = {"zone": self.settings.zone, "archives": sorted({self.me, *self.controllers})}
         if coordinator == self.me:
-            about["near"] = self.placement.near()
+            about["near"] = self.placement.zone_shares()
             if hot_keys := self.placement.hot_keys():
                 about["crowds"] = hot_keys
         seldom = json.dumps({**told, **about}, separators=(",", ":"))
@@ -380,13 +388,13 @@
 
     def learned(self) -> None:
         """Show what is newly chosen to the desks."""
-        for register in REGISTERS:
+        for register in DATA_REGISTERS:
             version = self.consensus.version(register)
             if version == self.shown[register]:
                 continue
             if version > self.told_of[register]:
                 self.told_of[register] = version
-                proposal_number = format_proposal_number(self.consensus.learned[register][0])
+                proposal_number = format_proposal_number(self.consensus.chosen[register][0])
                 self.log.info(
                     "chosen",
                     step="ballot",
@@ -398,7 +406,7 @@
                 if version > self.proxy_updates.n:
                     self.proxy_updates.learned(self.consensus.value(TABLE))
                     self.read_replicas.learn(self.loop.time(), self.consensus.value(TABLE))
-                    self.outlier_detection.learn(self.loop.time(), self.consensus.value(TABLE))
+                    self.outlier_detection.record_table(self.loop.time(), self.consensus.value(TABLE))
                 self.loop.call_later(GRANT_FIRST, self.show, register, version)
             else:
                 self.show(register, version)
@@ -427,7 +435,7 @@
             self.was_coordinator = coordinator
             self.log.info("scribe" if coordinator else "not scribe", step="steer")
             if coordinator:
-                self.placement.offices.clear()  # others have moved things since
+                self.placement.reset()  # others have moved things since
                 self.key_leases.out.clear()
         if not coordinator:
             return
@@ -446,35 +454,39 @@
                 asyncio.ensure_future(self.lease(lease, until))
             if over and not self.proposing:
                 self.move(lambda value: forgotten(value, over))
-            if out_of(table) and not self.proposing:
+            if worker_drains_of(table) and not self.proposing:
                 self.withdraw(now, table)
         if table is not None and now >= self.health_at:
             self.health_at = now + TURN
             self.judge(now, table)
         if not self.proposing:
-            wanted = self.placement.step(now, services, self.aims, self.registry, self.silent(now), table)
+            wanted = self.placement.plan_changes(
+                now, services, self.aims, self.registry, self.silent(now), table
+            )
             if wanted:
-                moves = {service: (len(c.lines), len(c.splits)) for service, c in wanted.items()}
+                moves = {service: (len(c.assignments), len(c.splits)) for service, c in wanted.items()}
                 self.log.info("moves", step="placement", moves=moves, table=self.consensus.version(TABLE))
-                self.move(lambda value: placement.apply(value, wanted, keyed))
+                self.move(lambda value: placement.apply_slice_changes(value, wanted, keyed))
 
     def withdraw(self, now: float, table: dict) -> None:
         """The next step of the plans that take workers out of service."""
-        change = self.drain_plans.step(now, table, self.registry, self.placement.rooms())
+        change = self.drain_plans.next_change(now, table, self.registry, self.placement.service_capacities())
         if change is not None:
             self.move(change)
 
     def judge(self, now: float, table: dict) -> None:
         """Take workers out that look ill to the desks, and back after a while."""
-        leaving, in_service = self.silent(now) | steps_of(table).keys(), {}
+        leaving, in_service = self.silent(now) | drain_steps_of(table).keys(), {}
         for instance_id, row in self.registry.rows.items():
             if row.phase == READY and instance_id not in leaving:
                 in_service.setdefault(row.service, []).append(instance_id)
-        told = self.outlier_detection.wanted(now, table, self.outlier_detection.cycle(in_service), in_service)
-        seen = out_of_health(table)
-        if judged(table, told, seen)[0] is not None and not self.proposing:
+        told = self.outlier_detection.plan_ejections(
+            now, table, self.outlier_detection.find_outliers(in_service), in_service
+        )
+        seen = ejections_of(table)
+        if with_ejections(table, told, seen)[0] is not None and not self.proposing:
             self.log.info("health", step="placement", told=told)
-            self.move(lambda value: judged(value, told, seen))
+            self.move(lambda value: with_ejections(value, told, seen))
 
     def move(self, change: Any) -> None:
         """A change of the table by the scribe; void if this archive is whole no more when its turn comes."""
@@ -485,7 +497,7 @@
     def proposed(self, outcome: Any) -> None:
         self.proposing = False
         if outcome is None:
-            self.placement.offices.clear()  # unclear: begin again from what stands
+            self.placement.reset()  # unclear: begin again from what stands
         self.learned()
 
     def free(self, one: ReleasedKeys) -> None:
@@ -498,7 +510,7 @@
             def change(value: dict | None) -> tuple[dict | None, bool]:
                 made, changed = value, False
                 for each in some:
-                    after, found = placement.freed(
+                    after, found = placement.clear_previous_owner(
                         made, each.service, each.starts, each.fencing_token, each.old, each.handover
                     )
                     made, changed = (after, True) if found else (made, changed)
@@ -566,7 +578,9 @@
         if status == 409:
             self.propose(
                 TABLE,
-                lambda value: placement.refenced(value, call.service, call.starts, call.fencing_token),
+                lambda value: placement.raise_fencing_tokens(
+                    value, call.service, call.starts, call.fencing_token
+                ),
                 self.refreshed,
                 1.0,
             )
@@ -628,7 +642,7 @@
 
     def carry(self, out: Effects) -> None:
         """Writes first; sends and answers once they are safe."""
-        rows, facts = self.due.take(out)
+        rows, facts = self.due.prepare_write(out)
         if not rows and not facts:
             if out.sends or out.answers:
                 self.dispatch(out)
@@ -645,9 +659,9 @@
             self.log.error("not written", step="write", problem=problem)
             self.dispatch(no_effects()._replace(answers=[(tag, None) for tag, _ in out.answers]))  # unclear
             return
-        self.due.safe(rows, facts)
+        self.due.mark_durable(rows, facts)
         for register, _, accepted, _ in rows:
-            self.consensus.stored(register, accepted)
+            self.consensus.mark_durable(register, accepted)
         self.dispatch(out)
 
     def dispatch(self, out: Effects) -> None:
@@ -666,21 +680,25 @@
     def stepped(self) -> None:
         """Another epoch is known, or this archive became active in it: on disk by now."""
         consensus = self.consensus
-        if (consensus.epoch, consensus.voting) != self.told_epoch:
-            self.told_epoch = (consensus.epoch, consensus.voting)
+        if (consensus.epoch, consensus.is_active_voter) != self.told_epoch:
+            self.told_epoch = (consensus.epoch, consensus.is_active_voter)
             for peer in consensus.voters:
                 self.know(peer)
             self.log.info(
-                "epoch", step="epoch", epoch=consensus.epoch, voters=consensus.voters, voting=consensus.voting
+                "epoch",
+                step="epoch",
+                epoch=consensus.epoch,
+                voters=consensus.voters,
+                voting=consensus.is_active_voter,
             )
             self.pulse(self.loop.time())  # nobody waits for the next turn
 
     def hear_ballot(self, peer: str, message: dict) -> None:
         consensus = self.consensus
-        self.carry(consensus.hear(self.loop.time(), peer, message))
-        if consensus.lost_to is not None:
-            who, proposal_number, promised = consensus.lost_to
-            consensus.lost_to = None
+        self.carry(consensus.receive(self.loop.time(), peer, message))
+        rejection = consensus.take_last_rejection()
+        if rejection is not None:
+            who, proposal_number, promised = rejection
             self.log.info(
                 "ballot lost",
                 step="ballot",
@@ -718,7 +736,7 @@
             self.take_rows(message.get("rows", {}), link.peer, message.get("ages"))
             return
         self.proxies[link.peer] = link
-        self.drain_plans.anew(link.peer)
+        self.drain_plans.forget_report(link.peer)
         self.take_rows(message.get("rows", {}))  # what all archives forgot in a restart, desks have kept
         link.send({"k": "roll", "rows": self.registry.leaving()})
         self.pulse_desks(self.loop.time())
@@ -735,7 +753,7 @@
             return
         self.homes[link.peer], link.sent = link, dict(message["have"])
         link.send({"k": "roll", "rows": self.rows(), "all": True})
-        for register in REGISTERS:
+        for register in DATA_REGISTERS:
             self.push(link, register)
 
     def hear(self, link: PeerConnection, message: dict) -> None:
@@ -747,14 +765,14 @@
             self.registry.listen(now, message.get("heard", {}))
             out = no_effects()
             if "members" in message:
-                self.consensus.adopt(now, message["members"], out)
+                self.consensus.adopt_voter_set(now, message["members"], out)
             for register, proposal_number in message["dur"].items():
                 if tuple(proposal_number) != NO_PROPOSAL and message["v"]:
-                    self.consensus.voted(
+                    self.consensus.record_acceptance(
                         now, link.peer, message["disk"], register, tuple(proposal_number), out
                     )
             self.carry(out)
-            reminded = self.consensus.reminded(message["ep"], message.get("bound", {}), new_name())
+            reminded = self.consensus.check_disk_rollback(message["ep"], message.get("bound", {}), new_name())
             if reminded.facts:
                 self.log.error("older disk", step="epoch", peer=link.peer, disk=self.consensus.disk)
                 self.carry(reminded)
@@ -767,7 +785,7 @@
         elif kind == "roll":
             newer = self.take_rows(message["rows"], link.peer)
             if "id" in message:
-                epoch = self.consensus.epoch if self.consensus.voting else -1
+                epoch = self.consensus.epoch if self.consensus.is_active_voter else -1
                 self.peer_connections.send(
                     link.peer, {"k": "rolled", "id": message["id"], "rows": newer, "epoch": epoch}
                 )
@@ -785,7 +803,7 @@
             self.reported(now, link, message)
         elif kind == "confirm":
             if self.whole(now):
-                newest = {register: self.consensus.version(register) for register in REGISTERS}
+                newest = {register: self.consensus.version(register) for register in DATA_REGISTERS}
                 link.send({"k": "confirmed", "t": message["t"], "n": newest})
         elif kind == "off":
             self.take_off(link, message)
@@ -810,22 +828,22 @@
     def reported(self, now: float, link: PeerConnection, message: dict) -> None:
         over, by_key = message["over"], message.get("keys", {})
         if "n" in message:
-            self.drain_plans.hear(link.peer, message["n"], message.get("left", {}))
+            self.drain_plans.record_report(link.peer, message["n"], message.get("left", {}))
         met: dict[str, list] = {service: [] for service in {**message["heat"], **by_key}}
         for instance_id, (tries, unanswered, mean_time, load, *bad) in message["met"].items():
             row = self.registry.rows.get(instance_id)
             if row is None:
                 continue
-            self.outlier_detection.report(link.peer, instance_id, tries, sum(bad))
+            self.outlier_detection.record_attempts(link.peer, instance_id, tries, sum(bad))
             if tries > unanswered:
                 self.registry.heard[instance_id] = max(self.registry.heard.get(instance_id, 0.0), now - over)
             met.setdefault(row.service, []).append(
-                placement.met_of(instance_id, tries, unanswered, mean_time, over, load)
+                placement.worker_report(instance_id, tries, unanswered, mean_time, over, load)
             )
         if self.was_coordinator:
             for service, some in met.items():
                 heat, keys = message["heat"].get(service, {}), by_key.get(service, {})
-                self.placement.report(now, service, link.peer, heat, keys, over, some)
+                self.placement.record_report(now, service, link.peer, heat, keys, over, some)
 
     def take_rows(self, rows: dict, sender: str = "", ages: dict | None = None) -> dict[str, list]:
         """Take rows that another manager sent; those of its workers that leave of which we have a newer word.
@@ -949,11 +967,14 @@
 
         def start(value: dict | None) -> tuple[dict | None, tuple[int, str]]:
             instance_ids = self.chosen(command, value)
-            staying = len(set(in_use(self.registry, command.service, out_of(value))) - set(instance_ids))
-            return started(value, command.name, command.service, instance_ids, command.wave, staying)
+            staying = len(
+                set(workers_in_use(self.registry, command.service, worker_drains_of(value)))
+                - set(instance_ids)
+            )
+            return start_plan(value, command.name, command.service, instance_ids, command.wave, staying)
 
         if isinstance(command, EndDrainPlan):
-            told = await self.agreed(TABLE, lambda value: ended(value, command.name, command.state))
+            told = await self.agreed(TABLE, lambda value: end_plan(value, command.name, command.state))
         elif command.only_tell:
             read = lambda value: (None, (self.chosen(command, value), start(value)[1]))  # noqa: E731
             if (told := await self.agreed(TABLE, read)) is not None:
@@ -970,8 +991,8 @@
     def chosen(self, command: StartDrainPlan, value: dict | None) -> list[str]:
         """The workers that a plan names, by the table that stands."""
         if command.name in plans_of(value):
-            return plans_of(value)[command.name]["lives"]  # asked again
-        able = in_use(self.registry, command.service, out_of(value))
+            return plans_of(value)[command.name].instance_ids  # asked again
+        able = workers_in_use(self.registry, command.service, worker_drains_of(value))
         instance_ids = [
             instance_id
             for instance_id in able
@@ -993,15 +1014,17 @@
         """An operator's call about who votes: agreed by a majority of those who do."""
         if isinstance(command, Err):
             return answer(command.err_value.status, command.err_value.reason)
-        command, members = command.ok_value, self.consensus.members
+        command, members = command.ok_value, self.consensus.voter_set
         old, new = getattr(command, "old", ""), getattr(command, "new", "")
-        change = self.membership.ordered(members, self.peers(self.loop.time()), self.versions(), old, new)
+        change = self.membership.requested_change(
+            members, self.peers(self.loop.time()), self.versions(), old, new
+        )
         if isinstance(change, Err):
             return answer(409, change.err_value)
         if change.ok_value.voters == members["voters"]:
             heard = self.contact(self.loop.time())
             return web.json_response({"Epoch": members["n"]}) if heard else answer(503, "no majority heard")
-        told = await self.agreed(MEMBERS, next_voter_set(members, change.ok_value.voters))
+        told = await self.agreed(VOTER_SET, next_voter_set(members, change.ok_value.voters))
         self.log.info("member change", step="epoch", why="by hand", old=old, new=new, told=told)
         if told is None:
             return answer(503, "no majority heard in time")
@@ -1014,17 +1037,19 @@
         table, told = self.consensus.value(TABLE), self.drain_plans
         return {
             name: {
-                **plan,
+                **plan.stored(),
                 "workers": {
                     instance_id: {
                         "step": step,
-                        "sending": told.sending(now, version) if step == CLOSING else [],
+                        "sending": told.unconfirmed_proxies(now, version)
+                        if step == DRAIN_IN_PROGRESS
+                        else [],
                         "under way": {
-                            proxy: [*left] for proxy, left in told.under_way(now, instance_id).items()
+                            proxy: [*left] for proxy, left in told.work_in_flight(now, instance_id).items()
                         },
-                        "keys": step != TOLD and told.holds(table, instance_id),
+                        "keys": step != DRAIN_ANNOUNCED and told.owns_keys(table, instance_id),
                     }
-                    for instance_id, (plan_of, step, version) in out_of(table).items()
+                    for instance_id, (plan_of, step, version) in worker_drains_of(table).items()
                     if plan_of == name
                 },
             }
@@ -1047,7 +1072,7 @@
                 }
             )
         if path == "/view/members":
-            shown = self.membership.view(self.me, self.consensus.members, self.peers(now), self.versions())
+            shown = self.membership.view(self.me, self.consensus.voter_set, self.peers(now), self.versions())
             return web.json_response({**shown, "change": "a change is being agreed" if self.changing else ""})
         if path == "/view/plans":
             return web.json_response(self.plans(now))
@@ -1074,7 +1099,7 @@
                     "me": self.me,
                     "epoch": self.consensus.epoch,
                     "voters": sorted(self.consensus.voters),
-                    "votes": self.consensus.voting,
+                    "votes": self.consensus.is_active_voter,
                     "whole": self.whole(now),
                     "scribe": self.sessions.coordinator(now, self.whole(now)),
                     "archives": {
@@ -1093,7 +1118,7 @@
                 text=metrics.text(
                     {
                         "archive_whole": int(self.whole(now)),
-                        "archive_votes": int(consensus.voting),
+                        "archive_votes": int(consensus.is_active_voter),
                         "archive_scribe": int(self.was_coordinator),
                         "archive_desks": len(self.proxies),
                         "archive_workers": len(self.registry.rows),
--- a/tests/simulation/membership_epoch_search.py
+++ b/tests/simulation/membership_epoch_search.py
@@ -18,18 +18,13 @@
 import time
 from typing import Any, NamedTuple
 
-from bramblewood.controller.consensus.replica import (
-    ALL,
-    CONFIG,
-    MEMBERS,
-    Acceptor,
-    ConsensusReplica,
-    Effects,
-    EpochJoin,
-    PendingWrites,
-    ProposalRound,
-    next_voter_set,
-)
+from bramblewood.controller.consensus.acceptor import Acceptor
+from bramblewood.controller.consensus.effects import Effects, PendingWrites
+from bramblewood.controller.consensus.epochs import EpochJoin
+from bramblewood.controller.consensus.proposal_round import ProposalRound
+from bramblewood.controller.consensus.registers import ALL_REGISTERS, CONFIG, VOTER_SET
+from bramblewood.controller.consensus.replica import ConsensusReplica
+from bramblewood.controller.consensus.voter_set import next_voter_set
 from tests.simulation.consensus import Broken
 
 LATER = 100.0  # s, beyond every wait
@@ -64,25 +59,26 @@
 
 def frozen(b: ConsensusReplica, proposes: bool) -> tuple:
     """All that decides what it does next. The counters of one that never proposes decide nothing."""
+    join, proposer, learner = b.epochs.join, b.proposer, b.learner
     return (
         b.disk,
-        b.incarnation,
-        b.members,
-        b.held,
-        None if b.joining is None else tuple(sorted(b.joining.told.items(), key=lambda one: one[0])),
+        b.member.incarnation,
+        b.voter_set,
+        b.active_epoch,
+        None if join is None else tuple(sorted(join.reports.items(), key=lambda one: one[0])),
         tuple((a.promised, a.accepted, a.value) for a in b.acceptors.values()),
-        tuple(b.durable.values()),
-        tuple(b.seen.values()) if proposes else (0,) * len(ALL),
-        tuple(tuple(sorted(kept.items())) for kept in b.votes.values()),
-        tuple(b.learned.values()),
+        tuple(b.durable_accepted.values()),
+        tuple(proposer.highest_counters.values()) if proposes else (0,) * len(ALL_REGISTERS),
+        tuple(tuple(sorted(kept.items())) for kept in learner.acceptances.values()),
+        tuple(learner.chosen.values()),
         tuple(
             (
-                *(r.register, r.tag, r.proposal_number, r.step, r.outcome, len(r.carried)),
-                *(r.base, r.difference, r.whole),
+                *(r.register, r.tag, r.proposal_number, r.phase, r.outcome, len(r.batch)),
+                *(r.base, r.accept_difference, r.accept_value),
                 tuple(sorted(r.promises.items(), key=lambda one: one[0])),
-                tuple(sorted(r.accepts)),
+                tuple(sorted(r.accepted_by)),
             )
-            for rounds in b.rounds.values()
+            for rounds in proposer.rounds.values()
             for r in rounds
         ),
     )
@@ -91,35 +87,35 @@
 def thawed(me: str, state: tuple) -> ConsensusReplica:
     disk, incarnation, members, held, told, acceptors, durable, seen, votes, learned, rounds = state
     b = ConsensusReplica(me, disk, incarnation, {}, members, held)
-    b.contention = Turns()
+    b.learner.backoff = b.proposer.backoff = Turns()
     if told is not None:
-        b.joining = EpochJoin()
-        b.joining.told = dict(told)
-    for number, name in enumerate(ALL):
+        b.epochs.join = EpochJoin()
+        b.epochs.join.reports = dict(told)
+    for number, name in enumerate(ALL_REGISTERS):
         b.acceptors[name] = Acceptor(*acceptors[number])
-        b.durable[name], b.seen[name] = durable[number], seen[number]
-        b.votes[name], b.learned[name] = dict(votes[number]), learned[number]
+        b.durable_accepted[name], b.proposer.highest_counters[name] = durable[number], seen[number]
+        b.learner.acceptances[name], b.learner.chosen[name] = dict(votes[number]), learned[number]
     for register, tag, *rest, promises, accepts in rounds:
         r = ProposalRound(register, change_of(tag), tag, 1e9)
-        r.proposal_number, r.step, r.outcome, r.carried, r.base, r.difference, r.whole = rest
-        r.promises, r.accepts = dict(promises), set(accepts)
-        b.rounds[register].append(r)
-    for waiting in b.rounds.values():
+        r.proposal_number, r.phase, r.outcome, r.batch, r.base, r.accept_difference, r.accept_value = rest
+        r.promises, r.accepted_by = dict(promises), set(accepts)
+        b.proposer.rounds[register].append(r)
+    for waiting in b.proposer.rounds.values():
         for r in waiting:
-            r.carried = waiting[: r.carried]  # a ballot carries the first that waited as it began
+            r.batch = waiting[: r.batch]  # a ballot carries the first that waited as it began
     return b
 
 
 class Turns:
-    """In place of `Contention`, which says when ballots begin, never what they decide: at any time here."""
+    """In place of `ProposerBackoff`, which says when rounds begin, never what they decide."""
 
-    def heard(self, now: float, register: str, proposal_number: Any) -> None:
+    def observe(self, now: float, register: str, proposal_number: Any) -> None:
         pass
 
-    def chosen(self, register: str, proposal_number: Any) -> None:
+    def round_finished(self, register: str, proposal_number: Any) -> None:
         pass
 
-    def busy(self, now: float, register: str) -> bool:
+    def must_wait(self, now: float, register: str) -> bool:
         return False
 
 
@@ -173,7 +169,7 @@
         due.rows = dict(machine.due[1])
         sends, facts = [], []
         for out in outs:
-            rows, told = due.take(out)
+            rows, told = due.prepare_write(out)
             if rows or told:
                 writes.append((tuple(rows), told, out))
             else:
@@ -182,13 +178,15 @@
         if self.shape.instant:
             while made.writes:
                 made = self.synced(made, b, sends, facts)
-        if b.members != machine.consensus[2]:
-            facts.append(("members", b.epoch, key(b.members)))
-            sends += [("", peer, {"k": "epoch", "m": b.members}) for peer in self.names if peer != b.me]
-        for number, name in enumerate(ALL):
-            if b.learned[name] != machine.consensus[9][number]:
-                facts.append(("learned", name, *b.learned[name]))
-        made = made._replace(consensus=frozen(b, b.me in self.proposers))
+        if b.voter_set != machine.consensus[2]:
+            facts.append(("members", b.epoch, key(b.voter_set)))
+            sends += [
+                ("", peer, {"k": "epoch", "m": b.voter_set}) for peer in self.names if peer != b.address
+            ]
+        for number, name in enumerate(ALL_REGISTERS):
+            if b.chosen[name] != machine.consensus[9][number]:
+                facts.append(("learned", name, *b.chosen[name]))
+        made = made._replace(consensus=frozen(b, b.address in self.proposers))
         return (
             self.number(self.machines, made),
             tuple(self.number(self.messages, one) for one in sends),
@@ -201,10 +199,10 @@
         stored, kept = dict(machine.disk[1]), {**machine.disk[0], **told}
         due = PendingWrites(machine.due[0])
         due.rows = machine.due[1]
-        due.safe(list(rows), told)
+        due.mark_durable(list(rows), told)
         for register, promised, accepted, value in rows:
             stored[register] = (promised, accepted, value)
-            b.stored(register, accepted)
+            b.mark_durable(register, accepted)
         self.told(machine.name, b, out, sends, facts)
         return machine._replace(disk=(kept, stored), due=(due.facts, due.rows), writes=machine.writes[1:])
 
@@ -214,11 +212,15 @@
                 message = {**message, "have": {}}
             sends.append(("" if message["k"] == "epoch" else name, peer, message))
             if message["k"] == "accept":
-                whole = [r.whole for r in b.rounds[message["r"]] if r.proposal_number == message["b"]]
-                facts += [("accept", one["r"], one["b"], one["v"]) for one in whole]
+                whole = [
+                    r.accept_value
+                    for r in b.proposer.rounds[message["r"]]
+                    if r.proposal_number == message["b"]
+                ]
+                facts += [("accept", *one) for one in whole]
         facts += [("answer", *outcome) for tag, outcome in out.answers if tag[0] == "order" and outcome]
         if "held" in out.facts:  # its pulses tell what it holds now
-            for register, kept in b.durable.items():
+            for register, kept in b.durable_accepted.items():
                 if kept[0] == b.epoch:
                     told = {"k": "accepted", "r": register, "b": kept, "disk": b.disk}
                     sends += [(name, peer, told) for peer in self.names if peer != name]
@@ -229,7 +231,7 @@
             self.transitions += 1
             here = self.machines[machine]
             b, (sender, _, what) = thawed(here.name, here.consensus), self.messages[message]
-            step = self.steps[machine, message] = self.seated(here, b, [b.hear(0.0, sender, what)])
+            step = self.steps[machine, message] = self.seated(here, b, [b.receive(0.0, sender, what)])
         return step
 
     # --- all of them
@@ -358,7 +360,7 @@
                 or not here.consensus[3] > 0
             ):
                 return None
-            step = self.begun(machines[place], MEMBERS, ("members", (members, {**voters, new: disk})))
+            step = self.begun(machines[place], VOTER_SET, ("members", (members, {**voters, new: disk})))
         elif kind == "wait":
             place, left = number, (wipes, powers, waits - 1, changes, starts)
             step = self.waited(machines[place])
@@ -389,10 +391,10 @@
         here = self.machines[machine]
         b = thawed(here.name, here.consensus)
         outs = [b.tick(1.0)]
-        busy = any(b.rounds.values())
-        for rounds in b.rounds.values():
+        busy = any(b.proposer.rounds.values())
+        for rounds in b.proposer.rounds.values():
             for one in rounds:
-                one.next_at = 0.0
+                one.next_attempt_at = 0.0
         outs.append(b.tick(1.0 if busy else LATER))
         return self.seated(here, b, outs)
 
@@ -422,7 +424,7 @@
             while here.writes:
                 here = self.synced(here, thawed(here.name, here.consensus), [], [])
             machines[here.name] = b = thawed(here.name, here.consensus)
-            for kept in b.rounds.values():
+            for kept in b.proposer.rounds.values():
                 kept.clear()
         answers, wire = [], []
 
@@ -430,20 +432,20 @@
             wire.extend((name, peer, message) for peer, message in out.sends)
             answers.extend(out.answers)
             for register, _, accepted, _ in out.writes:
-                machines[name].stored(register, accepted)
+                machines[name].mark_durable(register, accepted)
 
         for turn in range(40):
             now += 0.3
             for name, b in machines.items():
-                newest = max((other.members for other in machines.values()), key=lambda one: one["n"])
-                carry(name, b.hear(now, "", {"k": "epoch", "m": newest}))
+                newest = max((other.voter_set for other in machines.values()), key=lambda one: one["n"])
+                carry(name, b.receive(now, "", {"k": "epoch", "m": newest}))
                 carry(name, b.tick(now))
-                if turn % 5 == 4 and b.voting and not any(b.rounds.values()):
+                if turn % 5 == 4 and b.is_active_voter and not any(b.proposer.rounds.values()):
                     carry(name, b.propose(now, CONFIG, lambda stands: (None, True), "read", 1.0))
             while wire:
                 sender, peer, message = wire.pop(0)
                 if peer in machines:
-                    carry(peer, machines[peer].hear(now, sender, message))
+                    carry(peer, machines[peer].receive(now, sender, message))
             if ("read", True) in answers:
                 return True
         return False
@@ -532,7 +534,7 @@
         old, new = one[3], other[3]
         if one[1] == CONFIG and old != new:
             return "proposed over what is chosen"
-        if one[1] == MEMBERS and new["n"] <= old["n"] and new != old:
+        if one[1] == VOTER_SET and new["n"] <= old["n"] and new != old:
             return "a set proposed over the chosen one"
     return ""
 
