--- a/bramblewood/adapter/__init__.py
+++ b/bramblewood/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire: words, units, ids and the hosting of many managers in one process. No decisions."""
+"""The simulator's wire: its message names, units and ids, and many managers in one process. No decisions."""
--- a/bramblewood/adapter/__main__.py
+++ b/bramblewood/adapter/__main__.py
@@ -3,15 +3,18 @@
 import sys
 
 from .host import serve
-from .wire import Malformed
+from .wire import MalformedInput
+
+MALFORMED = 2  # exit code
 
 
 def main() -> int:
+    """Serve until the input ends; the exit code."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except Malformed as problem:
+    except MalformedInput as problem:
         print(f"bramblewood.adapter: {problem}", file=sys.stderr)
-        return 2
+        return MALFORMED
     return 0
 
 
--- a/bramblewood/adapter/wire.py
+++ b/bramblewood/adapter/wire.py
@@ -1,15 +1,18 @@
-"""Wire words and units: lines of JSON into events, and orders into lines of JSON."""
+"""The simulator's wire: JSON lines into events, and orders into JSON lines.
+
+Each line is an object with one key, the message's name, whose value holds the message's fields. Times on the
+wire are in milliseconds. Names and fields are the simulator's.
+"""
 
 import json
-from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 from .. import events
 from ..startup_settings import LOAD_FIELDS, MS
 
-EVERY_TABLE = 65535
-STATES = {2: events.READY, 0: events.DRAINING, 1: events.DEREGISTERED}
-ENDINGS = {
+EVERY_TABLE = 65535  # the wire's number for all slices
+STATES = {2: events.READY, 0: events.DRAINING, 1: events.DEREGISTERED}  # of a worker
+OUTCOMES = {  # of a health check
     100: "answered",
     301: "errored",
     302: "rate-limited",
@@ -17,114 +20,153 @@
     304: "unreachable",
     305: "broken",
 }
+Fields = dict[str, Any]
+
+
+class MalformedInput(Exception):
+    """Input that is not the wire's; the text says what is wrong and where."""
+
 
+class Message(NamedTuple):
+    """One line of input: the message's name and fields, and where it stands."""
 
-class Malformed(Exception):
-    """Input that is not the wire's, with what is wrong and where."""
+    name: str
+    fields: Fields
+    where: str
 
 
-def decode(line: bytes, where: str) -> tuple[str, dict]:
-    """One line of input as its message's name and fields."""
+def decode(line: bytes, where: str) -> Message:
+    """A line of input as a message; raises MalformedInput."""
     try:
-        message = json.loads(line)
+        found = json.loads(line)
     except ValueError as problem:
-        raise Malformed(f"{where}: not JSON: {problem}") from None
-    if not isinstance(message, dict) or len(message) != 1:
-        raise Malformed(f"{where}: expected an object with one key, the message's name")
-    ((name, fields),) = message.items()
+        raise MalformedInput(f"{where}: not JSON: {problem}") from None
+    if not isinstance(found, dict) or len(found) != 1:
+        raise MalformedInput(f"{where}: expected an object with one key, the message's name")
+    ((name, fields),) = found.items()
     if not isinstance(fields, dict):
-        raise Malformed(f"{where}: fields of {name} are not an object")
-    return name, fields
+        raise MalformedInput(f"{where}: fields of {name} are not an object")
+    return Message(name, fields, where)
+
+
+def encode(name: str, fields: Fields) -> bytes:
+    """A message as a line of output."""
+    return json.dumps({name: fields}, separators=(",", ":")).encode() + b"\n"
 
 
-def load_of(fields: dict) -> dict:
-    """A load report in our words; values we do not know are skipped."""
+def parse_load(fields: Fields) -> dict[str, float]:
+    """The load report of a message by our names and units; values that we do not know are skipped."""
+    report = fields.get("health_info") or {}
     return {
-        LOAD_FIELDS[k][0]: v * LOAD_FIELDS[k][1]
-        for k, v in (fields.get("health_info") or {}).items()
-        if k in LOAD_FIELDS and isinstance(v, (int, float))
+        LOAD_FIELDS[name][0]: value * LOAD_FIELDS[name][1]
+        for name, value in report.items()
+        if name in LOAD_FIELDS and isinstance(value, (int, float))
     }
 
 
-def entry_of(item: dict) -> events.ListedWorker:
+def parse_listed_worker(item: Fields) -> events.ListedWorker:
+    """One entry of a worker list."""
     started = item.get("boot_time") or None
     return events.ListedWorker(
-        item["worker"],
-        STATES[item["health"]],
-        item.get("w", 0),
-        item.get("rack_zone", ""),
-        item.get("cluster", 0),
-        item.get("class_of_host", ""),
-        started and started / MS,
+        worker=item["worker"],
+        state=STATES[item["health"]],
+        weight=item.get("w", 0),
+        zone=item.get("rack_zone", ""),
+        pool=item.get("cluster", 0),
+        kind=item.get("class_of_host", ""),
+        started=started and started / MS,
     )
 
 
-EVENTS: dict[str, Callable[[dict], Any]] = {
-    "installed": lambda f: events.MessageAcknowledged(f["edge"], f["gen"], f["time_taken"] / MS),
-    "heard": lambda f: events.WorkerReported(
-        f["worker"],
-        f.get("rack_zone", ""),
-        f["n"],
-        f.get("bad", 0),
-        f.get("time_taken", 0) / MS,
-        f["over"] / MS,
-        load_of(f),
-    ),
-    "wakeup": lambda f: events.TimerFired(f["nonce"]),
-    "held": lambda f: events.RouteStored(f["table"], f["worker"], f["w"]),
-    "ping_result": lambda f: events.HealthCheckFinished(
-        f["worker"], ENDINGS.get(f["how"], "unknown"), f.get("time_taken", 0) / MS, load_of(f)
-    ),
-    "weight_seen": lambda f: events.SliceHeatReported(
-        f["table"], f["class"], f["n"], f.get("bad", 0), f["over"] / MS
-    ),
-    "traffic": lambda f: events.ProxyTrafficReported(
-        f["edge"], f["class"], f["n"], f.get("bad", 0), f["over"] / MS
-    ),
-    "mail": lambda f: events.PeerMessageReceived(f["origin_peer"], bytes.fromhex(f["msg"])),
-    "disconnected": lambda f: events.ProxyLeft(f["edge"]),
-    "enrolled": lambda f: events.ProxyJoined(
-        f["edge"], f.get("rack_zone", ""), f.get("w", 0), f.get("flag", False)
-    ),
-    "handed": lambda f: events.SliceAssigned(f["table"], f.get("flag", False)),
-}
-
-
-def bits(positions: tuple) -> int:
-    return sum(1 << k for k in positions)
-
-
-def table_number(table: int) -> int:
-    return EVERY_TABLE if table == events.ALL_SLICES else table
-
-
-ORDERS: dict[type, Callable[[Any], tuple[str, dict]]] = {
-    events.SetRoute: lambda o: ("set_weight", {"table": o.table, "worker": o.worker, "w": o.weight}),
-    events.ClearTable: lambda o: ("reset_table", {"table": o.table}),
-    events.BindProxy: lambda o: (
-        "hand_table",
-        {"only": bits(o.operations), "table": o.table, "edge": o.proxy},
-    ),
-    events.SetAdmission: lambda o: (
-        "ration",
-        {
-            "retry_mode": o.retry,
-            "only": bits(o.operations),
-            "table": table_number(o.table),
-            "allowance": o.level,
-        },
-    ),
-    events.ExcludeWorker: lambda o: ("pull", {"flag": o.excluded, "worker": o.worker}),
-    events.RequestAcknowledgement: lambda o: ("seal", {"gen": o.number, "flag": o.everyone}),
-    events.SetTimer: lambda o: ("sleep", {"delay": o.delay * MS, "nonce": o.token}),
-    events.CheckHealth: lambda o: ("touch", {"worker": o.worker}),
-    events.TellPeer: lambda o: ("say", {"peer": o.manager, "msg": o.payload.hex()}),
-    events.RequestWorkerList: lambda o: ("query_all", {}),
-    events.WatchWorkerList: lambda o: ("follow", {"flag": o.on}),
-    events.Log: lambda o: ("trace", {"what": o.text}),
-}
-UNSAID = (events.WorkerEjected,)  # told inside a manager; the wire has no word for it
-
-
-def encode(name: str, fields: dict) -> bytes:
-    return json.dumps({name: fields}, separators=(",", ":")).encode() + b"\n"
+def parse_event(name: str, fields: Fields) -> events.Event:
+    """The event that a message to a manager tells; raises KeyError for an unknown name or a missing field."""
+    match name:
+        case "installed":
+            return events.MessageAcknowledged(fields["edge"], fields["gen"], fields["time_taken"] / MS)
+        case "heard":
+            return events.WorkerReported(
+                worker=fields["worker"],
+                zone=fields.get("rack_zone", ""),
+                attempts=fields["n"],
+                unanswered=fields.get("bad", 0),
+                mean_response_time=fields.get("time_taken", 0) / MS,
+                interval=fields["over"] / MS,
+                load=parse_load(fields),
+            )
+        case "wakeup":
+            return events.TimerFired(fields["nonce"])
+        case "held":
+            return events.RouteStored(fields["table"], fields["worker"], fields["w"])
+        case "ping_result":
+            return events.HealthCheckFinished(
+                worker=fields["worker"],
+                outcome=OUTCOMES.get(fields["how"], "unknown"),
+                elapsed=fields.get("time_taken", 0) / MS,
+                load=parse_load(fields),
+            )
+        case "weight_seen":
+            return events.SliceHeatReported(fields["table"], *parse_traffic(fields))
+        case "traffic":
+            return events.ProxyTrafficReported(fields["edge"], *parse_traffic(fields))
+        case "mail":
+            return events.PeerMessageReceived(fields["origin_peer"], bytes.fromhex(fields["msg"]))
+        case "disconnected":
+            return events.ProxyLeft(fields["edge"])
+        case "enrolled":
+            return events.ProxyJoined(
+                proxy=fields["edge"],
+                zone=fields.get("rack_zone", ""),
+                rate=fields.get("w", 0),
+                fresh=fields.get("flag", False),
+            )
+        case "handed":
+            return events.SliceAssigned(fields["table"], fields.get("flag", False))
+    raise KeyError(name)
+
+
+def parse_traffic(fields: Fields) -> tuple[str, int, int, float]:
+    """Operation, invocations, unanswered ones and interval in s of a traffic report."""
+    return fields["class"], fields["n"], fields.get("bad", 0), fields["over"] / MS
+
+
+def format_order(order: events.Order) -> tuple[str, Fields] | None:
+    """An order as a message's name and fields; None for a notice that the wire does not know."""
+    match order:
+        case events.SetRoute(table, worker, weight):
+            return "set_weight", {"table": table, "worker": worker, "w": weight}
+        case events.ClearTable(table):
+            return "reset_table", {"table": table}
+        case events.BindProxy(proxy, table, operations):
+            return "hand_table", {"only": bit_mask(operations), "table": table, "edge": proxy}
+        case events.SetAdmission(table, operations, level, retry):
+            number = EVERY_TABLE if table == events.ALL_SLICES else table
+            return "ration", {
+                "retry_mode": retry,
+                "only": bit_mask(operations),
+                "table": number,
+                "allowance": level,
+            }
+        case events.ExcludeWorker(worker, excluded):
+            return "pull", {"flag": excluded, "worker": worker}
+        case events.RequestAcknowledgement(number, everyone):
+            return "seal", {"gen": number, "flag": everyone}
+        case events.SetTimer(delay, token):
+            return "sleep", {"delay": delay * MS, "nonce": token}
+        case events.CheckHealth(worker):
+            return "touch", {"worker": worker}
+        case events.TellPeer(manager, payload):
+            return "say", {"peer": manager, "msg": payload.hex()}
+        case events.RequestWorkerList():
+            return "query_all", {}
+        case events.WatchWorkerList(on):
+            return "follow", {"flag": on}
+        case events.Log(text):
+            return "trace", {"what": text}
+        case events.WorkerEjected():
+            return None
+    raise TypeError(f"no message for {order!r}")
+
+
+def bit_mask(positions: tuple[int, ...]) -> int:
+    """Positions of operations as bits; none stands for all of them."""
+    return sum(1 << position for position in positions)
--- a/bramblewood/policy_base/dispatch.py
+++ b/bramblewood/policy_base/dispatch.py
@@ -52,8 +52,9 @@
 
     def pass_on(self, event: events.Event) -> None:
         """Queue the call that an event leads to, if any."""
-        worker = self.workers.get(getattr(event, "worker", None))
-        slice = self.slices.get(getattr(event, "slice", None))
+        worker_name: Any = getattr(event, "worker", None)
+        slice_number: Any = getattr(event, "slice", None)
+        worker, slice = self.workers.get(worker_name), self.slices.get(slice_number)
         own_slice = slice if slice and slice.assigned else None
         match event:
             case events.WorkersListed():
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -6,7 +6,7 @@
 import pytest
 
 from bramblewood.adapter import host
-from bramblewood.adapter.wire import Malformed
+from bramblewood.adapter.wire import MalformedInput
 
 OPTIONS = {
     "me": 0,
@@ -66,7 +66,7 @@
     ],
 )
 def test_bad_input_is_named_with_its_place(messages, words):
-    with pytest.raises(Malformed, match=words):
+    with pytest.raises(MalformedInput, match=words):
         run(*messages)
 
 
