--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -20,7 +20,7 @@
 from bramblewood.store.port import Folder
 from bramblewood.store.store import Store
 
-from .helper import OPERATIONS, SETTINGS, entry
+from .policy.simulation import OPERATIONS, SETTINGS, entry
 from .simulation.simulated_disk import Disc
 
 TERMS = StoreTerms("", "in-loop", False, 0.002, 0.25, 86400.0)
