--- a/bramblewood/policy/admission.py
+++ b/bramblewood/policy/admission.py
@@ -8,7 +8,7 @@
 class AdmissionControl(WorkerState):
     """What a worker admits, by operation, and whether others may retry."""
 
-    def adjust_admission(self):
+    def adjust_admission(self) -> None:
         """Once a cycle: admit less while overloaded, whatever the cause, and more again afterwards."""
         before = self.retries_cut, list(self.admitted)
         answered, unanswered = (new - old for new, old in zip(self.outcomes, self.old_outcomes, strict=True))
@@ -31,7 +31,7 @@
         if (self.retries_cut, self.admitted) != before:
             self.publish_admission()
 
-    def cut(self, answered, unanswered):
+    def cut(self, answered: float, unanswered: float) -> None:
         """Cut retries, then the level of the least valuable operation: the longer the queue, the lower."""
         open_operations = [k for k in self.manager.operations_by_value if self.admitted[k] > parameters.FLOOR]
         deeper = self.retries_cut or not self.is_warm  # one in slow start would fall over before levels came
@@ -42,7 +42,7 @@
             self.admitted[lowest] = max(self.admitted[lowest] * max(least, kept), parameters.FLOOR)
         self.retries_cut = True
 
-    def restore(self):
+    def restore(self) -> None:
         """Raise the most valuable operation that is cut: the further from the limit, the faster."""
         reduced = [k for k in self.manager.operations_by_value if self.admitted[k] < 1]
         self.retries_cut = self.retries_cut and bool(reduced)
@@ -51,7 +51,7 @@
             raised = parameters.RAISE * (max(headroom, 1.0) if self.manager.utilization_known else 1.0)
             self.admitted[reduced[-1]] = min(self.admitted[reduced[-1]] + raised, 1.0)
 
-    def cut_ahead(self, expected_load):
+    def cut_ahead(self, expected_load: float) -> None:
         """Urgent slices will bring more than it can do (load above 1): admit less before its queue grows."""
         if expected_load > 1 and self.admitted:
             least = self.manager.operations_by_value[0]
@@ -60,12 +60,12 @@
             self.next_cut_at = self.no_raise_before = self.manager.now + parameters.CUT_LAG
             self.publish_admission()
 
-    def admission_rules(self):
+    def admission_rules(self) -> list[tuple[float, int]]:
         """Level and retry mode of each operation; what may take effect twice is never repeated."""
         retry = NO_RETRY if self.retries_cut else RETRY_UNSTARTED
         return [(round(level, 3), retry) for level in self.admitted]
 
-    def publish_admission(self):
+    def publish_admission(self) -> None:
         """Queue the tables of the slices that this worker serves."""
         for slice in [slice for slice in self.manager.own_slices() if slice.primary is self]:
             self.manager.schedule(self.manager.publisher.enqueue, slice, True)
--- a/bramblewood/policy/failover.py
+++ b/bramblewood/policy/failover.py
@@ -7,12 +7,14 @@
 from ..policy_base import parameters
 from ..policy_base.averages import mean, median
 from .load_accounting import LoadAccounting
+from .slices import Slice
+from .workers import Worker
 
 
 class Failover(LoadAccounting):
     """What can't wait for the ordinary rule."""
 
-    def prepare_for_surge(self):
+    def prepare_for_surge(self) -> None:
         """Heat that jumps everywhere leaves nowhere to move to: cut ahead, if utilization is known."""
         slices = [s for s in self.manager.own_slices() if s.estimates and self.manager.utilization_known]
         growth = sum(s.estimates[-1] for s in slices) / (sum(s.estimate() for s in slices) or math.inf)
@@ -20,7 +22,7 @@
             for worker in dict.fromkeys(s.primary for s in slices if s.primary):
                 self.manager.schedule(worker.cut_ahead, mean(worker.loads) * growth)
 
-    def eject_failing(self):
+    def eject_failing(self) -> None:
         """Eject workers for unanswered attempts; slow ones only if all is late and others have room."""
         ready = self.manager.ready_workers()
         spare = self.manager.utilization_known and 0 < self.median_load < parameters.SPARE_LOAD
@@ -37,7 +39,7 @@
         for worker in failing:
             self.manager.schedule(worker.eject, f"{unanswered[worker]:.0%} of its tries unanswered")
 
-    def reassign_unserved(self):
+    def reassign_unserved(self) -> None:
         """Slices without a usable primary move at once; tables that name a closed worker are urgent."""
         slices, publisher = self.manager.own_slices(), self.manager.publisher
         self.standby_counts = Counter(slice.standby for slice in slices)  # goes on while it hands out
@@ -60,7 +62,7 @@
         for worker_and_state, count in moved.items():
             self.manager.log(f"{count} slices of {worker_and_state} moved at once")
 
-    def failover_target(self, slice):
+    def failover_target(self, slice: Slice) -> Worker | None:
         """The standby, to which proxies turn by themselves, while warm and not full; or the least loaded."""
         primary, standby = slice.primary, slice.standby
         ready = standby in slice.routes and standby.usable and standby.is_warm
@@ -68,7 +70,7 @@
             return standby
         return self.least_loaded(slice.estimate(), primary, not primary or primary.state != READY)
 
-    def trim_to_budget(self, worker, slices):
+    def trim_to_budget(self, worker: Worker, slices: list[Slice]) -> None:
         """A worker that restarted under its slices keeps only what a warming one may have."""
         excess = sum(slice.estimate() for slice in slices) - self.slow_start_budget(worker)
         hottest_first = sorted(slices, key=lambda slice: (-slice.estimate(), slice.number))
--- a/bramblewood/policy/load_accounting.py
+++ b/bramblewood/policy/load_accounting.py
@@ -4,6 +4,8 @@
 
 from ..policy_base import parameters
 from ..policy_base.averages import mean
+from .slices import Slice
+from .workers import Worker
 
 
 class LoadAccounting:
@@ -18,7 +20,7 @@
         self.total_weight, self.full_load, self.typical_heat = 1.0, 1.0, 1.0
         self.blocked = set()  # workers that stay excluded until old routes to them are gone
 
-    def update_loads(self):
+    def update_loads(self) -> None:
         """Loads in heat: reported loads scaled to add up to the heat of all slices, recent moves included."""
         manager, slices = self.manager, self.manager.own_slices()
         ready = manager.ready_workers()
@@ -35,11 +37,10 @@
         self.full_load = usual_load * sum(worker.weight * worker.warmth() for worker in ready) or 1.0
         self.total_load = sum(mean(worker.loads) * worker.weight for worker in ready)
         scale = self.total_heat / (self.total_load or 1.0)
-        workers = manager.workers.values()
-        self.loads = Counter({worker: scale * worker.weight * mean(worker.loads) for worker in workers})
+        self.loads = Counter({w: scale * w.weight * mean(w.loads) for w in manager.workers.values()})
         self.add_recent_moves()
 
-    def add_recent_moves(self):
+    def add_recent_moves(self) -> None:
         """Add moves that the averaged reports don't show yet, by the share of reports from before them."""
         now, lag, averaged = self.manager.now, parameters.REPORT_LAG, parameters.REPORTS_AVERAGED
         while self.recent_moves and self.recent_moves[0][0] < now - lag - averaged:
@@ -49,11 +50,11 @@
             for worker, sign in ((source, -1), (target, 1)):
                 self.loads[worker] = max(self.loads[worker] + sign * heat * unseen, 0.0)
 
-    def capacity(self, worker):
+    def capacity(self, worker: Worker) -> float:
         """The design's stand-in: the worker's weight share of all load, over the paper's working point."""
         return worker.weight / self.total_weight * self.total_heat / parameters.WORKING_POINT
 
-    def can_take(self, worker, heat):
+    def can_take(self, worker: Worker, heat: float) -> bool:
         """Guards slow start: one slice a cycle, and no more than this manager's part of a common budget."""
         if worker.is_warm:
             return True
@@ -61,23 +62,23 @@
         fits = self.own_loads[worker] + heat <= self.slow_start_budget(worker)
         return not worker.retries_cut and waited and fits
 
-    def sure_capacity(self, worker):
+    def sure_capacity(self, worker: Worker) -> float:
         """Heat that a worker surely can do now: its share by warmth of what is answered, retries left out."""
         answered = mean([rate for rate in self.answered_rates if rate])
         answered = answered * self.total_heat / (self.own_heat or 1.0)  # of all managers
         return worker.warmth() * worker.weight * min(answered, self.total_heat) / self.full_load
 
-    def slow_start_budget(self, worker):
+    def slow_start_budget(self, worker: Worker) -> float:
         """Heat of this manager's slices that a warming worker may get; better known from utilization."""
         known = self.manager.utilization_known and self.total_load
         headroom = self.full_load / self.total_load if known else 1.0
         return self.sure_capacity(worker) * headroom * parameters.WARMING_SHARE / self.manager.manager_count
 
-    def relative_load(self, worker):
+    def relative_load(self, worker: Worker) -> float:
         """Load by listed weight, by which workers are ranked."""
         return self.loads[worker] / worker.weight
 
-    def least_loaded(self, heat, excluded, must=False):
+    def least_loaded(self, heat: float, excluded: Worker | None, must: bool = False) -> Worker | None:
         """The least loaded worker that can take this heat; where one must, rather ejected than warming."""
         ready = [w for w in self.manager.ready_workers() if w is not excluded and w not in self.blocked]
         able = [w for w in ready if w.usable and self.can_take(w, heat)]
@@ -87,7 +88,7 @@
             able = [w for w in able if w.usable] or able
         return min(able, key=lambda w: (self.relative_load(w) + heat / w.weight, w.name), default=None)
 
-    def move(self, slice, target, urgent):
+    def move(self, slice: Slice, target: Worker, urgent: bool) -> None:
         """Move a slice's primary route to another worker, and account for it."""
         heat, source = slice.estimate(), slice.primary
         self.own_loads[source] -= heat
@@ -105,7 +106,7 @@
         standby = slice.standby if keeps else self.choose_standby(target)
         self.manager.schedule(slice.assign_workers, target, standby, urgent)
 
-    def choose_standby(self, primary):
+    def choose_standby(self, primary: Worker) -> Worker | None:
         """A warm worker for the standby route, of another zone if possible; None on single-owner sites."""
         allowed = not self.manager.settings.single_owner
         able = [w for w in self.manager.usable_workers() if allowed and w is not primary and w.is_warm]
--- a/bramblewood/policy/manager.py
+++ b/bramblewood/policy/manager.py
@@ -5,8 +5,9 @@
 """
 
 import zlib
+from collections.abc import Iterable
 
-from ..events import READY, SetTimer
+from ..events import READY, Event, Order, SetTimer
 from ..policy_base import parameters
 from ..policy_base.averages import mean, median
 from ..policy_base.dispatch import Dispatcher
@@ -21,7 +22,7 @@
 class Planner(Rebalancing, Failover):
     """The design's rule, and the urgent moves around it."""
 
-    def cycle(self):
+    def cycle(self) -> None:
         """Once a cycle: end it for slices and workers, then eject, prepare and rebalance."""
         manager = self.manager
         self.forget_workers()
@@ -42,7 +43,7 @@
         self.prepare_for_surge()
         self.rebalance()
 
-    def forget_workers(self):
+    def forget_workers(self) -> None:
         """Forget those long deregistered: ids are new all day, and one that was cut off returns sooner."""
         named = {worker for slice in self.manager.own_slices() for worker in slice.routes}
         self.manager.workers = {
@@ -68,7 +69,7 @@
         self.utilization_known = "utilization" in settings.load_fields
         self.operations_by_value = sorted(range(len(operations)), key=lambda k: operations[k].billed_value)
 
-    def handle(self, now, batch):
+    def handle(self, now: float, batch: Iterable[Event]) -> list[Order]:
         """Take in a batch of events, in order, and return the orders that follow from it."""
         self.now, self.orders = now, []
         if self.next_turn_at is None:
@@ -90,27 +91,27 @@
         self.run()
         return self.orders
 
-    def worker(self, name):
+    def worker(self, name: str) -> Worker:
         """The worker of this name; one that no list has named, only the store, counts as deregistered."""
         return self.workers.get(name) or self.workers.setdefault(name, Worker(self, name))
 
-    def slice(self, number):
+    def slice(self, number: int) -> Slice:
         """The slice of this number, new where it was never assigned."""
         return self.slices.get(number) or self.slices.setdefault(number, Slice(self, number))
 
-    def random_fraction(self):
+    def random_fraction(self) -> float:
         """A number of the seeded sequence, from 0 to 1."""
         self.random_count += 1
         return zlib.crc32(f"{self.seed}:{self.random_count}".encode()) / 2**32
 
-    def ready_workers(self):
+    def ready_workers(self) -> list[Worker]:
         """Workers that are listed ready, ejected ones too."""
         return [worker for worker in self.workers.values() if worker.state == READY]
 
-    def usable_workers(self):
+    def usable_workers(self) -> list[Worker]:
         """Workers that are listed ready and not ejected."""
         return [worker for worker in self.workers.values() if worker.usable]
 
-    def own_slices(self):
+    def own_slices(self) -> list[Slice]:
         """Slices that are assigned to this manager."""
         return [slice for slice in self.slices.values() if slice.assigned]
--- a/bramblewood/policy/publishing.py
+++ b/bramblewood/policy/publishing.py
@@ -6,6 +6,7 @@
 from ..policy_base import parameters
 from ..policy_base.sent_messages import MessageDraft, SentMessages
 from .slices import Slice
+from .workers import Worker
 
 
 class Publisher:
@@ -17,45 +18,45 @@
         self.sent, self.defaults_due = SentMessages(), False
         self.excluded = {}  # by name of an excluded worker: whether all proxies were told
 
-    def enqueue(self, slice, urgent):
+    def enqueue(self, slice: Slice, urgent: bool) -> None:
         """Queue a slice's table; one that is urgent already stays so."""
         urgent = urgent or slice in self.urgent
         (self.ordinary if urgent else self.urgent).pop(slice, None)
         (self.urgent if urgent else self.ordinary)[slice] = None
 
-    def renew(self):
+    def renew(self) -> None:
         """A proxy joined, or a slice was assigned: it has default rules, and may know no exclusion."""
         self.defaults_due = True
         self.excluded = dict.fromkeys(self.excluded, False)
         own = [slice for slice in self.manager.own_slices() if slice not in self.urgent]
         self.ordinary |= dict.fromkeys(own if self.excluded else ())
 
-    def is_excluded(self, worker):
+    def is_excluded(self, worker: Worker) -> bool:
         """Whether all proxies were told to keep away from a worker that is draining or gone."""
         return worker.state != READY and self.excluded.get(worker.name, False)
 
-    def is_rate_limited(self):
+    def is_rate_limited(self) -> bool:
         """Whether the number of messages allowed forbids another one now."""
         allowed, span = self.manager.settings.max_messages, self.manager.settings.messages_window
         interval = span / (allowed * parameters.MESSAGES_SHARE) if allowed else 0.0
         many = len(self.sent.messages) * interval >= span
         return bool(interval) and (many or self.manager.now < self.sent.last_sent_at() + interval)
 
-    def line_limit(self):
+    def line_limit(self) -> float:
         """Lines that may wait in the channel, so that a drain still gets through in time."""
         settings = self.manager.settings
         rate, most = settings.lines_per_second, settings.max_waiting_lines
         spare = settings.drain_grace - settings.longest_delay
         return min(parameters.WAITING_SHARE * most, rate * max(spare, parameters.TURN_INTERVAL) / 2 or most)
 
-    def next_slices(self, turn):
+    def next_slices(self, turn: bool) -> list[Slice]:
         """The slices to publish, in order: all urgent ones, in a turn a tenth of the others."""
         slices = sorted(self.urgent, key=Slice.publishing_priority)
         if turn:
             slices += list(self.ordinary)[: math.ceil(len(self.ordinary) / parameters.TURNS_TO_PUBLISH)]
         return slices
 
-    def flush(self, turn):
+    def flush(self, turn: bool) -> None:
         """Send what the channel can take: exclusions, a route each, then tables as far as they fit."""
         self.sent.expire(self.manager.now, self.manager.settings.messages_window)
         if self.is_rate_limited():
@@ -73,7 +74,7 @@
         hasty = any(s.closed_workers() or s.routes.get(s.primary) != 1.0 for s in self.urgent)
         fitting = (urgent_limit - waiting) // (proxies or 1) - header - len(defaults)  # all may never fit
         closed = list(dict.fromkeys(w for s in slices for w in s.closed_workers()))[: max(int(fitting), 0)]
-        orders = [*defaults, *(ExcludeWorker(worker.name, True) for worker in closed)]
+        orders: list = [*defaults, *(ExcludeWorker(worker.name, True) for worker in closed)]
         draft = MessageDraft(orders, header, proxies, waiting)
         too_soon = now < self.sent.last_sent_at() + parameters.TURN_INTERVAL * (1 + (waiting > 0))
         if too_soon and not closed and not from_warming:  # headers fill a channel
@@ -88,7 +89,7 @@
             number = self.sent.add(now, draft.lines, set(self.manager.proxies))
             self.manager.orders += [*draft.orders, RequestAcknowledgement(number)]
 
-    def add_tables(self, draft, slices, hasty, limit):
+    def add_tables(self, draft: MessageDraft, slices: list[Slice], hasty: bool, limit: float) -> None:
         """Add the changes of tables in order, as far as they fit; where it is hasty, what is urgent first."""
         for slice in slices:
             urgent = hasty and slice in self.urgent
--- a/bramblewood/policy/slices.py
+++ b/bramblewood/policy/slices.py
@@ -4,22 +4,23 @@
 from ..policy_base import parameters
 from ..policy_base.averages import mean
 from ..policy_base.state import SliceState
+from .workers import Worker
 
 
 class Slice(SliceState):
     """A slice's estimates of heat, and the changes that its table needs."""
 
-    def set_assigned(self, assigned):
+    def set_assigned(self, assigned: bool) -> None:
         """The store assigned the slice or took it away: nothing is known of its table."""
         self.assigned, self.routes = assigned, {}
         self.primary = self.standby = self.admission = None
         self.manager.schedule(self.manager.publisher.renew)
 
-    def set_published(self, routes, admission):
+    def set_published(self, routes: dict, admission: list) -> None:
         """The orders to this table went out."""
         self.routes, self.admission = routes, admission
 
-    def end_cycle(self):
+    def end_cycle(self) -> None:
         """One estimate of heat with the design's trend: heat now x (1 + growth), the factor in bounds."""
         heat = sum(rate for rate, valid_until in self.latest.values() if valid_until > self.manager.now)
         if self.has_new_heat or not heat:
@@ -28,37 +29,37 @@
             self.estimates.append(heat * min(max(trend, lowest), highest))
             self.previous_heat, self.has_new_heat = heat, False
 
-    def estimate(self):
+    def estimate(self) -> float:
         """The heat averaged over the last reports; an average slice's before the first one."""
         return mean(self.estimates) if self.estimates else self.manager.planner.typical_heat
 
-    def assign_workers(self, primary, standby, urgent):
+    def assign_workers(self, primary: Worker, standby: Worker | None, urgent: bool) -> None:
         """Name the workers that are to serve the slice, and queue its table."""
         self.primary, self.standby = primary, standby
         self.manager.schedule(self.manager.publisher.enqueue, self, urgent)
 
-    def closed_workers(self):
+    def closed_workers(self) -> list[Worker]:
         """Workers with a route that are draining or gone, and that not all proxies know to be excluded."""
         is_excluded = self.manager.publisher.is_excluded
         return [worker for worker in self.routes if worker.state != READY and not is_excluded(worker)]
 
-    def is_unserved(self):
+    def is_unserved(self) -> bool:
         """Whether no route leads to a usable worker."""
         return not any(worker.usable for worker in self.routes)
 
-    def leaves_warming_worker(self):
+    def leaves_warming_worker(self) -> bool:
         """Whether its traffic still goes to a worker in slow start that is not to keep it."""
         return any(
             weight == 1.0 and worker is not self.primary and worker.usable and not worker.is_warm
             for worker, weight in self.routes.items()
         )
 
-    def publishing_priority(self):
+    def publishing_priority(self) -> tuple[bool, ...]:
         """The order in which urgent tables go: unserved, closed and warming workers first, new primaries."""
         closed, warming = self.closed_workers(), self.leaves_warming_worker()
         return not self.is_unserved(), not closed, not warming, self.primary in self.routes
 
-    def standby_weight(self):
+    def standby_weight(self) -> float:
         """The weight of the standby route: more for a strained primary where proxies pick the less loaded."""
         primary, standby = self.primary, self.standby
         spare = standby and standby.usable and not standby.retries_cut and standby.is_warm
@@ -67,7 +68,7 @@
         reports = parameters.REPORTS_HELD if primary.report_gap > 1 else parameters.REPORTS_AVERAGED
         return parameters.OVERFLOW_WEIGHT if primary.is_over_limit(reports) else parameters.STANDBY_WEIGHT
 
-    def changes(self, urgent):
+    def changes(self, urgent: bool) -> tuple[dict, list | None, list]:
         """The routes and admission that the table should have, and the orders that bring it there.
 
         New routes come first. Where it is urgent, an unserved slice gets its primary route alone, and two
--- a/bramblewood/policy/workers.py
+++ b/bramblewood/policy/workers.py
@@ -2,7 +2,7 @@
 
 import math
 
-from ..events import DEREGISTERED, READY, WorkerEjected
+from ..events import DEREGISTERED, READY, ListedWorker, WorkerEjected
 from ..policy_base import parameters
 from ..policy_base.averages import is_usable, mean
 from .admission import AdmissionControl
@@ -16,32 +16,31 @@
         self.reset_measurements(len(manager.settings.operations))
 
     @property
-    def usable(self):
+    def usable(self) -> bool:
         """Whether it is listed ready and not ejected."""
         return self.state == READY and self.ejected_until <= self.manager.now
 
     @property
-    def is_warm(self):
+    def is_warm(self) -> bool:
         """Whether its slow start is over."""
         return self.warmth() >= 1.0
 
-    def warmth(self):
+    def warmth(self) -> float:
         """The share of its capacity that it surely has in its slow start, from `slow_start_minimum` to 1."""
         settings, age = self.manager.settings, self.manager.now - self.warming_since
         least, window = settings.slow_start_minimum, settings.slow_start_window
         return 1.0 if age >= window else least + (1 - least) * max(age, 0.0) / window
 
-    def is_over_limit(self, reports=parameters.REPORTS_AVERAGED):
+    def is_over_limit(self, reports: int = parameters.REPORTS_AVERAGED) -> bool:
         """Whether its own reports show it over the limit; true where they don't tell utilization."""
         average = mean([*self.loads][-reports:])
         return not self.manager.utilization_known or average > parameters.CAPACITY_LIMIT
 
-    def may_return(self):
+    def may_return(self) -> bool:
         """Whether it is listed, or was heard so lately that it may have been cut off and returns."""
-        lately = self.cycles_without_report < parameters.FORGET_AFTER
-        return self.state != DEREGISTERED or lately
+        return self.state != DEREGISTERED or self.cycles_without_report < parameters.FORGET_AFTER
 
-    def update(self, entry):
+    def update(self, entry: ListedWorker) -> None:
         """Take over its entry of the worker list."""
         started = entry.started if is_usable(entry.started) else parameters.LONG_AGO
         publisher = self.manager.publisher
@@ -56,7 +55,7 @@
         self.started, self.state, self.zone = started, entry.state, entry.zone
         self.weight = entry.weight if is_usable(entry.weight) and entry.weight > 0 else 1.0
 
-    def eject(self, reason):
+    def eject(self, reason: str) -> None:
         """Out of use for a while, longer each time in a row; back in slow start, one slice at a time."""
         duration = parameters.EJECTION_TIME * 2**self.ejections
         self.ejections = min(self.ejections + 1, parameters.MAX_EJECTIONS_COUNTED)
@@ -65,7 +64,7 @@
         self.manager.orders.append(WorkerEjected(self.name, self.ejected_until, self.ejections))
         self.manager.log(f"worker {self.name} out of use for {duration:.0f} s: {reason}")
 
-    def end_cycle(self, median_load, expected_load):
+    def end_cycle(self, median_load: float, expected_load: float) -> None:
         """Average the cycle's reports, at most so many times the median load, and adjust admission."""
         if self.new_loads:  # an overloaded worker's queue must not make all others look idle
             self.report_gap, self.cycles_without_report = self.cycles_without_report + 1, 0
