--- a/benchmarks/turn.py
+++ b/benchmarks/turn.py
@@ -73,7 +73,7 @@
         stage = Ledger(terms, SETTINGS, "1", lambda: now[0], Quiet())
     manager, marks, took = Manager(1, replace(SETTINGS, slices=proxies, proxies=proxies)), [], 0.0
     entries = [events.ListedWorker(f"w{k}", events.READY, zone="ab"[k % 2]) for k in range(workers)]
-    batch = [events.WorkersListed(tuple(entries), True, True, 1), *(stage.begin() if stage else [])]
+    batch = [events.WorkersListed(tuple(entries), True, True, 1), *(stage.start() if stage else [])]
     batch += [events.ProxyJoined(p, "a", 5.0) for p in range(proxies)]
     for number in range(proxies):
         batch += [events.SliceAssigned(number, True), events.RouteStored(number, f"w{number % workers}", 1.0)]
@@ -93,10 +93,10 @@
         began = time.perf_counter()
         if stage:
             _, orders = stage.turn(now[0], 0.2)
-            heard = stage.hear(now[0], batch)
-            orders += stage.say_orders(now[0], manager.handle(now[0], heard))
+            heard = stage.filter_events(now[0], batch)
+            orders += stage.filter_orders(now[0], manager.handle(now[0], heard))
             for order in orders:
-                stage.carried(order)
+                stage.order_applied(order)
         else:
             orders = manager.handle(now[0], batch)
         took += time.perf_counter() - began
@@ -104,7 +104,7 @@
         batch = []
         now[0] += 0.25
     if stage:
-        stage.end()
+        stage.close()
     return took
 
 
--- a/bramblewood/ledger/stage.py
+++ b/bramblewood/ledger/stage.py
@@ -71,7 +71,7 @@
 
     # --- the start
 
-    def begin(self) -> list[events.Event]:
+    def start(self) -> list[events.Event]:
         """What the module is told behind its first list."""
         now, store, memory = self.clock(), self.store, self.memory
         with store.snapshot() as snapshot:
@@ -105,17 +105,17 @@
         self.say()
         return batch
 
-    def forgotten(self) -> list[events.Event]:
+    def policy_restarted(self) -> list[events.Event]:
         """The module began anew: what it is told behind its first list."""
         self.memory.forgotten()
         return self.memory.opening(self.clock())
 
     # --- the turn
 
-    def hear(self, now: float, batch: list[events.Event]) -> list[events.Event]:
+    def filter_events(self, now: float, batch: list[events.Event]) -> list[events.Event]:
         return self.memory.hear(now, batch)
 
-    def say_orders(self, now: float, orders: list[events.Order]) -> list[events.Order]:
+    def filter_orders(self, now: float, orders: list[events.Order]) -> list[events.Order]:
         """The orders of a turn, less those that wait for the disc."""
         outcome = self.memory.weigh(now, orders)
         for order in orders:
@@ -188,11 +188,11 @@
             self.scheduler.run(now, busy)
         going = self.release(now) if self.queue or self.stuck else []
         if due:
-            going += self.say_orders(now, due)
+            going += self.filter_orders(now, due)
         self.say()
         return [back] if back else [], going
 
-    def safe(self, orders: list[events.Order]) -> list[events.Order]:
+    def fallback_orders(self, orders: list[events.Order]) -> list[events.Order]:
         """What may go when the ledger itself has failed: all but tries of operations with effects."""
         kinds = [operation.kind for operation in self.memory.operations]
         return [
@@ -206,14 +206,14 @@
             )
         ]
 
-    def carried(self, order: events.Order) -> None:
+    def order_applied(self, order: events.Order) -> None:
         """The relay has carried out an order; a further try's end is made lasting with the next flush."""
         now = self.clock()
         self.memory.carried(now, order)
         if "try carried out" in self.memory.classes:
             self.committed_at = min(self.committed_at, now - TRAIL)
 
-    def waker(self) -> int | None:
+    def wake_descriptor(self) -> int | None:
         """A descriptor that is to wake the loop, or None; it may change."""
         return self.store.flusher.waker()
 
@@ -247,11 +247,11 @@
     def work_failed(self, name: str, problem: Exception) -> None:
         self.log.warning("background work failed", name=name, why=repr(problem))
 
-    def renew(self, terms: Any) -> None:
+    def update_terms(self, terms: Any) -> None:
         """New terms from the operator's file: what can act at once does."""
         self.terms, self.scheduler.full, self.memory.keep = terms, terms.background, terms.keep
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Promise what waits and let go of the folder."""
         self.memory.alive(self.clock())
         self.write(self.clock())
--- a/bramblewood/net/program/service.py
+++ b/bramblewood/net/program/service.py
@@ -107,7 +107,7 @@
         )
 
         try:
-            self.stages = turn_stages.begin(bylaws, settings, charter.seed, self.loop.now, self.log)
+            self.stages = turn_stages.start_stages(bylaws, settings, charter.seed, self.loop.now, self.log)
         except Exception as problem:  # whatever the folder or its files raise: nothing was begun
             self.listener.close()
             raise Faulty(f"store.folder: {bylaws.store.folder}: {problem}") from None
@@ -116,7 +116,7 @@
         """An order that the relay took."""
         self.news.carried(order)
         for stage in self.stages:
-            stage.carried(order)
+            stage.order_applied(order)
 
     def inbox_tell(self, event: events.Event) -> None:
         self.inbox.append(event)
@@ -146,7 +146,7 @@
         except Unreadable as problem:
             self.log.warning("known list not usable", why=str(problem))
         for stage in self.stages:
-            self.inbox += stage.begin()
+            self.inbox += stage.start()
         if not self.charter.facts.must_request_list:
             self.discovery.start()
         self.news.start()
@@ -173,7 +173,7 @@
         if self.inbox and self.manager:
             batch, self.inbox = self.inbox, []
             for stage in self.stages:
-                batch = self.staged(stage.hear, batch, batch)
+                batch = self.staged(stage.filter_events, batch, batch)
             try:
                 orders = self.manager.handle(self.loop.now(), batch)
             except Exception:  # whatever the module raises: it starts anew, and the manager goes on
@@ -182,7 +182,9 @@
                 self.loop.after(AGAIN_AFTER, self.begin_again)
                 return
             for stage in self.stages:
-                orders = self.staged(stage.say_orders, orders, lambda stage=stage, of=orders: stage.safe(of))
+                orders = self.staged(
+                    stage.filter_orders, orders, lambda stage=stage, of=orders: stage.fallback_orders(of)
+                )
             try:
                 self.carry_out(orders)
             except Exception as problem:  # an order that no protocol can express must not end the process
@@ -208,7 +210,7 @@
         span, self.turned_at = now - self.turned_at, now
         busy = min(max(1 - self.loop.waited / span, 0.0), 1.0) if span > 0 else 0.0
         for k, stage in enumerate(self.stages):
-            if (waker := stage.waker()) != self.wakers.get(k):
+            if (waker := stage.wake_descriptor()) != self.wakers.get(k):
                 self.loop.watch_number(waker, self.wakers.get(k))
                 self.wakers[k] = waker
             try:
@@ -263,7 +265,7 @@
             return
         self.bylaws, now, later = bylaws.renewed(self.bylaws, told)
         for stage in self.stages:
-            stage.renew(self.bylaws.store)
+            stage.update_terms(self.bylaws.store)
         self.log.info("new operator's file taken", at_once=now, at_the_next_start=later)
 
     def begin_again(self) -> None:
@@ -271,7 +273,7 @@
         self.begin_module()
         self.discovery.forgotten()
         for stage in self.stages:
-            self.inbox += stage.forgotten()
+            self.inbox += stage.policy_restarted()
         self.news.forgotten()
 
     def carry_out(self, orders: list[events.Order]) -> None:
@@ -313,7 +315,7 @@
             self.turn()
         for stage in self.stages:
             try:
-                stage.end()
+                stage.close()
             except Exception as problem:
                 self.log.warning("stage not ended", why=repr(problem))
         self.log.info("stopped")
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -66,7 +66,7 @@
         if self.with_ledger:
             store = Store(self.disc.port(), self.clock, new_id=lambda: self.disc.dice.randbytes(16))
             self.stage = Ledger(TERMS, self.settings, str(self.life), self.clock, self.log, store)
-            batch += self.stage.begin()
+            batch += self.stage.start()
         batch += [events.ProxyJoined(p, "a", 5.0) for p in range(2)]
         for number, table in self.tables.items():
             batch.append(events.SliceAssigned(number, True))
@@ -94,10 +94,10 @@
 
     def hand(self, batch):
         if self.stage:
-            batch = self.stage.hear(self.now, batch)
+            batch = self.stage.filter_events(self.now, batch)
         orders = self.manager.handle(self.now, batch)
         if self.stage:
-            orders = self.stage.say_orders(self.now, orders)
+            orders = self.stage.filter_orders(self.now, orders)
         self.carry(orders)
 
     def carry(self, orders):
@@ -120,7 +120,7 @@
                 case events.RequestAcknowledgement(number):
                     self.marks.append((self.now + 0.3, number))
             if self.stage and isinstance(order, events.SetRoute | events.SetAdmission):
-                self.stage.carried(order)
+                self.stage.order_applied(order)
 
     def let_in(self, n, k, level, retry):
         old_level, old, life = self.levels[n, k]
@@ -373,27 +373,27 @@
     """Guards the order of things: tables go, further tries wait, a later order makes a waiting one void."""
     now, disc, log = [1000.0], Disc(), Log()
     stage = Ledger(TERMS, SETTINGS, "1", lambda: now[0], log, Store(disc.port(), lambda: now[0]))
-    stage.begin()
+    stage.start()
     disc.refusals["flush"] = lambda: errno.EIO
     tries, line = events.SetAdmission(3, (1,), 1.0, events.RETRY_UNSTARTED), events.SetRoute(3, "a", 1.0)
-    assert stage.say_orders(now[0], [line, tries, events.RequestAcknowledgement(1)]) == []
+    assert stage.filter_orders(now[0], [line, tries, events.RequestAcknowledgement(1)]) == []
     went = []
     for _ in range(8):
         now[0] += 0.1
         went += stage.turn(now[0], 0.0)[1]
     assert [type(order) for order in went] == [events.SetRoute, events.RequestAcknowledgement]
-    went += stage.say_orders(now[0], [tries])  # asked for again: still not promised, so still not sent
+    went += stage.filter_orders(now[0], [tries])  # asked for again: still not promised, so still not sent
     now[0] += 0.3
     went += stage.turn(now[0], 0.0)[1]
     assert tries not in went
     none = events.SetAdmission(3, (1,), 0.5, events.NO_RETRY)
-    went += stage.say_orders(now[0], [none])
+    went += stage.filter_orders(now[0], [none])
     del disc.refusals["flush"]
     for _ in range(200):
         now[0] += 0.5
         went += stage.turn(now[0], 0.0)[1]
     assert none in went and tries not in went  # the older one must not come out behind it
-    assert stage.say_orders(now[0], [tries]) + stage.turn(now[0], 0.0)[1] == [tries]
+    assert stage.filter_orders(now[0], [tries]) + stage.turn(now[0], 0.0)[1] == [tries]
     said = [what for what, _ in log.said]
     assert said.count("store can't write") == 1 and said.count("store writes again") == 1
 
@@ -499,26 +499,26 @@
     now, folder = [1000.0], Folder(str(tmp_path / "store"))
     flusher = Apart(folder)
     stage = Ledger(TERMS, SETTINGS, "1", lambda: now[0], Log(), Store(folder, lambda: now[0], flusher))
-    stage.begin()
+    stage.start()
     while stage.store.promised < stage.store.number:
-        select.select([stage.waker()], [], [], 5.0)
+        select.select([stage.wake_descriptor()], [], [], 5.0)
         stage.turn(now[0], 0.0)
     flusher.process.send_signal(signal.SIGSTOP)
     line, tries = events.SetRoute(3, "a", 1.0), events.SetAdmission(3, (1,), 1.0, events.RETRY_UNSTARTED)
-    went = stage.say_orders(now[0], [line, tries])
+    went = stage.filter_orders(now[0], [line, tries])
     for _ in range(10):
         now[0] += 0.1
         went += stage.turn(now[0], 0.0)[1]
     assert went == [line]
     flusher.process.send_signal(signal.SIGCONT)
     for _ in range(20):
-        select.select([stage.waker()], [], [], 1.0)
+        select.select([stage.wake_descriptor()], [], [], 1.0)
         went += stage.turn(now[0], 0.0)[1]
         if len(went) > 1:
             break
     assert went == [line, tries]
     flusher.process.send_signal(signal.SIGSTOP)
-    stage.end()  # guards against a stop that waits for a disc that hangs
+    stage.close()  # guards against a stop that waits for a disc that hangs
     flusher.process.send_signal(signal.SIGCONT)
     assert flusher.process.wait(5) == 0
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -183,7 +183,7 @@
     yield site
     site.close()
     for stage in site.service.stages:
-        stage.end()
+        stage.close()
 
 
 def test_a_stage_that_raises_is_passed_over_and_lets_no_further_try_through(kept_site):
