--- a/bramblewood/emulator/network.py
+++ b/bramblewood/emulator/network.py
@@ -1,80 +1,96 @@
-"""The wire between managers: one relay a machine, which can be cut. Bytes of a cut connection stay where
-they are.
+"""The network between machines: one relay a machine, which can be partitioned off.
 
-Managers listen and dial from an address of their own (`BindIp`) and know each other by the relays' addresses;
-so a relay knows both ends of each connection by their addresses.
+Controllers and proxies listen and dial from an inner address of their own (`BindIp`) and know each other by
+the relays' outer addresses; so a relay knows both ends of each connection by their addresses.
+Bytes of a cut connection stay where they are.
 """
 
 import asyncio
 
-AT_ONCE = 2**16  # bytes
+READ_SIZE = 2**16  # bytes
 
+Ends = tuple[str, str]  # outer addresses of the machine that dials and of the one that listens
+
+
+class Network:
+    """All relays of a run."""
 
-class Wire:
     def __init__(self) -> None:
-        self.cuts: set[str] = set()  # machines, by their outer address
+        self.partitioned: set[str] = set()  # machines, by their outer address
         self.healed = asyncio.Event()
-        self.outer: dict[str, str] = {}  # by inner address
+        self.outer_addresses: dict[str, str] = {}  # by inner address
         self.servers: list[asyncio.Server] = []
-        self.joints: dict[tuple[str, str], set[asyncio.StreamWriter]] = {}  # by both ends, what stands
+        self.connections: dict[Ends, set[asyncio.StreamWriter]] = {}
 
-    async def relay(self, outer: str, inner: str, port: int) -> None:
-        self.outer[inner] = outer
+    async def start_relay(self, outer: str, inner: str, port: int) -> None:
+        """Relay connections to a port of a machine's outer address to its inner one."""
+        self.outer_addresses[inner] = outer
 
-        async def take(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            source = self.outer.get(writer.get_extra_info("peername")[0], "")
-            await self.joined(reader, writer, (source, outer), inner, port)
+        async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            source = self.outer_addresses.get(writer.get_extra_info("peername")[0], "")
+            await self._relay_connection(reader, writer, (source, outer), inner, port)
 
-        self.servers.append(await asyncio.start_server(take, outer, port))
+        self.servers.append(await asyncio.start_server(accept, outer, port))
 
-    async def joined(self, reader, writer, ends: tuple[str, str], inner: str, port: int) -> None:
-        other, joint = None, self.joints.setdefault(ends, set())
-        joint.add(writer)
+    async def _relay_connection(
+        self,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        ends: Ends,
+        inner: str,
+        port: int,
+    ) -> None:
+        target_writer, connections = None, self.connections.setdefault(ends, set())
+        connections.add(writer)
         try:
-            await self.open(ends)
-            back, other = await asyncio.open_connection(inner, port)
-            ways = [self.pump(reader, other, ends), self.pump(back, writer, ends)]
-            _, left = await asyncio.wait(map(asyncio.ensure_future, ways), return_when="FIRST_COMPLETED")
-            for way in left:
-                way.cancel()
+            await self._until_joined(ends)
+            target_reader, target_writer = await asyncio.open_connection(inner, port)
+            directions = [
+                asyncio.ensure_future(self._copy(reader, target_writer, ends)),
+                asyncio.ensure_future(self._copy(target_reader, writer, ends)),
+            ]
+            _, unfinished = await asyncio.wait(directions, return_when="FIRST_COMPLETED")
+            for direction in unfinished:
+                direction.cancel()
         except OSError:
             pass
         finally:
-            joint.discard(writer)
-            for one in (writer, other):
+            connections.discard(writer)
+            for one in (writer, target_writer):
                 if one is not None:
                     one.transport.abort()
 
-    async def open(self, ends: tuple[str, str]) -> None:
-        while self.cuts.intersection(ends):
+    async def _until_joined(self, ends: Ends) -> None:
+        while self.partitioned.intersection(ends):
             await self.healed.wait()
 
-    async def pump(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, ends: tuple[str, str]
-    ) -> None:
+    async def _copy(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, ends: Ends) -> None:
         try:
-            while data := await reader.read(AT_ONCE):
-                await self.open(ends)
+            while data := await reader.read(READ_SIZE):
+                await self._until_joined(ends)
                 writer.write(data)
                 await writer.drain()
         except OSError:
             pass
 
-    def cut(self, outer: str) -> None:
-        self.cuts.add(outer)
+    def partition(self, outer: str) -> None:
+        """Cut a machine off from all others, until `heal`."""
+        self.partitioned.add(outer)
 
     def heal(self, outer: str) -> None:
-        self.cuts.discard(outer)
+        """Let a machine's bytes through again."""
+        self.partitioned.discard(outer)
         self.healed.set()
         self.healed = asyncio.Event()
 
     def reset(self, outer: str) -> None:
         """Break off all connections of a machine; what is on its way there is lost."""
-        for ends, joint in self.joints.items():
+        for ends, connections in self.connections.items():
             if outer in ends:
-                for writer in joint:
+                for writer in connections:
                     writer.transport.abort()
 
-    def end(self) -> None:
+    def close(self) -> None:
+        """Accept no further connections."""
         for server in self.servers:
             server.close()
--- a/bramblewood/emulator/processes.py
+++ b/bramblewood/emulator/processes.py
@@ -1,15 +1,32 @@
-"""Settings files and processes of a gateway on loopback."""
+"""Settings files and processes of a gateway on loopback, of this text of the repository or of another."""
 
 import asyncio
 import json
 import os
 import pathlib
 import sys
+from typing import NamedTuple
 
-ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
+CHECKOUT = pathlib.Path(__file__).resolve().parent.parent.parent
 
 
-def boot(
+class Release(NamedTuple):
+    """A text of the repository that programs can be started from, and its names of the two programs."""
+
+    checkout: pathlib.Path
+    proxy: str = "proxy"
+    controller: str = "controller"
+
+
+CURRENT = Release(CHECKOUT)
+
+
+def earlier_release(checkout: str) -> Release:
+    """A checkout with the names that the programs had first; later texts know them too."""
+    return Release(pathlib.Path(checkout).resolve(), "desk", "archive")
+
+
+def write_settings(
     path: str,
     ip: str,
     seeds: list[str],
@@ -21,7 +38,11 @@
     notice: bool = True,
     first: bool = True,
 ) -> str:
-    """Write a settings file; zones: the machine's own and all; first: `FirstBoot`. Its path."""
+    """Write a settings file; its path.
+
+    inner: first port of `PortRange`. listen: `BindMap`. zones: the machine's own and all. bind: `BindIp`.
+    notice: `NoticeCrowds`. first: `FirstBoot`.
+    """
     folder, name = os.path.split(path)
     lines = [
         f'NodeName = "{name.removesuffix(".toml")}"',
@@ -37,26 +58,28 @@
         "[Zones]",
         *(f'{zone} = "lab"' for zone in zones[1]),
         "[BindMap]",
-        *(f'{key} = "{place}"' for key, place in listen.items()),
+        *(f'{listener} = "{address}"' for listener, address in listen.items()),
     ]
     pathlib.Path(path).write_text("\n".join(lines) + "\n")
     return path
 
 
-async def start(words: list[str], path: str, log: str | None = None) -> asyncio.subprocess.Process:
-    """A program of ours by its settings file; its log goes to a file, or nowhere."""
-    out = open(log, "ab") if log else asyncio.subprocess.DEVNULL
+async def start(
+    arguments: list[str], settings: str, log: str | None = None, checkout: pathlib.Path = CHECKOUT
+) -> asyncio.subprocess.Process:
+    """A `bramblewood` process of a checkout by its settings file; its output goes to a file, or nowhere."""
+    output = open(log, "ab") if log else asyncio.subprocess.DEVNULL
     try:
         return await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             "bramblewood",
-            *words,
-            env={**os.environ, "BRAMBLEWOOD_BOOT": path},
-            cwd=ROOT,
-            stdout=out,
-            stderr=out,
+            *arguments,
+            env={**os.environ, "BRAMBLEWOOD_BOOT": settings},
+            cwd=checkout,
+            stdout=output,
+            stderr=output,
         )
     finally:
         if log:
-            out.close()
+            output.close()
--- a/bramblewood/emulator/worker_process.py
+++ b/bramblewood/emulator/worker_process.py
@@ -1,6 +1,4 @@
-"""One stand-in worker as a process of its own, so that it can be killed and frozen: `bramblewood lab
-worker`.
-"""
+"""`bramblewood emulator worker`: a stand-in worker as a process, so that it can be killed and frozen."""
 
 import asyncio
 import itertools
@@ -10,20 +8,24 @@
 import aiohttp
 from aiohttp import web
 
-from .effect_log import Ledger
+from .effect_log import EffectLog
 from .worker_stub import WorkerStub
 
-BEAT = 1.0  # s between calls
-DRAINS = 2.8  # s that it serves on once its leave was acknowledged: DrainS and a little longer, PROTOCOL
-UNHEARD = 5.0  # s after which it ends without an acknowledgement
-SPOILT = 5  # of so many answers one is lost and one goes out twice, while answers are spoilt
+HEARTBEAT_INTERVAL = 1.0  # s between calls
+# s that it serves on once its draining was acknowledged: DrainS and a little longer, PROTOCOL
+DRAIN_TIME = 2.8
+ACKNOWLEDGEMENT_TIMEOUT = 5.0  # s after which it ends without an acknowledgement
+RETRY_INTERVAL = 0.2  # s between two calls that it is draining
+IDLE_POLL_INTERVAL = 0.05  # s between two looks whether requests still run
+SPOILT_ONE_IN = 5  # of so many answers one is lost and one goes out twice, while answers are spoilt
 
 
-def spoiler() -> Callable[[web.BaseRequest, web.Response], None]:
+def answer_spoiler() -> Callable[[web.BaseRequest, web.Response], None]:
+    """Loses and repeats answers in turn."""
     turns = itertools.count()
 
     def spoil(request: web.BaseRequest, answer: web.Response) -> None:
-        turn = next(turns) % SPOILT
+        turn = next(turns) % SPOILT_ONE_IN
         if turn == 0:
             request.transport.abort()
         elif turn == 1:
@@ -34,54 +36,49 @@
     return spoil
 
 
-def listed(path: str) -> list[str]:
+def control_addresses(path: str) -> list[str]:
     """Control addresses as the platform names them now: one a line."""
     with open(path) as file:
         return file.read().split()
 
 
-async def work(
-    service: str,
-    address: tuple[str, int],
-    zone: str,
-    slots: int,
-    keyed: bool,
-    took: float,
-    ledger: str,
-    controls: str,
-    instance_id: str,
-) -> int:
-    """Serve and call until SIGTERM, then leave in order; SIGUSR1 begins and ends the spoiling of answers.
-
-    controls: path of the file that names the archives' Control addresses.
+async def run_worker(worker: WorkerStub, effects: str, controls: str) -> int:
+    """Serve and call until SIGTERM, then drain and end; SIGUSR1 begins and ends the spoiling of answers.
+
+    effects: path of the service's effect log. controls: path of the file that names the controllers' Control
+    addresses. Returns the exit code.
     """
-    one = WorkerStub(service, address, zone, slots, keyed, lambda request: took)
-    one.instance_id = instance_id or one.instance_id
-    one.book = Ledger(ledger)
+    worker.records = EffectLog(effects)
     loop = asyncio.get_running_loop()
-    leaving = asyncio.Event()
-    loop.add_signal_handler(signal.SIGTERM, leaving.set)
+    terminated = asyncio.Event()
+    loop.add_signal_handler(signal.SIGTERM, terminated.set)
 
-    def turn() -> None:
-        one.spoil = None if one.spoil else spoiler()
+    def toggle_spoiling() -> None:
+        worker.spoil = None if worker.spoil else answer_spoiler()
 
-    loop.add_signal_handler(signal.SIGUSR1, turn)
+    loop.add_signal_handler(signal.SIGUSR1, toggle_spoiling)
     async with aiohttp.ClientSession() as session:
-        one.session = session
-        await one.start()
-        while not leaving.is_set():
-            await one.call(session, "PUT", listed(controls))
+        worker.session = session
+        await worker.start()
+        while not terminated.is_set():
+            await worker.call(session, "PUT", control_addresses(controls))
             try:
-                async with asyncio.timeout(BEAT):
-                    await leaving.wait()
+                async with asyncio.timeout(HEARTBEAT_INTERVAL):
+                    await terminated.wait()
             except TimeoutError:
                 pass
-        one.phase, until = "draining", loop.time() + UNHEARD
-        while await one.call(session, "PUT", listed(controls)) is None and loop.time() < until:
-            await asyncio.sleep(0.2)
-        await asyncio.sleep(DRAINS)
-        while one.running or one.waiting:
-            await asyncio.sleep(0.05)
-        await one.call(session, "DELETE", listed(controls))
-        one.stop()
+        await drain(worker, session, controls)
+        await worker.call(session, "DELETE", control_addresses(controls))
+        worker.stop()
     return 0
+
+
+async def drain(worker: WorkerStub, session: aiohttp.ClientSession, controls: str) -> None:
+    """Say that it drains, serve on for a while, and let what runs end."""
+    loop = asyncio.get_running_loop()
+    worker.phase, deadline = "draining", loop.time() + ACKNOWLEDGEMENT_TIMEOUT
+    while await worker.call(session, "PUT", control_addresses(controls)) is None and loop.time() < deadline:
+        await asyncio.sleep(RETRY_INTERVAL)
+    await asyncio.sleep(DRAIN_TIME)
+    while worker.running or worker.waiting:
+        await asyncio.sleep(IDLE_POLL_INTERVAL)
--- a/example/small.py
+++ b/example/small.py
@@ -15,7 +15,7 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 from bramblewood.emulator.operator import configuration  # noqa: E402
-from bramblewood.emulator.processes import boot, start  # noqa: E402
+from bramblewood.emulator.processes import start, write_settings  # noqa: E402
 from bramblewood.emulator.worker_stub import WorkerStub  # noqa: E402
 
 WITHIN = 20.0  # s for the whole
@@ -46,12 +46,14 @@
             try:
                 for n in (1, 2, 3):
                     listen = {"Control": SEEDS[n - 1]}
-                    path = boot(f"{folder}/archive-{n}.toml", f"127.0.0.{n}", SEEDS, PORTS["inner"], listen)
+                    path = write_settings(
+                        f"{folder}/archive-{n}.toml", f"127.0.0.{n}", SEEDS, PORTS["inner"], listen
+                    )
                     processes.append(await start(["controller"], path))
                 for n in (4, 5):
                     ip = f"127.0.0.{n}"
                     listen = {"Front": f"{ip}:{PORTS['front']}", "ReadyProbe": f"{ip}:{PORTS['ready']}"}
-                    path = boot(f"{folder}/desk-{n}.toml", ip, SEEDS, PORTS["inner"], listen)
+                    path = write_settings(f"{folder}/desk-{n}.toml", ip, SEEDS, PORTS["inner"], listen)
                     processes.append(await start(["proxy"], path))
                 for n, (service, keyed) in enumerate((("register", True), ("payments", False))):
                     address = ("127.0.0.6", PORTS["worker"] + n)
