--- a/features/members.feature
+++ b/features/membership_commands.feature
@@ -12,11 +12,11 @@
       | {"Do":"add","New":"core-7"} |
       | {"Do":"force","New":"10.0.0.7"} |
       | {"Do": |
-    Then the members are told "members-calls"
+    Then the membership is shown as "members-calls"
 
-  Scenario: What is shown, sound and thin; orders, taken, refused, and told to go elsewhere
-    When an operator calls an archive that tells of three voters at epoch 3
-      | words                        | change                                                  |
+  Scenario: What is shown with and without a margin; orders that are taken, refused and redirected
+    When an operator calls a controller that shows three voters at epoch 3
+      | command                      | change                                                  |
       | members                      |                                                         |
       | members --json show          |                                                         |
       | members show                 | 10.0.0.5="lost"; margin=0; change="10.0.0.7 for 10.0.0.5" |
@@ -29,30 +29,30 @@
       | members add 10.0.0.7         | answer=[503, {"Failure":"no majority heard in time"}]   |
       | members add 10.0.0.7         | answer=[408, {}]                                        |
       | members add 10.0.0.7         | answer=[429, {}]                                        |
-    Then the members are told "members"
+    Then the membership is shown as "members"
 
-  Scenario: Real archives: seats follow losses, a second loss right after is borne, and orders by hand
-    Given three archives that vote, with a configuration, and a spare
-    When archive 3 is killed and stays away
-    Then archive 4 has its seat, no sooner than its time is up
-    When archive 2 is killed
+  Scenario: Real controllers: seats follow losses, a second loss right after is survived, and orders by command
+    Given three controllers that vote, with a configuration, and a spare
+    When controller 3 is killed and stays away
+    Then controller 4 has its seat, no sooner than its time is up
+    When controller 2 is killed
     Then the configuration is read back and a new one is taken
-    When archives 2 and 3 return
-    Then archive 3 is a spare
-    When archive 2 is told to end
-    Then it has ended in order within GraceS and archive 3 has its seat
-    When archive 4 is killed
+    When controllers 2 and 3 return
+    Then controller 3 is a spare
+    When controller 2 receives SIGTERM
+    Then it has ended in order within GraceS and controller 3 has its seat
+    When controller 4 is killed
     Then the configuration is read back and a new one is taken
-    When archives 2 and 4 return
-    Then archive 2 is a spare
-    When archive 3 is killed and returns with an empty disk
+    When controllers 2 and 4 return
+    Then controller 2 is a spare
+    When controller 3 is killed and returns with an empty disk
     Then its new disk has the seat
-    When archive 4 is killed
+    When controller 4 is killed
     Then the configuration is read back and a new one is taken
-    When archive 4 returns
-    Then archive 2 is a spare
+    When controller 4 returns
+    Then controller 2 is a spare
     When an operator orders
-      | words                               |
+      | command                             |
       | members                             |
       | members --json                      |
       | members remove archive-3            |
@@ -66,15 +66,15 @@
       | members remove archive-9            |
       | members replace archive-4 archive-3 |
       | members add archive-9               |
-    Then the members are told "members-live"
+    Then the membership is shown as "members-live"
     And the configuration is read back and a new one is taken
 
   Scenario: Disks of form 1, which knew no epochs: all is kept, and each seat gets its disk's name
-    Given three archives whose disks the program before epochs has written
+    Given three controllers whose disks the program before epochs has written
     Then they vote on them, each seat with its disk's name, with the configuration that lay there
-    When archive 3 is told to end, with nobody to take its seat
+    When controller 3 receives SIGTERM, with nobody to take its seat
     Then it has ended in order within GraceS
     And the configuration is read back and a new one is taken
-    When archive 3 returns
-    And archive 2 is killed
+    When controller 3 returns
+    And controller 2 is killed
     Then the configuration is read back and a new one is taken
--- a/tests/simulation/membership_commands.py
+++ b/tests/simulation/membership_commands.py
@@ -1,5 +1,5 @@
-"""Who votes, played with real archives on loopback: ended, killed, their disks emptied, by hand. No fixed
-waits: each look at a condition is bounded by WITHIN.
+"""Who votes, with real controllers on loopback: ended, killed, their disks emptied, by command. No fixed
+waits: each look at a condition is bounded by WAIT_TIMEOUT.
 """
 
 import asyncio
@@ -19,16 +19,18 @@
 from bramblewood.common.settings import Bounds
 from bramblewood.controller.consensus.membership import LOST_AFTER_FRACTION
 from bramblewood.emulator.operator import configuration
-from bramblewood.emulator.processes import boot, start
+from bramblewood.emulator.processes import start
+from bramblewood.emulator.processes import write_settings as write_settings_file
 
 INNER, CONTROL = 17640, 18644
-WITHIN = 20.0  # s for each wait; all of them together take less on a machine that is not busy
-LOOK = 0.05  # s between looks
-ASK = 2.0  # s for an answer
+WAIT_TIMEOUT = 20.0  # s for each wait; all of them together take less on a machine that is not busy
+POLL_INTERVAL = 0.05  # s between looks
+ANSWER_TIMEOUT = 2.0  # s for an answer
 ROUTE = ["look", "club.example", "/look/", "pure", 2, 0.5, 1, 2, "register"]
-TAKES_SEAT = Bounds().CatchUpS * LOST_AFTER_FRACTION  # s that a lost voter's seat is kept for it
-# a disk as the program before epochs left it: a row a register, ballots of counter, archive and its life
-FORM_1 = (
+SEAT_KEPT_FOR = Bounds().CatchUpS * LOST_AFTER_FRACTION  # s that a lost voter's seat is kept for it
+# a disk as the program before epochs left it: a row a register; a proposal number is a counter, the
+# controller and its incarnation
+FORM_1_SCHEMA = (
     "create table facts (name text primary key, value text not null)",
     "create table registers (name text primary key, promised text not null, accepted text not null,"
     " value text not null)",
@@ -36,8 +38,8 @@
 )
 
 
-class VoterSet:
-    """Archives by number, one address each, of a net that no other run of the tests has."""
+class ControllerFleet:
+    """Controllers by number, one address each, of a net that no other run of the tests has."""
 
     def __init__(self) -> None:
         pid = os.getpid()
@@ -48,7 +50,7 @@
         self.revision = self.epoch = 0
         self.calls = CliRunner()
 
-    def end(self) -> None:
+    def close(self) -> None:
         for n in list(self.running):
             self.kill(n)
         self.loop.close()
@@ -56,15 +58,20 @@
 
     # --- machines
 
-    def ip(self, n: int) -> str:
+    def address_of(self, n: int) -> str:
         return f"{self.net}.{n}"
 
-    def settle(self, voters: int, all_of_them: int) -> None:
-        """Settings of so many archives; the first are seeds that may found the set of voters."""
-        seeds = [f"{self.ip(n)}:{CONTROL}" for n in range(1, voters + 1)]
+    def write_settings(self, voters: int, all_of_them: int) -> None:
+        """Settings of so many controllers; the first are seeds that may found the set of voters."""
+        seeds = [f"{self.address_of(n)}:{CONTROL}" for n in range(1, voters + 1)]
         for n in range(1, all_of_them + 1):
-            path, listen = f"{self.folder.name}/archive-{n}.toml", {"Control": f"{self.ip(n)}:{CONTROL}"}
-            self.paths[n] = boot(path, self.ip(n), seeds, INNER, listen, first=n <= voters)
+            path, listen = (
+                f"{self.folder.name}/archive-{n}.toml",
+                {"Control": f"{self.address_of(n)}:{CONTROL}"},
+            )
+            self.paths[n] = write_settings_file(
+                path, self.address_of(n), seeds, INNER, listen, first=n <= voters
+            )
 
     def start(self, n: int) -> None:
         begun = start(["controller"], self.paths[n], f"{self.folder.name}/{n}.log")
@@ -76,26 +83,26 @@
         self.loop.run_until_complete(process.wait())
 
     def terminate(self, n: int) -> tuple[int, float]:
-        """End an archive in order; its exit code, and the s that it took."""
+        """End a controller in order; its exit code, and the s that it took."""
         process, began = self.running.pop(n), time.monotonic()
         process.terminate()
-        code = self.loop.run_until_complete(asyncio.wait_for(process.wait(), WITHIN))
+        code = self.loop.run_until_complete(asyncio.wait_for(process.wait(), WAIT_TIMEOUT))
         return code, time.monotonic() - began
 
-    def disk(self, n: int) -> str:
+    def data_folder(self, n: int) -> str:
         return f"{self.paths[n]}.d"
 
-    def empty(self, n: int) -> None:
-        shutil.rmtree(self.disk(n))
+    def delete_disk(self, n: int) -> None:
+        shutil.rmtree(self.data_folder(n))
 
-    def old_disk(self, n: int, voters: int, config: dict) -> None:
+    def write_form_1_disk(self, n: int, voters: int, config: dict) -> None:
         """What the program before epochs had on this disk."""
-        os.makedirs(self.disk(n))
-        base = sqlite3.connect(f"{self.disk(n)}/shelf.db")
-        for sql in FORM_1:
+        os.makedirs(self.data_folder(n))
+        base = sqlite3.connect(f"{self.data_folder(n)}/shelf.db")
+        for sql in FORM_1_SCHEMA:
             base.execute(sql)
-        who = [self.ip(one) for one in range(1, voters + 1)]
-        proposal_number, value = [4, self.ip(1), 7], {"n": 1, "config": config, "past": {"1": "0"}}
+        who = [self.address_of(one) for one in range(1, voters + 1)]
+        proposal_number, value = [4, self.address_of(1), 7], {"n": 1, "config": config, "past": {"1": "0"}}
         rows = {"config": (proposal_number, proposal_number, value), "table": ([0, "", 0], [0, "", 0], None)}
         rows["voters"] = (proposal_number, proposal_number, who)
         base.executemany(
@@ -111,18 +118,18 @@
     def call(self, n: int, port: int, path: str, body: dict | None = None) -> tuple[int, dict]:
         """Status 0: no answer."""
         data = None if body is None else json.dumps(body).encode()
-        url, method = f"http://{self.ip(n)}:{port}{path}", "PUT" if data else "GET"
+        url, method = f"http://{self.address_of(n)}:{port}{path}", "PUT" if data else "GET"
         request = urllib.request.Request(url, data, method=method)
         try:
-            with urllib.request.urlopen(request, timeout=ASK) as answer:
+            with urllib.request.urlopen(request, timeout=ANSWER_TIMEOUT) as answer:
                 return answer.status, json.loads(answer.read())
         except urllib.error.HTTPError as problem:
             return problem.code, {}
         except OSError:
             return 0, {}
 
-    def seen(self, n: int) -> dict:
-        """Who votes as this archive sees it: {"epoch", "states", "disks", "behind"}, by number."""
+    def membership_at(self, n: int) -> dict:
+        """Who votes as this controller sees it: {"epoch", "states", "disks", "behind"}, by number."""
         _, told = self.call(n, INNER, "/view/members")
         shown = told.get("members", {}) | told.get("others", {})
         number = lambda name: int(name.rpartition(".")[2])  # noqa: E731
@@ -133,74 +140,80 @@
             "behind": [name for name, one in shown.items() if one["lag"] is None or any(one["lag"].values())],
         }
 
-    def until(self, what: str, check) -> None:
+    def wait_until(self, what: str, check) -> None:
         """Wait for a condition."""
-        over = time.monotonic() + WITHIN
+        over = time.monotonic() + WAIT_TIMEOUT
         while not check():
-            assert time.monotonic() < over, f"{what}: not within {WITHIN:g} s; {self.everything()}"
-            time.sleep(LOOK)
+            assert time.monotonic() < over, f"{what}: not within {WAIT_TIMEOUT:g} s; {self.describe()}"
+            time.sleep(POLL_INTERVAL)
 
-    def everything(self) -> str:
-        return json.dumps({n: self.seen(n) for n in self.running}, default=sorted)
+    def describe(self) -> str:
+        return json.dumps({n: self.membership_at(n) for n in self.running}, default=sorted)
 
-    def agree(self, states: dict[int, str]) -> None:
+    def wait_for_states(self, states: dict[int, str]) -> None:
         """Wait until all that run see these states, of their own too, at one epoch."""
 
         def check() -> bool:
-            seen = [self.seen(n) for n in self.running]
+            seen = [self.membership_at(n) for n in self.running]
             return all(
                 one["epoch"] == seen[0]["epoch"] and states.items() <= one["states"].items() for one in seen
             )
 
-        self.until(f"states {states}", check)
+        self.wait_until(f"states {states}", check)
 
-    def calm(self) -> None:
+    def wait_until_settled(self) -> None:
         """Wait until all that run are voters or spares of one epoch, and know the newest versions."""
 
         def check() -> bool:
-            seen = [self.seen(n) for n in self.running]
+            seen = [self.membership_at(n) for n in self.running]
             states = {state for one in seen for state in one["states"].values()}
             return states <= {"voter", "spare"} and not any(one["behind"] for one in seen)
 
-        self.until("all in order", check)
+        self.wait_until("all in order", check)
 
-    def config(self, revision: int) -> dict:
+    def configuration(self, revision: int) -> dict:
         parent = f"r{revision - 1}" if revision > 1 else 0
         return configuration(f"r{revision}", [ROUTE], [["register", None]], ParentVersion=parent)
 
-    def put(self) -> None:
-        """The next configuration is taken; told anew, as operators do, until a majority is heard."""
+    def put_configuration(self) -> None:
+        """The next configuration is taken; sent again, as operators do, until a majority is heard."""
         self.revision += 1
-        body = self.config(self.revision)
+        body = self.configuration(self.revision)
         sent = lambda n: self.call(n, CONTROL, "/bramblewood/config", body)[0]  # noqa: E731
-        self.until(f"r{self.revision} taken", lambda: any(sent(n) == 200 for n in self.running))
+        self.wait_until(f"r{self.revision} taken", lambda: any(sent(n) == 200 for n in self.running))
 
-    def reads(self) -> None:
-        """The newest configuration is read back at each archive that runs."""
-        whole = (200, self.config(self.revision))
+    def wait_until_read_back(self) -> None:
+        """The newest configuration is read back at each controller that runs."""
+        expected = (200, self.configuration(self.revision))
         get = lambda n: self.call(n, CONTROL, "/bramblewood/config")  # noqa: E731
-        self.until(f"r{self.revision} read", lambda: all(get(n) == whole for n in self.running))
+        self.wait_until(f"r{self.revision} read", lambda: all(get(n) == expected for n in self.running))
 
-    def log(self, n: int, event: str) -> list[dict]:
+    def log_events(self, n: int, event: str) -> list[dict]:
         with open(f"{self.folder.name}/{n}.log") as file:
             lines = [json.loads(line) for line in file if line.startswith("{")]
         return [line for line in lines if line["event"] == event]
 
     # --- by hand
 
-    def command(self, words: str, at: int) -> list[str]:
-        """A command at one archive, with what differs between runs taken out of its words."""
-        self.epoch = self.epoch or self.seen(at)["epoch"]
-        words = re.sub(r"\barchive-(\d)", lambda found: self.ip(int(found[1])), words)
-        told = self.calls.invoke(gateway, [*words.split(), "--controller", f"{self.ip(at)}:{INNER}"])
-        text = f"$ {words}\n{told.output}exit code {told.exit_code}\n"
-        for pattern, by in (
+    def run_command(self, command: str, at: int) -> list[str]:
+        """A command at one controller, with what differs between runs masked."""
+        self.epoch = self.epoch or self.membership_at(at)["epoch"]
+        command = re.sub(r"\barchive-(\d)", lambda found: self.address_of(int(found[1])), command)
+        result = self.calls.invoke(
+            gateway, [*command.split(), "--controller", f"{self.address_of(at)}:{INNER}"]
+        )
+        text = f"$ {command}\n{result.output}exit code {result.exit_code}\n"
+        for pattern, mask in (
             (rf"{re.escape(self.net)}\.(\d)", r"archive-\1"),
             (r"heard [\d.]+ s ago", "heard S s ago"),
             (r'"heard":[\d.]+', '"heard":S'),
             (r"disk [0-9a-f]{8}", "disk D"),
             (r'"disk":"[0-9a-f]{8}"', '"disk":"D"'),
         ):
-            text = re.sub(pattern, by, text)
-        of = lambda found: f"{found[1]}E{f'+{int(found[2]) - self.epoch}' * (int(found[2]) > self.epoch)}"  # noqa: E731
-        return re.sub(r'(epoch |"epoch":|"Epoch":)(\d+)', of, text).split("\n")
+            text = re.sub(pattern, mask, text)
+        return re.sub(r'(epoch |"epoch":|"Epoch":)(\d+)', self.masked_epoch, text).split("\n")
+
+    def masked_epoch(self, found: re.Match) -> str:
+        """An epoch, relative to that of the first command: E, E+1 and so on."""
+        later = int(found[2]) - self.epoch
+        return f"{found[1]}E{f'+{later}' if later > 0 else ''}"
