--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -21,6 +21,7 @@
     create_connection_socket,
 )
 from ..common.settings import SEED_REREAD_INTERVAL, Settings, reread_seeds
+from ..common.slice_table import DRAIN_ANNOUNCED, DRAIN_IN_PROGRESS
 from ..common.timeouts import READ_LEASE_DURATION
 from ..common.worker_registry import GONE, READY, WorkerRegistration, WorkerRegistry
 from . import placement
@@ -41,28 +42,15 @@
     plan_call,
     succeed,
 )
+from .consensus.effects import Effects, PendingWrites, no_effects
 from .consensus.membership import Membership, PeerStatus, may_shut_down
-from .consensus.replica import (
-    ALL_REGISTERS,
-    CONFIG,
-    CONSENSUS_MESSAGE_KINDS,
-    DATA_REGISTERS,
-    NO_PROPOSAL,
-    TABLE,
-    VOTER_SET,
-    ConsensusReplica,
-    Effects,
-    PendingWrites,
-    format_proposal_number,
-    founding_voters,
-    next_voter_set,
-    no_effects,
-)
+from .consensus.messages import CONSENSUS_MESSAGE_KINDS
+from .consensus.proposal_number import NO_PROPOSAL, format_proposal_number
+from .consensus.registers import ALL_REGISTERS, CONFIG, DATA_REGISTERS, TABLE, VOTER_SET
+from .consensus.replica import ConsensusReplica
+from .consensus.voter_set import founding_voters, next_voter_set
 from .deregistration import HELD_WITHIN, Deregistrations
 from .drain_plans import (
-    DRAIN_ANNOUNCED,
-    DRAIN_IN_PROGRESS,
-    DrainPlans,
     drain_steps_of,
     end_plan,
     plans_of,
@@ -70,6 +58,7 @@
     worker_drains_of,
     workers_in_use,
 )
+from .drain_progress import DrainProgress
 from .key_leases import RENEW_PART, Call, KeyLeases, ReleasedKeys
 from .outlier_detection import OutlierDetection, ejections_of, with_ejections
 from .proxy_updates import ProxyUpdates
@@ -105,7 +94,7 @@
         self.changing = False  # the set of voters, from here
         self.proxies: dict[str, PeerConnection] = {}
         self.key_leases, self.read_replicas = KeyLeases(told.bounds.HoldMaxS), ReadReplicas()
-        self.drain_plans, self.outlier_detection = DrainPlans(self.key_leases.expiry), OutlierDetection()
+        self.drain_plans, self.outlier_detection = DrainProgress(self.key_leases.expiry), OutlierDetection()
         self.deregistrations = Deregistrations(self.me)
         self.confirms: dict[int, asyncio.Future] = {}  # by round of leaves
         self.configurations: tuple[int, Any] = (0, None)
@@ -171,7 +160,7 @@
                     await asyncio.sleep(TICK)
             except TimeoutError:
                 pass
-        self.consensus.active_epoch = -1  # no vote is given any more: who holds what has been looked at
+        self.consensus.stop_voting()  # no vote is given any more: who holds what has been looked at
         self.log.info("stopped", step="end")
         for server in servers:
             server.close()
@@ -707,9 +696,9 @@
     def hear_ballot(self, peer: str, message: dict) -> None:
         consensus = self.consensus
         self.carry(consensus.receive(self.loop.time(), peer, message))
-        if consensus.last_rejection is not None:
-            who, proposal_number, promised = consensus.last_rejection
-            consensus.last_rejection = None
+        rejection = consensus.take_last_rejection()
+        if rejection is not None:
+            who, proposal_number, promised = rejection
             self.log.info(
                 "ballot lost",
                 step="ballot",
@@ -1002,7 +991,7 @@
     def chosen(self, command: StartDrainPlan, value: dict | None) -> list[str]:
         """The workers that a plan names, by the table that stands."""
         if command.name in plans_of(value):
-            return plans_of(value)[command.name]["lives"]  # asked again
+            return plans_of(value)[command.name].instance_ids  # asked again
         able = workers_in_use(self.registry, command.service, worker_drains_of(value))
         instance_ids = [
             instance_id
@@ -1048,7 +1037,7 @@
         table, told = self.consensus.value(TABLE), self.drain_plans
         return {
             name: {
-                **plan,
+                **plan.stored(),
                 "workers": {
                     instance_id: {
                         "step": step,
