--- a/benchmarks/controller_storage.py
+++ b/benchmarks/controller_storage.py
@@ -1,9 +1,10 @@
-"""What a commit and a start cost by the size of the table: `python -m benchmarks.shelf [--folder F]`.
+"""What a commit and a start cost by the size of the table: `python -m benchmarks.controller_storage
+[--folder F]`.
 
 One JSON row a size: the middle of RUNS, milliseconds by the clock (`_ms`) and of the processor (`_cpu_ms`):
-`round` a move's difference made and applied, `feed` its place in the feed to the desks, `move` its commit,
-`fresh` the commit of a value that shares nothing with the last, `open` a start. Bytes of the base and its
-log stand beside the value's as one JSON text. `ratio`: a move's processor time over the first size's.
+`round` a move's difference made and applied, `feed` its place in the updates to proxies, `move` its commit,
+`fresh` the commit of a value that shares nothing with the last, `open` a start. Bytes of the database and
+its log stand beside the value's as one JSON text. `ratio`: a move's processor time over the first size's.
 """
 
 import argparse
@@ -22,7 +23,7 @@
 SIZES = (1_000, 10_000, 90_000)  # slices of the table
 SERVICES = 3  # that share them
 RUNS = 15
-BALLOT = (1, "a", 1)
+PROPOSAL_NUMBER = (1, "a", 1)
 
 
 def table(slices: int, number: int = 1) -> dict:
@@ -43,7 +44,7 @@
     return apply_difference(value, difference(value, made))
 
 
-def middle(call: Callable[[int], None]) -> tuple[float, float]:
+def median_times(call: Callable[[int], None]) -> tuple[float, float]:
     """Milliseconds of RUNS calls: by the clock and of the processor."""
     clock, processor = [], []
     for at in range(RUNS):
@@ -62,7 +63,7 @@
     values: list[dict] = []
 
     def commit(at: int) -> None:
-        problem = storage.commit([([("table", BALLOT, BALLOT, values[at])], {}, None)])
+        problem = storage.commit([([("table", PROPOSAL_NUMBER, PROPOSAL_NUMBER, values[at])], {}, None)])
         assert problem is None, problem
 
     values.append(value)
@@ -70,31 +71,31 @@
     for at in range(RUNS):
         values.append(moved(values[-1], 7919 * at))
     found: dict = {"slices": slices, "json": len(json.dumps(value))}
-    found["round_ms"], found["round_cpu_ms"] = middle(lambda at: moved(value, 7919 * at))
-    feed = ProxyUpdates()
-    found["feed_ms"], found["feed_cpu_ms"] = middle(lambda at: feed.learned(values[at]))
-    found["move_ms"], found["move_cpu_ms"] = middle(lambda at: commit(at + 1))
+    found["round_ms"], found["round_cpu_ms"] = median_times(lambda at: moved(value, 7919 * at))
+    updates = ProxyUpdates()
+    found["feed_ms"], found["feed_cpu_ms"] = median_times(lambda at: updates.learned(values[at]))
+    found["move_ms"], found["move_cpu_ms"] = median_times(lambda at: commit(at + 1))
     values[:] = [json.loads(json.dumps(moved(value, at))) for at in range(RUNS)]
-    found["fresh_ms"], found["fresh_cpu_ms"] = middle(commit)
+    found["fresh_ms"], found["fresh_cpu_ms"] = median_times(commit)
     found["base"], found["log"] = (os.path.getsize(storage.path + end) for end in ("", "-wal"))
     storage.base.close()
 
     def start(_: int) -> None:
-        again = Storage(folder)
-        again.open().unwrap()
-        again.base.close()
+        reopened = Storage(folder)
+        reopened.open().unwrap()
+        reopened.base.close()
 
-    found["open_ms"], found["open_cpu_ms"] = middle(start)
+    found["open_ms"], found["open_cpu_ms"] = median_times(start)
     return found
 
 
 def main() -> None:
-    words = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    words.add_argument("--folder", default=None, help="where the disk to be measured is")
-    told = words.parse_args()
+    parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
+    parser.add_argument("--folder", default=None, help="where the disk to be measured is")
+    folder_option = parser.parse_args().folder
     first = 0.0
     for slices in SIZES:
-        with tempfile.TemporaryDirectory(dir=told.folder, prefix="shelf-") as folder:
+        with tempfile.TemporaryDirectory(dir=folder_option, prefix="shelf-") as folder:
             assert NAME not in os.listdir(folder)
             found = measure(slices, folder)
         first = first or found["move_cpu_ms"]
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -1,8 +1,8 @@
 """Eight orders at once: s from an order's first call to its clear answer, by kind of site: `python -m
-benchmarks.orders`. One JSON row for each; the clock is the play's own, so figures are the same anywhere.
+benchmarks.orders`. One JSON row for each; the clock is simulated, so figures are the same anywhere.
 
-Archives' own work takes no time there; links, syncs, waits and callers' pauses do. worst and median: of all
-orders of all seeds; by_seed: each seed's [worst, median].
+Controllers' own work takes no time there; links, syncs, waits and callers' backoff do. worst and median: of
+all orders of all seeds; by_seed: each seed's [worst, median].
 """
 
 import argparse
@@ -24,13 +24,13 @@
 
 
 def main() -> None:
-    words = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    words.add_argument("--seeds", type=int, default=50)
-    told = words.parse_args()
+    parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
+    parser.add_argument("--seeds", type=int, default=50)
+    seeds = parser.parse_args().seeds
     for voters in (3, 5):
         for name, site in SITES.items():
             for spread in (True, False):
-                took = [eight(seed, Site(voters, **site), spread=spread) for seed in range(told.seeds)]
+                took = [eight(seed, Site(voters, **site), spread=spread) for seed in range(seeds)]
                 row = {
                     "voters": voters,
                     "site": name,
