--- a/bramblewood/controller/consensus/membership.py
+++ b/bramblewood/controller/consensus/membership.py
@@ -1,11 +1,11 @@
 """Who should vote: the one change of the set of voters that is due, if any. Pure.
 
-A change takes a seat from an archive that is lost, leaves, or came back with another disk, and gives it to
-one that holds what is agreed. It is only ever proposed; `ballots` makes the majority of the set before agree.
-Bounds against flapping: one change at a time, none while a voter that can be heard is not active yet; a seat
-is taken from a silent voter after half of CatchUpS, the time in which the rules expect it back, and given to
-an archive that has been heard for a quarter of it without a gap, so that a second loss that the rules allow
-once CatchUpS is over meets the new set.
+A change takes a seat from a controller that is lost, is leaving, or came back with another disk, and gives
+it to one that holds what is agreed. It is only ever proposed here; consensus makes the majority of the set
+before agree. Bounds against flapping: one change at a time, none while a voter that can be heard is not
+active yet; a seat is taken from a silent voter after half of `CatchUpS`, the time in which the rules expect
+it back, and given to a controller that has been heard for a quarter of it without a gap, so that a second
+loss that the rules allow once `CatchUpS` is over meets the new set.
 """
 
 from typing import NamedTuple
@@ -13,253 +13,223 @@
 from result import Err, Ok, Result
 
 from ...common.settings import Tolerance
-from .quorum import FailureDomain, bears, enough, first_voters
-from .registers import CONFIG, TABLE
+from .membership_view import MembershipView, membership_view
+from .peer_status import PeerStatus, active_voters, heard_peers
+from .quorum import FailureDomain, first_voters, keeps_majority, voters_needed
 from .voter_set import VoterSet, is_voter, majority
 
-LOST_AFTER_FRACTION = 1 / 2  # of CatchUpS without a pulse, after which a voter's seat is given away
-STEADY_FRACTION = 1 / 4  # of CatchUpS with pulses, before an archive may take a seat
-
-
-class PeerStatus(NamedTuple):
-    """One archive as it is seen from here; times in s."""
-
-    disk: str
-    zone: str
-    counted: bool  # whether its loss is one of those that `Tolerance` bounds
-    epoch: int
-    votes: bool  # an active voter of that epoch
-    leaving: bool
-    silent: float  # since its last pulse
-    steady: float  # since its pulses began to come without a gap; 0 while they don't
-    versions: dict[str, int]  # what it knows to be chosen, by register
-
-
-def is_active_in(peer: PeerStatus | None, members: VoterSet, name: str) -> bool:
-    """Whether it said that it is an active voter of this very epoch, on the disk that this epoch knows."""
-    return (
-        peer is not None
-        and peer.votes
-        and peer.epoch == members["n"]
-        and is_voter(members["voters"], name, peer.disk)
-    )
+LOST_AFTER_FRACTION = 1 / 2  # of CatchUpS without a heartbeat, after which a voter's seat is given away
+STEADY_FRACTION = 1 / 4  # of CatchUpS with heartbeats, before a controller may take a seat
 
 
 class VoterSetChange(NamedTuple):
-    voters: dict[str, str]
-    reason: str
+    voters: dict[str, str]  # the name of each voter's disk, by its address
+    reason: str  # for the log
 
 
-def replaced(voters: dict[str, str], old: str, new: str, disk: str) -> dict[str, str]:
+def replace_voter(voters: dict[str, str], old: str, new: str, disk: str) -> dict[str, str]:
+    """These voters with `new` on this disk in the seat of `old`; with one seat more where `old` has none."""
     return {**{name: kept for name, kept in voters.items() if name != old}, new: disk}
 
 
-def current(peer: PeerStatus, versions: dict[str, int]) -> bool:
-    """Whether it follows what is chosen; not whether it has the newest, as its pulses lag behind."""
-    return all(peer.versions.get(name, 0) > 0 or not versions.get(name, 0) for name in (CONFIG, TABLE))
-
-
 class Membership:
+    """Finds the change of voters that is due. It keeps no state but its settings."""
+
     def __init__(self, tolerance: Tolerance, regions: dict[str, str], catch_up: float) -> None:
         """regions: the region of each zone; catch_up: `CatchUpS` in s."""
         self.tolerance, self.regions = tolerance, regions
-        self.lost_after, self.steady_after = catch_up * LOST_AFTER_FRACTION, catch_up * STEADY_FRACTION
+        self.lost_after = catch_up * LOST_AFTER_FRACTION
+        self.steady_after = catch_up * STEADY_FRACTION
 
     def failure_domains(self, peers: dict[str, PeerStatus]) -> dict[str, FailureDomain]:
         return {
-            name: FailureDomain(peer.zone, self.regions.get(peer.zone, peer.zone), peer.counted)
+            name: FailureDomain(peer.zone, self.regions.get(peer.zone, peer.zone), peer.counts_for_tolerance)
             for name, peer in peers.items()
         }
 
+    def is_lost(self, peer: PeerStatus | None) -> bool:
+        return peer is None or peer.silent_for > self.lost_after
+
+    # --- the change that is due
+
     def founding_change(
         self, seeds: tuple[str, ...], peers: dict[str, PeerStatus], late: bool
     ) -> VoterSetChange | None:
         """The voters of epoch 1, of those who have shown themselves; None while it is better to wait."""
-        there = {name: peer for name, peer in peers.items() if self.is_heard(peer)}
-        chosen = first_voters(self.failure_domains(there), seeds, self.tolerance, late)
-        return VoterSetChange({name: there[name].disk for name in chosen}, "first boot") if chosen else None
+        heard = heard_peers(peers)
+        chosen = first_voters(self.failure_domains(heard), seeds, self.tolerance, late)
+        return VoterSetChange({name: heard[name].disk for name in chosen}, "first boot") if chosen else None
+
+    def due_change(
+        self, voter_set: VoterSet, peers: dict[str, PeerStatus], versions: dict[str, int]
+    ) -> VoterSetChange | None:
+        """The change that is due. peers: all controllers known, this one too; versions: what is chosen."""
+        if self.has_joining_voter(voter_set, peers):
+            return None
+        return self.disk_change(voter_set, peers, versions) or self.seat_change(voter_set, peers, versions)
+
+    def has_joining_voter(self, voter_set: VoterSet, peers: dict[str, PeerStatus]) -> bool:
+        """Whether a voter that is heard on its disk is about to be active: one change at a time."""
+        heard = heard_peers(peers)
+        return any(
+            name in heard and heard[name].disk == disk and not heard[name].is_active_in(voter_set, name)
+            for name, disk in voter_set["voters"].items()
+        )
 
-    def is_heard(self, peer: PeerStatus | None) -> bool:
-        return peer is not None and peer.steady > 0
+    def disk_change(
+        self, voter_set: VoterSet, peers: dict[str, PeerStatus], versions: dict[str, int]
+    ) -> VoterSetChange | None:
+        """The seat of a voter that is heard on another disk than its seat names, given to that disk."""
+        voters, heard = voter_set["voters"], heard_peers(peers)
+        for name, disk in voters.items():
+            peer = heard.get(name)
+            if peer is None or peer.disk == disk or peer.epoch != voter_set["n"] or peer.leaving:
+                continue
+            if not disk or peer.has_caught_up(versions):
+                reason = "other disk" if disk else "disk named"
+                return VoterSetChange(replace_voter(voters, name, name, peer.disk), reason)
+        return None
 
-    def is_active_voter(self, peers: dict[str, PeerStatus], members: VoterSet, name: str) -> bool:
-        return self.is_heard(peers.get(name)) and is_active_in(peers[name], members, name)
+    def seat_change(
+        self, voter_set: VoterSet, peers: dict[str, PeerStatus], versions: dict[str, int]
+    ) -> VoterSetChange | None:
+        """The seat of a voter that leaves or is lost, or a free one, given to a spare."""
+        voters = voter_set["voters"]
+        spares = self.spares(voter_set, peers, versions)
+        if not spares:
+            return None
+        for reason, is_due in (("leaves", self.is_leaving), ("silent", self.is_lost)):
+            for name in voters:
+                if is_due(peers.get(name)):
+                    following = self.best_replacement(voters, spares, peers, name)
+                    return VoterSetChange(following, f"{name} {reason}")
+        if len(voters) < voters_needed(self.tolerance):
+            return VoterSetChange(self.best_replacement(voters, spares, peers), "a seat is free")
+        return None
 
-    def spares(self, members: VoterSet, peers: dict[str, PeerStatus], versions: dict[str, int]) -> list[str]:
-        """Archives that may take a seat now."""
-        voters = members["voters"]
-        whoever = not any(peers[name].counted for name in voters if name in peers)
+    def is_leaving(self, peer: PeerStatus | None) -> bool:
+        return peer is not None and peer.is_heard and peer.leaving
+
+    def spares(
+        self, voter_set: VoterSet, peers: dict[str, PeerStatus], versions: dict[str, int]
+    ) -> list[str]:
+        """Controllers that may take a seat now."""
+        voters = voter_set["voters"]
+        any_counts = any(peers[name].counts_for_tolerance for name in voters if name in peers)
         return sorted(
             name
             for name, peer in peers.items()
             if name not in voters
-            and peer.steady >= self.steady_after
+            and peer.steady_for >= self.steady_after
             and not peer.leaving
-            and peer.epoch == members["n"]
-            and (peer.counted or whoever)
-            and current(peer, versions)
+            and peer.epoch == voter_set["n"]
+            and (peer.counts_for_tolerance or not any_counts)
+            and peer.has_caught_up(versions)
         )
 
+    def successors(self, voter_set: VoterSet, peers: dict[str, PeerStatus]) -> list[str]:
+        """Controllers that may take a seat now or soon: a voter that leaves waits for them."""
+        voters = voter_set["voters"]
+        return [name for name, peer in heard_peers(peers).items() if name not in voters and not peer.leaving]
+
     def best_replacement(
         self, voters: dict[str, str], spares: list[str], peers: dict[str, PeerStatus], old: str = ""
-    ) -> dict:
+    ) -> dict[str, str]:
         """The voters once one of the spares has the seat of `old`, or one of its own: such that the losses to
-        be borne leave a majority, and of a zone with few voters.
+        be tolerated leave a majority, and of a zone with few voters.
         """
-        places, stay = self.failure_domains(peers), [name for name in voters if name != old]
-        zones = [places[name].zone for name in stay if name in places]
+        domains = self.failure_domains(peers)
+        staying = [name for name in voters if name != old]
+        zones = [domains[name].zone for name in staying if name in domains]
 
         def rank(name: str) -> tuple:
-            known = [one for one in (*stay, name) if one in places]
-            return (not bears(known, places, self.tolerance), zones.count(places[name].zone), name)
+            known = [voter for voter in (*staying, name) if voter in domains]
+            loses_majority = not keeps_majority(known, domains, self.tolerance)
+            return loses_majority, zones.count(domains[name].zone), name
 
         new = min(spares, key=rank)
-        return replaced(voters, old, new, peers[new].disk)
-
-    def successors(self, members: VoterSet, peers: dict[str, PeerStatus]) -> list[str]:
-        """Archives that may take a seat now or soon: who leaves waits for them."""
-        voters = members["voters"]
-        return [
-            n for n, peer in peers.items() if n not in voters and self.is_heard(peer) and not peer.leaving
-        ]
-
-    def due_change(
-        self, members: VoterSet, peers: dict[str, PeerStatus], versions: dict[str, int]
-    ) -> VoterSetChange | None:
-        """The change that is due. peers: all archives known, this one too; versions: what is chosen."""
-        voters, n = members["voters"], members["n"]
-        for name, disk in voters.items():
-            peer = peers.get(name)
-            if self.is_heard(peer) and peer.disk == disk and not is_active_in(peer, members, name):
-                return None  # it is about to be active: one change at a time
-        for name, disk in voters.items():
-            peer = peers.get(name)
-            if not self.is_heard(peer) or peer.disk == disk or peer.epoch != n or peer.leaving:
-                continue
-            if not disk or current(peer, versions):
-                return VoterSetChange(
-                    replaced(voters, name, name, peer.disk), "other disk" if disk else "disk named"
-                )
-        spares = self.spares(members, peers, versions)
-        if not spares:
-            return None
-        for why, due in (("leaves", self.is_leaving), ("silent", self.is_lost)):
-            for name in voters:
-                if due(peers.get(name)):
-                    return VoterSetChange(self.best_replacement(voters, spares, peers, name), f"{name} {why}")
-        if len(voters) < enough(self.tolerance):
-            return VoterSetChange(self.best_replacement(voters, spares, peers), "a seat is free")
-        return None
-
-    def is_leaving(self, peer: PeerStatus | None) -> bool:
-        return self.is_heard(peer) and peer.leaving
+        return replace_voter(voters, old, new, peers[new].disk)
 
-    def is_lost(self, peer: PeerStatus | None) -> bool:
-        return peer is None or peer.silent > self.lost_after
-
-    def failure_margin(self, members: VoterSet, peers: dict[str, PeerStatus]) -> int:
-        """How many more active voters may be lost with a majority left; below 0: there is none."""
-        voters = members["voters"]
-        active = [name for name in voters if self.is_active_voter(peers, members, name)]
-        return len(active) - majority(voters)
+    # --- operators
 
     def requested_change(
-        self, members: VoterSet, peers: dict[str, PeerStatus], versions: dict[str, int], old: str, new: str
+        self, voter_set: VoterSet, peers: dict[str, PeerStatus], versions: dict[str, int], old: str, new: str
     ) -> Result[VoterSetChange, str]:
-        """An operator's change; old or new may be empty, for an addition or a removal. The voters as they are
-        where that is how they stand already: an order may be repeated.
+        """An operator's change; old or new may be empty, for an addition or a removal.
+
+        Returns the voters as they are where that is how they stand already, as a request may be repeated; or
+        why the change is refused.
         """
-        voters = members["voters"]
+        voters = voter_set["voters"]
         if old and old not in peers:
             return Err(f"{old} is not known")
         if (not old or old not in voters) and (not new or new in voters):
             return Ok(VoterSetChange(voters, "stands"))
         if old and old not in voters:
-            return Err(f"{old} is no voter of epoch {members['n']}")
-        if new and (new in voters or not self.is_heard(peers.get(new))):
-            return Err(f"{new} {'votes already' if new in voters else 'is not heard'}")
-        if new and not current(peers[new], versions):
-            return Err(f"{new} has not caught up")
-        made = {name: disk for name, disk in voters.items() if name != old}
+            return Err(f"{old} is no voter of epoch {voter_set['n']}")
+        if new and (problem := self.unfit(new, voters, peers, versions)):
+            return Err(problem)
+        following = {name: disk for name, disk in voters.items() if name != old}
         if new:
-            made[new] = peers[new].disk
-        if len(made) < min(len(voters), enough(self.tolerance)):
-            return Err(f"{len(made)} voters don't bear what may be lost: replace it, or add one first")
-        active = [name for name in made if self.is_active_voter(peers, members, name)]
-        if len(active) + (1 if new else 0) < majority(made):
+            following[new] = peers[new].disk
+        if len(following) < min(len(voters), voters_needed(self.tolerance)):
+            return Err(f"{len(following)} voters don't bear what may be lost: replace it, or add one first")
+        active = active_voters(following, voter_set, peers)
+        if len(active) + (1 if new else 0) < majority(following):
             return Err("no majority of that set can be heard")
-        return Ok(VoterSetChange(made, "by hand"))
+        return Ok(VoterSetChange(following, "by hand"))
+
+    def unfit(
+        self, new: str, voters: dict[str, str], peers: dict[str, PeerStatus], versions: dict[str, int]
+    ) -> str:
+        """Why an operator may not give a seat to this controller now, "" if nothing forbids it."""
+        if new in voters:
+            return f"{new} votes already"
+        if new not in heard_peers(peers):
+            return f"{new} is not heard"
+        return "" if peers[new].has_caught_up(versions) else f"{new} has not caught up"
+
+    def failure_margin(self, voter_set: VoterSet, peers: dict[str, PeerStatus]) -> int:
+        """How many more active voters may be lost with a majority left; below 0: there is none."""
+        voters = voter_set["voters"]
+        return len(active_voters(voters, voter_set, peers)) - majority(voters)
 
     def view(
-        self, me: str, members: VoterSet, peers: dict[str, PeerStatus], versions: dict[str, int]
-    ) -> dict:
-        """What operators are shown of who votes, as this archive sees it."""
-        voters = members["voters"]
-
-        def shown(name: str) -> dict:
-            peer, disk = peers[name], voters.get(name)
-            return {
-                "disk": peer.disk or disk or "",
-                "state": self.state(members, name, peer),
-                "heard": None if peer.steady <= 0 and not peer.disk else round(peer.silent, 2),
-                "epoch": peer.epoch if peer.disk else None,
-                "lag": {kind: max(n - peer.versions.get(kind, 0), 0) for kind, n in versions.items()}
-                if peer.disk
-                else None,
-            }
-
-        return {
-            "me": me,
-            "epoch": members["n"],
-            "state": self.state(members, me, peers[me]),
-            "members": {name: shown(name) for name in sorted(voters)},
-            "others": {name: shown(name) for name in sorted(peers.keys() - voters.keys())},
-            "tolerance": self.tolerance.losses,
-            "margin": self.failure_margin(members, peers),
-        }
-
-    def state(self, members: VoterSet, name: str, peer: PeerStatus) -> str:
-        disk = members["voters"].get(name)
-        if not self.is_heard(peer):
-            return "lost" if disk is not None and self.is_lost(peer) else "silent"
-        if peer.leaving:
-            return "leaving"
-        if disk is None:
-            return "spare" if peer.epoch == members["n"] > 0 else "new"
-        if not is_voter({name: disk}, name, peer.disk):
-            return "other disk"
-        return "voter" if is_active_in(peer, members, name) else "joining"
+        self, address: str, voter_set: VoterSet, peers: dict[str, PeerStatus], versions: dict[str, int]
+    ) -> MembershipView:
+        """What operators are shown of who votes, as the controller at this address sees it."""
+        margin, losses = self.failure_margin(voter_set, peers), self.tolerance.losses
+        return membership_view(address, voter_set, peers, versions, self.is_lost, losses, margin)
 
 
 def may_shut_down(
-    me: str,
+    address: str,
     disk: str,
-    members: VoterSet,
+    voter_set: VoterSet,
     peers: dict[str, PeerStatus],
     accepted: dict[str, tuple],
     durable: dict[str, dict[str, tuple]],
-    heirs: bool,
+    has_successor: bool,
 ) -> bool:
-    """Whether an archive that was told to end may go: its seat is another's and a majority of that set is
+    """Whether a controller that was told to end may go: its seat is another's and a majority of that set is
     active, or (there being nobody to take it) a majority of the others holds on disk what it holds itself.
 
-    accepted: its ballots by register; durable: those of the others, by archive; heirs: whether there is
-    somebody to take the seat, now or soon.
+    address, disk: its own; accepted: the number of what it accepted, by register; durable: that of what
+    others have safe on disk, by controller and register; has_successor: somebody may take the seat, now or
+    soon.
     """
-    voters = members["voters"]
-    if not is_voter(voters, me, disk):
-        return sum(is_active_in(peers.get(name), members, name) for name in voters) >= majority(voters)
-    if heirs:
+    voters = voter_set["voters"]
+    active = [name for name in voters if name in peers and peers[name].is_active_in(voter_set, name)]
+    if not is_voter(voters, address, disk):
+        return len(active) >= majority(voters)
+    if has_successor:
         return False
-    others = [name for name in voters if name != me]
-    hold = [
+    others = [name for name in voters if name != address]
+    holders = [
         name
         for name in others
         if name in durable
-        and is_active_in(peers.get(name), members, name)
-        and all(
-            tuple(durable[name].get(register, ())) >= proposal_number
-            for register, proposal_number in accepted.items()
-        )
+        and name in active
+        and all(tuple(durable[name].get(register, ())) >= number for register, number in accepted.items())
     ]
-    return len(hold) >= len(others) // 2 + 1 or not others
+    return len(holders) >= len(others) // 2 + 1 or not others
--- a/bramblewood/controller/consensus/quorum.py
+++ b/bramblewood/controller/consensus/quorum.py
@@ -1,4 +1,4 @@
-"""Which archives vote first, so that whatever `Tolerance` says may be lost leaves a majority. Pure."""
+"""Which sets of voters keep a majority after whatever `Tolerance` says may be lost. Pure."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -9,56 +9,66 @@
 
 
 class FailureDomain(NamedTuple):
-    """Where an archive stands, and whether its loss is one of those that `Tolerance` bounds."""
+    """Where a controller stands, and whether its loss is one of those that `Tolerance` bounds."""
 
     zone: str
     region: str
-    counted: bool
+    counts_for_tolerance: bool
 
 
-def left(voters: Iterable[str], places: dict[str, FailureDomain], tolerance: Tolerance) -> int:
-    """How many of these voters are there after the worst loss that is to be borne."""
+def remaining_after_worst_loss(
+    voters: Iterable[str], domains: dict[str, FailureDomain], tolerance: Tolerance
+) -> int:
+    """How many of these voters are left after the worst loss that is to be tolerated."""
     voters = list(voters)
-    worst = 0
-    for count, groups in (
+    worst_loss = 0
+    for lost_groups, group_of_voter in (
         (tolerance.machines, voters),
-        (tolerance.zones, [places[name].zone for name in voters]),
-        (tolerance.regions, [places[name].region for name in voters]),
+        (tolerance.zones, [domains[name].zone for name in voters]),
+        (tolerance.regions, [domains[name].region for name in voters]),
     ):
-        worst = max(worst, sum(size for _, size in Counter(groups).most_common(count)))
-    return len(voters) - worst
+        largest = Counter(group_of_voter).most_common(lost_groups)
+        worst_loss = max(worst_loss, sum(size for _, size in largest))
+    return len(voters) - worst_loss
 
 
-def bears(voters: Iterable[str], places: dict[str, FailureDomain], tolerance: Tolerance) -> bool:
+def keeps_majority(voters: Iterable[str], domains: dict[str, FailureDomain], tolerance: Tolerance) -> bool:
+    """Whether more than half of these voters are left after every loss that is to be tolerated."""
     voters = list(voters)
-    return 2 * left(voters, places, tolerance) > len(voters)
+    return 2 * remaining_after_worst_loss(voters, domains, tolerance) > len(voters)
 
 
-def enough(tolerance: Tolerance) -> int:
-    """Voters of whom a majority is left after these losses."""
+def voters_needed(tolerance: Tolerance) -> int:
+    """The number of voters of whom a majority is left after these losses."""
     return 2 * tolerance.losses + 1
 
 
 def first_voters(
-    places: dict[str, FailureDomain], seeds: Iterable[str], tolerance: Tolerance, late: bool
+    domains: dict[str, FailureDomain], seeds: Iterable[str], tolerance: Tolerance, late: bool
 ) -> tuple[str, ...] | None:
     """The first voters by name, or None where it is better to wait for more to show themselves.
 
-    places: of all archives that have shown themselves. late: wait no longer, and take what is there. Seeds
-    come first. Machines that don't count may go in any number, so they vote only where none counts. Zones or
-    regions that may go whole get as few voters each as can be.
+    domains: of all controllers that have shown themselves. late: wait no longer, and take what is there.
+    Seeds come first. Machines that don't count for `Tolerance` may go in any number, so they vote only where
+    none counts.
     """
-    first, groups = set(seeds), {}
-    if not late and not first <= places.keys():
+    seeds = set(seeds)
+    if not late and not seeds <= domains.keys():
         return None
-    counted = {name: place for name, place in places.items() if place.counted} or places
-    for name in sorted(counted, key=lambda name: (name not in first, name)):
-        place = counted[name]
-        group = place.region if tolerance.regions else place.zone if tolerance.zones else name
+    candidates = spread_candidates(domains, seeds, tolerance)
+    needed = voters_needed(tolerance)
+    for count in range(min(needed, len(candidates)), 0, -1):
+        if keeps_majority(candidates[:count], domains, tolerance):
+            return tuple(sorted(candidates[:count]))
+    return tuple(sorted(candidates[:needed])) if late else None
+
+
+def spread_candidates(domains: dict[str, FailureDomain], seeds: set[str], tolerance: Tolerance) -> list[str]:
+    """Those that may vote, one of each zone or region in turn where these may be lost as a whole."""
+    eligible = {name: domain for name, domain in domains.items() if domain.counts_for_tolerance} or domains
+    groups: dict[str, list[str]] = {}
+    for name in sorted(eligible, key=lambda name: (name not in seeds, name)):
+        domain = eligible[name]
+        group = domain.region if tolerance.regions else domain.zone if tolerance.zones else name
         groups.setdefault(group, []).append(name)
-    in_turn = [name for name in chain(*zip_longest(*groups.values())) if name is not None]
-    seats = enough(tolerance)
-    for count in range(min(seats, len(in_turn)), 0, -1):
-        if bears(in_turn[:count], places, tolerance):
-            return tuple(sorted(in_turn[:count]))
-    return tuple(sorted(in_turn[:seats])) if late else None
+    return [name for name in chain(*zip_longest(*groups.values())) if name is not None]
--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -43,8 +43,9 @@
     succeed,
 )
 from .consensus.effects import Effects, PendingWrites, no_effects
-from .consensus.membership import Membership, PeerStatus, may_shut_down
+from .consensus.membership import Membership, may_shut_down
 from .consensus.messages import CONSENSUS_MESSAGE_KINDS
+from .consensus.peer_status import PeerStatus
 from .consensus.proposal_number import NO_PROPOSAL, format_proposal_number
 from .consensus.registers import ALL_REGISTERS, CONFIG, DATA_REGISTERS, TABLE, VOTER_SET
 from .consensus.replica import ConsensusReplica
--- a/bramblewood/controller/sessions.py
+++ b/bramblewood/controller/sessions.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from ..common.timeouts import QUORUM_CONTACT_VALIDITY
-from .consensus.membership import PeerStatus
+from .consensus.peer_status import PeerStatus
 from .consensus.proposal_number import NO_PROPOSAL, ProposalNumber
 from .consensus.voter_set import is_voter, majority
 
--- a/features/steps/settings.py
+++ b/features/steps/settings.py
@@ -116,7 +116,7 @@
         places, seeds, tolerance = drawn(seed)
         voters = first_voters(places, seeds, tolerance, True)
         assert voters == first_voters(dict(reversed(places.items())), seeds, tolerance, True)
-        counted = [name for name, place in places.items() if place.counted] or list(places)
+        counted = [name for name, place in places.items() if place.counts_for_tolerance] or list(places)
         assert set(voters) <= set(counted)
         sets = (some for n in range(1, len(counted) + 1) for some in combinations(counted, n))
         if any(borne(some, places, tolerance) for some in sets):
--- a/tests/simulation/membership_epoch_cases.py
+++ b/tests/simulation/membership_epoch_cases.py
@@ -6,7 +6,8 @@
 
 from bramblewood.common.settings import Tolerance
 from bramblewood.controller.consensus.effects import Effects, PendingWrites
-from bramblewood.controller.consensus.membership import Membership, PeerStatus, may_shut_down
+from bramblewood.controller.consensus.membership import Membership, may_shut_down
+from bramblewood.controller.consensus.peer_status import PeerStatus
 from bramblewood.controller.consensus.proposal_number import NO_PROPOSAL
 from bramblewood.controller.consensus.registers import CONFIG, TABLE, VOTER_SET
 from bramblewood.controller.consensus.replica import ConsensusReplica
--- a/tests/simulation/membership_epochs.py
+++ b/tests/simulation/membership_epochs.py
@@ -15,10 +15,11 @@
 from bramblewood.common.settings import Bounds, Settings, Tolerance
 from bramblewood.controller import server
 from bramblewood.controller.commands import succeed
-from bramblewood.controller.consensus import epochs, local_member, membership
+from bramblewood.controller.consensus import epochs, local_member
 from bramblewood.controller.consensus.effects import PendingWrites, no_effects
 from bramblewood.controller.consensus.epochs import EpochTransition
 from bramblewood.controller.consensus.local_member import LocalMember
+from bramblewood.controller.consensus.peer_status import PeerStatus
 from bramblewood.controller.consensus.proposer import Proposer
 from bramblewood.controller.consensus.registers import CONFIG, VOTER_SET
 from bramblewood.controller.consensus.replica import ConsensusReplica
@@ -116,7 +117,7 @@
 
 def hasty_change(play: Any) -> Any:
     """A voter that is heard counts as active, in whatever epoch: sets change, leavers go, too soon."""
-    return mock.patch.object(membership, "is_active_in", lambda peer, members, name: peer is not None)
+    return mock.patch.object(PeerStatus, "is_active_in", lambda peer, voter_set, address: True)
 
 
 def older_unseen(play: Any) -> Any:
