--- a/bramblewood/controller/placement/rebalancing.py
+++ b/bramblewood/controller/placement/rebalancing.py
@@ -106,16 +106,14 @@
 
     def _assign_parts(self, now: float, hot_slice: Slice, points: list[int]) -> list[SliceSplit]:
         """The parts that begin at these keys, each at the least loaded worker that can take it."""
-        parts, owner = [], hot_slice.main
+        parts, owner, loads = [], hot_slice.main, self._worker_loads
         heat = hot_slice.estimate() / (len(points) + 1)
         for start in points:
-            target = self._worker_loads.least_loaded(heat, excluding=owner)
-            if target is None or self._worker_loads.load_of(target) + heat > self._worker_loads.load_of(
-                owner
-            ):
+            target = loads.least_loaded(heat, excluding=owner)
+            if target is None or loads.load_of(target) + heat > loads.load_of(owner):
                 target = owner
             else:
-                self._worker_loads.record_move(now, owner, target, heat)
+                loads.record_move(now, owner, target, heat)
             parts.append(SliceSplit(hot_slice.number, start, Assignment(target.name)))
         return parts
 
@@ -156,8 +154,9 @@
             is_relieved = loads.load_of(worker) <= capacity and not owns_hot_key
             if is_relieved or heat < capacity / MAX_SPLIT_PARTS:
                 break  # what is left costs more to move than it brings
-            has_previous_owner = bool(entries[str(candidate.number)][PREVIOUS_OWNER])
-            if heat > capacity or has_previous_owner or hot_keys.is_hot(candidate.number):
+            if heat > capacity or hot_keys.is_hot(candidate.number):
+                continue
+            if entries[str(candidate.number)][PREVIOUS_OWNER]:
                 continue
             target = loads.least_loaded(heat, excluding=worker)
             if target is None or loads.load_of(target) + heat > LIMIT * loads.capacity(target):
--- a/bramblewood/controller/placement/service_placement.py
+++ b/bramblewood/controller/placement/service_placement.py
@@ -20,9 +20,8 @@
 from .slice_changes import Assignment, Entry, SliceChanges, initial_entries
 from .worker_loads import WorkerLoads
 
-DEFAULT_WARM_UP = (
-    1.0  # s that a worker back from a doubt counts as new, where no worker told that it was cold
-)
+# s that a worker back from a doubt counts as new, where no worker told that it was cold
+DEFAULT_WARM_UP = 1.0
 SLOW_START_SPEED = 0.5  # part of its speed that a new worker is taken to have; the protocol says "slow" only
 MANAGER_SEED = "office:{service}"  # of the manager's random draws; seeded plays rest on it
 
