--- a/features/steps/contact.py
+++ b/features/steps/contact.py
@@ -84,7 +84,7 @@
     return together if name == "together" else getattr(majority_contact, name)
 
 
-@then("{count:d} plays of {some} of {archives:d} for twenty seconds {way} keep the rules")
+@then("{count:d} plays of {some} of {controllers:d} for twenty seconds {way} keep the rules")
 def twenty(context, count, some, controllers, way):
     made = [
         majority_contact.twenty(seed, some, way, controllers, controllers % 5 and 1) for seed in range(count)
--- a/features/steps/leaving.py
+++ b/features/steps/leaving.py
@@ -125,7 +125,7 @@
     path = "/bramblewood/readiness"
 
 
-@then("at {now:g} its word on ballot {ballot:d} is over")
+@then("at {now:g} its word on ballot {proposal_number:d} is over")
 def over(context, now, proposal_number):
     voters, known = {name: name for name in "abc"}, {TABLE: (1, proposal_number, "b", 1)}
     assert context.sessions.word_until(now, voters, 1, known, {TABLE: NO_PROPOSAL}) < now
--- a/features/steps/room.py
+++ b/features/steps/room.py
@@ -48,7 +48,7 @@
     assert abs(context.connection_pool.trusted(NOW + after) - second) < 1e-9
 
 
-@given("{desks:d} desks and {workers:d} workers of {connections:d} connections each")
+@given("{proxies:d} desks and {workers:d} workers of {connections:d} connections each")
 def fleet(context, proxies, workers, connections):
     context.keeps = lambda proxy, worker, now: keeps(connections, proxies, f"d{proxy}", f"w{worker}", now)
     context.proxies, context.workers = range(proxies), range(workers)
--- a/features/steps/sessions.py
+++ b/features/steps/sessions.py
@@ -33,14 +33,14 @@
     assert context.sessions.news(peer, ABOUT) == ABOUT
 
 
-@when("{peer} gave back the stamp {stamp:g} at {now:g}, with ballot {ballot:d} accepted")
+@when("{peer} gave back the stamp {stamp:g} at {now:g}, with ballot {proposal_number:d} accepted")
 def pulsed(context, peer, stamp, now, proposal_number):
     accepted = {TABLE: [1, proposal_number, "b", 1]}
     told = {"acc": accepted, "dur": accepted, "e": stamp, "t": 0.0, "v": True, "w": True, "desks": []}
     context.sessions.pulse(now, peer, {**told, "ep": 1, "disk": peer, "leaving": False, "ver": {}})
 
 
-@then("at {now:g} its word on ballot {ballot:d} holds until {until:g}")
+@then("at {now:g} its word on ballot {proposal_number:d} holds until {until:g}")
 def word(context, now, proposal_number, until):
     voters, known = {name: name for name in "abc"}, {TABLE: (1, proposal_number, "b", 1)}
     found = context.sessions.word_until(now, voters, 1, known, {TABLE: NO_PROPOSAL})
