--- a/bramblewood/controller/value_diff.py
+++ b/bramblewood/controller/value_diff.py
@@ -1,5 +1,11 @@
 """Differences between two JSON values, so that a change of a large one travels as a small one. Pure.
 
+A difference is a JSON map of one of two forms, stored and sent as it is:
+
+    {"=": value}                                    the new value, in place of the old one
+    {"+": {key: difference, ...}, "-": [key, ...]}  of a map: keys that change or are new, and keys that are
+                                                    gone ("-" is left out where none is)
+
 Values are never changed in place: what two of them share is the same object, and is passed over unread.
 """
 
@@ -10,13 +16,15 @@
 from weakref import ref
 
 SET, REMOVE_KEYS, PATCH_KEYS = "=", "-", "+"
-MISSING = object()
-NESTED = {dict, list, tuple}
+MISSING = object()  # in place of the value of a key that is not there
+NESTED_TYPES = {dict, list, tuple}
 
 
 class PatchedDict(dict):
-    """A map that `patched` made. It knows of which one, as long as that is in use, and by which difference,
-    so that nobody needs to look for it again. Its copies are plain.
+    """A map that `apply_difference` made. It knows of which one, as long as that is in use, and by which
+    difference, so that nobody needs to look for it again. Its copies are plain.
+
+    base: a weak reference to the map it was made of; change: the difference to that.
     """
 
     __slots__ = ("base", "change", "__weakref__")
@@ -39,8 +47,10 @@
         return [*old] == [*new] and all(map(equal_as_json, old.values(), new.values()))
     if not isinstance(old, (list, tuple)):
         return True
-    kinds = [*map(type, old)]
-    return kinds == [*map(type, new)] and (NESTED.isdisjoint(kinds) or all(map(equal_as_json, old, new)))
+    types = [*map(type, old)]
+    if types != [*map(type, new)]:
+        return False
+    return NESTED_TYPES.isdisjoint(types) or all(map(equal_as_json, old, new))
 
 
 def changed_keys(old: dict, new: dict) -> Iterator[str]:
@@ -49,46 +59,54 @@
 
 
 def difference(old: Any, new: Any) -> dict | None:
-    """What makes `new` of `old`; None where they are the same. Maps are compared key by key, all else as a
-    whole.
+    """What makes `new` of `old`; None where they are equal as JSON. Maps are compared key by key, all else
+    as a whole.
     """
     if old is new:
         return None
     if isinstance(new, PatchedDict) and new.base() is old:
         return new.change
-    if not isinstance(old, dict) or not isinstance(new, dict):
-        return None if equal_as_json(old, new) else {SET: new}
-    into, added = {}, 0
+    if isinstance(old, dict) and isinstance(new, dict):
+        return map_difference(old, new)
+    return None if equal_as_json(old, new) else {SET: new}
+
+
+def map_difference(old: dict, new: dict) -> dict | None:
+    changes, added = {}, 0
     for key in changed_keys(old, new):
         if key not in old:
-            into[key], added = {SET: new[key]}, added + 1
+            changes[key], added = {SET: new[key]}, added + 1
         elif (inner := difference(old[key], new[key])) is not None:
-            into[key] = inner
-    gone = [key for key in old if key not in new] if len(old) + added > len(new) else []
-    order = old  # in which `patched` will have the keys
-    if added or gone:
-        order = dict.fromkeys(old)
-        for key in gone:
-            del order[key]
-        order.update(dict.fromkeys(into))
+            changes[key] = inner
+    removed = [key for key in old if key not in new] if len(old) + added > len(new) else []
+    order = patched_key_order(old, changes, removed) if added or removed else old
     if any(map(ne, order, new)):
-        return {SET: new}
-    if not into and not gone:
+        return {SET: new}  # keys come in another order than `apply_difference` would give them
+    if not changes and not removed:
         return None
-    return {PATCH_KEYS: into, REMOVE_KEYS: gone} if gone else {PATCH_KEYS: into}
+    return {PATCH_KEYS: changes, REMOVE_KEYS: removed} if removed else {PATCH_KEYS: changes}
+
+
+def patched_key_order(old: dict, changes: dict, removed: list[str]) -> dict[str, None]:
+    """The keys in the order in which `apply_difference` will have them."""
+    order = dict.fromkeys(old)
+    for key in removed:
+        del order[key]
+    order.update(dict.fromkeys(changes))
+    return order
 
 
 def apply_difference(old: Any, change: dict | None) -> Any:
-    """`new` from `old` and their difference; `old` itself is left as it is."""
+    """The new value, of the old one and their difference (None: the same). `old` itself is left as it is."""
     if change is None:
         return old
     if SET in change:
         return change[SET]
-    made = PatchedDict(old)
+    patched = PatchedDict(old)
     # a plain map can't be referred to without keeping it: `object()` is none that anybody holds
-    made.change, made.base = change, ref(old) if isinstance(old, PatchedDict) else object
+    patched.change, patched.base = change, ref(old) if isinstance(old, PatchedDict) else object
     for key in change.get(REMOVE_KEYS, ()):
-        made.pop(key, None)
+        patched.pop(key, None)
     for key, inner in change[PATCH_KEYS].items():
-        made[key] = apply_difference(made.get(key), inner)
-    return made
+        patched[key] = apply_difference(patched.get(key), inner)
+    return patched
