--- a/tests/simulation/membership_epoch_search.py
+++ b/tests/simulation/membership_epoch_search.py
@@ -11,7 +11,7 @@
 instant: a write is safe as soon as it is asked for. Without it each write is a move, and power losses come
     amid.
 
-    python -m tests.epochs_search [--depth N] [--seconds S] [--shape NAME]
+    python -m tests.simulation.membership_epoch_search [--depth N] [--seconds S] [--shape NAME]
 """
 
 import argparse
