--- a/bramblewood/controller/drain_plans.py
+++ b/bramblewood/controller/drain_plans.py
@@ -15,8 +15,7 @@
 Steps only rise within a plan; cancelling a plan takes its workers into use again, at whatever step they are.
 When the next step is due: `drain_progress.py`.
 
-Functions that change plans take the value that stands and give the value to propose, None where nothing
-changes; the value that was handed in is never altered.
+Functions that change plans are changes as `table_changes.py` states them.
 """
 
 from collections.abc import Mapping
@@ -24,14 +23,13 @@
 
 from ..common.slice_table import DRAIN_ANNOUNCED
 from ..common.worker_registry import READY, WorkerRegistry
+from .table_changes import ProposedTable, TableValue, empty_table
 
 PLANS_KEY = "w"  # in the table's value
 RUNNING, STOPPED, CANCELLED, DONE = "running", "stopped", "back", "done"  # states of a plan, as stored
 ENDED_PLANS_KEPT = 20  # to be shown
 STOPPED_BY_OPERATOR = "asked for"  # why a plan ended, as stored
 
-TableValue = dict[str, Any]
-
 
 class DrainPlan(NamedTuple):
     """A plan. `wave_size` workers are drained at a time; `reason` says why the plan ended, if it has."""
@@ -143,7 +141,7 @@
         instance_ids: the workers to drain, in the order of the waves.
         remaining: how many workers in use the plan leaves the service.
     """
-    value = value or {"n": 0, "s": {}}
+    value = value or empty_table()
     plans, drains = plans_of(value), worker_drains_of(value)
     plan = DrainPlan(service, instance_ids, wave_size)
     if name in plans:
@@ -182,7 +180,7 @@
 
 def advance_plans(
     value: TableValue | None, step_changes: Mapping[str, StepChange], plan_ends: Mapping[str, PlanEnd]
-) -> tuple[TableValue | None, bool]:
+) -> ProposedTable:
     """The table with workers a step further and plans ended, as far as what these rest on still stands."""
     if value is None:
         return None, True
--- a/bramblewood/controller/drain_progress.py
+++ b/bramblewood/controller/drain_progress.py
@@ -10,7 +10,7 @@
 figures, and the proxies have reported since the last one was over.
 """
 
-from collections.abc import Callable, Collection, Mapping
+from collections.abc import Collection, Mapping
 from typing import Any, NamedTuple
 
 from ..common.slice_table import (
@@ -30,12 +30,12 @@
     DrainPlan,
     PlanEnd,
     StepChange,
-    TableValue,
     WorkerDrain,
     advance_plans,
     plans_of,
     worker_drains_of,
 )
+from .table_changes import TableChange, TableValue
 
 # s after a wave until the next: five reports of half a second that have seen it, and one way
 WAVE_INTERVAL = 3.0
@@ -44,9 +44,6 @@
 UNKNOWN_PROXIES = "?"  # stands for proxies that a controller which has just started may not have met
 NOT_ENOUGH_CAPACITY = "what stays would not carry the load"  # why a plan stopped, as stored
 
-# from the value that stands to the one to propose, as other controllers may have changed it meanwhile
-TableChange = Callable[[TableValue | None], tuple[TableValue | None, bool]]
-
 
 class WorkInFlight(NamedTuple):
     """What a proxy has in flight at a worker: lookups, effects, and the age of the oldest (s)."""
--- a/bramblewood/controller/outlier_detection.py
+++ b/bramblewood/controller/outlier_detection.py
@@ -15,9 +15,10 @@
 from collections import Counter, deque
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from ..policy.figures import HELD, REPORTS, usual
+from .table_changes import ProposedTable, TableValue
 
 EJECTIONS_KEY = "h"  # in the table's value
 # of a worker's attempts that fail; lost and garbled answers stay below a tenth on the days played
@@ -63,13 +64,13 @@
 CycleCounts = dict[str, dict[str, AttemptCounts]]  # by worker and proxy
 
 
-def ejections_of(value: dict[str, Any] | None) -> dict[str, Ejection]:
+def ejections_of(value: TableValue | None) -> dict[str, Ejection]:
     """The agreed ejections by instance id, of workers that are back too."""
     stored = value.get(EJECTIONS_KEY, {}) if value else {}
     return {instance_id: Ejection(*ejection) for instance_id, ejection in stored.items()}
 
 
-def ejected_workers(value: dict[str, Any] | None) -> list[str]:
+def ejected_workers(value: TableValue | None) -> list[str]:
     """The workers that are ejected, sorted."""
     return sorted(instance_id for instance_id, ejection in ejections_of(value).items() if ejection.is_ejected)
 
@@ -90,7 +91,7 @@
         counts.attempts += attempts
         counts.failures += failures
 
-    def record_table(self, now: float, value: dict[str, Any]) -> None:
+    def record_table(self, now: float, value: TableValue) -> None:
         """Called with each newer table: the times of ejections begin as they become known."""
         standing = ejections_of(value).items()
         self._known_since = {one: self._known_since.get(one, now) for one in standing}
@@ -131,7 +132,7 @@
     def plan_ejections(
         self,
         now: float,
-        value: dict[str, Any],
+        value: TableValue,
         outliers: set[str],
         services: Mapping[str, list[str]],
     ) -> dict[str, WantedEjection]:
@@ -155,7 +156,7 @@
         in_use = {instance_id for instance_ids in services.values() for instance_id in instance_ids}
         return {instance_id: one for instance_id, one in wanted.items() if instance_id in in_use}
 
-    def _remaining_ejections(self, now: float, value: dict[str, Any]) -> dict[str, WantedEjection]:
+    def _remaining_ejections(self, now: float, value: TableValue) -> dict[str, WantedEjection]:
         """What is left of the agreed ejections: those whose time is over end, old ones are forgotten."""
         remaining = {}
         for instance_id, ejection in ejections_of(value).items():
@@ -169,10 +170,10 @@
 
 
 def with_ejections(
-    value: dict[str, Any] | None,
+    value: TableValue | None,
     wanted: Mapping[str, WantedEjection],
     seen: Mapping[str, Ejection],
-) -> tuple[dict[str, Any] | None, bool]:
+) -> ProposedTable:
     """The table with these ejections; None where nothing changes. What changes gets the new version.
 
     Args:
--- a/bramblewood/controller/placement/planner.py
+++ b/bramblewood/controller/placement/planner.py
@@ -10,8 +10,9 @@
 from ..drain_progress import ServiceCapacity
 from ..hot_keys import HotKeyStatus
 from ..outlier_detection import ejected_workers
+from ..table_changes import Entry, TableValue
 from .service_placement import ListedWorker, ServicePlacement, ServiceWorkers
-from .slice_changes import Entry, SliceChanges, TableValue, initial_slice_count
+from .slice_changes import SliceChanges, initial_slice_count
 
 DEFAULT_LATENCY_TARGET = 1.0  # s, of a service to which no route leads
 # heartbeats of the workers before a service's first table: every worker that is up has called once
--- a/bramblewood/controller/placement/rebalancing.py
+++ b/bramblewood/controller/placement/rebalancing.py
@@ -18,8 +18,9 @@
 from ...policy.manager import Manager
 from ...policy.slices import Slice
 from ...policy.workers import Worker
+from ..table_changes import Entry
 from .service_load import REPORT_CYCLE, ServiceLoad
-from .slice_changes import Assignment, Entry, SliceSplit
+from .slice_changes import Assignment, SliceSplit
 from .worker_loads import WorkerLoads
 
 MAX_SPLIT_PARTS = 16  # parts that a hot slice is split into at most at one time
--- a/bramblewood/controller/placement/replica_placement.py
+++ b/bramblewood/controller/placement/replica_placement.py
@@ -5,7 +5,7 @@
 from ...common.slice_table import PREVIOUS_OWNER, WORKER, readers_of, reading
 from ..hot_keys import HotKeys
 from ..read_replicas import wanted as wanted_replica_count
-from .slice_changes import Entry
+from ..table_changes import Entry
 from .worker_loads import WorkerLoads
 
 
--- a/bramblewood/controller/placement/service_placement.py
+++ b/bramblewood/controller/placement/service_placement.py
@@ -13,11 +13,12 @@
 from ...policy.slices import Slice
 from ..drain_progress import ServiceCapacity
 from ..hot_keys import HotKeyStatus
+from ..table_changes import Entry
 from ..zone_affinity import WorkerUtilization, ZoneAffinity
 from .rebalancing import Rebalancer
 from .replica_placement import replica_changes
 from .service_load import REPORT_CYCLE, ServiceLoad
-from .slice_changes import Assignment, Entry, SliceChanges, initial_entries
+from .slice_changes import Assignment, SliceChanges, initial_entries
 from .worker_loads import WorkerLoads
 
 # s that a worker back from a doubt counts as new, where no worker told that it was cold
--- a/bramblewood/controller/placement/slice_changes.py
+++ b/bramblewood/controller/placement/slice_changes.py
@@ -1,7 +1,7 @@
 """What a move, a split or a release does to the agreed slice table. Pure.
 
-Functions take the register's value (`common/slice_table.py` has its form) and give the value to propose next,
-or None where nothing changes; the value that was handed in is never altered. Of a keyed service no slice has
+Functions that change the table are changes as `controller/table_changes.py` states them; what they tell is
+whether anything changes. Of a keyed service no slice has
 two owners: its entry names the previous owner until that one has released its keys, and a new owner comes
 with a new fencing token, which is the version of the table that made it one.
 """
@@ -23,14 +23,11 @@
     reading,
     with_readers,
 )
+from ..table_changes import Entry, ProposedTable, TableValue, empty_table
 
 MIN_SLICES = 32
 MIN_SLICES_PER_WORKER = 6  # so that one slice is a small step; each keyed slice costs a renewal of its lease
 
-TableValue = dict[str, Any]
-Entry = list[Any]  # a row of the slice table
-ProposedTable = tuple[TableValue | None, bool]  # the value to propose, if any; whether that changes anything
-
 
 class Assignment(NamedTuple):
     """Who serves a slice: its worker, a second one if any, and the share (0 to 1) that the second gets."""
@@ -103,7 +100,7 @@
     Args:
         keyed: the services whose slices have one owner at a time.
     """
-    value = value or {"n": 0, "s": {}}
+    value = value or empty_table()
     version, services, any_change = value["n"] + 1, dict(value["s"]), False
     for service, wanted in changes.items():
         entries = dict(services.get(service) or initial_entries(wanted.slice_count))
