--- a/bramblewood/controller/placement/rebalancing.py
+++ b/bramblewood/controller/placement/rebalancing.py
@@ -18,8 +18,9 @@
 from ...policy.slices import Slice
 from ...policy.workers import Worker
 from ...policy_base.parameters import CAPACITY_LIMIT, LONG_AGO, REPORT_LAG, REPORTS_HELD
+from ..table_changes import Entry
 from .service_load import REPORT_CYCLE, ServiceLoad
-from .slice_changes import Assignment, Entry, SliceSplit
+from .slice_changes import Assignment, SliceSplit
 from .worker_loads import WorkerLoads
 
 MAX_SPLIT_PARTS = 16  # parts that a hot slice is split into at most at one time
@@ -106,16 +107,14 @@
 
     def _assign_parts(self, now: float, hot_slice: Slice, points: list[int]) -> list[SliceSplit]:
         """The parts that begin at these keys, each at the least loaded worker that can take it."""
-        parts, owner = [], hot_slice.primary
+        parts, owner, loads = [], hot_slice.primary, self._worker_loads
         heat = hot_slice.estimate() / (len(points) + 1)
         for start in points:
-            target = self._worker_loads.least_loaded(heat, excluding=owner)
-            if target is None or self._worker_loads.load_of(target) + heat > self._worker_loads.load_of(
-                owner
-            ):
+            target = loads.least_loaded(heat, excluding=owner)
+            if target is None or loads.load_of(target) + heat > loads.load_of(owner):
                 target = owner
             else:
-                self._worker_loads.record_move(now, owner, target, heat)
+                loads.record_move(now, owner, target, heat)
             parts.append(SliceSplit(hot_slice.number, start, Assignment(target.name)))
         return parts
 
@@ -155,8 +154,9 @@
             is_relieved = loads.load_of(worker) <= capacity and not owns_hot_key
             if is_relieved or heat < capacity / MAX_SPLIT_PARTS:
                 break  # what is left costs more to move than it brings
-            has_previous_owner = bool(entries[str(candidate.number)][PREVIOUS_OWNER])
-            if heat > capacity or has_previous_owner or hot_keys.is_hot(candidate.number):
+            if heat > capacity or hot_keys.is_hot(candidate.number):
+                continue
+            if entries[str(candidate.number)][PREVIOUS_OWNER]:
                 continue
             target = loads.least_loaded(heat, excluding=worker)
             if target is None or loads.load_of(target) + heat > CAPACITY_LIMIT * loads.capacity(target):
