--- a/bramblewood/cli/manager.py
+++ b/bramblewood/cli/manager.py
@@ -6,8 +6,8 @@
 
 from .. import __version__
 from ..net.program import charter, logs
-from ..net.protocol import roster
-from ..net.protocol.words import Unreadable
+from ..net.protocol import worker_list
+from ..net.protocol.fields import ProtocolError
 from ..net.transport.connection import spelled
 from .output import fail
 
@@ -60,8 +60,12 @@
     """Read a configuration and say what it would listen on and dial, or what is wrong with it."""
     settings, bylaws = read_settings(path), read_bylaws(operator)
     try:
-        known = len(roster.read(settings.known, cached=True)[1].workers) if settings.known else 0
-    except Unreadable as problem:
+        known = (
+            len(worker_list.parse_worker_list(settings.known, cached=True)[1].workers)
+            if settings.known
+            else 0
+        )
+    except ProtocolError as problem:
         fail(f"known: {problem}")
     rows = {
         "name": settings.name,
--- a/bramblewood/net/program/charter.py
+++ b/bramblewood/net/program/charter.py
@@ -17,6 +17,8 @@
 
 
 class Charter(NamedTuple):
+    """The configuration of a manager, checked."""
+
     name: str
     listen: Address
     discovery: Address
@@ -31,6 +33,7 @@
 
 
 def address(text: Any, key: str) -> Address:
+    """A host and port of a text; raises Faulty with the key."""
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     parts = host.split(".")
     if len(parts) != 4 or not all(part.isdigit() and int(part) < 256 for part in parts):
@@ -41,6 +44,7 @@
 
 
 def of_type(found: Mapping, key: str, kind: type, default: Any = None) -> Any:
+    """The value of a key if it is of this type; raises Faulty."""
     value = found.get(key.rpartition(".")[2], default)
     if not isinstance(value, kind) or isinstance(value, bool):
         words = {dict: "an object", str: "a text", int: "a whole number", list: "a list"}
@@ -83,6 +87,7 @@
 
 
 def check(found: Mapping) -> Charter:
+    """The configuration of the object that was read; raises Faulty."""
     registry = of_type(found, "registry", dict)
     peers = of_type(found, "peers", list, [])
     limits = of_type(found, "limits", dict, {})
--- a/bramblewood/net/program/logs.py
+++ b/bramblewood/net/program/logs.py
@@ -16,6 +16,7 @@
             os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> None:
+        """Write one line, as far as it goes."""
         try:
             os.write(self.descriptor, text.encode())
         except OSError:
@@ -26,6 +27,7 @@
 
 
 def begin() -> None:
+    """Configure the log of this process."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
--- a/bramblewood/net/program/service.py
+++ b/bramblewood/net/program/service.py
@@ -12,14 +12,14 @@
 
 from ... import events, turn_stages
 from ...policy.manager import Manager
+from ..protocol.fields import ProtocolError
 from ..protocol.frames import Scope
-from ..protocol.words import Unreadable
-from ..routing.calls import Calls
 from ..routing.collectors import Collectors
 from ..routing.discovery import Discovery
-from ..routing.news import News
+from ..routing.health_checks import HealthChecks
 from ..routing.peers import Peers
-from ..routing.probes import Probes
+from ..routing.relay_calls import RelayCalls
+from ..routing.relay_updates import RelayUpdates
 from ..transport.connection import Address, spelled
 from ..transport.listener import Listener
 from ..transport.loop import LONGEST, Loop
@@ -54,31 +54,46 @@
 
 
 class Service:
+    """One manager in service: its parties, its stages and the policy."""
+
     def __init__(self, charter: Charter, loop: Loop | None = None, log=None, bylaws=None) -> None:
         self.charter, self.bylaws, self.loop = charter, bylaws, loop or Loop()
         self.log = log or structlog.get_logger().bind(manager=charter.name)
         self.inbox: list[events.Event] = []
         self.manager: Manager | None = None
         self.starts, self.stopping, self.hung_up = 0, False, False  # hung_up: asked to read anew
-        notices, tell = Notices(self.log, self.loop.now), self.inbox_tell
+        notices, emit = Notices(self.log, self.loop.now), self.add_event
         self.notices = notices
         settings = charter.facts
         operations = [operation.name for operation in settings.operations]
-        self.discovery = Discovery(self.loop, charter.discovery, notices, DISCOVERY_SILENCE, tell=tell)
+        self.discovery = Discovery(self.loop, charter.discovery, notices, DISCOVERY_SILENCE, emit=emit)
         self.collectors = Collectors(
             notices,
-            tell,
-            Scope(settings.zones, operations, settings.slices, self.discovery.held),
+            emit,
+            Scope(settings.zones, operations, settings.slices, self.discovery.workers),
         )
-        self.calls = Calls(
-            self.loop, charter.relay, operations, notices, tell, self.carried, lambda: self.news.again()
+        self.relay_calls = RelayCalls(
+            self.loop,
+            charter.relay,
+            operations,
+            notices,
+            emit,
+            self.order_applied,
+            lambda: self.relay_updates.reread(),
         )
-        self.news = News(
-            self.loop, charter.relay, notices, NEWS_SILENCE, tell=self.told, stored=self.calls.stored
+        self.relay_updates = RelayUpdates(
+            self.loop,
+            charter.relay,
+            notices,
+            NEWS_SILENCE,
+            emit=self.handle_relay_event,
+            compare_stored=self.relay_calls.compare_stored,
         )
         self.stages: list[turn_stages.Stage] = []
         self.turned_at, self.wakers = self.loop.now(), {}  # wakers: descriptors of stages that wake the loop
-        self.probes = Probes(self.loop, self.worker_address, bool(settings.load_fields), notices, tell)
+        self.health_checks = HealthChecks(
+            self.loop, self.worker_address, bool(settings.load_fields), notices, emit
+        )
         self.peers = None
         if charter.peer_listen:
             self.peers = at(
@@ -91,7 +106,7 @@
                     charter.everyone,
                     settings.manager,
                     notices,
-                    tell,
+                    emit,
                 ),
             )
         self.listener = at(
@@ -112,47 +127,55 @@
             self.listener.close()
             raise Faulty(f"store.folder: {bylaws.store.folder}: {problem}") from None
 
-    def carried(self, order: events.Order) -> None:
+    def order_applied(self, order: events.Order) -> None:
         """An order that the relay took."""
-        self.news.carried(order)
+        self.relay_updates.order_applied(order)
         for stage in self.stages:
             stage.order_applied(order)
 
-    def inbox_tell(self, event: events.Event) -> None:
+    def add_event(self, event: events.Event) -> None:
+        """Keep an event for the policy's next turn."""
         self.inbox.append(event)
 
-    def told(self, event: events.Event) -> None:
+    def handle_relay_event(self, event: events.Event) -> None:
         """The relay's news; answers to marks also settle calls."""
         if isinstance(event, events.MessageAcknowledged):
-            self.calls.answered(event)
+            self.relay_calls.acknowledged(event)
             return
         if isinstance(event, events.SliceAssigned):
-            never_away = event.slice in self.news.leveled or self.calls.unsettled(event.slice)
-            self.calls.given_anew(event.slice)
+            never_away = event.slice in self.relay_updates.with_admission or self.relay_calls.is_unconfirmed(
+                event.slice
+            )
+            self.relay_calls.slice_reassigned(event.slice)
             if event.assigned and never_away:  # a slice comes with the usual levels; this one may have others
-                self.calls.give([events.SetAdmission(event.slice, (), 1.0, self.charter.facts.default_retry)])
+                self.relay_calls.submit(
+                    [events.SetAdmission(event.slice, (), 1.0, self.charter.facts.default_retry)]
+                )
         self.inbox.append(event)
 
     def worker_address(self, worker: str):
+        """Where a worker answers health checks; None where that is not known or no address."""
         try:
             return address(self.discovery.addresses.get(worker), worker)
         except Faulty:
             return None
 
     def start(self) -> None:
-        self.begin_module()
+        """Start the policy, the stages and the streams."""
+        self.start_policy()
         try:
-            self.discovery.listed(self.charter.known, cached=True)
-        except Unreadable as problem:
+            self.discovery.handle_list(self.charter.known, cached=True)
+        except ProtocolError as problem:
             self.log.warning("known list not usable", why=str(problem))
         for stage in self.stages:
             self.inbox += stage.start()
         if not self.charter.facts.must_request_list:
             self.discovery.start()
-        self.news.start()
-        self.loop.after(READY_WITHIN, self.use)
+        self.relay_updates.start()
+        self.loop.after(READY_WITHIN, self.mark_in_use)
 
-    def begin_module(self) -> None:
+    def start_policy(self) -> None:
+        """A new policy, with a seed of its own."""
         self.manager = Manager(f"{self.charter.seed}:{self.starts}", self.charter.facts)
         self.starts += 1
 
@@ -179,7 +202,7 @@
             except Exception:  # whatever the module raises: it starts anew, and the manager goes on
                 self.log.exception("the module failed")
                 self.manager = None
-                self.loop.after(AGAIN_AFTER, self.begin_again)
+                self.loop.after(AGAIN_AFTER, self.restart_policy)
                 return
             for stage in self.stages:
                 orders = self.staged(
@@ -191,8 +214,8 @@
                 self.notices.say("orders not carried out", why=repr(problem))
         if self.manager is None:
             self.inbox.clear()  # the next module is told all that stands
-        if self.discovery.current and self.news.current:
-            self.use()
+        if self.discovery.current and self.relay_updates.current:
+            self.mark_in_use()
 
     def staged(self, ask: Callable, what: list, otherwise) -> list:
         """What a stage makes of events or orders; if it raises, its stated fallback."""
@@ -224,10 +247,13 @@
             if orders:
                 self.carry_out(orders)
 
-    def use(self) -> None:
+    def mark_in_use(self) -> None:
+        """From here on the manager says that it may be used."""
         if not self.collectors.in_use:
-            self.collectors.use()
-            self.log.info("in use", discovery=bool(self.discovery.current), news=bool(self.news.current))
+            self.collectors.mark_in_use()
+            self.log.info(
+                "in use", discovery=bool(self.discovery.current), news=bool(self.relay_updates.current)
+            )
 
     def renew(self) -> None:
         """The configuration read anew as one value: it holds as a whole, or the old one goes on."""
@@ -238,8 +264,8 @@
             return
         was, self.charter = self.charter, self.charter._replace(discovery=told.discovery, relay=told.relay)
         self.discovery.move(told.discovery)
-        self.news.move(told.relay)
-        self.calls.move(told.relay)
+        self.relay_updates.move(told.relay)
+        self.relay_calls.move(told.relay)
         later = [
             key
             for key, old, new in zip(Charter._fields, was, told, strict=True)
@@ -268,16 +294,17 @@
             stage.update_terms(self.bylaws.store)
         self.log.info("new operator's file taken", at_once=now, at_the_next_start=later)
 
-    def begin_again(self) -> None:
+    def restart_policy(self) -> None:
         """A new module after one that raised: it is told all that stands, and missed nothing else."""
-        self.begin_module()
-        self.discovery.forgotten()
+        self.start_policy()
+        self.discovery.policy_restarted()
         for stage in self.stages:
             self.inbox += stage.policy_restarted()
-        self.news.forgotten()
+        self.relay_updates.policy_restarted()
 
     def carry_out(self, orders: list[events.Order]) -> None:
-        self.calls.give([order for order in orders if isinstance(order, TO_RELAY)])
+        """Hand each order to the party that carries it out."""
+        self.relay_calls.submit([order for order in orders if isinstance(order, TO_RELAY)])
         for order in orders:
             match order:
                 case events.SetTimer(after, token):
@@ -285,11 +312,11 @@
                 case events.Log(text):
                     self.log.info(text)
                 case events.WatchWorkerList(on):
-                    self.discovery.follow(on)
+                    self.discovery.watch(on)
                 case events.RequestWorkerList():
-                    self.discovery.ask()
+                    self.discovery.request_list()
                 case events.CheckHealth():
-                    self.probes.send(order)
+                    self.health_checks.send(order)
                 case events.TellPeer():
                     if self.peers:
                         self.peers.send(order)
@@ -322,7 +349,9 @@
         return 0
 
     def stop(self, _number, _frame) -> None:
+        """Signal handler: end after this turn."""
         self.stopping = True
 
     def hang_up(self, _number, _frame) -> None:
+        """Signal handler: read the configuration anew in the next turn."""
         self.hung_up = True
--- a/bramblewood/net/protocol/roster.py
+++ b/bramblewood/net/protocol/worker_list.py
@@ -3,19 +3,20 @@
 import json
 
 from ... import events
-from .words import MS, STATES, Skipped, Unreadable, number, text
+from .fields import MS, STATES, InvalidMessage, ProtocolError, number, text
 
-LIST = "/catalog/members"
+LIST_PATH = "/catalog/members"
 
 
 def watch_path(version: int) -> str:
-    return f"{LIST}?stream=1&index={version}"
+    """The path at which changes after this version are streamed."""
+    return f"{LIST_PATH}?stream=1&index={version}"
 
 
-def entry_of(item: object) -> tuple[events.ListedWorker, str]:
+def parse_entry(item: object) -> tuple[events.ListedWorker, str]:
     """One worker, and the address at which it answers probes."""
     if not isinstance(item, dict) or text(item, "state") not in STATES:
-        raise Skipped(f"entry {item!r:.60}")
+        raise InvalidMessage(f"entry {item!r:.60}")
     started, cell = number(item, "started_ms", 0), item.get("cell", 0)
     entry = events.ListedWorker(
         text(item, "id"),
@@ -29,21 +30,23 @@
     return entry, text(item, "addr", "")
 
 
-def read(data: bytes | dict, cached: bool = False) -> tuple[int, events.WorkersListed, dict, list[str]]:
+def parse_worker_list(
+    data: bytes | dict, cached: bool = False
+) -> tuple[int, events.WorkersListed, dict, list[str]]:
     """A list: its version, the event, addresses by worker, and what of it had to be skipped."""
     try:
         found = data if isinstance(data, dict) else json.loads(data)
     except (ValueError, RecursionError):
-        raise Unreadable(f"a list that is no JSON: {data[:40]!r}") from None
+        raise ProtocolError(f"a list that is no JSON: {data[:40]!r}") from None
     items = found.get("servers") if isinstance(found, dict) else None
     version = found.get("version") if isinstance(found, dict) else None
     if isinstance(version, bool) or not isinstance(version, int) or not isinstance(items, list):
-        raise Unreadable("a list without version or servers")
+        raise ProtocolError("a list without version or servers")
     entries, addresses, problems = [], {}, []
     for item in items:
         try:
-            entry, address = entry_of(item)
-        except Skipped as problem:
+            entry, address = parse_entry(item)
+        except InvalidMessage as problem:
             problems.append(str(problem))
             continue
         entries.append(entry)
--- a/bramblewood/net/routing/discovery.py
+++ b/bramblewood/net/routing/discovery.py
@@ -3,107 +3,119 @@
 from collections.abc import Callable
 
 from ... import events
-from ..protocol import roster
-from ..protocol.http import Answer, get
-from ..protocol.words import Unreadable
+from ..protocol import worker_list
+from ..protocol.fields import ProtocolError
+from ..protocol.http import HttpResponse, format_get
 from ..transport.buffer import Buffer
 from ..transport.connection import Connection, spelled
 from ..transport.ending import Ending
 from .stream import Attempt, Stream
 
-ANSWER = 3.0  # s for a whole list; the agent answers at once when it answers at all
+ANSWER_TIMEOUT = 3.0  # s for a whole list; the agent answers at once when it answers at all
 
 
 class Discovery(Stream):
+    """The watch on the worker list, the last list, and the call for a complete one."""
+
     party = "discovery"
 
-    def __init__(self, *args, tell: Callable[[events.Event], None], **more) -> None:
+    def __init__(self, *args, emit: Callable[[events.Event], None], **more) -> None:
         super().__init__(*args, **more)
-        self.tell, self.version, self.addresses, self.held = tell, 0, {}, {}
-        self.asked: Ask | None = None
+        self.emit, self.version, self.addresses, self.workers = emit, 0, {}, {}
+        self.list_request: ListRequest | None = None
         self.report_failure = False  # where the module asked to follow, it is told of a break
 
     def greeting(self) -> bytes:
-        return get(roster.watch_path(self.version), spelled(self.address), keep=True)
+        """The request for the watch."""
+        return format_get(worker_list.watch_path(self.version), spelled(self.address), keep=True)
 
-    def reader(self) -> Answer:
-        return Answer()
+    def reader(self) -> HttpResponse:
+        """What reads the answer of one connection."""
+        return HttpResponse()
 
     def read(self, attempt: Attempt, buffer: Buffer) -> None:
+        """Read lists as they arrive; raises ProtocolError."""
         answer = attempt.reader
         answer.feed(buffer.take(len(buffer)))
         if answer.status not in (0, 200):
-            raise Unreadable(f"status {answer.status}")
+            raise ProtocolError(f"status {answer.status}")
         for line in answer.lines():
             if line:  # an empty one is a sign of life
-                self.listed(line)
+                self.handle_list(line)
         if answer.status:
-            self.spoke(attempt)
-        if answer.whole:
+            self.first_answer(attempt)
+        if answer.complete:
             attempt.connection.end(Ending.CLOSED)
 
-    def listed(self, data: bytes | dict, cached: bool = False) -> None:
-        version, event, addresses, problems = roster.read(data, cached)
+    def handle_list(self, data: bytes | dict, cached: bool = False) -> None:
+        """Take over a list and pass it on."""
+        version, event, addresses, problems = worker_list.parse_worker_list(data, cached)
         for problem in problems:
             self.notices.say("entry skipped", self.party, why=problem)
         self.version = version
         if event.complete:
             self.addresses.clear()
-            self.held.clear()
+            self.workers.clear()
         self.addresses.update(addresses)
-        self.held.update((entry.worker, entry) for entry in event.workers)
+        self.workers.update((entry.worker, entry) for entry in event.workers)
         for entry in event.workers:
             if entry.state == events.DEREGISTERED:
-                self.held.pop(entry.worker, None)
+                self.workers.pop(entry.worker, None)
                 self.addresses.pop(entry.worker, None)
-        self.tell(event)
+        self.emit(event)
 
     def broken(self) -> None:
+        """The watch broke: tell the policy, where it asked to watch."""
         if self.report_failure and self.on:
-            self.tell(events.WorkerListFailed())
+            self.emit(events.WorkerListFailed())
 
-    def follow(self, on: bool) -> None:
+    def watch(self, on: bool) -> None:
+        """Start or stop the watch, as the policy orders."""
         self.report_failure = on
         if on:
             self.start()
         else:
             self.stop()
 
-    def ask(self) -> None:
-        if not self.asked:
-            self.asked = Ask(self)
+    def request_list(self) -> None:
+        """Call once for the complete list."""
+        if not self.list_request:
+            self.list_request = ListRequest(self)
 
-    def forgotten(self) -> None:
+    def policy_restarted(self) -> None:
         """A new module knows no list: it is told what is held, and all of it is asked for."""
-        self.tell(events.WorkersListed(tuple(self.held.values()), complete=True, cached=True))
-        self.ask()
+        self.emit(events.WorkersListed(tuple(self.workers.values()), complete=True, cached=True))
+        self.request_list()
 
 
-class Ask:
+class ListRequest:
     """One call for the whole list."""
 
     def __init__(self, discovery: Discovery) -> None:
-        self.discovery, self.answer = discovery, Answer()
+        self.discovery, self.answer = discovery, HttpResponse()
         self.connection = discovery.dial(discovery.loop, discovery.address, self)
 
     def opened(self, connection: Connection) -> None:
-        connection.send(get(roster.LIST, spelled(self.discovery.address)))
-        connection.limit_to(ANSWER)
+        """The connection is up."""
+        connection.send(format_get(worker_list.LIST_PATH, spelled(self.discovery.address)))
+        connection.limit_to(ANSWER_TIMEOUT)
 
     def received(self, connection: Connection) -> None:
+        """Bytes have arrived in the connection's buffer."""
         try:
             self.answer.feed(connection.buffer.take(len(connection.buffer)))
-            if self.answer.whole:
+            if self.answer.complete:
                 if self.answer.status != 200:
-                    raise Unreadable(f"status {self.answer.status}")
-                self.discovery.listed(bytes(self.answer.body))
-                self.discovery.asked = None
+                    raise ProtocolError(f"status {self.answer.status}")
+                self.discovery.handle_list(bytes(self.answer.body))
+                self.discovery.list_request = None
                 connection.end()
-        except Unreadable as problem:
+        except ProtocolError as problem:
             self.discovery.notices.say("list can't be read", self.discovery.party, why=str(problem))
             connection.end(Ending.UNREADABLE)
 
     def ended(self, connection: Connection, ending: Ending) -> None:
-        if self.discovery.asked is self:
-            self.discovery.asked = None
-            self.discovery.tell(events.WorkerListFailed())
+        """The connection has ended, for this reason."""
+        if self.discovery.list_request is self:
+            self.discovery.list_request = None
+            self.discovery.emit(events.WorkerListFailed())
--- a/bramblewood/net/routing/outcomes.py
+++ b/bramblewood/net/routing/outcomes.py
@@ -18,6 +18,7 @@
 
 
 def outcome_of(ending: Ending) -> str:
+    """The outcome of a health check whose connection ended so."""
     return OUTCOMES[ending]
 
 
--- a/bramblewood/net/transport/buffer.py
+++ b/bramblewood/net/transport/buffer.py
@@ -9,6 +9,8 @@
 
 
 class Buffer:
+    """The bytes that a connection has received and nobody has taken yet."""
+
     def __init__(self, most: int = MOST) -> None:
         self.data, self.start, self.end, self.most = bytearray(LEAST), 0, 0, most
 
@@ -29,12 +31,15 @@
         return memoryview(self.data)[self.end : self.end + wanted]
 
     def filled(self, count: int) -> None:
+        """So many bytes were written to the free space."""
         self.end += count
 
     def peek(self, count: int) -> bytes:
+        """The first bytes, at most so many; they stay."""
         return bytes(self.data[self.start : min(self.start + count, self.end)])
 
     def take(self, count: int) -> bytes:
+        """The first bytes, at most so many; they go."""
         taken = self.peek(count)
         self.start += len(taken)
         if self.start == self.end:
--- a/bramblewood/net/transport/connection.py
+++ b/bramblewood/net/transport/connection.py
@@ -22,6 +22,7 @@
 
 
 def spelled(address: Address) -> str:
+    """An address as people write it."""
     return "{}:{}".format(*address)
 
 
@@ -35,12 +36,21 @@
 
 
 class Owner(Protocol):
-    def opened(self, connection: "Connection") -> None: ...
-    def received(self, connection: "Connection") -> None: ...
-    def ended(self, connection: "Connection", ending: Ending) -> None: ...
+    """Who is told of a connection."""
+
+    def opened(self, connection: "Connection") -> None:
+        """The connection is up."""
+
+    def received(self, connection: "Connection") -> None:
+        """Bytes have arrived in the connection's buffer."""
+
+    def ended(self, connection: "Connection", ending: Ending) -> None:
+        """The connection has ended, for this reason; told once."""
 
 
 class Connection:
+    """A connection that dials or was accepted; it ends by a limit, a fault, the other side or this one."""
+
     def __init__(self, loop: Loop, owner: Owner, sock: socket.socket | None = None) -> None:
         self.loop, self.owner, self.sock, self.buffer = loop, owner, sock, Buffer()
         self.unsent: deque[memoryview] = deque()
@@ -79,6 +89,7 @@
             self.limit = self.loop.after(seconds, late)
 
     def over(self, seconds: float, ending: Ending) -> None:
+        """The time limit is due: end, unless something was heard in the meantime."""
         left = self.heard_at + seconds - self.loop.now() if self.up else 0.0
         if left > 0:
             self.limit = self.loop.after(left, lambda: self.over(seconds, ending))
@@ -86,12 +97,14 @@
             self.end(ending)
 
     def come_up(self) -> None:
+        """The connection stands: read from now on."""
         self.up, self.heard_at = True, self.loop.now()
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.limit_to(None)
         self.loop.watch(self.sock, EVENT_READ, self.ready)
 
     def ready(self, events: int) -> None:
+        """The socket can be read or written; whatever that raises ends this connection alone."""
         try:
             self.handle(events)
         except Exception:  # a defect met by what this connection brought: it goes, the others stay
@@ -99,6 +112,7 @@
             raise
 
     def handle(self, events: int) -> None:
+        """Finish the dial, write what waits, read what has come."""
         if not self.up:
             error = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if error:
@@ -152,6 +166,7 @@
             self.flush()
 
     def flush(self) -> None:
+        """Write what the socket takes."""
         try:
             while self.unsent:
                 part = self.unsent.popleft()
--- a/bramblewood/net/transport/datagrams.py
+++ b/bramblewood/net/transport/datagrams.py
@@ -12,6 +12,8 @@
 
 
 class Datagrams:
+    """A socket for datagrams."""
+
     def __init__(self, loop: Loop, address: Address, came: Callable[[bytes, Address], None]) -> None:
         self.loop, self.came = loop, came
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -20,6 +22,7 @@
         loop.watch(self.sock, EVENT_READ, self.ready)
 
     def ready(self, _events: int) -> None:
+        """Read what has come, a batch at most."""
         for _ in range(BATCH):
             try:
                 data, sender = self.sock.recvfrom(LONGEST)
@@ -28,11 +31,13 @@
             self.came(data, sender)
 
     def send(self, data: bytes, address: Address) -> None:
+        """Send a datagram, or lose it."""
         try:
             self.sock.sendto(data, address)
         except OSError:
             pass  # lost, as any datagram may be
 
     def close(self) -> None:
+        """Close the socket."""
         self.loop.forget(self.sock)
         self.sock.close()
--- a/bramblewood/net/transport/ending.py
+++ b/bramblewood/net/transport/ending.py
@@ -5,6 +5,8 @@
 
 
 class Ending(Enum):
+    """How a connection ended; the values stand in the log."""
+
     CLOSED = "closed by the other side"
     RESET = "reset by the other side"
     REFUSED = "refused"
--- a/bramblewood/net/transport/listener.py
+++ b/bramblewood/net/transport/listener.py
@@ -14,6 +14,8 @@
 
 
 class Listener:
+    """A listening socket, and how many of its connections are open."""
+
     def __init__(
         self, loop: Loop, address: Address, owner: Owner, most: int, turned_away: Callable[[str], None]
     ) -> None:
@@ -27,6 +29,7 @@
         loop.watch(self.sock, EVENT_READ, self.ready)
 
     def ready(self, _events: int) -> None:
+        """Accept a batch of connections."""
         for _ in range(BATCH):
             try:
                 sock, _ = self.sock.accept()
@@ -57,16 +60,20 @@
         self.spare = os.open(os.devnull, os.O_RDONLY)
 
     def opened(self, connection: Connection) -> None:
+        """Pass on to the owner."""
         self.owner.opened(connection)
 
     def received(self, connection: Connection) -> None:
+        """Pass on to the owner."""
         self.owner.received(connection)
 
     def ended(self, connection: Connection, ending) -> None:
+        """Count it out and pass on to the owner."""
         self.open -= 1
         self.owner.ended(connection, ending)
 
     def close(self) -> None:
+        """Stop listening."""
         self.loop.forget(self.sock)
         self.sock.close()
         os.close(self.spare)
--- a/bramblewood/net/transport/loop.py
+++ b/bramblewood/net/transport/loop.py
@@ -17,6 +17,7 @@
         self.call = call
 
     def cancel(self) -> None:
+        """Run nothing when the time comes."""
         self.call = None
 
 
@@ -29,15 +30,18 @@
         self.waited = 0.0  # s that the last turn waited; the rest of the time it worked
 
     def now(self) -> float:
+        """Unix time in s."""
         return self.offset + self.clock()
 
     def after(self, seconds: float, call: Callable[[], None]) -> Timer:
+        """Run a call after so many seconds."""
         self.counter += 1
         timer = Timer(call)
         heapq.heappush(self.timers, (self.now() + seconds, self.counter, timer))
         return timer
 
     def watch(self, sock, events: int, handler: Callable[[int], None]) -> None:
+        """Hand what happens at a socket to a handler, in place of an earlier one."""
         if sock.fileno() in self.selector.get_map():
             self.selector.modify(sock, events, handler)
         else:
@@ -51,6 +55,7 @@
             self.selector.register(number, selectors.EVENT_READ, lambda _events: None)
 
     def forget(self, sock) -> None:
+        """Watch a socket no longer."""
         if sock.fileno() >= 0 and sock.fileno() in self.selector.get_map():
             self.selector.unregister(sock)
 
--- a/bramblewood/net/transport/notices.py
+++ b/bramblewood/net/transport/notices.py
@@ -7,11 +7,14 @@
 
 
 class Notices:
+    """A log that says each kind of notice once in a while."""
+
     def __init__(self, log, clock: Callable[[], float]) -> None:
         self.log, self.clock = log, clock
         self.kinds: dict[tuple, list] = {}  # kind: when last said, and how many since
 
     def say(self, what: str, party: str = "", **more) -> None:
+        """Log a notice, or count it."""
         now = self.clock()
         if (what, party) not in self.kinds and len(self.kinds) >= KINDS:
             self.kinds.clear()
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -189,7 +189,7 @@
 def test_a_stage_that_raises_is_passed_over_and_lets_no_further_try_through(kept_site):
     site, stage = kept_site, kept_site.service.stages[0]
     sent = []
-    site.service.calls.give = lambda orders: sent.extend(orders)
+    site.service.relay_calls.submit = lambda orders: sent.extend(orders)
     site.service.manager.handle = lambda now, batch: [
         events.SetRoute(0, "s1", 1.0),
         events.SetAdmission(0, (), 1.0, events.RETRY_UNSTARTED),
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -6,8 +6,8 @@
 import pytest
 
 from bramblewood import events
-from bramblewood.net.protocol import frames, http, relay, roster
-from bramblewood.net.protocol.words import Skipped, Unreadable, load_of_body
+from bramblewood.net.protocol import frames, http, relay, worker_list
+from bramblewood.net.protocol.fields import InvalidMessage, ProtocolError, parse_load_body
 from bramblewood.net.transport.buffer import Buffer, Overfull
 
 from .helper import fill, pieces, spoilt
@@ -39,33 +39,37 @@
     buffer, found = Buffer(), []
     for chunk in chunks:
         fill(buffer, chunk)
-        while (message := frames.take(buffer)) is not None:
+        while (message := frames.read_message(buffer)) is not None:
             found.append(message)
     return found
 
 
 def test_reports_become_events_in_our_units():
-    assert frames.event_of(LOAD, frames.Scope(), set()) == events.WorkerReported(
+    assert frames.parse_report(LOAD, frames.Scope(), set()) == events.WorkerReported(
         "s1", "a", 212, 3, 0.0415, 1.0, {"in_flight": 7, "utilization": 0.61, "queued": 2}
     )
-    assert frames.event_of(SHARD, frames.Scope(), set()) == events.SliceHeatReported(88, "look", 40, 1, 0.5)
+    assert frames.parse_report(SHARD, frames.Scope(), set()) == events.SliceHeatReported(
+        88, "look", 40, 1, 0.5
+    )
 
 
 def test_more_may_fail_in_a_span_than_were_tried_in_it():
     """Guards the view of the failing: a worker that had died was told of so, and the report was skipped."""
-    heard = frames.event_of({**LOAD, "tries": 0, "failed": 2, "mean_ms": 0.0}, SCOPE, set())
+    heard = frames.parse_report({**LOAD, "tries": 0, "failed": 2, "mean_ms": 0.0}, SCOPE, set())
     assert (heard.attempts, heard.unanswered) == (0, 2)
 
 
 def test_load_words_are_those_that_the_collectors_send():
     """Guards against a module gone blind: the page says util and queue, the first day cpu and waiting."""
     unknown = set()
-    heard = frames.event_of({**LOAD, "load": {"cpu": 0.3, "waiting": 4.5, "odd": 1}}, frames.Scope(), unknown)
+    heard = frames.parse_report(
+        {**LOAD, "load": {"cpu": 0.3, "waiting": 4.5, "odd": 1}}, frames.Scope(), unknown
+    )
     assert heard.load == {"utilization": 0.3, "queued": 4.5} and unknown == {"odd"}
     for number in range(99):
-        frames.event_of({**LOAD, "load": {f"odd-{number}": 1}}, frames.Scope(), unknown)
+        frames.parse_report({**LOAD, "load": {f"odd-{number}": 1}}, frames.Scope(), unknown)
     assert len(unknown) < 20  # a stranger's words are not kept without bound
-    found = load_of_body(b"inflight=7,queue=2,util=0.61,x=,=\r\n")
+    found = parse_load_body(b"inflight=7,queue=2,util=0.61,x=,=\r\n")
     assert found == {"in_flight": 7.0, "queued": 2.0, "utilization": 0.61}
 
 
@@ -112,9 +116,11 @@
 def test_a_report_spoilt_in_any_part_is_skipped_whole(message):
     """Guards the module's view: one such mean time was seen to make 22 of 30 workers look strained."""
     unknown = set()
-    with pytest.raises(Skipped):
-        frames.event_of(message, SCOPE, unknown)
-    assert not unknown and frames.event_of(LOAD, SCOPE, set()) and frames.event_of(SHARD, SCOPE, set())
+    with pytest.raises(InvalidMessage):
+        frames.parse_report(message, SCOPE, unknown)
+    assert (
+        not unknown and frames.parse_report(LOAD, SCOPE, set()) and frames.parse_report(SHARD, SCOPE, set())
+    )
 
 
 def test_frames_come_whole_out_of_pieces_of_any_size():
@@ -135,7 +141,7 @@
     ],
 )
 def test_a_broken_frame_ends_the_connection(data):
-    with pytest.raises(Unreadable):
+    with pytest.raises(ProtocolError):
         taken([data])
 
 
@@ -166,12 +172,12 @@
 
 @pytest.mark.parametrize("order, text", ORDERS)
 def test_each_order_has_its_text(order, text):
-    assert relay.order_text(order, ["look", "pay"])[1] == text
-    assert relay.call([text, "DEL,4"]) == f"APPLY {text};DEL,4\r\n".encode()
+    assert relay.format_order(order, ["look", "pay"])[1] == text
+    assert relay.format_call([text, "DEL,4"]) == f"APPLY {text};DEL,4\r\n".encode()
 
 
 def test_an_order_without_a_message_has_no_text():
-    assert relay.order_text(events.BindProxy(1, 2), ["look"]) is None
+    assert relay.format_order(events.BindProxy(1, 2), ["look"]) is None
 
 
 NEWS = [
@@ -187,7 +193,7 @@
 
 @pytest.mark.parametrize("line, event", NEWS)
 def test_each_line_of_news_is_an_event(line, event):
-    assert relay.news(line) == event
+    assert relay.parse_update(line) == event
 
 
 @pytest.mark.parametrize(
@@ -207,8 +213,8 @@
     ],
 )
 def test_a_line_of_news_that_cannot_be_read_is_skipped(line):
-    with pytest.raises(Skipped):
-        relay.news(line)
+    with pytest.raises(InvalidMessage):
+        relay.parse_update(line)
 
 
 @pytest.mark.parametrize(
@@ -224,7 +230,7 @@
     ],
 )
 def test_answers_to_calls(line, found):
-    assert relay.answer(line) == found
+    assert relay.parse_answer(line) == found
 
 
 def test_a_list_is_read_and_what_is_faulty_in_it_skipped():
@@ -240,7 +246,7 @@
             {**ITEM, "id": "s2", "state": "removed", "started_ms": 0},
         ],
     }
-    version, event, addresses, problems = roster.read(json.dumps(found).encode())
+    version, event, addresses, problems = worker_list.parse_worker_list(json.dumps(found).encode())
     assert version == 43 and len(problems) == 4 and addresses == {"s1": ITEM["addr"], "s2": ITEM["addr"]}
     assert event == events.WorkersListed(
         (
@@ -249,9 +255,9 @@
         ),
         version=43,
     )
-    assert roster.read({"version": 1, "servers": []}, cached=True)[1] == events.WorkersListed(
-        (), True, True, 1
-    )
+    assert worker_list.parse_worker_list({"version": 1, "servers": []}, cached=True)[
+        1
+    ] == events.WorkersListed((), True, True, 1)
 
 
 @pytest.mark.parametrize(
@@ -267,8 +273,8 @@
     ],
 )
 def test_what_is_no_list_ends_the_watch(data):
-    with pytest.raises(Unreadable):
-        roster.read(data)
+    with pytest.raises(ProtocolError):
+        worker_list.parse_worker_list(data)
 
 
 CHUNKED = b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{"a":\r\n4\r\n1}\n\n\r\n3\r\n{}\n\r\n'
@@ -276,11 +282,11 @@
 
 def test_a_watch_brings_whole_lines_out_of_chunks_cut_anywhere():
     for seed in range(30):
-        answer, lines = http.Answer(), []
+        answer, lines = http.HttpResponse(), []
         for piece in pieces(random.Random(seed), CHUNKED):
             answer.feed(piece)
             lines += answer.lines()
-        assert lines == [b'{"a":1}', b"", b"{}"] and answer.status == 200 and not answer.whole
+        assert lines == [b'{"a":1}', b"", b"{}"] and answer.status == 200 and not answer.complete
 
 
 def test_spoilt_bytes_bring_nothing_but_the_two_known_complaints():
@@ -299,19 +305,19 @@
         try:
             if kind == "frames":
                 for message in taken(pieces(dice, data)):
-                    frames.event_of(message, frames.Scope(), set())
+                    frames.parse_report(message, frames.Scope(), set())
             elif kind == "http":
-                answer = http.Answer()
+                answer = http.HttpResponse()
                 for piece in pieces(dice, data):
                     answer.feed(piece)
                     answer.lines()
             elif kind == "news":
                 for line in data.split(b"\r\n"):
-                    relay.news(line)
-                    relay.answer(line)
+                    relay.parse_update(line)
+                    relay.parse_answer(line)
             else:
-                roster.read(data)
-            load_of_body(data)
-        except (Skipped, Unreadable):
+                worker_list.parse_worker_list(data)
+            parse_load_body(data)
+        except (InvalidMessage, ProtocolError):
             complaints += 1
     assert complaints > 500
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -7,7 +7,16 @@
 
 from bramblewood import events
 from bramblewood.net.protocol import frames
-from bramblewood.net.routing import calls, collectors, discovery, news, outcomes, peers, probes, stream
+from bramblewood.net.routing import (
+    collectors,
+    discovery,
+    health_checks,
+    outcomes,
+    peers,
+    relay_calls,
+    relay_updates,
+    stream,
+)
 from bramblewood.net.transport.ending import Ending
 
 from .helper import Edge, pieces
@@ -22,7 +31,7 @@
     def __init__(self, dice=None):
         self.edge, self.dice, self.done, self.tables, self.unknown = Edge(), dice, [], {}, set()
         self.reads = 0
-        self.calls = calls.Calls(
+        self.calls = relay_calls.RelayCalls(
             self.edge.loop,
             ADDRESS,
             ["look", "pay"],
@@ -62,15 +71,15 @@
 
 def test_one_call_is_out_at_a_time_and_what_comes_meanwhile_is_folded():
     relay = Relay()
-    relay.calls.give([*sets((1, "a", 1.0)), events.RequestAcknowledgement(1)])
+    relay.calls.submit([*sets((1, "a", 1.0)), events.RequestAcknowledgement(1)])
     assert relay.open() and relay.out() == ["SET,1,a,1.0", "SYNC,1,0"]
-    relay.calls.give([*sets((2, "a", 1.0), (1, "a", 0)), events.RequestAcknowledgement(2)])
-    relay.calls.give([*sets((1, "a", 0.5)), events.RequestAcknowledgement(3)])
+    relay.calls.submit([*sets((2, "a", 1.0), (1, "a", 0)), events.RequestAcknowledgement(2)])
+    relay.calls.submit([*sets((1, "a", 0.5)), events.RequestAcknowledgement(3)])
     assert len(relay.line().sent) == 1
     relay.line().bring(b"OK ")
     relay.line().bring(b"2\r\n")
     assert relay.out() == ["SET,2,a,1.0", "SET,1,a,0.5", "SYNC,3,0"] and relay.done[0].worker == "a"
-    relay.calls.answered(
+    relay.calls.acknowledged(
         events.MessageAcknowledged(7, 3, 0.4)
     )  # the one that went out stands for the one folded
     assert relay.edge.news() == [events.MessageAcknowledged(7, 2, 0.4), events.MessageAcknowledged(7, 3, 0.4)]
@@ -78,7 +87,7 @@
 
 def test_emptying_a_table_takes_the_place_of_its_earlier_orders():
     relay = Relay()
-    relay.calls.give(
+    relay.calls.submit(
         [
             *sets((1, "a", 1.0), (2, "a", 1.0)),
             events.SetAdmission(1, (0,), 0.5, 0),
@@ -92,22 +101,22 @@
 
 def test_orders_given_before_the_run_wait_and_go_out_in_one_call():
     relay = Relay()
-    relay.calls.give(sets((1, "a", 1.0)))
+    relay.calls.submit(sets((1, "a", 1.0)))
     relay.open().bring(b"ERR limit\r\n")
-    relay.calls.give(sets((2, "a", 1.0)))
+    relay.calls.submit(sets((2, "a", 1.0)))
     assert len(relay.line().sent) == 1
-    relay.edge.wait(calls.BEFORE + 0.1)
+    relay.edge.wait(relay_calls.NOT_STARTED_BACKOFF + 0.1)
     relay.line().bring(b"ERR limit\r\n")
-    relay.calls.give([events.RequestAcknowledgement(1)])
-    relay.calls.give([events.ExcludeWorker("b", True)])
-    relay.edge.wait(calls.BEFORE + 0.1)
+    relay.calls.submit([events.RequestAcknowledgement(1)])
+    relay.calls.submit([events.ExcludeWorker("b", True)])
+    relay.edge.wait(relay_calls.NOT_STARTED_BACKOFF + 0.1)
     assert relay.out() == ["SET,1,a,1.0", "SET,2,a,1.0", "OUT,b", "SYNC,1,0"]  # the mark is for all of them
 
 
 def test_a_short_answer_costs_only_the_order_at_fault():
     relay = Relay()
     relay.unknown = {"x"}
-    relay.calls.give(sets((1, "a", 1.0), (1, "x", 1.0), (2, "b", 1.0), (3, "c", 1.0)))
+    relay.calls.submit(sets((1, "a", 1.0), (1, "x", 1.0), (2, "b", 1.0), (3, "c", 1.0)))
     relay.open()
     relay.line().bring(b"OK %d\r\n" % relay.apply(relay.out()))
     assert relay.out() == ["SET,2,b,1.0", "SET,3,c,1.0"]
@@ -116,23 +125,23 @@
 
 def test_a_call_refused_as_a_whole_is_halved_till_the_fault_stands_alone():
     relay = Relay()
-    relay.calls.give(sets(*((number, "a", 1.0) for number in range(9))))
+    relay.calls.submit(sets(*((number, "a", 1.0) for number in range(9))))
     relay.open()
     for _ in range(40):
-        if relay.calls.flight:
+        if relay.calls.in_flight:
             texts = relay.out()
             bad = "SET,5,a,1.0" in texts
             relay.line().bring(b"malformed\r\n" if bad else b"OK %d\r\n" % relay.apply(texts))
-    assert sorted(relay.tables) == ["0", "1", "2", "3", "4", "6", "7", "8"] and not relay.calls.waiting
+    assert sorted(relay.tables) == ["0", "1", "2", "3", "4", "6", "7", "8"] and not relay.calls.queued
 
 
 def test_a_long_call_is_split_with_nothing_lost_or_out_of_order():
     relay = Relay()
     given = sets(*((number, "worker-" + "x" * 40, 1.0) for number in range(3000)))
-    relay.calls.give([*given, events.RequestAcknowledgement(9)])
+    relay.calls.submit([*given, events.RequestAcknowledgement(9)])
     relay.open()
     seen = []
-    while relay.calls.flight:
+    while relay.calls.in_flight:
         assert len(relay.line().sent[-1]) <= 60_000 + len("APPLY \r\n")
         seen += relay.out()
         relay.line().bring(b"OK %d\r\n" % len(relay.out()))
@@ -143,12 +152,12 @@
 def test_an_unanswered_call_is_settled_by_the_answer_to_its_mark():
     """Guards the channel: orders that were carried out are not sent a second time."""
     relay = Relay()
-    relay.calls.give([*sets((1, "a", 1.0)), events.RequestAcknowledgement(5)])
+    relay.calls.submit([*sets((1, "a", 1.0)), events.RequestAcknowledgement(5)])
     relay.open()
-    relay.edge.wait(calls.ANSWER + 0.1)
+    relay.edge.wait(relay_calls.ANSWER_TIMEOUT + 0.1)
     assert relay.line().ending is Ending.SILENT
-    relay.calls.give(sets((2, "b", 1.0)))
-    relay.calls.answered(events.MessageAcknowledged(0, 5, 0.3))
+    relay.calls.submit(sets((2, "b", 1.0)))
+    relay.calls.acknowledged(events.MessageAcknowledged(0, 5, 0.3))
     relay.edge.wait(0.05)
     relay.open()
     assert relay.out() == ["SET,2,b,1.0"] and relay.done[0] == events.SetRoute(1, "a", 1.0)
@@ -156,11 +165,11 @@
 
 def test_an_unanswered_call_without_a_sign_is_sent_again_before_what_came_later():
     relay = Relay()
-    relay.calls.give([*sets((1, "a", 1.0)), events.RequestAcknowledgement(5)])
+    relay.calls.submit([*sets((1, "a", 1.0)), events.RequestAcknowledgement(5)])
     relay.open().end(Ending.RESET)
-    relay.calls.give([*sets((2, "b", 1.0)), events.RequestAcknowledgement(6)])
+    relay.calls.submit([*sets((2, "b", 1.0)), events.RequestAcknowledgement(6)])
     assert len(relay.edge.lines) == 1
-    relay.edge.wait(calls.DOUBT + 0.1)
+    relay.edge.wait(relay_calls.UNCONFIRMED_TIME + 0.1)
     relay.open()
     assert relay.out() == ["SET,1,a,1.0", "SET,2,b,1.0", "SYNC,6,0"]
 
@@ -170,14 +179,14 @@
     """Guards the channel: a large call sent a second time waited there twice, and broke its limit."""
     relay, told = Relay(), {"a": 1.0}
     given = sets((1, "b", 1.0), (1, "a", 0), (2, "c", 1.0))
-    relay.calls.give([*given, events.ExcludeWorker("a", True), events.RequestAcknowledgement(5)])
+    relay.calls.submit([*given, events.ExcludeWorker("a", True), events.RequestAcknowledgement(5)])
     relay.open().end(Ending.RESET)
     assert not relay.reads
-    relay.edge.wait(calls.STORE_READ + 0.05)
+    relay.edge.wait(relay_calls.STORE_READ_DELAY + 0.05)
     assert relay.reads == 1
-    relay.calls.stored(7, {}, {"x": 1.0})  # of no interest
-    relay.calls.stored(1, told, table)
-    relay.calls.give(sets((2, "d", 1.0)))
+    relay.calls.compare_stored(7, {}, {"x": 1.0})  # of no interest
+    relay.calls.compare_stored(1, told, table)
+    relay.calls.submit(sets((2, "d", 1.0)))
     relay.edge.wait(0.05)
     relay.open()
     again = ["SET,1,b,1.0", "SET,1,a,0.0", "SET,2,c,1.0", "OUT,a", "SET,2,d,1.0", "SYNC,5,0"]
@@ -188,13 +197,13 @@
 def test_on_a_slow_channel_a_sign_of_an_unanswered_call_is_waited_for_longer():
     """Guards the channel's limit: sent again while the first copy still waits, its lines count twice."""
     relay = Relay()
-    relay.calls.give([*sets((1, "a", 1.0)), events.RequestAcknowledgement(1)])
+    relay.calls.submit([*sets((1, "a", 1.0)), events.RequestAcknowledgement(1)])
     relay.open().bring(b"OK 2\r\n")
     relay.edge.wait(2.0)
-    relay.calls.answered(events.MessageAcknowledged(0, 1, 2.0))
-    relay.calls.give([*sets((1, "b", 1.0)), events.RequestAcknowledgement(2)])
+    relay.calls.acknowledged(events.MessageAcknowledged(0, 1, 2.0))
+    relay.calls.submit([*sets((1, "b", 1.0)), events.RequestAcknowledgement(2)])
     relay.line().end(Ending.RESET)
-    relay.edge.wait(calls.SIGN * 2.0 - 0.2)
+    relay.edge.wait(relay_calls.ACKNOWLEDGEMENT_FACTOR * 2.0 - 0.2)
     assert len(relay.edge.lines) == 1
     relay.edge.wait(0.3)
     assert len(relay.edge.lines) == 2
@@ -203,8 +212,8 @@
 def test_orders_from_before_a_slice_was_given_are_dropped():
     """Guards against a line in a table that nobody knows of: it would outlive a drain."""
     relay = Relay()
-    relay.calls.give([*sets((1, "a", 1.0), (2, "a", 1.0)), events.SetAdmission(1, (0,), 0.5, 1)])
-    relay.calls.given_anew(1)
+    relay.calls.submit([*sets((1, "a", 1.0), (2, "a", 1.0)), events.SetAdmission(1, (0,), 0.5, 1)])
+    relay.calls.slice_reassigned(1)
     relay.open()
     assert relay.out() == ["SET,2,a,1.0"]
 
@@ -212,16 +221,16 @@
 def test_an_idle_connection_is_not_used_again():
     """Guards against the relay's closing it under a call, which would leave the call in doubt."""
     relay = Relay()
-    relay.calls.give(sets((1, "a", 1.0)))
+    relay.calls.submit(sets((1, "a", 1.0)))
     relay.open().bring(b"OK 1\r\n")
-    relay.edge.wait(calls.FRESH + 0.1)
-    relay.calls.give(sets((1, "b", 1.0)))
+    relay.edge.wait(relay_calls.MAX_IDLE + 0.1)
+    relay.calls.submit(sets((1, "b", 1.0)))
     assert relay.edge.lines[0].ending is Ending.OURS and relay.open() is relay.edge.lines[1]
 
 
 def test_dials_that_fail_wait_longer_each_time_and_lose_nothing():
     relay = Relay()
-    relay.calls.give(sets((1, "a", 1.0)))
+    relay.calls.submit(sets((1, "a", 1.0)))
     waits = []
     for count in range(1, 8):
         relay.line().end(Ending.REFUSED)
@@ -229,7 +238,7 @@
         while len(relay.edge.lines) == count:
             relay.edge.wait(0.05)
         waits[-1] = relay.edge.hands() - waits[-1]
-    assert waits == sorted(waits) and waits[0] < 0.2 and waits[-1] < calls.WAITS[1] + 0.1
+    assert waits == sorted(waits) and waits[0] < 0.2 and waits[-1] < relay_calls.RECONNECT_BACKOFF[1] + 0.1
     relay.open()
     assert relay.out() == ["SET,1,a,1.0"]
 
@@ -249,11 +258,11 @@
                     )
                 )
                 wanted |= {(str(o.table), o.worker): o.weight for o in given}
-                relay.calls.give([*given, events.RequestAcknowledgement(mark)])
+                relay.calls.submit([*given, events.RequestAcknowledgement(mark)])
             line = relay.line() if relay.edge.lines else None
             if line and line.owner and not line.up:
                 line.end(Ending.REFUSED) if dice.random() < 0.2 else line.open()
-            elif line and line.owner and relay.calls.flight:
+            elif line and line.owner and relay.calls.in_flight:
                 texts, fate = relay.out(), dice.random()
                 if fate < 0.8:
                     count = relay.apply(texts)
@@ -270,15 +279,15 @@
                 elif fate < 0.95:
                     line.bring(b"ERR limit\r\n") if fate >= 0.8 else None
             if due and dice.random() < 0.5:
-                relay.calls.answered(events.MessageAcknowledged(0, due.pop(0), 0.1))
+                relay.calls.acknowledged(events.MessageAcknowledged(0, due.pop(0), 0.1))
             relay.edge.wait(dice.choice([0.05, 0.05, 0.3]))
         for _ in range(60):
             if not relay.line().up and relay.line().owner:
                 relay.open()
-            if relay.calls.flight and relay.line().owner:
+            if relay.calls.in_flight and relay.line().owner:
                 relay.line().bring(b"OK %d\r\n" % relay.apply(relay.out()))
             relay.edge.wait(0.5)
-        assert not relay.calls.waiting and not relay.calls.flight
+        assert not relay.calls.queued and not relay.calls.in_flight
         found = {(number, w): part for number, table in relay.tables.items() for w, part in table.items()}
         assert found == wanted, seed
 
@@ -288,10 +297,10 @@
 
 def test_a_call_that_is_out_ends_on_the_old_road_and_none_overtakes_it():
     relay = Relay()
-    relay.calls.give(sets((1, "a", 1.0)))
+    relay.calls.submit(sets((1, "a", 1.0)))
     old = relay.open()
     relay.calls.move(NEW)
-    relay.calls.give(sets((1, "b", 1.0)))
+    relay.calls.submit(sets((1, "b", 1.0)))
     assert len(relay.edge.lines) == 1 and old.owner
     old.bring(b"OK 1\r\n")
     assert old.ending is Ending.OURS and relay.line().address == NEW
@@ -303,13 +312,13 @@
     """Guards the new road: the waits of an old one that is gone had grown to a second."""
     for up in (False, True):
         relay = Relay()
-        relay.calls.give(sets((1, "a", 1.0)))
+        relay.calls.submit(sets((1, "a", 1.0)))
         relay.calls.failures = 9
         relay.open().end(Ending.RESET) if up else relay.line().end(Ending.REFUSED)
         relay.calls.move(NEW)
         relay.calls.move(NEW)  # again: harmless
         assert len(relay.edge.lines) == (1 if up else 2) and (up or relay.line().address == NEW)
-        relay.edge.wait(calls.DOUBT + 0.1 if up else 0.1)
+        relay.edge.wait(relay_calls.UNCONFIRMED_TIME + 0.1 if up else 0.1)
         relay.open()
         assert relay.out() == ["SET,1,a,1.0"] and len(relay.edge.lines) == 2
 
@@ -317,18 +326,18 @@
 @pytest.mark.parametrize("spoilt", [b"OK 9\r\n", b"OK two\r\n", b"\xff\xfe\r\n", b"OK 1.5\r\n", b"OK\r\n"])
 def test_a_spoilt_answer_leaves_the_call_in_doubt(spoilt):
     relay = Relay()
-    relay.calls.give(sets((1, "a", 1.0)))
+    relay.calls.submit(sets((1, "a", 1.0)))
     relay.open().bring(spoilt)
-    assert relay.line().ending is Ending.UNREADABLE and relay.calls.doubted and not relay.done
+    assert relay.line().ending is Ending.UNREADABLE and relay.calls.unconfirmed and not relay.done
 
 
 def test_what_comes_behind_an_answer_does_not_answer_the_next_call():
     relay = Relay()
-    relay.calls.give(sets((1, "a", 1.0)))
+    relay.calls.submit(sets((1, "a", 1.0)))
     relay.open().bring(b"OK 1\r\nOK 1\r\n")
-    relay.calls.give(sets((2, "a", 1.0)))
+    relay.calls.submit(sets((2, "a", 1.0)))
     relay.open()
-    assert len(relay.edge.lines) == 2 and len(relay.done) == 1 and relay.calls.flight
+    assert len(relay.edge.lines) == 2 and len(relay.done) == 1 and relay.calls.in_flight
 
 
 class Reader:
@@ -336,11 +345,11 @@
 
     def __init__(self):
         self.edge = Edge()
-        self.news = news.News(
-            self.edge.loop, ADDRESS, self.edge.notices, 3.2, self.edge.dial, tell=self.edge.tell
+        self.news = relay_updates.RelayUpdates(
+            self.edge.loop, ADDRESS, self.edge.notices, 3.2, self.edge.dial, emit=self.edge.tell
         )
         self.news.start()
-        self.held = news.Standing()
+        self.held = relay_updates.KnownState()
 
     def last(self):
         return self.edge.lines[-1]
@@ -348,7 +357,7 @@
     def take(self):
         batch = self.edge.news()
         for event in batch:
-            self.held.note(event)
+            self.held.apply(event)
         return batch
 
 
@@ -359,7 +368,7 @@
     assert reader.take() == []
     reader.last().bring(b"W 4 a 1.0\r\n* GRANT 6 1\r\n")
     assert reader.take() == [events.SliceAssigned(4, True), events.RouteStored(4, "a", 1.0)]
-    reader.edge.wait(news.LINES + 0.1)
+    reader.edge.wait(relay_updates.ROUTES_WITHIN + 0.1)
     assert reader.take() == [events.SliceAssigned(6, True)]  # empty, as nothing followed in time
 
 
@@ -369,7 +378,7 @@
         b"OK\r\n* SUBSCRIBE 1 a 2 1\r\n* SUBSCRIBE 2 a 2 1\r\n* GRANT 4 1\r\n"
         b"* ROW 4 a 1.0\r\n* GRANT 6 1\r\n* ROW 6 a 1.0\r\n* GRANT 8 1\r\n*\r\n"
     )
-    reader.news.carried(events.SetRoute(6, "b", 0.5))
+    reader.news.order_applied(events.SetRoute(6, "b", 0.5))
     reader.take()
     reader.last().end(Ending.RESET)
     reader.edge.wait(0.2)
@@ -443,14 +452,14 @@
 def test_a_new_module_is_told_all_again_and_slices_with_the_usual_levels():
     reader = Reader()
     reader.last().open().bring(b"OK\r\n* GRANT 4 1\r\n* ROW 4 a 1.0\r\n*\r\n")
-    reader.news.carried(events.SetAdmission(4, (0,), 0.5, 0))
+    reader.news.order_applied(events.SetAdmission(4, (0,), 0.5, 0))
     reader.take()
-    reader.news.forgotten()
-    assert reader.news.leveled == {4}
+    reader.news.policy_restarted()
+    assert reader.news.with_admission == {4}
     reader.last().open().bring(b"OK\r\n* GRANT 4 1\r\n* ROW 4 a 1.0\r\n*\r\n")
     assert (
         reader.take() == [events.SliceAssigned(4, True), events.RouteStored(4, "a", 1.0)]
-        and not reader.news.leveled
+        and not reader.news.with_admission
     )
 
 
@@ -468,7 +477,7 @@
 
 def test_through_breaks_and_pieces_the_module_holds_what_the_relay_holds():
     for seed in range(60):
-        dice, reader, truth = random.Random(seed), Reader(), news.Standing()
+        dice, reader, truth = random.Random(seed), Reader(), relay_updates.KnownState()
         for _ in range(40):
             event, line = None, reader.last()
             number, proxy = dice.randrange(5), dice.randrange(4)
@@ -484,8 +493,8 @@
                 ]
             )
             for part in text.split("\r\n")[:-1]:
-                event = news.relay.news(part.encode()) if "ODD" not in part else None
-                truth.note(event) if event else None
+                event = relay_updates.relay.parse_update(part.encode()) if "ODD" not in part else None
+                truth.apply(event) if event else None
             if line.owner and line.up:
                 for piece in pieces(dice, text.encode()):
                     line.bring(piece)
@@ -506,11 +515,11 @@
     """Guards memory: ids and marks are new all day, and a relay may be out of reach for hours."""
     relay, reader = Relay(), Reader()
     roster = discovery.Discovery(
-        relay.edge.loop, ADDRESS, relay.edge.notices, 5.0, relay.edge.dial, tell=relay.edge.tell
+        relay.edge.loop, ADDRESS, relay.edge.notices, 5.0, relay.edge.dial, emit=relay.edge.tell
     )
     reader.last().open().bring(b"OK\r\n*\r\n")
     for k in range(3000):
-        relay.calls.give(
+        relay.calls.submit(
             [
                 *sets((k % 9, f"w{k}", 1.0), (k % 9, f"w{k - 9}", 0)),
                 events.ClearTable(k % 9),
@@ -520,7 +529,7 @@
         )
         if relay.line().owner and k > 2000 and not relay.line().up:
             relay.open()
-        if relay.calls.flight:
+        if relay.calls.in_flight:
             relay.line().bring(b"OK %d\r\n" % len(relay.out())) if k % 7 else relay.line().end(Ending.RESET)
         reader.last().bring(
             f"* SUBSCRIBE {k} a 2 1\r\n* GRANT {k % 9} 1\r\n* ROW {k % 9} w{k} 1.0\r\n"
@@ -531,7 +540,7 @@
             while not reader.last().owner:
                 reader.edge.wait(0.05)
             reader.last().open().bring(b"OK\r\n*\r\n")
-        roster.listed({"version": k, "servers": [item(f"w{k}"), item(f"w{k - 9}", "removed")]})
+        roster.handle_list({"version": k, "servers": [item(f"w{k}"), item(f"w{k - 9}", "removed")]})
         relay.edge.wait(0.05)
         for edge in (relay.edge, reader.edge):
             edge.told.clear()
@@ -540,18 +549,18 @@
     for kept in (
         known.proxies,
         known.slices,
-        known.leveled,
-        roster.held,
+        known.with_admission,
+        roster.workers,
         roster.addresses,
-        held.waiting,
-        held.doubted,
-        held.aliases,
+        held.queued,
+        held.unconfirmed,
+        held.merged_numbers,
         held.sent_at,
         reader.edge.loop.timers,
         relay.edge.loop.timers,
     ):
-        assert len(kept) <= calls.ALIASES
-    assert max(map(len, held.aliases.values())) <= calls.ALIASES
+        assert len(kept) <= relay_calls.MAX_MERGED
+    assert max(map(len, held.merged_numbers.values())) <= relay_calls.MAX_MERGED
 
 
 def stand(line, truth, dice):
@@ -578,8 +587,8 @@
 
 def watched():
     edge = Edge()
-    roster = discovery.Discovery(edge.loop, ADDRESS, edge.notices, 5.0, edge.dial, tell=edge.tell)
-    roster.listed({"version": 41, "servers": [item("s1")]}, cached=True)
+    roster = discovery.Discovery(edge.loop, ADDRESS, edge.notices, 5.0, edge.dial, emit=edge.tell)
+    roster.handle_list({"version": 41, "servers": [item("s1")]}, cached=True)
     roster.start()
     return edge, roster
 
@@ -611,9 +620,12 @@
 def test_an_outage_of_an_hour_is_met_with_the_longest_wait():
     """Guards against a wait that grows past any number: the dial after it would never be made."""
     (edge, roster), relay = watched(), Relay()
-    relay.calls.give(sets((1, "a", 1.0)))
+    relay.calls.submit(sets((1, "a", 1.0)))
     roster.failures = relay.calls.failures = 4000
-    for where, longest in ((edge, stream.WAITS[1]), (relay.edge, calls.WAITS[1])):
+    for where, longest in (
+        (edge, stream.RECONNECT_BACKOFF[1]),
+        (relay.edge, relay_calls.RECONNECT_BACKOFF[1]),
+    ):
         where.lines[-1].end(Ending.REFUSED)
         where.wait(longest + 0.1)
         assert len(where.lines) == 2
@@ -632,11 +644,11 @@
 def test_asking_for_the_list_has_one_answer(answer, found):
     edge, roster = watched()
     edge.news()
-    roster.ask()
-    roster.ask()  # one call is out already
+    roster.request_list()
+    roster.request_list()  # one call is out already
     assert len(edge.lines) == 2
     edge.lines[-1].open()
-    edge.lines[-1].bring(answer) if answer else edge.wait(discovery.ANSWER + 0.2)
+    edge.lines[-1].bring(answer) if answer else edge.wait(discovery.ANSWER_TIMEOUT + 0.2)
     told = edge.news()
     assert [type(event) for event in told] == [
         events.WorkersListed if found == "listed" else events.WorkerListFailed
@@ -645,13 +657,13 @@
 
 def test_a_list_that_was_asked_to_be_followed_tells_of_its_break():
     edge, roster = watched()
-    roster.follow(True)
+    roster.watch(True)
     edge.lines[0].open().bring(HEAD + watch(42))
     edge.news()
     edge.lines[0].end(Ending.RESET)
     assert edge.news() == [events.WorkerListFailed()]
     edge.wait(0.2)
-    roster.follow(False)
+    roster.watch(False)
     edge.wait(9.0)
     assert edge.lines[-1].ending is Ending.OURS and len(edge.lines) == 2
 
@@ -677,7 +689,7 @@
     line = take(edge, door_keeper)
     line.bring(frames.frame({"t": "PING"}))
     assert line.sent == []
-    door_keeper.use()
+    door_keeper.mark_in_use()
     line.bring(frames.frame({"t": "PING"}))
     assert line.sent == [frames.PONG, frames.PONG]
 
@@ -685,10 +697,10 @@
 def test_strangers_cost_no_collector_its_place():
     edge, door_keeper = gate()
     collector = joined(edge, door_keeper)
-    lines = [take(edge, door_keeper) for _ in range(collectors.STRANGERS + 9)]
-    assert sum(line.owner is not None for line in lines) == collectors.STRANGERS
+    lines = [take(edge, door_keeper) for _ in range(collectors.MAX_UNJOINED + 9)]
+    assert sum(line.owner is not None for line in lines) == collectors.MAX_UNJOINED
     for _ in range(4):
-        edge.wait(collectors.UNJOINED / 3)
+        edge.wait(collectors.JOIN_TIMEOUT / 3)
         collector.bring(frames.frame(SHARD))
     assert not any(line.owner for line in lines) and collector.owner
     lines[0].bring(b"late")
@@ -710,7 +722,7 @@
         frames.frame({"t": ["PING"]}),
         frames.HEAD.pack(2) + b"[]",
         frames.HEAD.pack(3) + b"\xff\x00{",
-        frames.HEAD.pack(frames.LONGEST_UNJOINED + 1),
+        frames.HEAD.pack(frames.MAX_UNJOINED_BYTES + 1),
         b"GET / HTTP/1.1\r\n\r\n",
         b"APPLY SET,1,s1,1.0\r\n",
         frames.frame({"t": "PING"}) + frames.frame(SHARD),
@@ -724,7 +736,7 @@
         line.bring(piece)
     assert line.sent == [frames.NACK] and line.ending is Ending.UNREADABLE
     line.bring(frames.frame({"t": "SOURCE", "zone": "a"}) + frames.frame(SHARD))
-    assert not edge.told and not door_keeper.strangers and not door_keeper.asked
+    assert not edge.told and not door_keeper.unjoined and not door_keeper.waiting_for_pong
 
 
 @pytest.mark.parametrize(
@@ -741,15 +753,15 @@
 def test_neither_bytes_nor_questions_keep_who_never_joins(first, then):
     """Guards the table: on a day of strangers 206 descriptors were held, 804 of 1,446 had no word or end."""
     edge, door_keeper = gate()
-    door_keeper.use()
+    door_keeper.mark_in_use()
     line = take(edge, door_keeper)
     line.bring(first)
     for _ in range(30):
         edge.wait(0.05)
         assert line.owner
         line.bring(then) if then else None
-    edge.wait(collectors.UNJOINED - 1.45)
-    assert line.ending is Ending.SILENT and not door_keeper.strangers
+    edge.wait(collectors.JOIN_TIMEOUT - 1.45)
+    assert line.ending is Ending.SILENT and not door_keeper.unjoined
 
 
 def joined(edge, door_keeper):
@@ -763,7 +775,7 @@
     edge, door_keeper = gate()
     collector = joined(edge, door_keeper)
     collector.bring(frames.frame(SHARD))
-    edge.wait(collectors.SILENCE - 0.1)
+    edge.wait(collectors.SILENCE_TIMEOUT - 0.1)
     assert collector.owner
     edge.wait(0.2)
     assert collector.ending is Ending.SILENT and not door_keeper.joined
@@ -780,23 +792,23 @@
         edge.wait(0.1)
     assert slow.ending is Ending.SILENT and steady.owner
     steady.bring(whole[9:])
-    edge.wait(collectors.WHOLE + 0.1)
-    assert steady.owner and not door_keeper.begun
+    edge.wait(collectors.MESSAGE_TIMEOUT + 0.1)
+    assert steady.owner and not door_keeper.partial
 
 
 def test_messages_in_pieces_are_bounded_in_all_and_so_are_the_connections_of_a_zone():
     edge, door_keeper = gate()
     lines = []
-    for _ in range(collectors.KEPT // (1 << 20) + 3):
+    for _ in range(collectors.MAX_PARTIAL_BYTES // (1 << 20) + 3):
         lines.append(joined(edge, door_keeper))
         lines[-1].bring(frames.HEAD.pack(1 << 20) + b" " * ((1 << 20) - 1))
     ended = [line.ending for line in lines if line.ending]
     assert set(ended) == {Ending.OVERFULL} and len(ended) == 4
     edge.wait(0.1)
-    lines = [joined(edge, door_keeper) for _ in range(3 * collectors.PER_ZONE)]
-    assert len(door_keeper.joined) == collectors.PER_ZONE and lines[-1].owner
-    edge.wait(collectors.SILENCE + 0.1)
-    assert not any((door_keeper.joined, door_keeper.large, door_keeper.begun, door_keeper.strangers))
+    lines = [joined(edge, door_keeper) for _ in range(3 * collectors.MAX_PER_ZONE)]
+    assert len(door_keeper.joined) == collectors.MAX_PER_ZONE and lines[-1].owner
+    edge.wait(collectors.SILENCE_TIMEOUT + 0.1)
+    assert not any((door_keeper.joined, door_keeper.large, door_keeper.partial, door_keeper.unjoined))
 
 
 def test_what_a_collector_sends_wrong_is_skipped_and_logged_once():
@@ -829,7 +841,9 @@
 )
 def test_probes_end_in_our_words(with_load, answer, ending, outcome, load):
     edge = Edge()
-    prober = probes.Probes(edge.loop, {"s1": ADDRESS}.get, with_load, edge.notices, edge.tell, edge.dial)
+    prober = health_checks.HealthChecks(
+        edge.loop, {"s1": ADDRESS}.get, with_load, edge.notices, edge.tell, edge.dial
+    )
     prober.send(events.CheckHealth("s1"))
     line = edge.lines[0].open()
     assert line.sent[0].startswith(b"GET /_load " if with_load else b"GET /ping ")
@@ -838,21 +852,27 @@
     line.end(ending) if ending else None
     assert (
         edge.told == [events.HealthCheckFinished("s1", outcome, edge.told[0].elapsed, load)]
-        and not prober.out
+        and not prober.running
     )
 
 
 def test_probes_that_meet_nobody_end_in_time_and_are_bounded():
     edge = Edge()
-    prober = probes.Probes(edge.loop, {"s1": ADDRESS}.get, True, edge.notices, edge.tell, edge.dial)
-    for _ in range(probes.MOST + 1):
+    prober = health_checks.HealthChecks(
+        edge.loop, {"s1": ADDRESS}.get, True, edge.notices, edge.tell, edge.dial
+    )
+    for _ in range(health_checks.MAX_RUNNING + 1):
         prober.send(events.CheckHealth("s1"))
     prober.send(events.CheckHealth("nobody"))
     assert [event.outcome for event in edge.news()] == ["unknown", "unknown"]
     edge.lines[0].open()
-    edge.wait(probes.ANSWER + 0.2)
+    edge.wait(health_checks.ANSWER_TIMEOUT + 0.2)
     ends = [event.outcome for event in edge.news()]
-    assert ends.count("timed-out") == 1 and ends.count("unreachable") == probes.MOST - 1 and not prober.out
+    assert (
+        ends.count("timed-out") == 1
+        and ends.count("unreachable") == health_checks.MAX_RUNNING - 1
+        and not prober.running
+    )
 
 
 def test_every_ending_has_an_outcome():
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -321,10 +321,10 @@
     while b"OUT,s2" not in asked:
         call.sendall(b"OK %d\r\n" % (asked.count(b";") + 1))
         asked = site.hear(call, step=0.02)
-    assert b"SET,1,s1,1.0" in asked and b"SYNC," in asked and site.service.calls.flight
+    assert b"SET,1,s1,1.0" in asked and b"SYNC," in asked and site.service.relay_calls.in_flight
     call.sendall(b"OK %d\r\n" % (asked.count(b";") + 1))
-    assert turns(site.edge, lambda: not site.service.calls.flight)
-    assert "s1" in site.service.news.known.slices[1] and not site.service.calls.waiting
+    assert turns(site.edge, lambda: not site.service.relay_calls.in_flight)
+    assert "s1" in site.service.relay_updates.known.slices[1] and not site.service.relay_calls.queued
 
 
 def test_a_manager_whose_parties_are_silent_may_be_used_after_a_while(site):
@@ -343,7 +343,7 @@
     site.wait(0.2)
     assert len(site.service.manager.own_slices()) == 2
     first = site.service.manager
-    site.service.news.carried(events.SetAdmission(1, (0,), 0.5, 0))
+    site.service.relay_updates.order_applied(events.SetAdmission(1, (0,), 0.5, 0))
 
     def defect(now, batch):
         raise RuntimeError("a defect")
@@ -357,7 +357,7 @@
     assert turns(site.edge, lambda: site.service.turn(0) or len(site.service.manager.own_slices()) == 2)
     assert any(
         "LIMIT,1,*,1.0," in out.text
-        for part in (site.service.calls.waiting, site.service.calls.flight)
+        for part in (site.service.relay_calls.queued, site.service.relay_calls.in_flight)
         for out in part.values()
     )
 
@@ -395,12 +395,15 @@
         "new configuration taken",
         {"discovery": there[0], "relay": there[1], "at_the_next_start": ["listen", "seed"]},
     ) in site.lines
-    before = site.service.news.current, site.service.discovery.current
+    before = site.service.relay_updates.current, site.service.discovery.current
     for text in (path.read_text(), "{", "[]", path.read_text().replace(there[1], "nowhere")):
         path.write_text(text)  # the same again, and faulty ones: harmless, and told
         site.service.hang_up(signal.SIGHUP, None)
         site.wait(0.1)
-    assert site.service.news.current and before == (site.service.news.current, site.service.discovery.current)
+    assert site.service.relay_updates.current and before == (
+        site.service.relay_updates.current,
+        site.service.discovery.current,
+    )
     refused = [more["why"] for what, more in site.lines if what == "new configuration refused"]
     assert len(refused) == 3 and refused[-1].startswith("registry.address: ")
 
