--- a/features/configuration_changes.feature
+++ b/features/configuration_changes.feature
@@ -36,8 +36,8 @@
 
   Scenario Outline: What is read back is never older than what was acknowledged before
     Then 12 plays of a far reader at <voters> voters keep what was acknowledged
-    And the same with waits left out, as no rule rests on waits
-    And letting changes into a ballot that has begun is found out within 12 of these
+    And the same without backoff, as no rule rests on waits
+    And letting changes into a round that has begun is found out within 12 of these
 
     Examples:
       | voters |
@@ -48,8 +48,8 @@
     Then a day of 400 changes acknowledges all, and each repeat
     And where 50 digests are kept, repeats of what is older have no clear answer and none is refused
 
-  Scenario: What a known version settles is right even at an archive that hears nobody, and nothing else is
-    Given archives that know that r2 followed r1
+  Scenario: What a known version settles is right even at a controller that hears nobody, and nothing else is
+    Given controllers that know that r2 followed r1
     When all links of one are cut
     Then it acknowledges r1 and r2 again
     And it refuses another order on r1
@@ -66,6 +66,6 @@
       | 5      | one slow     |
 
   Scenario: What the times rest on
-    Then leaving the way to nobody is found out by the time within 20 seeds
-    And eight at one archive far from others take three times as long as one, not eight times
-    And one change in a ballot is found out by that within 20 seeds
+    Then proposers without backoff are found out by the time within 20 seeds
+    And eight at one controller far from others take three times as long as one, not eight times
+    And one change in a round is found out by that within 20 seeds
--- a/features/consensus.feature
+++ b/features/consensus.feature
@@ -1,7 +1,7 @@
-Feature: Every version is agreed by ballots, and nothing acknowledged is lost
+Feature: Every version is agreed by a majority, and nothing acknowledged is lost
 
   Scenario: Two changes on one parent meet in one slot
-    Given three archives from seed 1
+    Given three controllers from seed 1
     When the configuration "first" r1 on r0 is put at a
     And all is delivered
     And the configuration "left" r4 on r1 is put at a
@@ -10,8 +10,8 @@
     Then "first" was acknowledged
     And in every order of the messages with each one lost in turn, one is taken and one refused
 
-  Scenario: The same configuration again is taken, from any archive, also once others followed
-    Given three archives from seed 2
+  Scenario: The same configuration again is taken, from any controller, also once others followed
+    Given three controllers from seed 2
     When the configuration "first" r1 on r0 is put at a
     And all is delivered
     And the configuration "second" r2 on r1 is put at b
@@ -22,7 +22,7 @@
     And "second" is in force as r2
 
   Scenario: A value that only a minority holds is not lost, and is not refused
-    Given three archives from seed 3
+    Given three controllers from seed 3
     When the configuration "first" r1 on r0 is put at a
     And only b accepts it, and its proposer loses power
     And the configuration "other" r2 on r0 is put at c
@@ -31,7 +31,7 @@
     And "first" is in force as r1
 
   Scenario: A machine that lost its disk is a new member, and votes once a majority has given it its seat
-    Given three archives from seed 4
+    Given three controllers from seed 4
     When the configuration "first" r1 on r0 is put at a
     And all is delivered
     And a is away
@@ -48,7 +48,7 @@
     Then an empty disk does not go on in a seat of any disk; one to which every seat there is its own does
 
   Scenario: Storms
-    Given three archives from seed 5
+    Given three controllers from seed 5
     Then 300 storms of stops, losses and lost disks keep what was acknowledged
     And 50 storms from disks that knew no epochs do so too
     And "the name of a disk that was lost" is found out within 300 storms
--- a/features/membership_epoch_search.feature
+++ b/features/membership_epoch_search.feature
@@ -25,7 +25,7 @@
 
     Examples:
       | guard                          | shape         | states |
-      | epochs of ballots              | amid a change | 15000  |
+      | epochs of proposals              | amid a change | 15000  |
       | disks of members               | lost disk     | 6000   |
       | a majority of seals            | chosen before | 5000   |
       | what was carried is not chosen | two left over | 1600   |
--- a/features/membership_epochs.feature
+++ b/features/membership_epochs.feature
@@ -10,12 +10,12 @@
       | guard                       | play                                               |
       | disks of members            | forgotten promise, three voters and a spare        |
       | disks of members            | forgotten promise, five voters                     |
-      | epochs of ballots           | late promise of a sealed voter                     |
+      | epochs of proposals           | late promise of a sealed voter                     |
       | voting once active          | joining from one active voter and from sealed ones |
-      | who counts as active        | a pulse of the epoch before                        |
+      | who counts as active        | a heartbeat of the epoch before                        |
       | rows with their fact        | a refused write and the next                       |
-      | older disks are minded      | an older disk, three voters                        |
-      | older disks are minded      | an older disk, five voters                         |
+      | a rolled-back disk is detected      | an older disk, three voters                        |
+      | a rolled-back disk is detected      | an older disk, five voters                         |
 
   Scenario: Days of faults within Tolerance
     Then in 24 days by dice everything acknowledged stays, and a majority answers
--- a/features/steps/catch_up.py
+++ b/features/steps/catch_up.py
@@ -1,7 +1,7 @@
 from behave import given, then
 
 from bramblewood.common.settings import Bounds
-from tests.simulation.catch_up import RATE, Away
+from tests.simulation.catch_up import LINE_RATE, MemberAway
 
 
 @given(
@@ -10,21 +10,21 @@
 )
 def away(context, changes, routes, slices, past):
     context.sizes = (routes, slices, past)
-    context.play = Away(changes, *context.sizes)
+    context.play = MemberAway(changes, *context.sizes)
 
 
 @then("it holds what the others hold after as many bytes as 2 Mbit/s carry in {part:g} of CatchUpS")
-def current(context, part):
-    assert context.play.current()
-    assert context.play.bytes < part * Bounds().CatchUpS * RATE, context.play.bytes
+def has_caught_up(context, part):
+    assert context.play.has_caught_up()
+    assert context.play.bytes < part * Bounds().CatchUpS * LINE_RATE, context.play.bytes
 
 
 @then("after {changes:d} changes it would have been within a tenth of that")
 def by_value(context, changes):
-    fewer = Away(changes, *context.sizes).bytes
+    fewer = MemberAway(changes, *context.sizes).bytes
     assert abs(context.play.bytes - fewer) <= 0.1 * fewer, (context.play.bytes, fewer)
 
 
 @then("that is more than 2 Mbit/s carry in CatchUpS")
 def too_much(context):
-    assert context.play.bytes > Bounds().CatchUpS * RATE, context.play.bytes
+    assert context.play.bytes > Bounds().CatchUpS * LINE_RATE, context.play.bytes
--- a/features/steps/configuration_changes.py
+++ b/features/steps/configuration_changes.py
@@ -4,51 +4,52 @@
 
 from bramblewood.common.settings import Bounds
 from bramblewood.controller import commands
+from bramblewood.controller.consensus.replica import ConsensusReplica
 from tests.simulation import configuration_changes
 from tests.simulation.configuration_changes import (
-    FEW,
     Play,
     Site,
-    begun,
     build,
-    eight,
+    concurrent_orders,
     long_day,
     readers,
+    short_memory,
+    start_play,
     storm,
 )
-from tests.simulation.consensus import Broken, configuration
+from tests.simulation.consensus import RuleViolation, configuration
 
 FAR = {"delays": (0.055, 0.06)}
 SITES = {"far": FAR, "one slow": {"slow": 0.25}}
-KINDS = {
+REPLICAS_WITHOUT_GUARD = {
     "a majority": configuration_changes.BelowMajority,
     "a value that a minority holds is not yet chosen": configuration_changes.TrustsMinority,
 }
-RULES = {
-    "what is forgotten is not refused": configuration_changes.forgetful,
-    "an order is known again": configuration_changes.unrepeated,
-    "an order is known by its content, not its number": configuration_changes.by_number,
-    "a refusal of what may still come is agreed": configuration_changes.unwritten,
-    "one version on each parent": configuration_changes.parentless,
+DECISIONS_WITHOUT_GUARD = {
+    "what is forgotten is not refused": configuration_changes.refuses_what_was_forgotten,
+    "an order is known again": configuration_changes.no_repeats,
+    "an order is known by its content, not its number": configuration_changes.repeats_by_number,
+    "a refusal of what may still come is agreed": configuration_changes.refusals_unrecorded,
+    "one version on each parent": configuration_changes.parent_ignored,
 }
 
 
-def kind(made):
+def builder(made):
     return partial(build, kind=made)
 
 
-def found_out(play, count):
+def assert_found(play, count):
     for seed in range(count):
         try:
             play(seed)
-        except Broken:
+        except RuleViolation:
             return
     raise AssertionError(f"not found out within {count}")
 
 
 @then("{count:d} storms of orders at {voters:d} voters keep every answer")
 def storms(context, count, voters):
-    orders = [order for seed in range(count) for order in storm(seed, voters, follow=FEW).orders]
+    orders = [order for seed in range(count) for order in storm(seed, voters, decide=short_memory).orders]
     for status in (200, 412):
         assert sum(order.status == status for order in orders) > 5 * count, "the storms prove little"
 
@@ -57,9 +58,10 @@
 def guards(context, count, voters):
     for row in context.table:
         guard = row["guard taken out"]
-        make, follow = kind(KINDS.get(guard, configuration_changes.ConsensusReplica)), RULES.get(guard, FEW)
-        assert guard in {**KINDS, **RULES}, guard
-        found_out(lambda seed: storm(seed, voters, make, follow), count)  # noqa: B023
+        assert guard in {**REPLICAS_WITHOUT_GUARD, **DECISIONS_WITHOUT_GUARD}, guard
+        make_replica = builder(REPLICAS_WITHOUT_GUARD.get(guard, ConsensusReplica))
+        decide = DECISIONS_WITHOUT_GUARD.get(guard, short_memory)
+        assert_found(lambda seed: storm(seed, voters, make_replica, decide), count)  # noqa: B023
 
 
 @given("a register of an older program that holds r9 after r7")
@@ -99,35 +101,35 @@
         readers(seed, voters)
 
 
-@then("the same with waits left out, as no rule rests on waits")
+@then("the same without backoff, as no rule rests on waits")
 def pushing_readers(context):
     for seed in range(context.count):
-        readers(seed, context.voters, kind(configuration_changes.NoBackoff))
+        readers(seed, context.voters, builder(configuration_changes.NoBackoff))
 
 
-@then("letting changes into a ballot that has begun is found out within {count:d} of these")
+@then("letting changes into a round that has begun is found out within {count:d} of these")
 def late_comers(context, count):
-    found_out(lambda seed: readers(seed, context.voters, kind(configuration_changes.JoinsLate)), count)
+    assert_found(lambda seed: readers(seed, context.voters, builder(configuration_changes.JoinsLate)), count)
 
 
 @then("a day of {count:d} changes acknowledges all, and each repeat")
 def day(context, count):
     context.changes = count
     play = long_day(1, 3, count)
-    assert len(play.taken) == count + 1
+    assert len(play.acknowledged) == count + 1
     assert {order.status for order in play.orders} == {200}
 
 
 @then("where {kept:d} digests are kept, repeats of what is older have no clear answer and none is refused")
-def short_memory(context, kept):
+def few_digests_kept(context, kept):
     play = long_day(2, 5, context.changes, partial(commands.succeed, kept=kept))
-    assert len(play.taken) == context.changes + 1 and not play.refused
+    assert len(play.acknowledged) == context.changes + 1 and not play.rejected
     assert {order.status for order in play.orders} == {200, 0}
 
 
-@given("archives that know that r2 followed r1")
+@given("controllers that know that r2 followed r1")
 def two_versions(context):
-    play = context.play = begun(1, Site(3))
+    play = context.play = start_play(1, Site(3))
     context.first, context.second = play.orders[0].wanted, configuration(2, 1, "second")
     order = play.order(context.second, play.names[1])
     play.run(play.now + 5.0, lambda: order.status)
@@ -136,15 +138,15 @@
 
 @when("all links of one are cut")
 def cut(context):
-    context.play.deaf = context.play.mute = {context.play.names[0]}
+    context.play.not_receiving = context.play.not_sending = {context.play.names[0]}
 
 
 def status(play: Play, wanted):
     """What the archive that is cut off answers to one call; 503 = nothing clear."""
     order = play.order(wanted, play.names[0])
-    play.run(play.now + 3.0, lambda: order.status or order.met)
+    play.run(play.now + 3.0, lambda: order.status or order.statuses)
     order.call += 1  # it is not sent again
-    return order.status or order.met[0]
+    return order.status or order.statuses[0]
 
 
 @then("it acknowledges r1 and r2 again")
@@ -153,7 +155,7 @@
 
 
 @then("it refuses another order on r1")
-def refused(context):
+def rejected(context):
     assert status(context.play, configuration(3, 1, "late")) == 412
 
 
@@ -165,30 +167,30 @@
 @then("eight at {voters:d} voters, {site}, have clear answers within half of AckS in {count:d} seeds")
 def in_time(context, voters, site, count):
     for seed in range(count):
-        worst = max(eight(seed, Site(voters, **SITES[site])))
+        worst = max(concurrent_orders(seed, Site(voters, **SITES[site])))
         assert worst < Bounds.AckS / 2, (seed, worst)
 
 
-@then("leaving the way to nobody is found out by the time within {count:d} seeds")
+@then("proposers without backoff are found out by the time within {count:d} seeds")
 def no_way(context, count):
-    worst = max(
-        max(eight(seed, Site(5, **FAR), make=kind(configuration_changes.NoBackoff))) for seed in range(count)
-    )
+    make_replica = builder(configuration_changes.NoBackoff)
+    site = Site(5, **FAR)
+    worst = max(max(concurrent_orders(seed, site, make_replica=make_replica)) for seed in range(count))
     assert worst > Bounds.AckS / 2, worst
 
 
-def at_one(seed, made=configuration_changes.ConsensusReplica):
+def at_one(seed, made=ConsensusReplica):
     """The worst time of eight at one archive over that of one."""
-    alone = begun(seed, Site(3, **FAR)).orders[0].took
-    return max(eight(seed, Site(3, **FAR), spread=False, make=kind(made))) / alone
+    alone = start_play(seed, Site(3, **FAR)).orders[0].took
+    return max(concurrent_orders(seed, Site(3, **FAR), spread=False, make_replica=builder(made))) / alone
 
 
-@then("eight at one archive far from others take three times as long as one, not eight times")
+@then("eight at one controller far from others take three times as long as one, not eight times")
 def folded(context):
     worst = max(at_one(seed) for seed in range(20))
     assert worst < 3, worst
 
 
-@then("one change in a ballot is found out by that within {count:d} seeds")
+@then("one change in a round is found out by that within {count:d} seeds")
 def singly(context, count):
     assert any(at_one(seed, configuration_changes.NoBatches) > 3 for seed in range(count))
--- a/features/steps/membership_epochs.py
+++ b/features/steps/membership_epochs.py
@@ -1,9 +1,9 @@
 from behave import then
 
-from tests.simulation.consensus import Broken
+from tests.simulation.consensus import RuleViolation
 from tests.simulation.membership_epoch_cases import CASES
 from tests.simulation.membership_epoch_search import SHAPES, Search
-from tests.simulation.membership_epochs import day, without
+from tests.simulation.membership_epochs import day, without_guard
 
 TRIED = 30  # of the last states of a search, for how many it is tried whether a majority answers in the end
 
@@ -25,14 +25,14 @@
 @then('without "{guard}" in one of them it does not')
 def not_mended(context, guard):
     shape, depth, tried = context.search
-    with without(guard):
+    with without_guard(guard):
         found = Search(shape).run(depth, tried=tried)
     assert found.broken == "no majority answers", found.broken
 
 
 @then('without "{guard}" something breaks within {states:d} states of "{shape}"')
 def found_out(context, guard, states, shape):
-    with without(guard):
+    with without_guard(guard):
         found = Search(SHAPES[shape]).run(depth=12, most=states)
     assert found.broken and found.states <= states, found.states
 
@@ -45,10 +45,10 @@
 
 @then('without "{guard}" the play "{play}" breaks')
 def broken(context, guard, play):
-    with without(guard):
+    with without_guard(guard):
         try:
             CASES[play]()
-        except Broken:
+        except RuleViolation:
             return
     raise AssertionError("it does not break")
 
@@ -56,7 +56,7 @@
 @then("in {count:d} days by dice everything acknowledged stays, and a majority answers")
 def days(context, count):
     made = [day(seed) for seed in range(count)]
-    assert sum(len(one.world.taken) for one in made) > 40 * count, "hardly anything was acknowledged"
+    assert sum(len(one.world.acknowledged) for one in made) > 40 * count, "hardly anything was acknowledged"
     assert sum(max(one.world.sets) for one in made) > 2 * count, "hardly any set changed"
 
 
@@ -71,6 +71,6 @@
     for seed in range(count):
         try:
             day(seed, guard=guard)
-        except Broken:
+        except RuleViolation:
             return
     raise AssertionError("no day found it")
--- a/tests/simulation/configuration_changes.py
+++ b/tests/simulation/configuration_changes.py
@@ -1,6 +1,7 @@
-"""Operators and whole archives in one process on a virtual clock: orders sent to any archive, answers lost on
-their way, orders sent again with growing pauses, links with delays, messages lost, doubled and late, machines
-that stop and return with their disks. Judges look after every step. All from a seed; times in seconds.
+"""Operators and whole controllers in one process on a virtual clock: orders sent to any controller, answers
+lost on their way, orders sent again with growing pauses, links with delays, messages lost, doubled and late,
+machines that stop and return with their disks. Judges look after every step. All from a seed; times in
+seconds.
 """
 
 import heapq
@@ -21,19 +22,26 @@
 from bramblewood.controller.consensus.registers import CONFIG
 from bramblewood.controller.consensus.replica import ConsensusReplica
 
-from .consensus import Broken, configuration
+from .consensus import RuleViolation, configuration
 
-CALL_WITHIN, TICK = 0.85, 0.1  # the shell's: archive/program.py
-SILENCE = 1.0  # s after which a caller goes to another manager; PROTOCOL, "The operator"
-PAUSES = (0.05, 0.1, 0.2, 0.4, 0.8, 1.6)  # s between an operator's moves; the pages say only that they grow
-EIGHT = 8  # orders that may be under way at once
-SYNC = (0.001, 0.008)  # s that a write takes to be safe
+CALL_TIMEOUT, TICK_INTERVAL = 0.85, 0.1  # s, the controller's
+CALLER_TIMEOUT = 1.0  # s after which a caller goes to another controller; PROTOCOL, "The operator"
+RETRY_PAUSES = (
+    0.05,
+    0.1,
+    0.2,
+    0.4,
+    0.8,
+    1.6,
+)  # s; the pages say only that they grow
+MAX_CONCURRENT_ORDERS = 8  # orders that may be under way at once
+SYNC_DURATION = (0.001, 0.008)  # s that a write takes to be safe
 
 
 def build(
     name: str, voters: tuple[str, ...], incarnation: int, stored: dict, kind: type = ConsensusReplica
 ) -> ConsensusReplica:
-    """The one place that makes an archive's core: epoch 1, in which these voters are active."""
+    """The one place that makes a controller's core: epoch 1, in which these voters are active."""
     members = {"n": 1, "voters": {voter: f"{voter}'s disk" for voter in voters}, "before": {}}
     return kind(name, f"{name}'s disk", incarnation, stored, members, 1 if name in voters else -1)
 
@@ -43,16 +51,16 @@
     """Who takes part and how the links are: delays one way; the parts of messages that meet an accident."""
 
     voters: int = 3
-    spares: int = 2  # archives that take calls and don't vote
+    spares: int = 2  # controllers that take calls and don't vote
     delays: tuple[float, float] = (0.0005, 0.06)
     slow: float = 0.0  # s one way on one link; 0 = none is slow
-    far: float = 0.0  # s one way on all links of the last archive; 0 = it is no farther than others
+    far: float = 0.0  # s one way on all links of the last controller; 0 = it is no farther than others
     lost: float = 0.0
     doubled: float = 0.0
     late: float = 0.0  # part that comes up to a second late, overtaken by others
     answers_lost: float = 0.0
-    deaf: bool = False  # one voter hears no other, and is heard
-    mute: bool = False  # one voter is heard by none, and hears
+    not_receiving: bool = False  # one voter hears no other, and is heard
+    not_sending: bool = False  # one voter is heard by none, and hears
     stops: float = 0.0  # mean s between stops of a machine; 0 = none stops
 
 
@@ -64,49 +72,52 @@
     call: int = 0  # the newest call under way
     status: int = 0  # the clear answer, once there is one
     took: float = 0.0
-    last: str = ""  # the archive that it was sent to last
-    met: list[int] = field(default_factory=list)  # all statuses heard
+    last: str = ""  # the controller that it was sent to last
+    statuses: list[int] = field(default_factory=list)  # all statuses heard
 
 
 class Play:
     def __init__(
-        self, seed: int, site: Site = Site(), make: Callable = build, follow: Callable = succeed
+        self, seed: int, site: Site = Site(), make_replica: Callable = build, decide: Callable = succeed
     ) -> None:
-        self.dice, self.site, self.make, self.follow = random.Random(seed), site, make, follow
-        self.now, self.count, self.incarnations, self.due = 0.0, 0, 0, []
+        self.rng, self.site, self.make_replica, self.decide = random.Random(seed), site, make_replica, decide
+        self.now, self.count, self.incarnations, self.events = 0.0, 0, 0, []
         self.names = tuple(f"m{k}" for k in range(site.voters + site.spares))
         self.voters = self.names[: site.voters]
         pairs = [(a, b) for a in self.names for b in self.names if a < b]
-        self.delay = {pair: self.dice.uniform(*site.delays) for pair in pairs}
+        self.delay = {pair: self.rng.uniform(*site.delays) for pair in pairs}
         if site.slow:
-            self.delay[tuple(sorted(self.dice.sample(self.voters, 2)))] = site.slow
+            self.delay[tuple(sorted(self.rng.sample(self.voters, 2)))] = site.slow
         if site.far:
             self.delay |= dict.fromkeys([(a, b) for a, b in pairs if b == self.names[-1]], site.far)
-        self.deaf, self.mute = set(self.voters[:1] * site.deaf), set(self.voters[-1:] * site.mute)
+        self.not_receiving, self.not_sending = (
+            set(self.voters[:1] * site.not_receiving),
+            set(self.voters[-1:] * site.not_sending),
+        )
         self.disks: dict[str, dict] = {name: {} for name in self.names}
         self.writing: dict[str, float] = dict.fromkeys(self.names, 0.0)
         self.arrived: dict[tuple[str, str], float] = {}
         self.machines: dict[str, ConsensusReplica] = {}
         self.known: dict[str, Any] = {}
         self.chosen: dict[int, str] = {}  # number: digest, of all that any machine has learned
-        self.taken: dict[str, Configuration] = {}  # by digest: answered 200
-        self.refused: dict[str, Configuration] = {}  # by digest: answered 4xx, for good
+        self.acknowledged: dict[str, Configuration] = {}  # by digest: answered 200
+        self.rejected: dict[str, Configuration] = {}  # by digest: answered 4xx, for good
         self.on_parent: dict[int, str] = {}
         self.orders: list[Order] = []
         for name in self.names:
             self.start(name)
         if site.stops:
-            self.after(self.dice.expovariate(1 / site.stops), self.accident)
+            self.call_later(self.rng.expovariate(1 / site.stops), self.stop_one)
 
     # --- time
 
-    def after(self, delay: float, call: Callable, *told: Any) -> None:
+    def call_later(self, delay: float, call: Callable, *told: Any) -> None:
         self.count += 1
-        heapq.heappush(self.due, (self.now + delay, self.count, call, told))
+        heapq.heappush(self.events, (self.now + delay, self.count, call, told))
 
     def run(self, until: float, enough: Callable[[], bool] = lambda: False) -> None:
-        while self.due and self.due[0][0] <= until and not enough():
-            self.now, _, call, told = heapq.heappop(self.due)
+        while self.events and self.events[0][0] <= until and not enough():
+            self.now, _, call, told = heapq.heappop(self.events)
             call(*told)
         if not enough():
             self.now = max(self.now, until)
@@ -115,38 +126,38 @@
 
     def start(self, name: str) -> None:
         self.incarnations += 1
-        machine = self.machines[name] = self.make(
+        machine = self.machines[name] = self.make_replica(
             name, self.voters, self.incarnations, dict(self.disks[name])
         )
         self.known.pop(name, None)
-        self.after(TICK * self.dice.random(), self.tick, name, machine)
+        self.call_later(TICK_INTERVAL * self.rng.random(), self.tick, name, machine)
 
     def stop(self, name: str) -> None:
         self.machines.pop(name, None)
 
-    def accident(self) -> None:
+    def stop_one(self) -> None:
         """One machine at a time is away, for up to two seconds."""
         if not self.site.stops:
             return
-        name = self.dice.choice(self.names)
+        name = self.rng.choice(self.names)
         self.stop(name)
-        self.after(2.0 * self.dice.random(), self.back, name)
+        self.call_later(2.0 * self.rng.random(), self.restart, name)
 
-    def back(self, name: str) -> None:
+    def restart(self, name: str) -> None:
         self.start(name)
         if self.site.stops:
-            self.after(self.dice.expovariate(1 / self.site.stops), self.accident)
+            self.call_later(self.rng.expovariate(1 / self.site.stops), self.stop_one)
 
     def tick(self, name: str, machine: ConsensusReplica) -> None:
         if self.machines.get(name) is machine:
-            self.carry(name, machine, machine.tick(self.now))
-            self.after(TICK, self.tick, name, machine)
+            self.apply(name, machine, machine.tick(self.now))
+            self.call_later(TICK_INTERVAL, self.tick, name, machine)
 
-    def carry(self, name: str, machine: ConsensusReplica, out: Effects) -> None:
+    def apply(self, name: str, machine: ConsensusReplica, out: Effects) -> None:
         if not out.writes and not out.facts:
             return self.dispatch(name, machine, out)
-        self.writing[name] = max(self.writing[name], self.now) + self.dice.uniform(*SYNC)
-        self.after(self.writing[name] - self.now, self.written, name, machine, out)
+        self.writing[name] = max(self.writing[name], self.now) + self.rng.uniform(*SYNC_DURATION)
+        self.call_later(self.writing[name] - self.now, self.written, name, machine, out)
 
     def written(self, name: str, machine: ConsensusReplica, out: Effects) -> None:
         if self.machines.get(name) is not machine:
@@ -162,25 +173,25 @@
         for tag, outcome in out.answers:
             if callable(tag):
                 tag(outcome)
-        self.judge(name, machine)
+        self.check_invariants(name, machine)
 
     def send(self, name: str, peer: str, message: dict) -> None:
         if peer == name:
-            return self.after(0.0, self.deliver, name, peer, message)
-        site, dice = self.site, self.dice
-        if name in self.mute or peer in self.deaf or dice.random() < site.lost:
+            return self.call_later(0.0, self.deliver, name, peer, message)
+        site, rng = self.site, self.rng
+        if name in self.not_sending or peer in self.not_receiving or rng.random() < site.lost:
             return
-        at = self.now + self.delay[min(name, peer), max(name, peer)] * (1 + 0.2 * dice.random())
+        at = self.now + self.delay[min(name, peer), max(name, peer)] * (1 + 0.2 * rng.random())
         at = self.arrived[name, peer] = max(at, self.arrived.get((name, peer), 0.0))  # links keep their order
-        self.after(at - self.now, self.deliver, name, peer, message)
-        if dice.random() < site.doubled:
-            self.after(at - self.now + dice.random(), self.deliver, name, peer, message)
-        elif dice.random() < site.late:
-            self.after(at - self.now + dice.random(), self.deliver, name, peer, message)
+        self.call_later(at - self.now, self.deliver, name, peer, message)
+        if rng.random() < site.doubled:
+            self.call_later(at - self.now + rng.random(), self.deliver, name, peer, message)
+        elif rng.random() < site.late:
+            self.call_later(at - self.now + rng.random(), self.deliver, name, peer, message)
 
     def deliver(self, name: str, peer: str, message: dict) -> None:
         if machine := self.machines.get(peer):
-            self.carry(peer, machine, machine.receive(self.now, name, message))
+            self.apply(peer, machine, machine.receive(self.now, name, message))
 
     # --- operators
 
@@ -188,53 +199,55 @@
         """Send an order until there is a clear answer."""
         order = Order(wanted, self.now)
         self.orders.append(order)
-        self.move(order, first or self.dice.choice(self.names))
+        self.move(order, first or self.rng.choice(self.names))
         return order
 
     def move(self, order: Order, name: str) -> None:
         order.moves, order.call, order.last = order.moves + 1, order.call + 1, name
-        self.after(self.way(), self.arrive, order, order.call, name)
-        self.after(SILENCE, self.again, order, order.call)
+        self.call_later(self.operator_delay(), self.deliver_order, order, order.call, name)
+        self.call_later(CALLER_TIMEOUT, self.retry, order, order.call)
 
-    def way(self) -> float:
-        return self.dice.uniform(0.0005, 0.01)
+    def operator_delay(self) -> float:
+        return self.rng.uniform(0.0005, 0.01)
 
-    def arrive(self, order: Order, call: int, name: str) -> None:
+    def deliver_order(self, order: Order, call: int, name: str) -> None:
         machine = self.machines.get(name)
         if machine is None:
-            return self.after(self.way(), self.heard, order, call, 503)  # a dead port resets
+            return self.call_later(
+                self.operator_delay(), self.on_status, order, call, 503
+            )  # a dead port resets
 
         def told(outcome: tuple[int, str] | None) -> None:
             status = outcome[0] if outcome else 503
             self.answered(order.wanted, status)
-            if self.dice.random() >= self.site.answers_lost:
-                self.after(self.way(), self.heard, order, call, status)
+            if self.rng.random() >= self.site.answers_lost:
+                self.call_later(self.operator_delay(), self.on_status, order, call, status)
 
-        if known := final_answer(order.wanted, machine.value(CONFIG), self.follow):
+        if known := final_answer(order.wanted, machine.value(CONFIG), self.decide):
             return told(known)
-        change = lambda stands: self.follow(order.wanted, stands)  # noqa: E731
-        self.carry(name, machine, machine.propose(self.now, CONFIG, change, told, CALL_WITHIN))
+        change = lambda stands: self.decide(order.wanted, stands)  # noqa: E731
+        self.apply(name, machine, machine.propose(self.now, CONFIG, change, told, CALL_TIMEOUT))
 
-    def heard(self, order: Order, call: int, status: int) -> None:
+    def on_status(self, order: Order, call: int, status: int) -> None:
         if order.status or call != order.call:
             return
-        order.met.append(status)
+        order.statuses.append(status)
         if status == 503:
-            return self.again(order, call)
+            return self.retry(order, call)
         order.status, order.took = status, self.now - order.first_at
 
-    def again(self, order: Order, call: int) -> None:
-        """Nothing clear: to another archive after a pause."""
+    def retry(self, order: Order, call: int) -> None:
+        """Nothing clear: to another controller after a pause."""
         if order.status or call != order.call:
             return
         order.call += 1
-        pause = PAUSES[min(order.moves - 1, len(PAUSES) - 1)]
+        pause = RETRY_PAUSES[min(order.moves - 1, len(RETRY_PAUSES) - 1)]
         others = [name for name in self.names if name != order.last]
-        self.after(pause * self.dice.uniform(0.5, 1.0), self.move, order, self.dice.choice(others))
+        self.call_later(pause * self.rng.uniform(0.5, 1.0), self.move, order, self.rng.choice(others))
 
     def read(self, name: str) -> list:
-        """Read back at an archive; what was read, once it is there."""
-        found, least = [], max((e.number for e in self.taken.values()), default=0)
+        """Read back at a controller; what was read, once it is there."""
+        found, least = [], max((e.number for e in self.acknowledged.values()), default=0)
         machine = self.machines.get(name)
 
         def told(outcome: list | None) -> None:
@@ -243,55 +256,59 @@
             number = outcome[0]["n"] if outcome[0] else 0
             found.append(number)
             if number < least:
-                raise Broken(f"r{least} was acknowledged, and r{number} was read back after")
+                raise RuleViolation(f"r{least} was acknowledged, and r{number} was read back after")
 
         if machine:
             change = lambda stands: (None, [stands])  # noqa: E731
-            self.carry(name, machine, machine.propose(self.now, CONFIG, change, told, CALL_WITHIN))
+            self.apply(name, machine, machine.propose(self.now, CONFIG, change, told, CALL_TIMEOUT))
         return found
 
     # --- judges
 
     def answered(self, wanted: Configuration, status: int) -> None:
-        mark = wanted.digest
+        digest = wanted.digest
         if status == 200:
-            self.taken[mark] = wanted
-            if self.on_parent.setdefault(wanted.parent, mark) != mark:
-                raise Broken(f"{mark} and {self.on_parent[wanted.parent]} acknowledged on r{wanted.parent}")
-            self.stands(wanted.number, mark)
+            self.acknowledged[digest] = wanted
+            if self.on_parent.setdefault(wanted.parent, digest) != digest:
+                raise RuleViolation(
+                    f"{digest} and {self.on_parent[wanted.parent]} acknowledged on r{wanted.parent}"
+                )
+            self.check_in_force(wanted.number, digest)
         elif status != 503:
-            self.refused[mark] = wanted
-        if mark in self.refused and (mark in self.taken or self.chosen.get(wanted.number) == mark):
-            raise Broken(f"{mark} was refused, and was taken")
-
-    def stands(self, number: int, mark: str) -> None:
-        if self.chosen.setdefault(number, mark) != mark:
-            raise Broken(f"r{number} is {mark} and {self.chosen[number]}")
-        if mark in self.refused:
-            raise Broken(f"{mark} was refused, and is in force")
-
-    def judge(self, name: str, machine: ConsensusReplica) -> None:
+            self.rejected[digest] = wanted
+        if digest in self.rejected and (
+            digest in self.acknowledged or self.chosen.get(wanted.number) == digest
+        ):
+            raise RuleViolation(f"{digest} was refused, and was taken")
+
+    def check_in_force(self, number: int, digest: str) -> None:
+        if self.chosen.setdefault(number, digest) != digest:
+            raise RuleViolation(f"r{number} is {digest} and {self.chosen[number]}")
+        if digest in self.rejected:
+            raise RuleViolation(f"{digest} was refused, and is in force")
+
+    def check_invariants(self, name: str, machine: ConsensusReplica) -> None:
         """What a machine has learned, against what was answered."""
         value = machine.value(CONFIG)
         if value is None or self.known.get(name) is value:
             return
         self.known[name], past = value, value["past"]
-        for number, mark in past.items():
-            self.stands(int(number), mark)
-        for mark, wanted in self.taken.items():
+        for number, digest in past.items():
+            self.check_in_force(int(number), digest)
+        for digest, wanted in self.acknowledged.items():
             if value.get("forgotten", 0) < wanted.number <= value["n"]:
-                if past.get(str(wanted.number)) != mark:
-                    raise Broken(f"{mark} was acknowledged as r{wanted.number}, and is not in force")
+                if past.get(str(wanted.number)) != digest:
+                    raise RuleViolation(f"{digest} was acknowledged as r{wanted.number}, and is not in force")
 
-    def newest(self) -> int:
+    def newest_version(self) -> int:
         return max(self.chosen, default=0)
 
-    def calm(self, span: float = 20.0) -> None:
+    def check_when_recovered(self, span: float = 20.0) -> None:
         """No more accidents: in this many s every order has a clear answer, or none can be known any more;
-        then a read at each archive brings all that was acknowledged.
+        then a read at each controller brings all that was acknowledged.
         """
         self.site = Site(self.site.voters, self.site.spares, self.site.delays)
-        self.deaf, self.mute = set(), set()
+        self.not_receiving, self.not_sending = set(), set()
         for name in self.names:
             if name not in self.machines:
                 self.start(name)
@@ -299,96 +316,99 @@
         value = max((m.value(CONFIG) for m in self.machines.values()), key=lambda v: v["n"] if v else 0)
         for order in self.orders:
             if not order.status and order.wanted.number > value.get("forgotten", 0):
-                raise Broken(f"{order.wanted.digest} has no clear answer: {order.met}")
+                raise RuleViolation(f"{order.wanted.digest} has no clear answer: {order.statuses}")
         for name in self.names:
             found = self.read(name)
             self.run(self.now + 5.0, lambda found=found: found)
             if not found:
-                raise Broken(f"nothing is read back at {name}")
+                raise RuleViolation(f"nothing is read back at {name}")
 
 
-def begun(seed: int, site: Site, make: Callable = build, follow: Callable = succeed) -> Play:
+def start_play(seed: int, site: Site, make_replica: Callable = build, decide: Callable = succeed) -> Play:
     """The first configuration is taken, however often it must be sent."""
-    play = Play(seed, site, make, follow)
+    play = Play(seed, site, make_replica, decide)
     first = play.order(configuration(1, 0, "first"))
     play.run(60.0, lambda: first.status)
     if first.status != 200:
-        raise Broken(f"the first configuration is not taken: {first.met}")
+        raise RuleViolation(f"the first configuration is not taken: {first.statuses}")
     return play
 
 
-def storm(seed: int, voters: int, make: Callable = build, follow: Callable = succeed) -> Play:
+def storm(seed: int, voters: int, make_replica: Callable = build, decide: Callable = succeed) -> Play:
     """Up to eight orders at once amid accidents, most on what is newest; some on older versions or on such as
     are not there yet; numbers alike; orders of long ago sent again.
     """
     accidents = {"lost": 0.05, "doubled": 0.05, "late": 0.05, "answers_lost": 0.2, "stops": 1.5}
-    play = begun(seed, Site(voters, **accidents), make, follow)
-    dice = play.dice
+    play = start_play(seed, Site(voters, **accidents), make_replica, decide)
+    rng = play.rng
     for turn in range(10):
-        newest = play.newest()
+        newest = play.newest_version()
         early = [order.wanted for order in play.orders if order.wanted.parent == newest]
         for wanted in early[:1]:  # its parent was not there yet; now it is
             play.order(wanted)
-        for k in range(1 + dice.randrange(EIGHT - 1)):
-            kind, mark = dice.random(), f"{turn}.{k}"
+        for k in range(1 + rng.randrange(MAX_CONCURRENT_ORDERS - 1)):
+            kind, digest = rng.random(), f"{turn}.{k}"
             if kind < 0.25:
-                play.order(dice.choice(play.orders).wanted)
+                play.order(rng.choice(play.orders).wanted)
             elif kind < 0.35:
-                play.order(configuration(newest + 1 + dice.randrange(2), dice.randrange(newest), mark))
+                play.order(configuration(newest + 1 + rng.randrange(2), rng.randrange(newest), digest))
             elif kind < 0.45:
-                play.order(configuration(newest + 2 + dice.randrange(2), newest + 1, mark))
+                play.order(configuration(newest + 2 + rng.randrange(2), newest + 1, digest))
             else:
-                play.order(configuration(newest + 1 + dice.randrange(2), newest, mark))
-            play.run(play.now + 0.1 * dice.random())
+                play.order(configuration(newest + 1 + rng.randrange(2), newest, digest))
+            play.run(play.now + 0.1 * rng.random())
         for _ in range(4):
-            play.read(dice.choice(play.names))
-            play.run(play.now + 0.5 * dice.random())
-    play.calm()
+            play.read(rng.choice(play.names))
+            play.run(play.now + 0.5 * rng.random())
+    play.check_when_recovered()
     return play
 
 
-def long_day(seed: int, voters: int, changes: int, follow: Callable = succeed) -> Play:
+def long_day(seed: int, voters: int, changes: int, decide: Callable = succeed) -> Play:
     """Hundreds of changes one on the other, answers lost, and orders of all the day sent again."""
-    play = begun(seed, Site(voters, delays=(0.0005, 0.005), answers_lost=0.1), follow=follow)
+    site = Site(voters, delays=(0.0005, 0.005), answers_lost=0.1)
+    play = start_play(seed, site, decide=decide)
     for number in range(2, changes + 2):
         order = play.order(configuration(number, number - 1, f"m{number}"))
-        if sum(not one.status for one in play.orders) < EIGHT:
-            play.order(play.dice.choice(play.orders).wanted)
+        if sum(not one.status for one in play.orders) < MAX_CONCURRENT_ORDERS:
+            play.order(play.rng.choice(play.orders).wanted)
         play.run(play.now + 20.0, lambda: order.status)  # noqa: B023
-    play.calm()
+    play.check_when_recovered()
     return play
 
 
-def readers(seed: int, voters: int, make: Callable = build) -> Play:
-    """One change after the other at archives that lie near each other, and reads without a pause at one far
-    away: what was acknowledged amid a read's ballot must be in the reads that were put after it.
+def readers(seed: int, voters: int, make_replica: Callable = build) -> Play:
+    """One change after the other at controllers that lie near each other, and reads without a pause at one
+    far away: what was acknowledged amid a read's round must be in the reads that were put after it.
     """
-    play = begun(seed, Site(voters, delays=(0.0005, 0.005), far=0.1), make)
+    play = start_play(seed, Site(voters, delays=(0.0005, 0.005), far=0.1), make_replica)
     for number in range(2, 22):
         order = play.order(configuration(number, number - 1, f"m{number}"), play.names[0])
-        rest = play.now + 0.3 * play.dice.random()  # a far archive's ballots come through in between
+        rest = play.now + 0.3 * play.rng.random()  # a far controller's rounds come through in between
         while not order.status or play.now < rest:
             play.read(play.names[-1])
-            play.run(play.now + 0.03 * play.dice.random())
-    play.calm()
+            play.run(play.now + 0.03 * play.rng.random())
+    play.check_when_recovered()
     return play
 
 
-def eight(seed: int, site: Site, slots: int = 4, spread: bool = True, make: Callable = build) -> list[float]:
-    """Eight orders at once on one version, at all archives or (not spread) at one, in each of some slots: s
-    from an order's first call to its clear answer.
+def concurrent_orders(
+    seed: int, site: Site, slots: int = 4, spread: bool = True, make_replica: Callable = build
+) -> list[float]:
+    """Eight orders at once on one version, at all controllers or (not spread) at one, in each of some slots:
+    s from an order's first call to its clear answer.
     """
-    play = begun(seed, site, make)
+    play = start_play(seed, site, make_replica)
     for slot in range(slots):
         play.run(play.now + 1.0)
-        newest, first, orders = play.newest(), play.dice.randrange(len(play.names)), []
-        for k in range(EIGHT):
+        newest, first, orders = play.newest_version(), play.rng.randrange(len(play.names)), []
+        for k in range(MAX_CONCURRENT_ORDERS):
             name = play.names[(first + k * spread) % len(play.names)]
             orders.append(play.order(configuration(newest + 1 + k // 2, newest, f"{slot}.{k}"), name))
-            play.run(play.now + 0.02 * play.dice.random())
+            play.run(play.now + 0.02 * play.rng.random())
         play.run(play.now + 60.0, lambda: all(order.status for order in orders))  # noqa: B023
-        if sorted(order.status for order in orders) != [200, *[412] * (EIGHT - 1)]:
-            raise Broken(f"of eight on r{newest}: {[order.status for order in orders]}")
+        if sorted(order.status for order in orders) != [200, *[412] * (MAX_CONCURRENT_ORDERS - 1)]:
+            raise RuleViolation(f"of eight on r{newest}: {[order.status for order in orders]}")
     return [order.took for order in play.orders[1:]]
 
 
@@ -445,33 +465,33 @@
             super().start_round(now, round, effects)
 
 
-FEW = partial(succeed, kept=6)  # storms forget what hundreds of changes would
+short_memory = partial(succeed, kept=6)  # storms forget what hundreds of changes would
 
 
-def forgetful(wanted: Configuration, stands: dict | None) -> tuple:
+def refuses_what_was_forgotten(wanted: Configuration, stands: dict | None) -> tuple:
     """Refuses what it no longer knows."""
-    return FEW(wanted, {**stands, "forgotten": 0} if stands else None)
+    return short_memory(wanted, {**stands, "forgotten": 0} if stands else None)
 
 
-def unrepeated(wanted: Configuration, stands: dict | None) -> tuple:
+def no_repeats(wanted: Configuration, stands: dict | None) -> tuple:
     """Does not know an order again."""
     known = stands and wanted.digest in stands["past"].values()
-    return (None, (412, "")) if known else FEW(wanted, stands)
+    return (None, (412, "")) if known else short_memory(wanted, stands)
 
 
-def by_number(wanted: Configuration, stands: dict | None) -> tuple:
+def repeats_by_number(wanted: Configuration, stands: dict | None) -> tuple:
     """Knows an order by its number alone."""
     known = stands and str(wanted.number) in stands["past"]
-    return (None, (200, "")) if known else FEW(wanted, stands)
+    return (None, (200, "")) if known else short_memory(wanted, stands)
 
 
-def unwritten(wanted: Configuration, stands: dict | None) -> tuple:
+def refusals_unrecorded(wanted: Configuration, stands: dict | None) -> tuple:
     """Refuses an order whose parent may still come without writing that down."""
-    following, told = FEW(wanted, stands)
+    following, told = short_memory(wanted, stands)
     return (following if told[0] == 200 else None), told
 
 
-def parentless(wanted: Configuration, stands: dict | None) -> tuple:
+def parent_ignored(wanted: Configuration, stands: dict | None) -> tuple:
     """Does not look at the parent."""
     fresh = stands and wanted.number > stands["n"]
-    return FEW(wanted._replace(parent=stands["n"]) if fresh else wanted, stands)
+    return short_memory(wanted._replace(parent=stands["n"]) if fresh else wanted, stands)
--- a/tests/simulation/consensus.py
+++ b/tests/simulation/consensus.py
@@ -1,5 +1,5 @@
-"""Several archives' ballots in one process, from a seed: messages in any order, lost and doubled, disks that
-keep only what was synced, machines that stop, return and lose their disks. Judges look after every step.
+"""Several controllers' replicas in one process, from a seed: messages in any order, lost and doubled, disks
+that keep only what was synced, machines that stop, return and lose their disks. Judges look after every step.
 """
 
 import random
@@ -19,12 +19,12 @@
 NAMES = ("a", "b", "c")
 
 
-def configuration(number: int, parent: int, mark: str) -> Configuration:
-    return Configuration(number, parent, mark, {}, {}, {}, {"Revision": f"r{number}", "mark": mark})
+def configuration(number: int, parent: int, digest: str) -> Configuration:
+    return Configuration(number, parent, digest, {}, {}, {}, {"Revision": f"r{number}", "mark": digest})
 
 
-class Broken(AssertionError):
-    """A judge's word."""
+class RuleViolation(AssertionError):
+    """A rule was broken; raised by the checks of a simulation."""
 
 
 class LearnsOnly(ConsensusReplica):
@@ -56,29 +56,34 @@
             return self.is_member
 
 
-class Core:
+class ReplicaCluster:
     def __init__(
         self,
         seed: int,
-        careless: bool = False,
+        keeps_lost_disks_name: bool = False,
         replica_class: type = ConsensusReplica,
         any_disk: bool = False,
     ) -> None:
-        """careless: a machine whose disk was lost goes by the name of its old disk, as it must not. any_disk:
-        the disks knew no epochs, so the seats are of any disk at first.
+        """keeps_lost_disks_name: a machine whose disk was lost goes by the name of its old disk, as it must
+        not. any_disk: the disks knew no epochs, so the seats are of any disk at first.
         """
-        self.dice, self.careless, self.now, self.incarnations = random.Random(seed), careless, 0.0, 0
+        self.rng, self.keeps_lost_disks_name, self.now, self.incarnations = (
+            random.Random(seed),
+            keeps_lost_disks_name,
+            0.0,
+            0,
+        )
         self.replica_class = replica_class
         members = {"n": 1, "voters": {name: "" if any_disk else f"{name}0" for name in NAMES}, "before": {}}
         self.disks: dict[str, dict] = {
             name: {"disk": f"{name}0", "members": members, "held": 1} for name in NAMES
         }
-        self.machines: dict[str, ConsensusReplica] = {}
-        self.writes: dict[str, list[Effects]] = {name: [] for name in NAMES}
-        self.wire: list[tuple[str, str, dict]] = []
-        self.taken: dict[str, Configuration] = {}  # by mark: answered 200
-        self.refused: dict[str, Configuration] = {}  # by mark: answered 4xx, for good
-        self.past: dict[str, str] = {}  # number: mark, of all that any machine has learned
+        self.replicas: dict[str, ConsensusReplica] = {}
+        self.unsynced: dict[str, list[Effects]] = {name: [] for name in NAMES}
+        self.in_flight: list[tuple[str, str, dict]] = []
+        self.acknowledged: dict[str, Configuration] = {}  # by mark: answered 200
+        self.rejected: dict[str, Configuration] = {}  # by mark: answered 4xx, for good
+        self.versions_seen: dict[str, str] = {}  # number: mark, of all that any machine has learned
         for name in NAMES:
             self.start(name)
 
@@ -87,7 +92,7 @@
     def start(self, name: str) -> None:
         disk, self.incarnations = self.disks[name], self.incarnations + 1
         disk.setdefault("disk", f"{name}{self.incarnations}")
-        self.machines[name] = self.replica_class(
+        self.replicas[name] = self.replica_class(
             name,
             disk["disk"],
             self.incarnations,
@@ -98,157 +103,157 @@
 
     def stop(self, name: str) -> None:
         """Power lost: what was not synced is gone, and what was on its way from here was sent or not."""
-        self.machines.pop(name, None)
-        self.writes[name].clear()
+        self.replicas.pop(name, None)
+        self.unsynced[name].clear()
 
     def wipe(self, name: str) -> None:
         self.stop(name)
-        kept = ("disk", "members", "held") if self.careless else ()
+        kept = ("disk", "members", "held") if self.keeps_lost_disks_name else ()
         self.disks[name] = {fact: self.disks[name][fact] for fact in kept}
 
-    def carry(self, name: str, out: Effects) -> None:
-        if out.writes or out.facts:
-            self.writes[name].append(out)
+    def apply(self, name: str, effects: Effects) -> None:
+        if effects.writes or effects.facts:
+            self.unsynced[name].append(effects)
         else:
-            self.dispatch(name, out)
+            self.dispatch(name, effects)
 
     def sync(self, name: str) -> None:
-        """The oldest write of a machine is safe now; what rests on it goes out."""
-        out = self.writes[name].pop(0)
+        """The oldest write of a machine is safe now; what rests on it goes effects."""
+        effects = self.unsynced[name].pop(0)
         disk = self.disks[name]
-        for register, promised, accepted, value in out.writes:
+        for register, promised, accepted, value in effects.writes:
             disk.setdefault("registers", {})[register] = (promised, accepted, value)
-            self.machines[name].mark_durable(register, accepted)
-        disk.update(out.facts)
-        self.dispatch(name, out)
+            self.replicas[name].mark_durable(register, accepted)
+        disk.update(effects.facts)
+        self.dispatch(name, effects)
 
-    def dispatch(self, name: str, out: Effects) -> None:
-        self.wire += [(name, peer, message) for peer, message in out.sends]
-        for tag, outcome in out.answers:
+    def dispatch(self, name: str, effects: Effects) -> None:
+        self.in_flight += [(name, peer, message) for peer, message in effects.sends]
+        for tag, outcome in effects.answers:
             if isinstance(tag, Configuration) and outcome is not None:
-                (self.taken if outcome[0] == 200 else self.refused)[tag.digest] = tag
-        self.judge()
+                (self.acknowledged if outcome[0] == 200 else self.rejected)[tag.digest] = tag
+        self.check_invariants()
 
     # --- events
 
-    def deliver(self, place: int) -> None:
-        sender, peer, message = self.wire.pop(place)
-        if peer in self.machines:
-            self.carry(peer, self.machines[peer].receive(self.now, sender, message))
+    def deliver(self, index: int) -> None:
+        sender, peer, message = self.in_flight.pop(index)
+        if peer in self.replicas:
+            self.apply(peer, self.replicas[peer].receive(self.now, sender, message))
 
     def put(self, name: str, wanted: Configuration) -> None:
         change = lambda stands: succeed(wanted, stands)  # noqa: E731
-        self.carry(name, self.machines[name].propose(self.now, CONFIG, change, wanted, 2.0))
+        self.apply(name, self.replicas[name].propose(self.now, CONFIG, change, wanted, 2.0))
 
     def tick(self, after: float) -> None:
         self.now += after
-        for name in list(self.machines):
-            self.tell_epochs(name)
-            self.carry(name, self.machines[name].tick(self.now))
-            self.mend(name)
-
-    def tell_epochs(self, name: str) -> None:
-        """As pulses do: others hear which set of voters is known here, and what is safe on this disk."""
-        machine = self.machines[name]
-        mine, durable = machine.voter_set, machine.durable_accepted[CONFIG]
-        if machine.is_active_voter and durable != NO_PROPOSAL and self.dice.random() < 0.2:
-            told = {"k": "accepted", "r": CONFIG, "b": durable, "disk": machine.disk}
-            self.wire += [(name, peer, told) for peer in self.machines if peer != name]
-        behind = [peer for peer, machine in self.machines.items() if machine.epoch < mine["n"]]
-        self.wire += [(name, peer, {"k": "epoch", "m": mine}) for peer in behind]
-
-    def mend(self, name: str) -> None:
-        """As archives do: a voter that is back with another disk gets its seat anew, one change at a time."""
-        machine = self.machines[name]
-        for peer, disk in machine.voters.items():
-            if not machine.is_active_voter or peer not in self.machines or machine.proposer.rounds[VOTER_SET]:
+        for name in list(self.replicas):
+            self.send_heartbeats(name)
+            self.apply(name, self.replicas[name].tick(self.now))
+            self.give_seat_to_new_disk(name)
+
+    def send_heartbeats(self, name: str) -> None:
+        """As heartbeats do: others hear which set of voters is known here, and what is safe on this disk."""
+        replica = self.replicas[name]
+        voter_set, durable = replica.voter_set, replica.durable_accepted[CONFIG]
+        if replica.is_active_voter and durable != NO_PROPOSAL and self.rng.random() < 0.2:
+            told = {"k": "accepted", "r": CONFIG, "b": durable, "disk": replica.disk}
+            self.in_flight += [(name, peer, told) for peer in self.replicas if peer != name]
+        behind = [peer for peer, replica in self.replicas.items() if replica.epoch < voter_set["n"]]
+        self.in_flight += [(name, peer, {"k": "epoch", "m": voter_set}) for peer in behind]
+
+    def give_seat_to_new_disk(self, name: str) -> None:
+        """As controllers do: a voter that is back on another disk gets its seat, one change at a time."""
+        replica = self.replicas[name]
+        for peer, disk in replica.voters.items():
+            if not replica.is_active_voter or peer not in self.replicas or replica.proposer.rounds[VOTER_SET]:
                 continue
-            if (here := self.machines[peer].disk) != disk and self.machines[peer].epoch == machine.epoch:
-                change = next_voter_set(machine.voter_set, {**machine.voters, peer: here})
-                self.carry(name, machine.propose(self.now, VOTER_SET, change, "members", 2.0))
+            if (disk_now := self.replicas[peer].disk) != disk and self.replicas[peer].epoch == replica.epoch:
+                change = next_voter_set(replica.voter_set, {**replica.voters, peer: disk_now})
+                self.apply(name, replica.propose(self.now, VOTER_SET, change, "members", 2.0))
 
-    def run(self, steps: int, lose: float = 0.0, double: float = 0.0) -> None:
+    def run(self, steps: int, loss: float = 0.0, duplication: float = 0.0) -> None:
         """Play on in an order drawn from the seed."""
         for _ in range(steps):
-            synced = [name for name in NAMES if self.writes[name]]
-            if synced and self.dice.random() < 0.3:
-                self.sync(self.dice.choice(synced))
-            elif self.wire and self.dice.random() < 0.9:
-                place = self.dice.randrange(len(self.wire))
-                if self.dice.random() < double:
-                    self.wire.append(self.wire[place])
-                if self.dice.random() < lose:
-                    self.wire.pop(place)
+            synced = [name for name in NAMES if self.unsynced[name]]
+            if synced and self.rng.random() < 0.3:
+                self.sync(self.rng.choice(synced))
+            elif self.in_flight and self.rng.random() < 0.9:
+                index = self.rng.randrange(len(self.in_flight))
+                if self.rng.random() < duplication:
+                    self.in_flight.append(self.in_flight[index])
+                if self.rng.random() < loss:
+                    self.in_flight.pop(index)
                 else:
-                    self.deliver(place)
+                    self.deliver(index)
             else:
-                self.tick(0.01 + 0.1 * self.dice.random())
+                self.tick(0.01 + 0.1 * self.rng.random())
 
-    def quiet(self) -> None:
+    def run_without_faults(self) -> None:
         """Six seconds in which nothing is lost."""
         for _ in range(60):
             for name in NAMES:
-                while self.writes[name]:
+                while self.unsynced[name]:
                     self.sync(name)
-            while self.wire:
+            while self.in_flight:
                 self.deliver(0)
             self.tick(0.1)
 
-    def calm(self) -> Any:
+    def read_when_recovered(self) -> Any:
         """All machines up, nothing lost: the value that a reader gets."""
         for name in NAMES:
-            if name not in self.machines:
+            if name not in self.replicas:
                 self.start(name)
         found: list = []
-        self.quiet()
+        self.run_without_faults()
         read = lambda stands: (None, found.append(stands))  # noqa: E731
-        self.carry("b", self.machines["b"].propose(self.now, CONFIG, read, "read", 5.0))
+        self.apply("b", self.replicas["b"].propose(self.now, CONFIG, read, "read", 5.0))
         for _ in range(200):
-            while self.wire:
+            while self.in_flight:
                 self.deliver(0)
             for name in NAMES:
-                while self.writes[name]:
+                while self.unsynced[name]:
                     self.sync(name)
             self.tick(0.05)
         if not found:
-            raise Broken("calm, and no majority answers a reader")
+            raise RuleViolation("calm, and no majority answers a reader")
         return found[-1]
 
     # --- judges
 
-    def judge(self) -> None:
-        for machine in self.machines.values():
-            value = machine.value(CONFIG)
-            for number, mark in (value["past"] if value else {}).items():
-                if self.past.setdefault(number, mark) != mark:
-                    raise Broken(f"r{number} is {mark} here and {self.past[number]} there")
-                if mark in self.refused:
-                    raise Broken(f"{mark} was refused, and is in force")
+    def check_invariants(self) -> None:
+        for replica in self.replicas.values():
+            value = replica.value(CONFIG)
+            for number, digest in (value["past"] if value else {}).items():
+                if self.versions_seen.setdefault(number, digest) != digest:
+                    raise RuleViolation(f"r{number} is {digest} here and {self.versions_seen[number]} there")
+                if digest in self.rejected:
+                    raise RuleViolation(f"{digest} was refused, and is in force")
 
-    def end(self) -> None:
+    def check_outcome(self) -> None:
         """What a reader gets at the end holds all that was acknowledged and nothing that was refused."""
-        value = self.calm()
-        self.judge()
+        value = self.read_when_recovered()
+        self.check_invariants()
         past = value["past"] if value else {}
-        for mark, wanted in self.taken.items():
-            if past.get(str(wanted.number)) != mark:
-                raise Broken(
-                    f"{mark} was acknowledged as r{wanted.number}, which is {past.get(str(wanted.number))}"
+        for digest, wanted in self.acknowledged.items():
+            if past.get(str(wanted.number)) != digest:
+                raise RuleViolation(
+                    f"{digest} was acknowledged as r{wanted.number}, which is {past.get(str(wanted.number))}"
                 )
-        for mark, wanted in self.refused.items():
-            if past.get(str(wanted.number)) == mark:
-                raise Broken(f"{mark} was refused, and is in force")
+        for digest, wanted in self.rejected.items():
+            if past.get(str(wanted.number)) == digest:
+                raise RuleViolation(f"{digest} was refused, and is in force")
 
 
-def caught_up(replica_class: type = ConsensusReplica) -> bool:
+def keeps_what_was_chosen_while_away(replica_class: type = ConsensusReplica) -> bool:
     """Whether a voter that was away as a version was chosen holds it on disk soon after."""
-    core = Core(1, replica_class=replica_class)
-    core.stop("c")
-    core.put("a", configuration(1, 0, "first"))
-    core.quiet()
-    core.start("c")
-    core.quiet()
-    return "first" in core.taken and CONFIG in core.disks["c"].get("registers", {})
+    cluster = ReplicaCluster(1, replica_class=replica_class)
+    cluster.stop("c")
+    cluster.put("a", configuration(1, 0, "first"))
+    cluster.run_without_faults()
+    cluster.start("c")
+    cluster.run_without_faults()
+    return "first" in cluster.acknowledged and CONFIG in cluster.disks["c"].get("registers", {})
 
 
 def kept_as_it_joined() -> bool:
@@ -258,58 +263,60 @@
         (2, 1, "a", 1),
         {"n": 1, "past": {}},
     )
-    machine = ConsensusReplica(
+    replica = ConsensusReplica(
         "b", "b1", 1, voter_set={"n": 2, "voters": {**before, "b": "b1"}, "before": before}
     )
-    machine.receive(0.0, "a", {"k": "chosen", "r": CONFIG, "b": proposal_number, "v": value})
-    machine.tick(0.1)
+    replica.receive(0.0, "a", {"k": "chosen", "r": CONFIG, "b": proposal_number, "v": value})
+    replica.tick(0.1)
     for peer in ("a", "c"):  # as they held epoch 1
         regs = {name: {"a": NO_PROPOSAL, "v": None} for name in ALL_REGISTERS}
         told = {"k": "state", "e": 2, "held": 1, "disk": f"{peer}0", "regs": regs}
-        machine.receive(0.2, peer, told)
-    return machine.is_active_voter and machine.acceptors[CONFIG].accepted == proposal_number
+        replica.receive(0.2, peer, told)
+    return replica.is_active_voter and replica.acceptors[CONFIG].accepted == proposal_number
 
 
-def goes_on_empty(replica_class: type = ConsensusReplica) -> bool:
+def joins_with_empty_disk(replica_class: type = ConsensusReplica) -> bool:
     """Whether a disk that came back empty to a seat of any disk asks for what the epoch holds."""
-    core = Core(1, replica_class=replica_class, any_disk=True)
-    core.wipe("b")
-    core.start("b")
-    core.carry("b", core.machines["b"].receive(0.0, "a", {"k": "epoch", "m": core.machines["a"].voter_set}))
-    core.sync("b")
-    return any(sender == "b" and message["k"] == "join" for sender, _, message in core.wire)
+    cluster = ReplicaCluster(1, replica_class=replica_class, any_disk=True)
+    cluster.wipe("b")
+    cluster.start("b")
+    cluster.apply(
+        "b", cluster.replicas["b"].receive(0.0, "a", {"k": "epoch", "m": cluster.replicas["a"].voter_set})
+    )
+    cluster.sync("b")
+    return any(sender == "b" and message["k"] == "join" for sender, _, message in cluster.in_flight)
 
 
-def storm(seed: int, **how: Any) -> Core:
+def storm(seed: int, **options: Any) -> ReplicaCluster:
     """Changes from two operators on the same version, at any machine, amid losses, stops and a lost disk."""
-    core = Core(seed, **how)
-    dice, parent, number = core.dice, 0, 0
+    cluster = ReplicaCluster(seed, **options)
+    rng, parent, number = cluster.rng, 0, 0
 
     def changes() -> None:
         nonlocal number
-        for mark in ("left", "right"):
-            number += 1 + dice.randrange(2)
-            wanted = configuration(number, parent, f"{mark}{number}")
-            for _ in range(1 + dice.randrange(2)):  # an unclear call is repeated unchanged, to any
-                core.put(dice.choice(list(core.machines)), wanted)
-                core.run(dice.randrange(25), 0.1, 0.05)
+        for digest in ("left", "right"):
+            number += 1 + rng.randrange(2)
+            wanted = configuration(number, parent, f"{digest}{number}")
+            for _ in range(1 + rng.randrange(2)):  # an unclear call is repeated unchanged, to any
+                cluster.put(rng.choice(list(cluster.replicas)), wanted)
+                cluster.run(rng.randrange(25), 0.1, 0.05)
 
     for _ in range(5):
         changes()
-        down = dice.choice(NAMES)  # one at a time: a machine that lost its disk is away until it votes again
-        (core.wipe if dice.random() < 0.5 else core.stop)(down)
-        if dice.random() < 0.5:
-            core.run(dice.randrange(40), 0.1, 0.05)
-        if dice.random() < 0.5:
+        down = rng.choice(NAMES)  # one at a time: a machine that lost its disk is away until it votes again
+        (cluster.wipe if rng.random() < 0.5 else cluster.stop)(down)
+        if rng.random() < 0.5:
+            cluster.run(rng.randrange(40), 0.1, 0.05)
+        if rng.random() < 0.5:
             changes()
-        core.start(down)
+        cluster.start(down)
         changes()
         for _ in range(1000):  # one loss at a time: the next comes once the seat is taken again
-            core.run(10)
-            if all(machine.is_active_voter for machine in core.machines.values()):
+            cluster.run(10)
+            if all(replica.is_active_voter for replica in cluster.replicas.values()):
                 break
         else:
-            raise Broken("a machine that is back does not vote again")
-        parent = max((m.value(CONFIG)["n"] for m in core.machines.values() if m.value(CONFIG)), default=0)
-    core.end()
-    return core
+            raise RuleViolation("a machine that is back does not vote again")
+        parent = max((m.value(CONFIG)["n"] for m in cluster.replicas.values() if m.value(CONFIG)), default=0)
+    cluster.check_outcome()
+    return cluster
--- a/tests/simulation/membership_epoch_cases.py
+++ b/tests/simulation/membership_epoch_cases.py
@@ -13,63 +13,67 @@
 from bramblewood.controller.consensus.replica import ConsensusReplica
 from bramblewood.controller.consensus.voter_set import VoterSet, founding_voters, next_voter_set
 from bramblewood.controller.sessions import Sessions
-from tests.simulation.consensus import Broken
+from tests.simulation.consensus import RuleViolation
 from tests.simulation.membership_epoch_search import order
-from tests.simulation.membership_epochs import BOUNDS, World
+from tests.simulation.membership_epochs import BOUNDS, ControllerFleet
 
 
-class Few:
-    """Some ballots, a wire that carries only what the play picks, disks that are safe at once."""
+class ScriptedCluster:
+    """Some replicas, a wire that carries only what the play picks, disks that are safe at once."""
 
     def __init__(self, voters: str, spares: str = "") -> None:
         self.members: VoterSet = {"n": 1, "voters": {name: f"{name}0" for name in voters}, "before": {}}
-        self.machines = {
+        self.replicas = {
             name: ConsensusReplica(name, f"{name}0", place + 1, {}, self.members, 1 if name in voters else -1)
             for place, name in enumerate(voters + spares)
         }
-        self.wire: list[tuple[str, str, dict]] = []
+        self.in_flight: list[tuple[str, str, dict]] = []
         self.answers: list[tuple] = []
 
-    def carry(self, name: str, out: Effects) -> None:
-        for register, _, accepted, _ in out.writes:
-            self.machines[name].mark_durable(register, accepted)
-        self.wire += [(name, peer, message) for peer, message in out.sends]
-        self.answers += out.answers
+    def apply(self, name: str, effects: Effects) -> None:
+        for register, _, accepted, _ in effects.writes:
+            self.replicas[name].mark_durable(register, accepted)
+        self.in_flight += [(name, peer, message) for peer, message in effects.sends]
+        self.answers += effects.answers
 
-    def put(self, name: str, mark: str) -> None:
-        self.carry(name, self.machines[name].propose(0.0, CONFIG, order(mark), mark, 99.0))
+    def put(self, name: str, digest: str) -> None:
+        self.apply(name, self.replicas[name].propose(0.0, CONFIG, order(digest), digest, 99.0))
 
     def hear(self, among: str, kinds: str = "", rounds: int = 12) -> None:
         """Deliver all between these machines, again and again, of these kinds or all."""
         for _ in range(rounds):
-            picked = [
+            delivered = [
                 one
-                for one in self.wire
+                for one in self.in_flight
                 if {*one[:2]} <= {*among} and (not kinds or one[2]["k"] in kinds.split())
             ]
-            self.wire = [one for one in self.wire if not any(one is other for other in picked)]
-            for sender, peer, message in picked:
-                self.carry(peer, self.machines[peer].receive(0.0, sender, message))
+            self.in_flight = [one for one in self.in_flight if not any(one is other for other in delivered)]
+            for sender, peer, message in delivered:
+                self.apply(peer, self.replicas[peer].receive(0.0, sender, message))
 
     def change(self, by: str, among: str, voters: dict[str, str]) -> None:
         """A change of the set, chosen among these, and heard by all of them."""
-        machine = self.machines[by]
+        machine = self.replicas[by]
         tag = next_voter_set(machine.voter_set, voters)
-        self.carry(by, machine.propose(0.0, VOTER_SET, tag, "members", 99.0))
+        self.apply(by, machine.propose(0.0, VOTER_SET, tag, "members", 99.0))
         self.hear(among)
 
+    def notify(self, name: str, voter_set: VoterSet) -> None:
+        """This replica hears of this set of voters."""
+        self.apply(name, self.replicas[name].receive(0.0, "", {"k": "epoch", "m": voter_set}))
+
     def lose_disk(self, name: str, incarnation: int = 50) -> None:
-        old = self.machines[name]
-        self.machines[name] = ConsensusReplica(name, f"{name}{incarnation}", incarnation)
-        self.carry(name, self.machines[name].receive(0.0, "", {"k": "epoch", "m": old.voter_set}))
+        old = self.replicas[name]
+        self.replicas[name] = ConsensusReplica(name, f"{name}{incarnation}", incarnation)
+        self.notify(name, old.voter_set)
 
-    def judge(self) -> None:
+    def check_invariants(self) -> None:
         taken = {
             outcome[1] for _, outcome in self.answers if isinstance(outcome, tuple) and outcome[0] == 200
         }
-        known = {m.chosen[CONFIG][1] for m in self.machines.values() if m.chosen[CONFIG][0] != NO_PROPOSAL}
+        known = {m.chosen[CONFIG][1] for m in self.replicas.values() if m.chosen[CONFIG][0] != NO_PROPOSAL}
         if len(taken | known) > 1:
-            raise Broken(f"acknowledged {sorted(taken)}, known as chosen {sorted(known)}")
+            raise RuleViolation(f"acknowledged {sorted(taken)}, known as chosen {sorted(known)}")
 
 
 def forgotten_promise(voters: str, spares: str, proposer: str, learns: str, second: str, other: str) -> Any:
@@ -78,29 +82,29 @@
     """
 
     def play(older: bool = False) -> None:
-        few = Few(voters, spares)
-        few.machines[proposer].proposer.highest_counters[CONFIG] = 100
-        few.put(proposer, "late")
-        few.hear(proposer)
-        few.hear(proposer + "a", rounds=2)
-        held, few.wire = list(few.wire), []
-        if older:  # its disk is as it was before, and its machine hears the proposer's pulse
-            few.machines["a"] = ConsensusReplica("a", "a0", 50, {}, few.members, 1)
-            bound = {CONFIG: few.machines[proposer].peer_commitments[CONFIG]["a"]}
-            few.carry("a", few.machines["a"].check_disk_rollback(1, bound, "a50"))
+        cluster = ScriptedCluster(voters, spares)
+        cluster.replicas[proposer].proposer.highest_counters[CONFIG] = 100
+        cluster.put(proposer, "late")
+        cluster.hear(proposer)
+        cluster.hear(proposer + "a", rounds=2)
+        held, cluster.in_flight = list(cluster.in_flight), []
+        if older:  # its disk is as it was before, and its machine hears the proposer's heartbeat
+            cluster.replicas["a"] = ConsensusReplica("a", "a0", 50, {}, cluster.members, 1)
+            bound = {CONFIG: cluster.replicas[proposer].peer_commitments[CONFIG]["a"]}
+            cluster.apply("a", cluster.replicas["a"].check_disk_rollback(1, bound, "a50"))
         else:
-            few.lose_disk("a")
-        few.hear(learns + "a")
-        if not few.machines["a"].is_active_voter:  # it must not, as itself
-            few.change("b", learns, {**few.members["voters"], "a": few.machines["a"].disk})
-            few.hear(learns + "a")
-        few.wire.clear()
-        few.put("b", "first")
-        few.hear(second)
-        few.wire = [one for one in held if one[1] == other]
-        few.hear(voters + spares)
-        few.judge()
-        if not any(outcome == (200, "first") for _, outcome in few.answers):
+            cluster.lose_disk("a")
+        cluster.hear(learns + "a")
+        if not cluster.replicas["a"].is_active_voter:  # it must not, as itself
+            cluster.change("b", learns, {**cluster.members["voters"], "a": cluster.replicas["a"].disk})
+            cluster.hear(learns + "a")
+        cluster.in_flight.clear()
+        cluster.put("b", "first")
+        cluster.hear(second)
+        cluster.in_flight = [one for one in held if one[1] == other]
+        cluster.hear(voters + spares)
+        cluster.check_invariants()
+        if not any(outcome == (200, "first") for _, outcome in cluster.answers):
             raise AssertionError("the second order was not chosen: the play proves nothing")
 
     return play
@@ -108,155 +112,159 @@
 
 def late_acceptance() -> None:
     """An acceptance by a disk that was lost since counts no more than the epoch it was given in."""
-    few = Few("abc", "d")
-    few.put("d", "late")
-    few.hear("ad", "prepare promise")
-    few.hear("bd", "prepare promise")
-    few.hear("ad", "accept", rounds=1)
-    held, few.wire = list(few.wire), []  # a has accepted, and its word is on the way; b's accept too
-    few.lose_disk("a")
-    few.change("b", "bc", {**few.members["voters"], "a": few.machines["a"].disk})
-    few.hear("abc")
-    few.put("c", "first")
-    few.hear("abc")
-    few.judge()
-    few.wire = held
-    few.hear("abcd")
-    few.judge()
-
-
-def late_settle() -> None:
+    cluster = ScriptedCluster("abc", "d")
+    cluster.put("d", "late")
+    cluster.hear("ad", "prepare promise")
+    cluster.hear("bd", "prepare promise")
+    cluster.hear("ad", "accept", rounds=1)
+    held, cluster.in_flight = (
+        list(cluster.in_flight),
+        [],
+    )  # a has accepted, and tells so; b's accept too
+    cluster.lose_disk("a")
+    cluster.change("b", "bc", {**cluster.members["voters"], "a": cluster.replicas["a"].disk})
+    cluster.hear("abc")
+    cluster.put("c", "first")
+    cluster.hear("abc")
+    cluster.check_invariants()
+    cluster.in_flight = held
+    cluster.hear("abcd")
+    cluster.check_invariants()
+
+
+def late_completion() -> None:
     """The round that ends what a proposer left behind, amid a lost disk."""
-    few = Few("abc")
-    few.put("a", "left")
-    few.hear("ab", "prepare promise")
-    few.hear("a", "accept accepted")
-    few.wire = [one for one in few.wire if one[0] == one[1]]
-    b = few.machines["b"]
-    few.carry("b", b.receive(0.0, "a", {"k": "accepted", "r": CONFIG, "b": (1, 1, "a", 1), "disk": "a0"}))
-    few.carry("b", b.tick(0.1))
-    few.carry("b", b.tick(5.0))  # it settles
-    few.hear("b")
-    few.hear("ab", "prepare promise")
-    held, few.wire = list(few.wire), []
-    few.lose_disk("a")
-    few.change("c", "bc", {**few.members["voters"], "a": few.machines["a"].disk})
-    few.hear("abc")
-    few.put("c", "other")
-    few.hear("abc")
-    few.wire += held
-    few.hear("abc")
-    few.judge()
+    cluster = ScriptedCluster("abc")
+    cluster.put("a", "left")
+    cluster.hear("ab", "prepare promise")
+    cluster.hear("a", "accept accepted")
+    cluster.in_flight = [one for one in cluster.in_flight if one[0] == one[1]]
+    b = cluster.replicas["b"]
+    cluster.apply("b", b.receive(0.0, "a", {"k": "accepted", "r": CONFIG, "b": (1, 1, "a", 1), "disk": "a0"}))
+    cluster.apply("b", b.tick(0.1))
+    cluster.apply("b", b.tick(5.0))  # it settles
+    cluster.hear("b")
+    cluster.hear("ab", "prepare promise")
+    held, cluster.in_flight = list(cluster.in_flight), []
+    cluster.lose_disk("a")
+    cluster.change("c", "bc", {**cluster.members["voters"], "a": cluster.replicas["a"].disk})
+    cluster.hear("abc")
+    cluster.put("c", "other")
+    cluster.hear("abc")
+    cluster.in_flight += held
+    cluster.hear("abc")
+    cluster.check_invariants()
 
 
 def founding() -> None:
     """A seed promises a founding of the voters, its disk is lost, another is proposed: one stands."""
-    few = Few("abc", "d")
+    cluster = ScriptedCluster("abc", "d")
     seeds = founding_voters(("a", "b", "c"))
     for name in "abc":
-        few.machines[name] = ConsensusReplica(name, f"{name}0", 1, {}, seeds, 0)
+        cluster.replicas[name] = ConsensusReplica(name, f"{name}0", 1, {}, seeds, 0)
     sets = ({"a": "a0", "b": "b0", "c": "c0"}, {"a": "a9", "b": "b0", "d": "d0"})
-    c = few.machines["c"]
-    few.carry("c", c.propose(0.0, VOTER_SET, next_voter_set(seeds, sets[0]), "first", 99.0))
-    few.hear("ac", "prepare promise", rounds=1)
-    held = list(few.wire)
-    few.wire = []
-    few.machines["a"] = ConsensusReplica("a", "a9", 9)  # not its first boot any more
-    few.carry("a", few.machines["a"].receive(0.0, "b", {"k": "epoch", "m": seeds}))
-    b = few.machines["b"]
-    few.carry("b", b.propose(0.0, VOTER_SET, next_voter_set(seeds, sets[1]), "second", 99.0))
-    few.hear("ab")
-    if few.machines["a"].is_active_voter or any(tag == "second" for tag, _ in few.answers):
-        raise Broken("a seed whose disk was lost votes in the epoch of the seeds")
-    few.wire += held
-    few.hear("abcd")
-    found = {str(m.voter_set) for m in few.machines.values() if m.epoch == 1 and m.address != "d"}
+    c = cluster.replicas["c"]
+    cluster.apply("c", c.propose(0.0, VOTER_SET, next_voter_set(seeds, sets[0]), "first", 99.0))
+    cluster.hear("ac", "prepare promise", rounds=1)
+    held = list(cluster.in_flight)
+    cluster.in_flight = []
+    cluster.replicas["a"] = ConsensusReplica("a", "a9", 9)  # not its first boot any more
+    cluster.notify("a", seeds)
+    b = cluster.replicas["b"]
+    cluster.apply("b", b.propose(0.0, VOTER_SET, next_voter_set(seeds, sets[1]), "second", 99.0))
+    cluster.hear("ab")
+    if cluster.replicas["a"].is_active_voter or any(tag == "second" for tag, _ in cluster.answers):
+        raise RuleViolation("a seed whose disk was lost votes in the epoch of the seeds")
+    cluster.in_flight += held
+    cluster.hear("abcd")
+    found = {str(m.voter_set) for m in cluster.replicas.values() if m.epoch == 1 and m.address != "d"}
     if len(found) > 1:
-        raise Broken(f"two sets of epoch 1: {found}")
+        raise RuleViolation(f"two sets of epoch 1: {found}")
 
 
 def late_promise_of_sealed() -> None:
     """A promise that a voter gave before its seal does not help to choose anything after it."""
-    few = Few("abc", "d")
-    few.put("c", "old")
-    few.hear("c")
-    few.hear("bc", "prepare", rounds=1)
-    held, few.wire = [one for one in few.wire if one[2]["k"] == "promise"], []
-    few.change("a", "ab", {"a": "a0", "b": "b0", "d": "d0"})
-    few.carry("d", few.machines["d"].receive(0.0, "", {"k": "epoch", "m": few.machines["a"].voter_set}))
-    few.hear("abd")
-    few.put("a", "new")
-    few.hear("ad")
-    few.judge()
-    few.wire = held
-    few.hear("abcd")
-    few.judge()
+    cluster = ScriptedCluster("abc", "d")
+    cluster.put("c", "old")
+    cluster.hear("c")
+    cluster.hear("bc", "prepare", rounds=1)
+    held, cluster.in_flight = [one for one in cluster.in_flight if one[2]["k"] == "promise"], []
+    cluster.change("a", "ab", {"a": "a0", "b": "b0", "d": "d0"})
+    cluster.notify("d", cluster.replicas["a"].voter_set)
+    cluster.hear("abd")
+    cluster.put("a", "new")
+    cluster.hear("ad")
+    cluster.check_invariants()
+    cluster.in_flight = held
+    cluster.hear("abcd")
+    cluster.check_invariants()
 
 
 def two_ways_to_join() -> None:
     """What one active voter tells, and what a majority of sealed ones tell, both hold what was chosen."""
     for way in ("active", "sealed"):
-        few = Few("abc", "d")
-        few.put("b", "x")
-        few.hear("bc")
-        few.change("a", "ab", {"a": "a0", "b": "b0", "d": "d0"})
-        if not few.machines["a"].is_active_voter:
-            raise Broken("a majority of seals makes no voter active")
-        d = few.machines["d"]
-        few.carry("d", d.receive(0.0, "", {"k": "epoch", "m": few.machines["a"].voter_set}))
-        few.hear("ad" if way == "active" else "bcd")
+        cluster = ScriptedCluster("abc", "d")
+        cluster.put("b", "x")
+        cluster.hear("bc")
+        cluster.change("a", "ab", {"a": "a0", "b": "b0", "d": "d0"})
+        if not cluster.replicas["a"].is_active_voter:
+            raise RuleViolation("a majority of seals makes no voter active")
+        d = cluster.replicas["d"]
+        cluster.notify("d", cluster.replicas["a"].voter_set)
+        cluster.hear("ad" if way == "active" else "bcd")
         if not d.is_active_voter or d.acceptors[CONFIG].value != "x":
-            raise Broken(f"{way}: d holds {d.acceptors[CONFIG].value}")
+            raise RuleViolation(f"{way}: d holds {d.acceptors[CONFIG].value}")
 
 
 def asked_again() -> None:
     """A voter that heard another's seal asks it again: it may be active by now, and all that is left."""
-    few = Few("abc", "d")
-    few.change("a", "a", {"a": "a0", "b": "b0", "d": "d0"})
-    few.hear("ab", "prepare promise accept accepted")
-    members = few.machines["a"].voter_set
-    d = few.machines["d"]
-    few.carry("d", d.receive(0.0, "", {"k": "epoch", "m": members}))
-    few.hear("ad", "join state")  # a is sealed, and not active yet
-    few.hear("ab")
-    few.wire.clear()
+    cluster = ScriptedCluster("abc", "d")
+    cluster.change("a", "a", {"a": "a0", "b": "b0", "d": "d0"})
+    cluster.hear("ab", "prepare promise accept accepted")
+    members = cluster.replicas["a"].voter_set
+    d = cluster.replicas["d"]
+    cluster.notify("d", members)
+    cluster.hear("ad", "join state")  # a is sealed, and not active yet
+    cluster.hear("ab")
+    cluster.in_flight.clear()
     for _ in range(3):
-        few.carry("d", d.tick(9.0))
-        few.hear("ad")
-    if not few.machines["a"].is_active_voter or not d.is_active_voter:
-        raise Broken(f"d never hears that a is active: {d.epochs.join and [*d.epochs.join.reports]}")
+        cluster.apply("d", d.tick(9.0))
+        cluster.hear("ad")
+    if not cluster.replicas["a"].is_active_voter or not d.is_active_voter:
+        raise RuleViolation(f"d never hears that a is active: {d.epochs.join and [*d.epochs.join.reports]}")
 
 
 def asleep() -> None:
     """One that slept through three epochs, and one with the disk of a removed member, choose nothing in an
     old epoch; given a seat again, the sleeper takes it up.
     """
-    few = Few("abc", "de")
-    few.put("a", "x")
-    few.hear("abc")
-    c = few.machines["c"]
+    cluster = ScriptedCluster("abc", "de")
+    cluster.put("a", "x")
+    cluster.hear("abc")
+    c = cluster.replicas["c"]
     for voters in ("abd", "ade", "bde"):
-        by = next(name for name in voters if few.machines[name].is_active_voter)
-        few.change(by, "abde", {name: few.machines[name].disk for name in voters})
+        by = next(name for name in voters if cluster.replicas[name].is_active_voter)
+        cluster.change(by, "abde", {name: cluster.replicas[name].disk for name in voters})
         for name in "abde":
-            few.carry(
-                name, few.machines[name].receive(0.0, "", {"k": "epoch", "m": few.machines[by].voter_set})
+            cluster.apply(
+                name,
+                cluster.replicas[name].receive(0.0, "", {"k": "epoch", "m": cluster.replicas[by].voter_set}),
             )
-        few.hear("abde")
-    if few.machines["e"].epoch != 4 or not few.machines["e"].is_active_voter:
-        raise Broken(f"the third change did not come about: {few.machines['e'].voter_set}")
-    a = few.machines["a"]  # removed by now; it starts again with what lies on its disk
+        cluster.hear("abde")
+    if cluster.replicas["e"].epoch != 4 or not cluster.replicas["e"].is_active_voter:
+        raise RuleViolation(f"the third change did not come about: {cluster.replicas['e'].voter_set}")
+    a = cluster.replicas["a"]  # removed by now; it starts again with what lies on its disk
     rows = {name: (kept.promised, kept.accepted, kept.value) for name, kept in a.acceptors.items()}
-    few.machines["a"] = ConsensusReplica("a", "a0", 60, rows, a.voter_set, a.active_epoch)
-    few.put("c", "y")
-    few.hear("abcde")
-    few.judge()
-    if c.epoch != 4 or few.machines["a"].is_active_voter or c.is_active_voter:
-        raise Broken(f"{c.epoch}: it still lives in an older epoch")
-    few.change("e", "abcde", {"c": "c0", "d": "d0", "e": "e0"})
-    few.hear("abcde")
+    cluster.replicas["a"] = ConsensusReplica("a", "a0", 60, rows, a.voter_set, a.active_epoch)
+    cluster.put("c", "y")
+    cluster.hear("abcde")
+    cluster.check_invariants()
+    if c.epoch != 4 or cluster.replicas["a"].is_active_voter or c.is_active_voter:
+        raise RuleViolation(f"{c.epoch}: it still lives in an older epoch")
+    cluster.change("e", "abcde", {"c": "c0", "d": "d0", "e": "e0"})
+    cluster.hear("abcde")
     if not c.is_active_voter or c.acceptors[CONFIG].value != "x":
-        raise Broken("it does not take up its seat")
+        raise RuleViolation("it does not take up its seat")
 
 
 def dying_proposer(way: str) -> Any:
@@ -264,29 +272,29 @@
 
     def play() -> None:
         for step in range(24):
-            world = World(step, 3 if step % 2 else 5, 1)
-            world.rest(1.5)
+            world = ControllerFleet(step, 3 if step % 2 else 5, 1)
+            world.advance(1.5)
             world.put("m1")
-            world.rest(0.3)
+            world.advance(0.3)
             machine, voters = world.machines["m0"], {**world.machines["m0"].consensus.voters}
             del voters["m2"]
             new = f"m{len(voters) + 1}"
             voters[new] = world.machines[new].consensus.disk
             change = next_voter_set(machine.consensus.voter_set, voters)
             machine.propose(VOTER_SET, change, lambda outcome: None, 1.0)
-            world.rest(0.004 * step)
-            (world.wipe if way == "disk" else world.power)("m0")
+            world.advance(0.004 * step)
+            (world.lose_disk if way == "disk" else world.lose_power)("m0")
             world.away["m0"] = None
             world.put("m1")
-            world.rest(2.0)
-            world.answers(f"its proposer died after {4 * step} ms")
+            world.advance(2.0)
+            world.check_reader_answered(f"its proposer died after {4 * step} ms")
             world.start("m0")
-            world.rest(BOUNDS.CatchUpS)
+            world.advance(BOUNDS.CatchUpS)
             world.away.clear()
-            world.wipe("m1")  # and once it had CatchUpS, the next is lost
+            world.lose_disk("m1")  # and once it had CatchUpS, the next is lost
             world.away["m1"] = None
-            world.rest(2.0)
-            world.answers(f"the next loss after a proposer's at {4 * step} ms")
+            world.advance(2.0)
+            world.check_reader_answered(f"the next loss after a proposer's at {4 * step} ms")
 
     return play
 
@@ -295,76 +303,83 @@
     """A voter that never was active in an epoch helps to leave it, as it will accept nothing there: with the
     only other holder but one lost, the next epoch begins.
     """
-    few = Few("abc", "d")
-    few.change("a", "ac", {"a": "a0", "b": "b0", "d": "d0"})
-    members = few.machines["a"].voter_set
-    few.carry("d", few.machines["d"].receive(0.0, "", {"k": "epoch", "m": members}))
-    few.hear("ad")
-    few.put("a", "x")
-    few.hear("ad")
+    cluster = ScriptedCluster("abc", "d")
+    cluster.change("a", "ac", {"a": "a0", "b": "b0", "d": "d0"})
+    members = cluster.replicas["a"].voter_set
+    cluster.notify("d", members)
+    cluster.hear("ad")
+    cluster.put("a", "x")
+    cluster.hear("ad")
     third = next_voter_set(
         members, {"b": "b0", "c": "c0", "d": "d0"}
     )  # b has not been heard: it holds epoch 1
-    few.carry("d", few.machines["d"].propose(0.0, VOTER_SET, third, "members", 99.0))
-    few.hear("ad", "prepare promise accept accepted")
-    few.wire.clear()
-    few.lose_disk("a")
-    newest = few.machines["d"].voter_set
+    cluster.apply("d", cluster.replicas["d"].propose(0.0, VOTER_SET, third, "members", 99.0))
+    cluster.hear("ad", "prepare promise accept accepted")
+    cluster.in_flight.clear()
+    cluster.lose_disk("a")
+    newest = cluster.replicas["d"].voter_set
     for name in "bcd":
-        few.carry(name, few.machines[name].receive(0.0, "", {"k": "epoch", "m": newest}))
-        few.carry(name, few.machines[name].tick(0.0))
-    few.hear("bcd")
-    b = few.machines["b"]
+        cluster.notify(name, newest)
+        cluster.apply(name, cluster.replicas[name].tick(0.0))
+    cluster.hear("bcd")
+    b = cluster.replicas["b"]
     if not b.is_active_voter or b.acceptors[CONFIG].value != "x":
-        raise Broken(f"epoch {b.epoch} does not begin, though a majority of the one before is there")
+        raise RuleViolation(f"epoch {b.epoch} does not begin, though a majority of the one before is there")
 
 
 def seat_of_any_disk() -> None:
     """A seat that names no disk (of before there were epochs) is not taken up by one that came back empty."""
-    few = Few("abc")
+    cluster = ScriptedCluster("abc")
     members: VoterSet = {"n": 1, "voters": dict.fromkeys("abc", ""), "before": {}}
     for name in "abc":
-        few.machines[name] = ConsensusReplica(name, f"{name}0", 1, {}, members, 1)
-    few.machines["a"] = ConsensusReplica("a", "a9", 9)
-    few.carry("a", few.machines["a"].receive(0.0, "", {"k": "epoch", "m": members}))
-    few.hear("abc")
-    if few.machines["a"].is_active_voter:
-        raise Broken("an empty disk votes on a seat of any disk")
-    peers = {name: seen(f"{name}0") for name in "bc"} | {"a": seen("a9", votes=False)}
+        cluster.replicas[name] = ConsensusReplica(name, f"{name}0", 1, {}, members, 1)
+    cluster.replicas["a"] = ConsensusReplica("a", "a9", 9)
+    cluster.notify("a", members)
+    cluster.hear("abc")
+    if cluster.replicas["a"].is_active_voter:
+        raise RuleViolation("an empty disk votes on a seat of any disk")
+    peers = {name: peer_status(f"{name}0") for name in "bc"} | {"a": peer_status("a9", votes=False)}
     change = Membership(Tolerance(1), {}, 4.0).due_change(members, peers, {})
     if change is None or change.voters["a"] != "a9":
-        raise Broken(f"its seat is not named anew: {change}")
+        raise RuleViolation(f"its seat is not named anew: {change}")
 
 
-def seen(disk: str, epoch: int = 1, votes: bool = True, leaving: bool = False) -> PeerStatus:
+def peer_status(disk: str, epoch: int = 1, votes: bool = True, leaving: bool = False) -> PeerStatus:
     return PeerStatus(disk, "z", True, epoch, votes, leaving, 0.0, 9.0, {})
 
 
-def hasty_view() -> None:
-    """A pulse of the epoch before does not say that its voter is active in this one."""
+def heartbeat_of_epoch_before() -> None:
+    """A heartbeat of the epoch before does not say that its voter is active in this one."""
     members: VoterSet = {"n": 2, "voters": {"a": "a0", "b": "b0", "d": "d0"}, "before": {}}
-    peers = {"a": seen("a0", 2), "b": seen("b0", 1), "d": seen("d0", 2), "e": seen("e0", 2, False)}
+    peers = {
+        "a": peer_status("a0", 2),
+        "b": peer_status("b0", 1),
+        "d": peer_status("d0", 2),
+        "e": peer_status("e0", 2, False),
+    }
     peers["a"] = peers["a"]._replace(leaving=True)
     change = Membership(Tolerance(1), {}, 4.0).due_change(members, peers, {})
     if change is not None:
-        raise Broken(f"{change} while b is not known to be active")
+        raise RuleViolation(f"{change} while b is not known to be active")
 
 
-def hasty_leave() -> None:
+def early_shutdown() -> None:
     """One that was replaced stays until a majority of the new set says that it is active in this very epoch,
     and one without a successor until a majority of the others, active ones, holds on disk what it holds.
     """
     members: VoterSet = {"n": 2, "voters": {"a": "a0", "b": "b0", "d": "d0"}, "before": {}}
-    peers = {"a": seen("a0", 1), "b": seen("b0", 1), "d": seen("d0", 2, False)}
+    peers = {"a": peer_status("a0", 1), "b": peer_status("b0", 1), "d": peer_status("d0", 2, False)}
     if may_shut_down("c", "c0", members, peers, {}, {}, False):
-        raise Broken("it leaves on pulses of the epoch before")
-    if not may_shut_down("c", "c0", members, peers | {"a": seen("a0", 2), "b": seen("b0", 2)}, {}, {}, False):
-        raise Broken("it stays, though a majority is active")
+        raise RuleViolation("it shuts down on heartbeats of the epoch before")
+    if not may_shut_down(
+        "c", "c0", members, peers | {"a": peer_status("a0", 2), "b": peer_status("b0", 2)}, {}, {}, False
+    ):
+        raise RuleViolation("it stays, though a majority is active")
     held = {CONFIG: (2, 5, "a", 1)}
     durable = {"b": held, "d": held}
-    peers = {"b": seen("b9", 2, False), "d": seen("d0", 2)}
+    peers = {"b": peer_status("b9", 2, False), "d": peer_status("d0", 2)}
     if may_shut_down("a", "a0", members, peers, held, durable, False):
-        raise Broken("it leaves on what a disk held that is lost")
+        raise RuleViolation("it leaves on what a disk held that is lost")
 
 
 def refused_write() -> None:
@@ -373,8 +388,8 @@
     """
     due, disk = PendingWrites({}), {"facts": {}, "rows": {}}
 
-    def write(out: Effects, refused: bool) -> None:
-        rows, facts = due.prepare_write(out)
+    def write(effects: Effects, refused: bool) -> None:
+        rows, facts = due.prepare_write(effects)
         if not refused:
             disk["facts"].update(facts)
             disk["rows"].update({row[0]: row for row in rows})
@@ -385,46 +400,48 @@
     newer = (CONFIG, (2, 6, "a", 1), (1, 5, "a", 1), "v")
     write(Effects([newer], [], [], {}), refused=False)
     if disk["facts"].get("held") == 2 and disk["rows"].keys() != {CONFIG, TABLE, VOTER_SET}:
-        raise Broken(f"the disk says that it holds epoch 2, and has rows of {sorted(disk['rows'])} alone")
+        raise RuleViolation(
+            f"the disk says that it holds epoch 2, and has rows of {sorted(disk['rows'])} alone"
+        )
     if disk["rows"][CONFIG] != newer or due.rows or due.facts:
-        raise Broken("an older row over a newer one, or something is due for ever")
+        raise RuleViolation("an older row over a newer one, or something is due for ever")
 
 
 def refused_answer() -> None:
     """A change whose answer rests on a refused write is unclear, not under way for ever."""
-    world = World(1)
+    world = ControllerFleet(1)
     machine = next(iter(world.machines.values()))
     machine.changing = True
-    out = Effects([], [], [(machine.changed, True)], {"members": machine.consensus.voter_set})
+    effects = Effects([], [], [(machine.changed, True)], {"members": machine.consensus.voter_set})
     machine.storage = SimpleNamespace(write=lambda rows, facts, done: done("refused"))
-    machine.carry(out)
-    world.rest(0.01)
+    machine.carry(effects)
+    world.advance(0.01)
     if machine.changing:
-        raise Broken("no change of the set is proposed from here any more")
+        raise RuleViolation("no change of the set is proposed from here any more")
 
 
-def pulse_before_write() -> None:
-    """A pulse does not call its sender active before the disk does: leavers go on that word."""
-    world = World(1)
-    world.rest(2.0)
-    machine, said = world.machines["m0"], []
+def heartbeat_before_write() -> None:
+    """A heartbeat does not call its sender active before the disk does: who leaves relies on it."""
+    world = ControllerFleet(1)
+    world.advance(2.0)
+    machine, sent = world.machines["m0"], []
     for due in ({}, {"held": 1}, {"members": machine.consensus.voter_set}):
         machine.due.facts = due
         with mock.patch.object(
-            machine.peer_connections, "send", lambda peer, message: said.append(message["v"])
+            machine.peer_connections, "send", lambda peer, message: sent.append(message["v"])
         ):
             machine.pulse(world.now)
-    if not said or said != [True] * (len(said) // 3) + [False] * (2 * len(said) // 3):
-        raise Broken(f"called active: {said}")
+    if not sent or sent != [True] * (len(sent) // 3) + [False] * (2 * len(sent) // 3):
+        raise RuleViolation(f"called active: {sent}")
 
 
-def word_on_own_acceptance() -> None:
-    """An archive that has accepted something newer than it knows to be chosen gives itself no word."""
-    world = World(1, 3, 0)
+def contact_despite_own_acceptance() -> None:
+    """One that has accepted something newer than it knows to be chosen does not count itself as contact."""
+    world = ControllerFleet(1, 3, 0)
     machine = world.machines["m0"]
     newer = (1, 7, "m2", 1)
     machine.consensus.acceptors[TABLE].accept(newer, {"n": 9})  # and m2 too: it is chosen, unknown here
-    pulse = {
+    heartbeat = {
         "acc": {TABLE: NO_PROPOSAL},
         "dur": {},
         "v": True,
@@ -433,16 +450,16 @@
         "leaving": False,
         "ver": {},
     }
-    machine.sessions.pulse(10.0, "m1", {**pulse, "e": 9.9, "t": 0.0, "disk": "m1.0"})
+    machine.sessions.pulse(10.0, "m1", {**heartbeat, "e": 9.9, "t": 0.0, "disk": "m1.0"})
     if machine.word(10.0) > 10.0:
-        raise Broken("a word that nothing newer is chosen, from one who accepted it")
+        raise RuleViolation("quorum contact that nothing newer is chosen, from one who accepted it")
 
 
-def word_of_older_life() -> None:
-    """A pulse of a disk that is no voter's any more, or of another epoch, carries no word."""
+def contact_from_replaced_disk() -> None:
+    """A heartbeat of a disk that is no voter's any more, or of another epoch, is no quorum contact."""
     accepted = {TABLE: (1, 1, "a", 1)}
     voters = {"a": "a0", "b": "b9", "c": "c0"}
-    pulse = {
+    heartbeat = {
         "acc": accepted,
         "dur": {},
         "v": True,
@@ -454,9 +471,9 @@
     }
     for disk, epoch in (("b0", 2), ("b9", 1)):
         sessions = Sessions("a")
-        sessions.pulse(10.0, "b", {**pulse, "ep": epoch, "disk": disk})
+        sessions.pulse(10.0, "b", {**heartbeat, "ep": epoch, "disk": disk})
         if sessions.word_until(10.0, voters, 2, {TABLE: (1, 1, "a", 1)}, {TABLE: NO_PROPOSAL}):
-            raise Broken(f"a word on disk {disk} in epoch {epoch}")
+            raise RuleViolation(f"quorum contact by disk {disk} in epoch {epoch}")
 
 
 THREE = forgotten_promise("abc", "d", "d", "bc", "ab", "c")
@@ -466,8 +483,8 @@
     "forgotten promise, five voters": FIVE,
     "an older disk, three voters": lambda: THREE(older=True),
     "an older disk, five voters": lambda: FIVE(older=True),
-    "late acceptance of an older life": late_acceptance,
-    "a round that settles, amid a lost disk": late_settle,
+    "late acceptance by a disk that was lost": late_acceptance,
+    "completing another's proposal, amid a lost disk": late_completion,
     "a seed's promise forgotten at the founding": founding,
     "late promise of a sealed voter": late_promise_of_sealed,
     "joining from one active voter and from sealed ones": two_ways_to_join,
@@ -477,11 +494,11 @@
     "a change whose proposer loses its disk": dying_proposer("disk"),
     "a seat that was never used": unused_seat,
     "a seat of any disk": seat_of_any_disk,
-    "a pulse of the epoch before": hasty_view,
-    "leaving on old pulses": hasty_leave,
+    "a heartbeat of the epoch before": heartbeat_of_epoch_before,
+    "shutting down on old heartbeats": early_shutdown,
     "a refused write and the next": refused_write,
     "an answer on a refused write": refused_answer,
-    "a pulse before its write": pulse_before_write,
-    "a word on one's own acceptance": word_on_own_acceptance,
-    "a word of an older life": word_of_older_life,
+    "a heartbeat before its write": heartbeat_before_write,
+    "quorum contact despite one's own acceptance": contact_despite_own_acceptance,
+    "quorum contact from a replaced disk": contact_from_replaced_disk,
 }
--- a/tests/simulation/membership_epoch_search.py
+++ b/tests/simulation/membership_epoch_search.py
@@ -1,6 +1,6 @@
 """Every order of what may happen to a few voters, breadth first, up to a depth: no dice.
 
-A state is each machine (its ballots, its disk, its writes on their way), all messages ever sent, what is
+A state is each machine (its replica, its disk, its writes on their way), all messages ever sent, what is
 left of each kind of fault, and what judges have to remember. A message stays once it is sent and may be
 delivered at any time and any number of times, so lost, late and doubled ones are all there without moves of
 their own. Time stands still; one move, of which there are few, stands for a wait after which rounds begin
@@ -25,9 +25,9 @@
 from bramblewood.controller.consensus.registers import ALL_REGISTERS, CONFIG, VOTER_SET
 from bramblewood.controller.consensus.replica import ConsensusReplica
 from bramblewood.controller.consensus.voter_set import next_voter_set
-from tests.simulation.consensus import Broken
+from tests.simulation.consensus import RuleViolation
 
-LATER = 100.0  # s, beyond every wait
+BEYOND_ALL_WAITS = 100.0  # s, beyond every wait
 REPLIES = {"promise", "refuse", "state", "fetch", "chosen"}  # "done" goes nowhere: it says when to begin
 
 
@@ -57,17 +57,17 @@
 # --- machines as values
 
 
-def frozen(b: ConsensusReplica, proposes: bool) -> tuple:
+def replica_state(replica: ConsensusReplica, proposes: bool) -> tuple:
     """All that decides what it does next. The counters of one that never proposes decide nothing."""
-    join, proposer, learner = b.epochs.join, b.proposer, b.learner
+    join, proposer, learner = replica.epochs.join, replica.proposer, replica.learner
     return (
-        b.disk,
-        b.member.incarnation,
-        b.voter_set,
-        b.active_epoch,
+        replica.disk,
+        replica.member.incarnation,
+        replica.voter_set,
+        replica.active_epoch,
         None if join is None else tuple(sorted(join.reports.items(), key=lambda one: one[0])),
-        tuple((a.promised, a.accepted, a.value) for a in b.acceptors.values()),
-        tuple(b.durable_accepted.values()),
+        tuple((a.promised, a.accepted, a.value) for a in replica.acceptors.values()),
+        tuple(replica.durable_accepted.values()),
         tuple(proposer.highest_counters.values()) if proposes else (0,) * len(ALL_REGISTERS),
         tuple(tuple(sorted(kept.items())) for kept in learner.acceptances.values()),
         tuple(learner.chosen.values()),
@@ -84,29 +84,32 @@
     )
 
 
-def thawed(me: str, state: tuple) -> ConsensusReplica:
+def restore_replica(me: str, state: tuple) -> ConsensusReplica:
     disk, incarnation, members, held, told, acceptors, durable, seen, votes, learned, rounds = state
-    b = ConsensusReplica(me, disk, incarnation, {}, members, held)
-    b.learner.backoff = b.proposer.backoff = Turns()
+    replica = ConsensusReplica(me, disk, incarnation, {}, members, held)
+    replica.learner.backoff = replica.proposer.backoff = NoBackoff()
     if told is not None:
-        b.epochs.join = EpochJoin()
-        b.epochs.join.reports = dict(told)
+        replica.epochs.join = EpochJoin()
+        replica.epochs.join.reports = dict(told)
     for number, name in enumerate(ALL_REGISTERS):
-        b.acceptors[name] = Acceptor(*acceptors[number])
-        b.durable_accepted[name], b.proposer.highest_counters[name] = durable[number], seen[number]
-        b.learner.acceptances[name], b.learner.chosen[name] = dict(votes[number]), learned[number]
+        replica.acceptors[name] = Acceptor(*acceptors[number])
+        replica.durable_accepted[name], replica.proposer.highest_counters[name] = (
+            durable[number],
+            seen[number],
+        )
+        replica.learner.acceptances[name], replica.learner.chosen[name] = dict(votes[number]), learned[number]
     for register, tag, *rest, promises, accepts in rounds:
         r = ProposalRound(register, change_of(tag), tag, 1e9)
         r.proposal_number, r.phase, r.outcome, r.batch, r.base, r.accept_difference, r.accept_value = rest
         r.promises, r.accepted_by = dict(promises), set(accepts)
-        b.proposer.rounds[register].append(r)
-    for waiting in b.proposer.rounds.values():
+        replica.proposer.rounds[register].append(r)
+    for waiting in replica.proposer.rounds.values():
         for r in waiting:
-            r.batch = waiting[: r.batch]  # a ballot carries the first that waited as it began
-    return b
+            r.batch = waiting[: r.batch]  # a round carries the first that waited as it began
+    return replica
 
 
-class Turns:
+class NoBackoff:
     """In place of `ProposerBackoff`, which says when rounds begin, never what they decide."""
 
     def observe(self, now: float, register: str, proposal_number: Any) -> None:
@@ -119,9 +122,9 @@
         return False
 
 
-def order(mark: str) -> Any:
+def order(digest: str) -> Any:
     """An order on an empty register: taken, or refused as another stands."""
-    return lambda stands: (mark, (200, mark)) if stands in (None, mark) else (None, (412, mark))
+    return lambda stands: (digest, (200, digest)) if stands in (None, digest) else (None, (412, digest))
 
 
 def change_of(tag: tuple) -> Any:
@@ -163,7 +166,7 @@
 
     # --- one machine
 
-    def seated(self, machine: Machine, b: ConsensusReplica, outs: list[Effects]) -> tuple:
+    def after_effects(self, machine: Machine, replica: ConsensusReplica, outs: list[Effects]) -> tuple:
         """The machine after these Outs: its number, and the messages, facts that come of it."""
         due, disk, writes = PendingWrites(dict(machine.due[0])), machine.disk, list(machine.writes)
         due.rows = dict(machine.due[1])
@@ -173,27 +176,29 @@
             if rows or told:
                 writes.append((tuple(rows), told, out))
             else:
-                self.told(machine.name, b, out, sends, facts)
+                self.collect(machine.name, replica, out, sends, facts)
         made = Machine(machine.name, (), disk, (due.facts, due.rows), tuple(writes))
         if self.shape.instant:
             while made.writes:
-                made = self.synced(made, b, sends, facts)
-        if b.voter_set != machine.consensus[2]:
-            facts.append(("members", b.epoch, key(b.voter_set)))
+                made = self.after_sync(made, replica, sends, facts)
+        if replica.voter_set != machine.consensus[2]:
+            facts.append(("members", replica.epoch, key(replica.voter_set)))
             sends += [
-                ("", peer, {"k": "epoch", "m": b.voter_set}) for peer in self.names if peer != b.address
+                ("", peer, {"k": "epoch", "m": replica.voter_set})
+                for peer in self.names
+                if peer != replica.address
             ]
         for number, name in enumerate(ALL_REGISTERS):
-            if b.chosen[name] != machine.consensus[9][number]:
-                facts.append(("learned", name, *b.chosen[name]))
-        made = made._replace(consensus=frozen(b, b.address in self.proposers))
+            if replica.chosen[name] != machine.consensus[9][number]:
+                facts.append(("learned", name, *replica.chosen[name]))
+        made = made._replace(consensus=replica_state(replica, replica.address in self.proposers))
         return (
             self.number(self.machines, made),
             tuple(self.number(self.messages, one) for one in sends),
             self.mask(facts),
         )
 
-    def synced(self, machine: Machine, b: ConsensusReplica, sends: list, facts: list) -> Machine:
+    def after_sync(self, machine: Machine, replica: ConsensusReplica, sends: list, facts: list) -> Machine:
         """The oldest write is safe; what rests on it goes out."""
         rows, told, out = machine.writes[0]
         stored, kept = dict(machine.disk[1]), {**machine.disk[0], **told}
@@ -202,36 +207,38 @@
         due.mark_durable(list(rows), told)
         for register, promised, accepted, value in rows:
             stored[register] = (promised, accepted, value)
-            b.mark_durable(register, accepted)
-        self.told(machine.name, b, out, sends, facts)
+            replica.mark_durable(register, accepted)
+        self.collect(machine.name, replica, out, sends, facts)
         return machine._replace(disk=(kept, stored), due=(due.facts, due.rows), writes=machine.writes[1:])
 
-    def told(self, name: str, b: ConsensusReplica, out: Effects, sends: list, facts: list) -> None:
+    def collect(self, name: str, replica: ConsensusReplica, out: Effects, sends: list, facts: list) -> None:
         for peer, message in out.sends:
-            if message["k"] == "join":  # whole values are told, also those that it has
+            if message["k"] == "join":  # complete values are sent, also those that it has
                 message = {**message, "have": {}}
             sends.append(("" if message["k"] == "epoch" else name, peer, message))
             if message["k"] == "accept":
                 whole = [
                     r.accept_value
-                    for r in b.proposer.rounds[message["r"]]
+                    for r in replica.proposer.rounds[message["r"]]
                     if r.proposal_number == message["b"]
                 ]
                 facts += [("accept", *one) for one in whole]
         facts += [("answer", *outcome) for tag, outcome in out.answers if tag[0] == "order" and outcome]
-        if "held" in out.facts:  # its pulses tell what it holds now
-            for register, kept in b.durable_accepted.items():
-                if kept[0] == b.epoch:
-                    told = {"k": "accepted", "r": register, "b": kept, "disk": b.disk}
+        if "held" in out.facts:  # its heartbeats tell what it holds now
+            for register, kept in replica.durable_accepted.items():
+                if kept[0] == replica.epoch:
+                    told = {"k": "accepted", "r": register, "b": kept, "disk": replica.disk}
                     sends += [(name, peer, told) for peer in self.names if peer != name]
 
-    def heard(self, machine: int, message: int) -> tuple:
+    def after_message(self, machine: int, message: int) -> tuple:
         step = self.steps.get((machine, message))
         if step is None:
             self.transitions += 1
             here = self.machines[machine]
-            b, (sender, _, what) = thawed(here.name, here.consensus), self.messages[message]
-            step = self.steps[machine, message] = self.seated(here, b, [b.receive(0.0, sender, what)])
+            replica, (sender, _, what) = restore_replica(here.name, here.consensus), self.messages[message]
+            step = self.steps[machine, message] = self.after_effects(
+                here, replica, [replica.receive(0.0, sender, what)]
+            )
         return step
 
     # --- all of them
@@ -242,41 +249,41 @@
             bits |= 1 << self.number(self.facts, fact)
         return bits
 
-    def first(self) -> tuple:
+    def initial_state(self) -> tuple:
         voters = {name: f"{name}0" for name in self.shape.voters}
         members, machines = {"n": 1, "voters": voters, "before": {}}, []
         for name in self.names:
             held = 1 if name in voters else -1
-            b = ConsensusReplica(name, f"{name}0", 1, {}, members, held)
-            facts = {"disk": b.disk, "members": members, "held": held}
-            made = Machine(name, frozen(b, name in self.proposers), (facts, {}), ({}, {}), ())
+            replica = ConsensusReplica(name, f"{name}0", 1, {}, members, held)
+            facts = {"disk": replica.disk, "members": members, "held": held}
+            made = Machine(name, replica_state(replica, name in self.proposers), (facts, {}), ({}, {}), ())
             machines.append(self.number(self.machines, made))
         epoch = {"k": "epoch", "m": members}
-        wire = 0
+        in_flight = 0
         for name in self.shape.wipes:
-            wire |= 1 << self.number(self.messages, ("", name, epoch))
+            in_flight |= 1 << self.number(self.messages, ("", name, epoch))
         starts = (1 << len(self.shape.orders)) - 1
-        state = (tuple(machines), wire, (*self.shape.most, starts), 0)
+        state = (tuple(machines), in_flight, (*self.shape.most, starts), 0)
         for move in self.shape.begin:
-            state = self.after(state, self.named(state, *move.split()))
+            state = self.after_move(state, self.named_move(state, *move.split()))
         return state
 
-    def named(self, state: tuple, kind: str, what: str) -> tuple:
+    def named_move(self, state: tuple, kind: str, what: str) -> tuple:
         """A move as shapes write it: "order x", "change 0", "power a", or "accept a>b": b hears that."""
         if kind == "order":
-            return kind, [mark for _, mark in self.shape.orders].index(what)
+            return kind, [digest for _, digest in self.shape.orders].index(what)
         if kind == "change":
             return kind, int(what)
         if kind in ("wipe", "power", "wait", "sync"):
             return kind, self.names.index(what)
         sender, peer = what.split(">")
-        for move, number in reversed(self.moves(state)):
+        for move, number in reversed(self.possible_moves(state)):
             if move == "hear" and self.messages[number][:2] == (sender, peer):
                 if self.messages[number][2]["k"] == kind:
                     return move, number
         raise KeyError(f"{kind} {what}")
 
-    def ready(self, message: tuple) -> bool:
+    def arrives_at_once(self, message: tuple) -> bool:
         """Whether it arrives with the question that it answers."""
         sender, peer, what = message
         if sender == peer:
@@ -284,9 +291,9 @@
         asked = what["k"] in REPLIES or what["k"] == "accepted" and peer == what["b"][2]
         return self.shape.prompt and asked
 
-    def settled(self, state: tuple, number: int, step: tuple) -> tuple:
+    def after_step(self, state: tuple, number: int, step: tuple) -> tuple:
         """The state after one machine's step, with all that arrives at once."""
-        machines, wire, left, facts = state
+        machines, in_flight, left, facts = state
         machines, todo = list(machines), [(number, step)]
         while todo:
             number, (made, sends, told) = todo.pop(0)
@@ -296,27 +303,27 @@
                 peer = self.messages[message][1]
                 if peer not in self.names:
                     continue
-                if self.ready(self.messages[message]):
+                if self.arrives_at_once(self.messages[message]):
                     place = self.names.index(peer)
-                    after = self.heard(machines[place], message)
+                    after = self.after_message(machines[place], message)
                     if after[0] != machines[place] or after[1] or after[2]:
                         machines[place] = after[0]
                         todo.append((place, after))
-                elif not self.idle(self.messages[message]):
-                    wire |= 1 << message
-        return tuple(machines), wire, left, facts
+                elif not self.is_ignored(self.messages[message]):
+                    in_flight |= 1 << message
+        return tuple(machines), in_flight, left, facts
 
-    def idle(self, message: tuple) -> bool:
-        """Nobody but its proposer hears an acceptance, unless each message is a move; sets spread by word."""
+    def is_ignored(self, message: tuple) -> bool:
+        """An acceptance to others than its proposer, unless each message is a move; sets spread by notice."""
         what = message[2]
         return self.shape.prompt and what["k"] == "accepted" and message[1] != what["b"][2]
 
-    def moves(self, state: tuple) -> list:
-        machines, wire, (wipes, powers, waits, changes, starts), _ = state
+    def possible_moves(self, state: tuple) -> list:
+        machines, in_flight, (wipes, powers, waits, changes, starts), _ = state
         shape, found = self.shape, []
-        while wire:
-            low = wire & -wire
-            wire ^= low
+        while in_flight:
+            low = in_flight & -in_flight
+            in_flight ^= low
             found.append(("hear", low.bit_length() - 1))
         for place, here in enumerate(machines):
             if self.machines[here].writes:
@@ -332,20 +339,20 @@
             found += [("wait", self.names.index(name)) for name in shape.waits]
         return found
 
-    def after(self, state: tuple, move: tuple) -> tuple | None:
+    def after_move(self, state: tuple, move: tuple) -> tuple | None:
         """The state after this move; None where it changes nothing or can't be."""
         kind, number = move
-        machines, wire, (wipes, powers, waits, changes, starts), facts = state
+        machines, in_flight, (wipes, powers, waits, changes, starts), facts = state
         if kind == "hear":
             place = self.names.index(self.messages[number][1])
-            step = self.heard(machines[place], number)
+            step = self.after_message(machines[place], number)
             if step[0] == machines[place] and not step[1] and not step[2]:
                 return None
-            return self.settled(state, place, step)
+            return self.after_step(state, place, step)
         if kind == "order":
-            who, mark = self.shape.orders[number]
+            who, digest = self.shape.orders[number]
             place, left = self.names.index(who), (wipes, powers, waits, changes, starts & ~(1 << number))
-            step = self.begun(machines[place], CONFIG, ("order", mark))
+            step = self.after_proposal(machines[place], CONFIG, ("order", digest))
         elif kind == "change":
             who, seat, successor = self.shape.changes[number]
             place, left = self.names.index(who), (wipes, powers, waits, changes - 1, starts)
@@ -360,16 +367,18 @@
                 or not here.consensus[3] > 0
             ):
                 return None
-            step = self.begun(machines[place], VOTER_SET, ("members", (members, {**voters, new: disk})))
+            step = self.after_proposal(
+                machines[place], VOTER_SET, ("members", (members, {**voters, new: disk}))
+            )
         elif kind == "wait":
             place, left = number, (wipes, powers, waits - 1, changes, starts)
-            step = self.waited(machines[place])
+            step = self.after_wait(machines[place])
         elif kind == "sync":
             place, left = number, state[2]
             here = self.machines[machines[place]]
-            b, sends, told = thawed(here.name, here.consensus), [], []
-            made = self.synced(here, b, sends, told)
-            made = made._replace(consensus=frozen(b, here.name in self.proposers))
+            replica, sends, told = restore_replica(here.name, here.consensus), [], []
+            made = self.after_sync(here, replica, sends, told)
+            made = made._replace(consensus=replica_state(replica, here.name in self.proposers))
             step = (
                 self.number(self.machines, made),
                 tuple(self.number(self.messages, one) for one in sends),
@@ -378,79 +387,81 @@
         else:
             place, lost = number, kind == "wipe"
             left = (wipes - lost, powers - (not lost), waits, changes, starts)
-            step = (self.back(machines[place], lost), (), 0)
-        return self.settled((machines, wire, left, facts), place, step)
+            step = (self.after_restart(machines[place], lost), (), 0)
+        return self.after_step((machines, in_flight, left, facts), place, step)
 
-    def begun(self, machine: int, register: str, tag: tuple) -> tuple:
+    def after_proposal(self, machine: int, register: str, tag: tuple) -> tuple:
         here = self.machines[machine]
-        b = thawed(here.name, here.consensus)
-        return self.seated(here, b, [b.propose(0.0, register, change_of(tag), tag, 1e9)])
+        replica = restore_replica(here.name, here.consensus)
+        return self.after_effects(here, replica, [replica.propose(0.0, register, change_of(tag), tag, 1e9)])
 
-    def waited(self, machine: int) -> tuple:
+    def after_wait(self, machine: int) -> tuple:
         """All its waits are over: a round that stands begins anew, or else what is unsettled is settled."""
         here = self.machines[machine]
-        b = thawed(here.name, here.consensus)
-        outs = [b.tick(1.0)]
-        busy = any(b.proposer.rounds.values())
-        for rounds in b.proposer.rounds.values():
+        replica = restore_replica(here.name, here.consensus)
+        outs = [replica.tick(1.0)]
+        busy = any(replica.proposer.rounds.values())
+        for rounds in replica.proposer.rounds.values():
             for one in rounds:
                 one.next_attempt_at = 0.0
-        outs.append(b.tick(1.0 if busy else LATER))
-        return self.seated(here, b, outs)
+        outs.append(replica.tick(1.0 if busy else BEYOND_ALL_WAITS))
+        return self.after_effects(here, replica, outs)
 
-    def back(self, machine: int, lost: bool) -> int:
+    def after_restart(self, machine: int, lost: bool) -> int:
         """Power lost, and the disk too or not; it has started again."""
         here = self.machines[machine]
         incarnation = here.consensus[1] + 1
         facts, rows = ({"disk": f"{here.name}{incarnation}"}, {}) if lost else here.disk
         if lost:
-            facts = self.reborn(here, facts)
-        b = ConsensusReplica(
+            facts = self.facts_after_disk_loss(here, facts)
+        replica = ConsensusReplica(
             here.name, facts["disk"], incarnation, rows, facts.get("members"), facts.get("held", -1)
         )
-        made = Machine(here.name, frozen(b, here.name in self.proposers), (facts, rows), ({}, {}), ())
+        made = Machine(
+            here.name, replica_state(replica, here.name in self.proposers), (facts, rows), ({}, {}), ()
+        )
         return self.number(self.machines, made)
 
-    def reborn(self, here: Machine, facts: dict) -> dict:
+    def facts_after_disk_loss(self, here: Machine, facts: dict) -> dict:
         return facts
 
     # --- judges
 
-    def mended(self, state: tuple) -> bool:
+    def recovers(self, state: tuple) -> bool:
         """Whether a majority answers once all are up and hear each other; of disks, none is lost any more."""
         machines, now = {}, 0.0
         for number in state[0]:
             here = self.machines[number]
             while here.writes:
-                here = self.synced(here, thawed(here.name, here.consensus), [], [])
-            machines[here.name] = b = thawed(here.name, here.consensus)
-            for kept in b.proposer.rounds.values():
+                here = self.after_sync(here, restore_replica(here.name, here.consensus), [], [])
+            machines[here.name] = replica = restore_replica(here.name, here.consensus)
+            for kept in replica.proposer.rounds.values():
                 kept.clear()
-        answers, wire = [], []
+        answers, in_flight = [], []
 
         def carry(name: str, out: Effects) -> None:
-            wire.extend((name, peer, message) for peer, message in out.sends)
+            in_flight.extend((name, peer, message) for peer, message in out.sends)
             answers.extend(out.answers)
             for register, _, accepted, _ in out.writes:
                 machines[name].mark_durable(register, accepted)
 
         for turn in range(40):
             now += 0.3
-            for name, b in machines.items():
+            for name, replica in machines.items():
                 newest = max((other.voter_set for other in machines.values()), key=lambda one: one["n"])
-                carry(name, b.receive(now, "", {"k": "epoch", "m": newest}))
-                carry(name, b.tick(now))
-                if turn % 5 == 4 and b.is_active_voter and not any(b.proposer.rounds.values()):
-                    carry(name, b.propose(now, CONFIG, lambda stands: (None, True), "read", 1.0))
-            while wire:
-                sender, peer, message = wire.pop(0)
+                carry(name, replica.receive(now, "", {"k": "epoch", "m": newest}))
+                carry(name, replica.tick(now))
+                if turn % 5 == 4 and replica.is_active_voter and not any(replica.proposer.rounds.values()):
+                    carry(name, replica.propose(now, CONFIG, lambda stands: (None, True), "read", 1.0))
+            while in_flight:
+                sender, peer, message = in_flight.pop(0)
                 if peer in machines:
                     carry(peer, machines[peer].receive(now, sender, message))
             if ("read", True) in answers:
                 return True
         return False
 
-    def judge(self, before: int, facts: int) -> None:
+    def check_facts(self, before: int, facts: int) -> None:
         new = facts & ~before
         while new:
             low = new & -new
@@ -462,42 +473,42 @@
                 other = bit.bit_length() - 1
                 why = self.against.get((one, other))
                 if why is None:
-                    why = clash(self.facts[one], self.facts[other]) or clash(
+                    why = contradiction(self.facts[one], self.facts[other]) or contradiction(
                         self.facts[other], self.facts[one]
                     )
                     self.against[one, other] = why
                 if why:
-                    raise Broken(f"{why}: {self.facts[one]}, {self.facts[other]}")
+                    raise RuleViolation(f"{why}: {self.facts[one]}, {self.facts[other]}")
 
-    def run(self, depth: int, until: float = 1e18, most: int = 10**9, tried: int = 0) -> "Found":
+    def run(self, depth: int, until: float = 1e18, most: int = 10**9, tried: int = 0) -> "SearchResult":
         """All states up to this depth, or as many as time and `most` allow; tried: of how many of the last,
         evenly spread, it is tried whether a majority answers in the end.
         """
-        first = self.first()
+        first = self.initial_state()
         seen, layer = {first: None}, [first]
         for level in range(1, depth + 1):
             following = []
             for state in layer:
-                for move in self.moves(state):
-                    after = self.after(state, move)
+                for move in self.possible_moves(state):
+                    after = self.after_move(state, move)
                     if after is None or after in seen:
                         continue
                     seen[after] = (state, move)
                     try:
                         if after[3] != state[3]:
-                            self.judge(state[3], after[3])
-                    except Broken as problem:
-                        return Found(len(seen), level, str(problem), self.path(seen, after))
+                            self.check_facts(state[3], after[3])
+                    except RuleViolation as problem:
+                        return SearchResult(len(seen), level, str(problem), self.path(seen, after))
                     following.append(after)
                 if len(seen) > most or time.monotonic() > until:
-                    return Found(len(seen), level - 1, "", [])
+                    return SearchResult(len(seen), level - 1, "", [])
             if not following:
                 break
             layer = following
         for state in layer[:: max(1, len(layer) // tried)] if tried else ():
-            if not self.mended(state):
-                return Found(len(seen), level, "no majority answers", self.path(seen, state))
-        return Found(len(seen), level, "", [], not following)
+            if not self.recovers(state):
+                return SearchResult(len(seen), level, "no majority answers", self.path(seen, state))
+        return SearchResult(len(seen), level, "", [], not following)
 
     def path(self, seen: dict, state: tuple) -> list:
         moves = []
@@ -510,7 +521,7 @@
         return moves[::-1]
 
 
-class Found(NamedTuple):
+class SearchResult(NamedTuple):
     """states: how many; depth: up to which all were seen; broken: what a judge said, and the moves to it."""
 
     states: int
@@ -520,7 +531,7 @@
     whole: bool = False  # there are no more
 
 
-def clash(one: tuple, other: tuple) -> str:
+def contradiction(one: tuple, other: tuple) -> str:
     """What is wrong with these two facts, if anything."""
     if one[0] == other[0] == "answer" and one[1] == other[1] == 200 and one[2] != other[2]:
         return "two on one parent acknowledged"
--- a/tests/simulation/membership_epochs.py
+++ b/tests/simulation/membership_epochs.py
@@ -1,6 +1,6 @@
-"""Whole archives' cores in one process, from a seed: the shell's own code over a network, disks and a clock
+"""Whole controllers in one process, from a seed: the shell's own code over a network, disks and a clock
 made here. Messages are late, doubled, lost and cut one way; power, disks and machines are lost, leave by plan
-and come new, within what `Tolerance` allows. Judges look at whatever an archive learns or answers.
+and come new, within what `Tolerance` allows. Judges look at whatever a controller learns or answers.
 """
 
 import contextlib
@@ -24,20 +24,20 @@
 from bramblewood.controller.consensus.registers import CONFIG, VOTER_SET
 from bramblewood.controller.consensus.replica import ConsensusReplica
 from bramblewood.controller.consensus.voter_set import next_voter_set
-from tests.simulation.consensus import Broken, configuration
+from tests.simulation.consensus import RuleViolation, configuration
 
 BOUNDS = Bounds()
-TURN = 0.1  # s between the turns of an archive
-DIAL = 0.5  # s between tries to reach another
-MUTE = SimpleNamespace(info=lambda *_, **__: None, error=lambda *_, **__: None)
-READ_WITHIN = BOUNDS.AckS
-STREAM = {"pulse"}  # kinds that are lost with their link only, as on one connection
+TURN_INTERVAL = 0.1  # s between the turns of a controller
+DIAL_INTERVAL = 0.5  # s between attempts to reach another
+SILENT_LOG = SimpleNamespace(info=lambda *_, **__: None, error=lambda *_, **__: None)
+READ_TIMEOUT = BOUNDS.AckS
+ORDERED_KINDS = {"pulse"}  # kinds that are lost with their link only, as on one connection
 
 
 # --- what is taken out, to see that it is found out
 
 
-def no_epoch(play: Any) -> Any:
+def without_epochs(play: Any) -> Any:
     """Proposals of an earlier or later epoch count like those of one's own."""
     receive = ConsensusReplica.receive
 
@@ -54,7 +54,7 @@
     return mock.patch.object(ConsensusReplica, "receive", careless)
 
 
-def no_disk(play: Any) -> Any:
+def without_disks(play: Any) -> Any:
     """A member is known by its address alone, whatever disk came back there."""
     stack = contextlib.ExitStack()
     for module in (local_member, epochs):
@@ -65,7 +65,7 @@
     return stack
 
 
-def few_seals(play: Any) -> Any:
+def too_few_seals(play: Any) -> Any:
     """One seal less than a majority makes a voter active."""
     try_activate = EpochTransition.try_activate
 
@@ -76,7 +76,7 @@
     return mock.patch.object(EpochTransition, "try_activate", careless)
 
 
-def chosen_if_carried(play: Any) -> Any:
+def carried_counts_as_chosen(play: Any) -> Any:
     """A value that all of a majority hold counts as chosen, also where it was only carried there."""
     return mock.patch.object(
         Proposer,
@@ -87,7 +87,7 @@
     )
 
 
-def seal_in_memory(play: Any) -> Any:
+def seal_only_in_memory(play: Any) -> Any:
     """A seal's answer does not wait until the seal is on disk."""
     on_join_epoch = EpochTransition.on_join_epoch
 
@@ -98,7 +98,7 @@
     return mock.patch.object(EpochTransition, "on_join_epoch", careless)
 
 
-def unused_count_not(play: Any) -> Any:
+def unused_seats_do_not_seal(play: Any) -> Any:
     """The seal of a voter that was never active in the epoch before does not count."""
     try_activate = EpochTransition.try_activate
 
@@ -110,27 +110,27 @@
     return mock.patch.object(EpochTransition, "try_activate", careless)
 
 
-def eager(play: Any) -> Any:
+def votes_before_active(play: Any) -> Any:
     """A member votes from the moment it knows that it is one."""
     return mock.patch.object(LocalMember, "is_active_voter", property(lambda self: self.is_member))
 
 
-def hasty_change(play: Any) -> Any:
+def heard_counts_as_active(play: Any) -> Any:
     """A voter that is heard counts as active, in whatever epoch: sets change, leavers go, too soon."""
     return mock.patch.object(PeerStatus, "is_active_in", lambda peer, voter_set, address: True)
 
 
-def older_unseen(play: Any) -> Any:
+def no_rollback_check(play: Any) -> Any:
     """Nobody minds an older state of a disk."""
     return mock.patch.object(ConsensusReplica, "check_disk_rollback", lambda *_: no_effects())
 
 
-def leave_at_once(play: Any) -> Any:
-    """An archive ends on SIGTERM, whoever holds what it holds."""
+def shuts_down_at_once(play: Any) -> Any:
+    """A controller ends on SIGTERM, whoever holds what it holds."""
     return mock.patch.object(server, "may_shut_down", lambda *_: True)
 
 
-def rows_forgotten(play: Any) -> Any:
+def refused_rows_forgotten(play: Any) -> Any:
     """A refused write's rows don't come again with the fact that speaks of them."""
     return mock.patch.object(
         PendingWrites,
@@ -140,31 +140,31 @@
 
 
 GUARDS = {
-    "epochs of ballots": no_epoch,
-    "disks of members": no_disk,
-    "a majority of seals": few_seals,
-    "what was carried is not chosen": chosen_if_carried,
-    "seals on disk": seal_in_memory,
-    "seals of unused seats": unused_count_not,
-    "voting once active": eager,
-    "who counts as active": hasty_change,
-    "older disks are minded": older_unseen,
-    "leaving once others hold it": leave_at_once,
-    "rows with their fact": rows_forgotten,
+    "epochs of proposals": without_epochs,
+    "disks of members": without_disks,
+    "a majority of seals": too_few_seals,
+    "what was carried is not chosen": carried_counts_as_chosen,
+    "seals on disk": seal_only_in_memory,
+    "seals of unused seats": unused_seats_do_not_seal,
+    "voting once active": votes_before_active,
+    "who counts as active": heard_counts_as_active,
+    "a rolled-back disk is detected": no_rollback_check,
+    "leaving once others hold it": shuts_down_at_once,
+    "rows with their fact": refused_rows_forgotten,
 }
 
 
-def without(guard: str) -> contextlib.AbstractContextManager:
+def without_guard(guard: str) -> contextlib.AbstractContextManager:
     return GUARDS[guard](None) if guard else contextlib.nullcontext()
 
 
 # --- machines
 
 
-class Wires:
-    """The links of one archive, as its shell uses them."""
+class SimulatedConnections:
+    """The links of one controller, as its shell uses them."""
 
-    def __init__(self, world: "World", me: "Machine") -> None:
+    def __init__(self, world: "ControllerFleet", me: "SimulatedController") -> None:
         self.world, self.me, self.up, self.kept = world, me, {}, {}
 
     def keep(self, peer: str, port: int) -> None:
@@ -176,13 +176,13 @@
 
     def drop(self, peer: str) -> None:
         if self.up.pop(peer, None):
-            self.kept[peer] = self.world.now + DIAL
+            self.kept[peer] = self.world.now + DIAL_INTERVAL
             self.me.link_told(peer, False)
 
     def dial(self) -> None:
         for peer, at in self.kept.items():
             if peer not in self.up and self.world.now >= at:
-                self.kept[peer] = self.world.now + DIAL
+                self.kept[peer] = self.world.now + DIAL_INTERVAL
                 if self.world.reach(self.me.me, peer) and self.world.reach(peer, self.me.me):
                     there = self.world.machines[peer]
                     self.up[peer] = SimpleNamespace(close=lambda peer=peer: self.drop(peer), there=there)
@@ -190,22 +190,23 @@
                     self.me.link_told(peer, True)
 
 
-class Machine(server.Controller):
-    """An archive's shell without sockets, threads and workers; ballots, epochs and seats are its own code."""
+class SimulatedController(server.Controller):
+    """A controller's shell without sockets, threads and workers; consensus and seats are its own code."""
 
-    def __init__(self, world: "World", name: str, zone: str, first: bool) -> None:
-        made = SimpleNamespace(urandom=lambda n: world.dice.randbytes(n))
+    def __init__(self, world: "ControllerFleet", name: str, zone: str, first: bool) -> None:
+        made = SimpleNamespace(urandom=lambda n: world.rng.randbytes(n))
         self.world, self.gone = world, False
+        self.checked_value: Any = None  # the newest value that the judges have looked at
         told = Settings(name, name, zone, (1, 2), world.seeds, first, "/d", 1.5, {}, 2**28, 99, BOUNDS)
         told = dataclasses.replace(told, tolerance=Tolerance(world.losses))
         with (
             mock.patch.object(server, "os", made),
-            mock.patch.object(server.logs, "begin", lambda _: MUTE),
+            mock.patch.object(server.logs, "begin", lambda _: SILENT_LOG),
         ):
             super().__init__(told)
             self.disk = world.disks[name]
             self.begin(self.disk["facts"], dict(self.disk["rows"]))
-        self.peer_connections, self.storage, self.waiting = Wires(world, self), self, []
+        self.peer_connections, self.storage, self.waiting = SimulatedConnections(world, self), self, []
         self.loop = SimpleNamespace(time=lambda: world.now, call_soon=self.soon)
         self.leaving = SimpleNamespace(is_set=lambda: self.told_to_leave)
         self.told_to_leave, self.started = False, world.now
@@ -219,18 +220,18 @@
         self.world.after(0.0, lambda: self.gone or call(*what))
 
     def write(self, rows: list, facts: dict, done: Any) -> None:
-        """As the shelf's: one after the other, each safe or refused after a while."""
+        """As the storage's: one after the other, each safe or refused after a while."""
         self.waiting.append((rows, facts))
-        after = self.world.dice.uniform(0.002, 0.02)
+        after = self.world.rng.uniform(0.002, 0.02)
         self.free_at = max(getattr(self, "free_at", 0.0), self.world.now) + after
         self.world.at(self.free_at, lambda: self.gone or self.synced(done))
 
     def synced(self, done: Any) -> None:
         write = self.waiting.pop(0)
-        refused = self.me in self.world.refusing and self.world.dice.random() < 0.4
-        if not refused or self.world.dice.random() < 0.2:  # a refused write may be there all the same
+        rejected = self.me in self.world.refusing and self.world.rng.random() < 0.4
+        if not rejected or self.world.rng.random() < 0.2:  # a refused write may be there all the same
             keep(self.disk, write)
-        done("refused" if refused else None)
+        done("refused" if rejected else None)
 
     def turn(self) -> None:
         now = self.world.now
@@ -245,7 +246,7 @@
             self.world.ended(self)
 
     def learned(self) -> None:
-        self.world.judge(self)
+        self.world.check_invariants(self)
 
     def pulse_desks(self, now: float) -> None:
         pass
@@ -260,16 +261,16 @@
 # --- the world
 
 
-class World:
+class ControllerFleet:
     def __init__(self, seed: int, voters: int = 3, spares: int = 1, founding: bool = False) -> None:
         """founding: it starts with empty disks at its first boot; else in epoch 1, with machines named."""
-        self.dice, self.now, self.losses = random.Random(seed), 0.0, voters // 2
+        self.rng, self.now, self.losses = random.Random(seed), 0.0, voters // 2
         names = [f"m{number}" for number in range(voters + spares)]
         self.seeds = tuple(f"{name}:1" for name in names[:3])
         self.events, self.order, self.last = [], 0, {}
-        self.machines, self.disks, self.refusing, self.cuts, self.frozen = {}, {}, set(), set(), {}
-        self.loss = self.double = self.late = 0.0
-        self.taken, self.refused, self.sets, self.past = {}, {}, {}, {}
+        self.machines, self.disks, self.refusing, self.cuts, self.frozen_until = {}, {}, set(), set(), {}
+        self.loss = self.duplication = self.lateness = 0.0
+        self.acknowledged, self.rejected, self.sets, self.past = {}, {}, {}, {}
         self.number, self.reads, self.next_name, self.away = 0, 0, len(names), {}
         members = {"n": 1, "voters": {name: f"{name}.0" for name in names[:voters]}, "before": {}}
         for name in names:
@@ -291,7 +292,7 @@
             call()
         self.now = until
 
-    def rest(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         self.run(self.now + seconds)
 
     # --- the network
@@ -299,34 +300,34 @@
     def reach(self, one: str, other: str) -> bool:
         return {one, other} <= self.machines.keys() and (one, other) not in self.cuts
 
-    def send(self, sender: Machine, peer: str, message: dict) -> None:
-        dice = self.dice
-        if message["k"] not in STREAM and dice.random() < self.loss:
+    def send(self, sender: SimulatedController, peer: str, message: dict) -> None:
+        rng = self.rng
+        if message["k"] not in ORDERED_KINDS and rng.random() < self.loss:
             return
-        for _ in range(1 + (message["k"] not in STREAM and dice.random() < self.double)):
-            after = dice.uniform(0.002, 0.02)
-            if message["k"] in STREAM:
+        for _ in range(1 + (message["k"] not in ORDERED_KINDS and rng.random() < self.duplication)):
+            after = rng.uniform(0.002, 0.02)
+            if message["k"] in ORDERED_KINDS:
                 when = self.last[sender.me, peer] = max(
                     self.now + after, self.last.get((sender.me, peer), 0.0)
                 )
             else:
-                when = self.now + after + (dice.random() < self.late) * dice.uniform(0.0, 3.0)
+                when = self.now + after + (rng.random() < self.lateness) * rng.uniform(0.0, 3.0)
             self.at(when, lambda: self.deliver(sender, peer, message))
 
-    def deliver(self, sender: Machine, peer: str, message: dict) -> None:
+    def deliver(self, sender: SimulatedController, peer: str, message: dict) -> None:
         machine, link = self.machines.get(peer), sender.peer_connections.up.get(peer)
         if machine is None:
             return
         if link is not None and link.there is not machine and not sender.gone:
             sender.peer_connections.drop(peer)  # it has started anew, and knows nothing of the old connection
-            if message["k"] in STREAM:
+            if message["k"] in ORDERED_KINDS:
                 return
         if (sender.me, peer) in self.cuts:
-            if message["k"] in STREAM and "members" in message:
+            if message["k"] in ORDERED_KINDS and "members" in message:
                 sender.sessions.anew(peer)  # said again on the next link
             return
-        if peer in self.frozen:
-            self.at(self.frozen[peer], lambda: self.deliver(sender, peer, message))
+        if peer in self.frozen_until:
+            self.at(self.frozen_until[peer], lambda: self.deliver(sender, peer, message))
             return
         machine.hear(SimpleNamespace(peer=sender.me), message)
 
@@ -334,37 +335,37 @@
 
     def start(self, name: str, first: bool = False) -> None:
         zone = f"z{int(name[1:]) % 3}"
-        machine = self.machines[name] = Machine(self, name, zone, first)
+        machine = self.machines[name] = SimulatedController(self, name, zone, first)
 
         def turn() -> None:
             if machine.gone:
                 return
-            if name in self.frozen:
-                self.at(self.frozen[name], turn)
+            if name in self.frozen_until:
+                self.at(self.frozen_until[name], turn)
                 return
             machine.turn()
-            self.after(TURN, turn)
+            self.after(TURN_INTERVAL, turn)
 
-        self.after(self.dice.uniform(0.0, TURN), turn)
+        self.after(self.rng.uniform(0.0, TURN_INTERVAL), turn)
 
-    def power(self, name: str) -> None:
+    def lose_power(self, name: str) -> None:
         """Power lost: of the writes on their way, the first few are there, and nobody was told."""
         machine = self.machines.pop(name, None)
         if machine is not None:
             machine.gone = True
-            for write in machine.waiting[: self.dice.randrange(len(machine.waiting) + 1)]:
+            for write in machine.waiting[: self.rng.randrange(len(machine.waiting) + 1)]:
                 keep(machine.disk, write)
             self.disks[name] = machine.disk
 
-    def ended(self, machine: Machine) -> None:
+    def ended(self, machine: SimulatedController) -> None:
         """By plan: what was to be written is written."""
         for write in machine.waiting:
             keep(machine.disk, write)
         machine.waiting = []
-        self.power(machine.me)
+        self.lose_power(machine.me)
 
-    def wipe(self, name: str) -> None:
-        self.power(name)
+    def lose_disk(self, name: str) -> None:
+        self.lose_power(name)
         self.disks[name] = {"facts": {}, "rows": {}}
 
     def copied(self, name: str) -> dict:
@@ -379,51 +380,53 @@
 
     # --- orders and judges
 
-    def put(self, name: str, mark: str = "", parent: int | None = None) -> Any:
+    def put(self, name: str, digest: str = "", parent: int | None = None) -> Any:
         """An operator's order on what is in force there; its answer goes to the judges."""
         machine = self.machines[name]
-        self.number += 1 + self.dice.randrange(2)
+        self.number += 1 + self.rng.randrange(2)
         parent = machine.consensus.version(CONFIG) if parent is None else parent
-        wanted = configuration(max(self.number, parent + 1), parent, mark or f"{name}{self.number}")
+        wanted = configuration(max(self.number, parent + 1), parent, digest or f"{name}{self.number}")
         self.number = wanted.number
-        self.repeat(name, wanted)
+        self.put_again(name, wanted)
         return wanted
 
-    def repeat(self, name: str, wanted: Any) -> None:
+    def put_again(self, name: str, wanted: Any) -> None:
         def told(outcome: Any) -> None:
             if outcome is not None:
-                (self.taken if outcome[0] == 200 else self.refused)[wanted.digest] = wanted
+                (self.acknowledged if outcome[0] == 200 else self.rejected)[wanted.digest] = wanted
 
-        if name in self.machines and name not in self.frozen:
+        if name in self.machines and name not in self.frozen_until:
             self.machines[name].propose(CONFIG, lambda stands: succeed(wanted, stands), told, 0.85)
 
     def read(self, name: str) -> list:
         """Ask for what stands; what was acknowledged before must be there. The answers so far."""
-        taken, found = dict(self.taken), []
+        acknowledged, found = dict(self.acknowledged), []
 
         def told(outcome: Any) -> None:
             if outcome is None:
                 return
             past = outcome[0]["past"] if outcome[0] else {}
-            for mark, wanted in taken.items():
-                if past.get(str(wanted.number)) != mark:
-                    raise Broken(f"{mark} was acknowledged as r{wanted.number}, and a reader gets {past}")
+            for digest, wanted in acknowledged.items():
+                if past.get(str(wanted.number)) != digest:
+                    raise RuleViolation(
+                        f"{digest} was acknowledged as r{wanted.number}, and a reader gets {past}"
+                    )
             found.append(past)
 
         self.machines[name].propose(CONFIG, lambda stands: (None, [stands]), told, 0.85)
         return found
 
-    def answers(self, why: str) -> None:
+    def check_reader_answered(self, why: str) -> None:
         """A machine that is not lost answers a reader within AckS."""
         names = [name for name in self.machines if name not in self.away]
         self.reads += 1
-        until, found = self.now + READ_WITHIN, []
+        until, found = self.now + READ_TIMEOUT, []
         while not found:
             if self.now >= until:
-                raise Broken(f"no majority answers: {why}; away {sorted(self.away)}; {self.told()}")
+                raise RuleViolation(f"no majority answers: {why}; away {sorted(self.away)}; {self.told()}")
             if names := [name for name in names if name in self.machines]:
-                found = self.read(self.dice.choice(names))
-            self.rest(0.9)
+                found = self.read(self.rng.choice(names))
+            self.advance(0.9)
 
     def told(self) -> dict:
         return {
@@ -436,32 +439,32 @@
             for name, m in self.machines.items()
         }
 
-    def judge(self, machine: Machine) -> None:
+    def check_invariants(self, machine: SimulatedController) -> None:
         members = machine.consensus.voter_set
         if members["n"] and self.sets.setdefault(members["n"], members) != members:
-            raise Broken(f"two sets of epoch {members['n']}: {members} and {self.sets[members['n']]}")
+            raise RuleViolation(f"two sets of epoch {members['n']}: {members} and {self.sets[members['n']]}")
         value = machine.consensus.value(CONFIG)
-        if value is None or machine.__dict__.get("judged") is value:
+        if value is None or machine.checked_value is value:
             return
-        machine.judged = value
-        for number, mark in value["past"].items():
-            if self.past.setdefault(number, mark) != mark:
-                raise Broken(f"r{number} is {mark} here and {self.past[number]} there")
-            if mark in self.refused:
-                raise Broken(f"{mark} was refused, and is in force")
+        machine.checked_value = value
+        for number, digest in value["past"].items():
+            if self.past.setdefault(number, digest) != digest:
+                raise RuleViolation(f"r{number} is {digest} here and {self.past[number]} there")
+            if digest in self.rejected:
+                raise RuleViolation(f"{digest} was refused, and is in force")
 
 
 # --- days by dice
 
 
-class Day:
+class FaultDay:
     """One world over a few rounds of faults, orders sent all the while."""
 
     def __init__(self, seed: int, voters: int, spares: int, founding: bool, older: int = 0) -> None:
         """older: how often, among the losses, an older state of a disk comes back; beyond the pages."""
-        self.world, self.older = World(seed, voters, spares, founding), older
-        self.dice, self.counts = self.world.dice, {}
-        self.world.loss, self.world.double, self.world.late = 0.03, 0.03, 0.03
+        self.world, self.older = ControllerFleet(seed, voters, spares, founding), older
+        self.rng, self.counts = self.world.rng, {}
+        self.world.loss, self.world.duplication, self.world.lateness = 0.03, 0.03, 0.03
 
     def orders(self, seconds: float) -> None:
         """Time goes on, and operators send orders, often two on one parent, some twice."""
@@ -469,32 +472,32 @@
         while world.now < until:
             names = list(world.machines)
             if names:
-                first, second = self.dice.choice(names), self.dice.choice(names)
+                first, second = self.rng.choice(names), self.rng.choice(names)
                 parent = world.machines[first].consensus.version(CONFIG)
                 wanted = world.put(first, parent=parent)
-                if self.dice.random() < 0.5:
+                if self.rng.random() < 0.5:
                     world.put(second, parent=parent)
-                if self.dice.random() < 0.3:
-                    again = functools.partial(world.repeat, second, wanted)
-                    world.after(self.dice.uniform(0.0, 2.0), again)
-            world.run(min(until, world.now + self.dice.uniform(0.05, 0.6)))
+                if self.rng.random() < 0.3:
+                    again = functools.partial(world.put_again, second, wanted)
+                    world.after(self.rng.uniform(0.0, 2.0), again)
+            world.run(min(until, world.now + self.rng.uniform(0.05, 0.6)))
 
     def fault(self, name: str) -> Any:
         """One loss of this machine; what brings it back, or makes its successor."""
-        world, dice = self.world, self.dice
-        kind = dice.choice(
+        world, rng = self.world, self.rng
+        kind = rng.choice(
             ("power", "power", "disk", "disk", "for good", "plan", "plan", "cut", "in", "out", "freeze")
             + ("older",) * self.older
         )
         self.counts[kind] = self.counts.get(kind, 0) + 1
         if kind == "older":
             copy = world.copied(name)
-            self.orders(dice.uniform(0.05, 1.0))
-            world.power(name)
+            self.orders(rng.uniform(0.05, 1.0))
+            world.lose_power(name)
             world.disks[name] = copy
             return lambda: world.start(name)
         if kind in ("power", "disk"):
-            (world.power if kind == "power" else world.wipe)(name)
+            (world.lose_power if kind == "power" else world.lose_disk)(name)
             return lambda: world.start(name)
         if kind in ("for good", "plan"):
             if kind == "plan":
@@ -502,29 +505,29 @@
                 until = world.now + BOUNDS.GraceS
                 while name in world.machines and world.now < until:
                     self.orders(0.2)
-            world.wipe(name)
+            world.lose_disk(name)
             return self.newcomer
         if kind == "freeze":
-            world.frozen[name] = world.now + 1e9
+            world.frozen_until[name] = world.now + 1e9
             return lambda: self.thaw(name)
         world.cut(name, {"cut": "both"}.get(kind, kind))
         return lambda: world.cuts.difference_update({way for way in world.cuts if name in way})
 
     def thaw(self, name: str) -> None:
         world = self.world
-        del world.frozen[name]
-        late = [event for event in world.events if event[0] >= 1e8]
+        del world.frozen_until[name]
+        lateness = [event for event in world.events if event[0] >= 1e8]
         world.events = [event for event in world.events if event[0] < 1e8]
         heapq.heapify(world.events)
-        for _, _, call in late:
+        for _, _, call in lateness:
             world.after(0.0, call)
 
-    def early(self) -> None:
+    def lose_one_at_start(self) -> None:
         """One is lost amid the start, and back soon."""
-        self.orders(self.dice.uniform(0.0, 1.5))
-        name = self.dice.choice(sorted(self.world.machines))
-        (self.world.wipe if self.dice.random() < 0.5 else self.world.power)(name)
-        self.orders(self.dice.uniform(0.0, 1.0))
+        self.orders(self.rng.uniform(0.0, 1.5))
+        name = self.rng.choice(sorted(self.world.machines))
+        (self.world.lose_disk if self.rng.random() < 0.5 else self.world.lose_power)(name)
+        self.orders(self.rng.uniform(0.0, 1.0))
         self.world.start(name)
 
     def newcomer(self) -> None:
@@ -535,119 +538,119 @@
         world.seeds = tuple(f"{peer}:1" for peer in list(world.machines)[:3])
         world.start(name)
 
-    def swap(self) -> None:
+    def reseat_by_operator(self) -> None:
         """An operator gives a seat to a spare, at times two do at once, and something may strike amid it."""
-        world, dice = self.world, self.dice
-        for _ in range(1 + (dice.random() < 0.3)):
-            machine = world.machines[dice.choice(sorted(world.machines))]
+        world, rng = self.world, self.rng
+        for _ in range(1 + (rng.random() < 0.3)):
+            machine = world.machines[rng.choice(sorted(world.machines))]
             members, peers = machine.consensus.voter_set, machine.peers(world.now)
             spares = [name for name in peers if name not in members["voters"]]
-            old, new = dice.choice(sorted(members["voters"])), dice.choice(sorted(spares) or [""])
+            old, new = rng.choice(sorted(members["voters"])), rng.choice(sorted(spares) or [""])
             made = machine.membership.requested_change(members, peers, machine.versions(), old, new)
             if new and made.is_ok():
                 self.counts["swap"] = self.counts.get("swap", 0) + 1
                 change = next_voter_set(members, made.ok_value.voters)
                 machine.propose(VOTER_SET, change, lambda outcome: None, 1.0)
-        world.rest(dice.uniform(0.0, 0.15))
+        world.advance(rng.uniform(0.0, 0.15))
 
-    def relay(self) -> None:
+    def leave_then_lose_another(self) -> None:
         """One leaves by plan while a spare is there; right after its end another is lost."""
-        world, dice = self.world, self.dice
+        world, rng = self.world, self.rng
         voters = next(iter(world.machines.values())).consensus.voters
         if not [name for name in world.machines if name not in voters]:
             return
-        leaver, victim = dice.sample(sorted(voters), 2)
+        leaver, victim = rng.sample(sorted(voters), 2)
         self.counts["relay"] = self.counts.get("relay", 0) + 1
         world.machines[leaver].told_to_leave = True
         until = world.now + BOUNDS.GraceS
         while leaver in world.machines and world.now < until:
-            world.put(dice.choice(sorted(world.machines)))
-            world.rest(dice.uniform(0.01, 0.1))
-        world.wipe(leaver)
-        world.wipe(victim)
+            world.put(rng.choice(sorted(world.machines)))
+            world.advance(rng.uniform(0.01, 0.1))
+        world.lose_disk(leaver)
+        world.lose_disk(victim)
         world.away.update(dict.fromkeys((leaver, victim)))
         self.orders(BOUNDS.ContactS)
-        world.answers("one left by plan, and another was lost right after")
+        world.check_reader_answered("one left by plan, and another was lost right after")
         world.start(victim)
         self.newcomer()
         self.orders(BOUNDS.CatchUpS)
         world.away.clear()
-        world.answers("once it had CatchUpS")
+        world.check_reader_answered("once it had CatchUpS")
 
     def round(self) -> None:
-        world, dice = self.world, self.dice
-        if dice.random() < 0.3:
-            self.relay()
-        some = dice.sample(sorted(world.machines), 1 + dice.randrange(world.losses))
-        if dice.random() < 0.5:
-            self.swap()
+        world, rng = self.world, self.rng
+        if rng.random() < 0.3:
+            self.leave_then_lose_another()
+        some = rng.sample(sorted(world.machines), 1 + rng.randrange(world.losses))
+        if rng.random() < 0.5:
+            self.reseat_by_operator()
         world.away.update(dict.fromkeys(some))
-        if dice.random() < 0.2:
+        if rng.random() < 0.2:
             world.refusing.update(some)  # counted with the lost: what a refused disk may do is theirs alone
-            self.orders(dice.uniform(0.2, 2.0))
+            self.orders(rng.uniform(0.2, 2.0))
         mends = []
         for name in some:
             mends.append(self.fault(name))
-            self.orders(dice.uniform(0.0, 0.5))
-        if dice.random() < 0.2:
-            self.all_power(some)
-        self.orders(dice.choice((0.2, 1.0, 3.0, 6.0)))
-        if dice.random() < 0.4:
+            self.orders(rng.uniform(0.0, 0.5))
+        if rng.random() < 0.2:
+            self.lose_all_power(some)
+        self.orders(rng.choice((0.2, 1.0, 3.0, 6.0)))
+        if rng.random() < 0.4:
             self.orders(BOUNDS.ContactS)
-            world.answers("while they are away")
+            world.check_reader_answered("while they are away")
         world.refusing.clear()
         for mend in mends:
             mend()
-            self.orders(dice.uniform(0.0, 1.0))
+            self.orders(rng.uniform(0.0, 1.0))
         self.orders(BOUNDS.CatchUpS)
         world.away.clear()
-        world.answers("once they had CatchUpS")
+        world.check_reader_answered("once they had CatchUpS")
 
-    def all_power(self, but: list[str]) -> None:
+    def lose_all_power(self, but: list[str]) -> None:
         """All lose power at one moment and are back within a second."""
         names = [name for name in self.world.machines if name not in but]
         self.counts["all"] = self.counts.get("all", 0) + 1
         for name in names:
-            self.world.power(name)
-        self.world.rest(self.dice.uniform(0.1, 1.0))
+            self.world.lose_power(name)
+        self.world.advance(self.rng.uniform(0.1, 1.0))
         for name in names:
             self.world.start(name)
 
-    def closing(self) -> None:
+    def closing_fault(self) -> None:
         """As many disks as tolerated are lost right after an acknowledgement, at times while all others lose
         power.
         """
-        world, count = self.world, len(self.world.taken)
+        world, count = self.world, len(self.world.acknowledged)
         until = world.now + BOUNDS.AckS
-        while len(world.taken) == count and world.now < until:
-            world.put(self.dice.choice(list(world.machines)))
-            world.rest(0.1)
-        lost = self.dice.sample(sorted(world.machines), world.losses)
+        while len(world.acknowledged) == count and world.now < until:
+            world.put(self.rng.choice(list(world.machines)))
+            world.advance(0.1)
+        lost = self.rng.sample(sorted(world.machines), world.losses)
         for name in lost:
-            world.wipe(name)
-        if self.dice.random() < 0.5:
-            self.all_power(lost)
+            world.lose_disk(name)
+        if self.rng.random() < 0.5:
+            self.lose_all_power(lost)
         for name in lost:
             world.start(name)
         world.away.update(dict.fromkeys(lost))
-        world.rest(BOUNDS.CatchUpS)
-        world.answers("after the closing fault")
-        world.rest(BOUNDS.CatchUpS)
+        world.advance(BOUNDS.CatchUpS)
+        world.check_reader_answered("after the closing fault")
+        world.advance(BOUNDS.CatchUpS)
         world.away.clear()
-        world.answers("at the end")
+        world.check_reader_answered("at the end")
 
 
 SHAPES = ((3, 1, False), (3, 1, True), (5, 1, False), (3, 0, False), (3, 2, True), (5, 0, True))
 
 
-def day(seed: int, rounds: int = 3, guard: str = "", older: int = 0) -> Day:
-    with without(guard):
-        made = Day(seed, *SHAPES[seed % len(SHAPES)], older)
+def day(seed: int, rounds: int = 3, guard: str = "", older: int = 0) -> FaultDay:
+    with without_guard(guard):
+        made = FaultDay(seed, *SHAPES[seed % len(SHAPES)], older)
         if seed % 4 == 1:
-            made.early()
+            made.lose_one_at_start()
         made.orders(BOUNDS.CatchUpS)
-        made.world.answers("at the start")
+        made.world.check_reader_answered("at the start")
         for _ in range(rounds):
             made.round()
-        made.closing()
+        made.closing_fault()
     return made
