--- a/bramblewood/cli/emulator.py
+++ b/bramblewood/cli/emulator.py
@@ -71,6 +71,8 @@
         checked["notice"] = False
     if needs_previous(checked) and previous is None:
         fail(f"{scenario}: machines start from an earlier text: --previous must name a checkout of it")
+    if previous is not None and not os.path.exists(f"{previous}/bramblewood/__main__.py"):
+        fail(f"{previous}: no checkout of bramblewood")
     folder = os.path.abspath(folder)
     if os.path.exists(f"{folder}/run.json"):
         fail(f"{folder}: holds a run already")
--- a/bramblewood/cli/gateway.py
+++ b/bramblewood/cli/gateway.py
@@ -42,4 +42,4 @@
     "2 invalid arguments, settings, folder or address.",
 )
 def gateway() -> None:
-    pass
+    """The group itself does nothing."""
--- a/bramblewood/cli/ledger.py
+++ b/bramblewood/cli/ledger.py
@@ -1,6 +1,7 @@
 """ledger show|explain: what a manager remembers, and what a restart now would make of it."""
 
 from time import time
+from typing import Any
 
 import typer
 
@@ -23,12 +24,9 @@
     return memory, memory.load(read_folder(folder, lambda port: tools.pairs(port, b"")))
 
 
-@app.command()
-def show(folder: str = FOLDER, as_json: bool = JSON) -> None:
-    """All that is remembered."""
-    memory, odd = remembered(folder)
-    now = time()
-    value = {
+def as_value(memory: Any, unusable: list[str]) -> dict:
+    """All that is remembered, as `--json` gives it."""
+    return {
         "life": {name: getattr(memory.life, name) for name in memory.life.__struct_fields__},
         "closed": {
             name: {"state": c.state, "started": c.started, "version": c.version, "at": c.at}
@@ -42,42 +40,63 @@
         "admitted": [
             {
                 "table": table,
-                "operation": k,
+                "operation": operation,
                 "level": a.level,
                 "retry": a.retry,
                 "carried": a.carried,
                 "life": a.life,
                 "at": a.at,
             }
-            for (table, k), a in sorted(memory.admitted.items())
+            for (table, operation), a in sorted(memory.admitted.items())
         ],
         "slices": {number: lines.lines for number, lines in sorted(memory.lines.items())},
-        "not usable": odd,
+        "not usable": unusable,
     }
-    life = memory.life
-    careful = f"; careful for {life.careful_until - now:.1f} s" if life.careful_until > now else ""
-    rows = [
-        f"life {life.number}, last alive {now - life.alive:.1f} s ago; list version {life.version}; "
-        f"marks up to {life.marks}{careful}"
-    ]
-    rows += [
+
+
+def worker_lines(memory: Any, now: float) -> list[str]:
+    """What is remembered of workers, for people."""
+    lines = [
         f"closed: {name} {c.state}, version {c.version}, {now - c.at:.0f} s ago"
         for name, c in sorted(memory.closed.items())
     ]
-    rows += [f"withdrawn: {name}" for name in sorted(memory.withdrawn)]
-    rows += [
+    lines += [f"withdrawn: {name}" for name in sorted(memory.withdrawn)]
+    lines += [
         f"doubted: {name}, {doubt.until - now:.1f} s left" for name, doubt in sorted(memory.doubts.items())
     ]
-    rows += [
-        f"let in: table {'all' if table < 0 else table}, operation {k}: level {a.level:g}, way "
+    return lines
+
+
+def admission_lines(memory: Any) -> list[str]:
+    """What is remembered of admission levels, for people."""
+    return [
+        f"let in: table {'all' if table < 0 else table}, operation {operation}: level {a.level:g}, way "
         f"{a.retry}, {'carried out' if a.carried else 'not known to be carried out'}, life {a.life}"
-        for (table, k), a in sorted(memory.admitted.items())
+        for (table, operation), a in sorted(memory.admitted.items())
     ]
-    rows += [
+
+
+def as_lines(memory: Any, unusable: list[str], now: float) -> list[str]:
+    """All that is remembered, for people; now: s since the epoch."""
+    life = memory.life
+    careful = f"; careful for {life.careful_until - now:.1f} s" if life.careful_until > now else ""
+    first = (
+        f"life {life.number}, last alive {now - life.alive:.1f} s ago; list version {life.version}; "
+        f"marks up to {life.marks}{careful}"
+    )
+    slices = [
         f"slice {number}: " + ", ".join(f"{name} {part:g}" for name, part in lines.lines.items())
         for number, lines in sorted(memory.lines.items())
     ]
-    write_result(value, as_json, rows + [f"not usable: {what}" for what in odd])
+    not_usable = [f"not usable: {what}" for what in unusable]
+    return [first, *worker_lines(memory, now), *admission_lines(memory), *slices, *not_usable]
+
+
+@app.command()
+def show(folder: str = FOLDER, as_json: bool = JSON) -> None:
+    """All that is remembered."""
+    memory, unusable = remembered(folder)
+    write_result(as_value(memory, unusable), as_json, as_lines(memory, unusable, time()))
 
 
 @app.command()
--- a/bramblewood/cli/manager.py
+++ b/bramblewood/cli/manager.py
@@ -21,6 +21,7 @@
 
 
 def read_settings(path: str | None = None) -> charter.Charter:
+    """The manager's configuration; ends the command with what is wrong."""
     try:
         return charter.read(path=path)
     except charter.Faulty as problem:
--- a/features/emulator.feature
+++ b/features/emulator.feature
@@ -37,6 +37,7 @@
 
   Scenario: A fleet of two releases is not started without the earlier one
     Then a run of "rolling-upgrade.toml" and of "rolling-rollback.toml" without --previous ends with exit code 2
+    And so does one whose --previous names a folder that is no checkout
     And each example scenario is accepted, and only these two need --previous
 
   Scenario: A restart ends a program in order, then starts it from the release named
--- a/features/steps/emulator.py
+++ b/features/steps/emulator.py
@@ -151,6 +151,15 @@
         assert result.stderr.endswith("--previous must name a checkout of it\n"), result.stderr
 
 
+@then("so does one whose --previous names a folder that is no checkout")
+def no_checkout(context):
+    with tempfile.TemporaryDirectory() as folder:
+        arguments = ["emulator", "run", str(EXAMPLES / "rolling-upgrade.toml"), "--previous", folder]
+        result = CliRunner().invoke(gateway, arguments)
+        assert result.exit_code == 2, result.output
+        assert result.stderr == f"bramblewood: {folder}: no checkout of bramblewood\n", result.stderr
+
+
 @then("each example scenario is accepted, and only these two need --previous")
 def examples(context):
     scenarios = {path.name: scenario_of(path.read_bytes()) for path in EXAMPLES.glob("*.toml")}
