--- a/benchmarks/controller_storage.py
+++ b/benchmarks/controller_storage.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable
 
 from bramblewood.controller.proxy_updates import ProxyUpdates
-from bramblewood.controller.storage import NAME, Storage
+from bramblewood.controller.storage import DATABASE_FILE, Storage
 from bramblewood.controller.value_diff import apply_difference, difference
 
 SIZES = (1_000, 10_000, 90_000)  # slices of the table
@@ -73,17 +73,17 @@
     found: dict = {"slices": slices, "json": len(json.dumps(value))}
     found["round_ms"], found["round_cpu_ms"] = median_times(lambda at: moved(value, 7919 * at))
     updates = ProxyUpdates()
-    found["feed_ms"], found["feed_cpu_ms"] = median_times(lambda at: updates.learned(values[at]))
+    found["feed_ms"], found["feed_cpu_ms"] = median_times(lambda at: updates.learn_table(values[at]))
     found["move_ms"], found["move_cpu_ms"] = median_times(lambda at: commit(at + 1))
     values[:] = [json.loads(json.dumps(moved(value, at))) for at in range(RUNS)]
     found["fresh_ms"], found["fresh_cpu_ms"] = median_times(commit)
     found["base"], found["log"] = (os.path.getsize(storage.path + end) for end in ("", "-wal"))
-    storage.base.close()
+    storage.database.close()
 
     def start(_: int) -> None:
         reopened = Storage(folder)
         reopened.open().unwrap()
-        reopened.base.close()
+        reopened.database.close()
 
     found["open_ms"], found["open_cpu_ms"] = median_times(start)
     return found
@@ -96,7 +96,7 @@
     first = 0.0
     for slices in SIZES:
         with tempfile.TemporaryDirectory(dir=folder_option, prefix="shelf-") as folder:
-            assert NAME not in os.listdir(folder)
+            assert DATABASE_FILE not in os.listdir(folder)
             found = measure(slices, folder)
         first = first or found["move_cpu_ms"]
         print(json.dumps({**found, "ratio": round(found["move_cpu_ms"] / first, 1)}), flush=True)
--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -59,7 +59,7 @@
     for i in range(workers):
         address = f"10.0.{i // 250}.{i % 250}:8080"
         registration = WorkerRegistration("keyed" if i % 2 else "plain", address, "z", 4, "ready", 1)
-        registry.merge(START, f"i-{i:08x}", registration)
+        registry.record(START, f"i-{i:08x}", registration)
     return registry
 
 
@@ -120,7 +120,7 @@
         message = json.loads(report)
         workers: dict[str, list] = {name: [] for name in SERVICES}
         for instance_id, (attempts, failed, mean, load) in message["met"].items():
-            service = self.registry.rows[instance_id].service
+            service = self.registry.registrations[instance_id].service
             workers[service].append(worker_report(instance_id, attempts, failed, mean, CYCLE, load))
         for service, reports in workers.items():
             heat = message["heat"][service]
@@ -134,8 +134,8 @@
         table = apply_slice_changes(self.table, changes, {"keyed"})[0] if changes else None
         update = None
         if table is not None:
-            self.updates.learned(table)
-            update = self.updates.since(self.table["n"]) if self.table else None
+            self.updates.learn_table(table)
+            update = self.updates.message_since(self.table["n"]) if self.table else None
         self.costs.controller_time += time.process_time() - began
         if table is not None:
             self.costs.versions += 1
--- a/bramblewood/cli/explain.py
+++ b/bramblewood/cli/explain.py
@@ -23,8 +23,8 @@
     load_balancer = LoadBalancer(NOW)
     load_balancer.take_table(table)
     for instance_id, row in registrations.items():
-        registration = WorkerRegistration(*(row[field] for field in WorkerRegistration._fields))
-        load_balancer.registry.merge(NOW, instance_id, registration)
+        registration = WorkerRegistration.from_view(row)
+        load_balancer.registry.record(NOW, instance_id, registration)
     load_balancer.silent = {instance_id for instance_id, row in registrations.items() if row["silent"]}
     return load_balancer
 
--- a/bramblewood/cli/leases.py
+++ b/bramblewood/cli/leases.py
@@ -2,7 +2,7 @@
 
 import click
 
-from ..common.slice_table import FENCING_TOKEN, PREVIOUS_OWNER, SECOND, WORKER, starts_of
+from ..common.slice_table import FENCING_TOKEN, PREVIOUS_OWNER, SECOND, WORKER, sorted_starts
 from .controller_client import get_view
 from .options import BOOT, CONTROLLER, JSON
 from .output import write_result
@@ -15,7 +15,7 @@
     expiry = {(grant["service"], grant["from"], grant["life"]): grant["until"] for grant in grants}
     rows = []
     for service, entries in sorted(table["s"].items()):
-        for start in starts_of(entries):
+        for start in sorted_starts(entries):
             entry = entries[str(start)]
             rows.append(
                 {
--- a/bramblewood/cli/storage.py
+++ b/bramblewood/cli/storage.py
@@ -10,7 +10,7 @@
 import click
 
 from ..common.configuration import number_of
-from ..controller.storage import FORM, NAME, read
+from ..controller.storage import DATABASE_FILE, SCHEMA_VERSION, read_database
 from .exit_codes import PROBLEM_FOUND, SUCCESS
 from .options import JSON
 from .output import fail, write_line, write_result
@@ -30,15 +30,15 @@
 
 def open_copy(folder: str) -> sqlite3.Connection:
     """The database copied to memory, as a look must neither lock nor recover the controller's own file."""
-    path = os.path.join(folder, NAME)
+    path = os.path.join(folder, DATABASE_FILE)
     if not os.path.exists(path):
         fail(f"{path}: no such file")
     with tempfile.TemporaryDirectory() as copies:
         try:
             for suffix in ("", "-wal"):
                 if os.path.exists(path + suffix):
-                    shutil.copy(path + suffix, os.path.join(copies, NAME + suffix))
-            database, copy = sqlite3.connect(os.path.join(copies, NAME)), sqlite3.connect(":memory:")
+                    shutil.copy(path + suffix, os.path.join(copies, DATABASE_FILE + suffix))
+            database, copy = sqlite3.connect(os.path.join(copies, DATABASE_FILE)), sqlite3.connect(":memory:")
             database.backup(copy)
             database.close()
         except (sqlite3.Error, OSError) as problem:
@@ -48,7 +48,7 @@
 
 def contents_of(database: sqlite3.Connection) -> dict:
     """Facts and registers, as `--json` gives them."""
-    stored = read(database)
+    stored = read_database(database)
     registers = {
         name: dict(zip(REGISTER_FIELDS, register, strict=True))
         for name, register in stored["registers"].items()
@@ -59,7 +59,9 @@
 def file_faults(database: sqlite3.Connection) -> list[str]:
     """What is wrong with the file itself."""
     form = database.execute("pragma user_version").fetchone()[0]
-    faults = [] if 0 < form <= FORM else [f"form {form}, and this program knows 1 to {FORM}"]
+    faults = (
+        [] if 0 < form <= SCHEMA_VERSION else [f"form {form}, and this program knows 1 to {SCHEMA_VERSION}"]
+    )
     return faults + [row[0] for row in database.execute("pragma integrity_check") if row[0] != "ok"]
 
 
--- a/bramblewood/common/slice_table.py
+++ b/bramblewood/common/slice_table.py
@@ -11,19 +11,19 @@
 READERS = 6
 # steps of a worker in a drain plan, as they are stored and sent
 DRAIN_ANNOUNCED, DRAIN_IN_PROGRESS, DRAINED, OUT_OF_SERVICE = "told", "closing", "closed", "out"
-EMPTY = ["", "", 0.0, 0, "", ""]
+UNASSIGNED = ["", "", 0.0, 0, "", ""]
 KEY_SPACE_SIZE = 65536
 KEYS_PER_RANGE = 8  # keys that a count of heat covers: the finest that a slice is split to
 
 
-def readers_of(entry: list) -> dict[str, int]:
+def all_readers(entry: list) -> dict[str, int]:
     """All workers that may hold read copies of this record, those too that are readers no more."""
     return entry[READERS] if len(entry) > READERS else {}
 
 
-def reading(entry: list) -> list[str]:
+def active_readers(entry: list) -> list[str]:
     """The workers that lookups of this record may go to, beside its own."""
-    return [instance_id for instance_id, number in readers_of(entry).items() if number > 0]
+    return [instance_id for instance_id, number in all_readers(entry).items() if number > 0]
 
 
 def with_readers(entry: list, readers: list[str], number: int) -> list:
@@ -34,11 +34,11 @@
     """
     told = {
         instance_id: since if since < 0 or instance_id in readers else -number
-        for instance_id, since in readers_of(entry).items()
+        for instance_id, since in all_readers(entry).items()
     }
     told |= {instance_id: number for instance_id in readers if instance_id not in told}
     return [*entry[:READERS], *([told] if told else [])]
 
 
-def starts_of(entries: dict) -> list[int]:
+def sorted_starts(entries: dict) -> list[int]:
     return sorted(map(int, entries))
--- a/bramblewood/controller/commands.py
+++ b/bramblewood/controller/commands.py
@@ -12,8 +12,8 @@
 from ..common.schema import check
 from ..common.worker_registry import DRAINING, READY, WorkerRegistration
 
-BEAT_MOST = 64 * 2**10  # bytes of a worker's call
-CONFIG_MOST = 32 * 2**20  # bytes of a configuration
+MAX_CALL_BYTES = 64 * 2**10  # bytes of a worker's call
+MAX_CONFIGURATION_BYTES = 32 * 2**20  # bytes of a configuration
 INSTANCES = "/bramblewood/instances/"
 CONFIG_PATH = "/bramblewood/config"
 # versions whose digests are kept, so that a repeat is known: five times the 730 changes planned for a day, so
@@ -46,11 +46,11 @@
     """A worker's call: it is ready or draining."""
 
     instance_id: str
-    row: WorkerRegistration
+    registration: WorkerRegistration
 
     @property
-    def leaving(self) -> bool:
-        return self.row.phase == DRAINING
+    def is_leaving(self) -> bool:
+        return self.registration.phase == DRAINING
 
 
 @dataclass(frozen=True)
@@ -83,7 +83,7 @@
     revision: str
     count: int
     wave: int
-    only_tell: bool
+    dry_run: bool
 
 
 @dataclass(frozen=True)
@@ -128,9 +128,9 @@
 Command = RegisterWorker | DeregisterWorker | PutConfiguration | GetConfiguration
 
 
-def most(method: str, path: str) -> int:
+def max_body_bytes(method: str, path: str) -> int:
     """Bytes that the body of this call may have."""
-    return CONFIG_MOST if path == CONFIG_PATH and method == "PUT" else BEAT_MOST
+    return MAX_CONFIGURATION_BYTES if path == CONFIG_PATH and method == "PUT" else MAX_CALL_BYTES
 
 
 def decode(method: str, path: str, body: bytes) -> Result[Command, Rejection]:
@@ -148,7 +148,7 @@
         if method == "DELETE":
             return Ok(DeregisterWorker(instance_id))
         if method == "PUT":
-            return beat(instance_id, body)
+            return decode_heartbeat(instance_id, body)
         return Err(Rejection(405, f"{method:.20} is not for {INSTANCES}", "PUT, DELETE"))
     return Err(Rejection(404, "no such call"))
 
@@ -166,7 +166,7 @@
     Wave: NotRequired[int]
 
 
-def plan_call(body: bytes) -> Result[StartDrainPlan | EndDrainPlan, Rejection]:
+def decode_drain_plan_call(body: bytes) -> Result[StartDrainPlan | EndDrainPlan, Rejection]:
     try:
         told = check(json.loads(body), PlanCall)
     except (ValueError, RecursionError):
@@ -207,7 +207,7 @@
     New: NotRequired[str]
 
 
-def members_call(body: bytes) -> Result[ReplaceMember | RemoveMember | AddMember, Rejection]:
+def decode_membership_call(body: bytes) -> Result[ReplaceMember | RemoveMember | AddMember, Rejection]:
     try:
         told = check(json.loads(body), MembersCall)
     except (ValueError, RecursionError):
@@ -233,7 +233,7 @@
     return Ok(ReplaceMember(told["Old"], told["New"]))
 
 
-def beat(instance_id: str, body: bytes) -> Result[RegisterWorker, Rejection]:
+def decode_heartbeat(instance_id: str, body: bytes) -> Result[RegisterWorker, Rejection]:
     try:
         told = check(json.loads(body), Heartbeat)
     except (ValueError, RecursionError):
@@ -264,7 +264,7 @@
     )
 
 
-def succeed(
+def apply_configuration(
     configuration: Configuration, stands: dict | None, kept: int = KEPT
 ) -> tuple[dict | None, tuple[int, str]]:
     """What follows the register's value, and the answer.
@@ -308,8 +308,8 @@
     }, (200, "")
 
 
-def final_answer(
-    configuration: Configuration, stands: dict | None, follow: Callable = succeed
+def settled_answer(
+    configuration: Configuration, stands: dict | None, follow: Callable = apply_configuration
 ) -> tuple[int, str] | None:
     """The answer that a version known to be chosen settles for good, whatever came after it; None where it
     takes an agreement to tell: the order follows that version, or one that is not known here.
--- a/bramblewood/controller/drain_plans.py
+++ b/bramblewood/controller/drain_plans.py
@@ -109,7 +109,7 @@
     """Workers of a service that are ready and in no plan, sorted."""
     return [
         instance_id
-        for instance_id, row in sorted(registry.rows.items())
+        for instance_id, row in sorted(registry.registrations.items())
         if row.service == service and row.phase == READY and instance_id not in drains
     ]
 
--- a/bramblewood/controller/drain_progress.py
+++ b/bramblewood/controller/drain_progress.py
@@ -171,7 +171,7 @@
         self, now: float, value: TableValue, instance_id: str, drain: WorkerDrain, registry: WorkerRegistry
     ) -> str | None:
         """The step that a worker's drain can take now, if any."""
-        row = registry.rows.get(instance_id)
+        row = registry.registrations.get(instance_id)
         if drain.step != OUT_OF_SERVICE and (row is None or row.phase == GONE):
             return OUT_OF_SERVICE  # it ended early
         if drain.step not in (DRAIN_IN_PROGRESS, DRAINED) or self.unconfirmed_proxies(now, drain.version):
--- a/bramblewood/controller/placement/planner.py
+++ b/bramblewood/controller/placement/planner.py
@@ -80,7 +80,7 @@
         unusable = timed_out | out_of_use
         for name, service in services.items():
             registrations = {
-                instance_id: row for instance_id, row in registry.rows.items() if row.service == name
+                instance_id: row for instance_id, row in registry.registrations.items() if row.service == name
             }
             ready_count = sum(
                 row.phase == READY and instance_id not in unusable
@@ -130,7 +130,9 @@
         if now >= self._discovery_ends_at:
             return True
         # this controller has just started: a worker that it hasn't heard of may yet be there
-        return not any(entry[WORKER] and entry[WORKER] not in registry.rows for entry in entries.values())
+        return not any(
+            entry[WORKER] and entry[WORKER] not in registry.registrations for entry in entries.values()
+        )
 
     def _placement_of(
         self, service: str, keyed: bool, slice_count: int, latency_targets: Mapping[str, float]
@@ -161,11 +163,11 @@
         state = events.GONE if instance_id in timed_out else POLICY_STATES.get(row.phase, events.GONE)
         if state == events.READY and instance_id in out_of_use:
             state = events.DRAINING  # its slices move at once, and it serves what it has
-        longest_warm_up = max(longest_warm_up, row.cold)
+        longest_warm_up = max(longest_warm_up, row.warm_up_left)
         listed[instance_id] = ListedWorker(
             state,
             float(max(row.slots, 1)),
             row.zone,
-            warm_at.get(instance_id, 0.0) if row.cold else None,
+            warm_at.get(instance_id, 0.0) if row.warm_up_left else None,
         )
     return ServiceWorkers(listed, longest_warm_up)
--- a/bramblewood/controller/placement/replica_placement.py
+++ b/bramblewood/controller/placement/replica_placement.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Mapping
 
-from ...common.slice_table import PREVIOUS_OWNER, WORKER, readers_of, reading
+from ...common.slice_table import PREVIOUS_OWNER, WORKER, active_readers, all_readers
 from ..hot_keys import HotKeys
-from ..read_replicas import wanted as wanted_replica_count
+from ..read_replicas import reader_count as wanted_replica_count
 from ..table_changes import Entry
 from .worker_loads import WorkerLoads
 
@@ -16,7 +16,7 @@
     changes = {}
     usable = {worker.name for worker in worker_loads.usable_workers()}
     for start, entry in entries.items():
-        key, readers = int(start), reading(entry)
+        key, readers = int(start), active_readers(entry)
         kept = [
             instance_id for instance_id in readers if instance_id in usable and instance_id != entry[WORKER]
         ]
@@ -40,7 +40,7 @@
     candidates = [
         worker
         for worker in worker_loads.usable_workers()
-        if worker.name != entry[WORKER] and worker.name not in readers_of(entry)
+        if worker.name != entry[WORKER] and worker.name not in all_readers(entry)
     ]
     candidates.sort(key=lambda worker: (worker_loads.load_per_slot(worker), worker.name))
     return [worker.name for worker in candidates[: max(wanted_count - reader_count, 0)]]
--- a/bramblewood/controller/placement/slice_changes.py
+++ b/bramblewood/controller/placement/slice_changes.py
@@ -11,7 +11,6 @@
 from typing import Any, NamedTuple
 
 from ...common.slice_table import (
-    EMPTY,
     FENCING_TOKEN,
     HANDOVER,
     KEY_SPACE_SIZE,
@@ -19,8 +18,9 @@
     READERS,
     SECOND,
     SECOND_SHARE,
+    UNASSIGNED,
     WORKER,
-    reading,
+    active_readers,
     with_readers,
 )
 from ..table_changes import Entry, ProposedTable, TableValue, empty_table
@@ -74,7 +74,7 @@
 
 def initial_entries(count: int) -> dict[str, Entry]:
     """Entries of `count` equal slices that nobody serves yet, by first key."""
-    return {str(i * KEY_SPACE_SIZE // count): EMPTY for i in range(count)}
+    return {str(i * KEY_SPACE_SIZE // count): UNASSIGNED for i in range(count)}
 
 
 def reassigned(entry: Entry, assignment: Assignment, keyed: bool, version: int) -> Entry:
@@ -87,7 +87,7 @@
             new_entry[HANDOVER] = ""
         new_entry[FENCING_TOKEN] = version
     new_entry[WORKER], new_entry[SECOND], new_entry[SECOND_SHARE] = worker, second_worker, second_share
-    readers = [instance_id for instance_id in reading(new_entry) if instance_id != worker]
+    readers = [instance_id for instance_id in active_readers(new_entry) if instance_id != worker]
     return with_readers(new_entry, readers, version)
 
 
@@ -124,7 +124,7 @@
             any_change = True
     for first_key, readers in wanted.readers.items():
         entry = entries.get(str(first_key))
-        if entry is not None and reading(entry) != readers:
+        if entry is not None and active_readers(entry) != readers:
             entries[str(first_key)] = with_readers(entry, readers, version)
             any_change = True
     return any_change
--- a/bramblewood/controller/proxy_updates.py
+++ b/bramblewood/controller/proxy_updates.py
@@ -18,12 +18,12 @@
 
 class ProxyUpdates:
     def __init__(self) -> None:
-        self.n, self.table = 0, {}
+        self.version, self.table = 0, {}
         self.leaving: dict[str, str] = {}  # workers in a plan, with their steps, and those that are ill
         self.left_at = 0  # the version that changed that last
-        self.log: deque[tuple[int, int, dict[str, list[str]]]] = deque(maxlen=KEPT)
+        self.changes: deque[tuple[int, int, dict[str, list[str]]]] = deque(maxlen=KEPT)
 
-    def learned(self, value: dict) -> None:
+    def learn_table(self, value: dict) -> None:
         """A newer table; a jump over versions counts as one change."""
         changes = {}
         for service, entries in value["s"].items():
@@ -37,20 +37,20 @@
         leaving = {**dict.fromkeys(ejected_workers(value), DRAIN_IN_PROGRESS), **drain_steps_of(value)}
         if leaving != self.leaving:
             self.leaving, self.left_at = leaving, value["n"]
-        self.log.append((self.n, value["n"], changes))
-        self.n, self.table = value["n"], value["s"]
+        self.changes.append((self.version, value["n"], changes))
+        self.version, self.table = value["n"], value["s"]
 
-    def since(self, have: int) -> dict | None:
+    def message_since(self, have: int) -> dict | None:
         """The message that brings a desk from version `have` to the newest; None where it has that."""
-        if have >= self.n:
+        if have >= self.version:
             return None
-        late = [record for record in self.log if record[1] > have]
+        late = [record for record in self.changes if record[1] > have]
         if have <= 0 or not late or late[0][0] > have:
-            return {"k": "table", "n": self.n, "s": self.table, "w": self.leaving}
+            return {"k": "table", "n": self.version, "s": self.table, "w": self.leaving}
         starts: dict[str, set] = {}
         for _, _, changes in late:
             for service, some in changes.items():
                 starts.setdefault(service, set()).update(some)
         changed = {s: {start: self.table[s][start] for start in some} for s, some in starts.items()}
-        told = {"k": "table", "n": self.n, "base": have, "d": changed}
+        told = {"k": "table", "n": self.version, "base": have, "d": changed}
         return {**told, "w": self.leaving} if self.left_at > have else told
--- a/bramblewood/controller/read_replicas.py
+++ b/bramblewood/controller/read_replicas.py
@@ -18,87 +18,89 @@
     PREVIOUS_OWNER,
     READERS,
     WORKER,
-    readers_of,
-    reading,
+    active_readers,
+    all_readers,
     with_readers,
 )
 from ..common.timeouts import READ_LEASE_DURATION, READ_LEASE_EXPIRY, REPLICA_ANNOUNCEMENT_DELAY
 from ..common.worker_registry import READY, WorkerRegistry
 from ..policy.figures import LIMIT
-from .key_leases import AGAIN, RENEW_PART
+from .key_leases import RENEWAL_FRACTION, RETRY_DELAY
 
-MOST = 8  # readers of one record; each costs a call each third of a lease and one for each effect
+MAX_READERS = 8  # readers of one record; each costs a call each third of a lease and one for each effect
 
 
 # service, key, worker, the version that made it one, or less the version that made it none
 Reader = tuple[str, int, str, int]
 
 
-class Lease(NamedTuple):
+class ReplicaLease(NamedTuple):
     """One call to a reader."""
 
-    one: Reader
+    reader: Reader
     address: str
     fencing_token: int
-    holder: str  # its address, to fetch the record from
+    owner_address: str  # its address, to fetch the record from
 
 
-def wanted(rate: float, ability: float) -> int:
+def reader_count(rate: float, ability: float) -> int:
     """Readers of a record that is asked for at this rate, where one worker can do so much (requests a
     second).
     """
-    return min(max(math.ceil(rate / (LIMIT * ability)) - 1, 0), MOST) if ability > 0 else 0
+    return min(max(math.ceil(rate / (LIMIT * ability)) - 1, 0), MAX_READERS) if ability > 0 else 0
 
 
 class ReadReplicas:
     def __init__(self) -> None:
-        self.since: dict[Reader, float] = {}  # since when that is known here
-        self.sent: dict[Reader, float] = {}  # when its last lease was sent
-        self.out: set[Reader] = set()  # calls under way
+        self.known_since: dict[Reader, float] = {}  # since when that is known here
+        self.last_lease_at: dict[Reader, float] = {}  # when its last lease was sent
+        self.calls_in_flight: set[Reader] = set()  # calls under way
 
-    def learn(self, now: float, table: dict) -> None:
+    def learn_table(self, now: float, table: dict) -> None:
         """Called with each newer table, also at archives that send no leases now."""
         stands = {
             (service, int(start), instance_id, number)
             for service, entries in table["s"].items()
             for start, entry in entries.items()
-            for instance_id, number in readers_of(entry).items()
+            for instance_id, number in all_readers(entry).items()
         }
-        self.since = {one: self.since.get(one, now) for one in stands}
-        self.sent = {one: at for one, at in self.sent.items() if one in stands}
+        self.known_since = {reader: self.known_since.get(reader, now) for reader in stands}
+        self.last_lease_at = {reader: at for reader, at in self.last_lease_at.items() if reader in stands}
 
-    def step(self, now: float, table: dict, registry: WorkerRegistry) -> tuple[list[Lease], list[Reader]]:
+    def due_leases(
+        self, now: float, table: dict, registry: WorkerRegistry
+    ) -> tuple[list[ReplicaLease], list[Reader]]:
         """The leases that are due, and the former readers whose last lease has run out."""
         made, over = [], []
-        for one, since in self.since.items():
-            service, key, instance_id, number = one
-            entry, row = table["s"].get(service, {}).get(str(key)), registry.rows.get(instance_id)
+        for reader, since in self.known_since.items():
+            service, key, instance_id, number = reader
+            entry, row = table["s"].get(service, {}).get(str(key)), registry.registrations.get(instance_id)
             if entry is None or number < 0:
-                over += [one] * (entry is not None and now >= since + READ_LEASE_EXPIRY)
+                over += [reader] * (entry is not None and now >= since + READ_LEASE_EXPIRY)
                 continue
-            holder = registry.rows.get(entry[WORKER])
+            holder = registry.registrations.get(entry[WORKER])
             if (
                 row is None
                 or holder is None
                 or row.phase != READY
                 or entry[PREVIOUS_OWNER]
-                or one in self.out
+                or reader in self.calls_in_flight
             ):
                 continue
             if (
                 now < since + REPLICA_ANNOUNCEMENT_DELAY
-                or now < self.sent.get(one, -1e9) + READ_LEASE_DURATION * RENEW_PART
+                or now < self.last_lease_at.get(reader, -1e9) + READ_LEASE_DURATION * RENEWAL_FRACTION
             ):
                 continue
-            self.sent[one] = now
-            self.out.add(one)
-            made.append(Lease(one, row.address, entry[FENCING_TOKEN], holder.address))
+            self.last_lease_at[reader] = now
+            self.calls_in_flight.add(reader)
+            made.append(ReplicaLease(reader, row.address, entry[FENCING_TOKEN], holder.address))
         return made, over
 
-    def answered(self, now: float, lease: Lease, status: int) -> None:
-        self.out.discard(lease.one)
-        if status != 200 and lease.one in self.sent:
-            self.sent[lease.one] = now + AGAIN - READ_LEASE_DURATION * RENEW_PART
+    def lease_finished(self, now: float, lease: ReplicaLease, status: int) -> None:
+        self.calls_in_flight.discard(lease.reader)
+        if status != 200 and lease.reader in self.last_lease_at:
+            self.last_lease_at[lease.reader] = now + RETRY_DELAY - READ_LEASE_DURATION * RENEWAL_FRACTION
 
 
 def changed_readers(value: dict | None, service: str, key: int, change: Callable[[list, int], list]):
@@ -111,27 +113,31 @@
     return {**value, "n": value["n"] + 1, "s": {**value["s"], service: entries}}, True
 
 
-def taken_off(value: dict | None, service: str, key: int, instance_ids: set[str]) -> tuple[dict | None, bool]:
+def without_readers(
+    value: dict | None, service: str, key: int, instance_ids: set[str]
+) -> tuple[dict | None, bool]:
     """The table with these workers readers of a record no more."""
 
     def change(entry: list, number: int) -> list:
         return with_readers(
-            entry, [instance_id for instance_id in reading(entry) if instance_id not in instance_ids], number
+            entry,
+            [instance_id for instance_id in active_readers(entry) if instance_id not in instance_ids],
+            number,
         )
 
     return changed_readers(value, service, key, change)
 
 
-def forgotten(value: dict | None, over: list[Reader]) -> tuple[dict | None, bool]:
+def without_expired_readers(value: dict | None, over: list[Reader]) -> tuple[dict | None, bool]:
     """The table without former readers whose last lease has run out."""
     made = value
     for service, key, instance_id, number in over:
 
         def change(entry: list, _number: int, instance_id: str = instance_id, number: int = number) -> list:
             left = {
-                one: since
-                for one, since in readers_of(entry).items()
-                if (one, since) != (instance_id, number)
+                reader: since
+                for reader, since in all_readers(entry).items()
+                if (reader, since) != (instance_id, number)
             }
             return [*entry[:READERS], *([left] if left else [])]
 
--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -26,7 +26,7 @@
 from ..common.worker_registry import GONE, READY, WorkerRegistration, WorkerRegistry
 from . import placement
 from .commands import (
-    BEAT_MOST,
+    MAX_CALL_BYTES,
     Command,
     DeregisterWorker,
     EndDrainPlan,
@@ -35,12 +35,12 @@
     RegisterWorker,
     Rejection,
     StartDrainPlan,
+    apply_configuration,
     decode,
-    final_answer,
-    members_call,
-    most,
-    plan_call,
-    succeed,
+    decode_drain_plan_call,
+    decode_membership_call,
+    max_body_bytes,
+    settled_answer,
 )
 from .consensus.effects import Effects, PendingWrites, no_effects
 from .consensus.membership import Membership, may_shut_down
@@ -60,10 +60,10 @@
     workers_in_use,
 )
 from .drain_progress import DrainProgress
-from .key_leases import RENEW_PART, Call, KeyLeases, ReleasedKeys
+from .key_leases import RENEWAL_FRACTION, KeyLeases, LeaseCall, ReleasedKeys
 from .outlier_detection import OutlierDetection, ejections_of, with_ejections
 from .proxy_updates import ProxyUpdates
-from .read_replicas import Lease, ReadReplicas, forgotten, taken_off
+from .read_replicas import ReadReplicas, ReplicaLease, without_expired_readers, without_readers
 from .sessions import HEARTBEAT_INTERVAL, Sessions
 from .storage import Storage
 
@@ -95,7 +95,10 @@
         self.changing = False  # the set of voters, from here
         self.proxies: dict[str, PeerConnection] = {}
         self.key_leases, self.read_replicas = KeyLeases(told.bounds.HoldMaxS), ReadReplicas()
-        self.drain_plans, self.outlier_detection = DrainProgress(self.key_leases.expiry), OutlierDetection()
+        self.drain_plans, self.outlier_detection = (
+            DrainProgress(self.key_leases.expiry_wait),
+            OutlierDetection(),
+        )
         self.deregistrations = Deregistrations(self.me)
         self.confirms: dict[int, asyncio.Future] = {}  # by round of leaves
         self.configurations: tuple[int, Any] = (0, None)
@@ -283,7 +286,7 @@
         self.learned()
         if now >= self.turn_at:
             self.turn_at = now + TURN
-            self.registry.forget(now)
+            self.registry.remove_expired(now)
             self.drain_plans.record_connected_proxies(now, self.sessions.all_proxies(now, list(self.proxies)))
         self.steer(now)
 
@@ -344,7 +347,7 @@
                 }
             told |= self.sessions.news(peer, about)
             if int(now / HEARTBEAT_INTERVAL) % 4 == 0:
-                told["heard"] = self.registry.ages(now, 2.0)
+                told["heard"] = self.registry.seconds_since_heard(now, 2.0)
             self.peer_connections.send(peer, told)
 
     def pulse_desks(self, now: float) -> None:
@@ -375,7 +378,7 @@
     def push(self, link: PeerConnection, register: str) -> None:
         """Send a desk what it lacks of a register, as far as was sent to it before."""
         if register == TABLE:
-            if message := self.proxy_updates.since(link.sent.get(TABLE, 0)):
+            if message := self.proxy_updates.message_since(link.sent.get(TABLE, 0)):
                 link.sent[TABLE] = message["n"]
                 link.send(message)
             return
@@ -385,7 +388,7 @@
             link.send({"k": "config", "n": value["n"], "config": value["config"]})
 
     def silent(self, now: float) -> set[str]:
-        return self.registry.silent(now, BEATS_MISSED * self.settings.beat)
+        return self.registry.timed_out(now, BEATS_MISSED * self.settings.beat)
 
     def learned(self) -> None:
         """Show what is newly chosen to the desks."""
@@ -404,9 +407,9 @@
                     version=version,
                 )
             if register == TABLE:
-                if version > self.proxy_updates.n:
-                    self.proxy_updates.learned(self.consensus.value(TABLE))
-                    self.read_replicas.learn(self.loop.time(), self.consensus.value(TABLE))
+                if version > self.proxy_updates.version:
+                    self.proxy_updates.learn_table(self.consensus.value(TABLE))
+                    self.read_replicas.learn_table(self.loop.time(), self.consensus.value(TABLE))
                     self.outlier_detection.record_table(self.loop.time(), self.consensus.value(TABLE))
                 self.loop.call_later(GRANT_FIRST, self.show, register, version)
             else:
@@ -437,24 +440,24 @@
             self.log.info("scribe" if coordinator else "not scribe", step="steer")
             if coordinator:
                 self.placement.reset()  # others have moved things since
-                self.key_leases.out.clear()
+                self.key_leases.calls_in_flight.clear()
         if not coordinator:
             return
         table = self.consensus.value(TABLE)
         services = self.configurations[1].services
         keyed = {name for name, service in services.items() if service.keyed}
         if table is not None:
-            calls, free = self.key_leases.step(now, table, keyed, self.registry)
+            calls, free = self.key_leases.next_calls(now, table, keyed, self.registry)
             until = self.word(now)
             for call in calls:
                 asyncio.ensure_future(self.call(call, until))
             for one in free:
                 self.free(one)
-            leases, over = self.read_replicas.step(now, table, self.registry)
+            leases, over = self.read_replicas.due_leases(now, table, self.registry)
             for lease in leases:
                 asyncio.ensure_future(self.lease(lease, until))
             if over and not self.proposing:
-                self.move(lambda value: forgotten(value, over))
+                self.move(lambda value: without_expired_readers(value, over))
             if worker_drains_of(table) and not self.proposing:
                 self.withdraw(now, table)
         if table is not None and now >= self.health_at:
@@ -478,7 +481,7 @@
     def judge(self, now: float, table: dict) -> None:
         """Take workers out that look ill to the desks, and back after a while."""
         leaving, in_service = self.silent(now) | drain_steps_of(table).keys(), {}
-        for instance_id, row in self.registry.rows.items():
+        for instance_id, row in self.registry.registrations.items():
             if row.phase == READY and instance_id not in leaving:
                 in_service.setdefault(row.service, []).append(instance_id)
         told = self.outlier_detection.plan_ejections(
@@ -512,7 +515,12 @@
                 made, changed = value, False
                 for each in some:
                     after, found = placement.clear_previous_owner(
-                        made, each.service, each.starts, each.fencing_token, each.old, each.handover
+                        made,
+                        each.service,
+                        each.starts,
+                        each.fencing_token,
+                        each.previous_owner,
+                        each.handover,
                     )
                     made, changed = (after, True) if found else (made, changed)
                 return ({**made, "n": value["n"] + 1}, True) if changed else (None, False)
@@ -530,15 +538,15 @@
     def refreshed(self, outcome: Any) -> None:
         self.learned()
 
-    async def call(self, call: Call, until: float) -> None:
+    async def call(self, call: LeaseCall, until: float) -> None:
         """One grant or release at a worker. A grant leaves on a fresh word, or not at all."""
         sent, status, handover = self.loop.time(), 0, ""
-        body = {"Source": call.first, "TargetVersion": call.last, "fence": call.fencing_token}
+        body = {"Source": call.first_key, "TargetVersion": call.last_key, "fence": call.fencing_token}
         if call.kind == "grant":
-            body["HoldS"] = call.hold
+            body["HoldS"] = call.duration
             if call.handover:
                 body["Handover"] = call.handover
-        within = ASK if call.kind == "grant" else self.key_leases.expiry
+        within = ASK if call.kind == "grant" else self.key_leases.expiry_wait
         until = until if call.kind == "grant" else sent + within
         try:
             async with asyncio.timeout(within):
@@ -550,9 +558,9 @@
         self.counts[f"archive_{call.kind}s"] += 1
         self.counts["archive_calls_failed"] += status != 200
         now = self.loop.time()
-        row = self.registry.rows.get(call.instance_id)
+        row = self.registry.registrations.get(call.instance_id)
         self.refused[call.instance_id] = self.refused.get(call.instance_id, 0) + 1 if status == -1 else 0
-        unheard = now - self.registry.heard.get(call.instance_id, 0.0)
+        unheard = now - self.registry.last_heard.get(call.instance_id, 0.0)
         ended = (
             row is None
             or row.phase == GONE
@@ -565,15 +573,15 @@
                 step=call.kind,
                 peer=call.instance_id,
                 status=status,
-                keys=(call.first, call.last),
+                keys=(call.first_key, call.last_key),
                 fencing_token=call.fencing_token,
             )
-        elif call.kind == "release" or self.key_leases.new(call):
+        elif call.kind == "release" or self.key_leases.is_first_grant(call):
             self.log.info(
                 "keys passed",
                 step=call.kind,
                 peer=call.instance_id,
-                keys=(call.first, call.last),
+                keys=(call.first_key, call.last_key),
                 fencing_token=call.fencing_token,
             )
         if status == 409:
@@ -585,7 +593,7 @@
                 self.refreshed,
                 1.0,
             )
-        free = self.key_leases.answered(now, call, sent, status, handover, ended)
+        free = self.key_leases.call_finished(now, call, sent, status, handover, ended)
         if free is not None:
             self.free(free)
         elif status == -1 and ended and row is not None and row.phase != GONE:
@@ -618,23 +626,23 @@
             return await self.ask(kind, address, instance_id, body, until, True)
         return answer.status, answer.headers.get("X-Handover", "")
 
-    async def lease(self, lease: Lease, until: float) -> None:
+    async def lease(self, lease: ReplicaLease, until: float) -> None:
         """One lease of a read copy; on a fresh word, or not at all."""
-        status, (_, key, instance_id, _) = 0, lease.one
+        status, (_, key, instance_id, _) = 0, lease.reader
         body = {
             "Source": key,
             "TargetVersion": key,
             "fence": lease.fencing_token,
             "HoldS": READ_LEASE_DURATION,
-            "Copy": lease.holder,
+            "Copy": lease.owner_address,
         }
         try:
-            async with asyncio.timeout(READ_LEASE_DURATION * RENEW_PART):
+            async with asyncio.timeout(READ_LEASE_DURATION * RENEWAL_FRACTION):
                 status, _ = await self.ask("grant", lease.address, instance_id, body, until)
         except (OSError, TimeoutError, aiohttp.ClientError):
             pass
         self.counts["archive_leases"] += 1
-        self.read_replicas.answered(self.loop.time(), lease, status)
+        self.read_replicas.lease_finished(self.loop.time(), lease, status)
 
     # --- ballots
 
@@ -716,7 +724,7 @@
             "role": "archive",
             "from": self.me,
             "rows": self.rows(),
-            "ages": self.registry.ages(self.loop.time(), math.inf),
+            "ages": self.registry.seconds_since_heard(self.loop.time(), math.inf),
         }
 
     def reread_seeds(self) -> None:
@@ -739,7 +747,7 @@
         self.proxies[link.peer] = link
         self.drain_plans.forget_report(link.peer)
         self.take_rows(message.get("rows", {}))  # what all archives forgot in a restart, desks have kept
-        link.send({"k": "roll", "rows": self.registry.leaving()})
+        link.send({"k": "roll", "rows": self.registry.departing_registrations()})
         self.pulse_desks(self.loop.time())
 
     def left(self, link: PeerConnection) -> None:
@@ -763,7 +771,7 @@
             self.sessions.pulse(now, link.peer, message)
             if message["e"] < 0:  # it has no stamp of ours yet: at a start nobody waits for the next turn
                 self.pulse(now, link.peer)
-            self.registry.listen(now, message.get("heard", {}))
+            self.registry.record_last_heard(now, message.get("heard", {}))
             out = no_effects()
             if "members" in message:
                 self.consensus.adopt_voter_set(now, message["members"], out)
@@ -820,7 +828,7 @@
                 link.send({"k": "offed", "id": message["id"], "n": self.consensus.version(TABLE)})
 
         self.log.info("readers taken off", step="copies", peer=sorted(instance_ids), keys=(key, key))
-        self.propose(TABLE, lambda value: taken_off(value, service, key, instance_ids), told, 1.0)
+        self.propose(TABLE, lambda value: without_readers(value, service, key, instance_ids), told, 1.0)
 
     def wanted(self, link: PeerConnection, register: str, have: int) -> None:
         link.sent[register] = have
@@ -832,12 +840,14 @@
             self.drain_plans.record_report(link.peer, message["n"], message.get("left", {}))
         met: dict[str, list] = {service: [] for service in {**message["heat"], **by_key}}
         for instance_id, (tries, unanswered, mean_time, load, *bad) in message["met"].items():
-            row = self.registry.rows.get(instance_id)
+            row = self.registry.registrations.get(instance_id)
             if row is None:
                 continue
             self.outlier_detection.record_attempts(link.peer, instance_id, tries, sum(bad))
             if tries > unanswered:
-                self.registry.heard[instance_id] = max(self.registry.heard.get(instance_id, 0.0), now - over)
+                self.registry.last_heard[instance_id] = max(
+                    self.registry.last_heard.get(instance_id, 0.0), now - over
+                )
             met.setdefault(row.service, []).append(
                 placement.worker_report(instance_id, tries, unanswered, mean_time, over, load)
             )
@@ -851,7 +861,7 @@
 
         News of a leave goes on to the other archives, as its sender may reach but some of them.
         """
-        news, newer = self.registry.take(self.loop.time(), rows, ages)
+        news, newer = self.registry.record_all(self.loop.time(), rows, ages)
         if news:
             self.tell_desks(news)
         if leaving := {
@@ -878,8 +888,8 @@
 
     def note(self, instance_id: str, row: WorkerRegistration, number: int | None = None) -> None:
         """Take a row; where it is news, tell all desks and archives. With a number all archives answer."""
-        news = self.registry.merge(self.loop.time(), instance_id, row)
-        rows = {instance_id: [*self.registry.rows[instance_id]]}
+        news = self.registry.record(self.loop.time(), instance_id, row)
+        rows = {instance_id: [*self.registry.registrations[instance_id]]}
         if news or number is not None:
             self.share(rows, number)
         if not news:
@@ -898,7 +908,7 @@
 
     def rows(self) -> dict[str, list]:
         """The whole roll as it travels."""
-        return {instance_id: [*row] for instance_id, row in self.registry.rows.items()}
+        return {instance_id: [*row] for instance_id, row in self.registry.registrations.items()}
 
     # --- callers of control
 
@@ -908,15 +918,15 @@
         method, path = request.method, request.raw_path
         if request.transport.get_extra_info("sockname")[1] == self.settings.inner:
             if method == "POST" and path in ("/plan", "/members"):
-                body = (await request.content.read())[:BEAT_MOST]
+                body = (await request.content.read())[:MAX_CALL_BYTES]
                 if path == "/plan":
-                    return await self.planned(plan_call(body))
-                return await self.seated(members_call(body))
+                    return await self.planned(decode_drain_plan_call(body))
+                return await self.seated(decode_membership_call(body))
             view = self.view(path)  # what this archive knows, rounds or not
             view.headers["X-Local-View"] = f"{self.me}; whole={int(self.whole(self.loop.time()))}"
             return view
         body = b""
-        bound = most(method, path)
+        bound = max_body_bytes(method, path)
         async for chunk in request.content.iter_chunked(2**16):
             body += chunk
             if len(body) > bound:
@@ -934,16 +944,20 @@
         """A worker's or the operator's call: taken, served or refused for good by a majority only."""
         match command:
             case RegisterWorker(instance_id, row) as call:
-                return await self.registered(instance_id, row, call.leaving)
+                return await self.registered(instance_id, row, call.is_leaving)
             case DeregisterWorker(instance_id):
-                row = self.registry.rows.get(instance_id) or WorkerRegistration(
+                row = self.registry.registrations.get(instance_id) or WorkerRegistration(
                     "", "", "", 1, GONE, 0
                 )  # others may know it
-                return await self.registered(instance_id, row._replace(phase=GONE, seq=row.seq + 1), True)
+                return await self.registered(
+                    instance_id, row._replace(phase=GONE, call_sequence=row.call_sequence + 1), True
+                )
             case PutConfiguration(configuration):
                 heard = self.contact(self.loop.time())
-                told = final_answer(configuration, self.consensus.value(CONFIG)) if heard else None
-                told = told or await self.agreed(CONFIG, lambda stands: succeed(configuration, stands))
+                told = settled_answer(configuration, self.consensus.value(CONFIG)) if heard else None
+                told = told or await self.agreed(
+                    CONFIG, lambda stands: apply_configuration(configuration, stands)
+                )
                 self.log.info(
                     "configuration",
                     step="put",
@@ -976,7 +990,7 @@
 
         if isinstance(command, EndDrainPlan):
             told = await self.agreed(TABLE, lambda value: end_plan(value, command.name, command.state))
-        elif command.only_tell:
+        elif command.dry_run:
             read = lambda value: (None, (self.chosen(command, value), start(value)[1]))  # noqa: E731
             if (told := await self.agreed(TABLE, read)) is not None:
                 instance_ids, (status, reason) = told
@@ -1002,12 +1016,12 @@
         instance_ids = [
             instance_id
             for instance_id in instance_ids
-            if command.zone in ("", self.registry.rows[instance_id].zone)
+            if command.zone in ("", self.registry.registrations[instance_id].zone)
         ]
         instance_ids = [
             instance_id
             for instance_id in instance_ids
-            if command.revision in ("", self.registry.rows[instance_id].revision)
+            if command.revision in ("", self.registry.registrations[instance_id].revision)
         ]
         return instance_ids[: command.count or len(instance_ids)]
 
@@ -1065,11 +1079,11 @@
             return web.json_response(
                 {
                     instance_id: {
-                        **row._asdict(),
-                        "heard": round(now - self.registry.heard.get(instance_id, 0.0), 2),
+                        **row.to_view(),
+                        "heard": round(now - self.registry.last_heard.get(instance_id, 0.0), 2),
                         "silent": instance_id in silent,
                     }
-                    for instance_id, row in self.registry.rows.items()
+                    for instance_id, row in self.registry.registrations.items()
                 }
             )
         if path == "/view/members":
@@ -1087,7 +1101,7 @@
                         "from": start,
                         "life": instance_id,
                         "fence": fencing_token,
-                        "until": round(at + self.key_leases.hold - now, 2),
+                        "until": round(at + self.key_leases.lease_duration - now, 2),
                     }
                     for (service, start), (instance_id, fencing_token, at) in sorted(
                         self.key_leases.granted.items()
@@ -1122,7 +1136,7 @@
                         "archive_votes": int(consensus.is_active_voter),
                         "archive_scribe": int(self.was_coordinator),
                         "archive_desks": len(self.proxies),
-                        "archive_workers": len(self.registry.rows),
+                        "archive_workers": len(self.registry.registrations),
                         "archive_silent_workers": len(self.silent(now)),
                         "archive_config_version": consensus.version(CONFIG),
                         "archive_table_version": consensus.version(TABLE),
--- a/bramblewood/controller/storage.py
+++ b/bramblewood/controller/storage.py
@@ -27,8 +27,8 @@
 from .row_encoding import GONE, PUT, span, steps, text, value_of
 from .value_diff import SET, difference
 
-NAME = "shelf.db"
-FORM = 2  # the form of the tables; a later one is not opened
+DATABASE_FILE = "shelf.db"
+SCHEMA_VERSION = 2  # the form of the tables; a later one is not opened
 FORM_1 = 1  # a register was one row with its whole value; ballots had no epoch
 # bytes that the log keeps once its frames are in the base, which is after 1,000 pages of 4 KiB (sqlite's own
 # wal_autocheckpoint): without it a large transaction's log stays as large for good
@@ -68,7 +68,7 @@
     return (1 if proposal_number[0] else 0, *proposal_number)
 
 
-def read(base: Any) -> dict:
+def read_database(base: Any) -> dict:
     """What lies there, in whichever form up to FORM: {"facts": {name: value}, "registers": {name: (promised,
     accepted, value)}}. Raises ValueError where rows don't fit together.
     """
@@ -92,12 +92,12 @@
     def __init__(self, folder: str, connect: Callable[[str], Any] | None = None) -> None:
         """connect(path) opens the base, sqlite3's own way unless a test gives another."""
         self.connect = connect or opened
-        self.path = os.path.join(folder, NAME)
-        self.inbox: queue.SimpleQueue = queue.SimpleQueue()
-        self.thread = threading.Thread(target=self._work, daemon=True, name="shelf")
-        self.base: sqlite3.Connection | None = None
-        self.tell: Callable = print
-        self.stored: dict[str, Any] = {}  # each register's value as the newest safe commit left it
+        self.path = os.path.join(folder, DATABASE_FILE)
+        self.write_queue: queue.SimpleQueue = queue.SimpleQueue()
+        self.writer_thread = threading.Thread(target=self.run_writer, daemon=True, name="shelf")
+        self.database: sqlite3.Connection | None = None
+        self.notify: Callable = print
+        self.stored_values: dict[str, Any] = {}  # each register's value as the newest safe commit left it
 
     def open(self) -> Result[dict, str]:
         """What lies there: {"facts": ..., "registers": {name: (promised, accepted, value)}}."""
@@ -106,23 +106,23 @@
             base.execute("pragma locking_mode=exclusive")
             base.execute("pragma synchronous=extra")  # before the log: see above
             form = base.execute("pragma user_version").fetchone()[0]
-            if form > FORM:
-                return Err(f"{self.path}: form {form}, and this program knows {FORM}")
+            if form > SCHEMA_VERSION:
+                return Err(f"{self.path}: form {form}, and this program knows {SCHEMA_VERSION}")
             base.execute(f"pragma journal_size_limit={LOG_KEPT}")
             base.execute(GIVE_BACK)  # takes hold in a base that is made here
             if base.execute("pragma journal_mode=wal").fetchone()[0] != "wal":
                 return Err(f"{self.path}: no write-ahead log can be kept here")
-            found = read(base)
-            if form < FORM:
-                self.turn(base, form, found["registers"])
-            self.give_back(base)
+            found = read_database(base)
+            if form < SCHEMA_VERSION:
+                self.upgrade(base, form, found["registers"])
+            self.enable_auto_vacuum(base)
         except (sqlite3.Error, OSError, ValueError) as problem:
             return Err(f"{self.path}: {problem}")
-        self.base = base
-        self.stored = {name: value for name, (_, _, value) in found["registers"].items()}
+        self.database = base
+        self.stored_values = {name: value for name, (_, _, value) in found["registers"].items()}
         return Ok(found)
 
-    def give_back(self, base: Any) -> None:
+    def enable_auto_vacuum(self, base: Any) -> None:
         """Have a base of an older form, too, give back its free pages; one that can't now does at a later
         start.
         """
@@ -132,44 +132,44 @@
                 base.execute(GIVE_BACK)
                 base.execute("vacuum")
 
-    def turn(self, base: Any, form: int, registers: dict[str, tuple]) -> None:
+    def upgrade(self, base: Any, form: int, registers: dict[str, tuple]) -> None:
         """Make the newest form of an empty base or an older form, in one transaction."""
         base.execute("begin immediate")
         if form == FORM_1:
             base.execute("drop table registers")
         for table in TABLES:
             base.execute(table)
-        self.put(base, registers, {})
-        base.execute(f"pragma user_version={FORM}")
+        self.write_rows(base, registers, {})
+        base.execute(f"pragma user_version={SCHEMA_VERSION}")
         base.execute("commit")
 
     def start(self, tell: Callable[[Callable, Any], None]) -> None:
         """Begin writing; tell(call, problem or None) is called in the writer's thread after each write."""
-        self.tell = tell
-        self.thread.start()
+        self.notify = tell
+        self.writer_thread.start()
 
     def write(self, registers: list, facts: dict, done: Callable[[Any], None]) -> None:
         """Queue one transaction; done(None) is told once it is safe on disk, done(problem) if it is not.
 
         A fact whose value is None is removed. Values must not be changed in place, then or later.
         """
-        self.inbox.put((registers, facts, done))
+        self.write_queue.put((registers, facts, done))
 
     def close(self) -> None:
-        self.inbox.put(None)
+        self.write_queue.put(None)
 
-    def _work(self) -> None:
+    def run_writer(self) -> None:
         while True:
-            batch = [self.inbox.get()]
-            while not self.inbox.empty():
-                batch.append(self.inbox.get())
+            batch = [self.write_queue.get()]
+            while not self.write_queue.empty():
+                batch.append(self.write_queue.get())
             leaving = None in batch
             batch = [item for item in batch if item is not None]
             problem = self.commit(batch) if batch else None
             for _, _, done in batch:
-                self.tell(done, problem)
+                self.notify(done, problem)
             if leaving:
-                self.base.close()
+                self.database.close()
                 return
 
     def commit(self, batch: list) -> str | None:
@@ -182,18 +182,18 @@
             )
             facts.update(some)
         try:
-            self.base.execute("begin immediate")
-            self.put(self.base, latest, facts)
-            self.base.execute("commit")
+            self.database.execute("begin immediate")
+            self.write_rows(self.database, latest, facts)
+            self.database.execute("commit")
         except Exception as problem:  # the disk's, or a value's that can't be written: the thread goes on
             with contextlib.suppress(sqlite3.Error):  # the next transaction tells whether the disk is back
-                if self.base.in_transaction:
-                    self.base.execute("rollback")
+                if self.database.in_transaction:
+                    self.database.execute("rollback")
             return f"{type(problem).__name__}: {problem}"
-        self.stored.update({name: value for name, (_, _, value) in latest.items()})
+        self.stored_values.update({name: value for name, (_, _, value) in latest.items()})
         return None
 
-    def put(self, base: Any, registers: dict[str, tuple], facts: dict[str, Any]) -> None:
+    def write_rows(self, base: Any, registers: dict[str, tuple], facts: dict[str, Any]) -> None:
         """Within a transaction: the rows in which this differs from what is stored."""
         for name, (promised, accepted, value) in registers.items():
             base.execute(
@@ -201,7 +201,9 @@
                 " set promised = excluded.promised, accepted = excluded.accepted",
                 (name, text(promised), text(accepted)),
             )
-            change = difference(self.stored[name], value) if name in self.stored else {SET: value}
+            change = (
+                difference(self.stored_values[name], value) if name in self.stored_values else {SET: value}
+            )
             for kind, path, part in steps(change, value):
                 if kind == PUT:
                     base.execute(
--- a/bramblewood/proxy/load_balancing.py
+++ b/bramblewood/proxy/load_balancing.py
@@ -20,9 +20,9 @@
     SECOND,
     SECOND_SHARE,
     WORKER,
-    readers_of,
-    reading,
-    starts_of,
+    active_readers,
+    all_readers,
+    sorted_starts,
 )
 from ..common.worker_registry import DRAINING, GONE, READY, WorkerRegistry
 from .hot_key_queue import PRESSED, TURNED, HotKeyQueue
@@ -100,7 +100,7 @@
         leaving = message.get("w", self.leaving)
         if "s" in message:
             self.table = message["s"]
-            self.starts = {service: starts_of(entries) for service, entries in self.table.items()}
+            self.starts = {service: sorted_starts(entries) for service, entries in self.table.items()}
         elif message["base"] > self.table_n:
             return False
         else:
@@ -109,7 +109,7 @@
                 split = changes.keys() - entries.keys()
                 entries.update(changes)
                 if split:
-                    self.starts[service] = starts_of(entries)
+                    self.starts[service] = sorted_starts(entries)
         self.table_n, self.leaving = message["n"], leaving
         return True
 
@@ -128,12 +128,16 @@
     def readers(self, service: str, key: int) -> set[str]:
         """Who may hold read copies of a record, by this desk's table."""
         entry = self.entry(service, key)
-        return set(readers_of(entry)) if entry else set()
+        return set(all_readers(entry)) if entry else set()
 
     def moving(self, service: str, key: int) -> bool:
         """Whether a key is being released by a worker that can be expected to answer."""
         entry = self.entry(service, key)
-        row = self.registry.rows.get(entry[PREVIOUS_OWNER]) if entry and entry[PREVIOUS_OWNER] else None
+        row = (
+            self.registry.registrations.get(entry[PREVIOUS_OWNER])
+            if entry and entry[PREVIOUS_OWNER]
+            else None
+        )
         return row is not None and row.phase != GONE and entry[PREVIOUS_OWNER] not in self.silent
 
     @staticmethod
@@ -157,8 +161,8 @@
         """The slices of a service whose workers stand in this zone and are open."""
         instance_ids = {
             instance_id
-            for instance_id in self.registry.serving(service)
-            if self.registry.rows[instance_id].zone == self.zone
+            for instance_id in self.registry.ready_instances(service)
+            if self.registry.registrations[instance_id].zone == self.zone
         }
         instance_ids = {instance_id for instance_id in instance_ids if self.open(now, instance_id)}
         return [
@@ -169,7 +173,7 @@
 
     def open(self, now: float, instance_id: str) -> bool:
         """May get new requests: ready as far as known, and not resting here."""
-        row = self.registry.rows.get(instance_id)
+        row = self.registry.registrations.get(instance_id)
         return (
             row is not None
             and row.phase == READY
@@ -180,13 +184,13 @@
 
     def pressure(self, now: float, instance_id: str) -> float:
         """Requests per slot that it has, as far as this desk can tell."""
-        seen, row = self.of(instance_id), self.registry.rows[instance_id]
+        seen, row = self.of(instance_id), self.registry.registrations[instance_id]
         running, waiting, _ = seen.load if now - seen.load_at <= LOAD_AGE else (0, 0, 0)
         return (max(running + waiting, seen.flight)) / row.slots
 
     def full(self, now: float, instance_id: str) -> bool:
         """Whether a worker would likely turn a request away: by its word of a moment ago, or since it did."""
-        seen, row = self.of(instance_id), self.registry.rows[instance_id]
+        seen, row = self.of(instance_id), self.registry.registrations[instance_id]
         if now < seen.full_until:
             return True
         running, waiting, _ = seen.load if now - seen.load_at <= FRESH else (0, 0, 0)
@@ -206,19 +210,21 @@
         if entry is None:
             return None if key is not None else self.any(now, service, tried)
         if key is not None:
-            if lookup and (readers := [r for r in reading(entry) if r not in tried and self.open(now, r)]):
+            if lookup and (
+                readers := [r for r in active_readers(entry) if r not in tried and self.open(now, r)]
+            ):
                 place = self.hashed(request) % (len(readers) + 1)  # the holder has its part too
                 if place < len(readers):
                     return readers[place]
             instance_id = entry[WORKER]
             if not instance_id or entry[PREVIOUS_OWNER]:
                 return None
-            row = self.registry.rows.get(instance_id)
+            row = self.registry.registrations.get(instance_id)
             if row is None or row.phase == GONE or self.of(instance_id).rests_until > now:
                 return None
             if (
                 row.phase == DRAINING
-                and now - self.registry.since.get(instance_id, 0.0) > self.drain * DRAIN_PART
+                and now - self.registry.changed_at.get(instance_id, 0.0) > self.drain * DRAIN_PART
             ):
                 return None
             return instance_id
@@ -252,12 +258,12 @@
 
     def pinned(self, now: float, service: str, key: str) -> str | None:
         instance_id, until = self.pins.get((service, key), ("", 0.0))
-        row = self.registry.rows.get(instance_id)
+        row = self.registry.registrations.get(instance_id)
         if row is None or now >= until or row.phase == GONE or instance_id in self.silent:
             return None
         drains = (
             row.phase == DRAINING
-            and now - self.registry.since.get(instance_id, 0.0) > self.drain * DRAIN_PART
+            and now - self.registry.changed_at.get(instance_id, 0.0) > self.drain * DRAIN_PART
         )
         return None if drains or self.of(instance_id).rests_until > now else instance_id
 
@@ -281,7 +287,7 @@
         """The least pressed worker of a service that is open and was not tried."""
         able = [
             instance_id
-            for instance_id in self.registry.serving(service)
+            for instance_id in self.registry.ready_instances(service)
             if instance_id not in tried and self.open(now, instance_id)
         ]
         return min(
@@ -372,5 +378,5 @@
         self.seen = {
             instance_id: seen
             for instance_id, seen in self.seen.items()
-            if instance_id in self.registry.rows or seen.flight
+            if instance_id in self.registry.registrations or seen.flight
         }
--- a/bramblewood/proxy/server.py
+++ b/bramblewood/proxy/server.py
@@ -115,7 +115,7 @@
                 lonely_at = now + SEED_REREAD_INTERVAL
             if now >= tidy_at:
                 tidy_at = now + TIDY
-                rows = self.load_balancer.registry.rows.items()
+                rows = self.load_balancer.registry.registrations.items()
                 self.connection_pool.tidy(
                     now,
                     {
@@ -124,7 +124,7 @@
                         if row.phase != GONE
                     },
                 )
-                self.load_balancer.registry.forget(now)
+                self.load_balancer.registry.remove_expired(now)
                 self.load_balancer.forget()
         return await self.end(loop.time())
 
@@ -189,7 +189,7 @@
 
     def hello(self, peer: str) -> dict:
         """The first words to an archive: also who leaves, as a restart of all archives forgets it."""
-        leaving = self.load_balancer.registry.leaving(self.loop.time() - LEFT_OF_LATE)
+        leaving = self.load_balancer.registry.departing_registrations(self.loop.time() - LEFT_OF_LATE)
         return {"k": "hello", "role": "desk", "from": self.settings.name, "rows": leaving}
 
     def link_told(self, peer: str, up: bool) -> None:
@@ -212,7 +212,7 @@
         elif kind == "roll":
             for instance_id, row in message["rows"].items():
                 if (
-                    self.load_balancer.registry.merge(now, instance_id, WorkerRegistration(*row))
+                    self.load_balancer.registry.record(now, instance_id, WorkerRegistration(*row))
                     and row[4] == GONE
                 ):
                     self.connection_pool.drop(instance_id)
@@ -420,7 +420,7 @@
             load_balancer.pin(seen.since, attempts.service, attempts.pin, instance_id, attempts.route.timeout)
         began, answer = loop.time(), None
         try:
-            address = load_balancer.registry.rows[instance_id].address
+            address = load_balancer.registry.registrations[instance_id].address
             line, how = await self.connection_pool.lend(instance_id, address, began, effect, attempts.carried)
             if line is not None:
                 now = loop.time()
@@ -512,7 +512,7 @@
 
     async def drop(self, instance_id: str, key: int, fencing_token: int) -> bool:
         """Have a reader drop its copy of a record."""
-        row = self.load_balancer.registry.rows.get(instance_id)
+        row = self.load_balancer.registry.registrations.get(instance_id)
         if row is None or row.phase == GONE:
             return True
         body = json.dumps({"Source": key, "TargetVersion": key, "fence": fencing_token}).encode()
--- a/features/steps/calls.py
+++ b/features/steps/calls.py
@@ -3,7 +3,7 @@
 
 from behave import given, then, when
 
-from bramblewood.controller.commands import PutConfiguration, Rejection, decode, succeed
+from bramblewood.controller.commands import PutConfiguration, Rejection, apply_configuration, decode
 from bramblewood.controller.server import answer
 from tests.approved import approve
 from tests.simulation.proxy import CONFIG
@@ -22,7 +22,7 @@
         refusal: Rejection = command.err_value
         return f"{refusal.status} {refusal.reason}" + f" (Allow: {refusal.allow})" * bool(refusal.allow)
     if isinstance(command.ok_value, PutConfiguration):
-        after, (status, reason) = succeed(command.ok_value.configuration, context.stands)
+        after, (status, reason) = apply_configuration(command.ok_value.configuration, context.stands)
         context.stands = after or context.stands
         return f"{status} {reason}".strip()
     return f"is {command.ok_value}"
--- a/features/steps/commands.py
+++ b/features/steps/commands.py
@@ -225,7 +225,7 @@
     storage.open().unwrap()
     value = {"n": 1, "config": configuration("r1", ROUTES, [["s", True]]), "past": {"1": "0"}}
     assert storage.commit([([("config", (1, "a", 1), (1, "a", 1), value)], {"disk": "5e21"}, None)]) is None
-    storage.base.close()
+    storage.database.close()
 
 
 @then("storage check, show and export answer alike under their earlier name")
--- a/features/steps/contact.py
+++ b/features/steps/contact.py
@@ -30,13 +30,13 @@
 
 
 def no_forwarding(self, rows, sender="", ages=None):
-    news, newer = self.registry.take(self.loop.time(), rows, ages)
+    news, newer = self.registry.record_all(self.loop.time(), rows, ages)
     self.tell_desks(news)
     return newer
 
 
 async def no_row(self, command):
-    if isinstance(command, DeregisterWorker) and command.instance_id not in self.registry.rows:
+    if isinstance(command, DeregisterWorker) and command.instance_id not in self.registry.registrations:
         return server.answer(200 if self.contact(self.loop.time()) else 503)
     return await obey(self, command)
 
@@ -63,7 +63,11 @@
     "the word of the majority": (Controller, "whole", lambda self, now: True),
     "leaves going on between archives": (Controller, "take_rows", no_forwarding),
     "the row of a leave that nobody knew": (Controller, "obey", no_row),
-    "desks that tell of leaves again": (WorkerRegistry, "leaving", lambda self, since=0.0: {}),
+    "desks that tell of leaves again": (
+        WorkerRegistry,
+        "departing_registrations",
+        lambda self, since=0.0: {},
+    ),
     "the look at the clock after a round": (Controller, "agreed", no_clock),
     "the look at the word as a grant leaves": (Controller, "call", lambda self, one, _: call(self, one, 1e9)),
     "the look at what oneself has accepted": (Sessions, "word_until", not_oneself),
@@ -167,26 +171,26 @@
 @given("a roll that has heard only the last call of w1")
 def last(context):
     context.registry = WorkerRegistry()
-    context.registry.merge(1.0, "w1", WorkerRegistration("", "", "", 1, GONE, 1))
+    context.registry.record(1.0, "w1", WorkerRegistration("", "", "", 1, GONE, 1))
 
 
 @when("it hears an older call of w1 with its address")
 def older(context):
-    assert not context.registry.merge(2.0, "w1", WorkerRegistration("s", "w1:1", "z", 2, "ready", 9))
+    assert not context.registry.record(2.0, "w1", WorkerRegistration("s", "w1:1", "z", 2, "ready", 9))
 
 
 @then("w1 is gone there, with its address")
 def gone(context):
-    assert context.registry.rows["w1"] == WorkerRegistration("s", "w1:1", "z", 2, GONE, 1)
+    assert context.registry.registrations["w1"] == WorkerRegistration("s", "w1:1", "z", 2, GONE, 1)
 
 
 @then("its keys are not taken to be free")
 def kept(context):
     table = {"n": 2, "s": {"s": {"0": ["w2", "", 0.0, 2, "", "w1"]}}}
     only = WorkerRegistry()
-    only.merge(1.0, "w1", WorkerRegistration("", "", "", 1, GONE, 1))
+    only.record(1.0, "w1", WorkerRegistration("", "", "", 1, GONE, 1))
     for registry in (only, context.registry):
-        calls, free = KeyLeases(10.0).step(3.0, table, {"s"}, registry)
+        calls, free = KeyLeases(10.0).next_calls(3.0, table, {"s"}, registry)
         assert not free and len(calls) == (registry is context.registry)
 
 
--- a/features/steps/copies.py
+++ b/features/steps/copies.py
@@ -2,7 +2,7 @@
 
 from behave import then, when
 
-from bramblewood.common.slice_table import reading
+from bramblewood.common.slice_table import active_readers
 from bramblewood.controller import read_replicas
 from bramblewood.proxy import replica_invalidation
 from tests.simulation.read_replicas import Play, Stale
@@ -46,7 +46,7 @@
 
 
 def with_readers(context):
-    return {start: e for start, e in context.play.table["s"]["s"].items() if reading(e)}
+    return {start: e for start, e in context.play.table["s"]["s"].items() if active_readers(e)}
 
 
 @then("no record has readers")
@@ -62,4 +62,4 @@
 @then("key {key:d} has readers beside its worker")
 def some(context, key):
     found = with_readers(context)
-    assert list(found) == [str(key)] and context.play.owner(key) not in reading(found[str(key)]), found
+    assert list(found) == [str(key)] and context.play.owner(key) not in active_readers(found[str(key)]), found
--- a/features/steps/drain_plans.py
+++ b/features/steps/drain_plans.py
@@ -109,7 +109,7 @@
 def plan_waits_and_stops(context, first, last, reason):
     registry, progress = WorkerRegistry(), DrainProgress(DISCONNECT_TIMEOUT)
     for name in ("w1", "w2", "w3"):
-        registry.merge(0.0, name, WorkerRegistration("s", f"{name}:1", "z", 2, "ready", 1))
+        registry.record(0.0, name, WorkerRegistration("s", f"{name}:1", "z", 2, "ready", 1))
     capacities = {"s": ServiceCapacity(5.0, {"w1": 2.0, "w2": 2.0, "w3": 2.0})}
     for tenth in range(10 * last):
         progress.record_connected_proxies(tenth / 10, set())
--- a/features/steps/holds.py
+++ b/features/steps/holds.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 
 from bramblewood.common.worker_registry import GONE, WorkerRegistration, WorkerRegistry
-from bramblewood.controller.key_leases import ARRIVES, KeyLeases
+from bramblewood.controller.key_leases import MAX_CALL_TRANSIT, KeyLeases
 from bramblewood.controller.server import Controller, caller
 from tests.simulation.key_leases import LATE, STEP, Play, Twice, exhaust, margin
 
@@ -65,31 +65,31 @@
 
 @then("its grant is over as its keys are freed, and would not be on a way that is {more:g} s longer")
 def just(context, more):
-    assert 0 <= margin(ARRIVES) <= STEP, margin(ARRIVES)
-    assert margin(ARRIVES + more) < 0
+    assert 0 <= margin(MAX_CALL_TRANSIT) <= STEP, margin(MAX_CALL_TRANSIT)
+    assert margin(MAX_CALL_TRANSIT + more) < 0
 
 
 @given("a roll that hears of a life, and then of the one before it at the same address")
 def late_word(context):
     context.registry = WorkerRegistry()
     for instance_id in ("young", "old"):
-        context.registry.merge(0.0, instance_id, WorkerRegistration("s", "w:1", "z", 2, "ready", 1))
-    context.registry.merge(0.0, "next", WorkerRegistration("s", "w:2", "z", 2, "ready", 1))
-    assert context.registry.rows["young"].phase == GONE
+        context.registry.record(0.0, instance_id, WorkerRegistration("s", "w:1", "z", 2, "ready", 1))
+    context.registry.record(0.0, "next", WorkerRegistration("s", "w:2", "z", 2, "ready", 1))
+    assert context.registry.registrations["young"].phase == GONE
 
 
 @then("the younger one's keys are freed only as another life answers there")
 def asked_there(context):
     holds, table = KeyLeases(10.0), {"n": 2, "s": {"s": {"0": ["next", "", 0.0, 2, "", "young"]}}}
-    (call,), free = holds.step(0.0, table, {"s"}, context.registry)
+    (call,), free = holds.next_calls(0.0, table, {"s"}, context.registry)
     assert (call.kind, call.instance_id, free) == ("release", "young", [])
-    assert holds.answered(0.0, call, 0.0, 0, "", False) is None
-    assert holds.answered(0.0, call, 0.0, 421, "", False).old == "young"
+    assert holds.call_finished(0.0, call, 0.0, 0, "", False) is None
+    assert holds.call_finished(0.0, call, 0.0, 421, "", False).previous_owner == "young"
 
 
 def asking() -> SimpleNamespace:
     """As much of an archive as its calls need."""
-    shell = SimpleNamespace(loop=asyncio.get_running_loop(), told=SimpleNamespace(name="a"))
+    shell = SimpleNamespace(loop=asyncio.get_running_loop(), settings=SimpleNamespace(name="a"))
     shell.calls, shell.fresh = caller(), caller(force_close=True)
     shell.ask = partial(Controller.ask, shell)
     return shell
--- a/features/steps/hot_keys.py
+++ b/features/steps/hot_keys.py
@@ -2,7 +2,7 @@
 
 from behave import given, then, when
 
-from bramblewood.common.slice_table import KEYS_PER_RANGE, WORKER, starts_of
+from bramblewood.common.slice_table import KEYS_PER_RANGE, WORKER, sorted_starts
 from bramblewood.controller.hot_keys import HotKeys
 from bramblewood.proxy.hot_key_queue import TURNED, HotKeyQueue
 
@@ -104,7 +104,7 @@
 @then("key {key:d} is a slice of its own, and its worker has no other slice that gets requests")
 def key_is_alone(context, key):
     play, worker = context.play, context.play.owner(key)
-    assert {key, key + 1} <= set(starts_of(play.table["s"]["s"]))
+    assert {key, key + 1} <= set(sorted_starts(play.table["s"]["s"]))
     others = [one for one in context.rates if one != key and play.owner(one) == worker]
     assert not others, others
 
--- a/features/steps/leaving.py
+++ b/features/steps/leaving.py
@@ -16,7 +16,7 @@
 def service(context, how):
     context.load_balancer, context.keyed = LoadBalancer(2.5), how.startswith("with keys")
     for name in ("w1", "w2"):
-        context.load_balancer.registry.merge(
+        context.load_balancer.registry.record(
             0.0, name, WorkerRegistration("s", f"{name}:1", "z", 2, "ready", 1)
         )
     context.entries = {
@@ -27,14 +27,14 @@
 
 @when("{name} is heard to be draining at {now:g}")
 def draining(context, name, now):
-    context.load_balancer.registry.merge(
+    context.load_balancer.registry.record(
         now, name, WorkerRegistration("s", f"{name}:1", "z", 2, "draining", 5)
     )
 
 
 @when("{name} is heard to be ready again at {now:g}, by a call that was sent before")
 def late(context, name, now):
-    context.load_balancer.registry.merge(now, name, WorkerRegistration("s", f"{name}:1", "z", 2, "ready", 4))
+    context.load_balancer.registry.record(now, name, WorkerRegistration("s", f"{name}:1", "z", 2, "ready", 4))
 
 
 @when("the table moves all keys from w1 to w2")
--- a/features/steps/membership_commands.py
+++ b/features/steps/membership_commands.py
@@ -11,7 +11,7 @@
 
 from bramblewood.cli.gateway import gateway
 from bramblewood.common.settings import Bounds
-from bramblewood.controller.commands import members_call
+from bramblewood.controller.commands import decode_membership_call
 from bramblewood.controller.sessions import HEARTBEAT_INTERVAL
 from tests.approved import approve
 from tests.simulation.membership_commands import SEAT_KEPT_FOR, ControllerFleet
@@ -40,7 +40,7 @@
 
 @when("the body of a call about members is")
 def decode_bodies(context):
-    decoded = [(row["body"], members_call(row["body"].encode())) for row in context.table]
+    decoded = [(row["body"], decode_membership_call(row["body"].encode())) for row in context.table]
     context.lines = [
         f"{body}: {result.ok_value if result.is_ok() else result.err_value}" for body, result in decoded
     ]
--- a/features/steps/sessions.py
+++ b/features/steps/sessions.py
@@ -50,18 +50,18 @@
 @then("a life that ended while its archive was cut off does not end the one that came after it")
 def healed(context):
     cut, others = WorkerRegistry(), WorkerRegistry()  # told at 12 of each other's rows, as the cut heals
-    cut.merge(1.0, "old", WorkerRegistration("s", "10.0.0.9:1", "z", 1, READY, 3))
-    others.merge(11.0, "new", WorkerRegistration("s", "10.0.0.9:1", "z", 1, READY, 1))
+    cut.record(1.0, "old", WorkerRegistration("s", "10.0.0.9:1", "z", 1, READY, 3))
+    others.record(11.0, "new", WorkerRegistration("s", "10.0.0.9:1", "z", 1, READY, 1))
     sent = {}
     for name, registry in (("cut", cut), ("others", others)):
-        rows = {instance_id: [*row] for instance_id, row in registry.rows.items()}
-        sent[name] = (rows, registry.ages(12.0, 60.0))
-    news, _ = others.take(12.0, *sent["cut"])
-    cut.take(12.0, *sent["others"])
+        rows = {instance_id: [*row] for instance_id, row in registry.registrations.items()}
+        sent[name] = (rows, registry.seconds_since_heard(12.0, 60.0))
+    news, _ = others.record_all(12.0, *sent["cut"])
+    cut.record_all(12.0, *sent["others"])
     for registry in (cut, others):
-        assert {instance_id: row.phase for instance_id, row in registry.rows.items()} == {
+        assert {instance_id: row.phase for instance_id, row in registry.registrations.items()} == {
             "old": GONE,
             "new": READY,
         }
-        assert registry.homes["10.0.0.9:1"] == "new"
+        assert registry.instance_by_address["10.0.0.9:1"] == "new"
     assert WorkerRegistration(*news["old"]).phase == GONE  # as it is told on
--- a/features/steps/shelf.py
+++ b/features/steps/shelf.py
@@ -62,9 +62,9 @@
 @then("a start finds the table as it was left")
 def started(context):
     value = context.play.value
-    context.play.storage.base.close()
+    context.play.storage.database.close()
     context.play.start()
-    assert repr(context.play.storage.stored["table"]) == repr(value)
+    assert repr(context.play.storage.stored_values["table"]) == repr(value)
 
 
 @when("a value that is no JSON is committed amid others")
@@ -97,8 +97,8 @@
 
 @when("a later program has made form {form:d} of it")
 def later(context, form):
-    context.play.storage.base.execute(f"pragma user_version={form}")
-    context.play.storage.base.close()
+    context.play.storage.database.execute(f"pragma user_version={form}")
+    context.play.storage.database.close()
     context.files = {name: bytes(inode.seen) for name, inode in context.play.disc.names.items()}
 
 
@@ -145,7 +145,7 @@
         before = [ask(word) for word in ("check", "show", "export")]
         storage = Storage(folder)
         assert storage.open().ok_value == told.states[0]
-        assert storage.base.execute("pragma auto_vacuum").fetchone() == (1,)
+        assert storage.database.execute("pragma auto_vacuum").fetchone() == (1,)
         after = [ask(word) for word in ("check", "show", "export")]
         facts = {"born": None, "voters": None, "disk": "0a0b0c0d"}  # as an archive goes on to write
         assert storage.commit([([], facts, None)]) is None
--- a/features/steps/zone_affinity.py
+++ b/features/steps/zone_affinity.py
@@ -41,7 +41,7 @@
     context.load_balancer = LoadBalancer(2.5, "a")
     context.load_balancer.near = {"s": share}
     for name, zone in (("w1", "a"), ("w2", "a"), ("w3", "b"), ("w4", "b")):
-        context.load_balancer.registry.merge(
+        context.load_balancer.registry.record(
             0.0, name, WorkerRegistration("s", f"{name}:1", zone, 2, "ready", 1)
         )
     names = ("w1", "w2", "w3", "w4")
@@ -54,7 +54,7 @@
 def workers_drain(context):
     context.now += 1.0
     for name in ("w1", "w2"):
-        context.load_balancer.registry.merge(
+        context.load_balancer.registry.record(
             context.now, name, WorkerRegistration("s", f"{name}:1", "a", 2, "draining", 2)
         )
 
--- a/tests/simulation/configuration_changes.py
+++ b/tests/simulation/configuration_changes.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from bramblewood.common.configuration import Configuration
-from bramblewood.controller.commands import final_answer, succeed
+from bramblewood.controller.commands import apply_configuration, settled_answer
 from bramblewood.controller.consensus.acceptor import NumberedValue
 from bramblewood.controller.consensus.effects import Effects
 from bramblewood.controller.consensus.local_member import LocalMember
@@ -78,7 +78,11 @@
 
 class Play:
     def __init__(
-        self, seed: int, site: Site = Site(), make_replica: Callable = build, decide: Callable = succeed
+        self,
+        seed: int,
+        site: Site = Site(),
+        make_replica: Callable = build,
+        decide: Callable = apply_configuration,
     ) -> None:
         self.rng, self.site, self.make_replica, self.decide = random.Random(seed), site, make_replica, decide
         self.now, self.count, self.incarnations, self.events = 0.0, 0, 0, []
@@ -223,7 +227,7 @@
             if self.rng.random() >= self.site.answers_lost:
                 self.call_later(self.operator_delay(), self.on_status, order, call, status)
 
-        if known := final_answer(order.wanted, machine.value(CONFIG), self.decide):
+        if known := settled_answer(order.wanted, machine.value(CONFIG), self.decide):
             return told(known)
         change = lambda stands: self.decide(order.wanted, stands)  # noqa: E731
         self.apply(name, machine, machine.propose(self.now, CONFIG, change, told, CALL_TIMEOUT))
@@ -324,7 +328,9 @@
                 raise RuleViolation(f"nothing is read back at {name}")
 
 
-def start_play(seed: int, site: Site, make_replica: Callable = build, decide: Callable = succeed) -> Play:
+def start_play(
+    seed: int, site: Site, make_replica: Callable = build, decide: Callable = apply_configuration
+) -> Play:
     """The first configuration is taken, however often it must be sent."""
     play = Play(seed, site, make_replica, decide)
     first = play.order(configuration(1, 0, "first"))
@@ -334,7 +340,9 @@
     return play
 
 
-def storm(seed: int, voters: int, make_replica: Callable = build, decide: Callable = succeed) -> Play:
+def storm(
+    seed: int, voters: int, make_replica: Callable = build, decide: Callable = apply_configuration
+) -> Play:
     """Up to eight orders at once amid accidents, most on what is newest; some on older versions or on such as
     are not there yet; numbers alike; orders of long ago sent again.
     """
@@ -364,7 +372,7 @@
     return play
 
 
-def long_day(seed: int, voters: int, changes: int, decide: Callable = succeed) -> Play:
+def long_day(seed: int, voters: int, changes: int, decide: Callable = apply_configuration) -> Play:
     """Hundreds of changes one on the other, answers lost, and orders of all the day sent again."""
     site = Site(voters, delays=(0.0005, 0.005), answers_lost=0.1)
     play = start_play(seed, site, decide=decide)
@@ -465,7 +473,7 @@
             super().start_round(now, round, effects)
 
 
-short_memory = partial(succeed, kept=6)  # storms forget what hundreds of changes would
+short_memory = partial(apply_configuration, kept=6)  # storms forget what hundreds of changes would
 
 
 def refuses_what_was_forgotten(wanted: Configuration, stands: dict | None) -> tuple:
--- a/tests/simulation/consensus.py
+++ b/tests/simulation/consensus.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from bramblewood.common.configuration import Configuration
-from bramblewood.controller.commands import succeed
+from bramblewood.controller.commands import apply_configuration
 from bramblewood.controller.consensus.acceptor import NumberedValue
 from bramblewood.controller.consensus.effects import Effects
 from bramblewood.controller.consensus.learner import Learner
@@ -142,7 +142,7 @@
             self.apply(peer, self.replicas[peer].receive(self.now, sender, message))
 
     def put(self, name: str, wanted: Configuration) -> None:
-        change = lambda stands: succeed(wanted, stands)  # noqa: E731
+        change = lambda stands: apply_configuration(wanted, stands)  # noqa: E731
         self.apply(name, self.replicas[name].propose(self.now, CONFIG, change, wanted, 2.0))
 
     def tick(self, after: float) -> None:
--- a/tests/simulation/drain_plans.py
+++ b/tests/simulation/drain_plans.py
@@ -66,7 +66,7 @@
         self.requests = self.out_of_service = self.plans = 0  # requests started, workers seen out, plans
         self.late_changes = []  # proposals of controllers that are slow or were frozen: (when, change)
         for name in WORKERS:
-            self.registry.merge(100.0, name, WorkerRegistration("s", f"{name}:1", "z", 2, "ready", 1))
+            self.registry.record(100.0, name, WorkerRegistration("s", f"{name}:1", "z", 2, "ready", 1))
 
     def start_controller(self):
         """A controller that knows nothing of the proxies yet."""
@@ -93,7 +93,7 @@
             self.tables.append(value)
 
     def is_ready(self, worker):
-        return self.registry.rows[worker].phase == "ready"
+        return self.registry.registrations[worker].phase == "ready"
 
     def run_proxy(self, name, proxy):
         dice = self.random
--- a/tests/simulation/key_leases.py
+++ b/tests/simulation/key_leases.py
@@ -12,7 +12,7 @@
 
 from bramblewood.common.slice_table import FENCING_TOKEN, KEY_SPACE_SIZE, PREVIOUS_OWNER
 from bramblewood.common.worker_registry import WorkerRegistration, WorkerRegistry
-from bramblewood.controller.key_leases import AGAIN, ARRIVES, KeyLeases, ReleasedKeys
+from bramblewood.controller.key_leases import MAX_CALL_TRANSIT, RETRY_DELAY, KeyLeases, ReleasedKeys
 from bramblewood.controller.placement import SliceChanges, apply_slice_changes, clear_previous_owner
 from bramblewood.controller.sessions import QUORUM_CONTACT_VALIDITY
 
@@ -65,13 +65,13 @@
         self.workers = {address: Worker(address) for address in ADDRESSES}
         self.controllers = {name: KeyLeases(10.0) for name in "ab"}
         for holds in self.controllers.values():
-            holds.hold *= 0.5 - 1 / 6.12 if careless == "wait" else 1.0
+            holds.lease_duration *= 0.5 - 1 / 6.12 if careless == "wait" else 1.0
         self.view = dict.fromkeys(self.controllers, 0)
         self.heard = dict.fromkeys(self.controllers, self.now)
         self.cut = dict.fromkeys(self.controllers, False)
         self.registry = WorkerRegistry()
         for address in ADDRESSES:
-            self.registry.merge(
+            self.registry.record(
                 self.now, address, WorkerRegistration("s", f"{address}:1", "z", 2, "ready", 1)
             )
         self.ways: list[tuple] = []  # (when, what, ...): calls and answers under way
@@ -91,7 +91,7 @@
             if not self.cut[name] and dice.random() < 0.5:
                 self.view[name], self.heard[name] = len(self.tables) - 1, self.now
             if dice.random() < 0.01:
-                self.controllers[name].out.clear()  # it is scribe again
+                self.controllers[name].calls_in_flight.clear()  # it is scribe again
         for address, worker in self.workers.items():
             for name in self.controllers:
                 if dice.random() < 0.006:
@@ -122,25 +122,27 @@
         self.restarts += 1
         worker = self.workers[address] = Worker(f"{address}.{self.restarts}")
         row = WorkerRegistration("s", f"{address}:1", "z", 2, "ready", 1)
-        self.later(2.0, lambda: self.registry.merge(self.now, worker.instance_id, row))
+        self.later(2.0, lambda: self.registry.record(self.now, worker.instance_id, row))
 
     def later(self, most: float, what, *told) -> None:
         part = self.dice.choice((0.0, self.dice.random(), 1.0))  # the ends are where faults show
         self.ways.append((self.now + part * (most - STEP), what, *told))
 
     def act(self, name: str, holds: KeyLeases) -> None:
-        calls, free = holds.step(self.now, self.tables[self.view[name]], {"s"}, self.registry)
+        calls, free = holds.next_calls(self.now, self.tables[self.view[name]], {"s"}, self.registry)
         until = self.heard[name] + QUORUM_CONTACT_VALIDITY
         for call in calls:
             if call.kind == "grant" and self.now >= until and self.careless != "word":
-                holds.answered(self.now, call, self.now, 0, "", False)
+                holds.call_finished(self.now, call, self.now, 0, "", False)
                 continue
-            hold = 6.0 if self.careless == "wait" else call.hold
+            hold = 6.0 if self.careless == "wait" else call.duration
             lies = self.lies.pop((name, call.address), None)
             if lies is not None:  # it names another call's id: to the shell that is no answer
                 self.surplus += 1
                 self.told(name, call, self.now, lies if self.careless == "answer" else 0)
-            self.later(ARRIVES, self.arrive, name, call._replace(hold=hold), self.now, lies is not None)
+            self.later(
+                MAX_CALL_TRANSIT, self.arrive, name, call._replace(duration=hold), self.now, lies is not None
+            )
         for one in free if not self.cut[name] else ():
             self.free(one)
 
@@ -150,7 +152,7 @@
         if worker.reachable[name] and worker.instance_id != call.instance_id:
             status = 421
         elif worker.reachable[name] and call.kind == "grant":
-            status = worker.grant(self.now, places, call.fencing_token, call.hold)
+            status = worker.grant(self.now, places, call.fencing_token, call.duration)
             self.grants += status == 200
         elif worker.reachable[name]:
             status = worker.release(self.now, places, call.fencing_token)
@@ -162,20 +164,22 @@
             return
         busy = call.kind == "release" and self.happens(0.2)
         self.late += busy
-        self.later(self.controllers[name].expiry if busy else 2 * STEP, self.told, name, call, sent, status)
+        self.later(
+            self.controllers[name].expiry_wait if busy else 2 * STEP, self.told, name, call, sent, status
+        )
 
     def told(self, name: str, call, sent: float, status: int) -> None:
-        one = self.controllers[name].answered(self.now, call, sent, status, "h", False)
+        one = self.controllers[name].call_finished(self.now, call, sent, status, "h", False)
         if one is not None and not self.cut[name]:
             if self.careless == "older":
                 entry = self.tables[-1]["s"]["s"][str(one.starts[0])]
-                one = one._replace(fencing_token=entry[FENCING_TOKEN], old=entry[PREVIOUS_OWNER])
+                one = one._replace(fencing_token=entry[FENCING_TOKEN], previous_owner=entry[PREVIOUS_OWNER])
             self.free(one)
 
     def free(self, one: ReleasedKeys) -> None:
         self.change(
             clear_previous_owner(
-                self.tables[-1], one.service, one.starts, one.fencing_token, one.old, one.handover
+                self.tables[-1], one.service, one.starts, one.fencing_token, one.previous_owner, one.handover
             )
         )
 
@@ -224,7 +228,7 @@
             line = (self.workers[other].instance_id, "", 0.0)
             self.change(apply_slice_changes(self.tables[-1], {"s": SliceChanges({0: line}, [], 1)}, {"s"}))
         elif what in ("again", "wait"):  # a failed call's pause; the whole wait, in which all ways end
-            self.now += AGAIN if what == "again" else self.controllers["a"].expiry
+            self.now += RETRY_DELAY if what == "again" else self.controllers["a"].expiry_wait
             for _, name, call, sent, *_ in self.wire if what == "wait" else ():
                 self.told(name, call, sent, 0)
             self.wire = [] if what == "wait" else self.wire
@@ -261,13 +265,15 @@
         holds = [
             [
                 sorted((k, v[:2], round(v[2] - self.now, 1)) for k, v in h.granted.items()),
-                sorted((k, round(at - self.now, 1)) for k, at in (h.wait_from | h.next_at).items()),
-                sorted(h.out),
+                sorted(
+                    (k, round(at - self.now, 1)) for k, at in (h.release_wanted_since | h.retry_at).items()
+                ),
+                sorted(h.calls_in_flight),
             ]
             for h in self.controllers.values()
         ]
         wire = [(what, name, call, rest) for what, name, call, _, *rest in self.wire]
-        registry = sorted(self.registry.rows.items())
+        registry = sorted(self.registry.registrations.items())
         return repr((entries, workers, holds, wire, self.lies, len(self.unheard), registry))
 
 
@@ -298,12 +304,12 @@
     keys' being freed while their old holder answers nobody.
     """
     holds, registry, worker = KeyLeases(10.0), WorkerRegistry(), Worker("w1")
-    registry.merge(0.0, "w1", WorkerRegistration("s", "w1:1", "z", 2, "ready", 1))
+    registry.record(0.0, "w1", WorkerRegistration("s", "w1:1", "z", 2, "ready", 1))
     table = {"n": 2, "s": {"s": {"0": ["w2", "", 0.0, 2, "", "w1"]}}}
     worker.grant(
-        QUORUM_CONTACT_VALIDITY + way, [0], 1, holds.hold
+        QUORUM_CONTACT_VALIDITY + way, [0], 1, holds.lease_duration
     )  # another archive's, on a word from just before the change
     steps = 0
-    while not holds.step(steps * STEP, table, {"s"}, registry)[1]:
+    while not holds.next_calls(steps * STEP, table, {"s"}, registry)[1]:
         steps += 1
     return steps * STEP - worker.until[0]
--- a/tests/simulation/majority_contact.py
+++ b/tests/simulation/majority_contact.py
@@ -573,7 +573,9 @@
             if number < known:
                 raise Broken(f"{what}: r{number}, r{known} was acknowledged before it was asked")
         leaving = (
-            isinstance(command, DeregisterWorker) or isinstance(command, RegisterWorker) and command.leaving
+            isinstance(command, DeregisterWorker)
+            or isinstance(command, RegisterWorker)
+            and command.is_leaving
         )
         if leaving:
             held = [name for name in self.controllers if self.holds(name, command.instance_id)]
@@ -585,14 +587,14 @@
 
     def holds(self, name, instance_id):
         server = self.nodes[name].server
-        row = server.registry.rows.get(instance_id) if server is not None else None
+        row = server.registry.registrations.get(instance_id) if server is not None else None
         return row is not None and row.phase != READY
 
     def judge_desks(self, instance_id, acked):
         """Each desk that was in touch all the time has heard of a leave."""
         for name, node in self.nodes.items():
             if node.kind is Proxy and self.disturbed.get(name, 0.0) < acked - TOUCH:
-                row = node.server.load_balancer.registry.rows.get(instance_id)
+                row = node.server.load_balancer.registry.registrations.get(instance_id)
                 self.count("desks looked at")
                 if row is not None and row.phase == READY:
                     raise Broken(f"{name} still sends to {instance_id}, which left at {acked:.2f}")
@@ -629,7 +631,7 @@
             if node.server.consensus.version(CONFIG) < newest:
                 raise Broken(f"{name} is whole at {self.now:.2f}, and behind r{newest}")
             for instance_id in left:
-                row = node.server.registry.rows.get(instance_id)
+                row = node.server.registry.registrations.get(instance_id)
                 if row is not None and row.phase == READY:
                     raise Broken(f"{name} is whole at {self.now:.2f}, and knows not that {instance_id} left")
         for name, node in self.nodes.items():
@@ -653,8 +655,10 @@
             if made.have()["config"] < newest:
                 raise Broken(f"{name} is ready at {self.now:.2f} with {made.have()}, r{newest} stands")
             for instance_id, at in self.leaves:
-                row = made.load_balancer.registry.rows.get(instance_id)
-                known = any(instance_id in self.nodes[one].server.registry.rows for one in self.reaches(name))
+                row = made.load_balancer.registry.registrations.get(instance_id)
+                known = any(
+                    instance_id in self.nodes[one].server.registry.registrations for one in self.reaches(name)
+                )
                 if not known and self.workers[instance_id].ended:
                     continue  # all archives started anew since its end: nobody can know it
                 if at < bound and row is not None and row.phase == READY:
@@ -825,7 +829,7 @@
     """The scribe is frozen between the look at its word and the calls that rest on it."""
     play = begun(seed, 3)
     for _ in range(3):
-        play.freeze_when("a", lambda made: made.key_leases.out, 5.0)
+        play.freeze_when("a", lambda made: made.key_leases.calls_in_flight, 5.0)
         play.run(8.0)
     play.end()
     return play
@@ -896,7 +900,7 @@
     worker = play.workers[name]
     worker.at, worker.next_at = "b", play.now
     play.run(0.5)
-    assert name not in play.nodes["a"].server.registry.rows
+    assert name not in play.nodes["a"].server.registry.registrations
     worker.ended = True
     play.call("a", DeregisterWorker(name), [None])
     play.run(4.0)
--- a/tests/simulation/membership_epochs.py
+++ b/tests/simulation/membership_epochs.py
@@ -14,7 +14,7 @@
 
 from bramblewood.common.settings import Bounds, Settings, Tolerance
 from bramblewood.controller import server
-from bramblewood.controller.commands import succeed
+from bramblewood.controller.commands import apply_configuration
 from bramblewood.controller.consensus import epochs, local_member
 from bramblewood.controller.consensus.effects import PendingWrites, no_effects
 from bramblewood.controller.consensus.epochs import EpochTransition
@@ -396,7 +396,9 @@
                 (self.acknowledged if outcome[0] == 200 else self.rejected)[wanted.digest] = wanted
 
         if name in self.machines and name not in self.frozen_until:
-            self.machines[name].propose(CONFIG, lambda stands: succeed(wanted, stands), told, 0.85)
+            self.machines[name].propose(
+                CONFIG, lambda stands: apply_configuration(wanted, stands), told, 0.85
+            )
 
     def read(self, name: str) -> list:
         """Ask for what stands; what was acknowledged before must be there. The answers so far."""
--- a/tests/simulation/placement.py
+++ b/tests/simulation/placement.py
@@ -3,7 +3,13 @@
 import random
 
 from bramblewood.common.configuration import Service
-from bramblewood.common.slice_table import FENCING_TOKEN, KEYS_PER_RANGE, PREVIOUS_OWNER, WORKER, starts_of
+from bramblewood.common.slice_table import (
+    FENCING_TOKEN,
+    KEYS_PER_RANGE,
+    PREVIOUS_OWNER,
+    WORKER,
+    sorted_starts,
+)
 from bramblewood.common.worker_registry import WorkerRegistration, WorkerRegistry
 from bramblewood.controller.placement import (
     PlacementPlanner,
@@ -26,7 +32,7 @@
         self.random, self.now, self.registry, self.table = random.Random(seed), 100.0, WorkerRegistry(), None
         for i in range(workers):
             row = WorkerRegistration("s", f"10.0.0.{i}:80", "z", SLOTS, "ready", 1)
-            self.registry.merge(self.now, f"w{i}", row)
+            self.registry.record(self.now, f"w{i}", row)
         self.services = {"s": Service("s", "/", 100, True, 0.0)}
         self.planner = PlacementPlanner(self.now, HEARTBEAT)
         self.split_times: list[float] = []
@@ -59,7 +65,7 @@
             worker_report(
                 instance_id, 8, 0, 0.2, CYCLE, FULL_LOAD if instance_id in full_workers else IDLE_LOAD
             )
-            for instance_id in self.registry.rows
+            for instance_id in self.registry.registrations
         ]
         self.planner.record_report(self.now, "s", "d1", range_counts, key_counts, CYCLE, worker_reports)
 
@@ -75,5 +81,5 @@
     def owner(self, key: int) -> str:
         """The worker whose slice has this key."""
         entries = self.table["s"]["s"]
-        start = max(s for s in starts_of(entries) if s <= key)
+        start = max(s for s in sorted_starts(entries) if s <= key)
         return entries[str(start)][WORKER]
--- a/tests/simulation/proxy.py
+++ b/tests/simulation/proxy.py
@@ -129,7 +129,7 @@
         for place, (name, script) in enumerate(scripts.items()):
             worker = self.workers[name] = Scripted(name, script)
             await worker.start()
-            proxy.load_balancer.registry.merge(
+            proxy.load_balancer.registry.record(
                 0.0, name, WorkerRegistration("plain", worker.address, "z", 2, "ready", place)
             )
         names = list(scripts)
--- a/tests/simulation/read_replicas.py
+++ b/tests/simulation/read_replicas.py
@@ -5,9 +5,9 @@
 
 import random
 
-from bramblewood.common.slice_table import readers_of, with_readers
+from bramblewood.common.slice_table import all_readers, with_readers
 from bramblewood.common.worker_registry import WorkerRegistration, WorkerRegistry
-from bramblewood.controller.read_replicas import ReadReplicas, forgotten, taken_off
+from bramblewood.controller.read_replicas import ReadReplicas, without_expired_readers, without_readers
 from bramblewood.controller.sessions import QUORUM_CONTACT_VALIDITY
 from bramblewood.proxy import replica_invalidation as words
 from bramblewood.proxy.replica_invalidation import Confirm, Drop, ReplicaInvalidation, TakeOff, Until
@@ -55,7 +55,7 @@
         self.proxies, self.readers = {"d1": Proxy(), "d2": Proxy()}, {name: Reader() for name in READERS}
         self.registry, self.later, self.answered, self.leases = WorkerRegistry(), [], 0, 0
         for name in ("h", *READERS):
-            self.registry.merge(100.0, name, WorkerRegistration("s", f"{name}:1", "z", 2, "ready", 1))
+            self.registry.record(100.0, name, WorkerRegistration("s", f"{name}:1", "z", 2, "ready", 1))
 
     def after(self, longest, call, *what):
         self.later.append((self.now + STEP + self.dice.random() * longest, call, what))
@@ -75,19 +75,19 @@
         if not self.cut[name] and dice.random() < 0.5:
             if self.views[name] != len(self.tables) - 1:
                 self.views[name] = len(self.tables) - 1
-                read_replicas.learn(self.now, self.tables[-1])
+                read_replicas.learn_table(self.now, self.tables[-1])
             self.heard[name] = self.now
         if self.now >= self.heard[name] + QUORUM_CONTACT_VALIDITY:
             return
-        leases, over = read_replicas.step(self.now, self.tables[self.views[name]], self.registry)
+        leases, over = read_replicas.due_leases(self.now, self.tables[self.views[name]], self.registry)
         if over and not self.cut[name]:
-            self.change(forgotten(self.tables[-1], over)[0])
+            self.change(without_expired_readers(self.tables[-1], over)[0])
         for lease in leases:
-            instance_id = lease.one[2]
+            instance_id = lease.reader[2]
             if self.reach(name, instance_id):
                 self.after(0.25, self.fetch, instance_id, name, lease)
             else:
-                read_replicas.answered(self.now, lease, 0)
+                read_replicas.lease_finished(self.now, lease, 0)
 
     def fetch(self, instance_id, name, lease):
         """A lease arrives: the reader renews the copy that it has, or fetches the record."""
@@ -99,7 +99,7 @@
         if drops == reader.drops or self.careless == "fetch":
             reader.value, reader.until, status = value, began + 1.0 * 1.02, 200
             self.leases += 1
-        self.controllers[name].answered(self.now, lease, status)
+        self.controllers[name].lease_finished(self.now, lease, status)
 
     # --- desks
 
@@ -121,7 +121,7 @@
     def take(self, proxy, place):
         table = self.tables[max(place, 0)]
         if table["n"] >= proxy.n:
-            proxy.n, proxy.readers = table["n"], set(readers_of(table["s"]["s"][str(KEY)]))
+            proxy.n, proxy.readers = table["n"], set(all_readers(table["s"]["s"][str(KEY)]))
 
     def invalidation(self, name, proxy, invalidation, value, until):
         sure_at = self.now if self.careless == "sure" else proxy.sure_at
@@ -145,7 +145,7 @@
                     invalidation.answered(instance_id, reached and self.dice.random() > 0.05)
             case TakeOff(instance_ids):
                 if not self.cut[name]:
-                    self.change(taken_off(self.tables[-1], "s", KEY, set(instance_ids))[0])
+                    self.change(without_readers(self.tables[-1], "s", KEY, set(instance_ids))[0])
                     invalidation.off(self.now, instance_ids)
             case Until():
                 pass
--- a/tests/simulation/storage_failures.py
+++ b/tests/simulation/storage_failures.py
@@ -304,37 +304,37 @@
 
     def commit(self, batch):
         problem = super().commit(batch)
-        self.stored |= {name: value for rows, _, _ in batch for name, _, _, value in rows}
+        self.stored_values |= {name: value for rows, _, _ in batch for name, _, _, value in rows}
         return problem
 
 
 class Stepwise(Storage):
     """Turns form 1 into form 2 by a transaction for each step."""
 
-    def turn(self, base, form, registers):
+    def upgrade(self, base, form, registers):
         bare = types.SimpleNamespace(
             execute=lambda sql, values=(): (
                 Rows() if sql in ("begin immediate", "commit") else base.execute(sql, values)
             )
         )
-        super().turn(bare, form, registers)
+        super().upgrade(bare, form, registers)
 
 
 class Loose(Storage):
     """Takes what Python calls equal for the same."""
 
-    def put(self, base, registers, facts):
+    def write_rows(self, base, registers, facts):
         with mock.patch("bramblewood.controller.value_diff.equal_as_json", operator.eq):
-            super().put(base, registers, facts)
+            super().write_rows(base, registers, facts)
 
 
 class Trusting(Storage):
     """Takes the difference that a value was made by for the one to what is stored."""
 
-    def put(self, base, registers, facts):
+    def write_rows(self, base, registers, facts):
         known = lambda old, new: new.change if isinstance(new, PatchedDict) else difference(old, new)  # noqa: E731
         with mock.patch("bramblewood.controller.storage.difference", known):
-            super().put(base, registers, facts)
+            super().write_rows(base, registers, facts)
 
 
 FULL = ("synchronous=extra", "synchronous=full")
@@ -434,7 +434,7 @@
         self.storage = self.controller.storage = shelf_on(self.disc)
         assert self.storage.open().is_ok() and self.storage.commit([BORN]) is None
         self.disc.refusals = {"flush": self.hang}
-        self.storage.thread = threading.Thread(target=self.work, daemon=True)
+        self.storage.writer_thread = threading.Thread(target=self.work, daemon=True)
         self.storage.start(lambda done, problem: self.told.put((done, problem)))
 
     def hang(self):
@@ -445,7 +445,7 @@
 
     def work(self):
         try:
-            self.storage._work()
+            self.storage.run_writer()
         except PowerCut:
             pass  # the machine is off
 
@@ -458,7 +458,7 @@
     def answer(self):
         self.go.set()
         self.storage.close()
-        self.storage.thread.join(ANSWER)
+        self.storage.writer_thread.join(ANSWER)
         while not self.told.empty():
             done, problem = self.told.get()
             done(problem)
