--- a/bramblewood/controller/consensus/replica.py
+++ b/bramblewood/controller/consensus/replica.py
@@ -123,12 +123,8 @@
         """By register and voter, the highest proposal of this epoch that it promised or accepted."""
         return self.learner.commitments
 
-    @property
-    def last_rejection(self) -> Rejection | None:
-        """The newest rejection of a proposal of ours that the shell has not taken."""
-        return self.proposer.last_rejection
-
     def take_last_rejection(self) -> Rejection | None:
+        """The newest rejection of a proposal of ours that was not taken yet, for the log."""
         rejection, self.proposer.last_rejection = self.proposer.last_rejection, None
         return rejection
 
--- /dev/null
+++ b/tests/test_consensus_messages.py
@@ -0,0 +1,82 @@
+"""The messages of consensus keep their form on the wire: machines of two releases run side by side."""
+
+import json
+
+import pytest
+
+from bramblewood.controller.consensus import messages
+from bramblewood.controller.consensus.messages import OMITTED, AcceptDifference, Promise, decode
+from bramblewood.controller.consensus.proposal_number import (
+    NO_PROPOSAL,
+    ProposalNumber,
+    format_proposal_number,
+)
+
+VOTERS = '{"n":2,"voters":{"10.0.0.1":"8eba264a","10.0.0.4":"f7dd8be5"},"before":{"10.0.0.1":"8eba264a"}}'
+# as the release before typed messages sent them, with the order of their keys
+WIRE_FORMS = [
+    '{"k":"prepare","r":"config","b":[1,4,"10.0.0.1",7],"have":[0,0,"",0]}',
+    '{"k":"promise","r":"config","b":[1,4,"10.0.0.1",7],"disk":"8eba264a","a":[1,3,"10.0.0.2",9]}',
+    '{"k":"promise","r":"table","b":[1,4,"10.0.0.1",7],"disk":"8eba264a","a":[1,3,"10.0.0.2",9],"v":{"n":3}}',
+    '{"k":"promise","r":"table","b":[1,4,"10.0.0.1",7],"disk":"8eba264a","a":[0,0,"",0],"v":null}',
+    '{"k":"accept","r":"config","b":[1,4,"10.0.0.1",7],"v":{"n":4}}',
+    '{"k":"accept","r":"config","b":[1,4,"10.0.0.1",7],"base":[1,3,"10.0.0.2",9],"d":{"+":{"n":{"=":4}}}}',
+    '{"k":"accept","r":"config","b":[1,4,"10.0.0.1",7],"base":[1,3,"10.0.0.2",9],"d":null}',
+    '{"k":"accepted","r":"config","b":[1,4,"10.0.0.1",7],"disk":"8eba264a"}',
+    '{"k":"refuse","r":"config","b":[1,4,"10.0.0.1",7],"p":[1,5,"10.0.0.2",9],"disk":"8eba264a"}',
+    '{"k":"done","r":"config","b":[1,4,"10.0.0.1",7]}',
+    '{"k":"fetch","r":"config","b":[1,4,"10.0.0.1",7]}',
+    '{"k":"chosen","r":"config","b":[1,4,"10.0.0.1",7],"v":{"n":4}}',
+    f'{{"k":"epoch","m":{VOTERS}}}',
+    f'{{"k":"join","m":{VOTERS},"have":{{"config":[1,4,"10.0.0.1",7]}}}}',
+    f'{{"k":"join","m":{VOTERS},"have":{{"config":[1,4,"10.0.0.1",7]}},"again":true}}',
+    '{"k":"state","e":2,"held":1,"disk":"8eba264a","regs":'
+    '{"config":{"a":[1,4,"10.0.0.1",7]},"table":{"a":[1,3,"10.0.0.2",9],"v":{"n":3}}}}',
+    '{"k":"state","e":2,"held":-1,"disk":"8eba264a","regs":{}}',
+]
+
+
+@pytest.mark.parametrize("text", WIRE_FORMS)
+def test_a_message_is_sent_as_it_was_received(text):
+    message = decode(json.loads(text))
+    assert json.dumps(message.to_wire(), separators=(",", ":")) == text
+
+
+def test_every_kind_has_a_wire_form_here():
+    assert {json.loads(text)["k"] for text in WIRE_FORMS} == messages.CONSENSUS_MESSAGE_KINDS
+
+
+def test_a_value_that_is_left_out_differs_from_null():
+    left_out, null = (decode(json.loads(WIRE_FORMS[index])) for index in (1, 3))
+    assert isinstance(left_out, Promise) and left_out.value is OMITTED and not left_out.has_value
+    assert isinstance(null, Promise) and null.value is None and null.has_value
+
+
+def test_an_accept_with_a_base_carries_a_difference():
+    message = decode(json.loads(WIRE_FORMS[5]))
+    assert isinstance(message, AcceptDifference)
+    assert message.base == ProposalNumber(1, 3, "10.0.0.2", 9)
+
+
+def test_a_kind_that_is_unknown_is_an_error():
+    with pytest.raises(KeyError):
+        decode({"k": "pulse"})
+
+
+def test_proposal_numbers_compare_field_by_field():
+    numbers = [
+        NO_PROPOSAL,
+        ProposalNumber(1, 9, "10.0.0.9", 1),
+        ProposalNumber(2, 1, "10.0.0.1", 7),
+        ProposalNumber(2, 1, "10.0.0.1", 8),
+        ProposalNumber(2, 1, "10.0.0.2", 1),
+        ProposalNumber(2, 2, "10.0.0.1", 1),
+    ]
+    assert sorted(reversed(numbers)) == numbers
+
+
+def test_a_proposal_number_is_a_list_on_the_wire_and_equals_its_fields():
+    number = ProposalNumber(2, 1, "10.0.0.1", 255)
+    assert json.dumps(number) == '[2, 1, "10.0.0.1", 255]'
+    assert ProposalNumber.from_wire(json.loads(json.dumps(number))) == number == (2, 1, "10.0.0.1", 255)
+    assert format_proposal_number(number) == "2.1@10.0.0.1/ff"
