--- a/bramblewood/controller/consensus/effects.py
+++ b/bramblewood/controller/consensus/effects.py
@@ -33,20 +33,25 @@
     facts: dict[str, Any]  # what else must be on disk first, by name
 
     def write(self, register: str, acceptor: Acceptor) -> None:
+        """Write this acceptor's state as the row of this register."""
         self.writes.append(RegisterRow(register, acceptor.promised, acceptor.accepted, acceptor.value))
 
     def send(self, peer: str, message: "Message") -> None:
+        """Send a message to this controller."""
         self.sends.append((peer, message.to_wire()))
 
     def broadcast(self, peers: Iterable[str], message: "Message") -> None:
+        """Send one message to all of these controllers."""
         wire = message.to_wire()
         self.sends.extend((peer, wire) for peer in peers)
 
     def answer(self, tag: Any, outcome: Any) -> None:
+        """Answer the proposal of this tag; outcome: None where it is unclear."""
         self.answers.append((tag, outcome))
 
 
 def no_effects() -> Effects:
+    """Effects to be filled."""
     return Effects([], [], [], {})
 
 
--- a/bramblewood/controller/consensus/epochs.py
+++ b/bramblewood/controller/consensus/epochs.py
@@ -69,6 +69,7 @@
             self.request_state(now, effects)
 
     def tick(self, now: float, effects: Effects) -> None:
+        """Ask again for what the epoch begins with, while this voter is not active in it."""
         if self.member.holds_seat and not self.member.is_active_voter:
             self.request_state(now, effects)
 
@@ -107,6 +108,7 @@
                 join.reports[member.address] = StateReport(member.active_epoch, {})
 
     def seat_in(self, voter_set: VoterSet) -> SeatKind | None:
+        """What this disk is to the epoch of this set of voters; None: nothing that helps to begin it."""
         member, epoch, before = self.member, voter_set["n"], voter_set["before"]
         if member.active_epoch == epoch and is_voter(voter_set["voters"], member.address, member.disk):
             return SeatKind.ACTIVE
@@ -117,6 +119,7 @@
         return None
 
     def on_epoch_state(self, now: float, peer: str, state: EpochState, effects: Effects) -> None:
+        """A voter reports what its disk holds; be active once enough of them have."""
         member = self.member
         if self.join is None or state.epoch != member.epoch:
             return
--- a/bramblewood/controller/consensus/learner.py
+++ b/bramblewood/controller/consensus/learner.py
@@ -90,6 +90,7 @@
             effects.write(register, acceptor)
 
     def on_fetch(self, peer: str, request: FetchChosen, effects: Effects) -> None:
+        """Send the chosen value, if it is as new as the one asked for."""
         chosen = self.chosen[request.register]
         if chosen.proposal_number >= request.proposal_number:
             effects.send(peer, Chosen(request.register, chosen.proposal_number, chosen.value))
--- a/bramblewood/controller/consensus/local_member.py
+++ b/bramblewood/controller/consensus/local_member.py
@@ -25,14 +25,17 @@
 
     @property
     def epoch(self) -> int:
+        """The newest epoch known here."""
         return self.voter_set["n"]
 
     @property
     def voters(self) -> dict[str, str]:
+        """The name of each voter's disk in that epoch, by its address."""
         return self.voter_set["voters"]
 
     @property
     def majority(self) -> int:
+        """How many voters are more than half of them."""
         return majority(self.voters)
 
     def knows_voter(self, address: str, disk: str) -> bool:
@@ -41,6 +44,7 @@
 
     @property
     def is_member(self) -> bool:
+        """Whether this controller, on this disk, may have a seat in that epoch; see `holds_seat`."""
         return self.knows_voter(self.address, self.disk)
 
     @property
@@ -54,4 +58,5 @@
 
     @property
     def is_active_voter(self) -> bool:
+        """Whether this controller votes: it holds all that its epoch began with."""
         return self.is_member and self.active_epoch == self.epoch
--- a/bramblewood/controller/consensus/membership.py
+++ b/bramblewood/controller/consensus/membership.py
@@ -23,6 +23,8 @@
 
 
 class VoterSetChange(NamedTuple):
+    """Voters that should follow those of the current epoch."""
+
     voters: dict[str, str]  # the name of each voter's disk, by its address
     reason: str  # for the log
 
@@ -42,12 +44,14 @@
         self.steady_after = catch_up * STEADY_FRACTION
 
     def failure_domains(self, peers: dict[str, PeerStatus]) -> dict[str, FailureDomain]:
+        """Where each of these controllers stands."""
         return {
             name: FailureDomain(peer.zone, self.regions.get(peer.zone, peer.zone), peer.counts_for_tolerance)
             for name, peer in peers.items()
         }
 
     def is_lost(self, peer: PeerStatus | None) -> bool:
+        """Whether it was silent for so long that its seat may be given away; None: never heard of."""
         return peer is None or peer.silent_for > self.lost_after
 
     # --- the change that is due
@@ -108,6 +112,7 @@
         return None
 
     def is_leaving(self, peer: PeerStatus | None) -> bool:
+        """Whether it is heard, and was told to end."""
         return peer is not None and peer.is_heard and peer.leaving
 
     def spares(
--- a/bramblewood/controller/consensus/membership_view.py
+++ b/bramblewood/controller/consensus/membership_view.py
@@ -18,6 +18,8 @@
 
 
 class MembershipView(TypedDict):
+    """Who votes, as the controller `me` sees it. Its keys are part of the `--json` form."""
+
     me: str
     epoch: int
     state: str
@@ -60,6 +62,7 @@
     versions: dict[str, int],
     is_lost: Callable[[PeerStatus], bool],
 ) -> MemberView:
+    """One controller as it is seen here."""
     ever_heard = bool(peer.disk)
     lag = {
         register: max(version - peer.versions.get(register, 0), 0) for register, version in versions.items()
--- a/bramblewood/controller/consensus/messages.py
+++ b/bramblewood/controller/consensus/messages.py
@@ -30,6 +30,8 @@
 
 
 class Message(Protocol):
+    """What every message of this module has."""
+
     def to_wire(self) -> dict: ...
 
 
@@ -61,6 +63,7 @@
 
     @property
     def has_value(self) -> bool:
+        """Whether the voter sent the value; else the proposer is expected to hold it."""
         return self.value is not OMITTED
 
     @classmethod
--- a/bramblewood/controller/consensus/peer_status.py
+++ b/bramblewood/controller/consensus/peer_status.py
@@ -21,6 +21,7 @@
 
     @property
     def is_heard(self) -> bool:
+        """Whether its heartbeats come."""
         return self.steady_for > 0
 
     def is_active_in(self, voter_set: VoterSet, address: str) -> bool:
@@ -37,6 +38,7 @@
 
 
 def heard_peers(peers: dict[str, PeerStatus]) -> dict[str, PeerStatus]:
+    """Those of these controllers whose heartbeats come."""
     return {name: peer for name, peer in peers.items() if peer.is_heard}
 
 
--- a/bramblewood/controller/consensus/proposal_round.py
+++ b/bramblewood/controller/consensus/proposal_round.py
@@ -10,6 +10,8 @@
 
 
 class Phase(Enum):
+    """How far a round has come."""
+
     WAITING = "waiting"  # not begun, or to begin anew
     PREPARING = "preparing"  # until a majority has promised
     ACCEPTING = "accepting"  # until a majority has accepted
@@ -36,18 +38,21 @@
         self.accept_value: Accept | None = None  # for the others
 
     def begin_prepare(self, number: ProposalNumber, phase_deadline: float) -> None:
+        """Ask for promises under this number until `phase_deadline` (s, the caller's clock)."""
         self.proposal_number = number
         self.phase, self.phase_deadline = Phase.PREPARING, phase_deadline
         self.promises, self.accepted_by = {}, set()
         self.attempts += 1
 
     def begin_accept(self, base: ProposalNumber, value: Any, difference: dict | None, until: float) -> None:
+        """Ask to accept `value`, made from the one accepted under `base`, until `until` (s)."""
         self.phase, self.phase_deadline = Phase.ACCEPTING, until
         self.base = base
         self.accept_value = Accept(self.register, self.proposal_number, value)
         self.accept_difference = AcceptDifference(self.register, self.proposal_number, base, difference)
 
     def wait(self, next_attempt_at: float) -> None:
+        """Begin anew at this time (s)."""
         self.phase, self.next_attempt_at = Phase.WAITING, next_attempt_at
 
     def newest_promised(self) -> NumberedValue:
--- a/bramblewood/controller/consensus/proposer.py
+++ b/bramblewood/controller/consensus/proposer.py
@@ -53,6 +53,7 @@
         return zlib.crc32(text.encode()) / 2**32
 
     def observe_counter(self, register: str, number: ProposalNumber) -> None:
+        """A proposal of this number exists: the next one made here is higher."""
         self.highest_counters[register] = max(self.highest_counters[register], number.counter)
 
     def propose(
@@ -80,6 +81,7 @@
             self.start_round(now, queue[0], effects)
 
     def start_round(self, now: float, round: ProposalRound, effects: Effects) -> None:
+        """Ask all voters for a promise, under a number above every one known here."""
         register, member = round.register, self.member
         self.highest_counters[register] += 1
         counter = self.highest_counters[register]
@@ -111,6 +113,7 @@
         return None
 
     def on_promise(self, now: float, peer: str, promise: Promise, effects: Effects) -> None:
+        """A voter has promised to answer no lower proposal."""
         self.learner.record_commitment(peer, promise.register, promise.proposal_number)
         round = self.current_round(promise.register, promise.proposal_number)
         if round is None:
@@ -141,6 +144,7 @@
         return True
 
     def on_majority_promised(self, now: float, round: ProposalRound, effects: Effects) -> None:
+        """Make the value from the newest one that the majority holds, and ask to accept it."""
         base = round.newest_promised()
         changed, value = self.apply_changes(round, base.value)
         nothing_there = base.proposal_number == NO_PROPOSAL
@@ -195,6 +199,7 @@
                 self.finish_round(now, round, effects)
 
     def on_rejection(self, now: float, peer: str, rejected: Rejected) -> None:
+        """A voter has promised a higher proposal: the round is lost."""
         self.observe_counter(rejected.register, rejected.promised)
         if self.member.is_member:  # others don't hear what is chosen
             self.backoff.observe(now, rejected.register, rejected.promised)
@@ -204,6 +209,7 @@
             self.schedule_retry(now, round)
 
     def finish_round(self, now: float, round: ProposalRound, effects: Effects) -> None:
+        """Answer the changes that this round carried, and start the next one."""
         queue = self.rounds[round.register]
         for one in round.batch:
             if one in queue:
@@ -214,6 +220,7 @@
     # --- time
 
     def tick(self, now: float, register: str, effects: Effects) -> None:
+        """Time has passed: retry a round whose phase took too long, complete what others left."""
         for round in self.rounds[register][:1]:
             if round.phase is not Phase.WAITING and now >= round.phase_deadline:
                 self.schedule_retry(now, round)
--- a/bramblewood/controller/consensus/proposer_backoff.py
+++ b/bramblewood/controller/consensus/proposer_backoff.py
@@ -8,6 +8,8 @@
 
 
 class CompetingRound(NamedTuple):
+    """A round of another controller, and until when to wait for it."""
+
     proposal_number: ProposalNumber
     wait_until: float  # s on the caller's clock
 
@@ -40,4 +42,5 @@
             del self.competing[register]
 
     def must_wait(self, now: float, register: str) -> bool:
+        """Whether a round of another controller may still be under way in this register."""
         return register in self.competing and now < self.competing[register].wait_until
--- a/bramblewood/controller/consensus/replica.py
+++ b/bramblewood/controller/consensus/replica.py
@@ -81,18 +81,22 @@
 
     @property
     def address(self) -> str:
+        """This controller's."""
         return self.member.address
 
     @property
     def disk(self) -> str:
+        """The name of this machine's disk."""
         return self.member.disk
 
     @property
     def voter_set(self) -> VoterSet:
+        """The newest set of voters known here."""
         return self.member.voter_set
 
     @property
     def epoch(self) -> int:
+        """The epoch of that set."""
         return self.member.epoch
 
     @property
@@ -107,10 +111,12 @@
 
     @property
     def is_member(self) -> bool:
+        """Whether this controller, on this disk, may have a seat in that epoch."""
         return self.member.is_member
 
     @property
     def is_active_voter(self) -> bool:
+        """Whether this controller votes in that epoch."""
         return self.member.is_active_voter
 
     @property
@@ -204,16 +210,16 @@
                 self.epochs.on_epoch_state(now, peer, message, effects)
             case _:
                 self.proposer.observe_counter(message.register, message.proposal_number)
-                self.receive_about_register(now, peer, message, effects)
+                self._receive_about_register(now, peer, message, effects)
         return effects
 
-    def receive_about_register(self, now: float, peer: str, message: Any, effects: Effects) -> None:
+    def _receive_about_register(self, now: float, peer: str, message: Any, effects: Effects) -> None:
         match message:
             case Prepare() | Accept() | AcceptDifference():
-                self.on_voter_request(now, peer, message, effects)
+                self._on_voter_request(now, peer, message, effects)
             case Promise() | Accepted() | Rejected():
                 if self.member.knows_voter(peer, message.disk):
-                    self.on_voter_reply(now, peer, message, effects)
+                    self._on_voter_reply(now, peer, message, effects)
             case FetchChosen():
                 self.learner.on_fetch(peer, message, effects)
             case Chosen(register, number, value):
@@ -222,7 +228,7 @@
                 self.proposer.backoff.round_finished(register, number)
                 self.proposer.start_next_round(now, register, effects)
 
-    def on_voter_reply(
+    def _on_voter_reply(
         self, now: float, peer: str, message: Promise | Accepted | Rejected, effects: Effects
     ) -> None:
         match message:
@@ -235,7 +241,7 @@
 
     # --- the acceptors
 
-    def on_voter_request(
+    def _on_voter_request(
         self, now: float, peer: str, request: Prepare | Accept | AcceptDifference, effects: Effects
     ) -> None:
         """Answer a proposer of this epoch; tell one of an earlier epoch that it missed a change."""
@@ -244,20 +250,20 @@
         elif self.is_active_voter and request.proposal_number.epoch == self.epoch:
             match request:
                 case Prepare():
-                    self.on_prepare(now, peer, request, effects)
+                    self._on_prepare(now, peer, request, effects)
                 case Accept(register, number, value):
-                    self.accept(now, peer, register, number, value, effects)
+                    self._accept(now, peer, register, number, value, effects)
                 case AcceptDifference(register, number, base, difference):
                     acceptor = self.acceptors[register]
                     if base == acceptor.accepted:  # else the next round brings the value itself
                         value = apply_difference(acceptor.value, difference)
-                        self.accept(now, peer, register, number, value, effects)
+                        self._accept(now, peer, register, number, value, effects)
 
-    def on_prepare(self, now: float, peer: str, prepare: Prepare, effects: Effects) -> None:
+    def _on_prepare(self, now: float, peer: str, prepare: Prepare, effects: Effects) -> None:
         register, number, held = prepare
         acceptor = self.acceptors[register]
         if not acceptor.prepare(number):
-            self.reject(peer, register, number, effects)
+            self._reject(peer, register, number, effects)
             return
         self.proposer.backoff.observe(now, register, number)
         effects.write(register, acceptor)
@@ -266,18 +272,18 @@
             promise = promise._replace(value=acceptor.value)
         effects.send(peer, promise)
 
-    def accept(
+    def _accept(
         self, now: float, peer: str, register: str, number: ProposalNumber, value: Any, effects: Effects
     ) -> None:
         """Accept what `peer` proposes, and tell it and all voters."""
         acceptor = self.acceptors[register]
         if not acceptor.accept(number, value):
-            self.reject(peer, register, number, effects)
+            self._reject(peer, register, number, effects)
             return
         self.proposer.backoff.observe(now, register, number)
         effects.write(register, acceptor)
         effects.broadcast(sorted({*self.voters, peer}), Accepted(register, number, self.disk))
 
-    def reject(self, peer: str, register: str, number: ProposalNumber, effects: Effects) -> None:
+    def _reject(self, peer: str, register: str, number: ProposalNumber, effects: Effects) -> None:
         promised = self.acceptors[register].promised
         effects.send(peer, Rejected(register, number, promised, self.disk))
