--- a/bramblewood/cli/drain.py
+++ b/bramblewood/cli/drain.py
@@ -9,6 +9,7 @@
 from .exit_codes import PROBLEM_FOUND, SUCCESS
 from .options import BOOT, CONTROLLER, JSON
 from .output import fail, write_result
+from .views import DrainPlanView, DrainWorkerView
 
 POLL_INTERVAL = 0.5  # s between two views while `show --wait` waits
 PATH = "/plan"  # of orders about drain plans
@@ -82,7 +83,7 @@
     sys.exit(PROBLEM_FOUND if reason or response.status != 200 else SUCCESS)
 
 
-def worker_line(instance_id: str, worker: dict) -> str:
+def worker_line(instance_id: str, worker: DrainWorkerView) -> str:
     """One worker of a plan: its step, and what the next step still waits for."""
     pending = [f"not yet closed at {', '.join(worker['sending'])}"] if worker["sending"] else []
     pending += ["keys still to pass on"] if worker["keys"] else []
@@ -93,7 +94,7 @@
     return "; ".join([f"  {instance_id} {worker['step']}", *pending])
 
 
-def plan_lines(name: str, plan: dict) -> list[str]:
+def plan_lines(name: str, plan: DrainPlanView) -> list[str]:
     """A plan and its workers, for people."""
     why = f", {plan['why']}" if plan["why"] else ""
     first = f"{name}: {plan['service']}, {plan['state']}{why}, {plan['wave']} at a time"
@@ -110,7 +111,7 @@
     """Show the plans: each worker's step, what is still under way, where, since when."""
     deadline = time.monotonic() + wait
     while True:
-        plans = get_view(controller, boot, "plans")
+        plans: dict[str, DrainPlanView] = get_view(controller, boot, "plans")
         if name and name not in plans:
             fail(f"no plan {name}", PROBLEM_FOUND)
         plans = {name: plans[name]} if name else plans
--- a/bramblewood/cli/explain.py
+++ b/bramblewood/cli/explain.py
@@ -13,12 +13,13 @@
 from .exit_codes import PROBLEM_FOUND, SUCCESS
 from .options import BOOT, CONTROL, CONTROLLER, JSON
 from .output import write_result
+from .views import TableView, WorkerView
 from .workers import VIEW as WORKERS_VIEW
 
 NOW = 0.0  # s; the clock of a load balancer that lives for one choice
 
 
-def load_balancer_from(registrations: dict[str, dict], table: dict) -> LoadBalancer:
+def load_balancer_from(registrations: dict[str, WorkerView], table: TableView) -> LoadBalancer:
     """A proxy's load balancer that has this registry and table."""
     load_balancer = LoadBalancer(NOW)
     load_balancer.take_table(table)
--- a/bramblewood/cli/leases.py
+++ b/bramblewood/cli/leases.py
@@ -6,11 +6,12 @@
 from .controller_client import get_view
 from .options import BOOT, CONTROLLER, JSON
 from .output import write_result
+from .views import GrantView, LeaseRow, TableView
 
 GRANTS_VIEW = "holds"  # the grants' name on the wire
 
 
-def lease_rows(table: dict, grants: list[dict]) -> list[dict]:
+def lease_rows(table: TableView, grants: list[GrantView]) -> list[LeaseRow]:
     """One row a slice: its workers and fencing token, and until when its last grant holds, in s from now."""
     expiry = {(grant["service"], grant["from"], grant["life"]): grant["until"] for grant in grants}
     rows = []
@@ -31,7 +32,7 @@
     return rows
 
 
-def lease_line(row: dict) -> str:
+def lease_line(row: LeaseRow) -> str:
     """One slice, for people."""
     line = f"{row['service']} from {row['from']}: {row['worker'] or 'nobody'}, fence {row['fence']}"
     if row["until"] is not None:
--- a/bramblewood/cli/members.py
+++ b/bramblewood/cli/members.py
@@ -8,6 +8,7 @@
 from .exit_codes import PROBLEM_FOUND, SUCCESS
 from .options import BOOT, CONTROLLER, JSON
 from .output import write_result
+from .views import MembershipView, MemberView
 
 PATH = "/members"  # of orders about the voting members
 
@@ -31,7 +32,7 @@
         context.invoke(show, **given)
 
 
-def member_line(name: str, member: dict, view: dict) -> str:
+def member_line(name: str, member: MemberView, view: MembershipView) -> str:
     """One controller: its state, when it was heard, how far behind it is, its disk."""
     parts = [f"{name}: {member['state']}"]
     if name != view["me"]:
@@ -49,7 +50,7 @@
     return ", ".join([*parts, f"disk {member['disk']}"] if member["disk"] else parts)
 
 
-def membership_lines(view: dict) -> list[str]:
+def membership_lines(view: MembershipView) -> list[str]:
     """The set of voters, the controllers that stand by, a change under way and the margin, for people."""
     lines = [f"epoch {view['epoch']}, as {view['me']} ({view['state']}) sees it"]
     lines += [member_line(name, member, view) for name, member in sorted(view["members"].items())]
@@ -61,7 +62,7 @@
     return lines + ([f"warning: {warning}"] if warning else [])
 
 
-def margin_warning(view: dict) -> str:
+def margin_warning(view: MembershipView) -> str:
     """What is wrong where fewer voters may be lost than are to be borne; empty if all is well."""
     if view["margin"] >= view["tolerance"]:
         return ""
--- a/bramblewood/cli/sessions.py
+++ b/bramblewood/cli/sessions.py
@@ -5,9 +5,10 @@
 from .controller_client import get_view
 from .options import BOOT, CONTROLLER, JSON
 from .output import write_result
+from .views import SessionsView
 
 
-def session_lines(view: dict) -> list[str]:
+def session_lines(view: SessionsView) -> list[str]:
     """A line for the controller that was asked, and one for each controller and proxy that it hears."""
     state = lambda current: "whole" if current else "without a majority"  # noqa: E731
     lines = [
--- a/bramblewood/cli/workers.py
+++ b/bramblewood/cli/workers.py
@@ -5,6 +5,7 @@
 from .controller_client import get_view
 from .options import BOOT, CONTROLLER, JSON
 from .output import write_result
+from .views import WorkerView
 
 VIEW = "roll"  # the registry's name on the wire
 
@@ -15,7 +16,7 @@
 @JSON
 def workers(controller: str | None, boot: str | None, as_json: bool) -> None:
     """Show the workers and their states."""
-    registrations = get_view(controller, boot, VIEW)
+    registrations: dict[str, WorkerView] = get_view(controller, boot, VIEW)
     lines = [
         f"{row['service']} {instance_id} {row['address']} {row['zone']} {row['phase']}"
         f"{', silent' * row['silent']}, heard {row['heard']} s ago"
