--- a/bramblewood/cli/explain.py
+++ b/bramblewood/cli/explain.py
@@ -22,11 +22,11 @@
 def load_balancer_from(registrations: dict[str, WorkerView], table: TableView) -> LoadBalancer:
     """A proxy's load balancer that has this registry and table."""
     load_balancer = LoadBalancer(NOW)
-    load_balancer.take_table(table)
+    load_balancer.apply_table(table)
     for instance_id, row in registrations.items():
         registration = WorkerRegistration.from_view(row)
         load_balancer.registry.record(NOW, instance_id, registration)
-    load_balancer.silent = {instance_id for instance_id, row in registrations.items() if row["silent"]}
+    load_balancer.timed_out = {instance_id for instance_id, row in registrations.items() if row["silent"]}
     return load_balancer
 
 
@@ -71,9 +71,9 @@
     keyed = configuration.services[service].keyed
     registrations = get_view(controller, boot, WORKERS_VIEW)
     load_balancer = load_balancer_from(registrations, get_view(controller, boot, "table"))
-    slice_key = key if keyed else load_balancer.hashed(request)
-    entry = load_balancer.entry(service, slice_key) if slice_key is not None else None
-    choose = lambda: load_balancer.choose(NOW, service, slice_key if keyed else None, request, set())  # noqa: E731
+    slice_key = key if keyed else load_balancer.hash_request_id(request)
+    entry = load_balancer.slice_entry(service, slice_key) if slice_key is not None else None
+    choose = lambda: load_balancer.choose_worker(NOW, service, slice_key if keyed else None, request, set())  # noqa: E731
     worker = choose() if entry else None
     found |= {"service": service, "keyed": keyed, "key": slice_key, "entry": entry, "worker": worker}
     lines = [
--- a/bramblewood/proxy/connection_quota.py
+++ b/bramblewood/proxy/connection_quota.py
@@ -8,14 +8,16 @@
 
 import zlib
 
-KEPT_PART = 0.5  # of MaxConns that idle connections may take: the other half is for requests under way
-TURN = 30.0  # s that a lot stands: some idle times of a worker, PROTOCOL's ten seconds and more
+IDLE_SHARE = 0.5  # of MaxConns that idle connections may take: the other half is for requests under way
+LOTTERY_PERIOD = 30.0  # s that a lot stands: some idle times of a worker, PROTOCOL's ten seconds and more
 
 
-def keeps(connections: int, proxies: int, proxy: str, instance_id: str, now: float) -> int:
+def idle_connection_quota(
+    max_connections: int, proxies: int, proxy: str, instance_id: str, now: float
+) -> int:
     """Idle connections that this desk may keep to this worker; `connections` 0 is one without a bound."""
-    if connections <= 0:
+    if max_connections <= 0:
         return 2**20
-    part = KEPT_PART * connections / max(proxies, 1)
-    lot = zlib.crc32(f"{proxy} {instance_id} {int(now / TURN)}".encode()) / 2**32
-    return int(part) + (lot < part % 1.0)
+    quota = IDLE_SHARE * max_connections / max(proxies, 1)
+    draw = zlib.crc32(f"{proxy} {instance_id} {int(now / LOTTERY_PERIOD)}".encode()) / 2**32
+    return int(quota) + (draw < quota % 1.0)
--- a/bramblewood/proxy/controller_selection.py
+++ b/bramblewood/proxy/controller_selection.py
@@ -11,95 +11,109 @@
 
 from ..common.timeouts import CONFIRMATION_VALIDITY
 
-WANT_AFTER = 0.2  # s in which the home may bring what another archive tells of
-WANT_AGAIN = 0.4  # s after which what was asked for and did not come is asked elsewhere
+UPSTREAM_GRACE = 0.2  # s in which the home may bring what another archive tells of
+REQUEST_RETRY_INTERVAL = 0.4  # s after which what was asked for and did not come is asked elsewhere
 
-Sends = list[tuple[str, dict]]  # archive, message
+OutgoingMessages = list[tuple[str, dict]]  # archive, message
 
 
 class ControllerSelection:
     def __init__(self, name: str, zone: str) -> None:
         self.name, self.zone = name, zone
-        self.up: set[str] = set()
-        self.claims: dict[str, dict] = {}  # by archive: its newest pulse on this link
+        self.connected: set[str] = set()
+        self.heartbeats: dict[str, dict] = {}  # by archive: its newest pulse on this link
         self.zones: dict[str, str] = {}  # by archive
         self.coordinator: str | None = None
-        self.home: str | None = None
-        self.rolled: str | None = None  # the archive whose whole roll came, on the link that stands
-        self.wanted: dict[str, tuple[int, float]] = {}  # by register: newest told of, when to ask
-        self.sure_at = -1e9  # when the last confirmation that our table is the newest was asked for
-        self.ready = False  # for this life, once it is
+        self.upstream: str | None = None
+        self.registry_source: str | None = None  # the archive whose whole roll came, on the link that stands
+        self.awaited_versions: dict[str, tuple[int, float]] = {}  # by register: newest told of, when to ask
+        self.table_confirmed_at = (
+            -1e9
+        )  # when the last confirmation that our table is the newest was asked for
+        self.is_ready = False  # for this life, once it is
 
-    def link(self, peer: str, up: bool, have: dict[str, int]) -> Sends:
+    def connection_changed(self, peer: str, is_up: bool, known_versions: dict[str, int]) -> OutgoingMessages:
         """A link came or went."""
-        if up:
-            self.up.add(peer)
+        if is_up:
+            self.connected.add(peer)
             return []
-        self.up.discard(peer)
-        self.claims.pop(peer, None)
+        self.connected.discard(peer)
+        self.heartbeats.pop(peer, None)
         self.zones.pop(peer, None)
-        self.home = None if self.home == peer else self.home
+        self.upstream = None if self.upstream == peer else self.upstream
         self.coordinator = None if self.coordinator == peer else self.coordinator
-        self.rolled = None if self.rolled == peer else self.rolled
-        return self.choose(have)
+        self.registry_source = None if self.registry_source == peer else self.registry_source
+        return self._choose_upstream(known_versions)
 
-    def choose(self, have: dict[str, int]) -> Sends:
+    def _choose_upstream(self, known_versions: dict[str, int]) -> OutgoingMessages:
         """One archive pushes all news here: of those that are whole one of this zone, if there is one.
 
         Where none is, the last one goes on pushing: its rows may be news, and nothing older is taken.
         """
-        able = [peer for peer, told in self.claims.items() if told["whole"] and peer in self.up]
+        candidates = [
+            peer
+            for peer, heartbeat in self.heartbeats.items()
+            if heartbeat["whole"] and peer in self.connected
+        ]
         best = min(
-            able,
+            candidates,
             key=lambda peer: (
                 self.zones.get(peer) != self.zone,
                 zlib.crc32(f"{self.name}{peer}".encode()),
             ),
             default=None,
         )
-        if best is None or best == self.home:
+        if best is None or best == self.upstream:
             return []
-        sends: Sends = [] if self.home is None else [(self.home, {"k": "home", "on": False})]
-        self.home, self.rolled = best, None
-        return [*sends, (best, {"k": "home", "on": True, "have": have})]
+        sends: OutgoingMessages = (
+            [] if self.upstream is None else [(self.upstream, {"k": "home", "on": False})]
+        )
+        self.upstream, self.registry_source = best, None
+        return [*sends, (best, {"k": "home", "on": True, "have": known_versions})]
 
-    def pulse(self, now: float, peer: str, message: dict, have: dict[str, int]) -> Sends:
+    def heartbeat_received(
+        self, now: float, peer: str, message: dict, known_versions: dict[str, int]
+    ) -> OutgoingMessages:
         """An archive's pulse; have: the versions that this desk has, by register."""
-        self.claims[peer] = message
+        self.heartbeats[peer] = message
         self.zones[peer] = message.get("zone", self.zones.get(peer, ""))
         if message["scribe"]:
             self.coordinator = peer
         elif self.coordinator == peer:
             self.coordinator = None
-        sends = self.choose(have)
+        sends = self._choose_upstream(known_versions)
         for register, number in message["n"].items():
-            if number <= have[register]:
+            if number <= known_versions[register]:
                 continue
             # the home pushes: another is asked only if that does not come
-            first, at = self.wanted.get(register, (0, 0.0))
+            first, at = self.awaited_versions.get(register, (0, 0.0))
             if number > first:
-                self.wanted[register] = (number, now + WANT_AFTER)
+                self.awaited_versions[register] = (number, now + UPSTREAM_GRACE)
             elif now >= at:
-                self.wanted[register] = (number, now + WANT_AGAIN)
-                sends.append((peer, {"k": "want", "r": register, "have": have[register]}))
-        return sends + self.ask(now, have)
+                self.awaited_versions[register] = (number, now + REQUEST_RETRY_INTERVAL)
+                sends.append((peer, {"k": "want", "r": register, "have": known_versions[register]}))
+        return sends + self.confirmation_request(now, known_versions)
 
-    def registry(self, now: float, peer: str, have: dict[str, int]) -> Sends:
+    def registry_received(self, now: float, peer: str, known_versions: dict[str, int]) -> OutgoingMessages:
         """A whole roll came from this archive."""
-        self.rolled = peer if peer == self.home else self.rolled
-        return self.ask(now, have)
+        self.registry_source = peer if peer == self.upstream else self.registry_source
+        return self.confirmation_request(now, known_versions)
 
-    def ask(self, now: float, have: dict[str, int]) -> Sends:
+    def confirmation_request(self, now: float, known_versions: dict[str, int]) -> OutgoingMessages:
         """While not ready: ask the home whether what is here is all and the newest."""
-        if self.ready or self.rolled is None or not all(have.values()):
+        if self.is_ready or self.registry_source is None or not all(known_versions.values()):
             return []
-        return [(self.rolled, {"k": "confirm", "t": now})]
+        return [(self.registry_source, {"k": "confirm", "t": now})]
 
-    def confirmed(self, now: float, peer: str, message: dict, have: dict[str, int]) -> None:
+    def confirmation_received(
+        self, now: float, peer: str, message: dict, known_versions: dict[str, int]
+    ) -> None:
         """An archive that is whole answers what we asked it at `t`: these are the newest versions."""
         newest, asked = message["n"], message["t"]
-        if newest["table"] <= have["table"]:
-            self.sure_at = max(self.sure_at, asked)
-        here = all(have.values()) and all(have[register] >= number for register, number in newest.items())
-        if here and peer == self.rolled and now < asked + CONFIRMATION_VALIDITY:
-            self.ready = True
+        if newest["table"] <= known_versions["table"]:
+            self.table_confirmed_at = max(self.table_confirmed_at, asked)
+        here = all(known_versions.values()) and all(
+            known_versions[register] >= number for register, number in newest.items()
+        )
+        if here and peer == self.registry_source and now < asked + CONFIRMATION_VALIDITY:
+            self.is_ready = True
--- a/bramblewood/proxy/hot_key_queue.py
+++ b/bramblewood/proxy/hot_key_queue.py
@@ -9,72 +9,78 @@
 
 import math
 
-PRESSED = 0.85  # of its pace that a desk keeps when a worker says that more wait than it has slots
-TURNED = 0.7  # and when it turns a request away
-SEES = 0.2  # s before a slower pace can show: about a request's work
-GAIN = 0.3  # of its pace that it gains each second
-LEAST = 0.2  # requests a second that are always let through: some news of the worker each five seconds
-FLOW = 1.0  # s over which the flow is counted
-FREE = 2.0  # times the flow at which a pace bounds nothing any more: the gate opens
+OVERLOADED_RATE_FACTOR = (
+    0.85  # of its pace that a desk keeps when a worker says that more wait than it has slots
+)
+REJECTED_RATE_FACTOR = 0.7  # and when it turns a request away
+RATE_EFFECT_DELAY = 0.2  # s before a slower pace can show: about a request's work
+RATE_GAIN_PER_SECOND = 0.3  # of its pace that it gains each second
+MIN_RATE = 0.2  # requests a second that are always let through: some news of the worker each five seconds
+ARRIVAL_RATE_WINDOW = 1.0  # s over which the flow is counted
+UNLIMITED_RATE_FACTOR = 2.0  # times the flow at which a pace bounds nothing any more: the gate opens
 
 
 class HotKeyQueue:
     def __init__(self) -> None:
-        self.pace = math.inf  # requests a second
-        self.next_at = self.cut_at = self.gained_at = -1e9
-        self.count, self.counted_at = 0.0, 0.0  # requests that came, fading over FLOW
+        self.rate = math.inf  # requests a second
+        self.next_slot_at = self.reduced_at = self.raised_at = -1e9
+        self.arrival_count, self.counted_at = 0.0, 0.0  # requests that came, fading over FLOW
         self.waiting: dict[str, tuple[int, float]] = {}  # by request: rank, since when
 
     @property
-    def closed(self) -> bool:
-        return self.pace < math.inf
+    def is_limiting(self) -> bool:
+        return self.rate < math.inf
 
-    def flow(self, now: float) -> float:
+    def arrival_rate(self, now: float) -> float:
         """Requests a second that come for this worker."""
-        return self.count * math.exp(-max(now - self.counted_at, 0.0) / FLOW) / FLOW
+        return (
+            self.arrival_count
+            * math.exp(-max(now - self.counted_at, 0.0) / ARRIVAL_RATE_WINDOW)
+            / ARRIVAL_RATE_WINDOW
+        )
 
-    def came(self, now: float) -> None:
-        self.count, self.counted_at = self.flow(now) * FLOW + 1.0, now
+    def record_arrival(self, now: float) -> None:
+        self.arrival_count, self.counted_at = self.arrival_rate(now) * ARRIVAL_RATE_WINDOW + 1.0, now
 
-    def slower(self, now: float, part: float) -> None:
+    def reduce_rate(self, now: float, factor: float) -> None:
         """The worker has more than it can do: PRESSED or TURNED."""
-        if now < self.cut_at + SEES or self.flow(now) < LEAST:
+        if now < self.reduced_at + RATE_EFFECT_DELAY or self.arrival_rate(now) < MIN_RATE:
             return
-        self.pace = max(part * min(self.pace, self.flow(now)), LEAST)
-        self.cut_at = self.gained_at = now
+        self.rate = max(factor * min(self.rate, self.arrival_rate(now)), MIN_RATE)
+        self.reduced_at = self.raised_at = now
 
-    def faster(self, now: float) -> None:
+    def raise_rate(self, now: float) -> None:
         """It answered, and fewer wait than it works on."""
-        if not self.closed:
+        if not self.is_limiting:
             return
-        self.pace *= 1 + GAIN * min(now - self.gained_at, 1.0)
-        self.gained_at = now
-        if self.pace > FREE * max(self.flow(now), LEAST):
-            self.pace = math.inf
+        self.rate *= 1 + RATE_GAIN_PER_SECOND * min(now - self.raised_at, 1.0)
+        self.raised_at = now
+        if self.rate > UNLIMITED_RATE_FACTOR * max(self.arrival_rate(now), MIN_RATE):
+            self.rate = math.inf
 
-    def turn(self, now: float, request: str, mine: tuple[int, float], until: float) -> float | None:
+    def turn_at(self, now: float, request: str, priority: tuple[int, float], latest: float) -> float | None:
         """When to look again: now where it is this request's turn, None where it can't be by `until`.
 
         mine: its rank, since when it waits.
         """
-        if not self.closed:
+        if not self.is_limiting:
             self.waiting.pop(request, None)
             return now
-        ahead = sum(other < mine for other in self.waiting.values())
-        at = max(self.next_at, now) + ahead / self.pace
-        if at > until:
+        ahead = sum(other < priority for other in self.waiting.values())
+        at = max(self.next_slot_at, now) + ahead / self.rate
+        if at > latest:
             self.waiting.pop(request, None)
             return None
         if at > now:
-            self.waiting[request] = mine
-            return min(at, until)
+            self.waiting[request] = priority
+            return min(at, latest)
         self.waiting.pop(request, None)
         return now
 
-    def left(self, request: str) -> None:
+    def remove(self, request: str) -> None:
         """It waits here no more."""
         self.waiting.pop(request, None)
 
-    def went(self, now: float) -> None:
-        if self.closed:
-            self.next_at = max(self.next_at, now) + 1 / self.pace
+    def record_passage(self, now: float) -> None:
+        if self.is_limiting:
+            self.next_slot_at = max(self.next_slot_at, now) + 1 / self.rate
--- a/bramblewood/proxy/replica_invalidation.py
+++ b/bramblewood/proxy/replica_invalidation.py
@@ -12,53 +12,55 @@
 from ..common.timeouts import CONFIRMATION_VALIDITY, READ_LEASE_EXPIRY
 
 
-class Confirm(NamedTuple):
+class ConfirmTable(NamedTuple):
     """Ask an archive whether this desk's table is the newest."""
 
 
-class Drop(NamedTuple):
+class DropReplicas(NamedTuple):
     """Release the record at these readers."""
 
     instance_ids: tuple[str, ...]
 
 
-class TakeOff(NamedTuple):
+class RemoveReaders(NamedTuple):
     """Have these readers taken off the record."""
 
     instance_ids: tuple[str, ...]
 
 
-class Until(NamedTuple):
+class WaitUntil(NamedTuple):
     """Wait."""
 
     at: float
 
 
-CLEAR = "clear"
+ALL_CLEAR = "clear"
 
 
 class ReplicaInvalidation:
     def __init__(self) -> None:
         self.dropped: set[str] = set()  # readers that have dropped their copies since the effect ran
-        self.deaf: set[str] = set()  # those that did not answer
-        self.gone: dict[
+        self.unresponsive: set[str] = set()  # those that did not answer
+        self.removed: dict[
             str, float
         ] = {}  # readers off the record, and until when a copy of theirs may be read
 
-    def next(self, now: float, sure_at: float, readers: set[str]) -> Confirm | Drop | TakeOff | Until | str:
+    def next_step(
+        self, now: float, confirmed_at: float, readers: set[str]
+    ) -> ConfirmTable | DropReplicas | RemoveReaders | WaitUntil | str:
         """sure_at: when the confirmation was asked for that this desk's table, and so `readers`, rests on."""
-        if now >= sure_at + CONFIRMATION_VALIDITY:
-            return Confirm()
-        if left := readers - self.dropped - self.deaf:
-            return Drop(tuple(sorted(left)))
-        if left := (self.deaf & readers) - self.gone.keys():
-            return TakeOff(tuple(sorted(left)))
-        last = max(self.gone.values(), default=now)
-        return Until(last) if last > now else CLEAR
-
-    def answered(self, instance_id: str, dropped: bool) -> None:
-        (self.dropped if dropped else self.deaf).add(instance_id)
-
-    def off(self, now: float, instance_ids: tuple[str, ...]) -> None:
+        if now >= confirmed_at + CONFIRMATION_VALIDITY:
+            return ConfirmTable()
+        if pending := readers - self.dropped - self.unresponsive:
+            return DropReplicas(tuple(sorted(pending)))
+        if pending := (self.unresponsive & readers) - self.removed.keys():
+            return RemoveReaders(tuple(sorted(pending)))
+        expired_at = max(self.removed.values(), default=now)
+        return WaitUntil(expired_at) if expired_at > now else ALL_CLEAR
+
+    def drop_finished(self, instance_id: str, dropped: bool) -> None:
+        (self.dropped if dropped else self.unresponsive).add(instance_id)
+
+    def readers_removed(self, now: float, instance_ids: tuple[str, ...]) -> None:
         """These are taken off the record: agreed, and told to us now."""
-        self.gone.update(dict.fromkeys(instance_ids, now + READ_LEASE_EXPIRY))
+        self.removed.update(dict.fromkeys(instance_ids, now + READ_LEASE_EXPIRY))
--- a/bramblewood/proxy/response_parser.py
+++ b/bramblewood/proxy/response_parser.py
@@ -10,146 +10,160 @@
 
 from multidict import CIMultiDict
 
-HEAD_MOST = 2**16  # bytes of an answer's head, or of its trailers
-START = b"HTTP/1."
-STATUS = re.compile(rb"HTTP/1\.([01]) ([1-9]\d\d)(?: ([^\r\n\0]*))?")
-FIELD = re.compile(rb"([!#$%&'*+\-.^_`|~0-9A-Za-z]+):[ \t]*([^\r\n\0]*?)[ \t]*")
-SIZE = re.compile(rb"([0-9A-Fa-f]{1,15})[ \t]*(?:;[^\r\n\0]*)?")
+MAX_HEAD_BYTES = 2**16  # bytes of an answer's head, or of its trailers
+VERSION_PREFIX = b"HTTP/1."
+STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([1-9]\d\d)(?: ([^\r\n\0]*))?")
+HEADER_FIELD = re.compile(rb"([!#$%&'*+\-.^_`|~0-9A-Za-z]+):[ \t]*([^\r\n\0]*?)[ \t]*")
+CHUNK_SIZE_LINE = re.compile(rb"([0-9A-Fa-f]{1,15})[ \t]*(?:;[^\r\n\0]*)?")
 # a status line inside a head: an answer that was cut there, and the next one
-GLUED = re.compile(rb"HTTP/1\.[01] \d\d\d")
-ONCE = ("X-Attempt-Id", "Content-Length", "Transfer-Encoding")
+EMBEDDED_STATUS_LINE = re.compile(rb"HTTP/1\.[01] \d\d\d")
+SINGLE_VALUE_HEADERS = ("X-Attempt-Id", "Content-Length", "Transfer-Encoding")
 
 
-class Malformed(ValueError):
+class MalformedResponse(ValueError):
     """Bytes that form no whole answer."""
 
 
-class Answer(NamedTuple):
+class WorkerResponse(NamedTuple):
     status: int
     reason: str
-    headers: tuple  # raw (name, value) pairs
-    named: CIMultiDict  # by name, any case
+    raw_headers: tuple  # raw (name, value) pairs
+    headers_by_name: CIMultiDict  # by name, any case
     body: bytes = b""
-    closes: bool = False  # the worker ends the connection after it
+    closes_connection: bool = False  # the worker ends the connection after it
 
 
-def head_of(text: bytes) -> Answer:
+def parse_head(text: bytes) -> WorkerResponse:
     """An answer's head, without the empty line that ends it."""
-    first, *lines = text.split(b"\r\n")
-    told = STATUS.fullmatch(first)
-    if told is None or GLUED.search(text, 1):
-        raise Malformed(first)
-    raw, named = [], CIMultiDict()
+    status_line, *lines = text.split(b"\r\n")
+    match = STATUS_LINE.fullmatch(status_line)
+    if match is None or EMBEDDED_STATUS_LINE.search(text, 1):
+        raise MalformedResponse(status_line)
+    raw_headers, headers_by_name = [], CIMultiDict()
     for line in lines:
-        field = FIELD.fullmatch(line)
+        field = HEADER_FIELD.fullmatch(line)
         if field is None:
-            raise Malformed(line)
-        raw.append(field.groups())
-        named.add(field[1].decode(), field[2].decode("utf-8", "surrogateescape"))
-    if any(len(named.getall(name, ())) > 1 for name in ONCE):
-        raise Malformed("a field that may stand once")
-    options = ",".join(named.getall("Connection", ())).lower().split(",")
-    closes = told[1] == b"0" or "close" in [option.strip() for option in options]
-    reason = (told[3] or b"").decode("utf-8", "surrogateescape")
-    return Answer(int(told[2]), reason, tuple(raw), named, b"", closes)
-
-
-class Reader:
+            raise MalformedResponse(line)
+        raw_headers.append(field.groups())
+        headers_by_name.add(field[1].decode(), field[2].decode("utf-8", "surrogateescape"))
+    if any(len(headers_by_name.getall(name, ())) > 1 for name in SINGLE_VALUE_HEADERS):
+        raise MalformedResponse("a field that may stand once")
+    options = ",".join(headers_by_name.getall("Connection", ())).lower().split(",")
+    closes_connection = match[1] == b"0" or "close" in [option.strip() for option in options]
+    reason = (match[3] or b"").decode("utf-8", "surrogateescape")
+    return WorkerResponse(int(match[2]), reason, tuple(raw_headers), headers_by_name, b"", closes_connection)
+
+
+class ResponseParser:
     """The answers on one connection."""
 
     def __init__(self) -> None:
-        self.buffer, self.bare = bytearray(), False  # bare: the request is a HEAD, its answer has no body
-        self.head: Answer | None = None
-        self.need: int | None = 0  # bytes of the body, or of the chunk and its line's end; None: not told yet
-        self.parts: list[bytes] | None = None  # chunks so far, where the body is chunked
+        self.buffer, self.head_request = (
+            bytearray(),
+            False,
+        )  # bare: the request is a HEAD, its answer has no body
+        self.response_head: WorkerResponse | None = None
+        self.bytes_needed: int | None = (
+            0  # bytes of the body, or of the chunk and its line's end; None: not told yet
+        )
+        self.chunks: list[bytes] | None = None  # chunks so far, where the body is chunked
 
     @property
-    def begun(self) -> bool:
+    def is_mid_response(self) -> bool:
         """Bytes of an answer that is not whole are here."""
-        return bool(self.buffer) or self.head is not None
+        return bool(self.buffer) or self.response_head is not None
 
     def feed(self, data: bytes) -> None:
         self.buffer += data
 
-    def take(self) -> Answer | None:
+    def next_response(self) -> WorkerResponse | None:
         """The next whole answer, or None until more bytes come; raises Malformed."""
-        if self.head is None and not self.read_head():
+        if self.response_head is None and not self._read_head():
             return None
-        if self.parts is None:
-            if len(self.buffer) < self.need:
+        if self.chunks is None:
+            if len(self.buffer) < self.bytes_needed:
                 return None
-            body = self.cut(self.need)
-        elif self.read_chunks():
-            body = b"".join(self.parts)
+            body = self._consume(self.bytes_needed)
+        elif self._read_chunks():
+            body = b"".join(self.chunks)
         else:
             return None
-        whole, self.head, self.parts = self.head._replace(body=body), None, None
+        whole, self.response_head, self.chunks = self.response_head._replace(body=body), None, None
         return whole
 
-    def cut(self, count: int) -> bytes:
+    def _consume(self, count: int) -> bytes:
         with memoryview(self.buffer) as view:
             data = bytes(view[:count])
         del self.buffer[:count]
         return data
 
-    def line(self, end: bytes) -> bytes | None:
+    def _read_line(self, end: bytes) -> bytes | None:
         """What comes before this end, both taken out of the buffer."""
-        place = self.buffer.find(end)
-        if place > HEAD_MOST or place < 0 and len(self.buffer) > HEAD_MOST:
-            raise Malformed("too long")
-        return self.cut(place + len(end))[: -len(end)] if place >= 0 else None
-
-    def read_head(self) -> bool:
-        if self.buffer[: len(START)] != START[: len(self.buffer)]:
-            raise Malformed(bytes(self.buffer[: len(START)]))
-        text = self.line(b"\r\n\r\n")
+        position = self.buffer.find(end)
+        if position > MAX_HEAD_BYTES or position < 0 and len(self.buffer) > MAX_HEAD_BYTES:
+            raise MalformedResponse("too long")
+        return self._consume(position + len(end))[: -len(end)] if position >= 0 else None
+
+    def _read_head(self) -> bool:
+        if self.buffer[: len(VERSION_PREFIX)] != VERSION_PREFIX[: len(self.buffer)]:
+            raise MalformedResponse(bytes(self.buffer[: len(VERSION_PREFIX)]))
+        text = self._read_line(b"\r\n\r\n")
         if text is None:
-            if b"\n" in self.buffer and not STATUS.fullmatch(self.buffer.partition(b"\r\n")[0]):
-                raise Malformed("a status line")
+            if b"\n" in self.buffer and not STATUS_LINE.fullmatch(self.buffer.partition(b"\r\n")[0]):
+                raise MalformedResponse("a status line")
             return False
-        head = head_of(text)
-        coding, length = head.named.get("Transfer-Encoding"), head.named.get("Content-Length")
-        if head.status == 101 or coding is not None and (length is not None or coding.lower() != "chunked"):
-            raise Malformed("a switch of protocol, or two lengths")
+        response_head = parse_head(text)
+        transfer_coding, length = (
+            response_head.headers_by_name.get("Transfer-Encoding"),
+            response_head.headers_by_name.get("Content-Length"),
+        )
+        if (
+            response_head.status == 101
+            or transfer_coding is not None
+            and (length is not None or transfer_coding.lower() != "chunked")
+        ):
+            raise MalformedResponse("a switch of protocol, or two lengths")
         if length is not None and not (length.isascii() and length.isdigit() and len(length) < 16):
-            raise Malformed("a length")
-        self.need, self.parts = int(length or 0), None
-        if self.bare or head.status < 200 or head.status in (204, 304):
-            self.need = 0
-        elif coding is not None:
-            self.need, self.parts = None, []
+            raise MalformedResponse("a length")
+        self.bytes_needed, self.chunks = int(length or 0), None
+        if self.head_request or response_head.status < 200 or response_head.status in (204, 304):
+            self.bytes_needed = 0
+        elif transfer_coding is not None:
+            self.bytes_needed, self.chunks = None, []
         elif length is None:
-            if "X-Not-Run" not in head.named:  # which its head alone says, whatever its body
-                raise Malformed("only the close would tell its end")
-            head = head._replace(closes=True)
-        self.head = head
+            if (
+                "X-Not-Run" not in response_head.headers_by_name
+            ):  # which its head alone says, whatever its body
+                raise MalformedResponse("only the close would tell its end")
+            response_head = response_head._replace(closes_connection=True)
+        self.response_head = response_head
         return True
 
-    def read_chunks(self) -> bool:
+    def _read_chunks(self) -> bool:
         """Whether the last chunk and its trailers are here; chunks that are whole go to `parts`."""
         while True:
-            if self.need is None:
-                told = self.line(b"\r\n")
-                if told is None:
+            if self.bytes_needed is None:
+                line = self._read_line(b"\r\n")
+                if line is None:
                     return False
-                if (size := SIZE.fullmatch(told)) is None:
-                    raise Malformed(told)
-                self.need = int(size[1], 16) + 2
-            if self.need == 2:
-                return self.read_trailers()
-            if len(self.buffer) < self.need:
+                if (size := CHUNK_SIZE_LINE.fullmatch(line)) is None:
+                    raise MalformedResponse(line)
+                self.bytes_needed = int(size[1], 16) + 2
+            if self.bytes_needed == 2:
+                return self._read_trailers()
+            if len(self.buffer) < self.bytes_needed:
                 return False
-            chunk = self.cut(self.need)
+            chunk = self._consume(self.bytes_needed)
             if not chunk.endswith(b"\r\n"):
-                raise Malformed("a chunk's end")
-            self.parts.append(chunk[:-2])
-            self.need = None
+                raise MalformedResponse("a chunk's end")
+            self.chunks.append(chunk[:-2])
+            self.bytes_needed = None
 
-    def read_trailers(self) -> bool:
+    def _read_trailers(self) -> bool:
         """Trailers are let fall: the client gets the body with its length."""
-        while (told := self.line(b"\r\n")) is not None:
-            if not told:
+        while (line := self._read_line(b"\r\n")) is not None:
+            if not line:
                 return True
-            if not FIELD.fullmatch(told) or GLUED.search(told):
-                raise Malformed(told)
+            if not HEADER_FIELD.fullmatch(line) or EMBEDDED_STATUS_LINE.search(line):
+                raise MalformedResponse(line)
         return False
--- a/bramblewood/proxy/server.py
+++ b/bramblewood/proxy/server.py
@@ -17,13 +17,13 @@
 from ..common.settings import SEED_REREAD_INTERVAL, Settings, reread_seeds
 from ..common.slice_table import KEY_SPACE_SIZE
 from ..common.worker_registry import GONE, WorkerRegistration
-from .connection_pool import PROOF, ConnectionPool
-from .connection_quota import keeps
-from .controller_selection import ControllerSelection, Sends
+from .connection_pool import ROUND_TRIP_WATCH, ConnectionPool
+from .connection_quota import idle_connection_quota
+from .controller_selection import ControllerSelection, OutgoingMessages
 from .load_balancing import LoadBalancer
-from .replica_invalidation import CLEAR, Confirm, Drop, ReplicaInvalidation, TakeOff
-from .request_attempts import Reply, RequestAttempts, RetryBudget, Send, Wait
-from .worker_connection import How
+from .replica_invalidation import ALL_CLEAR, ConfirmTable, DropReplicas, RemoveReaders, ReplicaInvalidation
+from .request_attempts import FinalReply, RequestAttempts, RetryBudget, SendToWorker, WaitUntil
+from .worker_connection import AttemptOutcome
 
 # without a configuration: bytes of headers and body, s for a first request and between requests
 HEADER_BYTES, BODY_BYTES, HEADER_TIME, IDLE = 2**14, 2**26, 3.0, 15.0
@@ -72,7 +72,7 @@
         self.peer_connections = PeerConnections(
             self.hello, self.hear, self.link_told, CONNECTION_TIMEOUT, told.bind
         )
-        self.contact = ControllerSelection(told.name, told.zone)
+        self.controller_selection = ControllerSelection(told.name, told.zone)
         self.ending = False
         self.front: asyncio.Server | None = None
         self.clients: tuple[Configuration | None, web.Server] | None = (
@@ -80,7 +80,7 @@
         )
         self.young: set[int] = set()  # connections that have brought no request yet
         self.flight, self.held = 0, 0
-        self.tries: dict[How, int] = dict.fromkeys(How, 0)
+        self.tries: dict[AttemptOutcome, int] = dict.fromkeys(AttemptOutcome, 0)
         self.answers: dict[int, int] = {}
         self.ids, self.offs = 0, {}
         self.changed: asyncio.Event | None = None
@@ -116,7 +116,7 @@
             if now >= tidy_at:
                 tidy_at = now + TIDY
                 rows = self.load_balancer.registry.registrations.items()
-                self.connection_pool.tidy(
+                self.connection_pool.prune(
                     now,
                     {
                         instance_id: self.room(row.service, instance_id, now)
@@ -125,7 +125,7 @@
                     },
                 )
                 self.load_balancer.registry.remove_expired(now)
-                self.load_balancer.forget()
+                self.load_balancer.forget_departed()
         return await self.end(loop.time())
 
     # --- what a client may send, how long it may take
@@ -193,16 +193,16 @@
         return {"k": "hello", "role": "desk", "from": self.settings.name, "rows": leaving}
 
     def link_told(self, peer: str, up: bool) -> None:
-        self.say(self.contact.link(peer, up, self.have()))
+        self.say(self.controller_selection.connection_changed(peer, up, self.have()))
 
-    def say(self, sends: Sends) -> None:
+    def say(self, sends: OutgoingMessages) -> None:
         for peer, message in sends:
             self.peer_connections.send(peer, message)
 
     def have(self) -> dict[str, int]:
         return {
             "config": self.configuration.number if self.configuration else 0,
-            "table": self.load_balancer.table_n,
+            "table": self.load_balancer.table_version,
         }
 
     def hear(self, link: PeerConnection, message: dict) -> None:
@@ -215,39 +215,41 @@
                     self.load_balancer.registry.record(now, instance_id, WorkerRegistration(*row))
                     and row[4] == GONE
                 ):
-                    self.connection_pool.drop(instance_id)
+                    self.connection_pool.close_all(instance_id)
             if "all" in message:
-                self.say(self.contact.registry(now, link.peer, self.have()))
+                self.say(self.controller_selection.registry_received(now, link.peer, self.have()))
             self.stir()
         elif kind == "config":
             self.take_config(message)
         elif kind == "confirmed":
-            was_ready = self.contact.ready
-            self.contact.confirmed(now, link.peer, message, self.have())
-            if self.contact.ready and not was_ready:
+            was_ready = self.controller_selection.is_ready
+            self.controller_selection.confirmation_received(now, link.peer, message, self.have())
+            if self.controller_selection.is_ready and not was_ready:
                 self.log.info("ready", step="start", number=self.configuration.number)
             self.stir()
         elif kind == "offed":
             if (waiting := self.offs.get(message["id"])) is not None and not waiting.done():
                 waiting.set_result(True)
         elif kind == "table":
-            if not self.load_balancer.take_table(message):
+            if not self.load_balancer.apply_table(message):
                 link.send({"k": "want", "r": "table", "have": 0})
             self.stir()
         if kind in ("config", "table"):
-            self.say(self.contact.ask(now, self.have()))
+            self.say(self.controller_selection.confirmation_request(now, self.have()))
 
     def pulse(self, now: float, peer: str, message: dict) -> None:
         if message["scribe"] and "near" in message:
-            self.load_balancer.take_crowds(message.get("crowds", {}))
+            self.load_balancer.apply_hot_keys(message.get("crowds", {}))
             near = message["near"].items()
-            self.load_balancer.near = {service: parts.get(self.settings.zone, 0.0) for service, parts in near}
+            self.load_balancer.local_fractions = {
+                service: parts.get(self.settings.zone, 0.0) for service, parts in near
+            }
         if message["whole"]:
-            self.load_balancer.silent = set(message.get("silent", ()))
+            self.load_balancer.timed_out = set(message.get("silent", ()))
             self.retry_budget.proxies = max(message["desks"], 1)
         for other in message.get("archives", ()):
             self.peer_connections.keep(other, self.settings.inner)
-        self.say(self.contact.pulse(now, peer, message, self.have()))
+        self.say(self.controller_selection.heartbeat_received(now, peer, message, self.have()))
 
     def take_config(self, message: dict) -> None:
         if self.configuration is not None and message["n"] <= self.configuration.number:
@@ -272,9 +274,9 @@
             pass
 
     def report(self, now: float) -> None:
-        coordinator = self.contact.coordinator
+        coordinator = self.controller_selection.coordinator
         if coordinator is not None and self.peer_connections.send(
-            coordinator, self.load_balancer.report(now - self.reported_at, now)
+            coordinator, self.load_balancer.build_report(now - self.reported_at, now)
         ):
             self.reported_at = now
 
@@ -283,20 +285,20 @@
     async def readiness(self, request: web.BaseRequest) -> web.Response:
         if request.path == "/metrics":
             return web.Response(text=metrics.text(self.counted()))
-        ready = self.contact.ready and not self.ending
+        ready = self.controller_selection.is_ready and not self.ending
         return web.Response(status=200 if ready else 503)
 
     def counted(self) -> dict[str, float]:
         ended = {f'desk_answers_total{{class="{kind}xx"}}': count for kind, count in self.answers.items()}
         return {
-            "desk_ready": int(self.contact.ready and not self.ending),
+            "desk_ready": int(self.controller_selection.is_ready and not self.ending),
             "desk_in_flight": self.flight,
             "desk_config_version": self.configuration.number if self.configuration else 0,
-            "desk_table_version": self.load_balancer.table_n,
+            "desk_table_version": self.load_balancer.table_version,
             "desk_archives": len(self.peer_connections.up),
             "desk_connections_opened_total": self.connection_pool.opened,
             "desk_connections_reused_total": self.connection_pool.reused,
-            "desk_connections_turned_total": self.connection_pool.turned,
+            "desk_connections_turned_total": self.connection_pool.rejected,
             "desk_body_bytes": self.held,
             **{f'desk_tries_total{{how="{how.value}"}}': count for how, count in self.tries.items()},
             **ended,
@@ -305,7 +307,7 @@
     def room(self, service: str, instance_id: str, now: float) -> int:
         """Idle connections that may be kept to a worker of this service."""
         told = self.configuration.services.get(service) if self.configuration is not None else None
-        return keeps(
+        return idle_connection_quota(
             told.connections if told else 0, self.retry_budget.proxies, self.settings.name, instance_id, now
         )
 
@@ -361,11 +363,11 @@
             return body
         attempts = RequestAttempts(now, route, service, key, name, deadline)
         if route.pinned and key is None:
-            attempts.pin = request.headers.get("X-Shard-Key", "")
+            attempts.affinity_key = request.headers.get("X-Shard-Key", "")
         try:
             return await self.carry(request, body, attempts)
         finally:
-            attempts.done()
+            attempts.leave_queue()
             self.held -= len(body)
 
     async def body(self, request: web.BaseRequest, most: int, until: float) -> bytes | web.Response:
@@ -393,71 +395,83 @@
 
     async def carry(self, request: web.BaseRequest, body: bytes, attempts: RequestAttempts) -> web.Response:
         loop, load_balancer = self.loop, self.load_balancer
-        self.retry_budget.arrived(attempts.service, loop.time())
+        self.retry_budget.record_request(attempts.service, loop.time())
         key = attempts.key
         if key is None:
-            key = load_balancer.drawn(loop.time(), attempts.service, attempts.request)
-        load_balancer.counted(attempts.service, key)
+            key = load_balancer.slice_key(loop.time(), attempts.service, attempts.request_id)
+        load_balancer.count_request(attempts.service, key)
         while True:
-            step = attempts.next(loop.time(), load_balancer, self.retry_budget)
-            if isinstance(step, Wait):
+            step = attempts.next_step(loop.time(), load_balancer, self.retry_budget)
+            if isinstance(step, WaitUntil):
                 await self.stirred(step.until)
                 continue
-            reply = step if isinstance(step, Reply) else await self.attempt(request, body, attempts, step)
+            reply = (
+                step if isinstance(step, FinalReply) else await self.attempt(request, body, attempts, step)
+            )
             if reply is not None:
                 return finish(reply, request.method)
 
     async def attempt(
-        self, request: web.BaseRequest, body: bytes, attempts: RequestAttempts, step: Send
-    ) -> Reply | None:
+        self, request: web.BaseRequest, body: bytes, attempts: RequestAttempts, step: SendToWorker
+    ) -> FinalReply | None:
         loop, load_balancer, instance_id = self.loop, self.load_balancer, step.instance_id
-        seen = load_balancer.of(instance_id)
+        seen = load_balancer.observation(instance_id)
         effect = not attempts.route.pure
-        seen.since = seen.since if seen.flight else loop.time()
-        seen.flight += 1
-        seen.effects += effect
-        if attempts.pin:
-            load_balancer.pin(seen.since, attempts.service, attempts.pin, instance_id, attempts.route.timeout)
+        seen.oldest_in_flight_at = seen.oldest_in_flight_at if seen.in_flight else loop.time()
+        seen.in_flight += 1
+        seen.non_idempotent_in_flight += effect
+        if attempts.affinity_key:
+            load_balancer.set_affinity(
+                seen.oldest_in_flight_at,
+                attempts.service,
+                attempts.affinity_key,
+                instance_id,
+                attempts.route.timeout,
+            )
         began, answer = loop.time(), None
         try:
             address = load_balancer.registry.registrations[instance_id].address
-            line, how = await self.connection_pool.lend(instance_id, address, began, effect, attempts.carried)
+            line, how = await self.connection_pool.acquire(
+                instance_id, address, began, effect, attempts.used_connections
+            )
             if line is not None:
                 now = loop.time()
-                if now >= attempts.until:  # its connection took that long to come up
+                if now >= attempts.deadline:  # its connection took that long to come up
                     line.close()
-                    return attempts.give_up(now, "no answer in time")
-                attempts.carried.add(line.number)
-                rest = now - line.rests_from if line.rests_from else 0.0
+                    return attempts.fail(now, "no answer in time")
+                attempts.used_connections.add(line.number)
+                rest = now - line.idle_since if line.idle_since else 0.0
                 asked = head(request, body, attempts, instance_id, now) + body
                 bare = request.method == "HEAD"
-                how, answer = await line.exchange(asked, attempts.request, attempts.until, bare)
-                at_once = how is How.BROKEN and rest and loop.time() - now < PROOF[1]
+                how, answer = await line.exchange(asked, attempts.request_id, attempts.deadline, bare)
+                at_once = (
+                    how is AttemptOutcome.CONNECTION_BROKEN
+                    and rest
+                    and loop.time() - now < ROUND_TRIP_WATCH[1]
+                )
                 if (
-                    at_once and load_balancer.pressure(now, instance_id) < 1.0
+                    at_once and load_balancer.load_per_slot(now, instance_id) < 1.0
                 ):  # a full one resets what finds no room
-                    self.connection_pool.found_dead(now, rest)
-                self.connection_pool.give_back(
-                    instance_id, line, self.room(attempts.service, instance_id, now)
-                )
+                    self.connection_pool.record_dead_connection(now, rest)
+                self.connection_pool.release(instance_id, line, self.room(attempts.service, instance_id, now))
         finally:
-            seen.flight -= 1
-            seen.effects -= effect
+            seen.in_flight -= 1
+            seen.non_idempotent_in_flight -= effect
         now = loop.time()
         self.tries[how] += 1
-        if how is How.WHOLE:
-            load_balancer.answered(now, instance_id, now - began)
-            load_balancer.loaded(now, instance_id, answer.named.get("X-Server-Load", ""))
+        if how is AttemptOutcome.ANSWERED:
+            load_balancer.record_answer(now, instance_id, now - began)
+            load_balancer.record_load(now, instance_id, answer.headers_by_name.get("X-Server-Load", ""))
             if answer.status in (429, 503):
-                load_balancer.turned_away(now, instance_id)
-            if answer.status >= 500 and "X-Not-Run" not in answer.named:
-                load_balancer.wrong(instance_id)
-        elif how is How.TURNED:
-            load_balancer.turned_away(now, instance_id)
+                load_balancer.record_rejection(now, instance_id)
+            if answer.status >= 500 and "X-Not-Run" not in answer.headers_by_name:
+                load_balancer.record_server_error(instance_id)
+        elif how is AttemptOutcome.CONNECTION_REJECTED:
+            load_balancer.record_rejection(now, instance_id)
         else:
-            load_balancer.failed(now, instance_id, how is not How.BROKEN)
-            if how is How.BROKEN:
-                load_balancer.turned_away(
+            load_balancer.record_failure(now, instance_id, how is not AttemptOutcome.CONNECTION_BROKEN)
+            if how is AttemptOutcome.CONNECTION_BROKEN:
+                load_balancer.record_rejection(
                     now, instance_id
                 )  # workers of some services reset what they have no room for
             self.log.info(
@@ -465,18 +479,25 @@
                 step="attempt",
                 peer=instance_id,
                 how=how.value,
-                id=attempts.request,
+                id=attempts.request_id,
                 key=attempts.key,
                 fencing_token=load_balancer.fencing_token(attempts.service, attempts.key),
             )
-            if how is How.UNSENT:
-                self.connection_pool.drop(instance_id)
-        readers = load_balancer.readers(attempts.service, attempts.key) if attempts.key is not None else ()
-        reply = attempts.ended(now, instance_id, how, answer, instance_id in readers)
+            if how is AttemptOutcome.NOT_SENT:
+                self.connection_pool.close_all(instance_id)
+        readers = (
+            load_balancer.replica_holders(attempts.service, attempts.key) if attempts.key is not None else ()
+        )
+        reply = attempts.attempt_finished(now, instance_id, how, answer, instance_id in readers)
         copied = attempts.key is not None and self.configuration.services[attempts.service].read_replicas
-        if copied and not attempts.route.pure and how is How.WHOLE and 200 <= answer.status < 300:
+        if (
+            copied
+            and not attempts.route.pure
+            and how is AttemptOutcome.ANSWERED
+            and 200 <= answer.status < 300
+        ):
             if not await self.invalidation(attempts):
-                return Reply(504, "copies of its record could not be recalled in time")
+                return FinalReply(504, "copies of its record could not be recalled in time")
         return reply
 
     # --- read copies
@@ -486,29 +507,33 @@
         waits.
         """
         invalidation, load_balancer, key = ReplicaInvalidation(), self.load_balancer, attempts.key
-        while (now := self.loop.time()) < attempts.until:
-            step = invalidation.next(now, self.contact.sure_at, load_balancer.readers(attempts.service, key))
-            if step == CLEAR:
+        while (now := self.loop.time()) < attempts.deadline:
+            step = invalidation.next_step(
+                now,
+                self.controller_selection.table_confirmed_at,
+                load_balancer.replica_holders(attempts.service, key),
+            )
+            if step == ALL_CLEAR:
                 return True
-            if isinstance(step, Confirm):
+            if isinstance(step, ConfirmTable):
                 self.confirm(now)
-                await self.stirred(min(now + CONFIRM_AGAIN, attempts.until))
-            elif isinstance(step, Drop):
+                await self.stirred(min(now + CONFIRM_AGAIN, attempts.deadline))
+            elif isinstance(step, DropReplicas):
                 fencing_token = load_balancer.fencing_token(attempts.service, key) or 0
                 drops = [self.drop(instance_id, key, fencing_token) for instance_id in step.instance_ids]
                 for instance_id, dropped in zip(step.instance_ids, await asyncio.gather(*drops), strict=True):
-                    invalidation.answered(instance_id, dropped)
-            elif isinstance(step, TakeOff):
-                if await self.taken_off(attempts.service, key, step.instance_ids, attempts.until):
-                    invalidation.off(self.loop.time(), step.instance_ids)
+                    invalidation.drop_finished(instance_id, dropped)
+            elif isinstance(step, RemoveReaders):
+                if await self.taken_off(attempts.service, key, step.instance_ids, attempts.deadline):
+                    invalidation.readers_removed(self.loop.time(), step.instance_ids)
             else:
-                await asyncio.sleep(min(step.at, attempts.until) - now)
+                await asyncio.sleep(min(step.at, attempts.deadline) - now)
         return False
 
     def confirm(self, now: float) -> None:
         """Ask the home archive whether our table is the newest; the answer counts from now."""
-        if self.contact.home is not None:
-            self.peer_connections.send(self.contact.home, {"k": "confirm", "t": now})
+        if self.controller_selection.upstream is not None:
+            self.peer_connections.send(self.controller_selection.upstream, {"k": "confirm", "t": now})
 
     async def drop(self, instance_id: str, key: int, fencing_token: int) -> bool:
         """Have a reader drop its copy of a record."""
@@ -527,13 +552,13 @@
             f"X-Target-Instance: {instance_id}",
             f"Content-Length: {len(body)}",
         ]
-        line, _ = await self.connection_pool.lend(instance_id, row.address, self.loop.time(), False)
+        line, _ = await self.connection_pool.acquire(instance_id, row.address, self.loop.time(), False)
         if line is None:
             return False
         asked = "\r\n".join(lines).encode() + b"\r\n\r\n" + body
         how, answer = await line.exchange(asked, name, self.loop.time() + DROP_WITHIN)
         line.close()
-        return how is How.WHOLE and answer.status == 200
+        return how is AttemptOutcome.ANSWERED and answer.status == 200
 
     async def taken_off(self, service: str, key: int, instance_ids: tuple[str, ...], until: float) -> bool:
         """Have readers that don't answer taken off a record; whether that is agreed."""
@@ -541,7 +566,9 @@
         waiting = self.offs[number] = self.loop.create_future()
         try:
             asked = {"k": "off", "id": number, "service": service, "key": key, "lives": instance_ids}
-            if self.contact.home is None or not self.peer_connections.send(self.contact.home, asked):
+            if self.controller_selection.upstream is None or not self.peer_connections.send(
+                self.controller_selection.upstream, asked
+            ):
                 await self.stirred(min(self.loop.time() + CONFIRM_AGAIN, until))
                 return False
             async with asyncio.timeout_at(min(self.loop.time() + OFF_WITHIN, until)):
@@ -565,8 +592,8 @@
         if low not in HOPS and low not in OURS and low not in named:
             lines.append(name + b": " + value)
     if "X-Attempt-Id" not in request.headers:
-        lines.append(f"X-Attempt-Id: {attempts.request}".encode())
-    lines.append(f"X-Deadline-Ms: {max(int((attempts.until - now) * 1000), 1)}".encode())
+        lines.append(f"X-Attempt-Id: {attempts.request_id}".encode())
+    lines.append(f"X-Deadline-Ms: {max(int((attempts.deadline - now) * 1000), 1)}".encode())
     lines.append(f"X-Target-Instance: {instance_id}".encode())
     if body or "Content-Length" in request.headers or "Transfer-Encoding" in request.headers:
         lines.append(f"Content-Length: {len(body)}".encode())
@@ -582,17 +609,17 @@
     return response
 
 
-def finish(reply: Reply, method: str) -> web.Response:
-    if reply.answer is None:
-        return own(reply.status, reply.reason, reply.later)
-    answer = reply.answer
+def finish(reply: FinalReply, method: str) -> web.Response:
+    if reply.response is None:
+        return own(reply.status, reply.reason, reply.retry_after)
+    answer = reply.response
     headers: CIMultiDict[Any] = CIMultiDict()
-    left_out = HOPS | options(answer.named) | NOTHING
-    for name, value in answer.headers:
+    left_out = HOPS | options(answer.headers_by_name) | NOTHING
+    for name, value in answer.raw_headers:
         if name.lower() not in left_out:
             headers.add(name.decode("utf-8", "surrogateescape"), value.decode("utf-8", "surrogateescape"))
-    if method == "HEAD" and "Content-Length" in answer.named:
-        headers["Content-Length"] = answer.named["Content-Length"]  # of what a GET would bring
+    if method == "HEAD" and "Content-Length" in answer.headers_by_name:
+        headers["Content-Length"] = answer.headers_by_name["Content-Length"]  # of what a GET would bring
     return web.Response(status=answer.status, reason=answer.reason, body=answer.body, headers=headers)
 
 
--- a/features/steps/contact.py
+++ b/features/steps/contact.py
@@ -17,11 +17,11 @@
 from tests.simulation import majority_contact
 from tests.simulation.majority_contact import Broken
 
-word_until, obey, call, pulse = (
+word_until, obey, call, heartbeat_received = (
     Sessions.word_until,
     Controller.obey,
     Controller.call,
-    ControllerSelection.pulse,
+    ControllerSelection.heartbeat_received,
 )
 
 
@@ -51,10 +51,12 @@
     return word_until(self, now, voters, epoch, known, own and dict.fromkeys(own, NO_PROPOSAL))
 
 
-def claims(self, now, peer, message, have):
-    here = all(have.values()) and all(number <= have[name] for name, number in message["n"].items())
-    self.ready = self.ready or bool(message["whole"] and self.rolled and here)
-    return pulse(self, now, peer, message, have)
+def without_question(self, now, peer, message, known_versions):
+    here = all(known_versions.values()) and all(
+        number <= known_versions[name] for name, number in message["n"].items()
+    )
+    self.is_ready = self.is_ready or bool(message["whole"] and self.registry_source and here)
+    return heartbeat_received(self, now, peer, message, known_versions)
 
 
 GUARDS = {
@@ -76,7 +78,7 @@
         "whole",
         lambda self, now: self.word(now, (TABLE,)) > now,
     ),
-    "the question before a desk is ready": (ControllerSelection, "pulse", claims),
+    "the question before a desk is ready": (ControllerSelection, "heartbeat_received", without_question),
 }
 
 
@@ -124,25 +126,28 @@
 
 @given("a desk that has all, from an archive that is whole")
 def has_all(context):
-    context.contact, context.have = ControllerSelection("d", "z"), {"config": 3, "table": 7}
-    context.contact.link("a", True, context.have)
-    told = {"scribe": True, "whole": True, "n": context.have}
-    assert ("a", {"k": "home", "on": True, "have": context.have}) in context.contact.pulse(
-        9.0, "a", told, context.have
-    )
-    assert context.contact.registry(9.1, "a", context.have) == [("a", {"k": "confirm", "t": 9.1})]
+    context.contact, context.known_versions = ControllerSelection("d", "z"), {"config": 3, "table": 7}
+    context.contact.connection_changed("a", True, context.known_versions)
+    told = {"scribe": True, "whole": True, "n": context.known_versions}
+    assert (
+        "a",
+        {"k": "home", "on": True, "have": context.known_versions},
+    ) in context.contact.heartbeat_received(9.0, "a", told, context.known_versions)
+    assert context.contact.registry_received(9.1, "a", context.known_versions) == [
+        ("a", {"k": "confirm", "t": 9.1})
+    ]
 
 
 @when("that answers what was asked {ago:g} s ago")
 @when("that answers what was asked {ago:g} s ago, with a newer {register}")
 def answers(context, ago, register=""):
-    newest = {name: number + (name == register) for name, number in context.have.items()}
-    context.contact.confirmed(20.0, "a", {"t": 20.0 - ago, "n": newest}, context.have)
+    newest = {name: number + (name == register) for name, number in context.known_versions.items()}
+    context.contact.confirmation_received(20.0, "a", {"t": 20.0 - ago, "n": newest}, context.known_versions)
 
 
 @then("the desk is {word}")
 def ready(context, word):
-    assert context.contact.ready == (word == "ready")
+    assert context.contact.is_ready == (word == "ready")
 
 
 @given("three archives with a table")
--- a/features/steps/hot_keys.py
+++ b/features/steps/hot_keys.py
@@ -4,7 +4,7 @@
 
 from bramblewood.common.slice_table import KEYS_PER_RANGE, WORKER, sorted_starts
 from bramblewood.controller.hot_keys import HotKeys
-from bramblewood.proxy.hot_key_queue import TURNED, HotKeyQueue
+from bramblewood.proxy.hot_key_queue import REJECTED_RATE_FACTOR, HotKeyQueue
 
 REPORT_INTERVAL = 0.5  # s
 
@@ -113,9 +113,9 @@
 def hot_key_queue(context, rate):
     context.hot_key_queue, context.now, context.rate = HotKeyQueue(), 10.0, rate
     for i in range(3 * rate):
-        context.hot_key_queue.came(context.now + i / rate)
+        context.hot_key_queue.record_arrival(context.now + i / rate)
     context.now += 3.0
-    context.hot_key_queue.slower(context.now, TURNED)
+    context.hot_key_queue.reduce_rate(context.now, REJECTED_RATE_FACTOR)
 
 
 @then("it lets {rate:d} a second through")
@@ -123,40 +123,40 @@
     through = 0
     for i in range(2000):  # somebody looks each millisecond
         now = context.now + i / 1000
-        if context.hot_key_queue.turn(now, f"r{i}", (1, now), now) == now:
+        if context.hot_key_queue.turn_at(now, f"r{i}", (1, now), now) == now:
             through += 1
-            context.hot_key_queue.went(now)
+            context.hot_key_queue.record_passage(now)
     context.now += 2.0
     assert abs(through - 2 * rate) <= 2, through
 
 
 @then("an effect passes at once, and the next lookup goes so much later")
 def effect(context):
-    before = context.hot_key_queue.next_at
-    context.hot_key_queue.went(context.now)
-    assert context.hot_key_queue.next_at > max(before, context.now)
+    before = context.hot_key_queue.next_slot_at
+    context.hot_key_queue.record_passage(context.now)
+    assert context.hot_key_queue.next_slot_at > max(before, context.now)
 
 
 @then("of two that wait the one of the higher rank goes first")
 def ranks(context):
-    low = context.hot_key_queue.turn(context.now, "low", (2, 1.0), context.now + 1)
-    high = context.hot_key_queue.turn(context.now, "high", (0, 2.0), context.now + 1)
-    again = context.hot_key_queue.turn(context.now, "low", (2, 1.0), context.now + 1)
+    low = context.hot_key_queue.turn_at(context.now, "low", (2, 1.0), context.now + 1)
+    high = context.hot_key_queue.turn_at(context.now, "high", (0, 2.0), context.now + 1)
+    again = context.hot_key_queue.turn_at(context.now, "low", (2, 1.0), context.now + 1)
     assert high <= low < again
 
 
 @then("one whose turn would come too late is told so at once")
 def late(context):
-    assert context.hot_key_queue.turn(context.now, "late", (3, 3.0), context.now + 0.01) is None
+    assert context.hot_key_queue.turn_at(context.now, "late", (3, 3.0), context.now + 0.01) is None
     assert "late" not in context.hot_key_queue.waiting
 
 
 @when("the worker has answered for {span:g} s with free slots")
 def answered(context, span):
     for i in range(int(span * 10)):
-        context.hot_key_queue.faster(context.now + i / 10)
+        context.hot_key_queue.raise_rate(context.now + i / 10)
 
 
 @then("it is open")
 def is_open(context):
-    assert not context.hot_key_queue.closed
+    assert not context.hot_key_queue.is_limiting
--- a/features/steps/leaving.py
+++ b/features/steps/leaving.py
@@ -22,7 +22,7 @@
     context.entries = {
         str(i * 8192): ["w1", "" if context.keyed else "w2", 0.01, 1, "", ""] for i in range(8)
     }
-    context.load_balancer.take_table({"n": 1, "s": {"s": context.entries}})
+    context.load_balancer.apply_table({"n": 1, "s": {"s": context.entries}})
 
 
 @when("{name} is heard to be draining at {now:g}")
@@ -40,13 +40,13 @@
 @when("the table moves all keys from w1 to w2")
 def moves(context):
     entries = {start: ["w2", "", 0.0, 2, "", "w1"] for start in context.entries}
-    context.load_balancer.take_table({"n": 2, "base": 1, "d": {"s": entries}})
+    context.load_balancer.apply_table({"n": 2, "base": 1, "d": {"s": entries}})
 
 
 @when("w1 has let go of them")
 def released(context):
     entries = {start: ["w2", "", 0.0, 2, "h", ""] for start in context.entries}
-    context.load_balancer.take_table({"n": 3, "base": 2, "d": {"s": entries}})
+    context.load_balancer.apply_table({"n": 3, "base": 2, "d": {"s": entries}})
 
 
 @then("of {count:d} requests at {now:g} {part} to {name}")
@@ -54,7 +54,7 @@
     gone = 0
     for number in range(count):
         key = zlib.crc32(b"%d" % number) % 65536 if context.keyed else None
-        gone += context.load_balancer.choose(now, "s", key, f"r{number}", set()) == name
+        gone += context.load_balancer.choose_worker(now, "s", key, f"r{number}", set()) == name
     assert gone == (count if part.startswith("all") else 0), gone
 
 
--- a/features/steps/lines.py
+++ b/features/steps/lines.py
@@ -5,11 +5,11 @@
 
 from behave import then, when
 
-from bramblewood.proxy.connection_pool import Line
-from bramblewood.proxy.worker_connection import How, State
+from bramblewood.proxy.connection_pool import WorkerConnection
+from bramblewood.proxy.worker_connection import AttemptOutcome, ConnectionPhase
 from tests.approved import approve
 from tests.simulation.proxy import Play
-from tests.simulation.worker_connections import Broken, dice, exhaust, heard
+from tests.simulation.worker_connections import RuleBroken, answered_with, play_all_orders, play_random
 
 LOOKUP = "GET /look/9 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: after\r\nX-Deadline-Ms: 900\r\n\r\n"
 
@@ -21,21 +21,21 @@
 @then("over {count:d} states are met with and without keys, and no rule breaks in any")
 def all_orders(context, count):
     for keyed in (False, True):
-        states, _ = exhaust(4, keyed)
+        states, _ = play_all_orders(4, keyed)
         assert states > count, states
 
 
 @then("{seeds:d} seeds of up to {steps:d} events break no rule")
 def by_dice(context, seeds, steps):
-    assert sum(dice(seed, steps, seed % 2 == 1) for seed in range(seeds)) > 20 * seeds
+    assert sum(play_random(seed, steps, seed % 2 == 1) for seed in range(seeds)) > 20 * seeds
 
 
 @then('without "{guard}" a rule breaks within {seeds:d} seeds')
 def guarded(context, guard, seeds):
     for seed in range(seeds):
         try:
-            dice(seed, 80, seed % 2 == 1, guard)
-        except Broken:
+            play_random(seed, 80, seed % 2 == 1, guard)
+        except RuleBroken:
             return
     raise AssertionError("no seed found it")
 
@@ -44,34 +44,48 @@
 def framings(context):
     surplus = b"HTTP/1.1 200 OK\r\nX-Attempt-Id: r\r\nContent-Length: 0\r\n\r\n"
     for row in context.table:
-        data, bare = bytes_of(row["answer"]), row["method"] == "HEAD"
+        data, head_request = bytes_of(row["answer"]), row["method"] == "HEAD"
         for cut in range(len(data)):
-            connection, ended = heard(data[:cut], (), bare)
-            assert ended is None and connection.closed().how is How.BROKEN, (data, cut)
-            connection, ended = heard(data, (cut,), bare)
-            assert ended.how is How.WHOLE and ended.answer.body == row["body"].encode(), (data, cut)
-            assert connection.state is State.READ and connection.free, (data, cut)
-        connection, ended = heard(data, tuple(range(1, len(data))), bare)
-        assert ended.answer.body == row["body"].encode() and connection.free
+            connection, ended = answered_with(data[:cut], (), head_request)
+            assert ended is None and connection.on_closed().outcome is AttemptOutcome.CONNECTION_BROKEN, (
+                data,
+                cut,
+            )
+            connection, ended = answered_with(data, (cut,), head_request)
+            assert ended.outcome is AttemptOutcome.ANSWERED and ended.answer.body == row["body"].encode(), (
+                data,
+                cut,
+            )
+            assert connection.phase is ConnectionPhase.ANSWER_COMPLETE and connection.is_reusable, (data, cut)
+        connection, ended = answered_with(data, tuple(range(1, len(data))), head_request)
+        assert ended.answer.body == row["body"].encode() and connection.is_reusable
         for more in range(1, len(surplus) + 1):
-            connection, ended = heard(data + surplus[:more], (), bare)
-            assert ended.answer.body == row["body"].encode() and connection.state is State.SPOILT, more
-            connection, ended = heard(data + surplus[:more], (len(data),), bare)
-            assert connection.state is State.SPOILT, more
+            connection, ended = answered_with(data + surplus[:more], (), head_request)
+            assert (
+                ended.answer.body == row["body"].encode() and connection.phase is ConnectionPhase.UNUSABLE
+            ), more
+            connection, ended = answered_with(data + surplus[:more], (len(data),), head_request)
+            assert connection.phase is ConnectionPhase.UNUSABLE, more
 
 
 @then("these are whole, and their connection is not kept")
 def not_kept(context):
     for row in context.table:
-        connection, ended = heard(bytes_of(row["answer"]))
-        assert ended.how is How.WHOLE and connection.state is State.SPOILT, row["answer"]
+        connection, ended = answered_with(bytes_of(row["answer"]))
+        assert ended.outcome is AttemptOutcome.ANSWERED and connection.phase is ConnectionPhase.UNUSABLE, row[
+            "answer"
+        ]
 
 
 @then("these are no answers")
 def noise(context):
     for row in context.table:
-        connection, ended = heard(bytes_of(row["answer"]))
-        assert ended is not None and ended.how is How.BROKEN and not connection.free, row["answer"]
+        connection, ended = answered_with(bytes_of(row["answer"]))
+        assert (
+            ended is not None
+            and ended.outcome is AttemptOutcome.CONNECTION_BROKEN
+            and not connection.is_reusable
+        ), row["answer"]
 
 
 async def sent(port: int, data: bytes) -> bytes:
@@ -188,7 +202,7 @@
 @then("an effect whose connection takes longer than its client waits is answered 503, and never arrives")
 def too_late(context):
     async def ask(made):
-        lend, until = made.proxy.connection_pool.lend, made.proxy.loop.time() + 0.1
+        lend, until = made.proxy.connection_pool.acquire, made.proxy.loop.time() + 0.1
 
         async def late(*told):
             lent = await lend(*told)
@@ -196,7 +210,7 @@
                 await asyncio.sleep(0)
             return lent
 
-        made.proxy.connection_pool.lend = late
+        made.proxy.connection_pool.acquire = late
         await made.ask("POST", "/pay/1", "late", "x", "X-Deadline-Ms: 90")
         return made.lines
 
@@ -287,8 +301,8 @@
 @then("one that is closing carries nothing")
 def closing(context):
     async def ask():
-        line = Line(asyncio.get_running_loop())
+        line = WorkerConnection(asyncio.get_running_loop())
         line.connection_made(SimpleNamespace(is_closing=lambda: True, abort=lambda: None))
         return await line.exchange(b"x", "r", line.loop.time() + 0.1)
 
-    assert asyncio.run(ask()) == (How.UNSENT, None)
+    assert asyncio.run(ask()) == (AttemptOutcome.NOT_SENT, None)
--- a/features/steps/zone_affinity.py
+++ b/features/steps/zone_affinity.py
@@ -39,14 +39,14 @@
 @given("a proxy of zone a whose zone keeps {share:g} of its requests, with workers in a and b")
 def proxy_of_zone(context, share):
     context.load_balancer = LoadBalancer(2.5, "a")
-    context.load_balancer.near = {"s": share}
+    context.load_balancer.local_fractions = {"s": share}
     for name, zone in (("w1", "a"), ("w2", "a"), ("w3", "b"), ("w4", "b")):
         context.load_balancer.registry.record(
             0.0, name, WorkerRegistration("s", f"{name}:1", zone, 2, "ready", 1)
         )
     names = ("w1", "w2", "w3", "w4")
     entries = {str(i * 8192): [names[i % 4], "", 0.01, 1, "", ""] for i in range(8)}
-    context.load_balancer.take_table({"n": 1, "s": {"s": entries}})
+    context.load_balancer.apply_table({"n": 1, "s": {"s": entries}})
     context.now = 10.0
 
 
@@ -62,7 +62,8 @@
 @then("of {count:d} requests {share} to workers of a")
 def requests_go(context, count, share):
     chosen = [
-        context.load_balancer.choose(context.now, "s", None, f"request {i}", set()) for i in range(count)
+        context.load_balancer.choose_worker(context.now, "s", None, f"request {i}", set())
+        for i in range(count)
     ]
     local = sum(instance_id in ("w1", "w2") for instance_id in chosen)
     if share.startswith("none"):
--- a/tests/simulation/majority_contact.py
+++ b/tests/simulation/majority_contact.py
@@ -644,7 +644,7 @@
             self.disturbed[name] = self.now
         if made is None:
             return
-        ready, had = made.contact.ready, self.seen.get(name, (0, False, 0, 0))
+        ready, had = made.controller_selection.is_ready, self.seen.get(name, (0, False, 0, 0))
         have = tuple(made.have().values())
         if had[0] == node.instance_ids and any(now < then for now, then in zip(have, had[2:], strict=True)):
             raise Broken(f"{name} goes back at {self.now:.2f}: {had} to {made.have()}")
--- a/tests/simulation/proxy.py
+++ b/tests/simulation/proxy.py
@@ -136,7 +136,7 @@
         table = {
             str(i * 8192): [names[0], names[-1] if len(names) > 1 else "", 0.01, 1, "", ""] for i in range(8)
         }
-        proxy.load_balancer.take_table({"n": 1, "s": {"plain": table, "divided": table}})
+        proxy.load_balancer.apply_table({"n": 1, "s": {"plain": table, "divided": table}})
         self.server = await proxy.loop.create_server(proxy.newcomer, "127.0.0.1", 0)
         proxy.front = self.server
         self.port = self.server.sockets[0].getsockname()[1]
@@ -167,5 +167,5 @@
         self.server.close()
         for worker in self.workers.values():
             worker.server.close()
-        for line in [line for kept in self.proxy.connection_pool.kept.values() for line in kept]:
+        for line in [line for kept in self.proxy.connection_pool.idle.values() for line in kept]:
             line.close()
--- a/tests/simulation/read_replicas.py
+++ b/tests/simulation/read_replicas.py
@@ -10,7 +10,13 @@
 from bramblewood.controller.read_replicas import ReadReplicas, without_expired_readers, without_readers
 from bramblewood.controller.sessions import QUORUM_CONTACT_VALIDITY
 from bramblewood.proxy import replica_invalidation as words
-from bramblewood.proxy.replica_invalidation import Confirm, Drop, ReplicaInvalidation, TakeOff, Until
+from bramblewood.proxy.replica_invalidation import (
+    ConfirmTable,
+    DropReplicas,
+    RemoveReaders,
+    ReplicaInvalidation,
+    WaitUntil,
+)
 
 STEP = 0.02  # s
 KEY = 4096
@@ -30,7 +36,7 @@
 
 class Proxy:
     def __init__(self):
-        self.n, self.readers, self.sure_at = 1, set(), -1e9
+        self.n, self.readers, self.confirmed_at = 1, set(), -1e9
         self.frozen_until = 0.0
         self.recalls = []  # (recall, value of the effect, asked until)
 
@@ -124,36 +130,36 @@
             proxy.n, proxy.readers = table["n"], set(all_readers(table["s"]["s"][str(KEY)]))
 
     def invalidation(self, name, proxy, invalidation, value, until):
-        sure_at = self.now if self.careless == "sure" else proxy.sure_at
-        match invalidation.next(self.now, sure_at, proxy.readers):
-            case words.CLEAR:
+        confirmed_at = self.now if self.careless == "sure" else proxy.confirmed_at
+        match invalidation.next_step(self.now, confirmed_at, proxy.readers):
+            case words.ALL_CLEAR:
                 self.floor, self.answered = max(self.floor, value), self.answered + 1
                 proxy.recalls.remove((invalidation, value, until))
-            case Confirm():
+            case ConfirmTable():
                 controller = self.dice.choice("ab")
                 if (
                     self.reach(name, controller)
                     and self.now < self.heard[controller] + QUORUM_CONTACT_VALIDITY
                 ):
                     self.after(0.5, self.confirmed, proxy, self.now, self.views[controller])
-            case Drop(instance_ids):
+            case DropReplicas(instance_ids):
                 for instance_id in instance_ids:
                     reached = self.reach(name, instance_id)
                     if reached:
                         self.readers[instance_id].drops += 1
                         self.readers[instance_id].until = 0.0
-                    invalidation.answered(instance_id, reached and self.dice.random() > 0.05)
-            case TakeOff(instance_ids):
+                    invalidation.drop_finished(instance_id, reached and self.dice.random() > 0.05)
+            case RemoveReaders(instance_ids):
                 if not self.cut[name]:
                     self.change(without_readers(self.tables[-1], "s", KEY, set(instance_ids))[0])
-                    invalidation.off(self.now, instance_ids)
-            case Until():
+                    invalidation.readers_removed(self.now, instance_ids)
+            case WaitUntil():
                 pass
 
     def confirmed(self, proxy, asked, view):
         if self.tables[view]["n"] > proxy.n:
             self.take(proxy, view)
-        proxy.sure_at = max(proxy.sure_at, asked)
+        proxy.confirmed_at = max(proxy.confirmed_at, asked)
 
     # --- the run
 
--- a/tests/simulation/worker_connections.py
+++ b/tests/simulation/worker_connections.py
@@ -14,36 +14,55 @@
 from bramblewood.proxy import request_attempts as request_attempts
 from bramblewood.proxy import response_parser
 from bramblewood.proxy.connection_pool import ConnectionPool
-from bramblewood.proxy.request_attempts import RequestAttempts, RetryBudget, Send, Wait
-from bramblewood.proxy.worker_connection import Connection, Ended, How, State
+from bramblewood.proxy.request_attempts import RequestAttempts, RetryBudget, SendToWorker, WaitUntil
+from bramblewood.proxy.worker_connection import (
+    AttemptOutcome,
+    ConnectionPhase,
+    ExchangeResult,
+    WorkerConnectionState,
+)
 from tests.simulation.proxy import CONFIG, answer
 
-EDITION = build_configuration(CONFIG).ok_value
-TWO = ("effect", "lookup")
-ROUTES = {"effect": EDITION.route("h.example", "/pay/1"), "lookup": EDITION.route("h.example", "/look/1")}
-MANY = tuple(f"{kind}{place}" for place in range(4) for kind in TWO)
+CONFIGURATION_UNDER_TEST = build_configuration(CONFIG).ok_value
+TWO_REQUESTS = ("effect", "lookup")
+ROUTES = {
+    "effect": CONFIGURATION_UNDER_TEST.route("h.example", "/pay/1"),
+    "lookup": CONFIGURATION_UNDER_TEST.route("h.example", "/look/1"),
+}
+MANY_REQUESTS = tuple(f"{kind}{place}" for place in range(4) for kind in TWO_REQUESTS)
 # what a worker may do with a request that is there
-ACTS = ("run", "error", "refuse", "bare", "double", "part", "late", "refuse late", "error part", "cut")
-ACTS += ("cut head", "drop", "run drop", "noise", "early", "foreign", "anonymous")
-
-
-class Broken(AssertionError):
+WORKER_ACTIONS = (
+    "run",
+    "error",
+    "refuse",
+    "bare",
+    "double",
+    "part",
+    "late",
+    "refuse late",
+    "error part",
+    "cut",
+)
+WORKER_ACTIONS += ("cut head", "drop", "run drop", "noise", "early", "foreign", "anonymous")
+
+
+class RuleBroken(AssertionError):
     """A rule that did not hold."""
 
 
-class Line(SimpleNamespace):
+class SimulatedConnection(SimpleNamespace):
     """A connection as the shell has it, and its worker's end."""
 
     @property
-    def usable(self) -> bool:
-        return self.connection.free
+    def is_reusable(self) -> bool:
+        return self.state.is_reusable
 
     def close(self) -> None:
-        self.connection.closed()
+        self.state.on_closed()
 
 
 class World:
-    def __init__(self, keyed: bool, careless: str = "", names: tuple[str, ...] = TWO) -> None:
+    def __init__(self, keyed: bool, careless: str = "", names: tuple[str, ...] = TWO_REQUESTS) -> None:
         self.keyed, self.careless, self.names = keyed, careless, names
         self.now = dict.fromkeys(names, 0.0)
         self.connection_pool, self.retry_budget, self.lines = ConnectionPool(), RetryBudget(1.0, 5.0, 1e6), []
@@ -71,54 +90,54 @@
     def proceed(self, name: str) -> None:
         while name not in self.out and name not in self.replies:
             step = self.request_attempts[name].next(self.now[name], self.load_balancer, self.retry_budget)
-            if isinstance(step, Wait):
+            if isinstance(step, WaitUntil):
                 self.now[name] = step.until
-            elif isinstance(step, Send):
+            elif isinstance(step, SendToWorker):
                 self.send(name, step.instance_id)
             else:
                 self.replies[name] = step
 
     def send(self, name: str, instance_id: str) -> None:
         attempts = self.request_attempts[name]
-        carried = set() if self.careless == "same line" else attempts.carried
-        line = self.connection_pool.take(instance_id, 0.0, not attempts.route.pure, carried)
+        used_connections = set() if self.careless == "same line" else attempts.used_connections
+        line = self.connection_pool.take_idle(instance_id, 0.0, not attempts.route.pure, used_connections)
         if line is None:
-            line = Line(
+            line = SimulatedConnection(
                 number=len(self.lines),
-                connection=made(self.careless),
+                state=new_connection_state(self.careless),
                 instance_id=instance_id,
-                idle_until=9e9,
+                reusable_until=9e9,
             )
-            line.rests_from, line.lies, line.shut, line.rest, line.asked = 0.0, b"", False, False, None
+            line.idle_since, line.lies, line.shut, line.rest, line.asked = 0.0, b"", False, False, None
             self.lines.append(line)
         if line.rest:
-            raise Broken("UNASKED: the rest of a body is read as a request")
-        attempts.carried.add(line.number)
-        line.connection.send(name, False)
+            raise RuleBroken("UNASKED: the rest of a body is read as a request")
+        attempts.used_connections.add(line.number)
+        line.state.begin_request(name, False)
         self.out[name] = line
         if line.shut:
-            self.ended(line, line.connection.closed())
+            self.ended(line, line.state.on_closed())
             return
         line.asked, lies, line.lies = name, line.lies, b""
         if lies:
             self.arrive(line, lies)
 
-    def arrive(self, line: Line, data: bytes, unsent: int = 0) -> None:
-        self.ended(line, line.connection.received(data, unsent))
+    def arrive(self, line: SimulatedConnection, data: bytes, unsent_bytes: int = 0) -> None:
+        self.ended(line, line.state.on_data(data, unsent_bytes))
 
-    def ended(self, line: Line, ended: Ended | None) -> None:
+    def ended(self, line: SimulatedConnection, ended: ExchangeResult | None) -> None:
         if ended is None:
             return
-        name = line.connection.wanted
+        name = line.state.request_id
         del self.out[name]
         if line.asked is not None:  # the desk is done with it, its worker is not
             self.left.append(line.asked)
             line.asked = None
-        self.connection_pool.give_back(line.instance_id, line, 9)
+        self.connection_pool.release(line.instance_id, line, 9)
         attempts = self.request_attempts[name]
-        if self.careless == "again" and ended.how is How.BROKEN:
+        if self.careless == "again" and ended.outcome is AttemptOutcome.CONNECTION_BROKEN:
             attempts.route = attempts.route._replace(pure=True)
-        reply = attempts.ended(self.now[name], line.instance_id, ended.how, ended.answer)
+        reply = attempts.attempt_finished(self.now[name], line.instance_id, ended.outcome, ended.answer)
         if reply is not None:
             self.replies[name] = reply
         self.proceed(name)
@@ -129,10 +148,10 @@
         found = [("begin", name) for name in self.names if name not in self.request_attempts]
         for line in self.lines:
             if line.asked is not None:
-                found += [(act, line.number) for act in ACTS]
-            elif line.usable and not line.shut:
+                found += [(act, line.number) for act in WORKER_ACTIONS]
+            elif line.is_reusable and not line.shut:
                 found += [("shut unseen", line.number), ("shut", line.number)]
-            if line.lies and line.usable:
+            if line.lies and line.is_reusable:
                 found.append(("arrives", line.number))
         found += [("silence", name) for name in self.out]
         return found + [("late run", name) for name in sorted(set(self.left))]
@@ -142,9 +161,9 @@
         if what == "begin":
             self.begin(whom)
         elif what == "silence":
-            self.now[whom] = self.request_attempts[whom].until
+            self.now[whom] = self.request_attempts[whom].deadline
             line = self.out[whom]
-            self.ended(line, line.connection.silence())
+            self.ended(line, line.state.on_timeout())
         elif what == "late run":
             self.left.remove(whom)
             self.ledger.append(whom)
@@ -156,12 +175,12 @@
             line = self.lines[whom]
             line.shut = True
             if what == "shut":
-                line.connection.closed()
+                line.state.on_closed()
         else:
             self.act(what, self.lines[whom])
         self.judge()
 
-    def act(self, what: str, line: Line) -> None:
+    def act(self, what: str, line: SimulatedConnection) -> None:
         name, line.asked = line.asked, None
         ran = what not in ("refuse", "refuse late", "drop", "noise", "early", "foreign", "anonymous")
         self.ledger += [name] * ran
@@ -170,7 +189,7 @@
         extra = "X-Response-Seal: s" if status == 200 else "X-Other: 1" if ran else "X-Not-Run: 1"
         whole = answer(status, name, body, extra)
         head, tail = whole.index(b"X-Attempt"), len(whole) - 3
-        data, unsent = whole, 0
+        data, unsent_bytes = whole, 0
         match what:
             case "double":
                 data += whole
@@ -189,7 +208,7 @@
             case "noise":
                 data = b"\0\1 no answer\r\n\r\n"
             case "early":
-                unsent, line.rest = 9, True
+                unsent_bytes, line.rest = 9, True
             case "foreign":
                 data = answer(200, "another", "another's") + whole
             case "anonymous":
@@ -197,40 +216,49 @@
         if data[: len(whole)] == whole or what == "foreign":
             self.given[name].append((status, body))
         if data:
-            self.arrive(line, data, unsent)
+            self.arrive(line, data, unsent_bytes)
         if what in ("cut", "cut head", "drop", "run drop"):
             line.shut = True
-            self.ended(line, line.connection.closed())
+            self.ended(line, line.state.on_closed())
 
     # --- judges
 
     def judge(self) -> None:
         if any(self.ledger.count(name) > 1 for name in self.names if name.startswith("effect")):
-            raise Broken("TWICE")
+            raise RuleBroken("TWICE")
         for name, reply in self.replies.items():
-            told = reply.answer
+            told = reply.response
             if told is not None:
                 if (told.status, told.body.decode()) not in self.given[name]:
-                    raise Broken("MIXED")
-                if told.status != reply.status or (told.status == 200) != ("X-Response-Seal" in told.named):
-                    raise Broken("MIXED")
+                    raise RuleBroken("MIXED")
+                if told.status != reply.status or (told.status == 200) != (
+                    "X-Response-Seal" in told.headers_by_name
+                ):
+                    raise RuleBroken("MIXED")
             elif reply.status < 400:
-                raise Broken("MIXED")
+                raise RuleBroken("MIXED")
             promised = name.startswith("effect") and reply.status in (408, 421, 429, 503)
             if promised and name in self.ledger:
-                raise Broken("REFUSED")
+                raise RuleBroken("REFUSED")
 
     def key(self) -> tuple:
         lines = []
         for line in self.lines:
-            c = line.connection
-            lines += [c.state, c.wanted, bytes(c.reader.buffer), c.reader.head, c.surplus]
+            c = line.state
+            lines += [
+                c.phase,
+                c.request_id,
+                bytes(c.parser.buffer),
+                c.parser.response_head,
+                c.foreign_answer_seen,
+            ]
             lines += [line.lies, line.shut, line.rest, line.asked, line.instance_id]
-            lines.append(line in self.connection_pool.kept.get(line.instance_id, ()))
+            lines.append(line in self.connection_pool.idle.get(line.instance_id, ()))
         tries = [
-            (e.sent, sorted(e.tried), sorted(e.carried), e.ran_maybe) for e in self.request_attempts.values()
+            (e.sent_count, sorted(e.tried), sorted(e.used_connections), e.may_have_run)
+            for e in self.request_attempts.values()
         ]
-        told = [(n, r.status, r.answer is None) for n, r in sorted(self.replies.items())]
+        told = [(n, r.status, r.response is None) for n, r in sorted(self.replies.items())]
         return repr(
             (lines, tries, list(self.request_attempts), told, self.ledger, self.given, self.left, self.now)
         )
@@ -239,94 +267,106 @@
 # --- guards taken out
 
 
-class AnyId(Connection):
-    def received(self, data: bytes, unsent: int = 0) -> Ended | None:
-        return super().received(re.sub(rb"(?<=X-Attempt-Id: )\w+", self.wanted.encode(), data), unsent)
+class AnyId(WorkerConnectionState):
+    def on_data(self, data: bytes, unsent_bytes: int = 0) -> ExchangeResult | None:
+        return super().on_data(
+            re.sub(rb"(?<=X-Attempt-Id: )\w+", self.request_id.encode(), data), unsent_bytes
+        )
 
 
-class KeptWhatever(Connection):
-    def received(self, data: bytes, unsent: int = 0) -> Ended | None:
-        ended = super().received(data, unsent)
-        if ended is not None and ended.how is How.WHOLE:
-            self.state = State.READ
+class KeptWhatever(WorkerConnectionState):
+    def on_data(self, data: bytes, unsent_bytes: int = 0) -> ExchangeResult | None:
+        ended = super().on_data(data, unsent_bytes)
+        if ended is not None and ended.outcome is AttemptOutcome.ANSWERED:
+            self.phase = ConnectionPhase.ANSWER_COMPLETE
         return ended
 
 
-class TakesCut(Connection):
-    def closed(self) -> Ended | None:
-        head, rest = self.reader.head, bytes(self.reader.buffer)
-        ended = super().closed()
-        return Ended(How.WHOLE, head._replace(body=rest)) if ended and head is not None else ended
+class TakesCut(WorkerConnectionState):
+    def on_closed(self) -> ExchangeResult | None:
+        head, rest = self.parser.response_head, bytes(self.parser.buffer)
+        ended = super().on_closed()
+        return (
+            ExchangeResult(AttemptOutcome.ANSWERED, head._replace(body=rest))
+            if ended and head is not None
+            else ended
+        )
 
 
 CARELESS = {"id": AnyId, "kept": KeptWhatever, "cut": TakesCut}
 NEVER = re.compile(rb"(?!)")
 
 
-def made(careless: str) -> Connection:
-    return CARELESS.get(careless, Connection)()
+def new_connection_state(careless: str) -> WorkerConnectionState:
+    return CARELESS.get(careless, WorkerConnectionState)()
 
 
 def without(careless: str):
     """The module's guards that are no method's."""
     if careless == "bare":
-        return patch.object(request_attempts, "PROMISES", ())
-    return patch.object(response_parser, "GLUED", NEVER if careless == "glued" else response_parser.GLUED)
+        return patch.object(request_attempts, "STATUSES_PROMISING_NOT_RUN", ())
+    return patch.object(
+        response_parser,
+        "EMBEDDED_STATUS_LINE",
+        NEVER if careless == "glued" else response_parser.EMBEDDED_STATUS_LINE,
+    )
 
 
 # --- plays
 
 
-def world(format_proposal_number: list[tuple], keyed: bool, careless: str = "") -> World:
+def world_after(events_so_far: list[tuple], keyed: bool, careless: str = "") -> World:
     made = World(keyed, careless)
-    for event in format_proposal_number:
+    for event in events_so_far:
         made.play(event)
     return made
 
 
-def exhaust(depth: int, keyed: bool, careless: str = "", most: int = 10**9) -> tuple[int, int]:
+def play_all_orders(depth: int, keyed: bool, careless: str = "", most: int = 10**9) -> tuple[int, int]:
     """All orders of events up to this depth; how many states and events. Raises Broken with the trace."""
     seen, events, level = set(), 0, [[]]
     with without(careless):
         for _ in range(depth):
             after = []
-            for format_proposal_number in level:
-                for event in world(format_proposal_number, keyed, careless).events():
+            for events_so_far in level:
+                for event in world_after(events_so_far, keyed, careless).events():
                     events += 1
                     if events > most:
                         return len(seen), events
                     try:
-                        reached = world([*format_proposal_number, event], keyed, careless).key()
-                    except Broken as broken:
-                        raise Broken(
-                            f"{broken} after {events} events: {[*format_proposal_number, event]}"
+                        reached = world_after([*events_so_far, event], keyed, careless).key()
+                    except RuleBroken as broken:
+                        raise RuleBroken(
+                            f"{broken} after {events} events: {[*events_so_far, event]}"
                         ) from None
                     if reached not in seen:
                         seen.add(reached)
-                        after.append([*format_proposal_number, event])
+                        after.append([*events_so_far, event])
             level = after
     return len(seen), events
 
 
-def dice(seed: int, steps: int, keyed: bool, careless: str = "") -> int:
+def play_random(seed: int, steps: int, keyed: bool, careless: str = "") -> int:
     """One random play of many requests; how many events it had."""
-    throw, play = random.Random(seed), World(keyed, careless, MANY)
+    random_events, play = random.Random(seed), World(keyed, careless, MANY_REQUESTS)
     with without(careless):
         for count in range(steps):
             events = play.events()
             if not events:
                 return count
-            play.play(throw.choice(events))
+            play.play(random_events.choice(events))
     return steps
 
 
 # --- bytes of one answer
 
 
-def heard(data: bytes, cuts: tuple[int, ...] = (), bare: bool = False) -> tuple[Connection, Ended | None]:
+def answered_with(
+    data: bytes, cuts: tuple[int, ...] = (), head_request: bool = False
+) -> tuple[WorkerConnectionState, ExchangeResult | None]:
     """A connection whose request "r" was answered with these bytes, in pieces cut at these places."""
-    connection, ended = Connection(), None
-    connection.send("r", bare)
+    connection, ended = WorkerConnectionState(), None
+    connection.begin_request("r", head_request)
     for start, end in zip((0, *cuts), (*cuts, len(data)), strict=True):
-        ended = connection.received(data[start:end]) or ended
+        ended = connection.on_data(data[start:end]) or ended
     return connection, ended
