--- a/features/steps/configuration_changes.py
+++ b/features/steps/configuration_changes.py
@@ -5,7 +5,8 @@
 from bramblewood.common.settings import Bounds
 from bramblewood.controller import commands
 from bramblewood.controller.consensus.replica import ConsensusReplica
-from tests.simulation import configuration_changes
+from tests.simulation import configuration_change_guards
+from tests.simulation.configuration_change_guards import short_memory
 from tests.simulation.configuration_changes import (
     Play,
     Site,
@@ -13,7 +14,6 @@
     concurrent_orders,
     long_day,
     readers,
-    short_memory,
     start_play,
     storm,
 )
@@ -22,15 +22,15 @@
 FAR = {"delays": (0.055, 0.06)}
 SITES = {"far": FAR, "one slow": {"slow": 0.25}}
 REPLICAS_WITHOUT_GUARD = {
-    "a majority": configuration_changes.BelowMajority,
-    "a value that a minority holds is not yet chosen": configuration_changes.TrustsMinority,
+    "a majority": configuration_change_guards.BelowMajority,
+    "a value that a minority holds is not yet chosen": configuration_change_guards.TrustsMinority,
 }
 DECISIONS_WITHOUT_GUARD = {
-    "what is forgotten is not refused": configuration_changes.refuses_what_was_forgotten,
-    "an order is known again": configuration_changes.no_repeats,
-    "an order is known by its content, not its number": configuration_changes.repeats_by_number,
-    "a refusal of what may still come is agreed": configuration_changes.refusals_unrecorded,
-    "one version on each parent": configuration_changes.parent_ignored,
+    "what is forgotten is not refused": configuration_change_guards.refuses_what_was_forgotten,
+    "an order is known again": configuration_change_guards.no_repeats,
+    "an order is known by its content, not its number": configuration_change_guards.repeats_by_number,
+    "a refusal of what may still come is agreed": configuration_change_guards.refusals_unrecorded,
+    "one version on each parent": configuration_change_guards.parent_ignored,
 }
 
 
@@ -104,12 +104,14 @@
 @then("the same without backoff, as no rule rests on waits")
 def pushing_readers(context):
     for seed in range(context.count):
-        readers(seed, context.voters, builder(configuration_changes.NoBackoff))
+        readers(seed, context.voters, builder(configuration_change_guards.NoBackoff))
 
 
 @then("letting changes into a round that has begun is found out within {count:d} of these")
 def late_comers(context, count):
-    assert_found(lambda seed: readers(seed, context.voters, builder(configuration_changes.JoinsLate)), count)
+    assert_found(
+        lambda seed: readers(seed, context.voters, builder(configuration_change_guards.JoinsLate)), count
+    )
 
 
 @then("a day of {count:d} changes acknowledges all, and each repeat")
@@ -173,7 +175,7 @@
 
 @then("proposers without backoff are found out by the time within {count:d} seeds")
 def no_way(context, count):
-    make_replica = builder(configuration_changes.NoBackoff)
+    make_replica = builder(configuration_change_guards.NoBackoff)
     site = Site(5, **FAR)
     worst = max(max(concurrent_orders(seed, site, make_replica=make_replica)) for seed in range(count))
     assert worst > Bounds.AckS / 2, worst
@@ -193,4 +195,4 @@
 
 @then("one change in a round is found out by that within {count:d} seeds")
 def singly(context, count):
-    assert any(at_one(seed, configuration_changes.NoBatches) > 3 for seed in range(count))
+    assert any(at_one(seed, configuration_change_guards.NoBatches) > 3 for seed in range(count))
--- a/features/steps/membership_epochs.py
+++ b/features/steps/membership_epochs.py
@@ -2,8 +2,10 @@
 
 from tests.simulation.consensus import RuleViolation
 from tests.simulation.membership_epoch_cases import CASES
-from tests.simulation.membership_epoch_search import SHAPES, Search
-from tests.simulation.membership_epochs import day, without_guard
+from tests.simulation.membership_epoch_days import day
+from tests.simulation.membership_epoch_guards import without_guard
+from tests.simulation.membership_epoch_search import Search
+from tests.simulation.membership_epoch_shapes import SHAPES
 
 TRIED = 30  # of the last states of a search, for how many it is tried whether a majority answers in the end
 
--- /dev/null
+++ b/tests/simulation/configuration_change_guards.py
@@ -0,0 +1,111 @@
+"""Replicas and decisions on configurations without one of their guards, to see that a simulation finds that
+out.
+"""
+
+from functools import partial
+from typing import Any
+
+from bramblewood.common.configuration import Configuration
+from bramblewood.controller.commands import succeed
+from bramblewood.controller.consensus.acceptor import NumberedValue
+from bramblewood.controller.consensus.effects import Effects
+from bramblewood.controller.consensus.local_member import LocalMember
+from bramblewood.controller.consensus.messages import Promise
+from bramblewood.controller.consensus.proposal_round import ProposalRound
+from bramblewood.controller.consensus.proposer import Proposer
+from bramblewood.controller.consensus.replica import ConsensusReplica
+
+CALL_TIMEOUT, TICK_INTERVAL = 0.85, 0.1  # s, the controller's
+CALLER_TIMEOUT = 1.0  # s after which a caller goes to another controller; PROTOCOL, "The operator"
+RETRY_PAUSES = (
+    0.05,
+    0.1,
+    0.2,
+    0.4,
+    0.8,
+    1.6,
+)  # s; the pages say only that they grow
+MAX_CONCURRENT_ORDERS = 8  # orders that may be under way at once
+SYNC_DURATION = (0.001, 0.008)  # s that a write takes to be safe
+
+
+class BelowMajority(ConsensusReplica):
+    """Counts one voter less than a majority."""
+
+    class member_class(LocalMember):
+        @property
+        def majority(self) -> int:
+            return super().majority - 1
+
+
+class TrustsMinority(ConsensusReplica):
+    """Takes the newest value that it is told of for chosen, though a minority may hold it."""
+
+    class proposer_class(Proposer):
+        def on_promise(self, now: float, peer: str, promise: Promise, effects: Effects) -> None:
+            round = self.current_round(promise.register, promise.proposal_number)
+            if round and round.promises and promise.has_value:
+                promised = NumberedValue(promise.accepted, promise.value)
+                newest = max([*round.promises.values(), promised], key=lambda one: one.proposal_number)
+                round.promises = dict.fromkeys(round.promises, newest)
+                promise = promise._replace(accepted=newest.proposal_number, value=newest.value)
+            super().on_promise(now, peer, promise, effects)
+
+
+class NoBackoff(ConsensusReplica):
+    """Waits for nobody else's round."""
+
+    def __init__(self, *arguments: Any) -> None:
+        super().__init__(*arguments)
+        self.proposer.backoff.must_wait = lambda now, register: False
+
+
+class JoinsLate(NoBackoff):
+    """Lets changes into a round that were put after it began; without backoff, as no rule rests on waits."""
+
+    class proposer_class(Proposer):
+        def on_promise(self, now: float, peer: str, promise: Promise, effects: Effects) -> None:
+            if round := self.current_round(promise.register, promise.proposal_number):
+                round.batch = list(self.rounds[round.register])
+            super().on_promise(now, peer, promise, effects)
+
+
+class NoBatches(ConsensusReplica):
+    """One change in a round."""
+
+    class proposer_class(Proposer):
+        def start_round(self, now: float, round: ProposalRound, effects: Effects) -> None:
+            round.batch = round.batch[:1]
+            super().start_round(now, round, effects)
+
+
+short_memory = partial(succeed, kept=6)  # storms forget what hundreds of changes would
+
+
+def refuses_what_was_forgotten(wanted: Configuration, stands: dict | None) -> tuple:
+    """Refuses what it no longer knows."""
+    return short_memory(wanted, {**stands, "forgotten": 0} if stands else None)
+
+
+def no_repeats(wanted: Configuration, stands: dict | None) -> tuple:
+    """Does not know an order again."""
+    known = stands and wanted.digest in stands["past"].values()
+    return (None, (412, "")) if known else short_memory(wanted, stands)
+
+
+def repeats_by_number(wanted: Configuration, stands: dict | None) -> tuple:
+    """Knows an order by its number alone."""
+    known = stands and str(wanted.number) in stands["past"]
+    return (None, (200, "")) if known else short_memory(wanted, stands)
+
+
+def refusals_unrecorded(wanted: Configuration, stands: dict | None) -> tuple:
+    """Refuses an order whose parent may still come without writing that down."""
+    following, told = short_memory(wanted, stands)
+    return (following if told[0] == 200 else None), told
+
+
+def parent_ignored(wanted: Configuration, stands: dict | None) -> tuple:
+    """Does not look at the parent."""
+    fresh = stands and wanted.number > stands["n"]
+    return short_memory(wanted._replace(parent=stands["n"]) if fresh else wanted, stands)
--- a/tests/simulation/configuration_changes.py
+++ b/tests/simulation/configuration_changes.py
@@ -8,17 +8,11 @@
 import random
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from functools import partial
 from typing import Any
 
 from bramblewood.common.configuration import Configuration
 from bramblewood.controller.commands import final_answer, succeed
-from bramblewood.controller.consensus.acceptor import NumberedValue
 from bramblewood.controller.consensus.effects import Effects
-from bramblewood.controller.consensus.local_member import LocalMember
-from bramblewood.controller.consensus.messages import Promise
-from bramblewood.controller.consensus.proposal_round import ProposalRound
-from bramblewood.controller.consensus.proposer import Proposer
 from bramblewood.controller.consensus.registers import CONFIG
 from bramblewood.controller.consensus.replica import ConsensusReplica
 
@@ -410,88 +404,3 @@
         if sorted(order.status for order in orders) != [200, *[412] * (MAX_CONCURRENT_ORDERS - 1)]:
             raise RuleViolation(f"of eight on r{newest}: {[order.status for order in orders]}")
     return [order.took for order in play.orders[1:]]
-
-
-# --- guards taken out, one each
-
-
-class BelowMajority(ConsensusReplica):
-    """Counts one voter less than a majority."""
-
-    class member_class(LocalMember):
-        @property
-        def majority(self) -> int:
-            return super().majority - 1
-
-
-class TrustsMinority(ConsensusReplica):
-    """Takes the newest value that it is told of for chosen, though a minority may hold it."""
-
-    class proposer_class(Proposer):
-        def on_promise(self, now: float, peer: str, promise: Promise, effects: Effects) -> None:
-            round = self.current_round(promise.register, promise.proposal_number)
-            if round and round.promises and promise.has_value:
-                promised = NumberedValue(promise.accepted, promise.value)
-                newest = max([*round.promises.values(), promised], key=lambda one: one.proposal_number)
-                round.promises = dict.fromkeys(round.promises, newest)
-                promise = promise._replace(accepted=newest.proposal_number, value=newest.value)
-            super().on_promise(now, peer, promise, effects)
-
-
-class NoBackoff(ConsensusReplica):
-    """Waits for nobody else's round."""
-
-    def __init__(self, *arguments: Any) -> None:
-        super().__init__(*arguments)
-        self.proposer.backoff.must_wait = lambda now, register: False
-
-
-class JoinsLate(NoBackoff):
-    """Lets changes into a round that were put after it began; without backoff, as no rule rests on waits."""
-
-    class proposer_class(Proposer):
-        def on_promise(self, now: float, peer: str, promise: Promise, effects: Effects) -> None:
-            if round := self.current_round(promise.register, promise.proposal_number):
-                round.batch = list(self.rounds[round.register])
-            super().on_promise(now, peer, promise, effects)
-
-
-class NoBatches(ConsensusReplica):
-    """One change in a round."""
-
-    class proposer_class(Proposer):
-        def start_round(self, now: float, round: ProposalRound, effects: Effects) -> None:
-            round.batch = round.batch[:1]
-            super().start_round(now, round, effects)
-
-
-short_memory = partial(succeed, kept=6)  # storms forget what hundreds of changes would
-
-
-def refuses_what_was_forgotten(wanted: Configuration, stands: dict | None) -> tuple:
-    """Refuses what it no longer knows."""
-    return short_memory(wanted, {**stands, "forgotten": 0} if stands else None)
-
-
-def no_repeats(wanted: Configuration, stands: dict | None) -> tuple:
-    """Does not know an order again."""
-    known = stands and wanted.digest in stands["past"].values()
-    return (None, (412, "")) if known else short_memory(wanted, stands)
-
-
-def repeats_by_number(wanted: Configuration, stands: dict | None) -> tuple:
-    """Knows an order by its number alone."""
-    known = stands and str(wanted.number) in stands["past"]
-    return (None, (200, "")) if known else short_memory(wanted, stands)
-
-
-def refusals_unrecorded(wanted: Configuration, stands: dict | None) -> tuple:
-    """Refuses an order whose parent may still come without writing that down."""
-    following, told = short_memory(wanted, stands)
-    return (following if told[0] == 200 else None), told
-
-
-def parent_ignored(wanted: Configuration, stands: dict | None) -> tuple:
-    """Does not look at the parent."""
-    fresh = stands and wanted.number > stands["n"]
-    return short_memory(wanted._replace(parent=stands["n"]) if fresh else wanted, stands)
--- a/tests/simulation/membership_epoch_search.py
+++ b/tests/simulation/membership_epoch_search.py
@@ -16,238 +16,22 @@
 
 import argparse
 import time
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
-from bramblewood.controller.consensus.acceptor import Acceptor
-from bramblewood.controller.consensus.effects import Effects, PendingWrites
-from bramblewood.controller.consensus.epochs import EpochJoin
-from bramblewood.controller.consensus.proposal_round import ProposalRound
-from bramblewood.controller.consensus.registers import ALL_REGISTERS, CONFIG, VOTER_SET
+from bramblewood.controller.consensus.effects import Effects
+from bramblewood.controller.consensus.registers import CONFIG, VOTER_SET
 from bramblewood.controller.consensus.replica import ConsensusReplica
-from bramblewood.controller.consensus.voter_set import next_voter_set
 from tests.simulation.consensus import RuleViolation
 
-BEYOND_ALL_WAITS = 100.0  # s, beyond every wait
-REPLIES = {"promise", "refuse", "state", "fetch", "chosen"}  # "done" goes nowhere: it says when to begin
-
-
-class Shape(NamedTuple):
-    """A small case. orders: (proposer, mark); changes: (proposer, seat, successor), an empty successor
-    being the seat's own machine with its new disk; wipes, powers: which machines may lose a disk or power;
-    most: how many of each, of waits and of changes, at most.
-    """
-
-    voters: str
-    spares: str
-    orders: tuple
-    changes: tuple = ()
-    wipes: str = ""
-    powers: str = ""
-    waits: str = ""
-    most: tuple[int, int, int, int] = (1, 1, 1, 1)
-    prompt: bool = True
-    instant: bool = True
-    begin: tuple = ()  # moves that have happened already
-
-
-def key(thing: Any) -> str:
-    return repr(thing)
-
-
-# --- machines as values
-
-
-def replica_state(replica: ConsensusReplica, proposes: bool) -> tuple:
-    """All that decides what it does next. The counters of one that never proposes decide nothing."""
-    join, proposer, learner = replica.epochs.join, replica.proposer, replica.learner
-    return (
-        replica.disk,
-        replica.member.incarnation,
-        replica.voter_set,
-        replica.active_epoch,
-        None if join is None else tuple(sorted(join.reports.items(), key=lambda one: one[0])),
-        tuple((a.promised, a.accepted, a.value) for a in replica.acceptors.values()),
-        tuple(replica.durable_accepted.values()),
-        tuple(proposer.highest_counters.values()) if proposes else (0,) * len(ALL_REGISTERS),
-        tuple(tuple(sorted(kept.items())) for kept in learner.acceptances.values()),
-        tuple(learner.chosen.values()),
-        tuple(
-            (
-                *(r.register, r.tag, r.proposal_number, r.phase, r.outcome, len(r.batch)),
-                *(r.base, r.accept_difference, r.accept_value),
-                tuple(sorted(r.promises.items(), key=lambda one: one[0])),
-                tuple(sorted(r.accepted_by)),
-            )
-            for rounds in proposer.rounds.values()
-            for r in rounds
-        ),
-    )
-
-
-def restore_replica(me: str, state: tuple) -> ConsensusReplica:
-    disk, incarnation, members, held, told, acceptors, durable, seen, votes, learned, rounds = state
-    replica = ConsensusReplica(me, disk, incarnation, {}, members, held)
-    replica.learner.backoff = replica.proposer.backoff = NoBackoff()
-    if told is not None:
-        replica.epochs.join = EpochJoin()
-        replica.epochs.join.reports = dict(told)
-    for number, name in enumerate(ALL_REGISTERS):
-        replica.acceptors[name] = Acceptor(*acceptors[number])
-        replica.durable_accepted[name], replica.proposer.highest_counters[name] = (
-            durable[number],
-            seen[number],
-        )
-        replica.learner.acceptances[name], replica.learner.chosen[name] = dict(votes[number]), learned[number]
-    for register, tag, *rest, promises, accepts in rounds:
-        r = ProposalRound(register, change_of(tag), tag, 1e9)
-        r.proposal_number, r.phase, r.outcome, r.batch, r.base, r.accept_difference, r.accept_value = rest
-        r.promises, r.accepted_by = dict(promises), set(accepts)
-        replica.proposer.rounds[register].append(r)
-    for waiting in replica.proposer.rounds.values():
-        for r in waiting:
-            r.batch = waiting[: r.batch]  # a round carries the first that waited as it began
-    return replica
-
-
-class NoBackoff:
-    """In place of `ProposerBackoff`, which says when rounds begin, never what they decide."""
-
-    def observe(self, now: float, register: str, proposal_number: Any) -> None:
-        pass
-
-    def round_finished(self, register: str, proposal_number: Any) -> None:
-        pass
-
-    def must_wait(self, now: float, register: str) -> bool:
-        return False
-
-
-def order(digest: str) -> Any:
-    """An order on an empty register: taken, or refused as another stands."""
-    return lambda stands: (digest, (200, digest)) if stands in (None, digest) else (None, (412, digest))
-
-
-def change_of(tag: tuple) -> Any:
-    if tag == "settle":
-        return lambda stands: (None, True)
-    kind, what = tag
-    return order(what) if kind == "order" else next_voter_set(*what)
-
+from .membership_epoch_shapes import SHAPES
+from .membership_epoch_steps import Machine, MachineSteps
+from .replica_snapshot import replica_state, restore_replica
 
-class Machine(NamedTuple):
-    name: str
-    consensus: tuple  # frozen
-    disk: tuple[dict, dict]  # facts, rows
-    due: tuple[dict, dict]  # facts, rows
-    writes: tuple  # on their way: (rows, facts, what goes out after)
-
-
-class Search:
-    """The states of one shape, as numbers: machines, messages and facts are named once."""
-
-    def __init__(self, shape: Shape) -> None:
-        self.shape, self.names = shape, sorted({*shape.voters, *shape.spares})
-        self.machines: list[Machine] = []
-        self.messages: list[tuple[str, str, dict]] = []
-        self.facts: list[tuple] = []
-        self.numbers: dict[str, int] = {}
-        self.steps: dict[tuple, tuple] = {}  # what a machine does on a message
-        self.against: dict[tuple[int, int], str] = {}
-        self.proposers = {who for who, *_ in (*shape.orders, *shape.changes)} | {*shape.waits}
-        self.transitions = 0
-
-    def number(self, kept: list, thing: Any) -> int:
-        name = f"{id(kept)}{key(thing)}"
-        found = self.numbers.get(name)
-        if found is None:
-            found = self.numbers[name] = len(kept)
-            kept.append(thing)
-        return found
-
-    # --- one machine
-
-    def after_effects(self, machine: Machine, replica: ConsensusReplica, outs: list[Effects]) -> tuple:
-        """The machine after these Outs: its number, and the messages, facts that come of it."""
-        due, disk, writes = PendingWrites(dict(machine.due[0])), machine.disk, list(machine.writes)
-        due.rows = dict(machine.due[1])
-        sends, facts = [], []
-        for out in outs:
-            rows, told = due.prepare_write(out)
-            if rows or told:
-                writes.append((tuple(rows), told, out))
-            else:
-                self.collect(machine.name, replica, out, sends, facts)
-        made = Machine(machine.name, (), disk, (due.facts, due.rows), tuple(writes))
-        if self.shape.instant:
-            while made.writes:
-                made = self.after_sync(made, replica, sends, facts)
-        if replica.voter_set != machine.consensus[2]:
-            facts.append(("members", replica.epoch, key(replica.voter_set)))
-            sends += [
-                ("", peer, {"k": "epoch", "m": replica.voter_set})
-                for peer in self.names
-                if peer != replica.address
-            ]
-        for number, name in enumerate(ALL_REGISTERS):
-            if replica.chosen[name] != machine.consensus[9][number]:
-                facts.append(("learned", name, *replica.chosen[name]))
-        made = made._replace(consensus=replica_state(replica, replica.address in self.proposers))
-        return (
-            self.number(self.machines, made),
-            tuple(self.number(self.messages, one) for one in sends),
-            self.mask(facts),
-        )
-
-    def after_sync(self, machine: Machine, replica: ConsensusReplica, sends: list, facts: list) -> Machine:
-        """The oldest write is safe; what rests on it goes out."""
-        rows, told, out = machine.writes[0]
-        stored, kept = dict(machine.disk[1]), {**machine.disk[0], **told}
-        due = PendingWrites(machine.due[0])
-        due.rows = machine.due[1]
-        due.mark_durable(list(rows), told)
-        for register, promised, accepted, value in rows:
-            stored[register] = (promised, accepted, value)
-            replica.mark_durable(register, accepted)
-        self.collect(machine.name, replica, out, sends, facts)
-        return machine._replace(disk=(kept, stored), due=(due.facts, due.rows), writes=machine.writes[1:])
-
-    def collect(self, name: str, replica: ConsensusReplica, out: Effects, sends: list, facts: list) -> None:
-        for peer, message in out.sends:
-            if message["k"] == "join":  # complete values are sent, also those that it has
-                message = {**message, "have": {}}
-            sends.append(("" if message["k"] == "epoch" else name, peer, message))
-            if message["k"] == "accept":
-                whole = [
-                    r.accept_value
-                    for r in replica.proposer.rounds[message["r"]]
-                    if r.proposal_number == message["b"]
-                ]
-                facts += [("accept", *one) for one in whole]
-        facts += [("answer", *outcome) for tag, outcome in out.answers if tag[0] == "order" and outcome]
-        if "held" in out.facts:  # its heartbeats tell what it holds now
-            for register, kept in replica.durable_accepted.items():
-                if kept[0] == replica.epoch:
-                    told = {"k": "accepted", "r": register, "b": kept, "disk": replica.disk}
-                    sends += [(name, peer, told) for peer in self.names if peer != name]
-
-    def after_message(self, machine: int, message: int) -> tuple:
-        step = self.steps.get((machine, message))
-        if step is None:
-            self.transitions += 1
-            here = self.machines[machine]
-            replica, (sender, _, what) = restore_replica(here.name, here.consensus), self.messages[message]
-            step = self.steps[machine, message] = self.after_effects(
-                here, replica, [replica.receive(0.0, sender, what)]
-            )
-        return step
+REPLIES = {"promise", "refuse", "state", "fetch", "chosen"}  # "done" goes nowhere: it says when to begin
 
-    # --- all of them
 
-    def mask(self, facts: list) -> int:
-        bits = 0
-        for fact in facts:
-            bits |= 1 << self.number(self.facts, fact)
-        return bits
+class Search(MachineSteps):
+    """The states of one shape: all machines, messages sent, faults left, facts seen."""
 
     def initial_state(self) -> tuple:
         voters = {name: f"{name}0" for name in self.shape.voters}
@@ -357,14 +141,14 @@
             who, seat, successor = self.shape.changes[number]
             place, left = self.names.index(who), (wipes, powers, waits, changes - 1, starts)
             here = self.machines[machines[place]]
-            members = here.consensus[2]
+            members = here.consensus.voter_set
             new = successor or seat
-            disk = self.machines[machines[self.names.index(new)]].consensus[0]
+            disk = self.machines[machines[self.names.index(new)]].consensus.disk
             voters = {name: kept for name, kept in members["voters"].items() if name != seat}
             if (
                 seat not in members["voters"]
                 or {**voters, new: disk} == members["voters"]
-                or not here.consensus[3] > 0
+                or not here.consensus.active_epoch > 0
             ):
                 return None
             step = self.after_proposal(
@@ -390,41 +174,6 @@
             step = (self.after_restart(machines[place], lost), (), 0)
         return self.after_step((machines, in_flight, left, facts), place, step)
 
-    def after_proposal(self, machine: int, register: str, tag: tuple) -> tuple:
-        here = self.machines[machine]
-        replica = restore_replica(here.name, here.consensus)
-        return self.after_effects(here, replica, [replica.propose(0.0, register, change_of(tag), tag, 1e9)])
-
-    def after_wait(self, machine: int) -> tuple:
-        """All its waits are over: a round that stands begins anew, or else what is unsettled is settled."""
-        here = self.machines[machine]
-        replica = restore_replica(here.name, here.consensus)
-        outs = [replica.tick(1.0)]
-        busy = any(replica.proposer.rounds.values())
-        for rounds in replica.proposer.rounds.values():
-            for one in rounds:
-                one.next_attempt_at = 0.0
-        outs.append(replica.tick(1.0 if busy else BEYOND_ALL_WAITS))
-        return self.after_effects(here, replica, outs)
-
-    def after_restart(self, machine: int, lost: bool) -> int:
-        """Power lost, and the disk too or not; it has started again."""
-        here = self.machines[machine]
-        incarnation = here.consensus[1] + 1
-        facts, rows = ({"disk": f"{here.name}{incarnation}"}, {}) if lost else here.disk
-        if lost:
-            facts = self.facts_after_disk_loss(here, facts)
-        replica = ConsensusReplica(
-            here.name, facts["disk"], incarnation, rows, facts.get("members"), facts.get("held", -1)
-        )
-        made = Machine(
-            here.name, replica_state(replica, here.name in self.proposers), (facts, rows), ({}, {}), ()
-        )
-        return self.number(self.machines, made)
-
-    def facts_after_disk_loss(self, here: Machine, facts: dict) -> dict:
-        return facts
-
     # --- judges
 
     def recovers(self, state: tuple) -> bool:
@@ -550,75 +299,6 @@
     return ""
 
 
-ORDERS = (("c", "x"), ("a", "y"))
-SHAPES = {
-    # the forgotten promise: a spare's order, a lost disk, its seat anew
-    "lost disk": Shape("abc", "d", (("d", "x"), ("b", "y")), (("b", "a", ""),), wipes="a"),
-    # any one disk, and its seat given to its own machine or to the spare
-    "any disk": Shape(
-        "abc",
-        "d",
-        (("d", "x"), ("b", "y")),
-        (("b", "a", ""), ("c", "b", ""), ("a", "c", ""), ("b", "a", "d")),
-        wipes="abc",
-    ),
-    # a spare takes the seat of one that goes on in the old epoch
-    "spare": Shape("abc", "d", ORDERS, (("a", "c", "d"),), most=(0, 0, 0, 1)),
-    # the same, and a voter or the proposer of the change loses power
-    "power": Shape("abc", "d", ORDERS, (("a", "c", "d"),), powers="ab", most=(0, 1, 0, 1)),
-    # from the moment at which the set has been chosen and its proposer is active in it
-    "amid a change": Shape(
-        "abc",
-        "d",
-        ORDERS,
-        (("a", "c", "d"),),
-        powers="b",
-        most=(0, 1, 0, 1),
-        begin=("change 0", "prepare a>b", "accept a>b", "join a>b"),
-    ),
-    # two orders that one voter each accepted, and a change of the set on top of them
-    "two left over": Shape(
-        "abc",
-        "d",
-        (("a", "x"), ("c", "z"), ("b", "y")),
-        (("b", "c", "d"),),
-        waits="a",
-        most=(0, 0, 1, 1),
-        begin=("order x", "prepare a>b", "order z", "prepare c>b", "change 0", "prepare b>a", "accept b>a"),
-    ),
-    # an order that is chosen, and a set of voters after it
-    "chosen before": Shape(
-        "abc",
-        "d",
-        ORDERS,
-        (("a", "c", "d"),),
-        wipes="b",
-        most=(1, 0, 0, 1),
-        begin=("order x", "prepare c>b", "accept c>b"),
-    ),
-    # two changes at once, by two voters, and an order and a lost disk
-    "two changes": Shape(
-        "abc", "d", (("a", "x"),), (("a", "c", "d"), ("b", "a", "d")), wipes="a", most=(1, 0, 0, 2)
-    ),
-    # a second change right after the first is chosen, and a lost disk
-    "second change": Shape(
-        "abc",
-        "d",
-        (("a", "x"),),
-        (("a", "c", "d"), ("b", "a", "d")),
-        wipes="a",
-        most=(1, 0, 0, 2),
-        begin=("change 0", "prepare a>b", "accept a>b"),
-    ),
-    # writes apart from what rests on them
-    "slow disks": Shape(
-        "abc", "d", (("b", "x"),), (("a", "c", "d"),), powers="ab", most=(0, 1, 0, 1), instant=False
-    ),
-    # each message by itself
-    "late answers": Shape("abc", "d", (("d", "x"), ("b", "y")), (("b", "a", ""),), wipes="a", prompt=False),
-}
-
-
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--depth", type=int, default=12)
