--- a/tests/simulation/configuration_change_guards.py
+++ b/tests/simulation/configuration_change_guards.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from bramblewood.common.configuration import Configuration
-from bramblewood.controller.commands import succeed
+from bramblewood.controller.commands import apply_configuration
 from bramblewood.controller.consensus.acceptor import NumberedValue
 from bramblewood.controller.consensus.effects import Effects
 from bramblewood.controller.consensus.local_member import LocalMember
@@ -79,7 +79,7 @@
             super().start_round(now, round, effects)
 
 
-short_memory = partial(succeed, kept=6)  # storms forget what hundreds of changes would
+short_memory = partial(apply_configuration, kept=6)  # storms forget what hundreds of changes would
 
 
 def refuses_what_was_forgotten(wanted: Configuration, stands: dict | None) -> tuple:
