--- a/bramblewood/common/slice_table.py
+++ b/bramblewood/common/slice_table.py
@@ -1,44 +1,78 @@
-"""The form of a table, as archives agree on it and desks follow it.
+"""The agreed table of slices: its form, its constants, and a typed view of one entry.
 
-{"n": version, "s": {service: {first key: entry}}}. A slice spans from its first key to the next slice's;
-its entry is a list: worker, second worker, the second's share, fence, handover, old holder, and, only where
-a crowded record has any, its readers: by worker, the version that made it one, or less the version that
-made it none. Keyed services use the keys of the requests, others a hash of their ids. An entry with an old
-holder has no holder yet.
+`{"n": version, "s": {service: {first key: row}}}`, as controllers agree on it and proxies follow it. A slice
+spans from its first key to the next slice's first key, the last one to the end of the key space. Keyed
+services use the keys of the requests, others a hash of their ids.
+
+A row is a list, on the wire and on disk: worker, second worker, the second's share, fencing token, handover,
+previous owner, and, only where a hot record has any, its readers: by worker the version that made it one, or
+less the version that made it none. An entry with a previous owner has no owner yet.
+
+`SliceEntry` decodes and encodes rows. The proxy's path of each request reads rows by the index constants, as
+decoding a row costs more than the look-up itself.
 """
 
-WORKER, SECOND, SECOND_SHARE, FENCING_TOKEN, HANDOVER, PREVIOUS_OWNER = range(6)
-READERS = 6
+from typing import Any, NamedTuple
+
+WORKER, SECOND, SECOND_SHARE, FENCING_TOKEN, HANDOVER, PREVIOUS_OWNER = range(6)  # places in a row
+READERS = 6  # place of the readers, where the row has any
 # steps of a worker in a drain plan, as they are stored and sent
 DRAIN_ANNOUNCED, DRAIN_IN_PROGRESS, DRAINED, OUT_OF_SERVICE = "told", "closing", "closed", "out"
-UNASSIGNED = ["", "", 0.0, 0, "", ""]
+UNASSIGNED = ["", "", 0.0, 0, "", ""]  # the row of a slice that no worker has yet
 KEY_SPACE_SIZE = 65536
 KEYS_PER_RANGE = 8  # keys that a count of heat covers: the finest that a slice is split to
+NO_READERS: dict[str, int] = {}  # never changed in place
+
+Row = list[Any]
+
+
+class SliceEntry(NamedTuple):
+    """One slice of a service, decoded from its row."""
+
+    worker: str
+    second_worker: str
+    second_share: float
+    fencing_token: int
+    handover: str
+    previous_owner: str  # still to release the keys; "" where the worker owns them
+    readers: dict[str, int] = (
+        NO_READERS  # by worker: the version that made it one, negative for none any more
+    )
+
+    @classmethod
+    def decode(cls, row: Row) -> "SliceEntry":
+        """The entry of a row; the row itself is not kept."""
+        return cls(*row)
+
+    def encode(self) -> Row:
+        """The row, without readers where there are none."""
+        return [*self[:READERS], *([self.readers] if self.readers else [])]
 
 
-def all_readers(entry: list) -> dict[str, int]:
-    """All workers that may hold read copies of this record, those too that are readers no more."""
-    return entry[READERS] if len(entry) > READERS else {}
+def all_readers(row: Row) -> dict[str, int]:
+    """All workers that may hold read replicas of this record, those too that are readers no more."""
+    return row[READERS] if len(row) > READERS else {}
 
 
-def active_readers(entry: list) -> list[str]:
+def active_readers(row: Row) -> list[str]:
     """The workers that lookups of this record may go to, beside its own."""
-    return [instance_id for instance_id, number in all_readers(entry).items() if number > 0]
+    return [instance_id for instance_id, version in all_readers(row).items() if version > 0]
 
 
-def with_readers(entry: list, readers: list[str], number: int) -> list:
-    """The entry with just these readers; those that are new are so since version `number`.
+def with_readers(row: Row, readers: list[str], version: int) -> Row:
+    """The row with just these readers; those that are new are so since this version of the table.
 
     One that is a reader no more stays there, as such, until its last lease has run out: an effect must
-    still be kept from being answered while its copy can be read.
+    still be kept from being answered while its replica can be read.
     """
-    told = {
-        instance_id: since if since < 0 or instance_id in readers else -number
-        for instance_id, since in all_readers(entry).items()
+    versions = {
+        instance_id: since if since < 0 or instance_id in readers else -version
+        for instance_id, since in all_readers(row).items()
     }
-    told |= {instance_id: number for instance_id in readers if instance_id not in told}
-    return [*entry[:READERS], *([told] if told else [])]
+    versions |= {instance_id: version for instance_id in readers if instance_id not in versions}
+    return [*row[:READERS], *([versions] if versions else [])]
 
 
-def sorted_starts(entries: dict) -> list[int]:
+def sorted_starts(entries: dict[str, Row]) -> list[int]:
+    """The first keys of a service's slices, ascending."""
     return sorted(map(int, entries))
--- a/bramblewood/controller/read_replicas.py
+++ b/bramblewood/controller/read_replicas.py
@@ -1,37 +1,40 @@
-"""Read copies: who may answer lookups of a crowded record beside its holder, until when. Pure.
-
-Only for services whose operator says that they let records be copied (`ReadCopies`). Readers stand in the
-record's entry of the table, agreed like its holder. A lease is granted on a fresh word of the majority,
-fenced and short; a reader fetches the record from the holder as each lease without a copy arrives. Effects
-run at the holder alone. A desk answers one to its client only once every reader has dropped its copy, or
-its last lease has run out (`desk/recall.py`). So the desk must know the readers: between the choice of a
-reader and its first lease lie ANNOUNCE s, and a desk answers only on a confirmation from a whole archive
-that is younger than that less a word's age.
+"""Read replicas: which workers may answer lookups of a hot record beside its owner, until when. Pure.
+
+Only for services whose operator lets records be copied (`ReadCopies`). Readers stand in the record's entry of
+the agreed table, like its owner. A lease is granted on fresh contact with a quorum, under the fencing token,
+and short; a reader fetches the record from the owner as each lease without a replica arrives. Effects run at
+the owner alone.
+
+Invariant: no lookup gives an older record than an effect that was answered. A proxy answers an effect to its
+client only once every reader has dropped its replica, or the reader's last lease has expired
+(`proxy/replica_invalidation.py`). So the proxy must know the readers: between the choice of a reader and its
+first lease lie REPLICA_ANNOUNCEMENT_DELAY s, and a proxy answers only on a confirmation of its table, from a
+controller in contact with a quorum, that is younger than that delay less QUORUM_CONTACT_VALIDITY.
 """
 
 import math
 from collections.abc import Callable
-from typing import NamedTuple
-
-from ..common.slice_table import (
-    FENCING_TOKEN,
-    PREVIOUS_OWNER,
-    READERS,
-    WORKER,
-    active_readers,
-    all_readers,
-    with_readers,
-)
+from http import HTTPStatus
+from typing import Any, NamedTuple
+
+from ..common.slice_table import READERS, Row, SliceEntry, active_readers, all_readers, with_readers
 from ..common.timeouts import READ_LEASE_DURATION, READ_LEASE_EXPIRY, REPLICA_ANNOUNCEMENT_DELAY
 from ..common.worker_registry import READY, WorkerRegistry
 from ..policy.figures import LIMIT
 from .key_leases import RENEWAL_FRACTION, RETRY_DELAY
+from .table_changes import ProposedTable, TableValue
+
+MAX_READERS = 8  # of one record; each costs a call each third of a lease and one for each effect
+NEVER = -1e9  # s on the steady clock, before any lease
 
-MAX_READERS = 8  # readers of one record; each costs a call each third of a lease and one for each effect
 
+class Reader(NamedTuple):
+    """A worker as reader of a record, as the table says it."""
 
-# service, key, worker, the version that made it one, or less the version that made it none
-Reader = tuple[str, int, str, int]
+    service: str
+    key: int
+    instance_id: str
+    version: int  # of the table that made it one; negative: of the one that made it none
 
 
 class ReplicaLease(NamedTuple):
@@ -40,106 +43,117 @@
     reader: Reader
     address: str
     fencing_token: int
-    owner_address: str  # its address, to fetch the record from
+    owner_address: str  # to fetch the record from
 
 
 def reader_count(rate: float, ability: float) -> int:
-    """Readers of a record that is asked for at this rate, where one worker can do so much (requests a
-    second).
+    """Readers of a record that is asked for at this rate (requests a second), where one worker can do so
+    much (requests a second); 0 where that is not known.
     """
-    return min(max(math.ceil(rate / (LIMIT * ability)) - 1, 0), MAX_READERS) if ability > 0 else 0
+    if ability <= 0:
+        return 0
+    return min(max(math.ceil(rate / (LIMIT * ability)) - 1, 0), MAX_READERS)
 
 
 class ReadReplicas:
+    """The read leases of one controller. All times in s of its steady clock."""
+
     def __init__(self) -> None:
-        self.known_since: dict[Reader, float] = {}  # since when that is known here
-        self.last_lease_at: dict[Reader, float] = {}  # when its last lease was sent
-        self.calls_in_flight: set[Reader] = set()  # calls under way
-
-    def learn_table(self, now: float, table: dict) -> None:
-        """Called with each newer table, also at archives that send no leases now."""
-        stands = {
-            (service, int(start), instance_id, number)
+        self.known_since: dict[Reader, float] = {}
+        self.last_lease_at: dict[Reader, float] = {}  # when it was sent
+        self.calls_in_flight: set[Reader] = set()
+
+    def learn_table(self, now: float, table: dict[str, Any]) -> None:
+        """Take a newer table; called at every controller, also at those that send no leases now."""
+        readers = {
+            Reader(service, int(start), instance_id, version)
             for service, entries in table["s"].items()
-            for start, entry in entries.items()
-            for instance_id, number in all_readers(entry).items()
+            for start, row in entries.items()
+            for instance_id, version in all_readers(row).items()
         }
-        self.known_since = {reader: self.known_since.get(reader, now) for reader in stands}
-        self.last_lease_at = {reader: at for reader, at in self.last_lease_at.items() if reader in stands}
+        self.known_since = {reader: self.known_since.get(reader, now) for reader in readers}
+        self.last_lease_at = {reader: at for reader, at in self.last_lease_at.items() if reader in readers}
 
     def due_leases(
-        self, now: float, table: dict, registry: WorkerRegistry
+        self, now: float, table: dict[str, Any], registry: WorkerRegistry
     ) -> tuple[list[ReplicaLease], list[Reader]]:
-        """The leases that are due, and the former readers whose last lease has run out."""
-        made, over = [], []
+        """The leases to send now, and the former readers whose last lease has expired."""
+        leases, expired = [], []
         for reader, since in self.known_since.items():
-            service, key, instance_id, number = reader
-            entry, row = table["s"].get(service, {}).get(str(key)), registry.registrations.get(instance_id)
-            if entry is None or number < 0:
-                over += [reader] * (entry is not None and now >= since + READ_LEASE_EXPIRY)
+            row = table["s"].get(reader.service, {}).get(str(reader.key))
+            if row is None:
                 continue
-            holder = registry.registrations.get(entry[WORKER])
-            if (
-                row is None
-                or holder is None
-                or row.phase != READY
-                or entry[PREVIOUS_OWNER]
-                or reader in self.calls_in_flight
-            ):
+            if reader.version < 0:
+                if now >= since + READ_LEASE_EXPIRY:
+                    expired.append(reader)
                 continue
-            if (
-                now < since + REPLICA_ANNOUNCEMENT_DELAY
-                or now < self.last_lease_at.get(reader, -1e9) + READ_LEASE_DURATION * RENEWAL_FRACTION
-            ):
-                continue
-            self.last_lease_at[reader] = now
-            self.calls_in_flight.add(reader)
-            made.append(ReplicaLease(reader, row.address, entry[FENCING_TOKEN], holder.address))
-        return made, over
+            lease = self._lease_for(reader, SliceEntry.decode(row), registry)
+            if lease is not None and self._is_due(now, reader, since):
+                self.last_lease_at[reader] = now
+                self.calls_in_flight.add(reader)
+                leases.append(lease)
+        return leases, expired
+
+    def _lease_for(self, reader: Reader, entry: SliceEntry, registry: WorkerRegistry) -> ReplicaLease | None:
+        """The lease that this reader may get; None where it or the owner can't be called, or not now."""
+        registration = registry.registrations.get(reader.instance_id)
+        owner = registry.registrations.get(entry.worker)
+        if registration is None or owner is None or registration.phase != READY:
+            return None
+        if entry.previous_owner or reader in self.calls_in_flight:
+            return None
+        return ReplicaLease(reader, registration.address, entry.fencing_token, owner.address)
+
+    def _is_due(self, now: float, reader: Reader, since: float) -> bool:
+        """Whether all proxies know the reader by now, and its lease is to be renewed."""
+        renewal_at = self.last_lease_at.get(reader, NEVER) + READ_LEASE_DURATION * RENEWAL_FRACTION
+        return now >= since + REPLICA_ANNOUNCEMENT_DELAY and now >= renewal_at
 
     def lease_finished(self, now: float, lease: ReplicaLease, status: int) -> None:
+        """Take the end of a call; status: of HTTP, or NO_ANSWER. One that failed is tried again soon."""
         self.calls_in_flight.discard(lease.reader)
-        if status != 200 and lease.reader in self.last_lease_at:
+        if status != HTTPStatus.OK and lease.reader in self.last_lease_at:
             self.last_lease_at[lease.reader] = now + RETRY_DELAY - READ_LEASE_DURATION * RENEWAL_FRACTION
 
 
-def changed_readers(value: dict | None, service: str, key: int, change: Callable[[list, int], list]):
-    """The table with a record's entry changed; None where that changes nothing. Always settled."""
-    entry = value["s"].get(service, {}).get(str(key)) if value else None
-    made = change(entry, value["n"] + 1) if entry else entry
-    if made == entry:
+def with_changed_row(
+    value: TableValue | None, service: str, key: int, change: Callable[[Row, int], Row]
+) -> ProposedTable:
+    """The table with change(row, new version) for a record's row; None where that changes nothing."""
+    row = value["s"].get(service, {}).get(str(key)) if value else None
+    changed = change(row, value["n"] + 1) if row else row
+    if changed == row:
         return None, True
-    entries = {**value["s"][service], str(key): made}
+    entries = {**value["s"][service], str(key): changed}
     return {**value, "n": value["n"] + 1, "s": {**value["s"], service: entries}}, True
 
 
 def without_readers(
-    value: dict | None, service: str, key: int, instance_ids: set[str]
-) -> tuple[dict | None, bool]:
+    value: TableValue | None, service: str, key: int, instance_ids: set[str]
+) -> ProposedTable:
     """The table with these workers readers of a record no more."""
 
-    def change(entry: list, number: int) -> list:
-        return with_readers(
-            entry,
-            [instance_id for instance_id in active_readers(entry) if instance_id not in instance_ids],
-            number,
-        )
+    def change(row: Row, version: int) -> Row:
+        staying = [instance_id for instance_id in active_readers(row) if instance_id not in instance_ids]
+        return with_readers(row, staying, version)
 
-    return changed_readers(value, service, key, change)
+    return with_changed_row(value, service, key, change)
 
 
-def without_expired_readers(value: dict | None, over: list[Reader]) -> tuple[dict | None, bool]:
-    """The table without former readers whose last lease has run out."""
-    made = value
-    for service, key, instance_id, number in over:
+def without_expired_readers(value: TableValue | None, expired: list[Reader]) -> ProposedTable:
+    """The table without former readers whose last lease has expired."""
+    changed = value
+    for reader in expired:
 
-        def change(entry: list, _number: int, instance_id: str = instance_id, number: int = number) -> list:
+        def change(row: Row, _version: int, reader: Reader = reader) -> Row:
             left = {
-                reader: since
-                for reader, since in all_readers(entry).items()
-                if (reader, since) != (instance_id, number)
+                instance_id: version
+                for instance_id, version in all_readers(row).items()
+                if (instance_id, version) != (reader.instance_id, reader.version)
             }
-            return [*entry[:READERS], *([left] if left else [])]
+            return [*row[:READERS], *([left] if left else [])]
 
-        made = changed_readers(made, service, key, change)[0] or made
-    return ({**made, "n": value["n"] + 1}, True) if made is not value else (None, True)
+        changed = with_changed_row(changed, reader.service, reader.key, change)[0] or changed
+    if changed is value:
+        return None, True
+    return {**changed, "n": value["n"] + 1}, True
