--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -59,7 +59,7 @@
     for i in range(workers):
         address = f"10.0.{i // 250}.{i % 250}:8080"
         registration = WorkerRegistration("keyed" if i % 2 else "plain", address, "z", 4, "ready", 1)
-        registry.merge(START, f"i-{i:08x}", registration)
+        registry.record(START, f"i-{i:08x}", registration)
     return registry
 
 
@@ -109,7 +109,7 @@
             key = int(KEY_SPACE_SIZE * self.random.random() ** 2)
             key_range = str(key // KEYS_PER_RANGE)
             heat[service][key_range] = heat[service].get(key_range, 0) + 1
-            instance_id = self.load_balancer.entry(service, key)[0]
+            instance_id = self.load_balancer.slice_entry(service, key)[0]
             met[instance_id] = [1, 0, 0.2, [2, 0, 4]]
         return json.dumps({"k": "report", "over": CYCLE, "heat": heat, "met": met})
 
@@ -120,7 +120,7 @@
         message = json.loads(report)
         workers: dict[str, list] = {name: [] for name in SERVICES}
         for instance_id, (attempts, failed, mean, load) in message["met"].items():
-            service = self.registry.rows[instance_id].service
+            service = self.registry.registrations[instance_id].service
             workers[service].append(worker_report(instance_id, attempts, failed, mean, CYCLE, load))
         for service, reports in workers.items():
             heat = message["heat"][service]
@@ -134,15 +134,15 @@
         table = apply_slice_changes(self.table, changes, {"keyed"})[0] if changes else None
         update = None
         if table is not None:
-            self.updates.learned(table)
-            update = self.updates.since(self.table["n"]) if self.table else None
+            self.updates.learn_table(table)
+            update = self.updates.message_since(self.table["n"]) if self.table else None
         self.costs.controller_time += time.process_time() - began
         if table is not None:
             self.costs.versions += 1
             if update:
                 self.count_bytes(table, update)
             self.table = table
-            self.load_balancer.take_table({"n": table["n"], "s": table["s"]})
+            self.load_balancer.apply_table({"n": table["n"], "s": table["s"]})
 
     def count_bytes(self, table: dict, update: object) -> None:
         """Bytes of a new table to voters and proxies, beside those of the whole."""
@@ -159,7 +159,7 @@
         began = time.process_time()
         for number, (host, path) in enumerate(paths):
             built.route(host, path)
-            self.load_balancer.choose(self.now, "plain", None, str(number), set())
+            self.load_balancer.choose_worker(self.now, "plain", None, str(number), set())
         return (time.process_time() - began) / len(paths)
 
 
--- a/features/steps/contact.py
+++ b/features/steps/contact.py
@@ -17,11 +17,11 @@
 from tests.simulation import majority_contact
 from tests.simulation.majority_contact import Broken
 
-word_until, obey, call, pulse = (
+word_until, obey, call, heartbeat_received = (
     Sessions.word_until,
     Controller.obey,
     Controller.call,
-    ControllerSelection.pulse,
+    ControllerSelection.heartbeat_received,
 )
 
 
@@ -30,13 +30,13 @@
 
 
 def no_forwarding(self, rows, sender="", ages=None):
-    news, newer = self.registry.take(self.loop.time(), rows, ages)
+    news, newer = self.registry.record_all(self.loop.time(), rows, ages)
     self.tell_desks(news)
     return newer
 
 
 async def no_row(self, command):
-    if isinstance(command, DeregisterWorker) and command.instance_id not in self.registry.rows:
+    if isinstance(command, DeregisterWorker) and command.instance_id not in self.registry.registrations:
         return server.answer(200 if self.contact(self.loop.time()) else 503)
     return await obey(self, command)
 
@@ -51,10 +51,12 @@
     return word_until(self, now, voters, epoch, known, own and dict.fromkeys(own, NO_PROPOSAL))
 
 
-def claims(self, now, peer, message, have):
-    here = all(have.values()) and all(number <= have[name] for name, number in message["n"].items())
-    self.ready = self.ready or bool(message["whole"] and self.rolled and here)
-    return pulse(self, now, peer, message, have)
+def without_question(self, now, peer, message, known_versions):
+    here = all(known_versions.values()) and all(
+        number <= known_versions[name] for name, number in message["n"].items()
+    )
+    self.is_ready = self.is_ready or bool(message["whole"] and self.registry_source and here)
+    return heartbeat_received(self, now, peer, message, known_versions)
 
 
 GUARDS = {
@@ -63,7 +65,11 @@
     "the word of the majority": (Controller, "whole", lambda self, now: True),
     "leaves going on between archives": (Controller, "take_rows", no_forwarding),
     "the row of a leave that nobody knew": (Controller, "obey", no_row),
-    "desks that tell of leaves again": (WorkerRegistry, "leaving", lambda self, since=0.0: {}),
+    "desks that tell of leaves again": (
+        WorkerRegistry,
+        "departing_registrations",
+        lambda self, since=0.0: {},
+    ),
     "the look at the clock after a round": (Controller, "agreed", no_clock),
     "the look at the word as a grant leaves": (Controller, "call", lambda self, one, _: call(self, one, 1e9)),
     "the look at what oneself has accepted": (Sessions, "word_until", not_oneself),
@@ -72,7 +78,7 @@
         "whole",
         lambda self, now: self.word(now, (TABLE,)) > now,
     ),
-    "the question before a desk is ready": (ControllerSelection, "pulse", claims),
+    "the question before a desk is ready": (ControllerSelection, "heartbeat_received", without_question),
 }
 
 
@@ -120,25 +126,28 @@
 
 @given("a desk that has all, from an archive that is whole")
 def has_all(context):
-    context.contact, context.have = ControllerSelection("d", "z"), {"config": 3, "table": 7}
-    context.contact.link("a", True, context.have)
-    told = {"scribe": True, "whole": True, "n": context.have}
-    assert ("a", {"k": "home", "on": True, "have": context.have}) in context.contact.pulse(
-        9.0, "a", told, context.have
-    )
-    assert context.contact.registry(9.1, "a", context.have) == [("a", {"k": "confirm", "t": 9.1})]
+    context.contact, context.known_versions = ControllerSelection("d", "z"), {"config": 3, "table": 7}
+    context.contact.connection_changed("a", True, context.known_versions)
+    told = {"scribe": True, "whole": True, "n": context.known_versions}
+    assert (
+        "a",
+        {"k": "home", "on": True, "have": context.known_versions},
+    ) in context.contact.heartbeat_received(9.0, "a", told, context.known_versions)
+    assert context.contact.registry_received(9.1, "a", context.known_versions) == [
+        ("a", {"k": "confirm", "t": 9.1})
+    ]
 
 
 @when("that answers what was asked {ago:g} s ago")
 @when("that answers what was asked {ago:g} s ago, with a newer {register}")
 def answers(context, ago, register=""):
-    newest = {name: number + (name == register) for name, number in context.have.items()}
-    context.contact.confirmed(20.0, "a", {"t": 20.0 - ago, "n": newest}, context.have)
+    newest = {name: number + (name == register) for name, number in context.known_versions.items()}
+    context.contact.confirmation_received(20.0, "a", {"t": 20.0 - ago, "n": newest}, context.known_versions)
 
 
 @then("the desk is {word}")
 def ready(context, word):
-    assert context.contact.ready == (word == "ready")
+    assert context.contact.is_ready == (word == "ready")
 
 
 @given("three archives with a table")
@@ -167,26 +176,26 @@
 @given("a roll that has heard only the last call of w1")
 def last(context):
     context.registry = WorkerRegistry()
-    context.registry.merge(1.0, "w1", WorkerRegistration("", "", "", 1, GONE, 1))
+    context.registry.record(1.0, "w1", WorkerRegistration("", "", "", 1, GONE, 1))
 
 
 @when("it hears an older call of w1 with its address")
 def older(context):
-    assert not context.registry.merge(2.0, "w1", WorkerRegistration("s", "w1:1", "z", 2, "ready", 9))
+    assert not context.registry.record(2.0, "w1", WorkerRegistration("s", "w1:1", "z", 2, "ready", 9))
 
 
 @then("w1 is gone there, with its address")
 def gone(context):
-    assert context.registry.rows["w1"] == WorkerRegistration("s", "w1:1", "z", 2, GONE, 1)
+    assert context.registry.registrations["w1"] == WorkerRegistration("s", "w1:1", "z", 2, GONE, 1)
 
 
 @then("its keys are not taken to be free")
 def kept(context):
     table = {"n": 2, "s": {"s": {"0": ["w2", "", 0.0, 2, "", "w1"]}}}
     only = WorkerRegistry()
-    only.merge(1.0, "w1", WorkerRegistration("", "", "", 1, GONE, 1))
+    only.record(1.0, "w1", WorkerRegistration("", "", "", 1, GONE, 1))
     for registry in (only, context.registry):
-        calls, free = KeyLeases(10.0).step(3.0, table, {"s"}, registry)
+        calls, free = KeyLeases(10.0).next_calls(3.0, table, {"s"}, registry)
         assert not free and len(calls) == (registry is context.registry)
 
 
--- a/features/steps/leaving.py
+++ b/features/steps/leaving.py
@@ -16,37 +16,37 @@
 def service(context, how):
     context.load_balancer, context.keyed = LoadBalancer(2.5), how.startswith("with keys")
     for name in ("w1", "w2"):
-        context.load_balancer.registry.merge(
+        context.load_balancer.registry.record(
             0.0, name, WorkerRegistration("s", f"{name}:1", "z", 2, "ready", 1)
         )
     context.entries = {
         str(i * 8192): ["w1", "" if context.keyed else "w2", 0.01, 1, "", ""] for i in range(8)
     }
-    context.load_balancer.take_table({"n": 1, "s": {"s": context.entries}})
+    context.load_balancer.apply_table({"n": 1, "s": {"s": context.entries}})
 
 
 @when("{name} is heard to be draining at {now:g}")
 def draining(context, name, now):
-    context.load_balancer.registry.merge(
+    context.load_balancer.registry.record(
         now, name, WorkerRegistration("s", f"{name}:1", "z", 2, "draining", 5)
     )
 
 
 @when("{name} is heard to be ready again at {now:g}, by a call that was sent before")
 def late(context, name, now):
-    context.load_balancer.registry.merge(now, name, WorkerRegistration("s", f"{name}:1", "z", 2, "ready", 4))
+    context.load_balancer.registry.record(now, name, WorkerRegistration("s", f"{name}:1", "z", 2, "ready", 4))
 
 
 @when("the table moves all keys from w1 to w2")
 def moves(context):
     entries = {start: ["w2", "", 0.0, 2, "", "w1"] for start in context.entries}
-    context.load_balancer.take_table({"n": 2, "base": 1, "d": {"s": entries}})
+    context.load_balancer.apply_table({"n": 2, "base": 1, "d": {"s": entries}})
 
 
 @when("w1 has let go of them")
 def released(context):
     entries = {start: ["w2", "", 0.0, 2, "h", ""] for start in context.entries}
-    context.load_balancer.take_table({"n": 3, "base": 2, "d": {"s": entries}})
+    context.load_balancer.apply_table({"n": 3, "base": 2, "d": {"s": entries}})
 
 
 @then("of {count:d} requests at {now:g} {part} to {name}")
@@ -54,7 +54,7 @@
     gone = 0
     for number in range(count):
         key = zlib.crc32(b"%d" % number) % 65536 if context.keyed else None
-        gone += context.load_balancer.choose(now, "s", key, f"r{number}", set()) == name
+        gone += context.load_balancer.choose_worker(now, "s", key, f"r{number}", set()) == name
     assert gone == (count if part.startswith("all") else 0), gone
 
 
