--- a/bramblewood/cli/manager.py
+++ b/bramblewood/cli/manager.py
@@ -5,7 +5,7 @@
 import typer
 
 from .. import __version__
-from ..net.program import charter, logs
+from ..net.program import configuration, logs
 from ..net.protocol import worker_list
 from ..net.protocol.fields import ProtocolError
 from ..net.transport.connection import spelled
@@ -20,11 +20,11 @@
 )
 
 
-def read_settings(path: str | None = None) -> charter.Charter:
+def read_settings(path: str | None = None) -> configuration.ManagerConfiguration:
     """The manager's configuration; ends the command with what is wrong."""
     try:
-        return charter.read(path=path)
-    except charter.Faulty as problem:
+        return configuration.read(path=path)
+    except configuration.ConfigurationError as problem:
         fail(problem)
 
 
@@ -49,7 +49,7 @@
     logs.begin()
     try:
         service = Service(settings, bylaws=bylaws)
-    except charter.Faulty as problem:
+    except configuration.ConfigurationError as problem:
         fail(problem)
     raise typer.Exit(service.serve())
 
@@ -77,7 +77,7 @@
         "managers to message": len(settings.peers),
         "descriptors": settings.descriptors,
         "known workers": known,
-        "operations": ", ".join(operation.name for operation in settings.facts.operations),
+        "operations": ", ".join(operation.name for operation in settings.settings.operations),
     }
     if bylaws:
         rows["operator's file"] = bylaws.path
--- a/bramblewood/net/program/service.py
+++ b/bramblewood/net/program/service.py
@@ -24,15 +24,17 @@
 from ..transport.listener import Listener
 from ..transport.loop import LONGEST, Loop
 from ..transport.notices import Notices
-from .charter import Charter, Faulty, address, read
+from .configuration import ConfigurationError, ManagerConfiguration, parse_address, read
 
 READY_WITHIN = 1.5  # s for the first dials; after that the manager says it may be used all the same
-NEWS_SILENCE = 1.7  # s; a sign of life comes every second, and a second reading harms nobody
-DISCOVERY_SILENCE = 5.0  # s; an empty line comes every two
-TAKEN_PART = 0.5  # part of the descriptors that may go to whoever connects
-AGAIN_AFTER = 0.5  # s between a module's failure and the next start; it may fail again at once
+UPDATES_SILENCE_TIMEOUT = 1.7  # s; a sign of life comes every second, and a second reading harms nobody
+DISCOVERY_SILENCE_TIMEOUT = 5.0  # s; an empty line comes every two
+ACCEPTED_SHARE = 0.5  # part of the descriptors that may go to whoever connects
+RESTART_DELAY = 0.5  # s between a module's failure and the next start; it may fail again at once
 
-MOVED = ("discovery", "relay")  # keys of the configuration that act at once; the rest waits for a start
+# fields of the configuration that take effect at once; the rest waits for a start
+EFFECTIVE_AT_ONCE = ("discovery", "relay")
+LOGGED_AS = {"settings": "facts"}  # fields that have another name in the log
 
 T = TypeVar("T")
 TO_RELAY = (
@@ -45,28 +47,33 @@
 )
 
 
-def at(key: str, where: Address, make: Callable[[], T]) -> T:
+def at_address(key: str, where: Address, make: Callable[[], T]) -> T:
     """Something that needs an address of this machine; one that is taken or foreign is a faulty key."""
     try:
         return make()
     except OSError as problem:
-        raise Faulty(f"{key}: {spelled(where)}: {problem.strerror}") from None
+        raise ConfigurationError(f"{key}: {spelled(where)}: {problem.strerror}") from None
 
 
 class Service:
     """One manager in service: its parties, its stages and the policy."""
 
-    def __init__(self, charter: Charter, loop: Loop | None = None, log=None, bylaws=None) -> None:
-        self.charter, self.bylaws, self.loop = charter, bylaws, loop or Loop()
-        self.log = log or structlog.get_logger().bind(manager=charter.name)
+    def __init__(
+        self, configuration: ManagerConfiguration, loop: Loop | None = None, log=None, bylaws=None
+    ) -> None:
+        self.configuration, self.bylaws, self.loop = configuration, bylaws, loop or Loop()
+        self.log = log or structlog.get_logger().bind(manager=configuration.name)
         self.inbox: list[events.Event] = []
         self.manager: Manager | None = None
-        self.starts, self.stopping, self.hung_up = 0, False, False  # hung_up: asked to read anew
+        self.policy_starts = 0
+        self.stopping = self.reload_requested = False
         notices, emit = Notices(self.log, self.loop.now), self.add_event
         self.notices = notices
-        settings = charter.facts
+        settings = configuration.settings
         operations = [operation.name for operation in settings.operations]
-        self.discovery = Discovery(self.loop, charter.discovery, notices, DISCOVERY_SILENCE, emit=emit)
+        self.discovery = Discovery(
+            self.loop, configuration.discovery, notices, DISCOVERY_SILENCE_TIMEOUT, emit=emit
+        )
         self.collectors = Collectors(
             notices,
             emit,
@@ -74,7 +81,7 @@
         )
         self.relay_calls = RelayCalls(
             self.loop,
-            charter.relay,
+            configuration.relay,
             operations,
             notices,
             emit,
@@ -83,9 +90,9 @@
         )
         self.relay_updates = RelayUpdates(
             self.loop,
-            charter.relay,
+            configuration.relay,
             notices,
-            NEWS_SILENCE,
+            UPDATES_SILENCE_TIMEOUT,
             emit=self.handle_relay_event,
             compare_stored=self.relay_calls.compare_stored,
         )
@@ -94,39 +101,49 @@
         self.health_checks = HealthChecks(
             self.loop, self.worker_address, bool(settings.load_fields), notices, emit
         )
-        self.peers = None
-        if charter.peer_listen:
-            self.peers = at(
-                "peer_listen",
-                charter.peer_listen,
-                lambda: Peers(
-                    self.loop,
-                    charter.peer_listen,
-                    charter.peers,
-                    charter.everyone,
-                    settings.manager,
-                    notices,
-                    emit,
-                ),
+        self.peers = self.open_peers() if configuration.peer_listen else None
+        self.listener = self.open_listener()
+        try:
+            self.stages = turn_stages.start_stages(
+                bylaws, settings, configuration.seed, self.loop.now, self.log
             )
-        self.listener = at(
+        except Exception as problem:  # whatever the folder or its files raise: nothing was begun
+            self.listener.close()
+            raise ConfigurationError(f"store.folder: {bylaws.store.folder}: {problem}") from None
+
+    def open_peers(self) -> Peers:
+        """The address for messages between managers; raises ConfigurationError."""
+        configuration = self.configuration
+        return at_address(
+            "peer_listen",
+            configuration.peer_listen,
+            lambda: Peers(
+                self.loop,
+                configuration.peer_listen,
+                configuration.peers,
+                configuration.everyone,
+                configuration.settings.manager,
+                self.notices,
+                self.add_event,
+            ),
+        )
+
+    def open_listener(self) -> Listener:
+        """The manager's own address, for a share of the descriptors; raises ConfigurationError."""
+        address, (allowed, _) = self.configuration.listen, resource.getrlimit(resource.RLIMIT_NOFILE)
+        descriptors = min(self.configuration.descriptors, allowed)
+        return at_address(
             "listen",
-            charter.listen,
+            address,
             lambda: Listener(
                 self.loop,
-                charter.listen,
+                address,
                 self.collectors,
-                int(min(charter.descriptors, resource.getrlimit(resource.RLIMIT_NOFILE)[0]) * TAKEN_PART),
-                lambda why: notices.say("newcomer turned away", "listener", why=why),
+                int(descriptors * ACCEPTED_SHARE),
+                lambda why: self.notices.say("newcomer turned away", "listener", why=why),
             ),
         )
 
-        try:
-            self.stages = turn_stages.start_stages(bylaws, settings, charter.seed, self.loop.now, self.log)
-        except Exception as problem:  # whatever the folder or its files raise: nothing was begun
-            self.listener.close()
-            raise Faulty(f"store.folder: {bylaws.store.folder}: {problem}") from None
-
     def order_applied(self, order: events.Order) -> None:
         """An order that the relay took."""
         self.relay_updates.order_applied(order)
@@ -149,40 +166,40 @@
             self.relay_calls.slice_reassigned(event.slice)
             if event.assigned and never_away:  # a slice comes with the usual levels; this one may have others
                 self.relay_calls.submit(
-                    [events.SetAdmission(event.slice, (), 1.0, self.charter.facts.default_retry)]
+                    [events.SetAdmission(event.slice, (), 1.0, self.configuration.settings.default_retry)]
                 )
         self.inbox.append(event)
 
     def worker_address(self, worker: str):
         """Where a worker answers health checks; None where that is not known or no address."""
         try:
-            return address(self.discovery.addresses.get(worker), worker)
-        except Faulty:
+            return parse_address(self.discovery.addresses.get(worker), worker)
+        except ConfigurationError:
             return None
 
     def start(self) -> None:
         """Start the policy, the stages and the streams."""
         self.start_policy()
         try:
-            self.discovery.handle_list(self.charter.known, cached=True)
+            self.discovery.handle_list(self.configuration.known, cached=True)
         except ProtocolError as problem:
             self.log.warning("known list not usable", why=str(problem))
         for stage in self.stages:
             self.inbox += stage.start()
-        if not self.charter.facts.must_request_list:
+        if not self.configuration.settings.must_request_list:
             self.discovery.start()
         self.relay_updates.start()
         self.loop.after(READY_WITHIN, self.mark_in_use)
 
     def start_policy(self) -> None:
         """A new policy, with a seed of its own."""
-        self.manager = Manager(f"{self.charter.seed}:{self.starts}", self.charter.facts)
-        self.starts += 1
+        self.manager = Manager(f"{self.configuration.seed}:{self.policy_starts}", self.configuration.settings)
+        self.policy_starts += 1
 
     def turn(self, most: float = LONGEST) -> None:
         """Gather what is ready, hand it to the module in one go, carry out what came back."""
-        if self.hung_up:
-            self.hung_up = False
+        if self.reload_requested:
+            self.reload_requested = False
             self.loop.after(0.0, self.renew)
         for stage in self.stages:
             wait = stage.longest_wait()
@@ -192,20 +209,20 @@
         except Exception as problem:  # a defect of the network code; the connection that met it has ended
             self.notices.say("defect in the network code", why=repr(problem), where=traceback.format_exc(-3))
         if self.stages:
-            self.pass_time()
+            self.run_stages()
         if self.inbox and self.manager:
             batch, self.inbox = self.inbox, []
             for stage in self.stages:
-                batch = self.staged(stage.filter_events, batch, batch)
+                batch = self.ask_stage(stage.filter_events, batch, batch)
             try:
                 orders = self.manager.handle(self.loop.now(), batch)
             except Exception:  # whatever the module raises: it starts anew, and the manager goes on
                 self.log.exception("the module failed")
                 self.manager = None
-                self.loop.after(AGAIN_AFTER, self.restart_policy)
+                self.loop.after(RESTART_DELAY, self.restart_policy)
                 return
             for stage in self.stages:
-                orders = self.staged(
+                orders = self.ask_stage(
                     stage.filter_orders, orders, lambda stage=stage, of=orders: stage.fallback_orders(of)
                 )
             try:
@@ -217,7 +234,7 @@
         if self.discovery.current and self.relay_updates.current:
             self.mark_in_use()
 
-    def staged(self, ask: Callable, what: list, otherwise) -> list:
+    def ask_stage(self, ask: Callable, what: list, otherwise) -> list:
         """What a stage makes of events or orders; if it raises, its stated fallback."""
         try:
             return ask(self.loop.now(), what)
@@ -227,7 +244,7 @@
             )
             return otherwise() if callable(otherwise) else otherwise
 
-    def pass_time(self) -> None:
+    def run_stages(self) -> None:
         """Once a turn for each stage, whatever came."""
         now = self.loop.now()
         span, self.turned_at = now - self.turned_at, now
@@ -259,17 +276,20 @@
         """The configuration read anew as one value: it holds as a whole, or the old one goes on."""
         try:
             told = read()
-        except Faulty as problem:
+        except ConfigurationError as problem:
             self.log.warning("new configuration refused", why=str(problem))
             return
-        was, self.charter = self.charter, self.charter._replace(discovery=told.discovery, relay=told.relay)
+        was, self.configuration = (
+            self.configuration,
+            self.configuration._replace(discovery=told.discovery, relay=told.relay),
+        )
         self.discovery.move(told.discovery)
         self.relay_updates.move(told.relay)
         self.relay_calls.move(told.relay)
         later = [
-            key
-            for key, old, new in zip(Charter._fields, was, told, strict=True)
-            if old != new and key not in MOVED
+            LOGGED_AS.get(field, field)
+            for field, old, new in zip(ManagerConfiguration._fields, was, told, strict=True)
+            if old != new and field not in EFFECTIVE_AT_ONCE
         ]
         self.log.info(
             "new configuration taken",
@@ -286,7 +306,7 @@
 
         try:
             told = bylaws.load(self.bylaws.path)
-        except bylaws.Faulty as problem:
+        except bylaws.ConfigurationError as problem:
             self.log.warning("new operator's file refused", why=str(problem))
             return
         self.bylaws, now, later = bylaws.renewed(self.bylaws, told)
@@ -331,13 +351,13 @@
         signal.set_wakeup_fd(far.fileno())
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, self.stop)
-        signal.signal(signal.SIGHUP, self.hang_up)
+        signal.signal(signal.SIGHUP, self.request_reload)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})  # one that came before is met now
         self.loop.watch(near, 1, lambda _events: near.recv(64))
         self.start()
         gc.collect()
         gc.freeze()
-        self.log.info("started", listen=spelled(self.charter.listen))
+        self.log.info("started", listen=spelled(self.configuration.listen))
         while not self.stopping:
             self.turn()
         for stage in self.stages:
@@ -352,6 +372,6 @@
         """Signal handler: end after this turn."""
         self.stopping = True
 
-    def hang_up(self, _number, _frame) -> None:
+    def request_reload(self, _number, _frame) -> None:
         """Signal handler: read the configuration anew in the next turn."""
-        self.hung_up = True
+        self.reload_requested = True
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -10,7 +10,7 @@
 
 from bramblewood import events
 from bramblewood.ledger import records
-from bramblewood.net.program import charter
+from bramblewood.net.program import configuration
 from bramblewood.operator import bylaws
 from bramblewood.store.port import Folder
 from bramblewood.store.store import Store
@@ -212,11 +212,11 @@
     path, terms = tmp_path / "operator.sexp", site.service.bylaws.store
     for text in ("(store", f'(store (folder "{terms.folder}") (flush in-loop) (hold 3))'):
         path.write_text(text)
-        site.service.hang_up(1, None)
+        site.service.request_reload(1, None)
         site.wait(0.1)
         assert site.service.bylaws.store == terms
     path.write_text(f'(store (folder "{terms.folder}") (flush in-loop) (must-exist yes) (hold 1))')
-    site.service.hang_up(1, None)
+    site.service.request_reload(1, None)
     site.wait(0.1)
     assert site.service.stages[0].terms.hold == 1.0
     said = [more for what, more in site.lines if what == "new operator's file taken"]
@@ -228,7 +228,7 @@
     (tmp_path / "file").write_text("")
     operator = tmp_path / "operator.sexp"
     operator.write_text(f'(store (folder "{tmp_path}/file/below"))')
-    told = charter.read(path=str(config))
+    told = configuration.read(path=str(config))
     assert told.name
     done = subprocess.run(
         [sys.executable, "-m", "bramblewood", "serve", "--operator", str(operator)],
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -13,7 +13,7 @@
 
 from bramblewood import events, startup_settings
 from bramblewood.adapter import wire
-from bramblewood.net.program import charter
+from bramblewood.net.program import configuration
 from bramblewood.net.program import service as program
 from bramblewood.net.protocol import frames
 from bramblewood.net.transport.connection import Connection
@@ -214,23 +214,23 @@
     ],
 )
 def test_a_faulty_key_is_named(change, words):
-    with pytest.raises(charter.Faulty) as found:
-        charter.check({**CONFIG, **change})
+    with pytest.raises(configuration.ConfigurationError) as found:
+        configuration.parse({**CONFIG, **change})
     assert str(found.value).startswith(words) and "\n" not in str(found.value)
 
 
 def test_the_variables_fill_what_the_configuration_lacks(tmp_path):
     path = tmp_path / "config.json"
     path.write_text(json.dumps({key: value for key, value in CONFIG.items() if key != "listen"}))
-    told = charter.read({"EDGE_CONFIG": str(path), "EDGE_LISTEN": "127.0.0.9:81"})
+    told = configuration.read({"EDGE_CONFIG": str(path), "EDGE_LISTEN": "127.0.0.9:81"})
     assert told.listen == ("127.0.0.9", 81) and told.relay == ("127.0.0.1", 6400)
     assert (
-        told.facts == startup_settings.parse_settings(OPTIONS) and wire.MS == startup_settings.MS
+        told.settings == startup_settings.parse_settings(OPTIONS) and wire.MS == startup_settings.MS
     )  # one translation for both roads
     path.write_text("{")
     for environment in ({}, {"EDGE_CONFIG": str(tmp_path / "none")}, {"EDGE_CONFIG": str(path)}):
-        with pytest.raises(charter.Faulty):
-            charter.read(environment)
+        with pytest.raises(configuration.ConfigurationError):
+            configuration.read(environment)
 
 
 class Site:
@@ -240,7 +240,7 @@
         self.edge, self.discovery, self.relay = Edge(), bound(), bound()
         addresses = {"discovery": self.discovery, "registry": self.relay}
         config = json.loads(json.dumps(CONFIG))
-        told = charter.check(config)._replace(
+        told = configuration.parse(config)._replace(
             listen=("127.0.0.1", 0),
             discovery=addresses["discovery"].getsockname(),
             relay=addresses["registry"].getsockname(),
@@ -349,7 +349,7 @@
         raise RuntimeError("a defect")
 
     monkeypatch.setattr(first, "handle", defect)
-    site.wait(program.AGAIN_AFTER + 1.2)
+    site.wait(program.RESTART_DELAY + 1.2)
     assert ("the module failed", {}) in site.lines and site.service.manager is not first
     assert [w.name for w in site.service.manager.ready_workers()] == ["s1", "s2"]
     news, _ = site.accept(site.relay, b"WATCH")
@@ -381,7 +381,7 @@
     there = ["{}:{}".format(*sock.getsockname()) for sock in fresh]
     path = config_file(tmp_path, monkeypatch, discovery=there[0], registry={"address": there[1]}, seed="new")
     news.sendall(b"* CLOSED 1\r\n")  # not read yet
-    site.service.hang_up(signal.SIGHUP, None)
+    site.service.request_reload(signal.SIGHUP, None)
     site.wait(0.1)
     moved, asked = site.accept(fresh[0], b"stream=1")
     assert b"index=42 " in asked and f"Host: {there[0]}".encode() in asked
@@ -398,7 +398,7 @@
     before = site.service.relay_updates.current, site.service.discovery.current
     for text in (path.read_text(), "{", "[]", path.read_text().replace(there[1], "nowhere")):
         path.write_text(text)  # the same again, and faulty ones: harmless, and told
-        site.service.hang_up(signal.SIGHUP, None)
+        site.service.request_reload(signal.SIGHUP, None)
         site.wait(0.1)
     assert site.service.relay_updates.current and before == (
         site.service.relay_updates.current,
