--- a/bramblewood/policy/load_accounting.py
+++ b/bramblewood/policy/load_accounting.py
@@ -58,7 +58,8 @@
         """Guards slow start: one slice a cycle, and no more than this manager's part of a common budget."""
         if worker.is_warm:
             return True
-        waited = worker.last_slice_at <= self.manager.now - 0.9 * self.manager.settings.cycle
+        spacing = parameters.SLICE_SPACING * self.manager.settings.cycle
+        waited = worker.last_slice_at <= self.manager.now - spacing
         fits = self.own_loads[worker] + heat <= self.slow_start_budget(worker)
         return not worker.retries_cut and waited and fits
 
--- a/bramblewood/policy/publishing.py
+++ b/bramblewood/policy/publishing.py
@@ -57,7 +57,7 @@
         return slices
 
     def flush(self, turn: bool) -> None:
-        """Send what the channel can take: exclusions, a route each, then tables as far as they fit."""
+        """Send what the channel can take: exclusions, a line each, then tables as far as they fit."""
         self.sent.expire(self.manager.now, self.manager.settings.messages_window)
         if self.is_rate_limited():
             return
--- a/bramblewood/policy/slices.py
+++ b/bramblewood/policy/slices.py
@@ -81,7 +81,8 @@
         wanted = {worker: weight for worker, weight in routes if worker}
         orders = [SetRoute(self.number, w.name, n) for w, n in wanted.items() if self.routes.get(w) != n]
         excluded = [w for w in self.routes if urgent and self.manager.publisher.is_excluded(w)]
-        wanted = {**{w: self.routes[w] for w in excluded[-2:]}, **wanted}
+        kept = {w: self.routes[w] for w in excluded[-parameters.MAX_EXCLUDED_ROUTES :]}
+        wanted = {**kept, **wanted}
         orders += [SetRoute(self.number, w.name, 0) for w in self.routes if w not in wanted]
         default = [(1.0, RETRY_UNSTARTED)] * len(self.manager.operations_by_value)
         rules = primary.admission_rules() if primary else default
--- a/bramblewood/policy_base/parameters.py
+++ b/bramblewood/policy_base/parameters.py
@@ -18,6 +18,7 @@
 MAX_LOAD_FACTOR = 2.0  # times the median load, the most that a report counts
 QUEUE_WEIGHT = 0.1  # utilization that one queued invocation counts as; ten are a full worker more
 FORGET_AFTER = 60  # cycles without a report after which a deregistered worker is forgotten
+MIN_INTERVAL = 0.1  # that a report's counts are taken to span at least
 LONG_AGO = -1e9  # a start before any clock
 
 # Admission control
@@ -35,11 +36,12 @@
 SPARE_LOAD = 0.5  # share of capacity that the median worker uses while it can take in what jams another
 MOST_EJECTED = 0.45  # share of ready workers that may be ejected; more is a fault of the view
 SURGE = 1.3  # latest heat over its average; below it growth is noise
-WARMING_SHARE = (
-    0.8  # share used of a warming worker's sure capacity; at all of it one fell over under overload
-)
+# share used of a warming worker's sure capacity; at all of it one fell over under overload
+WARMING_SHARE = 0.8
+SLICE_SPACING = 0.9  # cycles between slices given to a warming worker: one a cycle, whose turns vary
 STANDBY_WEIGHT = 0.01  # weight of the standby route; enough to retry at, too little to be a move
-OVERFLOW_WEIGHT = 0.4  # weight of the standby route while the primary is strained and the standby is not
+# weight of the standby route while the primary is strained and the standby is not; it costs key caches
+OVERFLOW_WEIGHT = 0.4
 
 # Publishing
 TURN_INTERVAL = 0.5  # between publishing turns, so that ten turns take about the time of five reports
@@ -47,6 +49,7 @@
 WAITING_SHARE = 0.6  # share used of the lines that may wait; the rest is for what acknowledgements don't tell
 MESSAGES_SHARE = 0.8  # share used of the messages allowed; the rest is for what still travels
 ACK_TIMEOUT = 120.0  # after which an unacknowledged message no longer waits; channels were seen 40 s behind
+MAX_EXCLUDED_ROUTES = 2  # routes to excluded workers left in an urgent table; more reach who joins
 MAX_EXCLUDED = 1000  # excluded workers remembered; ids may come again long after, and for ever would grow
 
 # The worker list
--- a/bramblewood/policy_base/state.py
+++ b/bramblewood/policy_base/state.py
@@ -8,7 +8,7 @@
 
 from ..events import DEREGISTERED, SliceHeatReported, WorkerReported
 from .averages import is_usable
-from .parameters import LONG_AGO, QUEUE_WEIGHT, REPORTS_AVERAGED, STALE_CYCLES, TURN_INTERVAL
+from .parameters import LONG_AGO, MIN_INTERVAL, QUEUE_WEIGHT, REPORTS_AVERAGED, STALE_CYCLES, TURN_INTERVAL
 
 
 class WorkerState:
@@ -57,7 +57,7 @@
         elif "in_flight" in load:
             self.new_loads.append(load["in_flight"] / self.weight)
         elif not {"utilization", "in_flight"} & set(self.manager.settings.load_fields):
-            self.new_loads.append(report.attempts / max(report.interval, 0.1) / self.weight)
+            self.new_loads.append(report.attempts / max(report.interval, MIN_INTERVAL) / self.weight)
 
     def response_time(self) -> float:
         """The mean response time in s since the last evaluation, or the last one known."""
