--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -35,13 +35,12 @@
     RegisterWorker,
     Rejection,
     StartDrainPlan,
-    apply_configuration,
     decode,
     decode_drain_plan_call,
     decode_membership_call,
     max_body_bytes,
-    settled_answer,
 )
+from .configuration_succession import apply_configuration, settled_answer
 from .consensus.effects import Effects, PendingWrites, no_effects
 from .consensus.membership import Membership, may_shut_down
 from .consensus.messages import CONSENSUS_MESSAGE_KINDS
--- a/features/steps/calls.py
+++ b/features/steps/calls.py
@@ -3,7 +3,8 @@
 
 from behave import given, then, when
 
-from bramblewood.controller.commands import PutConfiguration, Rejection, apply_configuration, decode
+from bramblewood.controller.commands import PutConfiguration, Rejection, decode
+from bramblewood.controller.configuration_succession import apply_configuration
 from bramblewood.controller.server import answer
 from tests.approved import approve
 from tests.simulation.proxy import CONFIG
--- a/features/steps/configuration_changes.py
+++ b/features/steps/configuration_changes.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from bramblewood.common.settings import Bounds
-from bramblewood.controller import commands
+from bramblewood.controller.configuration_succession import apply_configuration
 from bramblewood.controller.consensus.replica import ConsensusReplica
 from tests.simulation import configuration_changes
 from tests.simulation.configuration_changes import (
@@ -73,7 +73,7 @@
 def in_turn(context):
     for row in context.table:
         wanted = configuration(int(row["number"]), int(row["parent"]), row["content"])
-        following, (status, _) = commands.apply_configuration(wanted, context.value)
+        following, (status, _) = apply_configuration(wanted, context.value)
         assert status == int(row["answer"]), (row, status)
         context.value = following or context.value
 
@@ -89,7 +89,7 @@
 def bounded(context, count, some):
     for number in range(count):
         wanted = configuration(101 + number, 100 + number, f"early{number}")
-        following, (status, _) = commands.apply_configuration(wanted, context.value)
+        following, (status, _) = apply_configuration(wanted, context.value)
         assert status == (412 if number < some else 503), (number, status)
         context.value = following or context.value
 
@@ -122,7 +122,7 @@
 
 @then("where {kept:d} digests are kept, repeats of what is older have no clear answer and none is refused")
 def few_digests_kept(context, kept):
-    play = long_day(2, 5, context.changes, partial(commands.apply_configuration, kept=kept))
+    play = long_day(2, 5, context.changes, partial(apply_configuration, kept=kept))
     assert len(play.acknowledged) == context.changes + 1 and not play.rejected
     assert {order.status for order in play.orders} == {200, 0}
 
--- a/tests/simulation/membership_epochs.py
+++ b/tests/simulation/membership_epochs.py
@@ -14,7 +14,7 @@
 
 from bramblewood.common.settings import Bounds, Settings, Tolerance
 from bramblewood.controller import server
-from bramblewood.controller.commands import apply_configuration
+from bramblewood.controller.configuration_succession import apply_configuration
 from bramblewood.controller.consensus import epochs, local_member
 from bramblewood.controller.consensus.effects import PendingWrites, no_effects
 from bramblewood.controller.consensus.epochs import EpochTransition
