--- a/tests/simulation/configuration_change_guards.py
+++ b/tests/simulation/configuration_change_guards.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from bramblewood.common.configuration import Configuration
-from bramblewood.controller.commands import apply_configuration
+from bramblewood.controller.configuration_succession import apply_configuration
 from bramblewood.controller.consensus.acceptor import NumberedValue
 from bramblewood.controller.consensus.effects import Effects
 from bramblewood.controller.consensus.local_member import LocalMember
