--- a/bramblewood/controller/row_encoding.py
+++ b/bramblewood/controller/row_encoding.py
@@ -1,83 +1,105 @@
 """A JSON value as rows, so that a change of it is a change of few rows. Pure.
 
 A row is a path and a text, both JSON: the keys that lead to a part, and the part. A map that is fewer than
-DEPTH keys deep is a row {} with a row for each of its keys; all else is one row. So a table's slices, a
+MAX_DEPTH keys deep is a row {} with a row for each of its keys; all else is one row. So a table's slices, a
 configuration's sections and its past versions have a row each. Rows are kept in the order in which they were
-first made: a map comes before its parts, and the keys of a map in the order that `patched` gives them.
+first made: a map comes before its parts, and the keys of a map in the order that `apply_difference` gives
+them.
 """
 
 import json
 from collections.abc import Iterable, Iterator
 from itertools import islice
-from typing import Any
+from typing import Any, Literal, NamedTuple
 
 from .value_diff import PATCH_KEYS, REMOVE_KEYS, SET
 
 VALUE = "value"
-AT_ONCE = 1000  # rows that are read in one go: far fewer calls than one by one, far less memory than all
-DEPTH = 3  # keys to a slice of the table: "s", service, first key; one change is of so much at least
-ROOT = "[]"
+ROWS_PER_BATCH = 1000  # decoded in one go: far fewer calls than one by one, far less memory than all
+MAX_DEPTH = 3  # keys to a slice of the table: "s", service, first key; one change is of so much at least
+ROOT_PATH = "[]"
 
-PUT, CLEAR, GONE = "put", "clear", "gone"
-Step = tuple[str, str, str]  # PUT a row's text at a path; CLEAR what is below it; GONE: the row too
+PUT, CLEAR, DELETE = "put", "clear", "delete"
 
 
-def text(value: Any) -> str:
+class RowOperation(NamedTuple):
+    """PUT a row's text at a path; CLEAR the rows below a path; DELETE: the row at the path too."""
+
+    kind: Literal["put", "clear", "delete"]
+    path: str
+    text: str = ""
+
+
+def to_json(value: Any) -> str:
+    """The text of a row."""
     return json.dumps(value, separators=(",", ":"))
 
 
-def below(path: str, key: str) -> str:
-    return f"{path[:-1]}{',' if path != ROOT else ''}{json.dumps(key)}]"
+def child_path(path: str, key: str) -> str:
+    """The path of a key of the map at this path."""
+    return f"{path[:-1]}{',' if path != ROOT_PATH else ''}{json.dumps(key)}]"
 
 
-def span(path: str) -> tuple[str, str]:
-    """Texts between which lie the paths of all that is below this one: a path goes on with a comma, ROOT's
-    with a quote, and a hyphen and a hash are the next characters after these.
+def descendant_range(path: str) -> tuple[str, str]:
+    """Texts between which lie the paths of all that is below this one, both excluded.
+
+    A path goes on with a comma, the root's with a quote, and a hyphen and a hash are the next characters
+    after these.
     """
-    return ('["', "[#") if path == ROOT else (f"{path[:-1]},", f"{path[:-1]}-")
+    return ('["', "[#") if path == ROOT_PATH else (f"{path[:-1]},", f"{path[:-1]}-")
 
 
-def rows(value: Any, path: str = ROOT, deep: int = 0) -> Iterator[Step]:
-    """All rows of a value that lies at this path."""
-    if not isinstance(value, dict) or deep == DEPTH:
-        yield PUT, path, text(value)
+def encode_rows(value: Any, path: str = ROOT_PATH, depth: int = 0) -> Iterator[RowOperation]:
+    """All rows of a value that lies at this path, each to be put."""
+    if not isinstance(value, dict) or depth == MAX_DEPTH:
+        yield RowOperation(PUT, path, to_json(value))
         return
-    yield PUT, path, "{}"
+    yield RowOperation(PUT, path, "{}")
     for key, inner in value.items():
-        yield from rows(inner, below(path, key), deep + 1)
+        yield from encode_rows(inner, child_path(path, key), depth + 1)
+
 
+def row_operations(
+    difference: dict[str, Any] | None, value: Any, path: str = ROOT_PATH, depth: int = 0
+) -> Iterator[RowOperation]:
+    """What a difference (`value_diff.difference`) changes of the rows; value: what it leads to.
 
-def steps(change: dict | None, value: Any, path: str = ROOT, deep: int = 0) -> Iterator[Step]:
-    """What a difference (`patches.difference`) changes of the rows; value: what it leads to. A row that is
-    put again keeps its place.
+    A row that is put again keeps its place.
     """
-    if change is None:
+    if difference is None:
         return
-    if SET in change:
-        yield CLEAR, path, ""
-        yield from rows(value, path, deep)
-    elif deep == DEPTH:
-        yield PUT, path, text(value)
+    if SET in difference:
+        yield RowOperation(CLEAR, path)
+        yield from encode_rows(value, path, depth)
+    elif depth == MAX_DEPTH:
+        yield RowOperation(PUT, path, to_json(value))
     else:
-        for key in change.get(REMOVE_KEYS, ()):
-            yield GONE, below(path, key), ""
-        for key, inner in change[PATCH_KEYS].items():
-            yield from steps(inner, value[key], below(path, key), deep + 1)
+        for key in difference.get(REMOVE_KEYS, ()):
+            yield RowOperation(DELETE, child_path(path, key))
+        for key, inner in difference[PATCH_KEYS].items():
+            yield from row_operations(inner, value[key], child_path(path, key), depth + 1)
 
 
-def value_of(found: Iterable[tuple[str, str]]) -> Any:
+def decode_rows(rows: Iterable[tuple[str, str]]) -> Any:
     """The value of all its rows, in their order. Raises ValueError where a row's map is missing."""
-    found, whole = iter(found), {}  # the value as the part of a map of its own, so that its row is as any
-    while some := list(islice(found, AT_ONCE)):
-        paths, parts = (json.loads(f"[{','.join(texts)}]") for texts in zip(*some, strict=True))
+    remaining = iter(rows)
+    root: dict[str, Any] = {}  # holds the value as its part VALUE, so that the value's row is as any other
+    while batch := list(islice(remaining, ROWS_PER_BATCH)):
+        paths, parts = (json.loads(f"[{','.join(texts)}]") for texts in zip(*batch, strict=True))
         for path, part in zip(paths, parts, strict=True):
-            place, last = whole, VALUE
-            try:
-                for key in path:
-                    place, last = place[last], key
-                place[last] = part
-            except (KeyError, TypeError, IndexError):
-                raise ValueError(f"row {path} without its map") from None
-    if VALUE not in whole:
+            insert_part(root, path, part)
+    if VALUE not in root:
         raise ValueError("no row of the value itself")
-    return whole[VALUE]
+    return root[VALUE]
+
+
+def insert_part(root: dict[str, Any], path: list[str], part: Any) -> None:
+    """Put a part where its path leads. Raises ValueError where there is no map."""
+    parent: Any = root
+    last_key = VALUE
+    try:
+        for key in path:
+            parent, last_key = parent[last_key], key
+        parent[last_key] = part
+    except (KeyError, TypeError, IndexError):
+        raise ValueError(f"row {path} without its map") from None
