--- a/bramblewood/controller/row_encoding.py
+++ b/bramblewood/controller/row_encoding.py
@@ -3,7 +3,7 @@
 A row is a path and a text, both JSON: the keys that lead to a part, and the part. A map that is fewer than
 DEPTH keys deep is a row {} with a row for each of its keys; all else is one row. So a table's slices, a
 configuration's sections and its past versions have a row each. Rows are kept in the order in which they were
-first made: a map comes before its parts, and the keys of a map in the order that `patched` gives them.
+first made: a map comes before its parts, and the keys of a map in the order of `apply_difference`.
 """
 
 import json
@@ -48,7 +48,7 @@
 
 
 def steps(change: dict | None, value: Any, path: str = ROOT, deep: int = 0) -> Iterator[Step]:
-    """What a difference (`patches.difference`) changes of the rows; value: what it leads to. A row that is
+    """What a difference (`value_diff.difference`) changes of the rows; value: what it leads to. A row that is
     put again keeps its place.
     """
     if change is None:
