--- a/tests/simulation/configuration_changes.py
+++ b/tests/simulation/configuration_changes.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from bramblewood.common.configuration import Configuration
-from bramblewood.controller.commands import apply_configuration, settled_answer
+from bramblewood.controller.configuration_succession import apply_configuration, settled_answer
 from bramblewood.controller.consensus.effects import Effects
 from bramblewood.controller.consensus.registers import CONFIG
 from bramblewood.controller.consensus.replica import ConsensusReplica
--- a/tests/simulation/membership_epochs.py
+++ b/tests/simulation/membership_epochs.py
@@ -12,7 +12,7 @@
 
 from bramblewood.common.settings import Bounds, Settings, Tolerance
 from bramblewood.controller import server
-from bramblewood.controller.commands import apply_configuration
+from bramblewood.controller.configuration_succession import apply_configuration
 from bramblewood.controller.consensus.effects import no_effects
 from bramblewood.controller.consensus.registers import CONFIG
 from tests.simulation.consensus import RuleViolation, configuration
