--- a/features/steps/key_leases.py
+++ b/features/steps/key_leases.py
@@ -8,30 +8,32 @@
 from bramblewood.common.worker_registry import GONE, WorkerRegistration, WorkerRegistry
 from bramblewood.controller.key_leases import MAX_CALL_TRANSIT, KeyLeases
 from bramblewood.controller.server import Controller, caller
-from tests.simulation.key_leases import LATE, STEP, Play, Twice, exhaust, margin
+from tests.simulation.key_lease_orders import LATE_ANSWER, all_orders
+from tests.simulation.key_leases import STEP, Play, TwoHolders, margin
 
 
 @then("{count:d} minutes of that never give a key two holders")
 def never(context, count):
     plays = [Play(seed).run(60) for seed in range(count)]
-    met = {
+    counts = {
         what: sum(getattr(play, what) for play in plays)
-        for what in ("moves", "grants", "restarts", "late", "surplus")
+        for what in ("moves", "grants", "restarts", "late_answers", "surplus_read")
     }
-    assert met["moves"] > 10 * count and met["grants"] > 10 * count and min(met.values()) > count, met
+    assert counts["moves"] > 10 * count and counts["grants"] > 10 * count, counts
+    assert min(counts.values()) > count, counts
 
 
 @then(
-    "over {one:d} states of {depth:d} events are met, and over {two:d} of {less:d} with two archives, "
+    "over {one:d} states of {depth:d} events are met, and over {two:d} of {less:d} with two controllers, "
     "and no key has two holders"
 )
-def all_orders(context, one, depth, two, less):
-    assert exhaust(depth) > one and exhaust(less, acting="ab") > two
+def every_order(context, one, depth, two, less):
+    assert all_orders(depth) > one and all_orders(less, acting="ab") > two
 
 
 @then("over {count:d} states of {depth:d} events after a release whose answer is late")
-def all_orders_late(context, count, depth):
-    assert exhaust(depth, "", "ab", LATE) > count
+def every_order_after_late_answer(context, count, depth):
+    assert all_orders(depth, "", "ab", LATE_ANSWER) > count
 
 
 @then(
@@ -39,38 +41,38 @@
     "a late one that frees more within {late:d}"
 )
 def orders_find(context, depth, late):
-    for told in ((depth, "answer"), (late, "older", "ab", LATE)):
+    for arguments in ((depth, "call id"), (late, "fencing token", "ab", LATE_ANSWER)):
         try:
-            exhaust(*told)
-        except Twice:
+            all_orders(*arguments)
+        except TwoHolders:
             continue
-        raise AssertionError(told)
+        raise AssertionError(arguments)
 
 
 @then("{what} is found out within {count:d} minutes")
 def found(context, what, count):
-    careless = {
-        "a grant without a word": "word",
+    guard = {
+        "a grant without quorum contact": "contact",
         "a wait that is too short": "wait",
-        "another call's answer taken for a release's": "answer",
-        "a late release that frees what it did not name": "older",
+        "another call's answer taken for a release's": "call id",
+        "a late release that frees what it did not name": "fencing token",
     }[what]
     for seed in range(count):
         try:
-            Play(seed, careless).run(60)
-        except Twice:
+            Play(seed, guard).run(60)
+        except TwoHolders:
             return
     raise AssertionError("no minute found it")
 
 
-@then("its grant is over as its keys are freed, and would not be on a way that is {more:g} s longer")
+@then("its grant is over as its keys are freed, and would not be with a transit that is {more:g} s longer")
 def just(context, more):
     assert 0 <= margin(MAX_CALL_TRANSIT) <= STEP, margin(MAX_CALL_TRANSIT)
     assert margin(MAX_CALL_TRANSIT + more) < 0
 
 
-@given("a roll that hears of a life, and then of the one before it at the same address")
-def late_word(context):
+@given("a registry that hears of an instance, and then of the one before it at the same address")
+def late_registration(context):
     context.registry = WorkerRegistry()
     for instance_id in ("young", "old"):
         context.registry.record(0.0, instance_id, WorkerRegistration("s", "w:1", "z", 2, "ready", 1))
@@ -78,21 +80,21 @@
     assert context.registry.registrations["young"].phase == GONE
 
 
-@then("the younger one's keys are freed only as another life answers there")
+@then("the younger one's keys are freed only as another instance answers there")
 def asked_there(context):
-    holds, table = KeyLeases(10.0), {"n": 2, "s": {"s": {"0": ["next", "", 0.0, 2, "", "young"]}}}
-    (call,), free = holds.next_calls(0.0, table, {"s"}, context.registry)
-    assert (call.kind, call.instance_id, free) == ("release", "young", [])
-    assert holds.call_finished(0.0, call, 0.0, 0, "", False) is None
-    assert holds.call_finished(0.0, call, 0.0, 421, "", False).previous_owner == "young"
+    key_leases, table = KeyLeases(10.0), {"n": 2, "s": {"s": {"0": ["next", "", 0.0, 2, "", "young"]}}}
+    (call,), released = key_leases.next_calls(0.0, table, {"s"}, context.registry)
+    assert (call.kind, call.instance_id, released) == ("release", "young", [])
+    assert key_leases.call_finished(0.0, call, 0.0, 0, "", False) is None
+    assert key_leases.call_finished(0.0, call, 0.0, 421, "", False).previous_owner == "young"
 
 
 def asking() -> SimpleNamespace:
-    """As much of an archive as its calls need."""
-    shell = SimpleNamespace(loop=asyncio.get_running_loop(), settings=SimpleNamespace(name="a"))
-    shell.calls, shell.fresh = caller(), caller(force_close=True)
-    shell.ask = partial(Controller.ask, shell)
-    return shell
+    """As much of a controller as its calls need."""
+    controller = SimpleNamespace(loop=asyncio.get_running_loop(), settings=SimpleNamespace(name="a"))
+    controller.calls, controller.fresh = caller(), caller(force_close=True)
+    controller.ask = partial(Controller.ask, controller)
+    return controller
 
 
 @given("a worker that is busy with a key, and answers the grant before twice")
@@ -123,19 +125,19 @@
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        shell = asking()
-        until = shell.loop.time() + 9
-        granted, _ = await shell.ask("grant", address, "w1", {}, until)
-        release = asyncio.ensure_future(shell.ask("release", address, "w1", {}, until))
+        controller = asking()
+        until = controller.loop.time() + 9
+        granted, _ = await controller.ask("grant", address, "w1", {}, until)
+        release = asyncio.ensure_future(controller.ask("release", address, "w1", {}, until))
         await asked.wait()
         for _ in range(50):
             await asyncio.sleep(0)
         early = release.result() if release.done() else None
-        shell.loop.call_later(0.05, done.set)
-        told = granted, early, await release, await shell.ask("release", address, "w1", {}, until)
-        late = await shell.ask("grant", address, "w1", {}, shell.loop.time())
-        await shell.calls.close()
-        await shell.fresh.close()
+        controller.loop.call_later(0.05, done.set)
+        told = granted, early, await release, await controller.ask("release", address, "w1", {}, until)
+        late = await controller.ask("grant", address, "w1", {}, controller.loop.time())
+        await controller.calls.close()
+        await controller.fresh.close()
         server.close()
         return *told, late, len(kinds)
 
@@ -164,19 +166,19 @@
         one.connect_ex(context.listen_on.getsockname())
 
 
-@then("a grant on a word of {more:g} s more is given up with that word")
+@then("a grant on quorum contact of {more:g} s more is given up with it")
 def given_up(context, more):
     async def play() -> float:
-        shell, (host, port) = asking(), context.listen_on.getsockname()
-        began = shell.loop.time()
+        controller, (host, port) = asking(), context.listen_on.getsockname()
+        began = controller.loop.time()
         try:
             async with asyncio.timeout(20 * more):
-                await shell.ask("grant", f"{host}:{port}", "w1", {}, began + more)
+                await controller.ask("grant", f"{host}:{port}", "w1", {}, began + more)
         except TimeoutError:
-            return shell.loop.time() - began
+            return controller.loop.time() - began
         finally:
-            await shell.calls.close()
-            await shell.fresh.close()
+            await controller.calls.close()
+            await controller.fresh.close()
 
     took = asyncio.run(play())
     for one in (context.listen_on, *context.queued):
