--- a/tests/contact_play.py
+++ b/tests/contact_play.py
@@ -24,6 +24,7 @@
 from bramblewood.catalogue.table import OLD, WORKER
 from bramblewood.desk.program import Desk
 from bramblewood.lab.operator import configuration
+from tests.sameness import note
 
 STEP = 0.01  # s of the play's clock
 WAYS = (0.002, 0.02)  # s that a message travels
@@ -102,6 +103,7 @@
     def send(self, message):
         if self.wire.stands:
             text = message if isinstance(message, str) else json.dumps(message)
+            note("message", self.node.play.now, self.node.name, self.peer, json.loads(text))
             due = self.node.play.now + self.node.play.dice.uniform(*self.node.play.ways)
             due = max(due, self.queue[-1][0]) if self.queue else due
             heard = self.node.heard.get(self.peer or self.wire.dialler.name, 0.0)
@@ -253,6 +255,7 @@
         """What `archive.shelf.Shelf` is to its shell."""
 
         def kept():
+            note("write", self.play.now, self.name, rows, facts)
             for register, promised, accepted, value in rows:
                 self.registers[register] = (promised, accepted, value)
             self.facts |= facts
@@ -309,6 +312,7 @@
         if worker is None or worker.ended or play.cut(self.node.name, worker.name):
             raise OSError
         self.status = worker.told(self.kind, self.body, self.node)
+        note("call", play.now, self.node.name, worker.name, self.kind, self.body, self.status)
         if self.kind == "release":
             self.headers["X-Handover"] = "h"
         await asyncio.sleep(play.dice.uniform(*WAYS))
@@ -455,6 +459,7 @@
             began = self.now  # a call that waited for a thaw begins then
             known = max((n for n, (at, _) in self.acked.items() if at <= began), default=0)
             answer = await made.obey(command)
+            note("answer", self.now, name, answer.status, answer.text)
             self.judge_answer(node, command, answer, began, known)
             if not self.cut(node.name, caller):
                 kept[0] = answer.status
--- a/tests/copies_play.py
+++ b/tests/copies_play.py
@@ -11,6 +11,7 @@
 from bramblewood.catalogue.table import readers_of, with_readers
 from bramblewood.desk import recall as words
 from bramblewood.desk.recall import Confirm, Drop, Recall, TakeOff, Until
+from tests.sameness import note
 
 STEP = 0.02  # s
 KEY = 4096
@@ -65,6 +66,7 @@
 
     def change(self, made):
         if made is not None:
+            note("table", self.now, made)
             self.tables.append(made)
 
     # --- archives and readers
@@ -82,8 +84,9 @@
         leases, over = copies.step(self.now, self.tables[self.views[name]], self.roll)
         if over and not self.cut[name]:
             self.change(forgotten(self.tables[-1], over)[0])
-        for lease in leases:
+        for lease in sorted(leases, key=lambda lease: lease.one):  # made in the order of a set
             life = lease.one[2]
+            note("lease", self.now, name, lease.one, lease.address, lease.fence, lease.holder)
             if self.reach(name, life):
                 self.after(0.25, self.fetch, life, name, lease)
             else:
@@ -127,13 +130,16 @@
         sure_at = self.now if self.careless == "sure" else desk.sure_at
         match recall.next(self.now, sure_at, desk.readers):
             case words.CLEAR:
+                note("answer", self.now, name, value)
                 self.floor, self.answered = max(self.floor, value), self.answered + 1
                 desk.recalls.remove((recall, value, until))
             case Confirm():
                 archive = self.dice.choice("ab")
+                note("confirm", self.now, name, archive)
                 if self.reach(name, archive) and self.now < self.heard[archive] + WORD:
                     self.after(0.5, self.confirmed, desk, self.now, self.views[archive])
             case Drop(lives):
+                note("drop", self.now, name, lives)
                 for life in lives:
                     reached = self.reach(name, life)
                     if reached:
@@ -141,6 +147,7 @@
                         self.readers[life].until = 0.0
                     recall.answered(life, reached and self.dice.random() > 0.05)
             case TakeOff(lives):
+                note("take off", self.now, name, lives)
                 if not self.cut[name]:
                     self.change(taken_off(self.tables[-1], "s", KEY, set(lives))[0])
                     recall.off(self.now, lives)
--- a/tests/core_play.py
+++ b/tests/core_play.py
@@ -8,6 +8,7 @@
 from bramblewood.archive.accession import succeed
 from bramblewood.archive.ballots import ALL, CONFIG, MEMBERS, NONE, Ballots, Out, succession
 from bramblewood.catalogue.edition import Edition
+from tests.sameness import note
 
 NAMES = ("a", "b", "c")
 
@@ -99,13 +100,18 @@
         disk = self.disks[name]
         for register, promised, accepted, value in out.writes:
             disk.setdefault("registers", {})[register] = (promised, accepted, value)
+            note("write", self.now, name, register, promised, accepted, value)
             self.machines[name].stored(register, accepted)
         disk.update(out.facts)
+        note("facts", self.now, name, out.facts)
         self.dispatch(name, out)
 
     def dispatch(self, name: str, out: Out) -> None:
         self.wire += [(name, peer, message) for peer, message in out.sends]
+        for peer, message in out.sends:
+            note("message", self.now, name, peer, message)
         for tag, outcome in out.answers:
+            note("answer", self.now, name, outcome)
             if isinstance(tag, Edition) and outcome is not None:
                 (self.taken if outcome[0] == 200 else self.refused)[tag.digest] = tag
         self.judge()
--- a/tests/epochs_play.py
+++ b/tests/epochs_play.py
@@ -18,6 +18,7 @@
 from bramblewood.archive.ballots import CONFIG, Ballots
 from bramblewood.catalogue.bootfile import Bounds, Settings, Tolerance
 from tests.core_play import Broken, edition
+from tests.sameness import note
 
 BOUNDS = Bounds()
 TURN = 0.1  # s between the turns of an archive
@@ -239,6 +240,7 @@
 
 def keep(disk: dict, write: tuple) -> None:
     rows, facts = write
+    note("write", rows, facts)
     disk["rows"].update({row[0]: row[1:] for row in rows})
     disk["facts"].update(facts)
 
@@ -286,6 +288,7 @@
         return {one, other} <= self.machines.keys() and (one, other) not in self.cuts
 
     def send(self, sender: Machine, peer: str, message: dict) -> None:
+        note("message", self.now, sender.me, peer, message)
         dice = self.dice
         if message["k"] not in STREAM and dice.random() < self.loss:
             return
@@ -377,6 +380,7 @@
 
     def repeat(self, name: str, wanted: Any) -> None:
         def told(outcome: Any) -> None:
+            note("answer", self.now, name, wanted.number, outcome)
             if outcome is not None:
                 (self.taken if outcome[0] == 200 else self.refused)[wanted.digest] = wanted
 
@@ -388,6 +392,7 @@
         taken, found = dict(self.taken), []
 
         def told(outcome: Any) -> None:
+            note("read", self.now, name, outcome)
             if outcome is None:
                 return
             past = outcome[0]["past"] if outcome[0] else {}
--- a/tests/holds_play.py
+++ b/tests/holds_play.py
@@ -15,6 +15,7 @@
 from bramblewood.archive.roll import Roll, Row
 from bramblewood.archive.sessions import WORD
 from bramblewood.catalogue.table import FENCE, KEYS, OLD
+from tests.sameness import note
 
 STEP = 0.05  # s
 SLICES = 4
@@ -71,6 +72,7 @@
 
     def change(self, made: tuple) -> None:
         if made[0] is not None:
+            note("table", self.now, made[0])
             self.tables.append(made[0])
 
     def step(self) -> None:
@@ -145,6 +147,8 @@
             self.lies[name, call.address] = status  # it answers twice
         if self.happens(0.1):
             status = 0  # it arrived, and its answer is lost
+        asked = (call.kind, call.address, call.life, places, call.fence, call.hold)
+        note("call", self.now, name, asked, status)
         if read:
             return
         busy = call.kind == "release" and self.happens(0.2)
@@ -160,6 +164,7 @@
             self.free(one)
 
     def free(self, one: Freed) -> None:
+        note("freed", self.now, one.service, one.starts, one.fence, one.old, one.handover)
         self.change(freed(self.tables[-1], one.service, one.starts, one.fence, one.old, one.handover))
 
     def judge(self) -> None:
--- a/tests/lines_play.py
+++ b/tests/lines_play.py
@@ -17,6 +17,7 @@
 from bramblewood.desk.errand import Budget, Errand, Send, Wait
 from bramblewood.desk.stacks import Stacks
 from tests.desk_play import CONFIG, answer
+from tests.sameness import note
 
 EDITION = edition_of(CONFIG).ok_value
 TWO = ("effect", "lookup")
@@ -89,6 +90,7 @@
         if line.rest:
             raise Broken("UNASKED: the rest of a body is read as a request")
         errand.carried.add(line.number)
+        note("request", self.now[name], name, life, line.number)
         line.connection.send(name, False)
         self.out[name] = line
         if line.shut:
@@ -114,6 +116,8 @@
         if self.careless == "again" and ended.how is How.BROKEN:
             errand.route = errand.route._replace(pure=True)
         reply = errand.ended(self.now[name], line.life, ended.how, ended.answer)
+        told = reply and (reply.status, reply.answer and reply.answer.body)
+        note("reply", self.now[name], name, line.number, told)
         if reply is not None:
             self.replies[name] = reply
         self.proceed(name)
--- a/tests/orders_play.py
+++ b/tests/orders_play.py
@@ -15,6 +15,7 @@
 from bramblewood.catalogue.edition import Edition
 
 from .core_play import Broken, edition
+from .sameness import note
 
 CALL_WITHIN, TICK = 0.85, 0.1  # the shell's: archive/program.py
 SILENCE = 1.0  # s after which a caller goes to another manager; PROTOCOL, "The operator"
@@ -142,6 +143,7 @@
             return  # it stopped before: the write never came to be
         for register, promised, accepted, value in out.writes:
             self.disks[name][register] = (promised, accepted, value)
+            note("write", self.now, name, register, promised, accepted, value)
             machine.stored(register, accepted)
         self.dispatch(name, machine, out)
 
@@ -154,6 +156,7 @@
         self.judge(name, machine)
 
     def send(self, name: str, peer: str, message: dict) -> None:
+        note("message", self.now, name, peer, message)
         if peer == name:
             return self.after(0.0, self.deliver, name, peer, message)
         site, dice = self.site, self.dice
@@ -194,6 +197,7 @@
             return self.after(self.way(), self.heard, order, call, 503)  # a dead port resets
 
         def told(outcome: tuple[int, str] | None) -> None:
+            note("answer", self.now, name, order.wanted.number, outcome)
             status = outcome[0] if outcome else 503
             self.answered(order.wanted, status)
             if self.dice.random() >= self.site.answers_lost:
@@ -227,6 +231,7 @@
         machine = self.machines.get(name)
 
         def told(outcome: list | None) -> None:
+            note("read", self.now, name, outcome)
             if outcome is None:
                 return
             number = outcome[0]["n"] if outcome[0] else 0
--- a/tests/withdrawal_play.py
+++ b/tests/withdrawal_play.py
@@ -17,6 +17,7 @@
     steps_of,
 )
 from bramblewood.catalogue.table import OLD, WORKER
+from tests.sameness import note
 
 STEP = 0.1  # s
 SILENT = 7.4  # s: the longest hold behind a silent desk
@@ -51,6 +52,7 @@
         return self.tables[-1]
 
     def change(self, made):
+        note("change", self.now, made)
         if made[0] is not None:
             self.tables.append(made[0])
 
@@ -72,6 +74,7 @@
                 if table["n"] >= desk.n:
                     desk.n, desk.steps = table["n"], steps_of(table)
                     desk.excused = min(desk.excused, self.now)
+                    note("steps", self.now, name, desk.n, desk.steps)
             left = {}
             for life, _, begun in desk.under_way:
                 left.setdefault(life, [0, 0, self.now - begun])[1] += 1
