--- a/tests/simulation/majority_contact.py
+++ b/tests/simulation/majority_contact.py
@@ -34,6 +34,7 @@
 from bramblewood.controller.server import Controller
 from bramblewood.emulator.operator import configuration
 from bramblewood.proxy.server import Proxy
+from tests.simulation.digests import record_event
 
 STEP = 0.01  # s of the play's clock
 WAYS = (0.002, 0.02)  # s that a message travels
@@ -112,6 +113,7 @@
     def send(self, message):
         if self.wire.stands:
             text = message if isinstance(message, str) else json.dumps(message)
+            record_event("message", self.node.play.now, self.node.name, self.peer, json.loads(text))
             due = self.node.play.now + self.node.play.dice.uniform(*self.node.play.ways)
             due = max(due, self.queue[-1][0]) if self.queue else due
             heard = self.node.heard.get(self.peer or self.wire.dialler.name, 0.0)
@@ -252,7 +254,7 @@
 
     def controller(self, made):
         """What a start does, with a first set of voters; it changes as the archives see fit."""
-        made.instance_id = 1000 * self.instance_ids + ord(self.name)
+        made.incarnation = 1000 * self.instance_ids + ord(self.name)
         made.begin(dict(self.facts), dict(self.registers))
         made.controllers = set(self.play.controllers) - {self.name}
         made.storage, made.calls, made.fresh = self, Calls(self), Calls(self)
@@ -263,6 +265,7 @@
         """What `archive.shelf.Shelf` is to its shell."""
 
         def kept():
+            record_event("write", self.play.now, self.name, rows, facts)
             for register, promised, accepted, value in rows:
                 self.registers[register] = (promised, accepted, value)
             self.facts |= facts
@@ -319,6 +322,7 @@
         if worker is None or worker.ended or play.cut(self.node.name, worker.name):
             raise OSError
         self.status = worker.told(self.kind, self.body, self.node)
+        record_event("call", play.now, self.node.name, worker.name, self.kind, self.body, self.status)
         if self.kind == "release":
             self.headers["X-Handover"] = "h"
         await asyncio.sleep(play.dice.uniform(*WAYS))
@@ -465,6 +469,7 @@
             began = self.now  # a call that waited for a thaw begins then
             known = max((n for n, (at, _) in self.acked.items() if at <= began), default=0)
             answer = await made.obey(command)
+            record_event("answer", self.now, name, answer.status, answer.text)
             self.judge_answer(node, command, answer, began, known)
             if not self.cut(node.name, caller):
                 kept[0] = answer.status
--- a/tests/simulation/worker_connections.py
+++ b/tests/simulation/worker_connections.py
@@ -16,6 +16,7 @@
 from bramblewood.proxy.connection_pool import ConnectionPool
 from bramblewood.proxy.request_attempts import RequestAttempts, RetryBudget, Send, Wait
 from bramblewood.proxy.worker_connection import Connection, Ended, How, State
+from tests.simulation.digests import record_event
 from tests.simulation.proxy import CONFIG, answer
 
 EDITION = build_configuration(CONFIG).ok_value
@@ -94,6 +95,7 @@
         if line.rest:
             raise Broken("UNASKED: the rest of a body is read as a request")
         attempts.carried.add(line.number)
+        record_event("request", self.now[name], name, instance_id, line.number)
         line.connection.send(name, False)
         self.out[name] = line
         if line.shut:
@@ -119,6 +121,8 @@
         if self.careless == "again" and ended.how is How.BROKEN:
             attempts.route = attempts.route._replace(pure=True)
         reply = attempts.ended(self.now[name], line.instance_id, ended.how, ended.answer)
+        answered = reply and (reply.status, reply.answer and reply.answer.body)
+        record_event("reply", self.now[name], name, line.number, answered)
         if reply is not None:
             self.replies[name] = reply
         self.proceed(name)
