--- a/tests/simulation/recorded_runs.py
+++ b/tests/simulation/recorded_runs.py
@@ -14,12 +14,13 @@
 from typing import Any
 
 from tests.simulation import (
+    configuration_change_guards,
     configuration_changes,
     consensus,
     drain_plans,
     key_leases,
     majority_contact,
-    membership_epochs,
+    membership_epoch_days,
     read_replicas,
     worker_connections,
 )
@@ -30,7 +31,7 @@
 
 def operators(seed: int) -> Any:
     return configuration_changes.storm(
-        seed, voters=3 + 2 * (seed % 2), decide=configuration_changes.short_memory
+        seed, voters=3 + 2 * (seed % 2), decide=configuration_change_guards.short_memory
     )
 
 
@@ -45,8 +46,8 @@
 # by name: what runs one seed, and which seeds are recorded
 RUNS: dict[str, tuple[Callable[[int], Any], Iterable[int]]] = {
     "core": (consensus.storm, range(6)),
-    "epochs": (partial(membership_epochs.day, rounds=1), range(6)),
-    "epochs, older disks": (partial(membership_epochs.day, rounds=1, older=3), range(6, 8)),
+    "epochs": (partial(membership_epoch_days.day, rounds=1), range(6)),
+    "epochs, older disks": (partial(membership_epoch_days.day, rounds=1, older=3), range(6, 8)),
     "orders": (operators, range(4)),
     "orders, long": (operators_over_hundreds, range(1)),
     "orders, far reader": (partial(configuration_changes.readers, voters=3), range(2)),
@@ -57,8 +58,8 @@
     "holds": (lambda seed: key_leases.Play(seed).run(300.0), range(4)),
     "copies": (lambda seed: read_replicas.Play(seed).run(120.0), range(4)),
     "withdrawal": (lambda seed: drain_plans.Play(seed).run(300.0), range(4)),
-    "lines, keyed": (lambda seed: worker_connections.dice(seed, 300, True), range(12)),
-    "lines, unkeyed": (lambda seed: worker_connections.dice(seed, 300, False), range(12)),
+    "lines, keyed": (lambda seed: worker_connections.play_random(seed, 300, True), range(12)),
+    "lines, unkeyed": (lambda seed: worker_connections.play_random(seed, 300, False), range(12)),
 }
 
 
