--- a/tests/test_old_disks.py
+++ b/tests/test_old_disks.py
@@ -10,16 +10,16 @@
 from typing import Any
 
 import pytest
-from bramblewood.archive.shelf import Shelf
-from bramblewood.lab.boot import boot
 
+from bramblewood.controller.storage import Storage
+from bramblewood.emulator.processes import write_settings
 from bramblewood.ledger.stage import Ledger
 from bramblewood.operator.bylaws import StoreTerms
 from bramblewood.store.port import Folder
 from bramblewood.store.store import Store
 from tests.helper import FACTS
-from tests.members_play import CONTROL, INNER, Members
 from tests.simulation.digests import canonical
+from tests.simulation.membership_commands import CONTROL, INNER, ControllerFleet
 from tests.test_ledger import Log
 
 ROOT = Path(__file__).parent.parent
@@ -78,13 +78,13 @@
 
 
 def contents(found: dict) -> str:
-    """What an opened folder holds, in the form of `shelf export`; the order of keys counts."""
+    """What an opened folder holds, in the form of `storage export`; the order of keys counts."""
     fields = ("promised", "accepted", "value")
     registers = {name: dict(zip(fields, one, strict=True)) for name, one in found["registers"].items()}
     return json.dumps({"facts": found["facts"], "registers": registers})
 
 
-def assert_ballots_can_be_compared(found: dict) -> None:
+def assert_proposal_numbers_can_be_compared(found: dict) -> None:
     for promised, accepted, _ in found["registers"].values():
         assert isinstance(promised, tuple) and isinstance(accepted, tuple)
         assert accepted <= promised
@@ -92,23 +92,23 @@
 
 def write(folder: str, row: tuple, facts: dict) -> None:
     """Open a folder, write one register and close it."""
-    shelf, problems = Shelf(folder), []
-    shelf.open().unwrap()
-    shelf.start(lambda call, problem: call(problem))
-    shelf.write([row], facts, problems.append)
-    shelf.close()
-    shelf.thread.join(WITHIN)
+    storage, problems = Storage(folder), []
+    storage.open().unwrap()
+    storage.start(lambda call, problem: call(problem))
+    storage.write([row], facts, problems.append)
+    storage.close()
+    storage.writer_thread.join(WITHIN)
     assert problems == [None]
 
 
 @pytest.mark.parametrize("name", CONTROLLERS)
 def test_a_controllers_folder_is_opened_and_written_further(name: str, copy: Any) -> None:
     folder, expected = copy(name), json.loads(json.dumps(CONTROLLERS[name]))
-    shelf = Shelf(folder)
-    found = shelf.open().unwrap()
-    shelf.base.close()
+    storage = Storage(folder)
+    found = storage.open().unwrap()
+    storage.database.close()
     assert contents(found) == json.dumps(expected)
-    assert_ballots_can_be_compared(found)
+    assert_proposal_numbers_can_be_compared(found)
     number = expected["registers"]["table"]["value"]
     value = {**(number or {"s": {}}), "n": 99}
     value["s"] = {
@@ -120,45 +120,47 @@
     expected["registers"]["table"] = row
     expected["facts"]["held"] = 9
     assert json.loads(command("shelf", "export", folder)) == expected
-    again = Shelf(folder)
+    again = Storage(folder)
     assert json.loads(contents(again.open().unwrap())) == expected
-    assert again.base.execute("pragma user_version").fetchone() == (2,)
-    again.base.close()
+    assert again.database.execute("pragma user_version").fetchone() == (2,)
+    again.database.close()
 
 
 @pytest.fixture
-def controller() -> Iterator[Members]:
+def controller() -> Iterator[ControllerFleet]:
     """A real controller with the address that the folders were written at, bound to one of this run's own."""
-    made = Members()
-    path, listen = f"{made.folder.name}/controller.toml", {"Control": f"{made.ip(1)}:{CONTROL}"}
-    made.paths[1] = boot(path, ADDRESS, [f"{ADDRESS}:{CONTROL}"], INNER, listen, bind=made.ip(1), first=False)
+    made = ControllerFleet()
+    path, listen = f"{made.folder.name}/controller.toml", {"Control": f"{made.address_of(1)}:{CONTROL}"}
+    made.paths[1] = write_settings(
+        path, ADDRESS, [f"{ADDRESS}:{CONTROL}"], INNER, listen, bind=made.address_of(1), first=False
+    )
     yield made
-    made.end()
+    made.close()
 
 
-def test_a_killed_controller_goes_on(controller: Members) -> None:
-    shutil.copytree(WRITTEN / "controller-process", controller.disk(1))
+def test_a_killed_controller_goes_on(controller: ControllerFleet) -> None:
+    shutil.copytree(WRITTEN / "controller-process", controller.data_folder(1))
     controller.revision = 3
     controller.start(1)
-    controller.reads()
-    controller.agree({1: "voter"})
-    controller.put()
+    controller.wait_until_read_back()
+    controller.wait_for_states({1: "voter"})
+    controller.put_configuration()
     controller.kill(1)
     controller.start(1)
-    controller.reads()
+    controller.wait_until_read_back()
 
 
-def test_a_controller_of_form_1_goes_on(controller: Members) -> None:
-    shutil.copytree(WRITTEN / "controller-form-1", controller.disk(1))
+def test_a_controller_of_form_1_goes_on(controller: ControllerFleet) -> None:
+    shutil.copytree(WRITTEN / "controller-form-1", controller.data_folder(1))
     config = CONTROLLERS["controller-form-1"]["registers"]["config"]["value"]["config"]
     controller.start(1)
     read = lambda: controller.call(1, CONTROL, "/bramblewood/config")  # noqa: E731
-    controller.until("its configuration", lambda: read() == (200, config))
+    controller.wait_until("its configuration", lambda: read() == (200, config))
     controller.revision = 4
-    controller.put()
+    controller.put_configuration()
     controller.kill(1)
     controller.start(1)
-    controller.reads()
+    controller.wait_until_read_back()
 
 
 # --- managers
