--- a/tests/simulation/consensus.py
+++ b/tests/simulation/consensus.py
@@ -15,6 +15,7 @@
 from bramblewood.controller.consensus.registers import ALL_REGISTERS, CONFIG, VOTER_SET
 from bramblewood.controller.consensus.replica import ConsensusReplica
 from bramblewood.controller.consensus.voter_set import next_voter_set
+from tests.simulation.digests import record_event
 
 NAMES = ("a", "b", "c")
 
@@ -123,13 +124,18 @@
         disk = self.disks[name]
         for register, promised, accepted, value in effects.writes:
             disk.setdefault("registers", {})[register] = (promised, accepted, value)
+            record_event("write", self.now, name, register, promised, accepted, value)
             self.replicas[name].mark_durable(register, accepted)
         disk.update(effects.facts)
+        record_event("facts", self.now, name, effects.facts)
         self.dispatch(name, effects)
 
     def dispatch(self, name: str, effects: Effects) -> None:
         self.in_flight += [(name, peer, message) for peer, message in effects.sends]
+        for peer, message in effects.sends:
+            record_event("message", self.now, name, peer, message)
         for tag, outcome in effects.answers:
+            record_event("answer", self.now, name, outcome)
             if isinstance(tag, Configuration) and outcome is not None:
                 (self.acknowledged if outcome[0] == 200 else self.rejected)[tag.digest] = tag
         self.check_invariants()
--- a/tests/simulation/key_leases.py
+++ b/tests/simulation/key_leases.py
@@ -25,6 +25,7 @@
 )
 from bramblewood.controller.placement import SliceChanges, apply_slice_changes, clear_previous_owner
 from bramblewood.controller.sessions import QUORUM_CONTACT_VALIDITY
+from tests.simulation.digests import record_event
 
 STEP = 0.05  # s
 SLICES = 4
@@ -95,6 +96,7 @@
     def propose(self, proposed: tuple) -> None:
         """A change of the table is chosen at once."""
         if proposed[0] is not None:
+            record_event("table", self.now, proposed[0])
             self.tables.append(proposed[0])
 
     def step(self) -> None:
@@ -182,6 +184,15 @@
             self.surplus_answers[name, call.address] = status  # it answers twice
         if self.happens(0.1):
             status = NO_ANSWER  # it arrived, and its answer is lost
+        request = (
+            call.kind,
+            call.address,
+            call.instance_id,
+            slices,
+            call.fencing_token,
+            call.duration,
+        )
+        record_event("call", self.now, name, request, status)
         if already_answered:
             return
         busy = call.kind == RELEASE and self.happens(0.2)
@@ -199,6 +210,7 @@
             self.free(keys)
 
     def free(self, keys: ReleasedKeys) -> None:
+        record_event("freed", self.now, *keys)
         self.propose(clear_previous_owner(self.tables[-1], *keys))
 
     def judge(self) -> None:
--- a/tests/simulation/worker_connections.py
+++ b/tests/simulation/worker_connections.py
@@ -21,6 +21,7 @@
     ExchangeResult,
     WorkerConnectionState,
 )
+from tests.simulation.digests import record_event
 from tests.simulation.proxy import CONFIG, answer
 
 CONFIGURATION_UNDER_TEST = build_configuration(CONFIG).ok_value
@@ -113,6 +114,7 @@
         if line.rest:
             raise RuleBroken("UNASKED: the rest of a body is read as a request")
         attempts.used_connections.add(line.number)
+        record_event("request", self.now[name], name, instance_id, line.number)
         line.state.begin_request(name, False)
         self.out[name] = line
         if line.shut:
@@ -138,6 +140,8 @@
         if self.careless == "again" and ended.outcome is AttemptOutcome.CONNECTION_BROKEN:
             attempts.route = attempts.route._replace(pure=True)
         reply = attempts.attempt_finished(self.now[name], line.instance_id, ended.outcome, ended.answer)
+        answered = reply and (reply.status, reply.answer and reply.answer.body)
+        record_event("reply", self.now[name], name, line.number, answered)
         if reply is not None:
             self.replies[name] = reply
         self.proceed(name)
