--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -109,7 +109,7 @@
             key = int(KEY_SPACE_SIZE * self.random.random() ** 2)
             key_range = str(key // KEYS_PER_RANGE)
             heat[service][key_range] = heat[service].get(key_range, 0) + 1
-            instance_id = self.load_balancer.slice_entry(service, key)[0]
+            instance_id = self.load_balancer.slices.entry(service, key)[0]
             met[instance_id] = [1, 0, 0.2, [2, 0, 4]]
         return json.dumps({"k": "report", "over": CYCLE, "heat": heat, "met": met})
 
@@ -142,7 +142,7 @@
             if update:
                 self.count_bytes(table, update)
             self.table = table
-            self.load_balancer.apply_table({"n": table["n"], "s": table["s"]})
+            self.load_balancer.slices.apply({"n": table["n"], "s": table["s"]})
 
     def count_bytes(self, table: dict, update: object) -> None:
         """Bytes of a new table to voters and proxies, beside those of the whole."""
--- a/bramblewood/cli/explain.py
+++ b/bramblewood/cli/explain.py
@@ -22,7 +22,7 @@
 def load_balancer_from(registrations: dict[str, WorkerView], table: TableView) -> LoadBalancer:
     """A proxy's load balancer that has this registry and table."""
     load_balancer = LoadBalancer(NOW)
-    load_balancer.apply_table(table)
+    load_balancer.slices.apply(table)
     for instance_id, row in registrations.items():
         registration = WorkerRegistration.from_view(row)
         load_balancer.registry.record(NOW, instance_id, registration)
@@ -72,7 +72,7 @@
     registrations = get_view(controller, boot, WORKERS_VIEW)
     load_balancer = load_balancer_from(registrations, get_view(controller, boot, "table"))
     slice_key = key if keyed else load_balancer.hash_request_id(request)
-    entry = load_balancer.slice_entry(service, slice_key) if slice_key is not None else None
+    entry = load_balancer.slices.entry(service, slice_key) if slice_key is not None else None
     choose = lambda: load_balancer.choose_worker(NOW, service, slice_key if keyed else None, request, set())  # noqa: E731
     worker = choose() if entry else None
     found |= {"service": service, "keyed": keyed, "key": slice_key, "entry": entry, "worker": worker}
--- /dev/null
+++ b/bramblewood/proxy/client_connections.py
@@ -0,0 +1,72 @@
+"""Clients' connections: served by the limits of the newest configuration, closed where no request comes.
+
+Invariant: a client that has sent no request within the configured time is disconnected; one whose request
+arrived in time is not, even if this process stood still meanwhile.
+"""
+
+import asyncio
+from collections.abc import Awaitable, Callable
+from typing import Any
+
+from aiohttp import web
+
+from ..common.configuration import Configuration
+from .client_limits import ClientLimits
+from .controller_sessions import ControllerSessions
+
+MAX_HEADERS = 256
+# s after a standstill in which requests that came meanwhile are read: some turns of the loop
+FIRST_REQUEST_READ_GRACE = 0.01
+
+Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
+
+
+class ClientConnections:
+    """Makes the protocols of clients' connections; awaiting_first_request: ids of those without a request."""
+
+    def __init__(self, sessions: ControllerSessions, handler: Handler) -> None:
+        self.sessions, self.handler = sessions, handler
+        self.awaiting_first_request: set[int] = set()
+        self._server: web.Server | None = None
+        self._server_configuration: Configuration | None = None  # by whose limits the server serves
+
+    def create_protocol(self) -> asyncio.Protocol:
+        """The protocol of a client's new connection, by the limits of now."""
+        limits = self.sessions.client_limits
+        if self._server is None or self._server_configuration is not self.sessions.configuration:
+            self._server_configuration = self.sessions.configuration
+            self._server = self._create_server(limits)
+        protocol = self._server()
+        self.awaiting_first_request.add(id(protocol))  # the timer below keeps it alive meanwhile
+        loop = asyncio.get_running_loop()
+        loop.call_later(
+            limits.header_timeout,
+            loop.call_later,
+            FIRST_REQUEST_READ_GRACE,
+            self._first_request_timed_out,
+            protocol,
+        )
+        return protocol
+
+    def _create_server(self, limits: ClientLimits) -> web.Server:
+        return web.Server(
+            self._serve,
+            access_log=None,
+            max_line_size=int(limits.max_header_bytes),
+            max_field_size=int(limits.max_header_bytes),
+            max_headers=MAX_HEADERS,
+            # a request that begins at the end of the idle time has its own time still
+            keepalive_timeout=limits.idle_timeout + limits.header_timeout,
+            auto_decompress=False,
+        )
+
+    async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
+        self.awaiting_first_request.discard(id(request.protocol))
+        return await self.handler(request)
+
+    def _first_request_timed_out(self, protocol: Any) -> None:
+        """The time for a first request is over: a client that has sent none is disconnected."""
+        if id(protocol) in self.awaiting_first_request:
+            self.awaiting_first_request.discard(id(protocol))
+            if protocol.transport is not None:
+                protocol.transport.abort()
--- a/bramblewood/proxy/controller_selection.py
+++ b/bramblewood/proxy/controller_selection.py
@@ -1,39 +1,47 @@
-"""A desk's archives: which one is its home, which is the scribe, when the desk may call itself ready. Pure.
+"""Which controller this proxy gets its updates from, which coordinates, and when the proxy is ready. Pure.
 
-Times are the desk's own steady clock, in s. What an archive claims in its pulses chooses a home and says that
-there is something newer to ask for; nothing rests on a claim for good, as it may have waited in a socket.
-Readiness, and the certainty that the table is the newest, rest on an answer to a question that this desk
-asked: from an archive that at that moment had a word of the majority on all registers. Configurations and
-tables are only ever taken newer, from whichever archive.
+Times are seconds of the proxy's own steady clock. What a controller claims in its heartbeats selects the
+upstream and says that there is something newer to ask for; nothing rests on a claim for good, as it may have
+waited in a socket.
+
+Invariant: readiness, and the certainty that the slice table is the newest, rest on an answer to a question
+that this proxy asked, from a controller that had fresh contact with a quorum on all registers at that moment.
 """
 
 import zlib
 
 from ..common.timeouts import CONFIRMATION_VALIDITY
 
-UPSTREAM_GRACE = 0.2  # s in which the home may bring what another archive tells of
-REQUEST_RETRY_INTERVAL = 0.4  # s after which what was asked for and did not come is asked elsewhere
+UPSTREAM_GRACE = 0.2  # s in which the upstream may bring what another controller states
+REQUEST_RETRY_INTERVAL = 0.4  # s after which what was asked for and did not arrive is asked elsewhere
 
-OutgoingMessages = list[tuple[str, dict]]  # archive, message
+OutgoingMessages = list[tuple[str, dict]]  # controller, message
+Versions = dict[str, int]  # by register, `config` and `table`
 
 
 class ControllerSelection:
+    """What this proxy knows of the controllers.
+
+    coordinator: the one that takes load reports. upstream: the one that pushes updates here. registry_source:
+    the one whose complete worker registry came on the connection that is up. table_confirmed_at: when the
+    last confirmation was asked for that our slice table is the newest. is_ready: for the life of this
+    process.
+    """
+
     def __init__(self, name: str, zone: str) -> None:
         self.name, self.zone = name, zone
         self.connected: set[str] = set()
-        self.heartbeats: dict[str, dict] = {}  # by archive: its newest pulse on this link
-        self.zones: dict[str, str] = {}  # by archive
+        self.heartbeats: dict[str, dict] = {}  # by controller: the newest on this connection
+        self.zones: dict[str, str] = {}  # by controller
         self.coordinator: str | None = None
         self.upstream: str | None = None
-        self.registry_source: str | None = None  # the archive whose whole roll came, on the link that stands
-        self.awaited_versions: dict[str, tuple[int, float]] = {}  # by register: newest told of, when to ask
-        self.table_confirmed_at = (
-            -1e9
-        )  # when the last confirmation that our table is the newest was asked for
-        self.is_ready = False  # for this life, once it is
-
-    def connection_changed(self, peer: str, is_up: bool, known_versions: dict[str, int]) -> OutgoingMessages:
-        """A link came or went."""
+        self.registry_source: str | None = None
+        self.awaited_versions: dict[str, tuple[int, float]] = {}  # by register: the newest, when to ask
+        self.table_confirmed_at = -1e9
+        self.is_ready = False
+
+    def connection_changed(self, peer: str, is_up: bool, known_versions: Versions) -> OutgoingMessages:
+        """The connection to a controller came up or was lost."""
         if is_up:
             self.connected.add(peer)
             return []
@@ -43,12 +51,13 @@
         self.upstream = None if self.upstream == peer else self.upstream
         self.coordinator = None if self.coordinator == peer else self.coordinator
         self.registry_source = None if self.registry_source == peer else self.registry_source
-        return self._choose_upstream(known_versions)
+        return self._select_upstream(known_versions)
 
-    def _choose_upstream(self, known_versions: dict[str, int]) -> OutgoingMessages:
-        """One archive pushes all news here: of those that are whole one of this zone, if there is one.
+    def _select_upstream(self, known_versions: Versions) -> OutgoingMessages:
+        """Have one controller push all updates: of those that are current one of this zone, if there is one.
 
-        Where none is, the last one goes on pushing: its rows may be news, and nothing older is taken.
+        Where none is current, the last one goes on pushing: its registrations may be news, and nothing older
+        is taken in.
         """
         candidates = [
             peer
@@ -65,55 +74,58 @@
         )
         if best is None or best == self.upstream:
             return []
-        sends: OutgoingMessages = (
-            [] if self.upstream is None else [(self.upstream, {"k": "home", "on": False})]
-        )
+        messages: OutgoingMessages = []
+        if self.upstream is not None:
+            messages.append((self.upstream, {"k": "home", "on": False}))
         self.upstream, self.registry_source = best, None
-        return [*sends, (best, {"k": "home", "on": True, "have": known_versions})]
+        messages.append((best, {"k": "home", "on": True, "have": known_versions}))
+        return messages
 
     def heartbeat_received(
-        self, now: float, peer: str, message: dict, known_versions: dict[str, int]
+        self, now: float, peer: str, message: dict, known_versions: Versions
     ) -> OutgoingMessages:
-        """An archive's pulse; have: the versions that this desk has, by register."""
+        """A controller's heartbeat arrived; known_versions: those that this proxy has."""
         self.heartbeats[peer] = message
         self.zones[peer] = message.get("zone", self.zones.get(peer, ""))
         if message["scribe"]:
             self.coordinator = peer
         elif self.coordinator == peer:
             self.coordinator = None
-        sends = self._choose_upstream(known_versions)
-        for register, number in message["n"].items():
-            if number <= known_versions[register]:
-                continue
-            # the home pushes: another is asked only if that does not come
-            first, at = self.awaited_versions.get(register, (0, 0.0))
-            if number > first:
-                self.awaited_versions[register] = (number, now + UPSTREAM_GRACE)
-            elif now >= at:
-                self.awaited_versions[register] = (number, now + REQUEST_RETRY_INTERVAL)
-                sends.append((peer, {"k": "want", "r": register, "have": known_versions[register]}))
-        return sends + self.confirmation_request(now, known_versions)
-
-    def registry_received(self, now: float, peer: str, known_versions: dict[str, int]) -> OutgoingMessages:
-        """A whole roll came from this archive."""
+        messages = self._select_upstream(known_versions)
+        for register, version in message["n"].items():
+            if version > known_versions[register] and self._is_due(now, register, version):
+                messages.append((peer, {"k": "want", "r": register, "have": known_versions[register]}))
+        return messages + self.confirmation_request(now, known_versions)
+
+    def _is_due(self, now: float, register: str, version: int) -> bool:
+        """Whether to ask for a newer version: the upstream pushes it, others are asked if that fails."""
+        newest, ask_at = self.awaited_versions.get(register, (0, 0.0))
+        if version > newest:
+            self.awaited_versions[register] = (version, now + UPSTREAM_GRACE)
+            return False
+        if now < ask_at:
+            return False
+        self.awaited_versions[register] = (version, now + REQUEST_RETRY_INTERVAL)
+        return True
+
+    def registry_received(self, now: float, peer: str, known_versions: Versions) -> OutgoingMessages:
+        """A complete worker registry came from this controller."""
         self.registry_source = peer if peer == self.upstream else self.registry_source
         return self.confirmation_request(now, known_versions)
 
-    def confirmation_request(self, now: float, known_versions: dict[str, int]) -> OutgoingMessages:
-        """While not ready: ask the home whether what is here is all and the newest."""
+    def confirmation_request(self, now: float, known_versions: Versions) -> OutgoingMessages:
+        """While not ready: ask the upstream whether what is here is all and the newest."""
         if self.is_ready or self.registry_source is None or not all(known_versions.values()):
             return []
         return [(self.registry_source, {"k": "confirm", "t": now})]
 
-    def confirmation_received(
-        self, now: float, peer: str, message: dict, known_versions: dict[str, int]
-    ) -> None:
-        """An archive that is whole answers what we asked it at `t`: these are the newest versions."""
-        newest, asked = message["n"], message["t"]
+    def confirmation_received(self, now: float, peer: str, message: dict, known_versions: Versions) -> None:
+        """A controller that is current answers what we asked it at `t`: `n` are the newest versions."""
+        newest, asked_at = message["n"], message["t"]
         if newest["table"] <= known_versions["table"]:
-            self.table_confirmed_at = max(self.table_confirmed_at, asked)
-        here = all(known_versions.values()) and all(
-            known_versions[register] >= number for register, number in newest.items()
+            self.table_confirmed_at = max(self.table_confirmed_at, asked_at)
+        has_newest = all(known_versions.values()) and all(
+            known_versions[register] >= version for register, version in newest.items()
         )
-        if here and peer == self.registry_source and now < asked + CONFIRMATION_VALIDITY:
+        if has_newest and peer == self.registry_source and now < asked_at + CONFIRMATION_VALIDITY:
             self.is_ready = True
--- /dev/null
+++ b/bramblewood/proxy/controller_sessions.py
@@ -0,0 +1,225 @@
+"""The proxy's sessions with the controllers: messages received, configuration and slice table taken in.
+
+Invariant: neither the configuration nor the slice table goes back to an older version within the life of a
+process, whichever controller sends it. Keys and kinds of the messages are those of earlier releases.
+"""
+
+import asyncio
+from typing import Any
+
+import logbook
+
+from ..common.configuration import Configuration, build_configuration
+from ..common.peer_connections import CONNECTION_TIMEOUT, PeerConnection, PeerConnections
+from ..common.settings import Settings, reread_seeds
+from ..common.worker_registry import GONE, WorkerRegistration
+from .client_limits import DEFAULT_LIMITS, ClientLimits
+from .connection_pool import ConnectionPool
+from .controller_selection import ControllerSelection, OutgoingMessages
+from .load_balancing import LoadBalancer
+from .load_report import take_report
+from .retry_budget import RetryBudget
+
+PROXY_ROLE = "desk"  # the proxy's role on the wire
+# s for which a deregistration is told to controllers again: many times what a late call about it takes
+DEREGISTRATION_MEMORY = 10.0
+CONFIRMATION_RETRY_INTERVAL = 0.1  # s until a controller is asked again whether a table is the newest
+READER_REMOVAL_TIMEOUT = 1.0  # s for a change of the slice table to be agreed and announced
+
+
+class ControllerSessions:
+    """The connections to the controllers, and what this proxy knows from them.
+
+    configuration: the newest, None before the first. client_limits: its limits. selection: which controller
+    does what. updated: set at the next news; replaced by a new event then.
+    """
+
+    def __init__(
+        self,
+        settings: Settings,
+        log: logbook.Logger,
+        load_balancer: LoadBalancer,
+        retry_budget: RetryBudget,
+        connection_pool: ConnectionPool,
+    ) -> None:
+        self.settings, self.log = settings, log
+        self.load_balancer, self.retry_budget = load_balancer, retry_budget
+        self.connection_pool = connection_pool
+        self.configuration: Configuration | None = None
+        self.client_limits = DEFAULT_LIMITS
+        self.selection = ControllerSelection(settings.name, settings.zone)
+        self.peer_connections = PeerConnections(
+            self.greeting, self.on_message, self.on_connection_changed, CONNECTION_TIMEOUT, settings.bind
+        )
+        self.loop: asyncio.AbstractEventLoop
+        self.updated: asyncio.Event
+        self.reported_at = 0.0  # when the last load report was sent
+        self._removal_count = 0
+        self._pending_removals: dict[int, asyncio.Future[bool]] = {}  # by number, as the answer repeats it
+        self._handlers = {
+            "pulse": self._on_heartbeat,
+            "roll": self._on_registrations,
+            "config": self._on_configuration,
+            "table": self._on_table,
+            "confirmed": self._on_confirmation,
+            "offed": self._on_readers_removed,
+        }
+
+    def start(self, loop: asyncio.AbstractEventLoop) -> None:
+        """Begin, before anything else is called."""
+        self.loop, self.updated = loop, asyncio.Event()
+
+    def connect(self) -> None:
+        """Keep a connection to each controller that the settings name."""
+        for peer in self.settings.seed_ips():
+            self.peer_connections.keep(peer, self.settings.inner)
+
+    def reread_seeds(self) -> None:
+        """Read the settings file again and connect to the controllers that it names now."""
+        for peer in reread_seeds(self.settings, self.log):
+            self.peer_connections.keep(peer, self.settings.inner)
+
+    async def close(self) -> None:
+        """End all connections."""
+        await self.peer_connections.end()
+
+    # --- what connections report
+
+    def greeting(self, peer: str) -> dict[str, Any]:
+        """The first message on a connection; it repeats deregistrations, as a restart forgets them."""
+        since = self.loop.time() - DEREGISTRATION_MEMORY
+        departing = self.load_balancer.registry.departing_registrations(since)
+        return {"k": "hello", "role": PROXY_ROLE, "from": self.settings.name, "rows": departing}
+
+    def on_connection_changed(self, peer: str, is_up: bool) -> None:
+        """A connection came up or was lost."""
+        self._send_all(self.selection.connection_changed(peer, is_up, self.known_versions()))
+
+    def on_message(self, connection: PeerConnection, message: dict) -> None:
+        """A message arrived; kinds that are not known are ignored."""
+        handler = self._handlers.get(message["k"])
+        if handler is not None:
+            handler(self.loop.time(), connection, message)
+
+    def _on_heartbeat(self, now: float, connection: PeerConnection, message: dict) -> None:
+        if message["scribe"] and "near" in message:
+            self.load_balancer.request_counts.apply_hot_keys(message.get("crowds", {}))
+            self.load_balancer.local_fractions = {
+                service: by_zone.get(self.settings.zone, 0.0) for service, by_zone in message["near"].items()
+            }
+        if message["whole"]:
+            self.load_balancer.timed_out = set(message.get("silent", ()))
+            self.retry_budget.proxies = max(message["desks"], 1)
+        for controller in message.get("archives", ()):
+            self.peer_connections.keep(controller, self.settings.inner)
+        versions = self.known_versions()
+        self._send_all(self.selection.heartbeat_received(now, connection.peer, message, versions))
+
+    def _on_registrations(self, now: float, connection: PeerConnection, message: dict) -> None:
+        for instance_id, row in message["rows"].items():
+            registration = WorkerRegistration(*row)
+            changed = self.load_balancer.registry.record(now, instance_id, registration)
+            if changed and registration.phase == GONE:
+                self.connection_pool.close_all(instance_id)
+        if "all" in message:
+            versions = self.known_versions()
+            self._send_all(self.selection.registry_received(now, connection.peer, versions))
+        self._notify_waiting()
+
+    def _on_configuration(self, now: float, connection: PeerConnection, message: dict) -> None:
+        if self.configuration is None or message["n"] > self.configuration.number:
+            configuration = build_configuration(message["config"])
+            if configuration.is_ok():
+                self.apply_configuration(configuration.ok_value)
+                self.log.info("configuration", step="take", number=self.configuration.number)
+                self._notify_waiting()
+        self._send_all(self.selection.confirmation_request(now, self.known_versions()))
+
+    def _on_table(self, now: float, connection: PeerConnection, message: dict) -> None:
+        if not self.load_balancer.slices.apply(message):
+            connection.send({"k": "want", "r": "table", "have": 0})
+        self._notify_waiting()
+        self._send_all(self.selection.confirmation_request(now, self.known_versions()))
+
+    def _on_confirmation(self, now: float, connection: PeerConnection, message: dict) -> None:
+        was_ready = self.selection.is_ready
+        self.selection.confirmation_received(now, connection.peer, message, self.known_versions())
+        if self.selection.is_ready and not was_ready:
+            self.log.info("ready", step="start", number=self.configuration.number)
+        self._notify_waiting()
+
+    def _on_readers_removed(self, now: float, connection: PeerConnection, message: dict) -> None:
+        pending = self._pending_removals.get(message["id"])
+        if pending is not None and not pending.done():
+            pending.set_result(True)
+
+    def apply_configuration(self, configuration: Configuration) -> None:
+        """Serve by this configuration from now on."""
+        self.configuration, self.client_limits = configuration, ClientLimits.of(configuration)
+
+    # --- what the rest of the proxy asks
+
+    def known_versions(self) -> dict[str, int]:
+        """The versions that this proxy has, by register; 0 for none."""
+        return {
+            "config": self.configuration.number if self.configuration else 0,
+            "table": self.load_balancer.slices.version,
+        }
+
+    async def wait_for_update(self, until: float) -> None:
+        """Wait for news of the controllers, at most until then (s of the loop's clock)."""
+        try:
+            async with asyncio.timeout_at(until):
+                await self.updated.wait()
+        except TimeoutError:
+            pass
+
+    async def confirm_table(self, deadline: float) -> None:
+        """Ask the upstream whether our slice table is the newest, and wait a while for the answer."""
+        now = self.loop.time()
+        self._send_upstream({"k": "confirm", "t": now})
+        await self.wait_for_update(min(now + CONFIRMATION_RETRY_INTERVAL, deadline))
+
+    async def remove_readers(
+        self, service: str, key: int, instance_ids: tuple[str, ...], deadline: float
+    ) -> bool:
+        """Have readers removed from a key's slice; true once that is agreed, false where it takes too long.
+
+        deadline: s of the loop's clock.
+        """
+        number = self._removal_count = self._removal_count + 1
+        pending = self._pending_removals[number] = self.loop.create_future()
+        request = {"k": "off", "id": number, "service": service, "key": key, "lives": instance_ids}
+        try:
+            if not self._send_upstream(request):
+                retry_at = self.loop.time() + CONFIRMATION_RETRY_INTERVAL
+                await self.wait_for_update(min(retry_at, deadline))
+                return False
+            async with asyncio.timeout_at(min(self.loop.time() + READER_REMOVAL_TIMEOUT, deadline)):
+                return await pending
+        except TimeoutError:
+            return False
+        finally:
+            del self._pending_removals[number]
+
+    def send_report(self, now: float) -> None:
+        """Send the coordinator the load report, if there is a coordinator."""
+        coordinator = self.selection.coordinator
+        if coordinator is None:
+            return
+        report = take_report(self.load_balancer, now - self.reported_at, now)
+        if self.peer_connections.send(coordinator, report):
+            self.reported_at = now
+
+    def _notify_waiting(self) -> None:
+        """Requests that wait look again."""
+        self.updated.set()
+        self.updated = asyncio.Event()
+
+    def _send_upstream(self, message: dict) -> bool:
+        upstream = self.selection.upstream
+        return upstream is not None and self.peer_connections.send(upstream, message)
+
+    def _send_all(self, messages: OutgoingMessages) -> None:
+        for peer, message in messages:
+            self.peer_connections.send(peer, message)
--- /dev/null
+++ b/bramblewood/proxy/forwarding.py
@@ -0,0 +1,173 @@
+"""One attempt at a worker: the request is sent once, and what came of it is recorded.
+
+Invariant: after an attempt the worker's in-flight counts are what they were before, whichever way it ended.
+"""
+
+import asyncio
+
+import logbook
+from aiohttp import web
+
+from .connection_pool import ConnectionPool
+from .connection_quota import idle_connection_quota
+from .connection_state import AttemptOutcome, ExchangeResult
+from .controller_sessions import ControllerSessions
+from .http_fields import request_head
+from .load_balancing import LoadBalancer
+from .replica_invalidation_calls import ReplicaInvalidator
+from .request_attempts import FinalReply, RequestAttempts
+from .response_parser import WorkerResponse
+from .retry_budget import RetryBudget
+from .worker_connection import MAX_RESET_WATCH, WorkerConnection, WorkerUnreachable
+
+INVALIDATION_FAILED = FinalReply(504, "copies of its record could not be recalled in time")
+
+
+class Forwarder:
+    """Sends requests to workers; outcomes: how many attempts ended in which way since the start."""
+
+    def __init__(
+        self,
+        proxy_name: str,
+        log: logbook.Logger,
+        load_balancer: LoadBalancer,
+        retry_budget: RetryBudget,
+        connection_pool: ConnectionPool,
+        sessions: ControllerSessions,
+    ) -> None:
+        self.proxy_name, self.log = proxy_name, log
+        self.load_balancer, self.retry_budget = load_balancer, retry_budget
+        self.connection_pool, self.sessions = connection_pool, sessions
+        self.invalidator = ReplicaInvalidator(proxy_name, load_balancer, connection_pool, sessions)
+        self.outcomes: dict[AttemptOutcome, int] = dict.fromkeys(AttemptOutcome, 0)
+
+    async def attempt(
+        self, request: web.BaseRequest, body: bytes, attempts: RequestAttempts, instance_id: str
+    ) -> FinalReply | None:
+        """Send the request to a worker; the final answer, or None where `attempts` says how to go on."""
+        loop, load_balancer = asyncio.get_running_loop(), self.load_balancer
+        observation, non_idempotent = load_balancer.observation(instance_id), attempts.non_idempotent
+        observation.request_started(loop.time(), non_idempotent)
+        if attempts.affinity_key:
+            load_balancer.set_affinity(
+                observation.oldest_in_flight_at,
+                attempts.service,
+                attempts.affinity_key,
+                instance_id,
+                attempts.route.timeout,
+            )
+        started_at = loop.time()
+        try:
+            result = await self._exchange(request, body, attempts, instance_id, started_at)
+        finally:
+            observation.request_ended(non_idempotent)
+        now = loop.time()
+        if result is None:
+            return attempts.fail(now, "no answer in time")
+        self.outcomes[result.outcome] += 1
+        if result.outcome is AttemptOutcome.ANSWERED:
+            self._record_answer(now, instance_id, result.answer, now - started_at)
+        else:
+            self._record_failure(now, instance_id, result.outcome, attempts)
+        return await self._finish(now, instance_id, result, attempts)
+
+    async def _exchange(
+        self,
+        request: web.BaseRequest,
+        body: bytes,
+        attempts: RequestAttempts,
+        instance_id: str,
+        started_at: float,
+    ) -> ExchangeResult | None:
+        """Send it over a connection from the pool; None where its deadline has passed before."""
+        loop, pool = asyncio.get_running_loop(), self.connection_pool
+        address = self.load_balancer.registry.registrations[instance_id].address
+        try:
+            connection = await pool.acquire(
+                instance_id, address, started_at, attempts.non_idempotent, attempts.used_connections
+            )
+        except WorkerUnreachable as error:
+            return ExchangeResult(error.outcome)
+        now = loop.time()
+        if now >= attempts.deadline:  # connecting took that long
+            connection.close()
+            return None
+        attempts.used_connections.add(connection.number)
+        idle_time = now - connection.idle_since if connection.idle_since else 0.0
+        message = request_head(request, body, attempts, instance_id, now) + body
+        head_request = request.method == "HEAD"
+        result = await connection.exchange(message, attempts.request_id, attempts.deadline, head_request)
+        if result.outcome is AttemptOutcome.CONNECTION_BROKEN and idle_time:
+            self._check_dead_connection(now, instance_id, idle_time, loop.time() - now)
+        self._release(now, attempts.service, instance_id, connection)
+        return result
+
+    def _check_dead_connection(
+        self, now: float, instance_id: str, idle_time: float, broken_after: float
+    ) -> None:
+        """Record a connection that broke at once on reuse; a full worker resets what it has no room for."""
+        if broken_after < MAX_RESET_WATCH and self.load_balancer.load_per_slot(now, instance_id) < 1.0:
+            self.connection_pool.record_dead_connection(now, idle_time)
+
+    def _release(self, now: float, service: str, instance_id: str, connection: WorkerConnection) -> None:
+        limit = self.idle_connection_limit(service, instance_id, now)
+        self.connection_pool.release(instance_id, connection, limit)
+
+    def idle_connection_limit(self, service: str, instance_id: str, now: float) -> int:
+        """Idle connections that may be kept to a worker of this service."""
+        configuration = self.sessions.configuration
+        settings = configuration.services.get(service) if configuration is not None else None
+        max_connections = settings.connections if settings else 0
+        proxies = self.retry_budget.proxies
+        return idle_connection_quota(max_connections, proxies, self.proxy_name, instance_id, now)
+
+    def _record_answer(
+        self, now: float, instance_id: str, answer: WorkerResponse, response_time: float
+    ) -> None:
+        observation = self.load_balancer.observation(instance_id)
+        observation.record_answer(response_time)
+        observation.record_load(now, answer.headers_by_name.get("X-Server-Load", ""))
+        if answer.status in (429, 503):
+            observation.record_rejection(now)
+        if answer.status >= 500 and "X-Not-Run" not in answer.headers_by_name:
+            observation.record_server_error()
+
+    def _record_failure(
+        self, now: float, instance_id: str, outcome: AttemptOutcome, attempts: RequestAttempts
+    ) -> None:
+        observation = self.load_balancer.observation(instance_id)
+        if outcome is AttemptOutcome.CONNECTION_REJECTED:
+            observation.record_rejection(now)
+            return
+        broken = outcome is AttemptOutcome.CONNECTION_BROKEN
+        observation.record_failure(now, back_off=not broken)
+        if broken:  # workers of some services reset what they have no room for
+            observation.record_rejection(now)
+        self.log.info(
+            "attempt failed",
+            step="attempt",
+            peer=instance_id,
+            outcome=outcome.value,
+            id=attempts.request_id,
+            key=attempts.key,
+            fencing_token=self.load_balancer.slices.fencing_token(attempts.service, attempts.key),
+        )
+        if outcome is AttemptOutcome.NOT_SENT:
+            self.connection_pool.close_all(instance_id)
+
+    async def _finish(
+        self, now: float, instance_id: str, result: ExchangeResult, attempts: RequestAttempts
+    ) -> FinalReply | None:
+        """The final answer, where there is one, once no read replica is older than it."""
+        service, key = attempts.service, attempts.key
+        from_replica = key is not None and instance_id in self.load_balancer.slices.replica_holders(
+            service, key
+        )
+        reply = attempts.attempt_finished(now, instance_id, result.outcome, result.answer, from_replica)
+        if key is None or not attempts.non_idempotent or result.outcome is not AttemptOutcome.ANSWERED:
+            return reply
+        replicated = self.sessions.configuration.services[service].read_replicas
+        if replicated and 200 <= result.answer.status < 300:
+            if not await self.invalidator.invalidate(attempts):
+                return INVALIDATION_FAILED
+        return reply
--- a/bramblewood/proxy/hot_key_queue.py
+++ b/bramblewood/proxy/hot_key_queue.py
@@ -1,56 +1,58 @@
-"""The gate before the worker of a crowded record: how fast this desk sends lookups to it, and whose turn it
-is.
+"""Rate limit for a hot key's worker: how fast this proxy sends it idempotent requests, and in which order.
 
-Such a worker turns away what it has no room for, payments too. Desks don't know each other's requests, so
-each finds its own pace: it slows down when the worker says that more wait than it has slots, or turns
-something away, and gains again while it does not. Effects pass at once and count; lookups take what is
-left, by rank, then as they came; the queue is as long as what leaves it in time. Pure; times in s.
+A worker rejects what it has no room for, non-idempotent requests too. Proxies don't know each other's
+requests, so each finds its own rate: it reduces the rate when the worker states that more requests wait than
+it has slots, or rejects one, and raises it again while it does neither (multiplicative decrease and
+increase). Non-idempotent requests pass at once and count; the others take what is left, by priority, then in
+order of arrival. No request waits that can't be sent in time. Pure; times in s.
 """
 
 import math
 
-OVERLOADED_RATE_FACTOR = (
-    0.85  # of its pace that a desk keeps when a worker says that more wait than it has slots
-)
-REJECTED_RATE_FACTOR = 0.7  # and when it turns a request away
-RATE_EFFECT_DELAY = 0.2  # s before a slower pace can show: about a request's work
-RATE_GAIN_PER_SECOND = 0.3  # of its pace that it gains each second
-MIN_RATE = 0.2  # requests a second that are always let through: some news of the worker each five seconds
-ARRIVAL_RATE_WINDOW = 1.0  # s over which the flow is counted
-UNLIMITED_RATE_FACTOR = 2.0  # times the flow at which a pace bounds nothing any more: the gate opens
+# of its rate that a proxy keeps when a worker states that more requests wait than it has slots
+OVERLOADED_RATE_FACTOR = 0.85
+REJECTED_RATE_FACTOR = 0.7  # and when it rejects a request
+RATE_EFFECT_DELAY = 0.2  # s before a lower rate can show: about a request's work
+RATE_GAIN_PER_SECOND = 0.3  # of its rate that it gains each second
+MIN_RATE = 0.2  # requests a second that are always sent: some news of the worker each five seconds
+ARRIVAL_RATE_WINDOW = 1.0  # s over which the arrival rate is averaged
+UNLIMITED_RATE_FACTOR = 2.0  # times the arrival rate from which a rate limits nothing: the limit is lifted
+
+Priority = tuple[int, float]  # the route's priority, when the request came; the lower goes first
 
 
 class HotKeyQueue:
+    """One worker's rate limit at this proxy."""
+
     def __init__(self) -> None:
         self.rate = math.inf  # requests a second
         self.next_slot_at = self.reduced_at = self.raised_at = -1e9
-        self.arrival_count, self.counted_at = 0.0, 0.0  # requests that came, fading over FLOW
-        self.waiting: dict[str, tuple[int, float]] = {}  # by request: rank, since when
+        self.arrival_count, self.counted_at = 0.0, 0.0  # decays over ARRIVAL_RATE_WINDOW
+        self.waiting: dict[str, Priority] = {}  # by request id
 
     @property
     def is_limiting(self) -> bool:
+        """Whether a rate limit is in force."""
         return self.rate < math.inf
 
     def arrival_rate(self, now: float) -> float:
-        """Requests a second that come for this worker."""
-        return (
-            self.arrival_count
-            * math.exp(-max(now - self.counted_at, 0.0) / ARRIVAL_RATE_WINDOW)
-            / ARRIVAL_RATE_WINDOW
-        )
+        """Requests a second that arrive for this worker."""
+        decay = math.exp(-max(now - self.counted_at, 0.0) / ARRIVAL_RATE_WINDOW)
+        return self.arrival_count * decay / ARRIVAL_RATE_WINDOW
 
     def record_arrival(self, now: float) -> None:
+        """A request for a hot key of this worker arrived."""
         self.arrival_count, self.counted_at = self.arrival_rate(now) * ARRIVAL_RATE_WINDOW + 1.0, now
 
     def reduce_rate(self, now: float, factor: float) -> None:
-        """The worker has more than it can do: PRESSED or TURNED."""
+        """The worker has more than it can do; factor: OVERLOADED_RATE_FACTOR or REJECTED_RATE_FACTOR."""
         if now < self.reduced_at + RATE_EFFECT_DELAY or self.arrival_rate(now) < MIN_RATE:
             return
         self.rate = max(factor * min(self.rate, self.arrival_rate(now)), MIN_RATE)
         self.reduced_at = self.raised_at = now
 
     def raise_rate(self, now: float) -> None:
-        """It answered, and fewer wait than it works on."""
+        """The worker answered, and no more requests wait there than it has slots."""
         if not self.is_limiting:
             return
         self.rate *= 1 + RATE_GAIN_PER_SECOND * min(now - self.raised_at, 1.0)
@@ -58,29 +60,27 @@
         if self.rate > UNLIMITED_RATE_FACTOR * max(self.arrival_rate(now), MIN_RATE):
             self.rate = math.inf
 
-    def turn_at(self, now: float, request: str, priority: tuple[int, float], latest: float) -> float | None:
-        """When to look again: now where it is this request's turn, None where it can't be by `until`.
-
-        mine: its rank, since when it waits.
-        """
+    def turn_at(self, now: float, request_id: str, priority: Priority, latest: float) -> float | None:
+        """When a request may be sent: `now`, or when to ask again; None where it can't be by `latest`."""
         if not self.is_limiting:
-            self.waiting.pop(request, None)
+            self.waiting.pop(request_id, None)
             return now
         ahead = sum(other < priority for other in self.waiting.values())
-        at = max(self.next_slot_at, now) + ahead / self.rate
-        if at > latest:
-            self.waiting.pop(request, None)
+        turn_at = max(self.next_slot_at, now) + ahead / self.rate
+        if turn_at > latest:
+            self.waiting.pop(request_id, None)
             return None
-        if at > now:
-            self.waiting[request] = priority
-            return min(at, latest)
-        self.waiting.pop(request, None)
+        if turn_at > now:
+            self.waiting[request_id] = priority
+            return min(turn_at, latest)
+        self.waiting.pop(request_id, None)
         return now
 
-    def remove(self, request: str) -> None:
-        """It waits here no more."""
-        self.waiting.pop(request, None)
+    def remove(self, request_id: str) -> None:
+        """A request waits here no more."""
+        self.waiting.pop(request_id, None)
 
     def record_passage(self, now: float) -> None:
+        """A request is sent to the worker."""
         if self.is_limiting:
             self.next_slot_at = max(self.next_slot_at, now) + 1 / self.rate
--- a/bramblewood/proxy/replica_invalidation.py
+++ b/bramblewood/proxy/replica_invalidation.py
@@ -1,10 +1,11 @@
-"""Before an effect on a record that may have read copies is answered: no copy older than it may be read any
-more.
+"""What has to happen before a non-idempotent request on a replicated key is answered. Pure; times in s.
 
-The effect has run at the record's holder. What may still stand are copies under leases. This says what to
-do next: make sure of the readers (`Confirm`), have each drop its copy (`Drop`), have those that don't
-answer taken off the record and wait until their leases have run out (`TakeOff`, then time), or answer
-(`CLEAR`). Pure; times in s.
+Invariant: once its answer is given, no read replica that is older than its effect can be read any more.
+
+The request has run at the key's owner. What may remain are replicas under read leases. `next_step` says what
+to do: make sure that the readers known here are all (`ConfirmTable`), have each drop its replica
+(`DropReplicas`), have those that don't answer removed from the slice table (`RemoveReaders`) and wait until
+their leases have expired (`WaitUntil`), or answer (`ALL_CLEAR`).
 """
 
 from typing import NamedTuple
@@ -13,54 +14,59 @@
 
 
 class ConfirmTable(NamedTuple):
-    """Ask an archive whether this desk's table is the newest."""
+    """Ask a controller whether this proxy's slice table is the newest."""
 
 
 class DropReplicas(NamedTuple):
-    """Release the record at these readers."""
+    """Have these readers drop their replicas of the key."""
 
     instance_ids: tuple[str, ...]
 
 
 class RemoveReaders(NamedTuple):
-    """Have these readers taken off the record."""
+    """Have these readers removed from the key's slice."""
 
     instance_ids: tuple[str, ...]
 
 
 class WaitUntil(NamedTuple):
-    """Wait."""
+    """Wait until this time (s): a read lease may be valid until then."""
 
-    at: float
+    until: float
 
 
-ALL_CLEAR = "clear"
+ALL_CLEAR = "clear"  # the answer may be given
+InvalidationStep = ConfirmTable | DropReplicas | RemoveReaders | WaitUntil | str
 
 
 class ReplicaInvalidation:
+    """The invalidation after one non-idempotent request."""
+
     def __init__(self) -> None:
-        self.dropped: set[str] = set()  # readers that have dropped their copies since the effect ran
+        self.dropped: set[str] = set()  # readers that have dropped their replicas since the request ran
         self.unresponsive: set[str] = set()  # those that did not answer
-        self.removed: dict[
-            str, float
-        ] = {}  # readers off the record, and until when a copy of theirs may be read
-
-    def next_step(
-        self, now: float, confirmed_at: float, readers: set[str]
-    ) -> ConfirmTable | DropReplicas | RemoveReaders | WaitUntil | str:
-        """sure_at: when the confirmation was asked for that this desk's table, and so `readers`, rests on."""
+        # readers removed from the slice, and until when a replica of theirs may be read
+        self.lease_expiry: dict[str, float] = {}
+
+    def next_step(self, now: float, confirmed_at: float, readers: set[str]) -> InvalidationStep:
+        """What to do now.
+
+        confirmed_at: when the confirmation was asked for on which the slice table, and so `readers`, rests.
+        readers: all workers that may hold a replica of the key, by that table.
+        """
         if now >= confirmed_at + CONFIRMATION_VALIDITY:
             return ConfirmTable()
         if pending := readers - self.dropped - self.unresponsive:
             return DropReplicas(tuple(sorted(pending)))
-        if pending := (self.unresponsive & readers) - self.removed.keys():
+        if pending := (self.unresponsive & readers) - self.lease_expiry.keys():
             return RemoveReaders(tuple(sorted(pending)))
-        expired_at = max(self.removed.values(), default=now)
+        expired_at = max(self.lease_expiry.values(), default=now)
         return WaitUntil(expired_at) if expired_at > now else ALL_CLEAR
 
     def drop_finished(self, instance_id: str, dropped: bool) -> None:
+        """A reader was asked to drop its replica; dropped: it answered that it has."""
         (self.dropped if dropped else self.unresponsive).add(instance_id)
 
     def readers_removed(self, now: float, instance_ids: tuple[str, ...]) -> None:
-        """These are taken off the record: agreed, and told to us now."""
-        self.removed.update(dict.fromkeys(instance_ids, now + READ_LEASE_EXPIRY))
+        """The controllers agreed to remove these readers, and said so now."""
+        self.lease_expiry.update(dict.fromkeys(instance_ids, now + READ_LEASE_EXPIRY))
--- /dev/null
+++ b/bramblewood/proxy/request_handler.py
@@ -0,0 +1,193 @@
+"""One request's life at the proxy: checked, routed, read, attempted at workers, answered."""
+
+import asyncio
+import os
+from typing import NamedTuple
+
+from aiohttp import web
+
+from ..common.configuration import Configuration, Route
+from ..common.settings import Settings
+from ..common.slice_table import KEY_SPACE_SIZE
+from .controller_sessions import ControllerSessions
+from .forwarding import Forwarder
+from .http_fields import (
+    SINGLE_VALUE_FIELDS,
+    client_response,
+    error_response,
+    expects_continue,
+    parse_integer,
+)
+from .load_balancing import LoadBalancer
+from .request_attempts import FinalReply, RequestAttempts, WaitUntil
+from .retry_budget import RetryBudget
+
+# s that a request waits for the first configuration: a restart of all machines is over soon
+CONFIGURATION_WAIT = 0.25
+BODY_MEMORY_FRACTION = 0.25  # of the process's memory that clients' bodies may take
+BODY_READ_BYTES = 2**16  # read from a body at once
+DEFAULT_DEADLINE = 60.0  # s, where a client names none
+RETRY_AFTER = 0.5  # s, of answers given before a request is attempted
+
+
+class RequestRejected(Exception):
+    """A request is answered before it is attempted; `response` is the answer."""
+
+    def __init__(
+        self, status: int, reason: str, retry_after: float | None = None, close: bool = False
+    ) -> None:
+        """retry_after: s. close: end the client's connection after the answer."""
+        super().__init__(reason)
+        self.response = error_response(status, reason, retry_after, close)
+
+
+class RoutedRequest(NamedTuple):
+    """What a request's head says. key: None where its service has none. time_left: s, from its arrival."""
+
+    request_id: str
+    route: Route
+    service: str
+    key: int | None
+    time_left: float
+
+
+class RequestHandler:
+    """Answers clients' requests.
+
+    in_flight: requests that are not answered yet. body_bytes: of their bodies. responses_by_class: how many
+    were answered, by the status's first digit. is_shutting_down: close each connection after its answer.
+    """
+
+    def __init__(
+        self,
+        settings: Settings,
+        sessions: ControllerSessions,
+        load_balancer: LoadBalancer,
+        retry_budget: RetryBudget,
+        forwarder: Forwarder,
+    ) -> None:
+        self.settings, self.sessions, self.load_balancer = settings, sessions, load_balancer
+        self.retry_budget, self.forwarder = retry_budget, forwarder
+        self.in_flight = self.body_bytes = 0
+        self.responses_by_class: dict[int, int] = {}
+        self.is_shutting_down = False
+
+    async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
+        """Answer a request."""
+        self.in_flight += 1
+        try:
+            response = await self._answer(request)
+        finally:
+            self.in_flight -= 1
+        status_class = response.status // 100
+        self.responses_by_class[status_class] = self.responses_by_class.get(status_class, 0) + 1
+        # a client that waits to send a body may send it or not; what follows a declined upgrade may be read
+        # in part
+        unread = not request.content.at_eof()
+        if self.is_shutting_down or unread and expects_continue(request) or "Upgrade" in request.headers:
+            response.force_close()
+        return response
+
+    async def _answer(self, request: web.BaseRequest) -> web.StreamResponse:
+        started_at = asyncio.get_running_loop().time()
+        try:
+            configuration = await self._wait_for_configuration(started_at)
+            routed = self._route(request, configuration)
+            body = await self._read_body(request, started_at + routed.time_left)
+        except RequestRejected as rejected:
+            return rejected.response
+        attempts = RequestAttempts(
+            started_at, routed.route, routed.service, routed.key, routed.request_id, routed.time_left
+        )
+        if routed.route.pinned and routed.key is None:
+            attempts.affinity_key = request.headers.get("X-Shard-Key", "")
+        try:
+            reply = await self._attempt_until_answered(request, body, attempts)
+            return client_response(reply, request.method)
+        finally:
+            attempts.leave_queue()
+            self.body_bytes -= len(body)
+
+    async def _wait_for_configuration(self, started_at: float) -> Configuration:
+        loop, until = asyncio.get_running_loop(), started_at + CONFIGURATION_WAIT
+        while self.sessions.configuration is None and loop.time() < until:
+            await self.sessions.wait_for_update(until)
+        if self.sessions.configuration is None:
+            raise RequestRejected(503, "no configuration yet", RETRY_AFTER)
+        return self.sessions.configuration
+
+    def _route(self, request: web.BaseRequest, configuration: Configuration) -> RoutedRequest:
+        """Check a request's head and find its service and key; raises `RequestRejected`."""
+        headers = request.headers
+        route = configuration.route(headers.get("Host", ""), request.raw_path)
+        if route is None:
+            raise RequestRejected(404, "no route")
+        header_bytes = sum(len(name) + len(value) + 4 for name, value in request.raw_headers)
+        if header_bytes > self.sessions.client_limits.max_header_bytes:
+            raise RequestRejected(431, "headers too large", close=True)
+        for field in SINGLE_VALUE_FIELDS:
+            if len(headers.getall(field, ())) > 1:
+                raise RequestRejected(400, f"{field}: more than one")
+        request_id = headers.get("X-Attempt-Id")
+        if request_id == "":
+            raise RequestRejected(400, "X-Attempt-Id: empty")
+        if headers.get("Transfer-Encoding", "chunked").lower() != "chunked":
+            raise RequestRejected(400, "Transfer-Encoding: expected chunked", close=True)
+        request_id = request_id or f"{self.settings.name}-{os.urandom(8).hex()}"
+        service = route.service(request_id)
+        key = None
+        if configuration.services[service].keyed:
+            key = parse_integer(headers.get("X-Shard-Key", ""))
+            if key is None or key >= KEY_SPACE_SIZE:
+                expected = f"X-Shard-Key: expected a number from 0 to {KEY_SPACE_SIZE - 1}"
+                raise RequestRejected(400, expected)
+        deadline_ms = parse_integer(headers.get("X-Deadline-Ms", ""))
+        time_left = DEFAULT_DEADLINE if deadline_ms is None else deadline_ms / 1000
+        return RoutedRequest(request_id, route, service, key, time_left)
+
+    async def _read_body(self, request: web.BaseRequest, deadline: float) -> bytes:
+        """The complete body; raises `RequestRejected`.
+
+        It is limited by the configuration, the machine's memory and the client's time (s of the loop's
+        clock).
+        """
+        if not request.can_read_body:
+            return b""
+        if expects_continue(request) and request.transport is not None:
+            request.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
+        parts, size, max_bytes = [], 0, self.sessions.client_limits.max_body_bytes
+        try:
+            async with asyncio.timeout_at(deadline):
+                async for part in request.content.iter_chunked(BODY_READ_BYTES):
+                    size += len(part)
+                    if size > max_bytes:
+                        raise RequestRejected(413, f"at most {max_bytes} bytes", close=True)
+                    if self.body_bytes + size > self.settings.memory * BODY_MEMORY_FRACTION:
+                        raise RequestRejected(503, "too many bodies at once", RETRY_AFTER, close=True)
+                    parts.append(part)
+        except TimeoutError:  # also where bytes form no chunk: aiohttp does not tell its handler
+            raise RequestRejected(408, "the body did not come in time", close=True) from None
+        except ConnectionError:
+            raise RequestRejected(400, "the client went away", close=True) from None
+        self.body_bytes += size
+        return b"".join(parts)
+
+    async def _attempt_until_answered(
+        self, request: web.BaseRequest, body: bytes, attempts: RequestAttempts
+    ) -> FinalReply:
+        loop, load_balancer = asyncio.get_running_loop(), self.load_balancer
+        self.retry_budget.record_request(attempts.service, loop.time())
+        key = attempts.key
+        if key is None:
+            key = load_balancer.slice_key(loop.time(), attempts.service, attempts.request_id)
+        load_balancer.request_counts.record_request(attempts.service, key)
+        while True:
+            step = attempts.next_step(loop.time(), load_balancer, self.retry_budget)
+            if isinstance(step, WaitUntil):
+                await self.sessions.wait_for_update(step.until)
+                continue
+            if isinstance(step, FinalReply):
+                return step
+            reply = await self.forwarder.attempt(request, body, attempts, step.instance_id)
+            if reply is not None:
+                return reply
--- a/bramblewood/proxy/worker_connection.py
+++ b/bramblewood/proxy/worker_connection.py
@@ -1,112 +1,145 @@
-"""One connection to a worker: what is out on it, whose answer comes, whether it may carry another. Pure.
+"""One TCP connection to a worker: the asyncio transport around its `WorkerConnectionState`.
 
-It carries one request at a time. Its state and the answer's `X-Attempt-Id` alone decide whose bytes these
-are; what can't be told ends the connection, never a guess. Whether anything went out decides whether a
-request may go elsewhere (`errand.py`).
+Aiohttp's client is not used: it sends a GET or a PUT a second time by itself when a reused connection closes,
+and its parser takes what follows a truncated answer for a part of it. Here a request is sent once.
 """
 
-from enum import Enum
-from typing import NamedTuple
+import asyncio
+import itertools
+import socket
 
-from .response_parser import MalformedResponse, ResponseParser, WorkerResponse
+from ..common.peer_connections import set_connection_timeouts
+from .connection_state import AttemptOutcome, ExchangeResult, WorkerConnectionState
 
-MAX_ANSWER_BYTES = 32 * 2**20  # bytes that may come until an answer is whole
-ATTEMPT_ID_HEADER = "X-Attempt-Id"
+CONNECT_TIMEOUT = 0.35  # s to connect: a lost SYN packet is sent again after a second or more
+# ms that sent bytes may stay unacknowledged: a worker's machine acknowledges packets in a few ms
+UNACKNOWLEDGED_DATA_TIMEOUT_MS = 500
+KEEP_ALIVE_FRACTION = 0.6  # of the time that a worker says it keeps an idle connection
+DEFAULT_KEEP_ALIVE = 0.8  # s, where it says none; workers state whole seconds if any
+# s at least (a timer's own lateness) and at most that a new connection is watched before anything is sent
+MIN_RESET_WATCH, MAX_RESET_WATCH = 0.001, 0.02
 
+_numbers = itertools.count(1)
 
-class ConnectionPhase(Enum):
-    IDLE = "idle"  # new: nothing went out
-    AWAITING_ANSWER = "out"  # a request is out, not a byte of an answer is here
-    READING_ANSWER = "begun"  # bytes of an answer are here, of whichever request, and it is not whole
-    ANSWER_COMPLETE = "read"  # the whole answer was read and nothing beyond it: nothing is out any more
-    UNUSABLE = "spoilt"  # closed, or to be: its bytes can't be trusted any more
 
+class WorkerUnreachable(Exception):
+    """No connection could be made; `outcome` says whether the worker rejected it."""
 
-class AttemptOutcome(Enum):
-    """How a try ended."""
+    def __init__(self, outcome: AttemptOutcome) -> None:
+        super().__init__(outcome.value)
+        self.outcome = outcome
 
-    ANSWERED = "whole"  # a whole answer of this request
-    NOT_SENT = "unsent"  # nothing of it went out
-    CONNECTION_REJECTED = "turned"  # nothing of it went out: the worker takes no further connection now
-    CONNECTION_BROKEN = "broken"  # it went out, and no answer of it can come any more
-    TIMED_OUT = "silent"  # it went out, and the time is over
 
+class WorkerConnection(asyncio.Protocol):
+    """A connection that carries one request at a time.
 
-class ExchangeResult(NamedTuple):
-    outcome: AttemptOutcome
-    answer: WorkerResponse | None = None
+    `idle_since` (when its last answer was complete, 0 before the first) and `reusable_until` (when the worker
+    may close it) are in seconds of the loop's clock.
+    """
 
+    def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
+        self.loop, self.transport, self.number = loop, None, next(_numbers)
+        self.state, self.is_open = WorkerConnectionState(), False
+        self.pending_exchange: asyncio.Future[ExchangeResult] | None = None
+        self.reusable_until = self.idle_since = 0.0
+        self.lost = loop.create_future()
 
-class WorkerConnectionState:
-    def __init__(self) -> None:
-        self.phase, self.parser = ConnectionPhase.IDLE, ResponseParser()
-        self.request_id, self.bytes_received = "", 0
-        self.foreign_answer_seen = False  # an answer of another request came while this one's was waited for
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by asyncio."""
+        self.transport, self.is_open = transport, True
+
+    def data_received(self, data: bytes) -> None:
+        """Called by asyncio."""
+        self._resolve(self.state.on_data(data, self.transport.get_write_buffer_size()))
+        if not self.state.is_awaiting_answer and not self.is_reusable:
+            self.close()
+
+    def connection_lost(self, error: Exception | None) -> None:
+        """Called by asyncio."""
+        self.is_open = False
+        if not self.lost.done():
+            self.lost.set_result(True)
+        self._resolve(self.state.on_closed())
+
+    def _resolve(self, result: ExchangeResult | None) -> None:
+        pending = self.pending_exchange
+        if result is not None and pending is not None and not pending.done():
+            pending.set_result(result)
 
     @property
     def is_reusable(self) -> bool:
-        """Whether it may be kept, and may carry a request."""
-        return self.phase in (ConnectionPhase.IDLE, ConnectionPhase.ANSWER_COMPLETE)
+        """Whether it may be kept and carry a request. One that is closing sends nothing any more."""
+        return self.is_open and not self.transport.is_closing() and self.state.is_reusable
 
-    @property
-    def is_awaiting_answer(self) -> bool:
-        return self.phase in (ConnectionPhase.AWAITING_ANSWER, ConnectionPhase.READING_ANSWER)
-
-    def begin_request(self, request_id: str, head_request: bool) -> bool:
-        """Whether the request with this id may go out here now. `bare`: it is a HEAD."""
-        if not self.is_reusable:
-            return False
-        self.phase, self.request_id, self.bytes_received, self.parser.head_request = (
-            ConnectionPhase.AWAITING_ANSWER,
-            request_id,
-            0,
-            head_request,
-        )
-        return True
-
-    def on_data(self, data: bytes, unsent_bytes: int = 0) -> ExchangeResult | None:
-        """Bytes came. `unsent`: bytes of the request that still lie here; after an early answer nobody may
-        take them for a request.
+    async def survives_round_trip(self, round_trip: float) -> bool:
+        """Whether a new connection is still open after a round trip (s).
+
+        A worker that has no room for a connection accepts it and resets it at once.
+        """
+        watch = min(max(round_trip, MIN_RESET_WATCH), MAX_RESET_WATCH)
+        await asyncio.wait([self.lost], timeout=watch)
+        return self.is_open
+
+    def close(self) -> None:
+        """Close it at once; an exchange under way ends as broken."""
+        self._resolve(self.state.on_closed())
+        if self.is_open and self.transport is not None:
+            self.is_open = False
+            self.transport.abort()
+
+    async def exchange(
+        self, request: bytes, request_id: str, deadline: float, head_request: bool = False
+    ) -> ExchangeResult:
+        """Send a request once and await its answer.
+
+        deadline: s of the loop's clock. head_request: its method is HEAD.
         """
-        if not self.is_awaiting_answer:
-            self.phase = ConnectionPhase.UNUSABLE  # nobody asked for them
-            return None
-        self.bytes_received += len(data)
-        self.parser.feed(data)
+        if not self.is_reusable or not self.state.begin_request(request_id, head_request):
+            return ExchangeResult(AttemptOutcome.NOT_SENT)
+        pending = self.pending_exchange = self.loop.create_future()
+        self.transport.write(request)
         try:
-            while (answer := self.parser.next_response()) is not None:
-                if answer.status < 200:
-                    continue
-                answer_id = answer.headers_by_name.get(ATTEMPT_ID_HEADER)
-                if answer_id == self.request_id:
-                    clean = not (
-                        self.foreign_answer_seen
-                        or self.parser.is_mid_response
-                        or answer.closes_connection
-                        or unsent_bytes
-                    )
-                    self.phase = ConnectionPhase.ANSWER_COMPLETE if clean else ConnectionPhase.UNUSABLE
-                    return ExchangeResult(AttemptOutcome.ANSWERED, answer)
-                if answer_id is None:
-                    raise MalformedResponse("an answer without an id")
-                self.foreign_answer_seen = True
-        except MalformedResponse:
-            return self._finish(AttemptOutcome.CONNECTION_BROKEN)
-        if self.bytes_received > MAX_ANSWER_BYTES:
-            return self._finish(AttemptOutcome.CONNECTION_BROKEN)
-        self.phase = (
-            ConnectionPhase.READING_ANSWER if self.parser.is_mid_response else ConnectionPhase.AWAITING_ANSWER
-        )
-        return None
-
-    def on_closed(self) -> ExchangeResult | None:
-        """It was closed or reset. What has no whole answer by now gets none."""
-        return self._finish(AttemptOutcome.CONNECTION_BROKEN)
-
-    def on_timeout(self) -> ExchangeResult | None:
-        """The time of the request is over. Its answer may still come, so nothing else may go out here."""
-        return self._finish(AttemptOutcome.TIMED_OUT)
-
-    def _finish(self, outcome: AttemptOutcome) -> ExchangeResult | None:
-        was_awaiting_answer, self.phase = self.is_awaiting_answer, ConnectionPhase.UNUSABLE
-        return ExchangeResult(outcome) if was_awaiting_answer else None
+            async with asyncio.timeout_at(deadline):
+                result = await pending
+        except TimeoutError:
+            result = self.state.on_timeout() or ExchangeResult(AttemptOutcome.TIMED_OUT)
+        finally:
+            self.pending_exchange = None
+            if self.state.is_awaiting_answer:  # the exchange was cancelled
+                self.state.on_timeout()
+            if not self.is_reusable:
+                self.close()
+        if result.answer is not None:
+            self.idle_since = self.loop.time()
+            keep_alive = result.answer.headers_by_name.get("Keep-Alive", "")
+            self.reusable_until = self.idle_since + keep_alive_seconds(keep_alive)
+        return result
+
+
+def keep_alive_seconds(header: str) -> float:
+    """For how long (s) an idle connection may be reused, by a `Keep-Alive` value such as `timeout=10`."""
+    _, _, value = header.partition("timeout=")
+    number = value.partition(",")[0].strip()
+    return int(number) * KEEP_ALIVE_FRACTION if number.isdigit() else DEFAULT_KEEP_ALIVE
+
+
+async def connect(address: str) -> tuple[WorkerConnection, float]:
+    """A new connection to a worker at `host:port`, and the round trip (s) that making it took.
+
+    Raises `WorkerUnreachable` (not sent).
+    """
+    loop = asyncio.get_running_loop()
+    host, _, port = address.rpartition(":")
+    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    started_at = loop.time()
+    try:
+        sock.setblocking(False)
+        set_connection_timeouts(sock, UNACKNOWLEDGED_DATA_TIMEOUT_MS)
+        async with asyncio.timeout(CONNECT_TIMEOUT):
+            await loop.sock_connect(sock, (host, int(port)))
+        round_trip = loop.time() - started_at
+        _, connection = await loop.create_connection(lambda: WorkerConnection(loop), sock=sock)
+    except (OSError, TimeoutError):
+        sock.close()
+        raise WorkerUnreachable(AttemptOutcome.NOT_SENT) from None
+    return connection, round_trip
--- a/features/steps/desk.py
+++ b/features/steps/desk.py
@@ -64,9 +64,9 @@
     async def play():
         made = Play()
         await made.start({"w1": []}, context.limits)
-        loop, proxy = made.proxy.loop, made.proxy
+        loop, proxy = made.proxy.sessions.loop, made.proxy
         reader, writer = await asyncio.open_connection("127.0.0.1", made.port)
-        while not proxy.young:
+        while not proxy.client_connections.awaiting_first_request:
             await asyncio.sleep(0)
         for _ in range(3):  # until the desk reads from it
             await asyncio.sleep(0)
@@ -94,7 +94,7 @@
         made = Play()
         await made.start({"w1": []}, context.limits)
         await made.end()
-        return made.proxy.newcomer().keepalive_timeout
+        return made.proxy.client_connections.create_protocol().keepalive_timeout
 
     assert asyncio.run(play()) == rest
 
--- a/features/steps/leaving.py
+++ b/features/steps/leaving.py
@@ -22,7 +22,7 @@
     context.entries = {
         str(i * 8192): ["w1", "" if context.keyed else "w2", 0.01, 1, "", ""] for i in range(8)
     }
-    context.load_balancer.apply_table({"n": 1, "s": {"s": context.entries}})
+    context.load_balancer.slices.apply({"n": 1, "s": {"s": context.entries}})
 
 
 @when("{name} is heard to be draining at {now:g}")
@@ -40,13 +40,13 @@
 @when("the table moves all keys from w1 to w2")
 def moves(context):
     entries = {start: ["w2", "", 0.0, 2, "", "w1"] for start in context.entries}
-    context.load_balancer.apply_table({"n": 2, "base": 1, "d": {"s": entries}})
+    context.load_balancer.slices.apply({"n": 2, "base": 1, "d": {"s": entries}})
 
 
 @when("w1 has let go of them")
 def released(context):
     entries = {start: ["w2", "", 0.0, 2, "h", ""] for start in context.entries}
-    context.load_balancer.apply_table({"n": 3, "base": 2, "d": {"s": entries}})
+    context.load_balancer.slices.apply({"n": 3, "base": 2, "d": {"s": entries}})
 
 
 @then("of {count:d} requests at {now:g} {part} to {name}")
@@ -75,9 +75,9 @@
         await made.start({"w1": ["held", "answer"]})
         first = asyncio.ensure_future(made.ask("POST", "/pay/1", "t1", "x"))
         await made.workers["w1"].reached.wait()
-        end = asyncio.ensure_future(made.proxy.end(made.proxy.loop.time()))
+        end = asyncio.ensure_future(made.proxy.shut_down())
         await asyncio.sleep(0)
-        status = (await made.proxy.readiness(Probe())).status
+        status = (await made.proxy.readiness.handle(Probe())).status
         await made.ask("POST", "/pay/2", "t2", "x", keep=True)
         made.workers["w1"].go.set()
         await first
@@ -101,7 +101,7 @@
         await made.start({"w1": ["held"]})
         first = asyncio.ensure_future(made.ask("POST", "/pay/1", "t1", "x"))
         await made.workers["w1"].reached.wait()
-        end = asyncio.ensure_future(made.proxy.end(made.proxy.loop.time()))
+        end = asyncio.ensure_future(made.proxy.shut_down())
         while made.server.is_serving():
             await asyncio.sleep(0)
         try:
@@ -115,7 +115,7 @@
         await made.end()
         return taken, made.lines
 
-    with mock.patch.object(server, "MISSES", 0.05):
+    with mock.patch.object(server, "HEALTH_CHECKS_FAILED_AFTER", 0.05):
         taken, lines = asyncio.run(play())
     assert not taken
     assert "  client gets 200 'w1 t1' X-Response-Seal" in lines, lines
--- a/features/steps/lines.py
+++ b/features/steps/lines.py
@@ -5,8 +5,8 @@
 
 from behave import then, when
 
-from bramblewood.proxy.connection_pool import WorkerConnection
-from bramblewood.proxy.worker_connection import AttemptOutcome, ConnectionPhase
+from bramblewood.proxy.connection_state import AttemptOutcome, ConnectionPhase, ExchangeResult
+from bramblewood.proxy.worker_connection import WorkerConnection
 from tests.approved import approve
 from tests.simulation.proxy import Play
 from tests.simulation.worker_connections import RuleBroken, answered_with, play_all_orders, play_random
@@ -166,7 +166,7 @@
         writer.write_eof() if half else writer.transport.abort()
         answered = await reader.read() if half else b""
         worker.go.set()
-        while made.proxy.flight:
+        while made.proxy.request_handler.in_flight:
             await asyncio.sleep(0)
         await made.ask("POST", "/pay/2", "next", "x")
         writer.close()
@@ -202,13 +202,13 @@
 @then("an effect whose connection takes longer than its client waits is answered 503, and never arrives")
 def too_late(context):
     async def ask(made):
-        lend, until = made.proxy.connection_pool.acquire, made.proxy.loop.time() + 0.1
+        acquire, until = made.proxy.connection_pool.acquire, made.proxy.sessions.loop.time() + 0.1
 
         async def late(*told):
-            lent = await lend(*told)
-            while made.proxy.loop.time() < until:
+            acquired = await acquire(*told)
+            while made.proxy.sessions.loop.time() < until:
                 await asyncio.sleep(0)
-            return lent
+            return acquired
 
         made.proxy.connection_pool.acquire = late
         await made.ask("POST", "/pay/1", "late", "x", "X-Deadline-Ms: 90")
@@ -238,7 +238,7 @@
     """A request whose body has begun to come."""
     reader, writer = await asyncio.open_connection("127.0.0.1", made.port)
     writer.write(data.encode())
-    while not made.proxy.flight:
+    while not made.proxy.request_handler.in_flight:
         await asyncio.sleep(0)
     return reader, writer
 
@@ -253,7 +253,7 @@
             async with asyncio.timeout(1):
                 found.append((await reader.readuntil(b"}"))[:12])
             writer.close()
-        return found, made.workers["w1"].arrivals, made.proxy.flight
+        return found, made.workers["w1"].arrivals, made.proxy.request_handler.in_flight
 
     assert played(context, ask) == ([b"HTTP/1.1 408"] * 2, [], 0)
 
@@ -263,9 +263,13 @@
     async def ask(made):
         _, writer = await under_way(made, HALF)
         writer.transport.abort()
-        while made.proxy.flight:
+        while made.proxy.request_handler.in_flight:
             await asyncio.sleep(0)
-        return made.workers["w1"].arrivals, made.proxy.held, made.proxy.answers
+        return (
+            made.workers["w1"].arrivals,
+            made.proxy.request_handler.body_bytes,
+            made.proxy.request_handler.responses_by_class,
+        )
 
     assert played(context, ask) == ([], 0, {4: 1})
 
@@ -305,4 +309,4 @@
         line.connection_made(SimpleNamespace(is_closing=lambda: True, abort=lambda: None))
         return await line.exchange(b"x", "r", line.loop.time() + 0.1)
 
-    assert asyncio.run(ask()) == (AttemptOutcome.NOT_SENT, None)
+    assert asyncio.run(ask()) == ExchangeResult(AttemptOutcome.NOT_SENT)
--- a/features/steps/room.py
+++ b/features/steps/room.py
@@ -25,7 +25,7 @@
     try:
         context.connection_pool.acquire("w", "nowhere", now, once).send(None)
     except StopIteration as ended:
-        return ended.value[0] and ended.value[0].rest
+        return ended.value.rest
     except RuntimeError:
         return None  # it dials, and there is no loop here
     raise AssertionError("it waits")
--- a/features/steps/zone_affinity.py
+++ b/features/steps/zone_affinity.py
@@ -46,7 +46,7 @@
         )
     names = ("w1", "w2", "w3", "w4")
     entries = {str(i * 8192): [names[i % 4], "", 0.01, 1, "", ""] for i in range(8)}
-    context.load_balancer.apply_table({"n": 1, "s": {"s": entries}})
+    context.load_balancer.slices.apply({"n": 1, "s": {"s": entries}})
     context.now = 10.0
 
 
--- a/tests/simulation/majority_contact.py
+++ b/tests/simulation/majority_contact.py
@@ -172,9 +172,9 @@
     def bring(self, end, target, message):
         if end is self.far:
             self.heard_at = self.dialler.play.now
-            target.loop.call_soon(target.server.hear, self.near, message)
+            target.loop.call_soon(target.on_message(), self.near, message)
         elif self.met:
-            target.loop.call_soon(target.server.hear, self.far, message)
+            target.loop.call_soon(target.on_message(), self.far, message)
         else:
             self.met = True
             target.loop.call_soon(target.server.met, self.far, message)
@@ -205,7 +205,7 @@
             wire = Wire(node, target)
             play.wires.append(wire)
             self.up[peer] = wire.near
-            wire.near.send(node.server.hello(peer))
+            wire.near.send(node.greeting(peer))
             node.tell(peer, True)
 
 
@@ -232,23 +232,35 @@
         )
         with mock.patch("bramblewood.common.logs.begin", return_value=mock.Mock()):
             made = self.kind(told)
-        made.loop, made.peer_connections = self.loop, self.peer_connections
         if self.kind is Controller:
+            made.loop, made.peer_connections = self.loop, self.peer_connections
             self.controller(made)
         else:
-            made.changed = asyncio.Event()
+            made.sessions.start(self.loop)
+            made.sessions.peer_connections = self.peer_connections
         for peer in controllers:
             if peer != self.name:
-                made.peer_connections.keep(peer, 1)
+                self.peer_connections.keep(peer, 1)
         self.server = made
         self.loop.begin(self.turns(made))
 
     def tell(self, peer, up):
         """A link came or went; one that is frozen hears of it when it is thawed."""
+        changed = (
+            self.server.link_told if self.kind is Controller else self.server.sessions.on_connection_changed
+        )
         if self.frozen:
-            self.loop.call_soon(self.server.link_told, peer, up)
+            self.loop.call_soon(changed, peer, up)
         else:
-            self.server.link_told(peer, up)
+            changed(peer, up)
+
+    def greeting(self, peer):
+        """The first message on a connection that it makes."""
+        return self.server.hello(peer) if self.kind is Controller else self.server.sessions.greeting(peer)
+
+    def on_message(self):
+        """What its program has called with each message."""
+        return self.server.hear if self.kind is Controller else self.server.sessions.on_message
 
     def controller(self, made):
         """What a start does, with a first set of voters; it changes as the archives see fit."""
@@ -275,7 +287,7 @@
             if self.kind is Controller:
                 made.tick(self.play.now)
             else:
-                made.report(self.play.now)
+                made.sessions.send_report(self.play.now)
             await asyncio.sleep(archive_program.TICK if self.kind is Controller else 0.5)
 
     def stop(self):
@@ -644,16 +656,17 @@
             self.disturbed[name] = self.now
         if made is None:
             return
-        ready, had = made.controller_selection.is_ready, self.seen.get(name, (0, False, 0, 0))
-        have = tuple(made.have().values())
+        ready, had = made.sessions.selection.is_ready, self.seen.get(name, (0, False, 0, 0))
+        versions = made.sessions.known_versions()
+        have = tuple(versions.values())
         if had[0] == node.instance_ids and any(now < then for now, then in zip(have, had[2:], strict=True)):
-            raise Broken(f"{name} goes back at {self.now:.2f}: {had} to {made.have()}")
+            raise Broken(f"{name} goes back at {self.now:.2f}: {had} to {versions}")
         if ready and not (had[0] == node.instance_ids and had[1]):
             self.count("desks ready")
             bound = self.now - CONFIRMATION_VALIDITY - QUORUM_CONTACT_VALIDITY - LATE
             newest = max((n for n, (at, _) in self.acked.items() if at < bound), default=0)
-            if made.have()["config"] < newest:
-                raise Broken(f"{name} is ready at {self.now:.2f} with {made.have()}, r{newest} stands")
+            if versions["config"] < newest:
+                raise Broken(f"{name} is ready at {self.now:.2f} with {versions}, r{newest} stands")
             for instance_id, at in self.leaves:
                 row = made.load_balancer.registry.registrations.get(instance_id)
                 known = any(
--- a/tests/simulation/proxy.py
+++ b/tests/simulation/proxy.py
@@ -124,8 +124,9 @@
 
     async def start(self, scripts: dict[str, list[str]], limits: dict | None = None) -> None:
         proxy = self.proxy
-        proxy.loop, proxy.changed = asyncio.get_running_loop(), asyncio.Event()
-        proxy.configuration = build_configuration({**CONFIG, "Limits": limits or {}}).ok_value
+        loop = asyncio.get_running_loop()
+        proxy.sessions.start(loop)
+        proxy.sessions.apply_configuration(build_configuration({**CONFIG, "Limits": limits or {}}).ok_value)
         for place, (name, script) in enumerate(scripts.items()):
             worker = self.workers[name] = Scripted(name, script)
             await worker.start()
@@ -136,9 +137,9 @@
         table = {
             str(i * 8192): [names[0], names[-1] if len(names) > 1 else "", 0.01, 1, "", ""] for i in range(8)
         }
-        proxy.load_balancer.apply_table({"n": 1, "s": {"plain": table, "divided": table}})
-        self.server = await proxy.loop.create_server(proxy.newcomer, "127.0.0.1", 0)
-        proxy.front = self.server
+        proxy.load_balancer.slices.apply({"n": 1, "s": {"plain": table, "divided": table}})
+        self.server = await loop.create_server(proxy.client_connections.create_protocol, "127.0.0.1", 0)
+        proxy.client_listener = self.server
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def ask(
--- a/tests/simulation/worker_connections.py
+++ b/tests/simulation/worker_connections.py
@@ -11,16 +11,16 @@
 from unittest.mock import patch
 
 from bramblewood.common.configuration import build_configuration
-from bramblewood.proxy import request_attempts as request_attempts
-from bramblewood.proxy import response_parser
+from bramblewood.proxy import request_attempts, response_parser
 from bramblewood.proxy.connection_pool import ConnectionPool
-from bramblewood.proxy.request_attempts import RequestAttempts, RetryBudget, SendToWorker, WaitUntil
-from bramblewood.proxy.worker_connection import (
+from bramblewood.proxy.connection_state import (
     AttemptOutcome,
     ConnectionPhase,
     ExchangeResult,
     WorkerConnectionState,
 )
+from bramblewood.proxy.request_attempts import RequestAttempts, SendToWorker, WaitUntil
+from bramblewood.proxy.retry_budget import RetryBudget
 from tests.simulation.proxy import CONFIG, answer
 
 CONFIGURATION_UNDER_TEST = build_configuration(CONFIG).ok_value
@@ -71,13 +71,13 @@
         self.given: dict[str, list[tuple]] = {name: [] for name in names}
         self.left: list[str] = []  # requests at workers that the desk has given up
         self.load_balancer = SimpleNamespace(
-            pinned=lambda *_: None,
-            choose=lambda now, service, key, request, tried, pure: next(
+            affinity_worker=lambda *_: None,
+            choose_worker=lambda now, service, key, request, tried, pure: next(
                 (instance_id for instance_id in ("w1", "w2") if instance_id not in tried), None
             ),
-            full=lambda *_: False,
-            crowd=lambda *_: False,
-            moving=lambda *_: False,
+            is_full=lambda *_: False,
+            is_hot=lambda *_: False,
+            in_handover=lambda *_: False,
         )
 
     # --- the desk
@@ -89,7 +89,7 @@
 
     def proceed(self, name: str) -> None:
         while name not in self.out and name not in self.replies:
-            step = self.request_attempts[name].next(self.now[name], self.load_balancer, self.retry_budget)
+            step = self.request_attempts[name].next_step(self.now[name], self.load_balancer, self.retry_budget)
             if isinstance(step, WaitUntil):
                 self.now[name] = step.until
             elif isinstance(step, SendToWorker):
