--- a/tests/simulation/drain_plans.py
+++ b/tests/simulation/drain_plans.py
@@ -19,6 +19,7 @@
     workers_in_use,
 )
 from bramblewood.controller.drain_progress import DrainProgress, ServiceCapacity
+from tests.simulation.digests import record_event
 
 STEP = 0.1  # s
 DISCONNECT_TIMEOUT = 7.4  # s: the longest key lease behind a proxy that is cut off
@@ -88,6 +89,7 @@
 
     def agree(self, proposal):
         """Take a proposed value, if there is one."""
+        record_event("change", self.now, proposal)
         value, _ = proposal
         if value is not None:
             self.tables.append(value)
@@ -124,6 +126,7 @@
             if table["n"] >= proxy.table_version:
                 proxy.table_version, proxy.drain_steps = table["n"], drain_steps_of(table)
                 proxy.excused_until = min(proxy.excused_until, self.now)
+                record_event("steps", self.now, name, proxy.table_version, proxy.drain_steps)
         work_in_flight = {}
         for worker, _, started in proxy.requests:
             work_in_flight.setdefault(worker, [0, 0, self.now - started])[1] += 1
