--- a/tests/simulation/proxy.py
+++ b/tests/simulation/proxy.py
@@ -88,6 +88,9 @@
                         writer.write(answer(503, name, "", "X-Not-Run: 1"))
                     case "elsewhere":
                         writer.write(answer(421, name, "", "X-Instance: i-other"))
+                    case "slow error":
+                        await asyncio.sleep(0.6)
+                        writer.write(answer(500, name, "failed"))
                     case "error":
                         writer.write(answer(500, name, "failed"))
                     case "silent":
