--- a/bramblewood/controller/consensus/proposer.py
+++ b/bramblewood/controller/consensus/proposer.py
@@ -80,150 +80,156 @@
             queue[0].batch = queue[:1] if register == VOTER_SET else list(queue)
             self.start_round(now, queue[0], effects)
 
-    def start_round(self, now: float, round: ProposalRound, effects: Effects) -> None:
+    def start_round(self, now: float, proposal_round: ProposalRound, effects: Effects) -> None:
         """Ask all voters for a promise, under a number above every one known here."""
-        register, member = round.register, self.member
+        register, member = proposal_round.register, self.member
         self.highest_counters[register] += 1
         counter = self.highest_counters[register]
         number = ProposalNumber(member.epoch, counter, member.address, member.incarnation)
-        round.begin_prepare(number, now + PHASE_TIMEOUT)
+        proposal_round.begin_prepare(number, now + PHASE_TIMEOUT)
         effects.broadcast(member.voters, Prepare(register, number, self.acceptors[register].accepted))
 
-    def schedule_retry(self, now: float, round: ProposalRound) -> None:
+    def schedule_retry(self, now: float, proposal_round: ProposalRound) -> None:
         """The round failed; again after a wait that grows and differs between controllers."""
-        units = min(round.attempts, MAX_RETRY_BACKOFF_UNITS)
-        round.wait(now + RETRY_BACKOFF * (0.5 + self.jitter()) * units)
+        units = min(proposal_round.attempts, MAX_RETRY_BACKOFF_UNITS)
+        proposal_round.wait(now + RETRY_BACKOFF * (0.5 + self.jitter()) * units)
 
     def restart_rounds(self, now: float) -> None:
         """Another epoch has begun: rounds of the one before are answered no more. They begin anew after a
         short wait, as what they asked for may be chosen.
         """
         for queue in self.rounds.values():
-            for round in queue[:1]:
-                if round.phase is not Phase.WAITING:
-                    round.wait(now + PHASE_TIMEOUT / 2)
+            for proposal_round in queue[:1]:
+                if proposal_round.phase is not Phase.WAITING:
+                    proposal_round.wait(now + PHASE_TIMEOUT / 2)
 
     # --- answers of voters
 
     def current_round(self, register: str, number: ProposalNumber) -> ProposalRound | None:
         """The round of this number, if it is still the one under way."""
-        for round in self.rounds[register][:1]:
-            if round.proposal_number == number and number.epoch == self.member.epoch:
-                return round
+        for proposal_round in self.rounds[register][:1]:
+            if proposal_round.proposal_number == number and number.epoch == self.member.epoch:
+                return proposal_round
         return None
 
     def on_promise(self, now: float, peer: str, promise: Promise, effects: Effects) -> None:
         """A voter has promised to answer no lower proposal."""
         self.learner.record_commitment(peer, promise.register, promise.proposal_number)
-        round = self.current_round(promise.register, promise.proposal_number)
-        if round is None:
+        proposal_round = self.current_round(promise.register, promise.proposal_number)
+        if proposal_round is None:
             return
-        if round.phase is Phase.ACCEPTING and peer not in round.promises:
-            self.on_late_promise(peer, promise, round, effects)
-        elif round.phase is Phase.PREPARING and self.record_promise(peer, promise, round):
-            if len(round.promises) >= self.member.majority:
-                self.on_majority_promised(now, round, effects)
-
-    def on_late_promise(self, peer: str, promise: Promise, round: ProposalRound, effects: Effects) -> None:
+        if proposal_round.phase is Phase.ACCEPTING and peer not in proposal_round.promises:
+            self.on_late_promise(peer, promise, proposal_round, effects)
+        elif proposal_round.phase is Phase.PREPARING and self.record_promise(peer, promise, proposal_round):
+            if len(proposal_round.promises) >= self.member.majority:
+                self.on_majority_promised(now, proposal_round, effects)
+
+    def on_late_promise(
+        self, peer: str, promise: Promise, proposal_round: ProposalRound, effects: Effects
+    ) -> None:
         """A majority had promised before: this voter was asked to accept by a difference that it may not be
         able to use.
         """
-        round.promises[peer] = NumberedValue(promise.accepted, None)
-        if promise.accepted != round.base:
-            effects.send(peer, round.accept_value)
+        proposal_round.promises[peer] = NumberedValue(promise.accepted, None)
+        if promise.accepted != proposal_round.base:
+            effects.send(peer, proposal_round.accept_value)
 
-    def record_promise(self, peer: str, promise: Promise, round: ProposalRound) -> bool:
+    def record_promise(self, peer: str, promise: Promise, proposal_round: ProposalRound) -> bool:
         """False where the promise left out a value that is no longer held here: the next round brings it."""
         if promise.has_value:
-            round.promises[peer] = NumberedValue(promise.accepted, promise.value)
+            proposal_round.promises[peer] = NumberedValue(promise.accepted, promise.value)
             return True
-        acceptor = self.acceptors[round.register]
+        acceptor = self.acceptors[proposal_round.register]
         if promise.accepted != acceptor.accepted:
             return False
-        round.promises[peer] = NumberedValue(promise.accepted, acceptor.value)
+        proposal_round.promises[peer] = NumberedValue(promise.accepted, acceptor.value)
         return True
 
-    def on_majority_promised(self, now: float, round: ProposalRound, effects: Effects) -> None:
+    def on_majority_promised(self, now: float, proposal_round: ProposalRound, effects: Effects) -> None:
         """Make the value from the newest one that the majority holds, and ask to accept it."""
-        base = round.newest_promised()
-        changed, value = self.apply_changes(round, base.value)
+        base = proposal_round.newest_promised()
+        changed, value = self.apply_changes(proposal_round, base.value)
         nothing_there = base.proposal_number == NO_PROPOSAL
-        if not changed and (nothing_there or self.is_already_chosen(base.proposal_number, round)):
-            self.finish_without_write(now, round, base, effects)
+        if not changed and (nothing_there or self.is_already_chosen(base.proposal_number, proposal_round)):
+            self.finish_without_write(now, proposal_round, base, effects)
             return
-        round.begin_accept(base.proposal_number, value, difference(base.value, value), now + PHASE_TIMEOUT)
+        proposal_round.begin_accept(
+            base.proposal_number, value, difference(base.value, value), now + PHASE_TIMEOUT
+        )
         for peer in self.member.voters:
-            promised = round.promises.get(peer)
+            promised = proposal_round.promises.get(peer)
             knows_base = promised is None or promised.proposal_number == base.proposal_number
             by_difference = knows_base and not nothing_there
-            effects.send(peer, round.accept_difference if by_difference else round.accept_value)
+            effects.send(
+                peer, proposal_round.accept_difference if by_difference else proposal_round.accept_value
+            )
 
-    def apply_changes(self, round: ProposalRound, value: Any) -> tuple[bool, Any]:
+    def apply_changes(self, proposal_round: ProposalRound, value: Any) -> tuple[bool, Any]:
         """Make the changes that this round carries, one on the other.
 
         Returns whether any of them made another value, and the value after all of them.
         """
         changed = False
-        for one in round.batch:
+        for one in proposal_round.batch:
             following, one.outcome = one.change(value)
             if following is not None:
                 changed, value = True, following
         return changed, value
 
-    def is_already_chosen(self, number: ProposalNumber, round: ProposalRound) -> bool:
+    def is_already_chosen(self, number: ProposalNumber, proposal_round: ProposalRound) -> bool:
         """Whether a majority has accepted this very proposal. One that was only carried into the epoch proves
         nothing, as those who carried it may not be those who accepted it.
         """
         return number.epoch == self.member.epoch and all(
-            promise.proposal_number == number for promise in round.promises.values()
+            promise.proposal_number == number for promise in proposal_round.promises.values()
         )
 
     def finish_without_write(
-        self, now: float, round: ProposalRound, base: NumberedValue, effects: Effects
+        self, now: float, proposal_round: ProposalRound, base: NumberedValue, effects: Effects
     ) -> None:
         """What stands is chosen already, and no change makes another value of it."""
         if base.proposal_number != NO_PROPOSAL:
-            self.learner.learn(now, round.register, base.proposal_number, base.value, effects)
+            self.learner.learn(now, proposal_round.register, base.proposal_number, base.value, effects)
         others = [peer for peer in self.member.voters if peer != self.member.address]
-        effects.broadcast(others, RoundDone(round.register, round.proposal_number))
-        self.finish_round(now, round, effects)
+        effects.broadcast(others, RoundDone(proposal_round.register, proposal_round.proposal_number))
+        self.finish_round(now, proposal_round, effects)
 
     def on_acceptance(
         self, now: float, peer: str, register: str, number: ProposalNumber, effects: Effects
     ) -> None:
         """A voter has accepted what the round of this number proposed."""
-        round = self.current_round(register, number)
-        if round is not None and round.phase is Phase.ACCEPTING:
-            round.accepted_by.add(peer)
-            if len(round.accepted_by) >= self.member.majority:
-                self.finish_round(now, round, effects)
+        proposal_round = self.current_round(register, number)
+        if proposal_round is not None and proposal_round.phase is Phase.ACCEPTING:
+            proposal_round.accepted_by.add(peer)
+            if len(proposal_round.accepted_by) >= self.member.majority:
+                self.finish_round(now, proposal_round, effects)
 
     def on_rejection(self, now: float, peer: str, rejected: Rejected) -> None:
         """A voter has promised a higher proposal: the round is lost."""
         self.observe_counter(rejected.register, rejected.promised)
         if self.member.is_member:  # others don't hear what is chosen
             self.backoff.observe(now, rejected.register, rejected.promised)
-        round = self.current_round(rejected.register, rejected.proposal_number)
-        if round is not None and round.phase is not Phase.WAITING:
-            self.last_rejection = Rejection(peer, round.proposal_number, rejected.promised)
-            self.schedule_retry(now, round)
+        proposal_round = self.current_round(rejected.register, rejected.proposal_number)
+        if proposal_round is not None and proposal_round.phase is not Phase.WAITING:
+            self.last_rejection = Rejection(peer, proposal_round.proposal_number, rejected.promised)
+            self.schedule_retry(now, proposal_round)
 
-    def finish_round(self, now: float, round: ProposalRound, effects: Effects) -> None:
+    def finish_round(self, now: float, proposal_round: ProposalRound, effects: Effects) -> None:
         """Answer the changes that this round carried, and start the next one."""
-        queue = self.rounds[round.register]
-        for one in round.batch:
+        queue = self.rounds[proposal_round.register]
+        for one in proposal_round.batch:
             if one in queue:
                 queue.remove(one)
                 effects.answer(one.tag, one.outcome)
-        self.start_next_round(now, round.register, effects)
+        self.start_next_round(now, proposal_round.register, effects)
 
     # --- time
 
     def tick(self, now: float, register: str, effects: Effects) -> None:
         """Time has passed: retry a round whose phase took too long, complete what others left."""
-        for round in self.rounds[register][:1]:
-            if round.phase is not Phase.WAITING and now >= round.phase_deadline:
-                self.schedule_retry(now, round)
+        for proposal_round in self.rounds[register][:1]:
+            if proposal_round.phase is not Phase.WAITING and now >= proposal_round.phase_deadline:
+                self.schedule_retry(now, proposal_round)
         self.start_next_round(now, register, effects)
         self.complete_unfinished(now, register, effects)
 
--- a/features/steps/configuration_changes.py
+++ b/features/steps/configuration_changes.py
@@ -72,8 +72,8 @@
 @then("orders are answered in turn")
 def in_turn(context):
     for row in context.table:
-        wanted = configuration(int(row["number"]), int(row["parent"]), row["content"])
-        following, (status, _) = apply_configuration(wanted, context.value)
+        requested = configuration(int(row["number"]), int(row["parent"]), row["content"])
+        following, (status, _) = apply_configuration(requested, context.value)
         assert status == int(row["answer"]), (row, status)
         context.value = following or context.value
 
@@ -88,8 +88,8 @@
 )
 def bounded(context, count, some):
     for number in range(count):
-        wanted = configuration(101 + number, 100 + number, f"early{number}")
-        following, (status, _) = apply_configuration(wanted, context.value)
+        requested = configuration(101 + number, 100 + number, f"early{number}")
+        following, (status, _) = apply_configuration(requested, context.value)
         assert status == (412 if number < some else 503), (number, status)
         context.value = following or context.value
 
@@ -132,7 +132,7 @@
 @given("controllers that know that r2 followed r1")
 def two_versions(context):
     play = context.play = start_play(1, Site(3))
-    context.first, context.second = play.orders[0].wanted, configuration(2, 1, "second")
+    context.first, context.second = play.orders[0].requested, configuration(2, 1, "second")
     order = play.order(context.second, play.names[1])
     play.run(play.now + 5.0, lambda: order.status)
     play.run(play.now + 1.0)
@@ -143,9 +143,9 @@
     context.play.not_receiving = context.play.not_sending = {context.play.names[0]}
 
 
-def status(play: Play, wanted):
+def status(play: Play, requested):
     """What the archive that is cut off answers to one call; 503 = nothing clear."""
-    order = play.order(wanted, play.names[0])
+    order = play.order(requested, play.names[0])
     play.run(play.now + 3.0, lambda: order.status or order.statuses)
     order.call += 1  # it is not sent again
     return order.status or order.statuses[0]
@@ -153,7 +153,7 @@
 
 @then("it acknowledges r1 and r2 again")
 def known_again(context):
-    assert [status(context.play, wanted) for wanted in (context.first, context.second)] == [200, 200]
+    assert [status(context.play, requested) for requested in (context.first, context.second)] == [200, 200]
 
 
 @then("it refuses another order on r1")
@@ -183,7 +183,7 @@
 
 def at_one(seed, made=ConsensusReplica):
     """The worst time of eight at one archive over that of one."""
-    alone = start_play(seed, Site(3, **FAR)).orders[0].took
+    alone = start_play(seed, Site(3, **FAR)).orders[0].duration
     return max(concurrent_orders(seed, Site(3, **FAR), spread=False, make_replica=builder(made))) / alone
 
 
--- a/tests/simulation/catch_up.py
+++ b/tests/simulation/catch_up.py
@@ -64,7 +64,7 @@
 
     def change(self, register, make) -> None:
         answers = []
-        step = lambda stands: (make(stands), answers.append(True))  # noqa: E731
+        step = lambda current: (make(current), answers.append(True))  # noqa: E731
         self.apply("a", self.replicas["a"].propose(self.now, register, step, "change", 2.0))
         self.deliver_all()
         assert answers, "no majority took the change"
@@ -77,10 +77,10 @@
             if self.in_flight:
                 self.deliver(0)
 
-    def dispatch(self, name: str, out) -> None:
-        super().dispatch(name, out)
+    def dispatch(self, name: str, effects) -> None:
+        super().dispatch(name, effects)
         compressor = self.compressors.get(name)
-        for peer, message in out.sends:
+        for peer, message in effects.sends:
             if peer == "c" and compressor is not None:
                 text = json.dumps(message, separators=(",", ":")).encode()
                 self.bytes += len(compressor.compress(text)) + len(compressor.flush(zlib.Z_SYNC_FLUSH))
--- a/tests/simulation/configuration_change_guards.py
+++ b/tests/simulation/configuration_change_guards.py
@@ -43,11 +43,13 @@
 
     class proposer_class(Proposer):
         def on_promise(self, now: float, peer: str, promise: Promise, effects: Effects) -> None:
-            round = self.current_round(promise.register, promise.proposal_number)
-            if round and round.promises and promise.has_value:
+            proposal_round = self.current_round(promise.register, promise.proposal_number)
+            if proposal_round and proposal_round.promises and promise.has_value:
                 promised = NumberedValue(promise.accepted, promise.value)
-                newest = max([*round.promises.values(), promised], key=lambda one: one.proposal_number)
-                round.promises = dict.fromkeys(round.promises, newest)
+                newest = max(
+                    [*proposal_round.promises.values(), promised], key=lambda one: one.proposal_number
+                )
+                proposal_round.promises = dict.fromkeys(proposal_round.promises, newest)
                 promise = promise._replace(accepted=newest.proposal_number, value=newest.value)
             super().on_promise(now, peer, promise, effects)
 
@@ -65,8 +67,8 @@
 
     class proposer_class(Proposer):
         def on_promise(self, now: float, peer: str, promise: Promise, effects: Effects) -> None:
-            if round := self.current_round(promise.register, promise.proposal_number):
-                round.batch = list(self.rounds[round.register])
+            if proposal_round := self.current_round(promise.register, promise.proposal_number):
+                proposal_round.batch = list(self.rounds[proposal_round.register])
             super().on_promise(now, peer, promise, effects)
 
 
@@ -74,38 +76,38 @@
     """One change in a round."""
 
     class proposer_class(Proposer):
-        def start_round(self, now: float, round: ProposalRound, effects: Effects) -> None:
-            round.batch = round.batch[:1]
-            super().start_round(now, round, effects)
+        def start_round(self, now: float, proposal_round: ProposalRound, effects: Effects) -> None:
+            proposal_round.batch = proposal_round.batch[:1]
+            super().start_round(now, proposal_round, effects)
 
 
 short_memory = partial(apply_configuration, kept=6)  # storms forget what hundreds of changes would
 
 
-def refuses_what_was_forgotten(wanted: Configuration, stands: dict | None) -> tuple:
+def refuses_what_was_forgotten(requested: Configuration, current: dict | None) -> tuple:
     """Refuses what it no longer knows."""
-    return short_memory(wanted, {**stands, "forgotten": 0} if stands else None)
+    return short_memory(requested, {**current, "forgotten": 0} if current else None)
 
 
-def no_repeats(wanted: Configuration, stands: dict | None) -> tuple:
+def no_repeats(requested: Configuration, current: dict | None) -> tuple:
     """Does not know an order again."""
-    known = stands and wanted.digest in stands["past"].values()
-    return (None, (412, "")) if known else short_memory(wanted, stands)
+    known = current and requested.digest in current["past"].values()
+    return (None, (412, "")) if known else short_memory(requested, current)
 
 
-def repeats_by_number(wanted: Configuration, stands: dict | None) -> tuple:
+def repeats_by_number(requested: Configuration, current: dict | None) -> tuple:
     """Knows an order by its number alone."""
-    known = stands and str(wanted.number) in stands["past"]
-    return (None, (200, "")) if known else short_memory(wanted, stands)
+    known = current and str(requested.number) in current["past"]
+    return (None, (200, "")) if known else short_memory(requested, current)
 
 
-def refusals_unrecorded(wanted: Configuration, stands: dict | None) -> tuple:
+def refusals_unrecorded(requested: Configuration, current: dict | None) -> tuple:
     """Refuses an order whose parent may still come without writing that down."""
-    following, told = short_memory(wanted, stands)
+    following, told = short_memory(requested, current)
     return (following if told[0] == 200 else None), told
 
 
-def parent_ignored(wanted: Configuration, stands: dict | None) -> tuple:
+def parent_ignored(requested: Configuration, current: dict | None) -> tuple:
     """Does not look at the parent."""
-    fresh = stands and wanted.number > stands["n"]
-    return short_memory(wanted._replace(parent=stands["n"]) if fresh else wanted, stands)
+    fresh = current and requested.number > current["n"]
+    return short_memory(requested._replace(parent=current["n"]) if fresh else requested, current)
--- a/tests/simulation/configuration_changes.py
+++ b/tests/simulation/configuration_changes.py
@@ -60,12 +60,12 @@
 
 @dataclass
 class Order:
-    wanted: Configuration
+    requested: Configuration
     first_at: float
-    moves: int = 0
+    calls_made: int = 0
     call: int = 0  # the newest call under way
     status: int = 0  # the clear answer, once there is one
-    took: float = 0.0
+    duration: float = 0.0
     last: str = ""  # the controller that it was sent to last
     statuses: list[int] = field(default_factory=list)  # all statuses heard
 
@@ -93,10 +93,10 @@
             set(self.voters[-1:] * site.not_sending),
         )
         self.disks: dict[str, dict] = {name: {} for name in self.names}
-        self.writing: dict[str, float] = dict.fromkeys(self.names, 0.0)
-        self.arrived: dict[tuple[str, str], float] = {}
+        self.write_done_at: dict[str, float] = dict.fromkeys(self.names, 0.0)
+        self.last_arrival: dict[tuple[str, str], float] = {}
         self.machines: dict[str, ConsensusReplica] = {}
-        self.known: dict[str, Any] = {}
+        self.checked_values: dict[str, Any] = {}
         self.chosen: dict[int, str] = {}  # number: digest, of all that any machine has learned
         self.acknowledged: dict[str, Configuration] = {}  # by digest: answered 200
         self.rejected: dict[str, Configuration] = {}  # by digest: answered 4xx, for good
@@ -109,15 +109,15 @@
 
     # --- time
 
-    def call_later(self, delay: float, call: Callable, *told: Any) -> None:
+    def call_later(self, delay: float, call: Callable, *arguments: Any) -> None:
         self.count += 1
-        heapq.heappush(self.events, (self.now + delay, self.count, call, told))
+        heapq.heappush(self.events, (self.now + delay, self.count, call, arguments))
 
-    def run(self, until: float, enough: Callable[[], bool] = lambda: False) -> None:
-        while self.events and self.events[0][0] <= until and not enough():
-            self.now, _, call, told = heapq.heappop(self.events)
-            call(*told)
-        if not enough():
+    def run(self, until: float, is_done: Callable[[], bool] = lambda: False) -> None:
+        while self.events and self.events[0][0] <= until and not is_done():
+            self.now, _, call, arguments = heapq.heappop(self.events)
+            call(*arguments)
+        if not is_done():
             self.now = max(self.now, until)
 
     # --- machines
@@ -127,7 +127,7 @@
         machine = self.machines[name] = self.make_replica(
             name, self.voters, self.incarnations, dict(self.disks[name])
         )
-        self.known.pop(name, None)
+        self.checked_values.pop(name, None)
         self.call_later(TICK_INTERVAL * self.rng.random(), self.tick, name, machine)
 
     def stop(self, name: str) -> None:
@@ -151,24 +151,24 @@
             self.apply(name, machine, machine.tick(self.now))
             self.call_later(TICK_INTERVAL, self.tick, name, machine)
 
-    def apply(self, name: str, machine: ConsensusReplica, out: Effects) -> None:
-        if not out.writes and not out.facts:
-            return self.dispatch(name, machine, out)
-        self.writing[name] = max(self.writing[name], self.now) + self.rng.uniform(*SYNC_DURATION)
-        self.call_later(self.writing[name] - self.now, self.written, name, machine, out)
+    def apply(self, name: str, machine: ConsensusReplica, effects: Effects) -> None:
+        if not effects.writes and not effects.facts:
+            return self.dispatch(name, machine, effects)
+        self.write_done_at[name] = max(self.write_done_at[name], self.now) + self.rng.uniform(*SYNC_DURATION)
+        self.call_later(self.write_done_at[name] - self.now, self.written, name, machine, effects)
 
-    def written(self, name: str, machine: ConsensusReplica, out: Effects) -> None:
+    def written(self, name: str, machine: ConsensusReplica, effects: Effects) -> None:
         if self.machines.get(name) is not machine:
             return  # it stopped before: the write never came to be
-        for register, promised, accepted, value in out.writes:
+        for register, promised, accepted, value in effects.writes:
             self.disks[name][register] = (promised, accepted, value)
             machine.mark_durable(register, accepted)
-        self.dispatch(name, machine, out)
+        self.dispatch(name, machine, effects)
 
-    def dispatch(self, name: str, machine: ConsensusReplica, out: Effects) -> None:
-        for peer, message in out.sends:
+    def dispatch(self, name: str, machine: ConsensusReplica, effects: Effects) -> None:
+        for peer, message in effects.sends:
             self.send(name, peer, message)
-        for tag, outcome in out.answers:
+        for tag, outcome in effects.answers:
             if callable(tag):
                 tag(outcome)
         self.check_invariants(name, machine)
@@ -180,7 +180,9 @@
         if name in self.not_sending or peer in self.not_receiving or rng.random() < site.lost:
             return
         at = self.now + self.delay[min(name, peer), max(name, peer)] * (1 + 0.2 * rng.random())
-        at = self.arrived[name, peer] = max(at, self.arrived.get((name, peer), 0.0))  # links keep their order
+        at = self.last_arrival[name, peer] = max(
+            at, self.last_arrival.get((name, peer), 0.0)
+        )  # links keep their order
         self.call_later(at - self.now, self.deliver, name, peer, message)
         if rng.random() < site.doubled:
             self.call_later(at - self.now + rng.random(), self.deliver, name, peer, message)
@@ -193,15 +195,15 @@
 
     # --- operators
 
-    def order(self, wanted: Configuration, first: str = "") -> Order:
+    def order(self, requested: Configuration, first: str = "") -> Order:
         """Send an order until there is a clear answer."""
-        order = Order(wanted, self.now)
+        order = Order(requested, self.now)
         self.orders.append(order)
         self.move(order, first or self.rng.choice(self.names))
         return order
 
     def move(self, order: Order, name: str) -> None:
-        order.moves, order.call, order.last = order.moves + 1, order.call + 1, name
+        order.calls_made, order.call, order.last = order.calls_made + 1, order.call + 1, name
         self.call_later(self.operator_delay(), self.deliver_order, order, order.call, name)
         self.call_later(CALLER_TIMEOUT, self.retry, order, order.call)
 
@@ -215,16 +217,16 @@
                 self.operator_delay(), self.on_status, order, call, 503
             )  # a dead port resets
 
-        def told(outcome: tuple[int, str] | None) -> None:
+        def on_outcome(outcome: tuple[int, str] | None) -> None:
             status = outcome[0] if outcome else 503
-            self.answered(order.wanted, status)
+            self.answered(order.requested, status)
             if self.rng.random() >= self.site.answers_lost:
                 self.call_later(self.operator_delay(), self.on_status, order, call, status)
 
-        if known := settled_answer(order.wanted, machine.value(CONFIG), self.decide):
-            return told(known)
-        change = lambda stands: self.decide(order.wanted, stands)  # noqa: E731
-        self.apply(name, machine, machine.propose(self.now, CONFIG, change, told, CALL_TIMEOUT))
+        if known := settled_answer(order.requested, machine.value(CONFIG), self.decide):
+            return on_outcome(known)
+        change = lambda current: self.decide(order.requested, current)  # noqa: E731
+        self.apply(name, machine, machine.propose(self.now, CONFIG, change, on_outcome, CALL_TIMEOUT))
 
     def on_status(self, order: Order, call: int, status: int) -> None:
         if order.status or call != order.call:
@@ -232,14 +234,14 @@
         order.statuses.append(status)
         if status == 503:
             return self.retry(order, call)
-        order.status, order.took = status, self.now - order.first_at
+        order.status, order.duration = status, self.now - order.first_at
 
     def retry(self, order: Order, call: int) -> None:
         """Nothing clear: to another controller after a pause."""
         if order.status or call != order.call:
             return
         order.call += 1
-        pause = RETRY_PAUSES[min(order.moves - 1, len(RETRY_PAUSES) - 1)]
+        pause = RETRY_PAUSES[min(order.calls_made - 1, len(RETRY_PAUSES) - 1)]
         others = [name for name in self.names if name != order.last]
         self.call_later(pause * self.rng.uniform(0.5, 1.0), self.move, order, self.rng.choice(others))
 
@@ -248,7 +250,7 @@
         found, least = [], max((e.number for e in self.acknowledged.values()), default=0)
         machine = self.machines.get(name)
 
-        def told(outcome: list | None) -> None:
+        def on_outcome(outcome: list | None) -> None:
             if outcome is None:
                 return
             number = outcome[0]["n"] if outcome[0] else 0
@@ -257,25 +259,25 @@
                 raise RuleViolation(f"r{least} was acknowledged, and r{number} was read back after")
 
         if machine:
-            change = lambda stands: (None, [stands])  # noqa: E731
-            self.apply(name, machine, machine.propose(self.now, CONFIG, change, told, CALL_TIMEOUT))
+            change = lambda current: (None, [current])  # noqa: E731
+            self.apply(name, machine, machine.propose(self.now, CONFIG, change, on_outcome, CALL_TIMEOUT))
         return found
 
     # --- judges
 
-    def answered(self, wanted: Configuration, status: int) -> None:
-        digest = wanted.digest
+    def answered(self, requested: Configuration, status: int) -> None:
+        digest = requested.digest
         if status == 200:
-            self.acknowledged[digest] = wanted
-            if self.on_parent.setdefault(wanted.parent, digest) != digest:
+            self.acknowledged[digest] = requested
+            if self.on_parent.setdefault(requested.parent, digest) != digest:
                 raise RuleViolation(
-                    f"{digest} and {self.on_parent[wanted.parent]} acknowledged on r{wanted.parent}"
+                    f"{digest} and {self.on_parent[requested.parent]} acknowledged on r{requested.parent}"
                 )
-            self.check_in_force(wanted.number, digest)
+            self.check_in_force(requested.number, digest)
         elif status != 503:
-            self.rejected[digest] = wanted
+            self.rejected[digest] = requested
         if digest in self.rejected and (
-            digest in self.acknowledged or self.chosen.get(wanted.number) == digest
+            digest in self.acknowledged or self.chosen.get(requested.number) == digest
         ):
             raise RuleViolation(f"{digest} was refused, and was taken")
 
@@ -288,15 +290,17 @@
     def check_invariants(self, name: str, machine: ConsensusReplica) -> None:
         """What a machine has learned, against what was answered."""
         value = machine.value(CONFIG)
-        if value is None or self.known.get(name) is value:
+        if value is None or self.checked_values.get(name) is value:
             return
-        self.known[name], past = value, value["past"]
+        self.checked_values[name], past = value, value["past"]
         for number, digest in past.items():
             self.check_in_force(int(number), digest)
-        for digest, wanted in self.acknowledged.items():
-            if value.get("forgotten", 0) < wanted.number <= value["n"]:
-                if past.get(str(wanted.number)) != digest:
-                    raise RuleViolation(f"{digest} was acknowledged as r{wanted.number}, and is not in force")
+        for digest, requested in self.acknowledged.items():
+            if value.get("forgotten", 0) < requested.number <= value["n"]:
+                if past.get(str(requested.number)) != digest:
+                    raise RuleViolation(
+                        f"{digest} was acknowledged as r{requested.number}, and is not in force"
+                    )
 
     def newest_version(self) -> int:
         return max(self.chosen, default=0)
@@ -313,8 +317,8 @@
         self.run(self.now + span)
         value = max((m.value(CONFIG) for m in self.machines.values()), key=lambda v: v["n"] if v else 0)
         for order in self.orders:
-            if not order.status and order.wanted.number > value.get("forgotten", 0):
-                raise RuleViolation(f"{order.wanted.digest} has no clear answer: {order.statuses}")
+            if not order.status and order.requested.number > value.get("forgotten", 0):
+                raise RuleViolation(f"{order.requested.digest} has no clear answer: {order.statuses}")
         for name in self.names:
             found = self.read(name)
             self.run(self.now + 5.0, lambda found=found: found)
@@ -345,13 +349,13 @@
     rng = play.rng
     for turn in range(10):
         newest = play.newest_version()
-        early = [order.wanted for order in play.orders if order.wanted.parent == newest]
-        for wanted in early[:1]:  # its parent was not there yet; now it is
-            play.order(wanted)
+        early = [order.requested for order in play.orders if order.requested.parent == newest]
+        for requested in early[:1]:  # its parent was not there yet; now it is
+            play.order(requested)
         for k in range(1 + rng.randrange(MAX_CONCURRENT_ORDERS - 1)):
             kind, digest = rng.random(), f"{turn}.{k}"
             if kind < 0.25:
-                play.order(rng.choice(play.orders).wanted)
+                play.order(rng.choice(play.orders).requested)
             elif kind < 0.35:
                 play.order(configuration(newest + 1 + rng.randrange(2), rng.randrange(newest), digest))
             elif kind < 0.45:
@@ -373,7 +377,7 @@
     for number in range(2, changes + 2):
         order = play.order(configuration(number, number - 1, f"m{number}"))
         if sum(not one.status for one in play.orders) < MAX_CONCURRENT_ORDERS:
-            play.order(play.rng.choice(play.orders).wanted)
+            play.order(play.rng.choice(play.orders).requested)
         play.run(play.now + 20.0, lambda: order.status)  # noqa: B023
     play.check_when_recovered()
     return play
@@ -411,4 +415,4 @@
         play.run(play.now + 60.0, lambda: all(order.status for order in orders))  # noqa: B023
         if sorted(order.status for order in orders) != [200, *[412] * (MAX_CONCURRENT_ORDERS - 1)]:
             raise RuleViolation(f"of eight on r{newest}: {[order.status for order in orders]}")
-    return [order.took for order in play.orders[1:]]
+    return [order.duration for order in play.orders[1:]]
--- a/tests/simulation/consensus.py
+++ b/tests/simulation/consensus.py
@@ -141,9 +141,9 @@
         if peer in self.replicas:
             self.apply(peer, self.replicas[peer].receive(self.now, sender, message))
 
-    def put(self, name: str, wanted: Configuration) -> None:
-        change = lambda stands: apply_configuration(wanted, stands)  # noqa: E731
-        self.apply(name, self.replicas[name].propose(self.now, CONFIG, change, wanted, 2.0))
+    def put(self, name: str, requested: Configuration) -> None:
+        change = lambda current: apply_configuration(requested, current)  # noqa: E731
+        self.apply(name, self.replicas[name].propose(self.now, CONFIG, change, requested, 2.0))
 
     def tick(self, after: float) -> None:
         self.now += after
@@ -206,7 +206,7 @@
                 self.start(name)
         found: list = []
         self.run_without_faults()
-        read = lambda stands: (None, found.append(stands))  # noqa: E731
+        read = lambda current: (None, found.append(current))  # noqa: E731
         self.apply("b", self.replicas["b"].propose(self.now, CONFIG, read, "read", 5.0))
         for _ in range(200):
             while self.in_flight:
@@ -235,13 +235,12 @@
         value = self.read_when_recovered()
         self.check_invariants()
         past = value["past"] if value else {}
-        for digest, wanted in self.acknowledged.items():
-            if past.get(str(wanted.number)) != digest:
-                raise RuleViolation(
-                    f"{digest} was acknowledged as r{wanted.number}, which is {past.get(str(wanted.number))}"
-                )
-        for digest, wanted in self.rejected.items():
-            if past.get(str(wanted.number)) == digest:
+        for digest, requested in self.acknowledged.items():
+            if past.get(str(requested.number)) != digest:
+                found = past.get(str(requested.number))
+                raise RuleViolation(f"{digest} was acknowledged as r{requested.number}, which is {found}")
+        for digest, requested in self.rejected.items():
+            if past.get(str(requested.number)) == digest:
                 raise RuleViolation(f"{digest} was refused, and is in force")
 
 
@@ -296,9 +295,9 @@
         nonlocal number
         for digest in ("left", "right"):
             number += 1 + rng.randrange(2)
-            wanted = configuration(number, parent, f"{digest}{number}")
+            requested = configuration(number, parent, f"{digest}{number}")
             for _ in range(1 + rng.randrange(2)):  # an unclear call is repeated unchanged, to any
-                cluster.put(rng.choice(list(cluster.replicas)), wanted)
+                cluster.put(rng.choice(list(cluster.replicas)), requested)
                 cluster.run(rng.randrange(25), 0.1, 0.05)
 
     for _ in range(5):
--- a/tests/simulation/membership_epoch_cases.py
+++ b/tests/simulation/membership_epoch_cases.py
@@ -31,24 +31,24 @@
         cluster = ScriptedCluster(voters, spares)
         cluster.replicas[proposer].proposer.highest_counters[CONFIG] = 100
         cluster.put(proposer, "late")
-        cluster.hear(proposer)
-        cluster.hear(proposer + "a", rounds=2)
-        held, cluster.in_flight = list(cluster.in_flight), []
+        cluster.deliver(proposer)
+        cluster.deliver(proposer + "a", rounds=2)
+        held_back, cluster.in_flight = list(cluster.in_flight), []
         if older:  # its disk is as it was before, and its machine hears the proposer's heartbeat
-            cluster.replicas["a"] = ConsensusReplica("a", "a0", 50, {}, cluster.members, 1)
+            cluster.replicas["a"] = ConsensusReplica("a", "a0", 50, {}, cluster.voter_set, 1)
             bound = {CONFIG: cluster.replicas[proposer].peer_commitments[CONFIG]["a"]}
             cluster.apply("a", cluster.replicas["a"].check_disk_rollback(1, bound, "a50"))
         else:
             cluster.lose_disk("a")
-        cluster.hear(learns + "a")
+        cluster.deliver(learns + "a")
         if not cluster.replicas["a"].is_active_voter:  # it must not, as itself
-            cluster.change("b", learns, {**cluster.members["voters"], "a": cluster.replicas["a"].disk})
-            cluster.hear(learns + "a")
+            cluster.change("b", learns, {**cluster.voter_set["voters"], "a": cluster.replicas["a"].disk})
+            cluster.deliver(learns + "a")
         cluster.in_flight.clear()
         cluster.put("b", "first")
-        cluster.hear(second)
-        cluster.in_flight = [one for one in held if one[1] == other]
-        cluster.hear(voters + spares)
+        cluster.deliver(second)
+        cluster.in_flight = [one for one in held_back if one[1] == other]
+        cluster.deliver(voters + spares)
         cluster.check_invariants()
         if not any(outcome == (200, "first") for _, outcome in cluster.answers):
             raise AssertionError("the second order was not chosen: the play proves nothing")
@@ -60,21 +60,21 @@
     """An acceptance by a disk that was lost since counts no more than the epoch it was given in."""
     cluster = ScriptedCluster("abc", "d")
     cluster.put("d", "late")
-    cluster.hear("ad", "prepare promise")
-    cluster.hear("bd", "prepare promise")
-    cluster.hear("ad", "accept", rounds=1)
-    held, cluster.in_flight = (
+    cluster.deliver("ad", "prepare promise")
+    cluster.deliver("bd", "prepare promise")
+    cluster.deliver("ad", "accept", rounds=1)
+    held_back, cluster.in_flight = (
         list(cluster.in_flight),
         [],
     )  # a has accepted, and tells so; b's accept too
     cluster.lose_disk("a")
-    cluster.change("b", "bc", {**cluster.members["voters"], "a": cluster.replicas["a"].disk})
-    cluster.hear("abc")
+    cluster.change("b", "bc", {**cluster.voter_set["voters"], "a": cluster.replicas["a"].disk})
+    cluster.deliver("abc")
     cluster.put("c", "first")
-    cluster.hear("abc")
+    cluster.deliver("abc")
     cluster.check_invariants()
-    cluster.in_flight = held
-    cluster.hear("abcd")
+    cluster.in_flight = held_back
+    cluster.deliver("abcd")
     cluster.check_invariants()
 
 
@@ -82,23 +82,23 @@
     """The round that ends what a proposer left behind, amid a lost disk."""
     cluster = ScriptedCluster("abc")
     cluster.put("a", "left")
-    cluster.hear("ab", "prepare promise")
-    cluster.hear("a", "accept accepted")
+    cluster.deliver("ab", "prepare promise")
+    cluster.deliver("a", "accept accepted")
     cluster.in_flight = [one for one in cluster.in_flight if one[0] == one[1]]
     b = cluster.replicas["b"]
     cluster.apply("b", b.receive(0.0, "a", {"k": "accepted", "r": CONFIG, "b": (1, 1, "a", 1), "disk": "a0"}))
     cluster.apply("b", b.tick(0.1))
     cluster.apply("b", b.tick(5.0))  # it settles
-    cluster.hear("b")
-    cluster.hear("ab", "prepare promise")
-    held, cluster.in_flight = list(cluster.in_flight), []
+    cluster.deliver("b")
+    cluster.deliver("ab", "prepare promise")
+    held_back, cluster.in_flight = list(cluster.in_flight), []
     cluster.lose_disk("a")
-    cluster.change("c", "bc", {**cluster.members["voters"], "a": cluster.replicas["a"].disk})
-    cluster.hear("abc")
+    cluster.change("c", "bc", {**cluster.voter_set["voters"], "a": cluster.replicas["a"].disk})
+    cluster.deliver("abc")
     cluster.put("c", "other")
-    cluster.hear("abc")
-    cluster.in_flight += held
-    cluster.hear("abc")
+    cluster.deliver("abc")
+    cluster.in_flight += held_back
+    cluster.deliver("abc")
     cluster.check_invariants()
 
 
@@ -111,18 +111,18 @@
     sets = ({"a": "a0", "b": "b0", "c": "c0"}, {"a": "a9", "b": "b0", "d": "d0"})
     c = cluster.replicas["c"]
     cluster.apply("c", c.propose(0.0, VOTER_SET, next_voter_set(seeds, sets[0]), "first", 99.0))
-    cluster.hear("ac", "prepare promise", rounds=1)
-    held = list(cluster.in_flight)
+    cluster.deliver("ac", "prepare promise", rounds=1)
+    held_back = list(cluster.in_flight)
     cluster.in_flight = []
     cluster.replicas["a"] = ConsensusReplica("a", "a9", 9)  # not its first boot any more
     cluster.notify("a", seeds)
     b = cluster.replicas["b"]
     cluster.apply("b", b.propose(0.0, VOTER_SET, next_voter_set(seeds, sets[1]), "second", 99.0))
-    cluster.hear("ab")
+    cluster.deliver("ab")
     if cluster.replicas["a"].is_active_voter or any(tag == "second" for tag, _ in cluster.answers):
         raise RuleViolation("a seed whose disk was lost votes in the epoch of the seeds")
-    cluster.in_flight += held
-    cluster.hear("abcd")
+    cluster.in_flight += held_back
+    cluster.deliver("abcd")
     found = {str(m.voter_set) for m in cluster.replicas.values() if m.epoch == 1 and m.address != "d"}
     if len(found) > 1:
         raise RuleViolation(f"two sets of epoch 1: {found}")
@@ -132,17 +132,17 @@
     """A promise that a voter gave before its seal does not help to choose anything after it."""
     cluster = ScriptedCluster("abc", "d")
     cluster.put("c", "old")
-    cluster.hear("c")
-    cluster.hear("bc", "prepare", rounds=1)
-    held, cluster.in_flight = [one for one in cluster.in_flight if one[2]["k"] == "promise"], []
+    cluster.deliver("c")
+    cluster.deliver("bc", "prepare", rounds=1)
+    held_back, cluster.in_flight = [one for one in cluster.in_flight if one[2]["k"] == "promise"], []
     cluster.change("a", "ab", {"a": "a0", "b": "b0", "d": "d0"})
     cluster.notify("d", cluster.replicas["a"].voter_set)
-    cluster.hear("abd")
+    cluster.deliver("abd")
     cluster.put("a", "new")
-    cluster.hear("ad")
+    cluster.deliver("ad")
     cluster.check_invariants()
-    cluster.in_flight = held
-    cluster.hear("abcd")
+    cluster.in_flight = held_back
+    cluster.deliver("abcd")
     cluster.check_invariants()
 
 
@@ -151,13 +151,13 @@
     for way in ("active", "sealed"):
         cluster = ScriptedCluster("abc", "d")
         cluster.put("b", "x")
-        cluster.hear("bc")
+        cluster.deliver("bc")
         cluster.change("a", "ab", {"a": "a0", "b": "b0", "d": "d0"})
         if not cluster.replicas["a"].is_active_voter:
             raise RuleViolation("a majority of seals makes no voter active")
         d = cluster.replicas["d"]
         cluster.notify("d", cluster.replicas["a"].voter_set)
-        cluster.hear("ad" if way == "active" else "bcd")
+        cluster.deliver("ad" if way == "active" else "bcd")
         if not d.is_active_voter or d.acceptors[CONFIG].value != "x":
             raise RuleViolation(f"{way}: d holds {d.acceptors[CONFIG].value}")
 
@@ -166,16 +166,16 @@
     """A voter that heard another's seal asks it again: it may be active by now, and all that is left."""
     cluster = ScriptedCluster("abc", "d")
     cluster.change("a", "a", {"a": "a0", "b": "b0", "d": "d0"})
-    cluster.hear("ab", "prepare promise accept accepted")
-    members = cluster.replicas["a"].voter_set
+    cluster.deliver("ab", "prepare promise accept accepted")
+    voter_set = cluster.replicas["a"].voter_set
     d = cluster.replicas["d"]
-    cluster.notify("d", members)
-    cluster.hear("ad", "join state")  # a is sealed, and not active yet
-    cluster.hear("ab")
+    cluster.notify("d", voter_set)
+    cluster.deliver("ad", "join state")  # a is sealed, and not active yet
+    cluster.deliver("ab")
     cluster.in_flight.clear()
     for _ in range(3):
         cluster.apply("d", d.tick(9.0))
-        cluster.hear("ad")
+        cluster.deliver("ad")
     if not cluster.replicas["a"].is_active_voter or not d.is_active_voter:
         raise RuleViolation(f"d never hears that a is active: {d.epochs.join and [*d.epochs.join.reports]}")
 
@@ -186,7 +186,7 @@
     """
     cluster = ScriptedCluster("abc", "de")
     cluster.put("a", "x")
-    cluster.hear("abc")
+    cluster.deliver("abc")
     c = cluster.replicas["c"]
     for voters in ("abd", "ade", "bde"):
         by = next(name for name in voters if cluster.replicas[name].is_active_voter)
@@ -196,19 +196,19 @@
                 name,
                 cluster.replicas[name].receive(0.0, "", {"k": "epoch", "m": cluster.replicas[by].voter_set}),
             )
-        cluster.hear("abde")
+        cluster.deliver("abde")
     if cluster.replicas["e"].epoch != 4 or not cluster.replicas["e"].is_active_voter:
         raise RuleViolation(f"the third change did not come about: {cluster.replicas['e'].voter_set}")
     a = cluster.replicas["a"]  # removed by now; it starts again with what lies on its disk
     rows = {name: (kept.promised, kept.accepted, kept.value) for name, kept in a.acceptors.items()}
     cluster.replicas["a"] = ConsensusReplica("a", "a0", 60, rows, a.voter_set, a.active_epoch)
     cluster.put("c", "y")
-    cluster.hear("abcde")
+    cluster.deliver("abcde")
     cluster.check_invariants()
     if c.epoch != 4 or cluster.replicas["a"].is_active_voter or c.is_active_voter:
         raise RuleViolation(f"{c.epoch}: it still lives in an older epoch")
     cluster.change("e", "abcde", {"c": "c0", "d": "d0", "e": "e0"})
-    cluster.hear("abcde")
+    cluster.deliver("abcde")
     if not c.is_active_voter or c.acceptors[CONFIG].value != "x":
         raise RuleViolation("it does not take up its seat")
 
@@ -251,23 +251,23 @@
     """
     cluster = ScriptedCluster("abc", "d")
     cluster.change("a", "ac", {"a": "a0", "b": "b0", "d": "d0"})
-    members = cluster.replicas["a"].voter_set
-    cluster.notify("d", members)
-    cluster.hear("ad")
+    voter_set = cluster.replicas["a"].voter_set
+    cluster.notify("d", voter_set)
+    cluster.deliver("ad")
     cluster.put("a", "x")
-    cluster.hear("ad")
+    cluster.deliver("ad")
     third = next_voter_set(
-        members, {"b": "b0", "c": "c0", "d": "d0"}
+        voter_set, {"b": "b0", "c": "c0", "d": "d0"}
     )  # b has not been heard: it holds epoch 1
     cluster.apply("d", cluster.replicas["d"].propose(0.0, VOTER_SET, third, "members", 99.0))
-    cluster.hear("ad", "prepare promise accept accepted")
+    cluster.deliver("ad", "prepare promise accept accepted")
     cluster.in_flight.clear()
     cluster.lose_disk("a")
     newest = cluster.replicas["d"].voter_set
     for name in "bcd":
         cluster.notify(name, newest)
         cluster.apply(name, cluster.replicas[name].tick(0.0))
-    cluster.hear("bcd")
+    cluster.deliver("bcd")
     b = cluster.replicas["b"]
     if not b.is_active_voter or b.acceptors[CONFIG].value != "x":
         raise RuleViolation(f"epoch {b.epoch} does not begin, though a majority of the one before is there")
@@ -276,27 +276,27 @@
 def seat_of_any_disk() -> None:
     """A seat that names no disk (of before there were epochs) is not taken up by one that came back empty."""
     cluster = ScriptedCluster("abc")
-    members: VoterSet = {"n": 1, "voters": dict.fromkeys("abc", ""), "before": {}}
+    voter_set: VoterSet = {"n": 1, "voters": dict.fromkeys("abc", ""), "before": {}}
     for name in "abc":
-        cluster.replicas[name] = ConsensusReplica(name, f"{name}0", 1, {}, members, 1)
+        cluster.replicas[name] = ConsensusReplica(name, f"{name}0", 1, {}, voter_set, 1)
     cluster.replicas["a"] = ConsensusReplica("a", "a9", 9)
-    cluster.notify("a", members)
-    cluster.hear("abc")
+    cluster.notify("a", voter_set)
+    cluster.deliver("abc")
     if cluster.replicas["a"].is_active_voter:
         raise RuleViolation("an empty disk votes on a seat of any disk")
     peers = {name: peer_status(f"{name}0") for name in "bc"} | {"a": peer_status("a9", votes=False)}
-    change = Membership(Tolerance(1), {}, 4.0).due_change(members, peers, {})
+    change = Membership(Tolerance(1), {}, 4.0).due_change(voter_set, peers, {})
     if change is None or change.voters["a"] != "a9":
         raise RuleViolation(f"its seat is not named anew: {change}")
 
 
-THREE = forgotten_promise("abc", "d", "d", "bc", "ab", "c")
-FIVE = forgotten_promise("abcde", "", "e", "bcd", "abc", "d")
+FORGOTTEN_BY_ONE_OF_THREE = forgotten_promise("abc", "d", "d", "bc", "ab", "c")
+FORGOTTEN_BY_ONE_OF_FIVE = forgotten_promise("abcde", "", "e", "bcd", "abc", "d")
 CASES = {
-    "forgotten promise, three voters and a spare": THREE,
-    "forgotten promise, five voters": FIVE,
-    "an older disk, three voters": lambda: THREE(older=True),
-    "an older disk, five voters": lambda: FIVE(older=True),
+    "forgotten promise, three voters and a spare": FORGOTTEN_BY_ONE_OF_THREE,
+    "forgotten promise, five voters": FORGOTTEN_BY_ONE_OF_FIVE,
+    "an older disk, three voters": lambda: FORGOTTEN_BY_ONE_OF_THREE(older=True),
+    "an older disk, five voters": lambda: FORGOTTEN_BY_ONE_OF_FIVE(older=True),
     "late acceptance by a disk that was lost": late_acceptance,
     "completing another's proposal, amid a lost disk": late_completion,
     "a seed's promise forgotten at the founding": founding,
--- a/tests/simulation/membership_epoch_days.py
+++ b/tests/simulation/membership_epoch_days.py
@@ -29,11 +29,11 @@
             if names:
                 first, second = self.rng.choice(names), self.rng.choice(names)
                 parent = world.machines[first].consensus.version(CONFIG)
-                wanted = world.put(first, parent=parent)
+                requested = world.put(first, parent=parent)
                 if self.rng.random() < 0.5:
                     world.put(second, parent=parent)
                 if self.rng.random() < 0.3:
-                    again = functools.partial(world.put_again, second, wanted)
+                    again = functools.partial(world.put_again, second, requested)
                     world.after(self.rng.uniform(0.0, 2.0), again)
             world.run(min(until, world.now + self.rng.uniform(0.05, 0.6)))
 
--- a/tests/simulation/membership_epoch_guards.py
+++ b/tests/simulation/membership_epoch_guards.py
@@ -58,8 +58,8 @@
     return mock.patch.object(
         Proposer,
         "is_already_chosen",
-        lambda self, number, round: all(
-            promise.proposal_number == number for promise in round.promises.values()
+        lambda self, number, proposal_round: all(
+            promise.proposal_number == number for promise in proposal_round.promises.values()
         ),
     )
 
--- a/tests/simulation/membership_epoch_search.py
+++ b/tests/simulation/membership_epoch_search.py
@@ -40,8 +40,10 @@
             held = 1 if name in voters else -1
             replica = ConsensusReplica(name, f"{name}0", 1, {}, members, held)
             facts = {"disk": replica.disk, "members": members, "held": held}
-            made = Machine(name, replica_state(replica, name in self.proposers), (facts, {}), ({}, {}), ())
-            machines.append(self.number(self.machines, made))
+            machine_after = Machine(
+                name, replica_state(replica, name in self.proposers), (facts, {}), ({}, {}), ()
+            )
+            machines.append(self.number(self.machines, machine_after))
         epoch = {"k": "epoch", "m": members}
         in_flight = 0
         for name in self.shape.wipes:
@@ -77,11 +79,11 @@
 
     def after_step(self, state: tuple, number: int, step: tuple) -> tuple:
         """The state after one machine's step, with all that arrives at once."""
-        machines, in_flight, left, facts = state
+        machines, in_flight, faults_left, facts = state
         machines, todo = list(machines), [(number, step)]
         while todo:
-            number, (made, sends, told) = todo.pop(0)
-            machines[number] = made
+            number, (machine_after, sends, told) = todo.pop(0)
+            machines[number] = machine_after
             facts |= told
             for message in sends:
                 peer = self.messages[message][1]
@@ -95,7 +97,7 @@
                         todo.append((place, after))
                 elif not self.is_ignored(self.messages[message]):
                     in_flight |= 1 << message
-        return tuple(machines), in_flight, left, facts
+        return tuple(machines), in_flight, faults_left, facts
 
     def is_ignored(self, message: tuple) -> bool:
         """An acceptance to others than its proposer, unless each message is a move; sets spread by notice."""
@@ -135,11 +137,14 @@
             return self.after_step(state, place, step)
         if kind == "order":
             who, digest = self.shape.orders[number]
-            place, left = self.names.index(who), (wipes, powers, waits, changes, starts & ~(1 << number))
+            place, faults_left = (
+                self.names.index(who),
+                (wipes, powers, waits, changes, starts & ~(1 << number)),
+            )
             step = self.after_proposal(machines[place], CONFIG, ("order", digest))
         elif kind == "change":
             who, seat, successor = self.shape.changes[number]
-            place, left = self.names.index(who), (wipes, powers, waits, changes - 1, starts)
+            place, faults_left = self.names.index(who), (wipes, powers, waits, changes - 1, starts)
             here = self.machines[machines[place]]
             members = here.consensus.voter_set
             new = successor or seat
@@ -155,24 +160,26 @@
                 machines[place], VOTER_SET, ("members", (members, {**voters, new: disk}))
             )
         elif kind == "wait":
-            place, left = number, (wipes, powers, waits - 1, changes, starts)
+            place, faults_left = number, (wipes, powers, waits - 1, changes, starts)
             step = self.after_wait(machines[place])
         elif kind == "sync":
-            place, left = number, state[2]
+            place, faults_left = number, state[2]
             here = self.machines[machines[place]]
             replica, sends, told = restore_replica(here.name, here.consensus), [], []
-            made = self.after_sync(here, replica, sends, told)
-            made = made._replace(consensus=replica_state(replica, here.name in self.proposers))
+            machine_after = self.after_sync(here, replica, sends, told)
+            machine_after = machine_after._replace(
+                consensus=replica_state(replica, here.name in self.proposers)
+            )
             step = (
-                self.number(self.machines, made),
+                self.number(self.machines, machine_after),
                 tuple(self.number(self.messages, one) for one in sends),
                 self.mask(told),
             )
         else:
             place, lost = number, kind == "wipe"
-            left = (wipes - lost, powers - (not lost), waits, changes, starts)
+            faults_left = (wipes - lost, powers - (not lost), waits, changes, starts)
             step = (self.after_restart(machines[place], lost), (), 0)
-        return self.after_step((machines, in_flight, left, facts), place, step)
+        return self.after_step((machines, in_flight, faults_left, facts), place, step)
 
     # --- judges
 
@@ -188,10 +195,10 @@
                 kept.clear()
         answers, in_flight = [], []
 
-        def carry(name: str, out: Effects) -> None:
-            in_flight.extend((name, peer, message) for peer, message in out.sends)
-            answers.extend(out.answers)
-            for register, _, accepted, _ in out.writes:
+        def carry(name: str, effects: Effects) -> None:
+            in_flight.extend((name, peer, message) for peer, message in effects.sends)
+            answers.extend(effects.answers)
+            for register, _, accepted, _ in effects.writes:
                 machines[name].mark_durable(register, accepted)
 
         for turn in range(40):
@@ -201,7 +208,7 @@
                 carry(name, replica.receive(now, "", {"k": "epoch", "m": newest}))
                 carry(name, replica.tick(now))
                 if turn % 5 == 4 and replica.is_active_voter and not any(replica.proposer.rounds.values()):
-                    carry(name, replica.propose(now, CONFIG, lambda stands: (None, True), "read", 1.0))
+                    carry(name, replica.propose(now, CONFIG, lambda current: (None, True), "read", 1.0))
             while in_flight:
                 sender, peer, message = in_flight.pop(0)
                 if peer in machines:
@@ -220,12 +227,12 @@
                 bit = others & -others
                 others ^= bit
                 other = bit.bit_length() - 1
-                why = self.against.get((one, other))
+                why = self.contradictions.get((one, other))
                 if why is None:
                     why = contradiction(self.facts[one], self.facts[other]) or contradiction(
                         self.facts[other], self.facts[one]
                     )
-                    self.against[one, other] = why
+                    self.contradictions[one, other] = why
                 if why:
                     raise RuleViolation(f"{why}: {self.facts[one]}, {self.facts[other]}")
 
--- a/tests/simulation/membership_epoch_steps.py
+++ b/tests/simulation/membership_epoch_steps.py
@@ -30,7 +30,7 @@
         self.facts: list[tuple] = []
         self.numbers: dict[str, int] = {}
         self.steps: dict[tuple, tuple] = {}  # what a machine does on a message
-        self.against: dict[tuple[int, int], str] = {}
+        self.contradictions: dict[tuple[int, int], str] = {}
         self.proposers = {who for who, *_ in (*shape.orders, *shape.changes)} | {*shape.waits}
         self.transitions = 0
 
@@ -44,17 +44,17 @@
 
     # --- one machine
 
-    def after_effects(self, machine: Machine, replica: ConsensusReplica, outs: list[Effects]) -> tuple:
+    def after_effects(self, machine: Machine, replica: ConsensusReplica, all_effects: list[Effects]) -> tuple:
         """The machine after these Outs: its number, and the messages, facts that come of it."""
         due, disk, writes = PendingWrites(dict(machine.due[0])), machine.disk, list(machine.writes)
         due.rows = dict(machine.due[1])
         sends, facts = [], []
-        for out in outs:
-            rows, told = due.prepare_write(out)
-            if rows or told:
-                writes.append((tuple(rows), told, out))
+        for effects in all_effects:
+            rows, new_facts = due.prepare_write(effects)
+            if rows or new_facts:
+                writes.append((tuple(rows), new_facts, effects))
             else:
-                self.collect(machine.name, replica, out, sends, facts)
+                self.collect(machine.name, replica, effects, sends, facts)
         made = Machine(machine.name, (), disk, (due.facts, due.rows), tuple(writes))
         if self.shape.instant:
             while made.writes:
@@ -78,19 +78,21 @@
 
     def after_sync(self, machine: Machine, replica: ConsensusReplica, sends: list, facts: list) -> Machine:
         """The oldest write is safe; what rests on it goes out."""
-        rows, told, out = machine.writes[0]
-        stored, kept = dict(machine.disk[1]), {**machine.disk[0], **told}
+        rows, new_facts, effects = machine.writes[0]
+        stored, kept = dict(machine.disk[1]), {**machine.disk[0], **new_facts}
         due = PendingWrites(machine.due[0])
         due.rows = machine.due[1]
-        due.mark_durable(list(rows), told)
+        due.mark_durable(list(rows), new_facts)
         for register, promised, accepted, value in rows:
             stored[register] = (promised, accepted, value)
             replica.mark_durable(register, accepted)
-        self.collect(machine.name, replica, out, sends, facts)
+        self.collect(machine.name, replica, effects, sends, facts)
         return machine._replace(disk=(kept, stored), due=(due.facts, due.rows), writes=machine.writes[1:])
 
-    def collect(self, name: str, replica: ConsensusReplica, out: Effects, sends: list, facts: list) -> None:
-        for peer, message in out.sends:
+    def collect(
+        self, name: str, replica: ConsensusReplica, effects: Effects, sends: list, facts: list
+    ) -> None:
+        for peer, message in effects.sends:
             if message["k"] == "join":  # complete values are sent, also those that it has
                 message = {**message, "have": {}}
             sends.append(("" if message["k"] == "epoch" else name, peer, message))
@@ -101,12 +103,12 @@
                     if r.proposal_number == message["b"]
                 ]
                 facts += [("accept", *one) for one in whole]
-        facts += [("answer", *outcome) for tag, outcome in out.answers if tag[0] == "order" and outcome]
-        if "held" in out.facts:  # its heartbeats tell what it holds now
+        facts += [("answer", *outcome) for tag, outcome in effects.answers if tag[0] == "order" and outcome]
+        if "held" in effects.facts:  # its heartbeats tell what it holds now
             for register, kept in replica.durable_accepted.items():
                 if kept[0] == replica.epoch:
-                    told = {"k": "accepted", "r": register, "b": kept, "disk": replica.disk}
-                    sends += [(name, peer, told) for peer in self.names if peer != name]
+                    new_facts = {"k": "accepted", "r": register, "b": kept, "disk": replica.disk}
+                    sends += [(name, peer, new_facts) for peer in self.names if peer != name]
 
     def after_message(self, machine: int, message: int) -> tuple:
         step = self.steps.get((machine, message))
@@ -134,13 +136,13 @@
         """All its waits are over: a round that stands begins anew, or else what is unsettled is settled."""
         here = self.machines[machine]
         replica = restore_replica(here.name, here.consensus)
-        outs = [replica.tick(1.0)]
+        all_effects = [replica.tick(1.0)]
         busy = any(replica.proposer.rounds.values())
         for rounds in replica.proposer.rounds.values():
             for one in rounds:
                 one.next_attempt_at = 0.0
-        outs.append(replica.tick(1.0 if busy else BEYOND_ALL_WAITS))
-        return self.after_effects(here, replica, outs)
+        all_effects.append(replica.tick(1.0 if busy else BEYOND_ALL_WAITS))
+        return self.after_effects(here, replica, all_effects)
 
     def after_restart(self, machine: int, lost: bool) -> int:
         """Power lost, and the disk too or not; it has started again."""
--- a/tests/simulation/membership_epochs.py
+++ b/tests/simulation/membership_epochs.py
@@ -252,37 +252,37 @@
         machine = self.machines[name]
         self.number += 1 + self.rng.randrange(2)
         parent = machine.consensus.version(CONFIG) if parent is None else parent
-        wanted = configuration(max(self.number, parent + 1), parent, digest or f"{name}{self.number}")
-        self.number = wanted.number
-        self.put_again(name, wanted)
-        return wanted
+        requested = configuration(max(self.number, parent + 1), parent, digest or f"{name}{self.number}")
+        self.number = requested.number
+        self.put_again(name, requested)
+        return requested
 
-    def put_again(self, name: str, wanted: Any) -> None:
-        def told(outcome: Any) -> None:
+    def put_again(self, name: str, requested: Any) -> None:
+        def on_outcome(outcome: Any) -> None:
             if outcome is not None:
-                (self.acknowledged if outcome[0] == 200 else self.rejected)[wanted.digest] = wanted
+                (self.acknowledged if outcome[0] == 200 else self.rejected)[requested.digest] = requested
 
         if name in self.machines and name not in self.frozen_until:
             self.machines[name].propose(
-                CONFIG, lambda stands: apply_configuration(wanted, stands), told, 0.85
+                CONFIG, lambda current: apply_configuration(requested, current), on_outcome, 0.85
             )
 
     def read(self, name: str) -> list:
         """Ask for what stands; what was acknowledged before must be there. The answers so far."""
         acknowledged, found = dict(self.acknowledged), []
 
-        def told(outcome: Any) -> None:
+        def on_outcome(outcome: Any) -> None:
             if outcome is None:
                 return
             past = outcome[0]["past"] if outcome[0] else {}
-            for digest, wanted in acknowledged.items():
-                if past.get(str(wanted.number)) != digest:
+            for digest, requested in acknowledged.items():
+                if past.get(str(requested.number)) != digest:
                     raise RuleViolation(
-                        f"{digest} was acknowledged as r{wanted.number}, and a reader gets {past}"
+                        f"{digest} was acknowledged as r{requested.number}, and a reader gets {past}"
                     )
             found.append(past)
 
-        self.machines[name].propose(CONFIG, lambda stands: (None, [stands]), told, 0.85)
+        self.machines[name].propose(CONFIG, lambda current: (None, [current]), on_outcome, 0.85)
         return found
 
     def check_reader_answered(self, why: str) -> None:
@@ -292,12 +292,12 @@
         until, found = self.now + READ_TIMEOUT, []
         while not found:
             if self.now >= until:
-                raise RuleViolation(f"no majority answers: {why}; away {sorted(self.away)}; {self.told()}")
+                raise RuleViolation(f"no majority answers: {why}; away {sorted(self.away)}; {self.summary()}")
             if names := [name for name in names if name in self.machines]:
                 found = self.read(self.rng.choice(names))
             self.advance(0.9)
 
-    def told(self) -> dict:
+    def summary(self) -> dict:
         return {
             name: (
                 m.consensus.epoch,
--- a/tests/simulation/membership_seat_cases.py
+++ b/tests/simulation/membership_seat_cases.py
@@ -23,7 +23,7 @@
 
 def heartbeat_of_epoch_before() -> None:
     """A heartbeat of the epoch before does not say that its voter is active in this one."""
-    members: VoterSet = {"n": 2, "voters": {"a": "a0", "b": "b0", "d": "d0"}, "before": {}}
+    voter_set: VoterSet = {"n": 2, "voters": {"a": "a0", "b": "b0", "d": "d0"}, "before": {}}
     peers = {
         "a": peer_status("a0", 2),
         "b": peer_status("b0", 1),
@@ -31,7 +31,7 @@
         "e": peer_status("e0", 2, False),
     }
     peers["a"] = peers["a"]._replace(leaving=True)
-    change = Membership(Tolerance(1), {}, 4.0).due_change(members, peers, {})
+    change = Membership(Tolerance(1), {}, 4.0).due_change(voter_set, peers, {})
     if change is not None:
         raise RuleViolation(f"{change} while b is not known to be active")
 
@@ -40,18 +40,18 @@
     """One that was replaced stays until a majority of the new set says that it is active in this very epoch,
     and one without a successor until a majority of the others, active ones, holds on disk what it holds.
     """
-    members: VoterSet = {"n": 2, "voters": {"a": "a0", "b": "b0", "d": "d0"}, "before": {}}
+    voter_set: VoterSet = {"n": 2, "voters": {"a": "a0", "b": "b0", "d": "d0"}, "before": {}}
     peers = {"a": peer_status("a0", 1), "b": peer_status("b0", 1), "d": peer_status("d0", 2, False)}
-    if may_shut_down("c", "c0", members, peers, {}, {}, False):
+    if may_shut_down("c", "c0", voter_set, peers, {}, {}, False):
         raise RuleViolation("it shuts down on heartbeats of the epoch before")
     if not may_shut_down(
-        "c", "c0", members, peers | {"a": peer_status("a0", 2), "b": peer_status("b0", 2)}, {}, {}, False
+        "c", "c0", voter_set, peers | {"a": peer_status("a0", 2), "b": peer_status("b0", 2)}, {}, {}, False
     ):
         raise RuleViolation("it stays, though a majority is active")
     held = {CONFIG: (2, 5, "a", 1)}
     durable = {"b": held, "d": held}
     peers = {"b": peer_status("b9", 2, False), "d": peer_status("d0", 2)}
-    if may_shut_down("a", "a0", members, peers, held, durable, False):
+    if may_shut_down("a", "a0", voter_set, peers, held, durable, False):
         raise RuleViolation("it leaves on what a disk held that is lost")
 
 
--- a/tests/simulation/replica_snapshot.py
+++ b/tests/simulation/replica_snapshot.py
@@ -131,11 +131,11 @@
 
 def order(digest: str) -> Any:
     """An order on an empty register: taken, or refused as another stands."""
-    return lambda stands: (digest, (200, digest)) if stands in (None, digest) else (None, (412, digest))
+    return lambda current: (digest, (200, digest)) if current in (None, digest) else (None, (412, digest))
 
 
 def change_of(tag: tuple) -> Any:
     if tag == "settle":
-        return lambda stands: (None, True)
-    kind, what = tag
-    return order(what) if kind == "order" else next_voter_set(*what)
+        return lambda current: (None, True)
+    kind, content = tag
+    return order(content) if kind == "order" else next_voter_set(*content)
--- a/tests/simulation/scripted_cluster.py
+++ b/tests/simulation/scripted_cluster.py
@@ -13,9 +13,11 @@
     """Some replicas, a wire that carries only what the play picks, disks that are safe at once."""
 
     def __init__(self, voters: str, spares: str = "") -> None:
-        self.members: VoterSet = {"n": 1, "voters": {name: f"{name}0" for name in voters}, "before": {}}
+        self.voter_set: VoterSet = {"n": 1, "voters": {name: f"{name}0" for name in voters}, "before": {}}
         self.replicas = {
-            name: ConsensusReplica(name, f"{name}0", place + 1, {}, self.members, 1 if name in voters else -1)
+            name: ConsensusReplica(
+                name, f"{name}0", place + 1, {}, self.voter_set, 1 if name in voters else -1
+            )
             for place, name in enumerate(voters + spares)
         }
         self.in_flight: list[tuple[str, str, dict]] = []
@@ -30,7 +32,7 @@
     def put(self, name: str, digest: str) -> None:
         self.apply(name, self.replicas[name].propose(0.0, CONFIG, order(digest), digest, 99.0))
 
-    def hear(self, among: str, kinds: str = "", rounds: int = 12) -> None:
+    def deliver(self, among: str, kinds: str = "", rounds: int = 12) -> None:
         """Deliver all between these machines, again and again, of these kinds or all."""
         for _ in range(rounds):
             delivered = [
@@ -47,7 +49,7 @@
         machine = self.replicas[by]
         tag = next_voter_set(machine.voter_set, voters)
         self.apply(by, machine.propose(0.0, VOTER_SET, tag, "members", 99.0))
-        self.hear(among)
+        self.deliver(among)
 
     def notify(self, name: str, voter_set: VoterSet) -> None:
         """This replica hears of this set of voters."""
