--- a/tests/simulation/configuration_changes.py
+++ b/tests/simulation/configuration_changes.py
@@ -15,6 +15,7 @@
 from bramblewood.controller.consensus.effects import Effects
 from bramblewood.controller.consensus.registers import CONFIG
 from bramblewood.controller.consensus.replica import ConsensusReplica
+from tests.simulation.digests import record_event
 
 from .consensus import RuleViolation, configuration
 
@@ -162,6 +163,7 @@
             return  # it stopped before: the write never came to be
         for register, promised, accepted, value in effects.writes:
             self.disks[name][register] = (promised, accepted, value)
+            record_event("write", self.now, name, register, promised, accepted, value)
             machine.mark_durable(register, accepted)
         self.dispatch(name, machine, effects)
 
@@ -174,6 +176,7 @@
         self.check_invariants(name, machine)
 
     def send(self, name: str, peer: str, message: dict) -> None:
+        record_event("message", self.now, name, peer, message)
         if peer == name:
             return self.call_later(0.0, self.deliver, name, peer, message)
         site, rng = self.site, self.rng
@@ -218,6 +221,7 @@
             )  # a dead port resets
 
         def on_outcome(outcome: tuple[int, str] | None) -> None:
+            record_event("answer", self.now, name, order.requested.number, outcome)
             status = outcome[0] if outcome else 503
             self.answered(order.requested, status)
             if self.rng.random() >= self.site.answers_lost:
@@ -251,6 +255,7 @@
         machine = self.machines.get(name)
 
         def on_outcome(outcome: list | None) -> None:
+            record_event("read", self.now, name, outcome)
             if outcome is None:
                 return
             number = outcome[0]["n"] if outcome[0] else 0
--- a/tests/simulation/membership_epochs.py
+++ b/tests/simulation/membership_epochs.py
@@ -16,6 +16,7 @@
 from bramblewood.controller.consensus.effects import no_effects
 from bramblewood.controller.consensus.registers import CONFIG
 from tests.simulation.consensus import RuleViolation, configuration
+from tests.simulation.digests import record_event
 
 BOUNDS = Bounds()
 TURN_INTERVAL = 0.1  # s between the turns of a controller
@@ -121,6 +122,7 @@
 
 def keep(disk: dict, write: tuple) -> None:
     rows, facts = write
+    record_event("write", rows, facts)
     disk["rows"].update({row[0]: row[1:] for row in rows})
     disk["facts"].update(facts)
 
@@ -168,6 +170,7 @@
         return {one, other} <= self.machines.keys() and (one, other) not in self.cuts
 
     def send(self, sender: SimulatedController, peer: str, message: dict) -> None:
+        record_event("message", self.now, sender.me, peer, message)
         rng = self.rng
         if message["k"] not in ORDERED_KINDS and rng.random() < self.loss:
             return
@@ -259,6 +262,7 @@
 
     def put_again(self, name: str, requested: Any) -> None:
         def on_outcome(outcome: Any) -> None:
+            record_event("answer", self.now, name, requested.number, outcome)
             if outcome is not None:
                 (self.acknowledged if outcome[0] == 200 else self.rejected)[requested.digest] = requested
 
@@ -272,6 +276,7 @@
         acknowledged, found = dict(self.acknowledged), []
 
         def on_outcome(outcome: Any) -> None:
+            record_event("read", self.now, name, outcome)
             if outcome is None:
                 return
             past = outcome[0]["past"] if outcome[0] else {}
--- a/tests/simulation/read_replicas.py
+++ b/tests/simulation/read_replicas.py
@@ -17,6 +17,7 @@
     ReplicaInvalidation,
     WaitUntil,
 )
+from tests.simulation.digests import record_event
 
 STEP = 0.02  # s
 KEY = 4096
@@ -71,6 +72,7 @@
 
     def change(self, made):
         if made is not None:
+            record_event("table", self.now, made)
             self.tables.append(made)
 
     # --- archives and readers
@@ -88,8 +90,11 @@
         leases, over = read_replicas.due_leases(self.now, self.tables[self.views[name]], self.registry)
         if over and not self.cut[name]:
             self.change(without_expired_readers(self.tables[-1], over)[0])
-        for lease in leases:
+        for lease in sorted(leases, key=lambda lease: lease.reader):  # made in the order of a set
             instance_id = lease.reader[2]
+            record_event(
+                "lease", self.now, name, lease.reader, lease.address, lease.fencing_token, lease.owner_address
+            )
             if self.reach(name, instance_id):
                 self.after(0.25, self.fetch, instance_id, name, lease)
             else:
@@ -133,16 +138,19 @@
         confirmed_at = self.now if self.careless == "sure" else proxy.confirmed_at
         match invalidation.next_step(self.now, confirmed_at, proxy.readers):
             case words.ALL_CLEAR:
+                record_event("answer", self.now, name, value)
                 self.floor, self.answered = max(self.floor, value), self.answered + 1
                 proxy.recalls.remove((invalidation, value, until))
             case ConfirmTable():
                 controller = self.dice.choice("ab")
+                record_event("confirm", self.now, name, controller)
                 if (
                     self.reach(name, controller)
                     and self.now < self.heard[controller] + QUORUM_CONTACT_VALIDITY
                 ):
                     self.after(0.5, self.confirmed, proxy, self.now, self.views[controller])
             case DropReplicas(instance_ids):
+                record_event("drop", self.now, name, instance_ids)
                 for instance_id in instance_ids:
                     reached = self.reach(name, instance_id)
                     if reached:
@@ -150,6 +158,7 @@
                         self.readers[instance_id].until = 0.0
                     invalidation.drop_finished(instance_id, reached and self.dice.random() > 0.05)
             case RemoveReaders(instance_ids):
+                record_event("take off", self.now, name, instance_ids)
                 if not self.cut[name]:
                     self.change(without_readers(self.tables[-1], "s", KEY, set(instance_ids))[0])
                     invalidation.readers_removed(self.now, instance_ids)
--- /dev/null
+++ b/tests/simulation/recorded_runs.py
@@ -0,0 +1,81 @@
+"""The simulated runs whose digests are kept in tests/data/play_digests.json.
+
+A run is identified by its name and its seed. A difference means that the program sends, stores or answers
+something else than when the digests were recorded. After a change that is meant to do so, record them again:
+
+    PYTHONHASHSEED=0 python -m tests.simulation.digests > tests/data/play_digests.json
+"""
+
+import json
+import random
+from collections.abc import Callable, Iterable
+from functools import partial
+from pathlib import Path
+from typing import Any
+
+from tests.simulation import (
+    configuration_change_guards,
+    configuration_changes,
+    consensus,
+    drain_plans,
+    key_leases,
+    majority_contact,
+    membership_epoch_days,
+    read_replicas,
+    worker_connections,
+)
+from tests.simulation.digests import recording
+
+DIGESTS = Path(__file__).parent.parent / "data" / "play_digests.json"
+
+
+def operators(seed: int) -> Any:
+    return configuration_changes.storm(
+        seed, voters=3 + 2 * (seed % 2), decide=configuration_change_guards.short_memory
+    )
+
+
+def operators_over_hundreds(seed: int) -> Any:
+    return configuration_changes.long_day(seed, voters=3, changes=150)
+
+
+def isolation(seed: int) -> Any:
+    return majority_contact.twenty(seed, "ab", ("both", "in", "out", "frozen")[seed % 4])
+
+
+# by name: what runs one seed, and which seeds are recorded
+RUNS: dict[str, tuple[Callable[[int], Any], Iterable[int]]] = {
+    "core": (consensus.storm, range(6)),
+    "epochs": (partial(membership_epoch_days.day, rounds=1), range(6)),
+    "epochs, older disks": (partial(membership_epoch_days.day, rounds=1, older=3), range(6, 8)),
+    "orders": (operators, range(4)),
+    "orders, long": (operators_over_hundreds, range(1)),
+    "orders, far reader": (partial(configuration_changes.readers, voters=3), range(2)),
+    "contact": (partial(majority_contact.storm, seconds=10.0), range(2)),
+    "contact, five and a spare": (isolation, range(4)),
+    "contact, frozen scribe": (majority_contact.halted, range(1)),
+    "contact, forgotten leave": (majority_contact.forgot, range(1)),
+    "holds": (lambda seed: key_leases.Play(seed).run(300.0), range(4)),
+    "copies": (lambda seed: read_replicas.Play(seed).run(120.0), range(4)),
+    "withdrawal": (lambda seed: drain_plans.Play(seed).run(300.0), range(4)),
+    "lines, keyed": (lambda seed: worker_connections.play_random(seed, 300, True), range(12)),
+    "lines, unkeyed": (lambda seed: worker_connections.play_random(seed, 300, False), range(12)),
+}
+
+
+def digest(name: str, seed: int) -> dict[str, Any]:
+    """Run one seed: how many records there were, and their digest."""
+    run, _ = RUNS[name]
+    random.seed(seed)
+    with recording() as recorder:
+        run(seed)
+    return recorder.result()
+
+
+def digests() -> dict[str, dict[str, dict[str, Any]]]:
+    """The digests of all runs, by name and seed."""
+    return {name: {str(seed): digest(name, seed) for seed in seeds} for name, (_, seeds) in RUNS.items()}
+
+
+def main() -> None:
+    print(json.dumps(digests(), indent=1))
