--- a/tests/simulation/worker_connections.py
+++ b/tests/simulation/worker_connections.py
@@ -141,7 +141,7 @@
         if self.careless == "again" and ended.outcome is AttemptOutcome.CONNECTION_BROKEN:
             attempts.route = attempts.route._replace(pure=True)
         reply = attempts.attempt_finished(self.now[name], line.instance_id, ended.outcome, ended.answer)
-        answered = reply and (reply.status, reply.answer and reply.answer.body)
+        answered = reply and (reply.status, reply.response and reply.response.body)
         record_event("reply", self.now[name], name, line.number, answered)
         if reply is not None:
             self.replies[name] = reply
