--- a/tests/simulation/majority_contact.py
+++ b/tests/simulation/majority_contact.py
@@ -34,6 +34,7 @@
 from bramblewood.controller.server import Controller
 from bramblewood.emulator.operator import configuration
 from bramblewood.proxy.server import Proxy
+from tests.simulation.digests import record_event
 
 STEP = 0.01  # s of the play's clock
 WAYS = (0.002, 0.02)  # s that a message travels
@@ -112,6 +113,7 @@
     def send(self, message):
         if self.wire.stands:
             text = message if isinstance(message, str) else json.dumps(message)
+            record_event("message", self.node.play.now, self.node.name, self.peer, json.loads(text))
             due = self.node.play.now + self.node.play.dice.uniform(*self.node.play.ways)
             due = max(due, self.queue[-1][0]) if self.queue else due
             heard = self.node.heard.get(self.peer or self.wire.dialler.name, 0.0)
@@ -172,9 +174,9 @@
     def bring(self, end, target, message):
         if end is self.far:
             self.heard_at = self.dialler.play.now
-            target.loop.call_soon(target.server.hear, self.near, message)
+            target.loop.call_soon(target.on_message(), self.near, message)
         elif self.met:
-            target.loop.call_soon(target.server.hear, self.far, message)
+            target.loop.call_soon(target.on_message(), self.far, message)
         else:
             self.met = True
             target.loop.call_soon(target.server.met, self.far, message)
@@ -205,7 +207,7 @@
             wire = Wire(node, target)
             play.wires.append(wire)
             self.up[peer] = wire.near
-            wire.near.send(node.server.hello(peer))
+            wire.near.send(node.greeting(peer))
             node.tell(peer, True)
 
 
@@ -232,27 +234,39 @@
         )
         with mock.patch("bramblewood.common.logs.begin", return_value=mock.Mock()):
             made = self.kind(told)
-        made.loop, made.peer_connections = self.loop, self.peer_connections
         if self.kind is Controller:
+            made.loop, made.peer_connections = self.loop, self.peer_connections
             self.controller(made)
         else:
-            made.changed = asyncio.Event()
+            made.sessions.start(self.loop)
+            made.sessions.peer_connections = self.peer_connections
         for peer in controllers:
             if peer != self.name:
-                made.peer_connections.keep(peer, 1)
+                self.peer_connections.keep(peer, 1)
         self.server = made
         self.loop.begin(self.turns(made))
 
     def tell(self, peer, up):
         """A link came or went; one that is frozen hears of it when it is thawed."""
+        changed = (
+            self.server.link_told if self.kind is Controller else self.server.sessions.on_connection_changed
+        )
         if self.frozen:
-            self.loop.call_soon(self.server.link_told, peer, up)
+            self.loop.call_soon(changed, peer, up)
         else:
-            self.server.link_told(peer, up)
+            changed(peer, up)
+
+    def greeting(self, peer):
+        """The first message on a connection that it makes."""
+        return self.server.hello(peer) if self.kind is Controller else self.server.sessions.greeting(peer)
+
+    def on_message(self):
+        """What its program has called with each message."""
+        return self.server.hear if self.kind is Controller else self.server.sessions.on_message
 
     def controller(self, made):
         """What a start does, with a first set of voters; it changes as the archives see fit."""
-        made.instance_id = 1000 * self.instance_ids + ord(self.name)
+        made.incarnation = 1000 * self.instance_ids + ord(self.name)
         made.begin(dict(self.facts), dict(self.registers))
         made.controllers = set(self.play.controllers) - {self.name}
         made.storage, made.calls, made.fresh = self, Calls(self), Calls(self)
@@ -263,6 +277,7 @@
         """What `archive.shelf.Shelf` is to its shell."""
 
         def kept():
+            record_event("write", self.play.now, self.name, rows, facts)
             for register, promised, accepted, value in rows:
                 self.registers[register] = (promised, accepted, value)
             self.facts |= facts
@@ -275,7 +290,7 @@
             if self.kind is Controller:
                 made.tick(self.play.now)
             else:
-                made.report(self.play.now)
+                made.sessions.send_report(self.play.now)
             await asyncio.sleep(archive_program.TICK if self.kind is Controller else 0.5)
 
     def stop(self):
@@ -319,6 +334,7 @@
         if worker is None or worker.ended or play.cut(self.node.name, worker.name):
             raise OSError
         self.status = worker.told(self.kind, self.body, self.node)
+        record_event("call", play.now, self.node.name, worker.name, self.kind, self.body, self.status)
         if self.kind == "release":
             self.headers["X-Handover"] = "h"
         await asyncio.sleep(play.dice.uniform(*WAYS))
@@ -465,6 +481,7 @@
             began = self.now  # a call that waited for a thaw begins then
             known = max((n for n, (at, _) in self.acked.items() if at <= began), default=0)
             answer = await made.obey(command)
+            record_event("answer", self.now, name, answer.status, answer.text)
             self.judge_answer(node, command, answer, began, known)
             if not self.cut(node.name, caller):
                 kept[0] = answer.status
@@ -644,16 +661,17 @@
             self.disturbed[name] = self.now
         if made is None:
             return
-        ready, had = made.controller_selection.is_ready, self.seen.get(name, (0, False, 0, 0))
-        have = tuple(made.have().values())
+        ready, had = made.sessions.selection.is_ready, self.seen.get(name, (0, False, 0, 0))
+        versions = made.sessions.known_versions()
+        have = tuple(versions.values())
         if had[0] == node.instance_ids and any(now < then for now, then in zip(have, had[2:], strict=True)):
-            raise Broken(f"{name} goes back at {self.now:.2f}: {had} to {made.have()}")
+            raise Broken(f"{name} goes back at {self.now:.2f}: {had} to {versions}")
         if ready and not (had[0] == node.instance_ids and had[1]):
             self.count("desks ready")
             bound = self.now - CONFIRMATION_VALIDITY - QUORUM_CONTACT_VALIDITY - LATE
             newest = max((n for n, (at, _) in self.acked.items() if at < bound), default=0)
-            if made.have()["config"] < newest:
-                raise Broken(f"{name} is ready at {self.now:.2f} with {made.have()}, r{newest} stands")
+            if versions["config"] < newest:
+                raise Broken(f"{name} is ready at {self.now:.2f} with {versions}, r{newest} stands")
             for instance_id, at in self.leaves:
                 row = made.load_balancer.registry.registrations.get(instance_id)
                 known = any(
--- a/tests/simulation/membership_epochs.py
+++ b/tests/simulation/membership_epochs.py
@@ -12,10 +12,11 @@
 
 from bramblewood.common.settings import Bounds, Settings, Tolerance
 from bramblewood.controller import server
-from bramblewood.controller.commands import apply_configuration
+from bramblewood.controller.configuration_succession import apply_configuration
 from bramblewood.controller.consensus.effects import no_effects
 from bramblewood.controller.consensus.registers import CONFIG
 from tests.simulation.consensus import RuleViolation, configuration
+from tests.simulation.digests import record_event
 
 BOUNDS = Bounds()
 TURN_INTERVAL = 0.1  # s between the turns of a controller
@@ -121,6 +122,7 @@
 
 def keep(disk: dict, write: tuple) -> None:
     rows, facts = write
+    record_event("write", rows, facts)
     disk["rows"].update({row[0]: row[1:] for row in rows})
     disk["facts"].update(facts)
 
@@ -168,6 +170,7 @@
         return {one, other} <= self.machines.keys() and (one, other) not in self.cuts
 
     def send(self, sender: SimulatedController, peer: str, message: dict) -> None:
+        record_event("message", self.now, sender.me, peer, message)
         rng = self.rng
         if message["k"] not in ORDERED_KINDS and rng.random() < self.loss:
             return
@@ -252,37 +255,39 @@
         machine = self.machines[name]
         self.number += 1 + self.rng.randrange(2)
         parent = machine.consensus.version(CONFIG) if parent is None else parent
-        wanted = configuration(max(self.number, parent + 1), parent, digest or f"{name}{self.number}")
-        self.number = wanted.number
-        self.put_again(name, wanted)
-        return wanted
-
-    def put_again(self, name: str, wanted: Any) -> None:
-        def told(outcome: Any) -> None:
+        requested = configuration(max(self.number, parent + 1), parent, digest or f"{name}{self.number}")
+        self.number = requested.number
+        self.put_again(name, requested)
+        return requested
+
+    def put_again(self, name: str, requested: Any) -> None:
+        def on_outcome(outcome: Any) -> None:
+            record_event("answer", self.now, name, requested.number, outcome)
             if outcome is not None:
-                (self.acknowledged if outcome[0] == 200 else self.rejected)[wanted.digest] = wanted
+                (self.acknowledged if outcome[0] == 200 else self.rejected)[requested.digest] = requested
 
         if name in self.machines and name not in self.frozen_until:
             self.machines[name].propose(
-                CONFIG, lambda stands: apply_configuration(wanted, stands), told, 0.85
+                CONFIG, lambda current: apply_configuration(requested, current), on_outcome, 0.85
             )
 
     def read(self, name: str) -> list:
         """Ask for what stands; what was acknowledged before must be there. The answers so far."""
         acknowledged, found = dict(self.acknowledged), []
 
-        def told(outcome: Any) -> None:
+        def on_outcome(outcome: Any) -> None:
+            record_event("read", self.now, name, outcome)
             if outcome is None:
                 return
             past = outcome[0]["past"] if outcome[0] else {}
-            for digest, wanted in acknowledged.items():
-                if past.get(str(wanted.number)) != digest:
+            for digest, requested in acknowledged.items():
+                if past.get(str(requested.number)) != digest:
                     raise RuleViolation(
-                        f"{digest} was acknowledged as r{wanted.number}, and a reader gets {past}"
+                        f"{digest} was acknowledged as r{requested.number}, and a reader gets {past}"
                     )
             found.append(past)
 
-        self.machines[name].propose(CONFIG, lambda stands: (None, [stands]), told, 0.85)
+        self.machines[name].propose(CONFIG, lambda current: (None, [current]), on_outcome, 0.85)
         return found
 
     def check_reader_answered(self, why: str) -> None:
@@ -292,12 +297,12 @@
         until, found = self.now + READ_TIMEOUT, []
         while not found:
             if self.now >= until:
-                raise RuleViolation(f"no majority answers: {why}; away {sorted(self.away)}; {self.told()}")
+                raise RuleViolation(f"no majority answers: {why}; away {sorted(self.away)}; {self.summary()}")
             if names := [name for name in names if name in self.machines]:
                 found = self.read(self.rng.choice(names))
             self.advance(0.9)
 
-    def told(self) -> dict:
+    def summary(self) -> dict:
         return {
             name: (
                 m.consensus.epoch,
