--- a/features/steps/storage.py
+++ b/features/steps/storage.py
@@ -12,13 +12,13 @@
 from bramblewood.controller.storage import Storage
 from tests.simulation.storage_failures import (
     PROMISE,
-    Growing,
-    Hanging,
-    difference_holds,
-    form_1,
-    found_at,
+    HangingDisk,
+    LongLivedStorage,
+    difference_leads_to_value,
+    disk_of_schema_1,
+    first_seed_found,
     play,
-    shelf_on,
+    storage_on,
 )
 
 
@@ -28,24 +28,27 @@
     assert kept > each * count, "hardly anything was acknowledged: the cuts prove nothing"
 
 
-@then("{count:d} disks of form 1 hold exactly one state that was written, none before what was acknowledged")
+@then(
+    "{count:d} disks of schema version 1 hold exactly one state that was written, "
+    "none before what was acknowledged"
+)
 def old_disks(context, count):
     disks(context, count, True, 3)
 
 
 @then('with "{fault}" one of {count:d} disks shows it')
 def careless(context, fault, count):
-    assert found_at(fault, count) is not None, "no disk lost anything"
+    assert first_seed_found(fault, count) is not None, "no disk lost anything"
 
 
 @then("{count:d} differences, sent as JSON, lead to the value they were made for")
 def differences(context, count):
-    assert all(difference_holds(random.Random(seed)) for seed in range(count))
+    assert all(difference_leads_to_value(random.Random(seed)) for seed in range(count))
 
 
-@given("a shelf with a table of {slices:d} slices")
+@given("a database with a table of {slices:d} slices")
 def growing(context, slices):
-    context.play = Growing(slices)
+    context.play = LongLivedStorage(slices)
 
 
 @when("{count:d} moves are committed, with a service emptied and filled now and then")
@@ -53,10 +56,10 @@
     context.play.move(count, 50)
 
 
-@then("the base holds at most {times:d} times the table's text and {rest:d} KiB, and the log {log:g} MB")
+@then("the database holds at most {times:d} times the table's text and {rest:d} KiB, and the log {log:g} MB")
 def bounded(context, times, rest, log):
-    (base, written), text = context.play.sizes(), len(json.dumps(context.play.value))
-    assert base <= times * text + rest * 1024 and written <= log * 1e6, (base, written)
+    (database, log_size), text = context.play.sizes(), len(json.dumps(context.play.value))
+    assert database <= times * text + rest * 1024 and log_size <= log * 1e6, (database, log_size)
 
 
 @then("a start finds the table as it was left")
@@ -90,27 +93,27 @@
     play.move(count)
 
 
-@then("the base holds at most {rest:d} KiB, and the log {log:g} MB")
+@then("the database holds at most {rest:d} KiB, and the log {log:g} MB")
 def given_back(context, rest, log):
     bounded(context, 0, rest, log)
 
 
-@when("a later program has made form {form:d} of it")
-def later(context, form):
-    context.play.storage.database.execute(f"pragma user_version={form}")
+@when("a later program has made schema version {version:d} of it")
+def later_version(context, version):
+    context.play.storage.database.execute(f"pragma user_version={version}")
     context.play.storage.database.close()
-    context.files = {name: bytes(inode.seen) for name, inode in context.play.disc.names.items()}
+    context.files = {name: bytes(inode.contents) for name, inode in context.play.disk.names.items()}
 
 
-@then("it is refused with one line that names form {form:d}, and no byte of it has changed")
-def refused(context, form):
-    disc = context.play.disc
-    told = shelf_on(disc).open().err_value
-    assert f"form {form}" in told and "\n" not in told, told
-    assert {name: bytes(inode.seen) for name, inode in disc.names.items()} == context.files
+@then("it is refused with one line that names form {version:d}, and no byte of it has changed")
+def refused(context, version):
+    disk = context.play.disk
+    told = storage_on(disk).open().err_value
+    assert f"form {version}" in told and "\n" not in told, told
+    assert {name: bytes(inode.contents) for name, inode in disk.names.items()} == context.files
 
 
-@when("a shelf is opened three folders deep in a folder that is there")
+@when("a database is opened three folders deep in a folder that is there")
 def deep(context):
     place = tempfile.TemporaryDirectory()
     context.add_cleanup(place.cleanup)
@@ -122,32 +125,32 @@
         sync(port)
 
     def connected(path, **words):
-        context.synced.append("the base")
+        context.synced.append("the database")
         return connect(path, **words)
 
     with mock.patch("os.fsync", fsync), mock.patch("sqlite3.connect", connected):
         assert Storage(os.path.join(context.place, "a", "b", "c")).open().is_ok()
 
 
-@then("each new folder was synced into the one above before the base was made")
+@then("each new folder was synced into the one above before the database was made")
 def synced(context):
-    assert context.synced == [".", "a", "a/b", "the base"], context.synced
+    assert context.synced == [".", "a", "a/b", "the database"], context.synced
 
 
-@then("check, show and export tell the same of a disk of form 1 and of what a start makes of it")
+@then("check, show and export tell the same of a disk of schema version 1 and of what a start makes of it")
 def commands(context):
-    disc, told = form_1(random.Random(1))
+    disk, told = disk_of_schema_1(random.Random(1))
     with tempfile.TemporaryDirectory() as folder:
-        for name, inode in disc.names.items():
+        for name, inode in disk.names.items():
             with open(os.path.join(folder, os.path.basename(name)), "wb") as file:
-                file.write(inode.seen)
+                file.write(inode.contents)
         ask = lambda *words: CliRunner().invoke(storage_commands, [*words, folder])  # noqa: E731
         before = [ask(word) for word in ("check", "show", "export")]
         storage = Storage(folder)
         assert storage.open().ok_value == told.states[0]
         assert storage.database.execute("pragma auto_vacuum").fetchone() == (1,)
         after = [ask(word) for word in ("check", "show", "export")]
-        facts = {"born": None, "voters": None, "disk": "0a0b0c0d"}  # as an archive goes on to write
+        facts = {"born": None, "voters": None, "disk": "0a0b0c0d"}  # as a controller goes on to write
         assert storage.commit([([], facts, None)]) is None
         assert json.loads(ask("export").output)["facts"] == {"disk": "0a0b0c0d"}
         assert ask("check").output == "sound\n"
@@ -157,29 +160,29 @@
     assert config["value"] == told.states[0]["registers"]["config"][2]
 
 
-@given("an archive whose disc hangs as it syncs")
+@given("a controller whose disk hangs as it syncs")
 def hangs(context):
-    context.play = Hanging()
+    context.play = HangingDisk()
     context.add_cleanup(context.play.end)
 
 
-@when("it is to promise a ballot at {now:g}")
+@when("it is to promise a proposal at {now:g}")
 def promise(context, now):
     context.play.promise(now)
 
 
-@then("nothing of it goes out, and at {soon:g} it may act for the core, at {late:g} not")
+@then("nothing of it goes out, and at {soon:g} it may act for the controllers, at {late:g} not")
 def held(context, soon, late):
     assert not context.play.sent
     assert context.play.controller.whole(soon) and not context.play.controller.whole(late)
 
 
-@when("the disc answers again")
+@when("the disk answers again")
 def answers(context):
     context.play.answer()
 
 
-@then("the promise goes out, lies there after a power cut, and the archive may act again")
+@then("the promise goes out, lies there after a power cut, and the controller may act again")
 def goes(context):
     assert context.play.sent == [("b", PROMISE)] and context.play.controller.whole(20.0)
     assert context.play.after_power_cut()["config"][0] == (1, 7, "b", 1)
@@ -187,7 +190,7 @@
 
 @when("the power is cut")
 def cut(context):
-    context.play.disc.cut_at = context.play.disc.calls - 1
+    context.play.disk.power_cut_at = context.play.disk.calls - 1
 
 
 @then("nothing of it went out, and what lay there before lies there still")
--- a/tests/simulation/simulated_disk.py
+++ b/tests/simulation/simulated_disk.py
@@ -1,4 +1,4 @@
-"""A disc that fails as discs do, behind the store's port: power cuts, torn or lost writes, errors."""
+"""A disk that fails as disks do, behind the store's port: power cuts, torn or lost writes, errors."""
 
 import errno
 import random
@@ -10,83 +10,86 @@
     """The machine is off: nothing of the program runs on."""
 
 
-class Inode:
+class SimulatedFile:
+    """durable: bytes that survive a power cut; contents: as processes see them; writes: those not synced."""
+
     def __init__(self, data=b""):
-        self.durable, self.seen, self.writes = bytes(data), bytearray(data), []
+        self.durable, self.contents, self.writes = bytes(data), bytearray(data), []
 
 
-class Disc:
-    """What survives, what is only in the cache, and the faults to come. Handed on from life to life.
+class SimulatedDisk:
+    """What survives, what is only in the cache, and the faults to come. Handed on from process to process.
 
-    cut_at: number of the file call after which the power goes. refusals: what to raise, by kind of call.
-    apart: a file's sync makes its own name last, and only that, for whoever asks (`shelf_play.File`).
+    power_cut_at: number of the file call after which the power goes. errors: what gives the error number to
+    raise, 0 for none, by kind of call. syncs_own_name: a file's sync makes its own name last, and only that,
+    for whoever asks (`sqlite_on_simulated_disk.File`). free_bytes: what still fits, None for no bound.
     """
 
-    apart = False
+    syncs_own_name = False
 
     def __init__(self, dice=None):
         self.dice = dice or random.Random(0)
-        self.names, self.durable_names, self.changes = {}, {}, []
-        self.calls, self.cut_at, self.refusals, self.locked, self.space = 0, None, {}, False, None
+        self.names, self.durable_names, self.unsynced_names = {}, {}, []
+        self.calls, self.power_cut_at, self.errors, self.locked, self.free_bytes = 0, None, {}, False, None
 
-    # --- what befalls it
+    # --- faults
 
     def after_power_cut(self, dice):
-        """The disc as it comes back: of what was not flushed, some is lost, some torn, in any order."""
-        back = Disc(dice)
-        back.apart = self.apart
+        """The disk as it comes back: of what was not flushed, some is lost, some torn, in any order."""
+        after = SimulatedDisk(dice)
+        after.syncs_own_name = self.syncs_own_name
         names = dict(self.durable_names)
-        for old, new, inode in self.changes:
+        for old, new, inode in self.unsynced_names:
             if dice.random() < 0.5:
                 if old is not None:
                     names.pop(old, None)
                 if new is not None:
                     names[new] = inode
-        kept = {}
+        kept_files = {}
         for name, inode in names.items():
-            if inode not in kept:
+            if inode not in kept_files:
                 data = bytearray(inode.durable)
                 for offset, part in inode.writes:
-                    fate = dice.random()
-                    if fate < 0.4:
+                    draw = dice.random()
+                    if draw < 0.4:
                         continue
                     if part is None:
                         del data[offset:]
                         continue
-                    if fate < 0.7:  # torn: some of its sectors, or cut at any byte
+                    if draw < 0.7:  # torn: some of its sectors, or cut at any byte
                         part = self.torn(dice, data, offset, part)
                     data[len(data) :] = bytes(max(offset - len(data), 0))
                     data[offset : offset + len(part)] = part
-                kept[inode] = Inode(data)
-            back.names[name] = kept[inode]
-        back.durable_names = dict(back.names)
-        return back
+                kept_files[inode] = SimulatedFile(data)
+            after.names[name] = kept_files[inode]
+        after.durable_names = dict(after.names)
+        return after
 
     @staticmethod
     def torn(dice, data, offset, part):
         if dice.random() < 0.5:
             return part[: dice.randrange(len(part) + 1)]
         old = bytes(data[offset : offset + len(part)]).ljust(len(part), b"\0")
-        made = bytearray()
+        torn_data = bytearray()
         for at in range(0, len(part), SECTOR):
-            made += (part if dice.random() < 0.5 else old)[at : at + SECTOR]
-        return bytes(made)
+            torn_data += (part if dice.random() < 0.5 else old)[at : at + SECTOR]
+        return bytes(torn_data)
 
     def copy(self):
         """The same files, all of them safe: for damage of the test's own."""
-        back = Disc()
-        back.names = {name: Inode(inode.seen) for name, inode in self.names.items()}
-        back.durable_names = dict(back.names)
-        return back
+        after = SimulatedDisk()
+        after.names = {name: SimulatedFile(inode.contents) for name, inode in self.names.items()}
+        after.durable_names = dict(after.names)
+        return after
 
     # --- the port
 
-    def called(self, kind):
+    def count_call(self, kind):
         self.calls += 1
-        if self.cut_at is not None and self.calls > self.cut_at:
+        if self.power_cut_at is not None and self.calls > self.power_cut_at:
             raise PowerCut
-        refusal = self.refusals.get(kind)
-        if refusal and (error := refusal()):
+        error_source = self.errors.get(kind)
+        if error_source and (error := error_source()):
             raise OSError(error, errno.errorcode[error])
 
     def entries(self):
@@ -97,87 +100,87 @@
 
 
 class Driver:
-    """One process's hold on a disc."""
+    """The disk as one process has it open."""
 
-    def __init__(self, disc):
-        self.disc, self.handles, self.count, self.mine = disc, {}, 0, False
+    def __init__(self, disk):
+        self.disk, self.handles, self.count, self.holds_lock = disk, {}, 0, False
 
     def names(self):
-        self.disc.called("names")
-        return self.disc.entries()
+        self.disk.count_call("names")
+        return self.disk.entries()
 
     def open(self, name, create=False):
-        disc = self.disc
-        disc.called("create" if create else "open")
-        if create == (name in disc.names):
+        disk = self.disk
+        disk.count_call("create" if create else "open")
+        if create == (name in disk.names):
             raise OSError(errno.EEXIST if create else errno.ENOENT, "no or another file of this name", name)
         if create:
-            disc.names[name] = Inode()
-            disc.changes.append((None, name, disc.names[name]))
+            disk.names[name] = SimulatedFile()
+            disk.unsynced_names.append((None, name, disk.names[name]))
         self.count += 1
-        self.handles[self.count] = disc.names[name]
+        self.handles[self.count] = disk.names[name]
         return self.count
 
     def size(self, handle):
-        self.disc.called("size")
-        return len(self.handles[handle].seen)
+        self.disk.count_call("size")
+        return len(self.handles[handle].contents)
 
     def read(self, handle, offset, size):
-        self.disc.called("read")
-        return bytes(self.handles[handle].seen[offset : offset + size])
+        self.disk.count_call("read")
+        return bytes(self.handles[handle].contents[offset : offset + size])
 
     def write(self, handle, offset, data):
-        disc, inode = self.disc, self.handles[handle]
-        disc.called("write")
-        fits = bytes(data)
-        if disc.space is not None:
-            fits = fits[: max(disc.space, 0)]
-            disc.space -= len(fits)
-        inode.writes.append((offset, fits))
-        inode.seen[len(inode.seen) :] = bytes(max(offset - len(inode.seen), 0))
-        inode.seen[offset : offset + len(fits)] = fits
-        if len(fits) < len(data):
+        disk, inode = self.disk, self.handles[handle]
+        disk.count_call("write")
+        stored = bytes(data)
+        if disk.free_bytes is not None:
+            stored = stored[: max(disk.free_bytes, 0)]
+            disk.free_bytes -= len(stored)
+        inode.writes.append((offset, stored))
+        inode.contents[len(inode.contents) :] = bytes(max(offset - len(inode.contents), 0))
+        inode.contents[offset : offset + len(stored)] = stored
+        if len(stored) < len(data):
             raise OSError(errno.ENOSPC, "No space left on device")
 
     def truncate(self, handle, size):
-        self.disc.called("truncate")
+        self.disk.count_call("truncate")
         self.handles[handle].writes.append((size, None))
-        del self.handles[handle].seen[size:]
+        del self.handles[handle].contents[size:]
 
     def flush(self, handle):
         inode = self.handles[handle]
         try:
-            self.disc.called("flush")
+            self.disk.count_call("flush")
         except OSError:
-            inode.writes, inode.seen = [], bytearray(inode.durable)  # the pages are gone
+            inode.writes, inode.contents = [], bytearray(inode.durable)  # the pages are gone
             raise
-        inode.durable, inode.writes = bytes(inode.seen), []
+        inode.durable, inode.writes = bytes(inode.contents), []
 
     def flush_folder(self):
-        self.disc.called("flush folder")
-        self.disc.durable_names, self.disc.changes = dict(self.disc.names), []
+        self.disk.count_call("flush folder")
+        self.disk.durable_names, self.disk.unsynced_names = dict(self.disk.names), []
 
     def close(self, handle):
         del self.handles[handle]
 
     def rename(self, old, new):
-        self.disc.called("rename")
-        inode = self.disc.names.pop(old)
-        self.disc.names[new] = inode
-        self.disc.changes.append((old, new, inode))
+        self.disk.count_call("rename")
+        inode = self.disk.names.pop(old)
+        self.disk.names[new] = inode
+        self.disk.unsynced_names.append((old, new, inode))
 
     def remove(self, name):
-        self.disc.called("remove")
-        if name not in self.disc.names:
+        self.disk.count_call("remove")
+        if name not in self.disk.names:
             raise OSError(errno.ENOENT, "No such file or directory", name)
-        self.disc.changes.append((name, None, self.disc.names.pop(name)))
+        self.disk.unsynced_names.append((name, None, self.disk.names.pop(name)))
 
     def lock(self):
-        if self.disc.locked:
+        if self.disk.locked:
             return False
-        self.disc.locked = self.mine = True
+        self.disk.locked = self.holds_lock = True
         return True
 
     def release(self):
-        if self.mine:
-            self.disc.locked = self.mine = False
+        if self.holds_lock:
+            self.disk.locked = self.holds_lock = False
--- a/tests/simulation/storage_failures.py
+++ b/tests/simulation/storage_failures.py
@@ -1,25 +1,17 @@
-"""The shelf on a disc that loses, keeps and tears what was not synced, hangs on to nothing and refuses at
-times.
+"""The controller's storage on a disk that loses, keeps and tears what was not synced, and refuses at times.
 
-Sqlite itself runs here (apsw, whose file calls can be Python's) over `tests/disc.py`; the power is cut at any
-file call.
+The power is cut at any file call; a start must find exactly one state that was written.
 """
 
-import contextlib
 import errno
-import functools
 import json
 import operator
 import queue
 import random
-import sqlite3
 import threading
 import types
-import uuid
 from unittest import mock
 
-import apsw
-
 from benchmarks.controller_storage import moved, table
 from bramblewood.common.settings import Bounds, Settings
 from bramblewood.controller.consensus.effects import Effects
@@ -28,233 +20,100 @@
 from bramblewood.controller.server import Controller
 from bramblewood.controller.storage import Storage
 from bramblewood.controller.value_diff import PatchedDict, apply_difference, difference
-from tests.simulation.simulated_disk import Disc, PowerCut
-
-
-def told_to_sqlite(call):
-    """What the disc raises, as sqlite knows it: after a power cut every call fails."""
-
-    @functools.wraps(call)
-    def made(*args):
-        try:
-            return call(*args)
-        except (PowerCut, OSError):
-            raise apsw.IOError from None
-
-    return made
-
-
-class File:
-    """One open file of sqlite's; every call is a call of the disc's."""
-
-    def __init__(self, disc, name, create):
-        self.disc, self.name, self.port = disc, name, disc.port()
-        self.handle = self.port.open(name, create=create)
-        self.inode = self.port.handles[self.handle]
-        # sqlite's way on unix (UNIXFILE_DIRSYNC): the first sync of a new journal or log is its folder's too
-        self.takes_folder = create and name.endswith(("-journal", "-wal"))
-
-    @told_to_sqlite
-    def xRead(self, amount, offset):
-        return self.port.read(self.handle, offset, amount)
-
-    @told_to_sqlite
-    def xWrite(self, data, offset):
-        self.port.write(self.handle, offset, bytes(data))
-
-    @told_to_sqlite
-    def xTruncate(self, size):
-        self.port.truncate(self.handle, size)
-
-    @told_to_sqlite
-    def xSync(self, flags):
-        self.port.flush(self.handle)
-        if self.disc.apart:
-            self.disc.durable_names[self.name] = self.inode
-            self.disc.changes = [change for change in self.disc.changes if self.name not in change[:2]]
-        elif self.takes_folder:
-            self.port.flush_folder()
-            self.takes_folder = False
-
-    def xFileSize(self):
-        return len(self.inode.seen)
-
-    def xClose(self):
-        pass
-
-    def xLock(self, level):
-        pass
-
-    def xUnlock(self, level):
-        pass
-
-    def xCheckReservedLock(self):
-        return False
-
-    def xFileControl(self, op, pointer):
-        return False
-
-    def xSectorSize(self):
-        return 512
-
-    def xDeviceCharacteristics(self):
-        return apsw.SQLITE_IOCAP_POWERSAFE_OVERWRITE  # as sqlite takes unix files to be
+from tests.simulation.simulated_disk import PowerCut, SimulatedDisk
+from tests.simulation.sqlite_on_simulated_disk import Apsw, Rows
 
 
-class Folder(apsw.VFS):
-    def __init__(self, disc):
-        self.disc, self.label = disc, f"disc-{uuid.uuid4().hex}"
-        super().__init__(self.label, "")
-
-    @told_to_sqlite
-    def xOpen(self, name, flags):
-        name = name.filename() if isinstance(name, apsw.URIFilename) else name
-        return File(self.disc, name, name not in self.disc.names)
-
-    @told_to_sqlite
-    def xDelete(self, name, sync):
-        self.disc.port().remove(name)
-        if sync:
-            self.disc.port().flush_folder()
-
-    def xAccess(self, name, flags):
-        return name in self.disc.names
-
-    def xFullPathname(self, name):
-        return name
-
-
-class Base:
-    """An apsw connection in sqlite3's words."""
-
-    def __init__(self, disc, path, swaps=()):
-        """swaps: pairs of what the shelf asks of sqlite and what is asked in its place."""
-        self.disc, self.folder, self.swaps = disc, Folder(disc), swaps
-        flags = apsw.SQLITE_OPEN_READWRITE | apsw.SQLITE_OPEN_CREATE
-        self.base = self.ask(lambda: apsw.Connection(path, vfs=self.folder.label, flags=flags))
-
-    def ask(self, what):
-        try:
-            found = what()
-        except (apsw.Error, OSError, PowerCut) as problem:
-            if self.disc.cut_at is not None and self.disc.calls > self.disc.cut_at:
-                raise PowerCut from None
-            raise sqlite3.OperationalError(str(problem)) from None
-        if self.disc.cut_at is not None and self.disc.calls > self.disc.cut_at:
-            raise PowerCut
-        return found
-
-    def execute(self, sql, values=()):
-        for said, meant in self.swaps:
-            sql = sql.replace(said, meant)
-        return Rows(self.ask(lambda: [*self.base.execute(sql, values)]))
-
-    @property
-    def in_transaction(self):
-        return self.base.in_transaction
-
-    def close(self):
-        self.ask(self.base.close)
-
-    def __del__(self):
-        """After a power cut it can't be closed, which apsw would print."""
-        with contextlib.suppress(apsw.Error, AttributeError):
-            self.base.close(True)
-
-
-class Rows(list):
-    def fetchone(self):
-        return self[0] if self else None
-
-
-class Broken(AssertionError):
+class StateLost(AssertionError):
     """Something acknowledged is lost, or something that nobody wrote is there."""
 
 
 PATH = "/d/shelf.db"
-KEY_SPACE_SIZE = ("0", "a", "b", "", 'a",b', "a,", "a-", "[", "\\", "\n", "\u00e9", "\ud800")  # odd ones too
+ODD_KEYS = ("0", "a", "b", "", 'a",b', "a,", "a-", "[", "\\", "\n", "\u00e9", "\ud800")
 REGISTERS = ("config", "table")
-TURN_CALLS = 150  # file calls within which a start turns form 1 into form 2
+UPGRADE_CALLS = 150  # file calls within which a start turns schema version 1 into 2
 
 
-def shelf_on(disc: Disc, swaps=(), kind=Storage) -> Storage:
-    storage = kind("/d", lambda path: Base(disc, path, swaps))
+def storage_on(disk: SimulatedDisk, replacements=(), storage_class=Storage) -> Storage:
+    storage = storage_class("/d", lambda path: Apsw(disk, path, replacements))
     storage.path = PATH
     return storage
 
 
-def changed(dice, value, deep=0):
+def changed_value(dice, value, depth=0):
     """Another value: as a rule a map with a key more, less or changed."""
-    if not isinstance(value, dict) or deep > 4 or dice.random() < 0.03:
+    if not isinstance(value, dict) or depth > 4 or dice.random() < 0.03:
         deeper = {
-            key: {"c": {"d": [1, {key: 2}]}, "e": 1} for key in dice.sample(KEY_SPACE_SIZE, dice.randrange(4))
+            key: {"c": {"d": [1, {key: 2}]}, "e": 1} for key in dice.sample(ODD_KEYS, dice.randrange(4))
         }
         return dice.choice([None, True, 1, 1.0, "x" * dice.randrange(9000), [1, {"a": 2}], deeper, deeper])
-    key = dice.choice(KEY_SPACE_SIZE)
+    key = dice.choice(ODD_KEYS)
     if key in value and dice.random() < 0.3:
         return {one: inner for one, inner in value.items() if one != key}
-    return {**value, key: changed(dice, value.get(key), deep + 1)}
+    return {**value, key: changed_value(dice, value.get(key), depth + 1)}
 
 
 def proposal_number(number: int) -> tuple:
     return (1, number, "a", 1) if number % 2 else ((1, "d"), number)
 
 
-class Told:
-    """states: what may lie there. The first was acknowledged; each other was begun on it, and not."""
+class WriteHistory:
+    """What may lie on a disk. The first state was acknowledged; each other was begun on it, and was not."""
 
     def __init__(self, state=None):
         self.states, self.number, self.acknowledged = [state or {"facts": {}, "registers": {}}], 0, 0
 
-    def found(self, state):
-        """Types, ballots and the order of keys count too."""
+    def accept_found(self, state):
+        """A start has found this state. Types, proposal numbers and the order of keys count too."""
         if repr(state) not in map(repr, self.states):
-            raise Broken(f"{state!r:.300} is there, none of {len(self.states)}")
+            raise StateLost(f"{state!r:.300} is there, none of {len(self.states)}")
         self.states = [state]
 
-    def next(self, dice):
+    def next_batch(self, dice):
         """A batch of one to three writes, and what lies there once it is done."""
         facts, registers = dict(self.states[0]["facts"]), dict(self.states[0]["registers"])
         batch = []
         for _ in range(dice.randrange(1, 4)):
             self.number += 1
-            told, rows = {"seen": self.number, "mark": dice.choice([None, [self.number]])}, []
+            new_facts, rows = {"seen": self.number, "mark": dice.choice([None, [self.number]])}, []
             for name in dice.sample(REGISTERS, dice.randrange(1, 3)):
-                value = changed(dice, registers[name][2] if name in registers else {})
+                value = changed_value(dice, registers[name][2] if name in registers else {})
                 if dice.random() < 0.2:
                     value = json.loads(json.dumps(value))  # shares nothing
                 elif name in registers:
                     value = apply_difference(registers[name][2], difference(registers[name][2], value))
                 rows.append((name, proposal_number(self.number), proposal_number(self.number - 1), value))
                 registers[name] = rows[-1][1:]
-            batch.append((rows, told, None))
-            facts |= told
+            batch.append((rows, new_facts, None))
+            facts |= new_facts
         facts = {name: facts[name] for name in sorted(facts) if facts[name] is not None}
         self.states.append({"facts": facts, "registers": dict(sorted(registers.items()))})
         return batch
 
 
-def process_lifetime(disc: Disc, told: Told, dice, writes: int, swaps=(), kind=Storage) -> None:
+def process_lifetime(
+    disk: SimulatedDisk, history: WriteHistory, dice, writes: int, replacements=(), storage_class=Storage
+) -> None:
     """One start and some writes."""
-    storage = shelf_on(disc, swaps, kind)
+    storage = storage_on(disk, replacements, storage_class)
     found = storage.open()
     if found.is_err():
-        if disc.refusals:
+        if disk.errors:
             return
-        raise Broken(found.err_value)
-    told.found({what: dict(sorted(rows.items())) for what, rows in found.ok_value.items()})
+        raise StateLost(found.err_value)
+    history.accept_found({what: dict(sorted(rows.items())) for what, rows in found.ok_value.items()})
     for _ in range(writes):
-        if storage.commit(told.next(dice)) is None:
-            told.states = told.states[-1:]
-            told.acknowledged += 1
+        if storage.commit(history.next_batch(dice)) is None:
+            history.states = history.states[-1:]
+            history.acknowledged += 1
 
 
-def form_1(dice) -> tuple[Disc, Told]:
-    """A disk as the program before left it, and what it amounts to."""
+def disk_of_schema_1(dice) -> tuple[SimulatedDisk, WriteHistory]:
+    """A disk of schema version 1, as an earlier program left it, and what it amounts to."""
     value = {"n": 3, "config": {"Revision": "r3", "text": "x" * dice.randrange(9000)}, "past": {"3": "f"}}
     registers = {"config": ((7, "b", 2), (3, "a", 1), value), "table": ((1, "c", 5), (0, "", 0), None)}
-    disc = Disc(dice)
-    base = Base(disc, PATH)
+    disk = SimulatedDisk(dice)
+    database = Apsw(disk, PATH)
     for sql in (
         "pragma locking_mode=exclusive",
         "pragma synchronous=extra",
@@ -265,41 +124,43 @@
         "pragma user_version=1",
         "insert into facts values ('born', 'true'), ('voters', '[\"a\", \"b\"]')",
     ):
-        base.execute(sql)
+        database.execute(sql)
     for name, row in registers.items():
-        base.execute("insert into registers values (?, ?, ?, ?)", (name, *map(json.dumps, row)))
+        database.execute("insert into registers values (?, ?, ?, ?)", (name, *map(json.dumps, row)))
     if dice.random() < 0.5:
-        base.close()
+        database.close()
     facts = {"born": True, "voters": ["a", "b"]}
-    meant = {
+    expected = {
         "config": ((1, 7, "b", 2), (1, 3, "a", 1), value),
         "table": ((1, 1, "c", 5), (0, 0, "", 0), None),
     }
-    return disc.after_power_cut(dice), Told({"facts": facts, "registers": meant})
+    return disk.after_power_cut(dice), WriteHistory({"facts": facts, "registers": expected})
 
 
-def play(seed: int, old: bool = False, lifetimes: int = 4, swaps=(), kind=Storage) -> int:
-    """Some lives on one disc, each ended by a power cut at any file call; how often something was
-    acknowledged. old: the disc is of form 1, and the first lives end early.
+def play(
+    seed: int, schema_1: bool = False, lifetimes: int = 4, replacements=(), storage_class=Storage
+) -> int:
+    """Some process lifetimes on one disk, each ended by a power cut at any file call; how often something was
+    acknowledged. schema_1: the disk is of schema version 1, and the first lifetimes end early.
     """
     dice = random.Random(seed)
-    disc, told = form_1(dice) if old else (Disc(dice), Told())
-    disc.apart = bool(seed % 2)
+    disk, history = disk_of_schema_1(dice) if schema_1 else (SimulatedDisk(dice), WriteHistory())
+    disk.syncs_own_name = bool(seed % 2)
     for _ in range(lifetimes):
-        disc.cut_at = dice.randrange(1, TURN_CALLS if old else 500)
+        disk.power_cut_at = dice.randrange(1, UPGRADE_CALLS if schema_1 else 500)
         if dice.random() < 0.3:
             kind_of_call, code = dice.choice(["write", "flush"]), dice.choice([errno.EIO, errno.ENOSPC])
-            disc.refusals = {kind_of_call: lambda code=code: code if dice.random() < 0.05 else 0}
+            disk.errors = {kind_of_call: lambda code=code: code if dice.random() < 0.05 else 0}
         try:
-            process_lifetime(disc, told, dice, 60, swaps, kind)
+            process_lifetime(disk, history, dice, 60, replacements, storage_class)
         except PowerCut:
             pass
-        disc = disc.after_power_cut(dice)
-    process_lifetime(disc, told, dice, 1, swaps, kind)
-    return told.acknowledged
+        disk = disk.after_power_cut(dice)
+    process_lifetime(disk, history, dice, 1, replacements, storage_class)
+    return history.acknowledged
 
 
-class Hasty(Storage):
+class TakesRefusedForStored(Storage):
     """Takes what a refused transaction was to leave for what is stored."""
 
     def commit(self, batch):
@@ -308,85 +169,91 @@
         return problem
 
 
-class Stepwise(Storage):
-    """Turns form 1 into form 2 by a transaction for each step."""
+class UpgradesStepwise(Storage):
+    """Upgrades by a transaction for each step."""
 
-    def upgrade(self, base, form, registers):
+    def upgrade(self, database, version, registers):
         bare = types.SimpleNamespace(
             execute=lambda sql, values=(): (
-                Rows() if sql in ("begin immediate", "commit") else base.execute(sql, values)
+                Rows() if sql in ("begin immediate", "commit") else database.execute(sql, values)
             )
         )
-        super().upgrade(bare, form, registers)
+        super().upgrade(bare, version, registers)
 
 
-class Loose(Storage):
+class EqualInPython(Storage):
     """Takes what Python calls equal for the same."""
 
-    def write_rows(self, base, registers, facts):
+    def write_rows(self, database, registers, facts):
         with mock.patch("bramblewood.controller.value_diff.equal_as_json", operator.eq):
-            super().write_rows(base, registers, facts)
+            super().write_rows(database, registers, facts)
 
 
-class Trusting(Storage):
+class TrustsAnyDifference(Storage):
     """Takes the difference that a value was made by for the one to what is stored."""
 
-    def write_rows(self, base, registers, facts):
+    def write_rows(self, database, registers, facts):
         known = lambda old, new: new.change if isinstance(new, PatchedDict) else difference(old, new)  # noqa: E731
         with mock.patch("bramblewood.controller.storage.difference", known):
-            super().write_rows(base, registers, facts)
+            super().write_rows(database, registers, facts)
 
 
-FULL = ("synchronous=extra", "synchronous=full")
-UPSERT = "on conflict (register, path) do update set value = excluded.value"
-FAULTS = {  # what is wrong with the shelf, as arguments of a play
-    "neither a synced folder nor a first page": {"swaps": (FULL, ("auto_vacuum=full", "auto_vacuum=none"))},
-    "a refused value taken for stored": {"kind": Hasty},
-    "form 1 turned step by step": {"kind": Stepwise, "old": True},
-    "a row put again at the end": {"swaps": (("insert into parts", "replace into parts"), (UPSERT, ""))},
+SYNCHRONOUS_FULL = ("synchronous=extra", "synchronous=full")
+PUT_PART_CONFLICT = "on conflict (register, path) do update set value = excluded.value"
+FAULTS = {  # what is wrong with the storage, as arguments of a play
+    "neither a synced folder nor a first page": {
+        "replacements": (SYNCHRONOUS_FULL, ("auto_vacuum=full", "auto_vacuum=none"))
+    },
+    "a refused value taken for stored": {"storage_class": TakesRefusedForStored},
+    "an upgrade step by step": {"storage_class": UpgradesStepwise, "schema_1": True},
+    "a row put again at the end": {
+        "replacements": (("insert into parts", "replace into parts"), (PUT_PART_CONFLICT, ""))
+    },
     "parts left below what took their place": {
-        "swaps": (("where register = ? and path > ?", "where register is null and ? is null and path > ?"),)
+        "replacements": (
+            ("where register = ? and path > ?", "where register is null and ? is null and path > ?"),
+        )
     },
-    "equal in Python taken for the same": {"kind": Loose},
-    "a difference to another value taken": {"kind": Trusting},
-    "syncs left out": {"swaps": (("synchronous=extra", "synchronous=off"),)},
+    "equal in Python taken for the same": {"storage_class": EqualInPython},
+    "a difference to another value taken": {"storage_class": TrustsAnyDifference},
+    "syncs left out": {"replacements": (("synchronous=extra", "synchronous=off"),)},
 }
 
 
-def found_at(fault: str, seeds: int) -> int | None:
+def first_seed_found(fault: str, seeds: int) -> int | None:
     """The first seed whose play finds this fault out."""
     for seed in range(seeds):
         try:
             play(seed, **FAULTS[fault])
-        except Broken:
+        except StateLost:
             return seed
     return None
 
 
-def difference_holds(dice) -> bool:
+def difference_leads_to_value(dice) -> bool:
     """Between two values, either of which may be made of the other, and as it travels."""
-    old = changed(dice, {})
+    old = changed_value(dice, {})
     for _ in range(dice.randrange(8)):
-        old = changed(dice, old)
+        old = changed_value(dice, old)
     new = old
     for _ in range(dice.randrange(4)):
-        new = changed(dice, new)
+        new = changed_value(dice, new)
     if isinstance(new, dict) and dice.random() < 0.2:
         new = dict(dice.sample([*new.items()], len(new)))
     new = json.loads(json.dumps(new)) if dice.random() < 0.3 else new
     return repr(apply_difference(old, json.loads(json.dumps(difference(old, new))))) == repr(new)
 
 
-class Growing:
-    """One shelf that lives long."""
+class LongLivedStorage:
+    """One database over thousands of commits."""
 
     def __init__(self, slices: int) -> None:
-        self.disc, self.dice, self.value = Disc(), random.Random(1), table(slices)
+        self.disk, self.dice, self.value = SimulatedDisk(), random.Random(1), table(slices)
         self.start()
         self.commit(self.value)
 
     def start(self) -> None:
-        self.storage = shelf_on(self.disc)
+        self.storage = storage_on(self.disk)
         assert self.storage.open().is_ok()
 
     def commit(self, value) -> None:
@@ -404,21 +271,21 @@
                 self.commit({**self.value, "s": full})
 
     def sizes(self) -> tuple[int, int]:
-        """Bytes of the base and of its log."""
-        return len(self.disc.names[PATH].seen), len(self.disc.names[PATH + "-wal"].seen)
+        """Bytes of the database and of its log."""
+        return len(self.disk.names[PATH].contents), len(self.disk.names[PATH + "-wal"].contents)
 
 
 PROMISE = {"k": "promise"}
-BORN = ([("config", (1, 3, "a", 1), (1, 3, "a", 1), {"n": 1})], {"disk": "a"}, None)
-ANSWER = 5.0  # s that the shelf's thread may take once its disc answers
+FIRST_WRITE = ([("config", (1, 3, "a", 1), (1, 3, "a", 1), {"n": 1})], {"disk": "a"}, None)
+ANSWER_TIMEOUT = 5.0  # s that the writer's thread may take once its disk answers
 
 
-class Hanging:
-    """An archive's writing side on a disc that hangs at the next sync, until it is told to answer."""
+class HangingDisk:
+    """A controller's writing side on a disk that hangs at the next sync, until it may answer."""
 
     def __init__(self):
-        self.disc, self.told = Disc(), queue.SimpleQueue()
-        self.hangs, self.go = threading.Event(), threading.Event()
+        self.disk, self.notifications = SimulatedDisk(), queue.SimpleQueue()
+        self.is_hanging, self.may_answer = threading.Event(), threading.Event()
         ports = {"Control": ("127.0.0.1", 1)}
         self.controller = Controller(
             Settings("a", "a", "z", (1, 2), (), False, "/d", 1.5, ports, 2**28, 100, Bounds())
@@ -431,16 +298,16 @@
         self.controller.peer_connections = types.SimpleNamespace(
             send=lambda peer, what: self.sent.append((peer, what))
         )
-        self.storage = self.controller.storage = shelf_on(self.disc)
-        assert self.storage.open().is_ok() and self.storage.commit([BORN]) is None
-        self.disc.refusals = {"flush": self.hang}
+        self.storage = self.controller.storage = storage_on(self.disk)
+        assert self.storage.open().is_ok() and self.storage.commit([FIRST_WRITE]) is None
+        self.disk.errors = {"flush": self.hang}
         self.storage.writer_thread = threading.Thread(target=self.work, daemon=True)
-        self.storage.start(lambda done, problem: self.told.put((done, problem)))
+        self.storage.start(lambda done, problem: self.notifications.put((done, problem)))
 
     def hang(self):
-        self.hangs.set()
-        self.go.wait(ANSWER)
-        if self.disc.cut_at is not None:
+        self.is_hanging.set()
+        self.may_answer.wait(ANSWER_TIMEOUT)
+        if self.disk.power_cut_at is not None:
             raise PowerCut  # amid the sync
 
     def work(self):
@@ -453,20 +320,22 @@
         self.now = now
         row = (CONFIG, (1, 7, "b", 1), (1, 3, "a", 1), {"n": 1})
         self.controller.carry(Effects([row], [("b", PROMISE)], [], {}))
-        assert self.hangs.wait(ANSWER)  # else the moment of what follows would be a matter of luck
+        assert self.is_hanging.wait(
+            ANSWER_TIMEOUT
+        )  # else the moment of what follows would be a matter of luck
 
     def answer(self):
-        self.go.set()
+        self.may_answer.set()
         self.storage.close()
-        self.storage.writer_thread.join(ANSWER)
-        while not self.told.empty():
-            done, problem = self.told.get()
+        self.storage.writer_thread.join(ANSWER_TIMEOUT)
+        while not self.notifications.empty():
+            done, problem = self.notifications.get()
             done(problem)
 
     def after_power_cut(self):
         """What a start finds."""
-        disc = self.disc.after_power_cut(random.Random(1))
-        return shelf_on(disc).open().ok_value["registers"]
+        disk = self.disk.after_power_cut(random.Random(1))
+        return storage_on(disk).open().ok_value["registers"]
 
     def end(self):
-        self.go.set()
+        self.may_answer.set()
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -20,7 +20,7 @@
 from bramblewood.store.store import Store
 
 from .helper import FACTS, OPERATIONS, entry
-from .simulation.simulated_disk import Disc
+from .simulation.simulated_disk import SimulatedDisk
 
 TERMS = StoreTerms("", "in-loop", False, 0.002, 0.25, 86400.0)
 
@@ -39,7 +39,7 @@
     """A manager that is killed and started again, discovery and a relay: they hold the truth and judge."""
 
     def __init__(self, seed, ledger=True, **facts):
-        self.dice, self.disc, self.now, self.log = random.Random(seed), Disc(), 1000.0, Log()
+        self.dice, self.disk, self.now, self.log = random.Random(seed), SimulatedDisk(), 1000.0, Log()
         self.facts, self.with_ledger = {**FACTS, "slices": 6, "lease": 30.0, **facts}, ledger
         self.states = {f"w{k}": entry(f"w{k}", zone="ab"[k % 2]) for k in range(5)}
         self.version, self.told, self.out = 41, {}, {}  # out: told closed to the manager, in some life
@@ -60,7 +60,7 @@
         events.append(door.WorkersListed(tuple(entries), True, True, version))
         self.heard_version = version
         if self.with_ledger:
-            store = Store(self.disc.port(), self.clock, new_id=lambda: self.disc.dice.randbytes(16))
+            store = Store(self.disk.port(), self.clock, new_id=lambda: self.disk.dice.randbytes(16))
             self.stage = Ledger(TERMS, self.facts, str(self.life), self.clock, self.log, store)
             events += self.stage.begin()
         events += [door.ProxyJoined(p, "a", 5.0) for p in range(2)]
@@ -85,8 +85,8 @@
     def kill(self, power):
         """The process ends with no warning; with the power, what was not flushed is lost in part."""
         self.manager = self.stage = None
-        self.disc = self.disc.after_power_cut(self.dice) if power else self.disc
-        self.disc.locked = False
+        self.disk = self.disk.after_power_cut(self.dice) if power else self.disk
+        self.disk.locked = False
 
     def hand(self, events):
         if self.stage:
@@ -358,10 +358,10 @@
 
 def test_a_disc_that_takes_nothing_holds_back_only_what_needs_its_promise():
     """Guards the order of things: tables go, further tries wait, a later order makes a waiting one void."""
-    now, disc, log = [1000.0], Disc(), Log()
-    stage = Ledger(TERMS, FACTS, "1", lambda: now[0], log, Store(disc.port(), lambda: now[0]))
+    now, disk, log = [1000.0], SimulatedDisk(), Log()
+    stage = Ledger(TERMS, FACTS, "1", lambda: now[0], log, Store(disk.port(), lambda: now[0]))
     stage.begin()
-    disc.refusals["flush"] = lambda: errno.EIO
+    disk.errors["flush"] = lambda: errno.EIO
     tries, line = door.Admit(3, (1,), 1.0, door.RETRY_UNSTARTED), door.SetLine(3, "a", 1.0)
     assert stage.say_orders(now[0], [line, tries, door.Mark(1)]) == []
     went = []
@@ -375,7 +375,7 @@
     assert tries not in went
     none = door.Admit(3, (1,), 0.5, door.NO_RETRY)
     went += stage.say_orders(now[0], [none])
-    del disc.refusals["flush"]
+    del disk.errors["flush"]
     for _ in range(200):
         now[0] += 0.5
         went += stage.turn(now[0], 0.0)[1]
@@ -420,14 +420,14 @@
     assert found.opening(1001.0) == [door.WithdrawalHeld("b")]
 
 
-def judged_after_damage(town, disc, what):
+def judged_after_damage(town, disk, what):
     """A start on a damaged folder, discovery back after a moment: the town judges, the loss must be said.
 
     Once the longest integration timeout has passed nothing of an earlier life can still take effect.
     """
     from copy import deepcopy
 
-    later = deepcopy(town, {id(town.disc): disc, id(town.log): Log()})
+    later = deepcopy(town, {id(town.disk): disk, id(town.log): Log()})
     later.known, later.version, later.discovery_up = (41, town.known[1]), town.version, False
     later.log, later.past = Log(), later.now + max(o["integration_timeout"] for o in OPERATIONS)
     later.start()
@@ -459,20 +459,20 @@
     town.step(1.0)
     town.kill(False)
     lost = cases = 0
-    for name in town.disc.entries():
-        size = len(town.disc.names[name].seen)
+    for name in town.disk.entries():
+        size = len(town.disk.names[name].contents)
         for at in range(zlib.crc32(name.encode()) % step if first is None else first, size, step):
             for kind in ("cut", "changed"):
-                disc = town.disc.copy()
-                data = disc.names[name].seen
+                disk = town.disk.copy()
+                data = disk.names[name].contents
                 if kind == "cut":
                     del data[at:]
                 else:
                     data[at] ^= 1 << at % 8
-                disc.names[name].durable = bytes(data)
-                lost += judged_after_damage(town, disc, (name, kind, at))
+                disk.names[name].durable = bytes(data)
+                lost += judged_after_damage(town, disk, (name, kind, at))
                 cases += 1
-    return cases, lost, len(town.disc.names)
+    return cases, lost, len(town.disk.names)
 
 
 def test_a_manager_on_a_damaged_folder_uses_no_drained_worker_and_repeats_no_try():
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -12,7 +12,7 @@
 from bramblewood.store.recovery import Refused
 from bramblewood.store.store import DAMAGE, WAITING, Store, Unreadable
 
-from .simulation.simulated_disk import Disc, PowerCut
+from .simulation.simulated_disk import PowerCut, SimulatedDisk
 
 
 @pytest.fixture(autouse=True)
@@ -31,8 +31,8 @@
         return self.at
 
 
-def opened(disc, clock=None, **more):
-    return Store(disc.port(), clock or Clock(), new_id=lambda: disc.dice.randbytes(16), **more)
+def opened(disk, clock=None, **more):
+    return Store(disk.port(), clock or Clock(), new_id=lambda: disk.dice.randbytes(16), **more)
 
 
 def finish(steps):
@@ -57,8 +57,8 @@
 @pytest.mark.parametrize("seed", range(40))
 def test_a_random_run_reads_as_a_plain_dict(seed):
     """Puts, deletes, expiry, snapshots, background work in steps, reopenings: compared after every step."""
-    dice, disc, clock = random.Random(seed), Disc(), Clock()
-    store, state, until, snapshots, work = opened(disc, clock), {}, {}, [], None
+    dice, disk, clock = random.Random(seed), SimulatedDisk(), Clock()
+    store, state, until, snapshots, work = opened(disk, clock), {}, {}, [], None
 
     def alive():
         return {key: value for key, value in state.items() if until[key] > clock.at}
@@ -92,7 +92,7 @@
             for snapshot, _ in snapshots:
                 snapshot.close()
             store.close()
-            store, snapshots, work = opened(disc, clock), [], None
+            store, snapshots, work = opened(disk, clock), [], None
             assert not store.damages and not store.dropped
         store.commit()
         assert store.promised == store.number
@@ -107,8 +107,8 @@
 
 
 def test_a_clock_set_back_brings_nothing_back():
-    disc, clock = Disc(), Clock()
-    store = opened(disc, clock)
+    disk, clock = SimulatedDisk(), Clock()
+    store = opened(disk, clock)
     store.put(b"a", b"1", clock.at + 5)
     clock.at += 10
     assert store.get(b"a") is None
@@ -117,12 +117,12 @@
     store.put(b"b", b"1")
     store.commit()
     store.close()
-    assert opened(disc, Clock(3.0)).get(b"a") is None
+    assert opened(disk, Clock(3.0)).get(b"a") is None
 
 
-def workload(disc, history, promised, seed=1, batches=60):
+def workload(disk, history, promised, seed=1, batches=60):
     """A seeded workload with seals and merges; history: the state after each batch; promised[0]: the last."""
-    dice, store = random.Random(seed), opened(disc)
+    dice, store = random.Random(seed), opened(disk)
     for _ in range(batches):
         operations = batch(dice)
         history.append(apply(history[-1], operations))
@@ -142,19 +142,19 @@
 
 def test_a_power_cut_after_any_file_call_leaves_a_promised_state_or_a_later_one():
     """Guards every promise: cut anywhere, under any loss; then cut again during the recovery."""
-    whole = Disc()
+    whole = SimulatedDisk()
     workload(whole, [{}], [0])
     met = 0
     for cut in range(whole.calls):
-        disc, history, promised = Disc(), [{}], [0]
-        disc.cut_at = cut
+        disk, history, promised = SimulatedDisk(), [{}], [0]
+        disk.power_cut_at = cut
         with pytest.raises(PowerCut):
-            workload(disc, history, promised)
+            workload(disk, history, promised)
         for loss in range(3):
             dice = random.Random(cut * 10 + loss)
-            back = disc.after_power_cut(dice)
+            back = disk.after_power_cut(dice)
             if dice.random() < 0.5:  # and once more, amid the recovery
-                back.cut_at = dice.randrange(1, 60)
+                back.power_cut_at = dice.randrange(1, 60)
                 try:
                     opened(back).close()
                 except PowerCut:
@@ -175,11 +175,11 @@
 @pytest.mark.parametrize("seed", range(30))
 def test_failing_flushes_and_no_space_delay_promises_and_lose_none(seed):
     """The store is read as ever meanwhile, says so once, and promises again by itself."""
-    dice, disc, clock = random.Random(seed), Disc(), Clock()
-    store, state, bad = opened(disc, clock), {}, [False]
+    dice, disk, clock = random.Random(seed), SimulatedDisk(), Clock()
+    store, state, bad = opened(disk, clock), {}, [False]
     kinds = ("flush", "write", "create", "flush folder")
     error = dice.choice([errno.EIO, errno.ENOSPC])
-    disc.refusals = {kind: lambda: error if bad[0] and dice.random() < 0.7 else 0 for kind in kinds}
+    disk.errors = {kind: lambda: error if bad[0] and dice.random() < 0.7 else 0 for kind in kinds}
     lasting, notices = {0: {}}, []
     for step in range(200):
         bad[0] = step % 50 > 25
@@ -193,7 +193,7 @@
         while store.notices:
             notices.append((step, store.notices.popleft().what))
         assert dict(store.scan()) == state
-        back = disc.after_power_cut(random.Random(step))
+        back = disk.after_power_cut(random.Random(step))
         if step % 10 == 0:
             again = opened(back, clock)
             assert dict(again.scan()) in [lasting[n] for n in range(store.promised, store.number + 1)]
@@ -212,7 +212,7 @@
 def test_background_work_that_fails_is_tried_again_later_and_not_each_turn():
     """Guards against a notice and an attempt in every turn while only tables can't be written."""
     clock, tries = Clock(), []
-    store = opened(Disc(), clock)
+    store = opened(SimulatedDisk(), clock)
 
     def refused(*_):
         tries.append(clock.at)
@@ -237,34 +237,34 @@
 
 def test_what_waits_for_a_promise_stays_bounded(monkeypatch):
     monkeypatch.setattr("bramblewood.store.store.UNPROMISED", 4000)
-    disc, clock, dice = Disc(), Clock(), random.Random(2)
-    store, state = opened(disc, clock), {}
-    disc.space = 0
+    disk, clock, dice = SimulatedDisk(), Clock(), random.Random(2)
+    store, state = opened(disk, clock), {}
+    disk.free_bytes = 0
     for _ in range(400):
         operations = batch(dice)
         state = apply(state, operations)
         store.write(operations)
         store.commit()
     assert store.trouble and sum(len(w.payload) for w in store.waiting) < 6000
-    disc.space = None
+    disk.free_bytes = None
     clock.at += 60
     store.commit()
     assert store.promised == store.number
     store.close()
-    assert dict(opened(disc, clock).scan()) == state
+    assert dict(opened(disk, clock).scan()) == state
 
 
 def lived(seed=3, batches=40):
     """A folder that has seen logs, seals and merges, and its last state."""
-    disc, history = Disc(random.Random(seed)), [{}]
-    workload(disc, history, [0], seed, batches)
-    return disc, history
+    disk, history = SimulatedDisk(random.Random(seed)), [{}]
+    workload(disk, history, [0], seed, batches)
+    return disk, history
 
 
-def judge(disc, history, what, cleanly=False):
+def judge(disk, history, what, cleanly=False):
     """Opened after damage: all of the last state, or the loss is said; it goes on, and says so once more."""
     try:
-        store = opened(disc)
+        store = opened(disk)
     except Refused:
         assert not cleanly, what
         return
@@ -285,34 +285,34 @@
     store.put(b"after", b"1")
     store.commit()
     store.close()
-    again = opened(disc)
+    again = opened(disk)
     assert again.get(b"after") == b"1"
     marks = [key for key, _ in again.scan(DAMAGE)]
     told = marks or any(not damage.kept for damage in again.damages)
     assert bool(told) == bool(lost), (what, lost, again.damages)
 
 
-def damaged(disc, name, change):
-    back = disc.copy()
-    back.names[name].seen = bytearray(change(bytes(back.names[name].seen)))
-    back.names[name].durable = bytes(back.names[name].seen)
+def damaged(disk, name, change):
+    back = disk.copy()
+    back.names[name].contents = bytearray(change(bytes(back.names[name].contents)))
+    back.names[name].durable = bytes(back.names[name].contents)
     return back
 
 
 def test_every_file_cut_at_every_byte_and_every_byte_changed():
     """Guards against a cut at a record's exact end, which looks like a clean shorter log."""
-    disc, history = lived()
-    assert {name.rpartition(".")[2] for name in disc.names} == {"log", "table", "manifest", "witness"}
-    for name in disc.entries():
-        size = len(disc.names[name].seen)
+    disk, history = lived()
+    assert {name.rpartition(".")[2] for name in disk.names} == {"log", "table", "manifest", "witness"}
+    for name in disk.entries():
+        size = len(disk.names[name].contents)
         step = 1 if name != recovery.WITNESS else 7
         for at in range(0, size, step):
-            judge(damaged(disc, name, lambda data, at=at: data[:at]), history, (name, "cut", at))
+            judge(damaged(disk, name, lambda data, at=at: data[:at]), history, (name, "cut", at))
         for at in range(0, size, step):
             for bit in range(8) if at < frames.HEAD.size else (at % 8,):
                 judge(
                     damaged(
-                        disc,
+                        disk,
                         name,
                         lambda data, at=at, bit=bit: (
                             data[:at] + bytes([data[at] ^ 1 << bit]) + data[at + 1 :]
@@ -324,81 +324,81 @@
 
 
 def test_a_lost_doubled_older_or_foreign_file_has_a_stated_answer():
-    disc, history = lived()
+    disk, history = lived()
     older, _ = lived(batches=25)
     other, _ = lived(seed=9)
-    for name in disc.entries():
-        lost = disc.copy()
+    for name in disk.entries():
+        lost = disk.copy()
         del lost.names[name]
         judge(lost, history, (name, "lost"))
-        doubled = disc.copy()
+        doubled = disk.copy()
         doubled.names[name + " (copy)"] = doubled.names[name]
         judge(doubled, history, (name, "doubled"), cleanly=True)
         kind = name.rpartition(".")[2]
         if kind != "witness":
-            doubled = disc.copy()
+            doubled = disk.copy()
             doubled.names[f"{99999:08d}.{kind}"] = doubled.names[name]
             judge(doubled, history, (name, "under a higher number"), cleanly=True)
         for source in (older, other):
             if name in source.names:
-                swapped = disc.copy()
+                swapped = disk.copy()
                 swapped.names[name] = source.copy().names[name]
                 judge(swapped, history, (name, "of another copy"))
 
 
 def test_a_file_of_a_later_version_is_refused_and_nothing_is_touched():
-    disc, _ = lived()
-    for name in disc.entries():
-        data = bytearray(disc.names[name].seen)
+    disk, _ = lived()
+    for name in disk.entries():
+        data = bytearray(disk.names[name].contents)
         data[8:10] = (frames.VERSION + 1).to_bytes(2, "little")
         data[12:16] = frames.crc32c(bytes(data[:12])).to_bytes(4, "little")
-        newer = damaged(disc, name, lambda _, data=data: data)
-        before = {n: bytes(inode.seen) for n, inode in newer.names.items()}
+        newer = damaged(disk, name, lambda _, data=data: data)
+        before = {n: bytes(inode.contents) for n, inode in newer.names.items()}
         with pytest.raises(Refused, match="version 2"):
             opened(newer)
-        assert before == {n: bytes(inode.seen) for n, inode in newer.names.items()}
+        assert before == {n: bytes(inode.contents) for n, inode in newer.names.items()}
 
 
 def test_a_batch_with_a_right_checksum_that_holds_no_operations_is_damage():
     """Guards against a start that never ends: the search behind it found the same batch again."""
-    disc = Disc()
-    store = opened(disc)
+    disk = SimulatedDisk()
+    store = opened(disk)
     for k in range(5):
         store.put(b"k%d" % k, b"1")
         if k == 2:
             store.waiting[-1] = store.waiting[-1]._replace(payload=b"none")
         store.commit()
     store.close()
-    again = opened(disc)
+    again = opened(disk)
     assert [key for key, _ in again.scan(b"k")] == [b"k0", b"k1", b"k3", b"k4"]
     assert ["batch 3 lost" in damage.what for damage in again.damages] == [True]
 
 
 def test_two_processes_on_one_folder_and_a_store_that_has_to_be_there():
-    disc = Disc()
-    store = opened(disc, must_exist=True)
+    disk = SimulatedDisk()
+    store = opened(disk, must_exist=True)
     assert store.damages and store.fresh
     with pytest.raises(Refused, match="another process"):
-        opened(disc)
+        opened(disk)
     store.close()
-    assert not opened(disc, must_exist=True).damages
+    assert not opened(disk, must_exist=True).damages
 
 
 def test_read_errors_are_holes_or_refusals_and_never_older_values():
-    disc, history = lived()
+    disk, history = lived()
     for bad in range(1, 60):
-        back, count = disc.copy(), [0]
+        back, count = disk.copy(), [0]
 
         def refuse(count=count, bad=bad):
             count[0] += 1
             return errno.EIO if count[0] == bad else 0
 
-        back.refusals = {"read": refuse}
+        back.errors = {"read": refuse}
         try:
             store = opened(back)
         except Refused:
             continue
-        back.refusals = {}
+        back.errors = {}
         found = dict(store.scan())
         if not any(not damage.kept for damage in store.damages):
             assert found == history[-1]
