--- /dev/null
+++ b/bramblewood/common/messages/between_controllers.py
@@ -0,0 +1,99 @@
+"""Messages that controllers send each other."""
+
+from typing import Any, NamedTuple
+
+from .greetings import Registrations, Versions
+
+
+class ControllerHeartbeat(NamedTuple):
+    """What a controller tells each other controller several times a second.
+
+    Proposal numbers are tuples here and lists on the wire.
+    """
+
+    sent_at: float
+    is_voting: bool  # an active voter of its epoch, on disk too
+    is_current: bool  # it has fresh contact with a quorum and its disk answers
+    accepted: dict[str, tuple]  # newest accepted proposal number, by register
+    durable: dict[str, tuple]  # the same, safe on its disk
+    epoch: int
+    disk: str
+    versions: Versions  # what it knows to be chosen
+    is_leaving: bool
+    echo: float  # `sent_at` of the newest heartbeat it had from the receiver; negative for none
+    bound: dict[str, Any] | None = None  # what the receiver has promised, as heard by the sender
+    # what changes seldom is left out where it was sent on this connection before
+    members: Any = None
+    zone: str | None = None
+    counted: bool | None = None  # whether the loss of its zone is to be borne
+    controllers: list[str] | None = None
+    proxies: list[str] | None = None  # names of those connected to the sender
+    worker_ages: dict[str, float] | None = None  # s since workers were heard, of the last ones
+
+    kind = "pulse"
+
+    @classmethod
+    def from_wire(cls, message: dict) -> "ControllerHeartbeat":
+        return cls(
+            message["t"],
+            message["v"],
+            message["w"],
+            {register: tuple(number) for register, number in message["acc"].items()},
+            {register: tuple(number) for register, number in message["dur"].items()},
+            message["ep"],
+            message["disk"],
+            message["ver"],
+            message["leaving"],
+            message["e"],
+            message.get("bound"),
+            message.get("members"),
+            message.get("zone"),
+            message.get("counted"),
+            message.get("archives"),
+            message.get("desks"),
+            message.get("heard"),
+        )
+
+    def to_wire(self) -> dict[str, Any]:
+        made = {
+            "k": self.kind,
+            "t": self.sent_at,
+            "v": self.is_voting,
+            "w": self.is_current,
+            "acc": self.accepted,
+            "dur": self.durable,
+            "ep": self.epoch,
+            "disk": self.disk,
+            "ver": self.versions,
+            "leaving": self.is_leaving,
+            "e": self.echo,
+        }
+        for key, value in (
+            ("bound", self.bound),
+            ("members", self.members),
+            ("zone", self.zone),
+            ("counted", self.counted),
+            ("archives", self.controllers),
+            ("desks", self.proxies),
+            ("heard", self.worker_ages),
+        ):
+            if value is not None:
+                made[key] = value
+        return made
+
+
+class RegistryAcknowledgement(NamedTuple):
+    """A controller holds the registrations that it was sent, or newer ones."""
+
+    request_id: int
+    newer: Registrations  # of workers that leave, where the sender knows more
+    epoch: int  # in which it was an active voter as it said so; -1 for none
+
+    kind = "rolled"
+
+    @classmethod
+    def from_wire(cls, message: dict) -> "RegistryAcknowledgement":
+        return cls(message["id"], message["rows"], message["epoch"])
+
+    def to_wire(self) -> dict[str, Any]:
+        return {"k": self.kind, "id": self.request_id, "rows": self.newer, "epoch": self.epoch}
--- /dev/null
+++ b/bramblewood/common/messages/greetings.py
@@ -0,0 +1,48 @@
+"""Messages that controllers and proxies send alike: who they are, and what they know of the workers."""
+
+from typing import Any, NamedTuple
+
+ROLE_CONTROLLER, ROLE_PROXY = "archive", "desk"  # values of `role`
+Versions = dict[str, int]  # newest version, by register
+Registrations = dict[str, list]  # rows, by worker instance id
+
+
+class Hello(NamedTuple):
+    """The first message on a connection: who dialled, and the worker registrations it hands over."""
+
+    role: str  # ROLE_CONTROLLER or ROLE_PROXY
+    sender: str  # a controller's address, a proxy's name
+    registrations: Registrations
+    ages: dict[str, float] | None = None  # s since each worker was heard; only from controllers
+
+    kind = "hello"
+
+    @classmethod
+    def from_wire(cls, message: dict) -> "Hello":
+        return cls(message["role"], str(message["from"]), message.get("rows", {}), message.get("ages"))
+
+    def to_wire(self) -> dict[str, Any]:
+        made = {"k": self.kind, "role": self.role, "from": self.sender, "rows": self.registrations}
+        return made if self.ages is None else {**made, "ages": self.ages}
+
+
+class RegistryUpdate(NamedTuple):
+    """Worker registrations that are news to the receiver."""
+
+    registrations: Registrations
+    request_id: int | None = None  # asks for a RegistryAcknowledgement with this id; between controllers
+    is_complete: bool = False  # all that the sender knows; to proxies
+
+    kind = "roll"
+
+    @classmethod
+    def from_wire(cls, message: dict) -> "RegistryUpdate":
+        return cls(message["rows"], message.get("id"), "all" in message)
+
+    def to_wire(self) -> dict[str, Any]:
+        made: dict[str, Any] = {"k": self.kind, "rows": self.registrations}
+        if self.request_id is not None:
+            made["id"] = self.request_id
+        if self.is_complete:
+            made["all"] = True
+        return made
--- /dev/null
+++ b/bramblewood/common/messages/with_proxies.py
@@ -0,0 +1,243 @@
+"""Messages that go between a controller and a proxy."""
+
+from typing import Any, NamedTuple
+
+from .greetings import Versions
+
+
+class ProxyHeartbeat(NamedTuple):
+    """What a controller tells each proxy twice a second, and as it becomes current or ceases to."""
+
+    versions: Versions  # newest versions that proxies may follow
+    is_current: bool
+    is_coordinator: bool
+    proxy_count: int
+    silent_workers: list[str] | None = None  # instance ids without a heartbeat for too long
+    # what changes seldom is left out where it was sent on this connection before
+    zone: str | None = None
+    controllers: list[str] | None = None
+    zone_affinity: dict[str, Any] | None = None  # by service and zone: the part of requests that stay in it
+    hot_keys: dict[str, Any] | None = None  # by service; only with `zone_affinity`
+
+    kind = "pulse"
+
+    @classmethod
+    def from_wire(cls, message: dict) -> "ProxyHeartbeat":
+        return cls(
+            message["n"],
+            message["whole"],
+            message["scribe"],
+            message["desks"],
+            message.get("silent"),
+            message.get("zone"),
+            message.get("archives"),
+            message.get("near"),
+            message.get("crowds"),
+        )
+
+    def to_wire(self) -> dict[str, Any]:
+        made = {
+            "k": self.kind,
+            "n": self.versions,
+            "whole": self.is_current,
+            "scribe": self.is_coordinator,
+            "desks": self.proxy_count,
+        }
+        for key, value in (
+            ("silent", self.silent_workers),
+            ("zone", self.zone),
+            ("archives", self.controllers),
+            ("near", self.zone_affinity),
+            ("crowds", self.hot_keys),
+        ):
+            if value is not None:
+                made[key] = value
+        return made
+
+
+class Subscribe(NamedTuple):
+    """A proxy chooses this controller to push all updates to it, from the versions it has."""
+
+    versions: Versions
+
+    kind = "home"
+
+    @classmethod
+    def from_wire(cls, message: dict) -> "Subscribe":
+        return cls(message["have"])
+
+    def to_wire(self) -> dict[str, Any]:
+        return {"k": self.kind, "on": True, "have": self.versions}
+
+
+class Unsubscribe(NamedTuple):
+    """A proxy is pushed to from another controller now."""
+
+    kind = "home"
+
+    def to_wire(self) -> dict[str, Any]:
+        return {"k": self.kind, "on": False}
+
+
+def subscription_from_wire(message: dict) -> Subscribe | Unsubscribe:
+    """Both share one kind on the wire."""
+    return Subscribe.from_wire(message) if message["on"] else Unsubscribe()
+
+
+class UpdateRequest(NamedTuple):
+    """A proxy asks for what it lacks of a register, whichever controller pushes to it."""
+
+    register: str
+    version: int  # that it has; 0 for none
+
+    kind = "want"
+
+    @classmethod
+    def from_wire(cls, message: dict) -> "UpdateRequest":
+        return cls(message["r"], message["have"])
+
+    def to_wire(self) -> dict[str, Any]:
+        return {"k": self.kind, "r": self.register, "have": self.version}
+
+
+class LoadReport(NamedTuple):
+    """What a proxy saw of requests and workers since its last report, for the coordinator."""
+
+    seconds: float  # that it covers
+    heat: dict[str, Any]  # requests by service and range of keys
+    # by worker: attempts, unanswered ones, mean time in s, load; then those that failed by its own fault
+    workers: dict[str, list]
+    keys: dict[str, Any] | None = None  # requests by service and single key, where counted
+    table_version: int | None = None  # that it follows; only while a drain plan stands
+    in_flight: dict[str, Any] | None = None  # by worker of a plan: requests under way
+
+    kind = "report"
+
+    @classmethod
+    def from_wire(cls, message: dict) -> "LoadReport":
+        return cls(
+            message["over"],
+            message["heat"],
+            message["met"],
+            message.get("keys"),
+            message.get("n"),
+            message.get("left"),
+        )
+
+    def to_wire(self) -> dict[str, Any]:
+        made = {"k": self.kind, "over": self.seconds, "heat": self.heat, "met": self.workers}
+        for key, value in (("n", self.table_version), ("left", self.in_flight), ("keys", self.keys)):
+            if value is not None:
+                made[key] = value
+        return made
+
+
+class ConfirmationRequest(NamedTuple):
+    """A proxy asks whether what it has is the newest."""
+
+    asked_at: float  # on the proxy's clock, given back with the answer
+
+    kind = "confirm"
+
+    @classmethod
+    def from_wire(cls, message: dict) -> "ConfirmationRequest":
+        return cls(message["t"])
+
+    def to_wire(self) -> dict[str, Any]:
+        return {"k": self.kind, "t": self.asked_at}
+
+
+class Confirmation(NamedTuple):
+    """A controller that is current says which versions are the newest."""
+
+    asked_at: float
+    versions: Versions
+
+    kind = "confirmed"
+
+    @classmethod
+    def from_wire(cls, message: dict) -> "Confirmation":
+        return cls(message["t"], message["n"])
+
+    def to_wire(self) -> dict[str, Any]:
+        return {"k": self.kind, "t": self.asked_at, "n": self.versions}
+
+
+class RemoveReaders(NamedTuple):
+    """A proxy asks that workers which don't answer are no read replicas of a key any more."""
+
+    request_id: int
+    service: str
+    key: int
+    instance_ids: tuple[str, ...]
+
+    kind = "off"
+
+    @classmethod
+    def from_wire(cls, message: dict) -> "RemoveReaders":
+        return cls(message["id"], message["service"], message["key"], tuple(message["lives"]))
+
+    def to_wire(self) -> dict[str, Any]:
+        return {
+            "k": self.kind,
+            "id": self.request_id,
+            "service": self.service,
+            "key": self.key,
+            "lives": self.instance_ids,
+        }
+
+
+class ReadersRemoved(NamedTuple):
+    """The controllers have agreed on it."""
+
+    request_id: int
+    table_version: int
+
+    kind = "offed"
+
+    @classmethod
+    def from_wire(cls, message: dict) -> "ReadersRemoved":
+        return cls(message["id"], message["n"])
+
+    def to_wire(self) -> dict[str, Any]:
+        return {"k": self.kind, "id": self.request_id, "n": self.table_version}
+
+
+class ConfigurationUpdate(NamedTuple):
+    """A configuration for proxies to follow."""
+
+    version: int
+    configuration: dict[str, Any]  # as the operator gave it
+
+    kind = "config"
+
+    @classmethod
+    def from_wire(cls, message: dict) -> "ConfigurationUpdate":
+        return cls(message["n"], message["config"])
+
+    def to_wire(self) -> dict[str, Any]:
+        return {"k": self.kind, "n": self.version, "config": self.configuration}
+
+
+class TableUpdate(NamedTuple):
+    """A slice table for proxies to follow: all of it, or what changed since the base version."""
+
+    version: int
+    services: dict[str, Any]  # by service and first key: the entry; see `common.slice_table`
+    base: int | None = None  # the version that `services` changes; None where it is the whole table
+    # step in its drain plan, by worker; None where the base has the same
+    leaving: dict[str, str] | None = None
+
+    kind = "table"
+
+    @classmethod
+    def from_wire(cls, message: dict) -> "TableUpdate":
+        base = message.get("base")
+        return cls(message["n"], message["s" if base is None else "d"], base, message.get("w"))
+
+    def to_wire(self) -> dict[str, Any]:
+        made: dict[str, Any] = {"k": self.kind, "n": self.version}
+        made |= {"s": self.services} if self.base is None else {"base": self.base, "d": self.services}
+        if self.leaving is not None:
+            made["w"] = self.leaving
+        return made
