--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -21,11 +21,12 @@
     create_connection_socket,
 )
 from ..common.settings import SEED_REREAD_INTERVAL, Settings, reread_seeds
+from ..common.slice_table import DRAIN_ANNOUNCED, DRAIN_IN_PROGRESS
 from ..common.timeouts import READ_LEASE_DURATION
 from ..common.worker_registry import GONE, READY, WorkerRegistration, WorkerRegistry
 from . import placement
 from .commands import (
-    BEAT_MOST,
+    MAX_CALL_BYTES,
     Command,
     DeregisterWorker,
     EndDrainPlan,
@@ -34,36 +35,35 @@
     RegisterWorker,
     Rejection,
     StartDrainPlan,
+    apply_configuration,
     decode,
-    final_answer,
-    members_call,
-    most,
-    plan_call,
-    succeed,
-)
-from .consensus.membership import Membership, Peer, may_leave
-from .consensus.replica import (
-    ALL,
-    CONFIG,
-    CONSENSUS_MESSAGE_KINDS,
-    MEMBERS,
-    NO_PROPOSAL,
-    REGISTERS,
-    TABLE,
-    ConsensusReplica,
-    Effects,
-    PendingWrites,
-    format_proposal_number,
-    founding_voters,
-    next_voter_set,
-    no_effects,
+    decode_drain_plan_call,
+    decode_membership_call,
+    max_body_bytes,
+    settled_answer,
 )
+from .consensus.effects import Effects, PendingWrites, no_effects
+from .consensus.membership import Membership, may_shut_down
+from .consensus.messages import CONSENSUS_MESSAGE_KINDS
+from .consensus.peer_status import PeerStatus
+from .consensus.proposal_number import NO_PROPOSAL, format_proposal_number
+from .consensus.registers import ALL_REGISTERS, CONFIG, DATA_REGISTERS, TABLE, VOTER_SET
+from .consensus.replica import ConsensusReplica
+from .consensus.voter_set import founding_voters, next_voter_set
 from .deregistration import HELD_WITHIN, Deregistrations
-from .drain_plans import CLOSING, TOLD, DrainPlans, ended, in_use, out_of, plans_of, started, steps_of
-from .key_leases import RENEW_PART, Call, KeyLeases, ReleasedKeys
-from .outlier_detection import OutlierDetection, judged, out_of_health
+from .drain_plans import (
+    drain_steps_of,
+    end_plan,
+    plans_of,
+    start_plan,
+    worker_drains_of,
+    workers_in_use,
+)
+from .drain_progress import DrainProgress
+from .key_leases import RENEWAL_FRACTION, KeyLeases, LeaseCall, ReleasedKeys
+from .outlier_detection import OutlierDetection, ejections_of, with_ejections
 from .proxy_updates import ProxyUpdates
-from .read_replicas import Lease, ReadReplicas, forgotten, taken_off
+from .read_replicas import ReadReplicas, ReplicaLease, without_expired_readers, without_readers
 from .sessions import HEARTBEAT_INTERVAL, Sessions
 from .storage import Storage
 
@@ -95,13 +95,16 @@
         self.changing = False  # the set of voters, from here
         self.proxies: dict[str, PeerConnection] = {}
         self.key_leases, self.read_replicas = KeyLeases(told.bounds.HoldMaxS), ReadReplicas()
-        self.drain_plans, self.outlier_detection = DrainPlans(self.key_leases.expiry), OutlierDetection()
+        self.drain_plans, self.outlier_detection = (
+            DrainProgress(self.key_leases.expiry_wait),
+            OutlierDetection(),
+        )
         self.deregistrations = Deregistrations(self.me)
         self.confirms: dict[int, asyncio.Future] = {}  # by round of leaves
         self.configurations: tuple[int, Any] = (0, None)
         self.aims: dict[str, float] = {}
-        self.shown: dict[str, int] = dict.fromkeys(REGISTERS, 0)
-        self.told_of: dict[str, int] = dict.fromkeys(REGISTERS, 0)  # newest versions in the log
+        self.shown: dict[str, int] = dict.fromkeys(DATA_REGISTERS, 0)
+        self.told_of: dict[str, int] = dict.fromkeys(DATA_REGISTERS, 0)  # newest versions in the log
         self.proxy_updates = ProxyUpdates()
         self.homes: dict[str, PeerConnection] = {}  # desks that are pushed to from here
         self.said, self.sayings = "", 0  # what pulses to desks say seldom, and how often it has changed
@@ -128,7 +131,7 @@
             return 2
         facts = found.ok_value["facts"]
         self.begin(facts, found.ok_value["registers"])
-        self.placement = placement.Placement(loop.time(), self.settings.beat, self.settings.notice)
+        self.placement = placement.PlacementPlanner(loop.time(), self.settings.beat, self.settings.notice)
         self.storage.start(lambda done, problem: loop.call_soon_threadsafe(done, problem))
         self.carry(no_effects())
         for peer in {*self.settings.seed_ips(), *self.consensus.voters, *facts.get("archives", ())}:
@@ -151,7 +154,7 @@
             contract=self.settings.contract,
             epoch=self.consensus.epoch,
             voters=sorted(self.consensus.voters),
-            voting=self.consensus.voting,
+            voting=self.consensus.is_active_voter,
         )
         while not self.may_end(loop.time()):
             self.tick(loop.time())
@@ -161,7 +164,7 @@
                     await asyncio.sleep(TICK)
             except TimeoutError:
                 pass
-        self.consensus.held = -1  # no vote is given any more: who holds what has been looked at
+        self.consensus.stop_voting()  # no vote is given any more: who holds what has been looked at
         self.log.info("stopped", step="end")
         for server in servers:
             server.close()
@@ -193,18 +196,18 @@
             self.due.facts["archives"] = sorted(self.controllers)
             self.peer_connections.keep(peer, self.settings.inner)
 
-    def peers(self, now: float) -> dict[str, Peer]:
+    def peers(self, now: float) -> dict[str, PeerStatus]:
         """All archives known as the question of who should vote sees them; one that was never heard counts as
         silent since the start.
         """
         consensus = self.consensus
-        unheard = Peer("", "", True, 0, False, False, now - self.started, 0.0, {})
-        mine = Peer(
+        unheard = PeerStatus("", "", True, 0, False, False, now - self.started, 0.0, {})
+        mine = PeerStatus(
             consensus.disk,
             self.settings.zone,
             self.settings.counted,
             consensus.epoch,
-            consensus.voting,
+            consensus.is_active_voter,
             self.leaving.is_set(),
             0.0,
             now - self.started,
@@ -214,25 +217,29 @@
         return {**known, **self.sessions.peers(now), self.me: mine}
 
     def versions(self) -> dict[str, int]:
-        return {register: self.consensus.version(register) for register in REGISTERS}
+        return {register: self.consensus.version(register) for register in DATA_REGISTERS}
 
     def seats(self, now: float) -> None:
         """Propose the change of the set of voters that is due."""
         consensus = self.consensus
-        if self.changing or not consensus.member and consensus.epoch == 0:
+        if self.changing or not consensus.is_member and consensus.epoch == 0:
             return
         change = None
         if consensus.epoch == 0:
             late = now >= self.started + FOUND_WITHIN
-            change = self.membership.founded(self.settings.seed_ips(), self.peers(now), late)
+            change = self.membership.founding_change(self.settings.seed_ips(), self.peers(now), late)
         elif self.sessions.coordinator(now, self.whole(now)) == self.me:
-            change = self.membership.wanted(consensus.members, self.peers(now), self.versions())
+            change = self.membership.due_change(consensus.voter_set, self.peers(now), self.versions())
         if change is not None:
             self.changing = True
             self.log.info(
-                "member change", step="epoch", epoch=consensus.epoch + 1, why=change.why, voters=change.voters
+                "member change",
+                step="epoch",
+                epoch=consensus.epoch + 1,
+                why=change.reason,
+                voters=change.voters,
             )
-            self.propose(MEMBERS, next_voter_set(consensus.members, change.voters), self.changed, 1.0)
+            self.propose(VOTER_SET, next_voter_set(consensus.voter_set, change.voters), self.changed, 1.0)
 
     def changed(self, outcome: Any) -> None:
         self.changing = False
@@ -243,19 +250,22 @@
             return False
         if self.leaving_at is None:
             self.leaving_at = now
-            self.log.info("ending", step="end", voting=self.consensus.voting)
+            self.log.info("ending", step="end", voting=self.consensus.is_active_voter)
             self.pulse(now)
-        if now >= self.leaving_at + self.settings.bounds.GraceS * GRACE_PART or self.consensus.held < 0:
+        if (
+            now >= self.leaving_at + self.settings.bounds.GraceS * GRACE_PART
+            or self.consensus.active_epoch < 0
+        ):
             return True
         peers = self.peers(now)
-        return may_leave(
+        return may_shut_down(
             self.me,
             self.consensus.disk,
-            self.consensus.members,
+            self.consensus.voter_set,
             peers,
             {name: acceptor.accepted for name, acceptor in self.consensus.acceptors.items()},
             {name: heard.durable for name, heard in self.sessions.heard.items()},
-            bool(self.membership.heirs(self.consensus.members, peers)),
+            bool(self.membership.successors(self.consensus.voter_set, peers)),
         )
 
     # --- turns
@@ -276,8 +286,8 @@
         self.learned()
         if now >= self.turn_at:
             self.turn_at = now + TURN
-            self.registry.forget(now)
-            self.drain_plans.present(now, self.sessions.all_proxies(now, list(self.proxies)))
+            self.registry.remove_expired(now)
+            self.drain_plans.record_connected_proxies(now, self.sessions.all_proxies(now, list(self.proxies)))
         self.steer(now)
 
     def whole(self, now: float) -> bool:
@@ -289,12 +299,12 @@
         stalled = self.writing_since is not None and now - self.writing_since > STALL
         return not stalled and self.word(now) > now
 
-    def word(self, now: float, registers: tuple[str, ...] = REGISTERS) -> float:
+    def word(self, now: float, registers: tuple[str, ...] = DATA_REGISTERS) -> float:
         """Until when a majority's word holds that nothing newer is chosen in these registers; 0 for none."""
         consensus = self.consensus
-        known = {name: consensus.learned[name][0] for name in registers}
+        known = {name: consensus.chosen[name][0] for name in registers}
         own = {name: acceptor.accepted for name, acceptor in consensus.acceptors.items()}
-        own = own if consensus.voting else None
+        own = own if consensus.is_active_voter else None
         return self.sessions.word_until(now, consensus.voters, consensus.epoch, known, own)
 
     def contact(self, now: float) -> bool:
@@ -307,17 +317,17 @@
             "k": "pulse",
             "t": now,
             # active on disk too: others leave and change sets on this word
-            "v": consensus.voting and not self.due.facts.keys() & {"members", "held"},
+            "v": consensus.is_active_voter and not self.due.facts.keys() & {"members", "held"},
             "w": self.whole(now),
-            "acc": {name: consensus.acceptors[name].accepted for name in ALL},
-            "dur": consensus.durable,
+            "acc": {name: consensus.acceptors[name].accepted for name in ALL_REGISTERS},
+            "dur": consensus.durable_accepted,
             "ep": consensus.epoch,
             "disk": consensus.disk,
             "ver": self.versions(),
             "leaving": self.leaving.is_set(),
         }
         about = {
-            "members": consensus.members,
+            "members": consensus.voter_set,
             "zone": self.settings.zone,
             "counted": self.settings.counted,
             "archives": sorted({self.me, *self.controllers}),
@@ -332,10 +342,12 @@
                 continue
             told = {**message, "e": self.sessions.stamps.get(peer, -1e9)}
             if peer not in self.sessions.told:  # whoever listens there now may have an older disk
-                told["bound"] = {name: kept[peer] for name, kept in consensus.bound.items() if peer in kept}
+                told["bound"] = {
+                    name: kept[peer] for name, kept in consensus.peer_commitments.items() if peer in kept
+                }
             told |= self.sessions.news(peer, about)
             if int(now / HEARTBEAT_INTERVAL) % 4 == 0:
-                told["heard"] = self.registry.ages(now, 2.0)
+                told["heard"] = self.registry.seconds_since_heard(now, 2.0)
             self.peer_connections.send(peer, told)
 
     def pulse_desks(self, now: float) -> None:
@@ -353,7 +365,7 @@
         message = json.dumps(told, separators=(",", ":"))
         about = {"zone": self.settings.zone, "archives": sorted({self.me, *self.controllers})}
         if coordinator == self.me:
-            about["near"] = self.placement.near()
+            about["near"] = self.placement.zone_shares()
             if hot_keys := self.placement.hot_keys():
                 about["crowds"] = hot_keys
         seldom = json.dumps({**told, **about}, separators=(",", ":"))
@@ -366,7 +378,7 @@
     def push(self, link: PeerConnection, register: str) -> None:
         """Send a desk what it lacks of a register, as far as was sent to it before."""
         if register == TABLE:
-            if message := self.proxy_updates.since(link.sent.get(TABLE, 0)):
+            if message := self.proxy_updates.message_since(link.sent.get(TABLE, 0)):
                 link.sent[TABLE] = message["n"]
                 link.send(message)
             return
@@ -376,17 +388,17 @@
             link.send({"k": "config", "n": value["n"], "config": value["config"]})
 
     def silent(self, now: float) -> set[str]:
-        return self.registry.silent(now, BEATS_MISSED * self.settings.beat)
+        return self.registry.timed_out(now, BEATS_MISSED * self.settings.beat)
 
     def learned(self) -> None:
         """Show what is newly chosen to the desks."""
-        for register in REGISTERS:
+        for register in DATA_REGISTERS:
             version = self.consensus.version(register)
             if version == self.shown[register]:
                 continue
             if version > self.told_of[register]:
                 self.told_of[register] = version
-                proposal_number = format_proposal_number(self.consensus.learned[register][0])
+                proposal_number = format_proposal_number(self.consensus.chosen[register][0])
                 self.log.info(
                     "chosen",
                     step="ballot",
@@ -395,10 +407,10 @@
                     version=version,
                 )
             if register == TABLE:
-                if version > self.proxy_updates.n:
-                    self.proxy_updates.learned(self.consensus.value(TABLE))
-                    self.read_replicas.learn(self.loop.time(), self.consensus.value(TABLE))
-                    self.outlier_detection.learn(self.loop.time(), self.consensus.value(TABLE))
+                if version > self.proxy_updates.version:
+                    self.proxy_updates.learn_table(self.consensus.value(TABLE))
+                    self.read_replicas.learn_table(self.loop.time(), self.consensus.value(TABLE))
+                    self.outlier_detection.record_table(self.loop.time(), self.consensus.value(TABLE))
                 self.loop.call_later(GRANT_FIRST, self.show, register, version)
             else:
                 self.show(register, version)
@@ -427,54 +439,58 @@
             self.was_coordinator = coordinator
             self.log.info("scribe" if coordinator else "not scribe", step="steer")
             if coordinator:
-                self.placement.offices.clear()  # others have moved things since
-                self.key_leases.out.clear()
+                self.placement.reset()  # others have moved things since
+                self.key_leases.calls_in_flight.clear()
         if not coordinator:
             return
         table = self.consensus.value(TABLE)
         services = self.configurations[1].services
         keyed = {name for name, service in services.items() if service.keyed}
         if table is not None:
-            calls, free = self.key_leases.step(now, table, keyed, self.registry)
+            calls, free = self.key_leases.next_calls(now, table, keyed, self.registry)
             until = self.word(now)
             for call in calls:
                 asyncio.ensure_future(self.call(call, until))
             for one in free:
                 self.free(one)
-            leases, over = self.read_replicas.step(now, table, self.registry)
+            leases, over = self.read_replicas.due_leases(now, table, self.registry)
             for lease in leases:
                 asyncio.ensure_future(self.lease(lease, until))
             if over and not self.proposing:
-                self.move(lambda value: forgotten(value, over))
-            if out_of(table) and not self.proposing:
+                self.move(lambda value: without_expired_readers(value, over))
+            if worker_drains_of(table) and not self.proposing:
                 self.withdraw(now, table)
         if table is not None and now >= self.health_at:
             self.health_at = now + TURN
             self.judge(now, table)
         if not self.proposing:
-            wanted = self.placement.step(now, services, self.aims, self.registry, self.silent(now), table)
+            wanted = self.placement.plan_changes(
+                now, services, self.aims, self.registry, self.silent(now), table
+            )
             if wanted:
-                moves = {service: (len(c.lines), len(c.splits)) for service, c in wanted.items()}
+                moves = {service: (len(c.assignments), len(c.splits)) for service, c in wanted.items()}
                 self.log.info("moves", step="placement", moves=moves, table=self.consensus.version(TABLE))
-                self.move(lambda value: placement.apply(value, wanted, keyed))
+                self.move(lambda value: placement.apply_slice_changes(value, wanted, keyed))
 
     def withdraw(self, now: float, table: dict) -> None:
         """The next step of the plans that take workers out of service."""
-        change = self.drain_plans.step(now, table, self.registry, self.placement.rooms())
+        change = self.drain_plans.next_change(now, table, self.registry, self.placement.service_capacities())
         if change is not None:
             self.move(change)
 
     def judge(self, now: float, table: dict) -> None:
         """Take workers out that look ill to the desks, and back after a while."""
-        leaving, in_service = self.silent(now) | steps_of(table).keys(), {}
-        for instance_id, row in self.registry.rows.items():
+        leaving, in_service = self.silent(now) | drain_steps_of(table).keys(), {}
+        for instance_id, row in self.registry.registrations.items():
             if row.phase == READY and instance_id not in leaving:
                 in_service.setdefault(row.service, []).append(instance_id)
-        told = self.outlier_detection.wanted(now, table, self.outlier_detection.cycle(in_service), in_service)
-        seen = out_of_health(table)
-        if judged(table, told, seen)[0] is not None and not self.proposing:
+        told = self.outlier_detection.plan_ejections(
+            now, table, self.outlier_detection.find_outliers(in_service), in_service
+        )
+        seen = ejections_of(table)
+        if with_ejections(table, told, seen)[0] is not None and not self.proposing:
             self.log.info("health", step="placement", told=told)
-            self.move(lambda value: judged(value, told, seen))
+            self.move(lambda value: with_ejections(value, told, seen))
 
     def move(self, change: Any) -> None:
         """A change of the table by the scribe; void if this archive is whole no more when its turn comes."""
@@ -485,7 +501,7 @@
     def proposed(self, outcome: Any) -> None:
         self.proposing = False
         if outcome is None:
-            self.placement.offices.clear()  # unclear: begin again from what stands
+            self.placement.reset()  # unclear: begin again from what stands
         self.learned()
 
     def free(self, one: ReleasedKeys) -> None:
@@ -498,8 +514,13 @@
             def change(value: dict | None) -> tuple[dict | None, bool]:
                 made, changed = value, False
                 for each in some:
-                    after, found = placement.freed(
-                        made, each.service, each.starts, each.fencing_token, each.old, each.handover
+                    after, found = placement.clear_previous_owner(
+                        made,
+                        each.service,
+                        each.starts,
+                        each.fencing_token,
+                        each.previous_owner,
+                        each.handover,
                     )
                     made, changed = (after, True) if found else (made, changed)
                 return ({**made, "n": value["n"] + 1}, True) if changed else (None, False)
@@ -517,15 +538,15 @@
     def refreshed(self, outcome: Any) -> None:
         self.learned()
 
-    async def call(self, call: Call, until: float) -> None:
+    async def call(self, call: LeaseCall, until: float) -> None:
         """One grant or release at a worker. A grant leaves on a fresh word, or not at all."""
         sent, status, handover = self.loop.time(), 0, ""
-        body = {"Source": call.first, "TargetVersion": call.last, "fence": call.fencing_token}
+        body = {"Source": call.first_key, "TargetVersion": call.last_key, "fence": call.fencing_token}
         if call.kind == "grant":
-            body["HoldS"] = call.hold
+            body["HoldS"] = call.duration
             if call.handover:
                 body["Handover"] = call.handover
-        within = ASK if call.kind == "grant" else self.key_leases.expiry
+        within = ASK if call.kind == "grant" else self.key_leases.expiry_wait
         until = until if call.kind == "grant" else sent + within
         try:
             async with asyncio.timeout(within):
@@ -537,9 +558,9 @@
         self.counts[f"archive_{call.kind}s"] += 1
         self.counts["archive_calls_failed"] += status != 200
         now = self.loop.time()
-        row = self.registry.rows.get(call.instance_id)
+        row = self.registry.registrations.get(call.instance_id)
         self.refused[call.instance_id] = self.refused.get(call.instance_id, 0) + 1 if status == -1 else 0
-        unheard = now - self.registry.heard.get(call.instance_id, 0.0)
+        unheard = now - self.registry.last_heard.get(call.instance_id, 0.0)
         ended = (
             row is None
             or row.phase == GONE
@@ -552,25 +573,27 @@
                 step=call.kind,
                 peer=call.instance_id,
                 status=status,
-                keys=(call.first, call.last),
+                keys=(call.first_key, call.last_key),
                 fencing_token=call.fencing_token,
             )
-        elif call.kind == "release" or self.key_leases.new(call):
+        elif call.kind == "release" or self.key_leases.is_first_grant(call):
             self.log.info(
                 "keys passed",
                 step=call.kind,
                 peer=call.instance_id,
-                keys=(call.first, call.last),
+                keys=(call.first_key, call.last_key),
                 fencing_token=call.fencing_token,
             )
         if status == 409:
             self.propose(
                 TABLE,
-                lambda value: placement.refenced(value, call.service, call.starts, call.fencing_token),
+                lambda value: placement.raise_fencing_tokens(
+                    value, call.service, call.starts, call.fencing_token
+                ),
                 self.refreshed,
                 1.0,
             )
-        free = self.key_leases.answered(now, call, sent, status, handover, ended)
+        free = self.key_leases.call_finished(now, call, sent, status, handover, ended)
         if free is not None:
             self.free(free)
         elif status == -1 and ended and row is not None and row.phase != GONE:
@@ -603,23 +626,23 @@
             return await self.ask(kind, address, instance_id, body, until, True)
         return answer.status, answer.headers.get("X-Handover", "")
 
-    async def lease(self, lease: Lease, until: float) -> None:
+    async def lease(self, lease: ReplicaLease, until: float) -> None:
         """One lease of a read copy; on a fresh word, or not at all."""
-        status, (_, key, instance_id, _) = 0, lease.one
+        status, (_, key, instance_id, _) = 0, lease.reader
         body = {
             "Source": key,
             "TargetVersion": key,
             "fence": lease.fencing_token,
             "HoldS": READ_LEASE_DURATION,
-            "Copy": lease.holder,
+            "Copy": lease.owner_address,
         }
         try:
-            async with asyncio.timeout(READ_LEASE_DURATION * RENEW_PART):
+            async with asyncio.timeout(READ_LEASE_DURATION * RENEWAL_FRACTION):
                 status, _ = await self.ask("grant", lease.address, instance_id, body, until)
         except (OSError, TimeoutError, aiohttp.ClientError):
             pass
         self.counts["archive_leases"] += 1
-        self.read_replicas.answered(self.loop.time(), lease, status)
+        self.read_replicas.lease_finished(self.loop.time(), lease, status)
 
     # --- ballots
 
@@ -628,7 +651,7 @@
 
     def carry(self, out: Effects) -> None:
         """Writes first; sends and answers once they are safe."""
-        rows, facts = self.due.take(out)
+        rows, facts = self.due.prepare_write(out)
         if not rows and not facts:
             if out.sends or out.answers:
                 self.dispatch(out)
@@ -645,9 +668,9 @@
             self.log.error("not written", step="write", problem=problem)
             self.dispatch(no_effects()._replace(answers=[(tag, None) for tag, _ in out.answers]))  # unclear
             return
-        self.due.safe(rows, facts)
+        self.due.mark_durable(rows, facts)
         for register, _, accepted, _ in rows:
-            self.consensus.stored(register, accepted)
+            self.consensus.mark_durable(register, accepted)
         self.dispatch(out)
 
     def dispatch(self, out: Effects) -> None:
@@ -666,21 +689,25 @@
     def stepped(self) -> None:
         """Another epoch is known, or this archive became active in it: on disk by now."""
         consensus = self.consensus
-        if (consensus.epoch, consensus.voting) != self.told_epoch:
-            self.told_epoch = (consensus.epoch, consensus.voting)
+        if (consensus.epoch, consensus.is_active_voter) != self.told_epoch:
+            self.told_epoch = (consensus.epoch, consensus.is_active_voter)
             for peer in consensus.voters:
                 self.know(peer)
             self.log.info(
-                "epoch", step="epoch", epoch=consensus.epoch, voters=consensus.voters, voting=consensus.voting
+                "epoch",
+                step="epoch",
+                epoch=consensus.epoch,
+                voters=consensus.voters,
+                voting=consensus.is_active_voter,
             )
             self.pulse(self.loop.time())  # nobody waits for the next turn
 
     def hear_ballot(self, peer: str, message: dict) -> None:
         consensus = self.consensus
-        self.carry(consensus.hear(self.loop.time(), peer, message))
-        if consensus.lost_to is not None:
-            who, proposal_number, promised = consensus.lost_to
-            consensus.lost_to = None
+        self.carry(consensus.receive(self.loop.time(), peer, message))
+        rejection = consensus.take_last_rejection()
+        if rejection is not None:
+            who, proposal_number, promised = rejection
             self.log.info(
                 "ballot lost",
                 step="ballot",
@@ -697,7 +724,7 @@
             "role": "archive",
             "from": self.me,
             "rows": self.rows(),
-            "ages": self.registry.ages(self.loop.time(), math.inf),
+            "ages": self.registry.seconds_since_heard(self.loop.time(), math.inf),
         }
 
     def reread_seeds(self) -> None:
@@ -718,9 +745,9 @@
             self.take_rows(message.get("rows", {}), link.peer, message.get("ages"))
             return
         self.proxies[link.peer] = link
-        self.drain_plans.anew(link.peer)
+        self.drain_plans.forget_report(link.peer)
         self.take_rows(message.get("rows", {}))  # what all archives forgot in a restart, desks have kept
-        link.send({"k": "roll", "rows": self.registry.leaving()})
+        link.send({"k": "roll", "rows": self.registry.departing_registrations()})
         self.pulse_desks(self.loop.time())
 
     def left(self, link: PeerConnection) -> None:
@@ -735,7 +762,7 @@
             return
         self.homes[link.peer], link.sent = link, dict(message["have"])
         link.send({"k": "roll", "rows": self.rows(), "all": True})
-        for register in REGISTERS:
+        for register in DATA_REGISTERS:
             self.push(link, register)
 
     def hear(self, link: PeerConnection, message: dict) -> None:
@@ -744,17 +771,17 @@
             self.sessions.pulse(now, link.peer, message)
             if message["e"] < 0:  # it has no stamp of ours yet: at a start nobody waits for the next turn
                 self.pulse(now, link.peer)
-            self.registry.listen(now, message.get("heard", {}))
+            self.registry.record_last_heard(now, message.get("heard", {}))
             out = no_effects()
             if "members" in message:
-                self.consensus.adopt(now, message["members"], out)
+                self.consensus.adopt_voter_set(now, message["members"], out)
             for register, proposal_number in message["dur"].items():
                 if tuple(proposal_number) != NO_PROPOSAL and message["v"]:
-                    self.consensus.voted(
+                    self.consensus.record_acceptance(
                         now, link.peer, message["disk"], register, tuple(proposal_number), out
                     )
             self.carry(out)
-            reminded = self.consensus.reminded(message["ep"], message.get("bound", {}), new_name())
+            reminded = self.consensus.check_disk_rollback(message["ep"], message.get("bound", {}), new_name())
             if reminded.facts:
                 self.log.error("older disk", step="epoch", peer=link.peer, disk=self.consensus.disk)
                 self.carry(reminded)
@@ -767,7 +794,7 @@
         elif kind == "roll":
             newer = self.take_rows(message["rows"], link.peer)
             if "id" in message:
-                epoch = self.consensus.epoch if self.consensus.voting else -1
+                epoch = self.consensus.epoch if self.consensus.is_active_voter else -1
                 self.peer_connections.send(
                     link.peer, {"k": "rolled", "id": message["id"], "rows": newer, "epoch": epoch}
                 )
@@ -785,7 +812,7 @@
             self.reported(now, link, message)
         elif kind == "confirm":
             if self.whole(now):
-                newest = {register: self.consensus.version(register) for register in REGISTERS}
+                newest = {register: self.consensus.version(register) for register in DATA_REGISTERS}
                 link.send({"k": "confirmed", "t": message["t"], "n": newest})
         elif kind == "off":
             self.take_off(link, message)
@@ -801,7 +828,7 @@
                 link.send({"k": "offed", "id": message["id"], "n": self.consensus.version(TABLE)})
 
         self.log.info("readers taken off", step="copies", peer=sorted(instance_ids), keys=(key, key))
-        self.propose(TABLE, lambda value: taken_off(value, service, key, instance_ids), told, 1.0)
+        self.propose(TABLE, lambda value: without_readers(value, service, key, instance_ids), told, 1.0)
 
     def wanted(self, link: PeerConnection, register: str, have: int) -> None:
         link.sent[register] = have
@@ -810,29 +837,31 @@
     def reported(self, now: float, link: PeerConnection, message: dict) -> None:
         over, by_key = message["over"], message.get("keys", {})
         if "n" in message:
-            self.drain_plans.hear(link.peer, message["n"], message.get("left", {}))
+            self.drain_plans.record_report(link.peer, message["n"], message.get("left", {}))
         met: dict[str, list] = {service: [] for service in {**message["heat"], **by_key}}
         for instance_id, (tries, unanswered, mean_time, load, *bad) in message["met"].items():
-            row = self.registry.rows.get(instance_id)
+            row = self.registry.registrations.get(instance_id)
             if row is None:
                 continue
-            self.outlier_detection.report(link.peer, instance_id, tries, sum(bad))
+            self.outlier_detection.record_attempts(link.peer, instance_id, tries, sum(bad))
             if tries > unanswered:
-                self.registry.heard[instance_id] = max(self.registry.heard.get(instance_id, 0.0), now - over)
+                self.registry.last_heard[instance_id] = max(
+                    self.registry.last_heard.get(instance_id, 0.0), now - over
+                )
             met.setdefault(row.service, []).append(
-                placement.met_of(instance_id, tries, unanswered, mean_time, over, load)
+                placement.worker_report(instance_id, tries, unanswered, mean_time, over, load)
             )
         if self.was_coordinator:
             for service, some in met.items():
                 heat, keys = message["heat"].get(service, {}), by_key.get(service, {})
-                self.placement.report(now, service, link.peer, heat, keys, over, some)
+                self.placement.record_report(now, service, link.peer, heat, keys, over, some)
 
     def take_rows(self, rows: dict, sender: str = "", ages: dict | None = None) -> dict[str, list]:
         """Take rows that another manager sent; those of its workers that leave of which we have a newer word.
 
         News of a leave goes on to the other archives, as its sender may reach but some of them.
         """
-        news, newer = self.registry.take(self.loop.time(), rows, ages)
+        news, newer = self.registry.record_all(self.loop.time(), rows, ages)
         if news:
             self.tell_desks(news)
         if leaving := {
@@ -859,8 +888,8 @@
 
     def note(self, instance_id: str, row: WorkerRegistration, number: int | None = None) -> None:
         """Take a row; where it is news, tell all desks and archives. With a number all archives answer."""
-        news = self.registry.merge(self.loop.time(), instance_id, row)
-        rows = {instance_id: [*self.registry.rows[instance_id]]}
+        news = self.registry.record(self.loop.time(), instance_id, row)
+        rows = {instance_id: [*self.registry.registrations[instance_id]]}
         if news or number is not None:
             self.share(rows, number)
         if not news:
@@ -879,7 +908,7 @@
 
     def rows(self) -> dict[str, list]:
         """The whole roll as it travels."""
-        return {instance_id: [*row] for instance_id, row in self.registry.rows.items()}
+        return {instance_id: [*row] for instance_id, row in self.registry.registrations.items()}
 
     # --- callers of control
 
@@ -889,15 +918,15 @@
         method, path = request.method, request.raw_path
         if request.transport.get_extra_info("sockname")[1] == self.settings.inner:
             if method == "POST" and path in ("/plan", "/members"):
-                body = (await request.content.read())[:BEAT_MOST]
+                body = (await request.content.read())[:MAX_CALL_BYTES]
                 if path == "/plan":
-                    return await self.planned(plan_call(body))
-                return await self.seated(members_call(body))
+                    return await self.planned(decode_drain_plan_call(body))
+                return await self.seated(decode_membership_call(body))
             view = self.view(path)  # what this archive knows, rounds or not
             view.headers["X-Local-View"] = f"{self.me}; whole={int(self.whole(self.loop.time()))}"
             return view
         body = b""
-        bound = most(method, path)
+        bound = max_body_bytes(method, path)
         async for chunk in request.content.iter_chunked(2**16):
             body += chunk
             if len(body) > bound:
@@ -915,16 +944,20 @@
         """A worker's or the operator's call: taken, served or refused for good by a majority only."""
         match command:
             case RegisterWorker(instance_id, row) as call:
-                return await self.registered(instance_id, row, call.leaving)
+                return await self.registered(instance_id, row, call.is_leaving)
             case DeregisterWorker(instance_id):
-                row = self.registry.rows.get(instance_id) or WorkerRegistration(
+                row = self.registry.registrations.get(instance_id) or WorkerRegistration(
                     "", "", "", 1, GONE, 0
                 )  # others may know it
-                return await self.registered(instance_id, row._replace(phase=GONE, seq=row.seq + 1), True)
+                return await self.registered(
+                    instance_id, row._replace(phase=GONE, call_sequence=row.call_sequence + 1), True
+                )
             case PutConfiguration(configuration):
                 heard = self.contact(self.loop.time())
-                told = final_answer(configuration, self.consensus.value(CONFIG)) if heard else None
-                told = told or await self.agreed(CONFIG, lambda stands: succeed(configuration, stands))
+                told = settled_answer(configuration, self.consensus.value(CONFIG)) if heard else None
+                told = told or await self.agreed(
+                    CONFIG, lambda stands: apply_configuration(configuration, stands)
+                )
                 self.log.info(
                     "configuration",
                     step="put",
@@ -949,12 +982,15 @@
 
         def start(value: dict | None) -> tuple[dict | None, tuple[int, str]]:
             instance_ids = self.chosen(command, value)
-            staying = len(set(in_use(self.registry, command.service, out_of(value))) - set(instance_ids))
-            return started(value, command.name, command.service, instance_ids, command.wave, staying)
+            staying = len(
+                set(workers_in_use(self.registry, command.service, worker_drains_of(value)))
+                - set(instance_ids)
+            )
+            return start_plan(value, command.name, command.service, instance_ids, command.wave, staying)
 
         if isinstance(command, EndDrainPlan):
-            told = await self.agreed(TABLE, lambda value: ended(value, command.name, command.state))
-        elif command.only_tell:
+            told = await self.agreed(TABLE, lambda value: end_plan(value, command.name, command.state))
+        elif command.dry_run:
             read = lambda value: (None, (self.chosen(command, value), start(value)[1]))  # noqa: E731
             if (told := await self.agreed(TABLE, read)) is not None:
                 instance_ids, (status, reason) = told
@@ -970,8 +1006,8 @@
     def chosen(self, command: StartDrainPlan, value: dict | None) -> list[str]:
         """The workers that a plan names, by the table that stands."""
         if command.name in plans_of(value):
-            return plans_of(value)[command.name]["lives"]  # asked again
-        able = in_use(self.registry, command.service, out_of(value))
+            return plans_of(value)[command.name].instance_ids  # asked again
+        able = workers_in_use(self.registry, command.service, worker_drains_of(value))
         instance_ids = [
             instance_id
             for instance_id in able
@@ -980,12 +1016,12 @@
         instance_ids = [
             instance_id
             for instance_id in instance_ids
-            if command.zone in ("", self.registry.rows[instance_id].zone)
+            if command.zone in ("", self.registry.registrations[instance_id].zone)
         ]
         instance_ids = [
             instance_id
             for instance_id in instance_ids
-            if command.revision in ("", self.registry.rows[instance_id].revision)
+            if command.revision in ("", self.registry.registrations[instance_id].revision)
         ]
         return instance_ids[: command.count or len(instance_ids)]
 
@@ -993,15 +1029,17 @@
         """An operator's call about who votes: agreed by a majority of those who do."""
         if isinstance(command, Err):
             return answer(command.err_value.status, command.err_value.reason)
-        command, members = command.ok_value, self.consensus.members
+        command, members = command.ok_value, self.consensus.voter_set
         old, new = getattr(command, "old", ""), getattr(command, "new", "")
-        change = self.membership.ordered(members, self.peers(self.loop.time()), self.versions(), old, new)
+        change = self.membership.requested_change(
+            members, self.peers(self.loop.time()), self.versions(), old, new
+        )
         if isinstance(change, Err):
             return answer(409, change.err_value)
         if change.ok_value.voters == members["voters"]:
             heard = self.contact(self.loop.time())
             return web.json_response({"Epoch": members["n"]}) if heard else answer(503, "no majority heard")
-        told = await self.agreed(MEMBERS, next_voter_set(members, change.ok_value.voters))
+        told = await self.agreed(VOTER_SET, next_voter_set(members, change.ok_value.voters))
         self.log.info("member change", step="epoch", why="by hand", old=old, new=new, told=told)
         if told is None:
             return answer(503, "no majority heard in time")
@@ -1014,17 +1052,19 @@
         table, told = self.consensus.value(TABLE), self.drain_plans
         return {
             name: {
-                **plan,
+                **plan.stored(),
                 "workers": {
                     instance_id: {
                         "step": step,
-                        "sending": told.sending(now, version) if step == CLOSING else [],
+                        "sending": told.unconfirmed_proxies(now, version)
+                        if step == DRAIN_IN_PROGRESS
+                        else [],
                         "under way": {
-                            proxy: [*left] for proxy, left in told.under_way(now, instance_id).items()
+                            proxy: [*left] for proxy, left in told.work_in_flight(now, instance_id).items()
                         },
-                        "keys": step != TOLD and told.holds(table, instance_id),
+                        "keys": step != DRAIN_ANNOUNCED and told.owns_keys(table, instance_id),
                     }
-                    for instance_id, (plan_of, step, version) in out_of(table).items()
+                    for instance_id, (plan_of, step, version) in worker_drains_of(table).items()
                     if plan_of == name
                 },
             }
@@ -1039,15 +1079,15 @@
             return web.json_response(
                 {
                     instance_id: {
-                        **row._asdict(),
-                        "heard": round(now - self.registry.heard.get(instance_id, 0.0), 2),
+                        **row.to_view(),
+                        "heard": round(now - self.registry.last_heard.get(instance_id, 0.0), 2),
                         "silent": instance_id in silent,
                     }
-                    for instance_id, row in self.registry.rows.items()
+                    for instance_id, row in self.registry.registrations.items()
                 }
             )
         if path == "/view/members":
-            shown = self.membership.view(self.me, self.consensus.members, self.peers(now), self.versions())
+            shown = self.membership.view(self.me, self.consensus.voter_set, self.peers(now), self.versions())
             return web.json_response({**shown, "change": "a change is being agreed" if self.changing else ""})
         if path == "/view/plans":
             return web.json_response(self.plans(now))
@@ -1061,7 +1101,7 @@
                         "from": start,
                         "life": instance_id,
                         "fence": fencing_token,
-                        "until": round(at + self.key_leases.hold - now, 2),
+                        "until": round(at + self.key_leases.lease_duration - now, 2),
                     }
                     for (service, start), (instance_id, fencing_token, at) in sorted(
                         self.key_leases.granted.items()
@@ -1074,7 +1114,7 @@
                     "me": self.me,
                     "epoch": self.consensus.epoch,
                     "voters": sorted(self.consensus.voters),
-                    "votes": self.consensus.voting,
+                    "votes": self.consensus.is_active_voter,
                     "whole": self.whole(now),
                     "scribe": self.sessions.coordinator(now, self.whole(now)),
                     "archives": {
@@ -1093,10 +1133,10 @@
                 text=metrics.text(
                     {
                         "archive_whole": int(self.whole(now)),
-                        "archive_votes": int(consensus.voting),
+                        "archive_votes": int(consensus.is_active_voter),
                         "archive_scribe": int(self.was_coordinator),
                         "archive_desks": len(self.proxies),
-                        "archive_workers": len(self.registry.rows),
+                        "archive_workers": len(self.registry.registrations),
                         "archive_silent_workers": len(self.silent(now)),
                         "archive_config_version": consensus.version(CONFIG),
                         "archive_table_version": consensus.version(TABLE),
--- a/features/steps/leaving.py
+++ b/features/steps/leaving.py
@@ -5,7 +5,8 @@
 from behave import given, then, when
 
 from bramblewood.common.worker_registry import WorkerRegistration
-from bramblewood.controller.consensus.replica import NO_PROPOSAL, TABLE
+from bramblewood.controller.consensus.proposal_number import NO_PROPOSAL
+from bramblewood.controller.consensus.registers import TABLE
 from bramblewood.proxy import server
 from bramblewood.proxy.load_balancing import LoadBalancer
 from tests.simulation.proxy import Play
@@ -15,7 +16,7 @@
 def service(context, how):
     context.load_balancer, context.keyed = LoadBalancer(2.5), how.startswith("with keys")
     for name in ("w1", "w2"):
-        context.load_balancer.registry.merge(
+        context.load_balancer.registry.record(
             0.0, name, WorkerRegistration("s", f"{name}:1", "z", 2, "ready", 1)
         )
     context.entries = {
@@ -26,14 +27,14 @@
 
 @when("{name} is heard to be draining at {now:g}")
 def draining(context, name, now):
-    context.load_balancer.registry.merge(
+    context.load_balancer.registry.record(
         now, name, WorkerRegistration("s", f"{name}:1", "z", 2, "draining", 5)
     )
 
 
 @when("{name} is heard to be ready again at {now:g}, by a call that was sent before")
 def late(context, name, now):
-    context.load_balancer.registry.merge(now, name, WorkerRegistration("s", f"{name}:1", "z", 2, "ready", 4))
+    context.load_balancer.registry.record(now, name, WorkerRegistration("s", f"{name}:1", "z", 2, "ready", 4))
 
 
 @when("the table moves all keys from w1 to w2")
@@ -124,7 +125,7 @@
     path = "/bramblewood/readiness"
 
 
-@then("at {now:g} its word on ballot {ballot:d} is over")
+@then("at {now:g} its word on ballot {proposal_number:d} is over")
 def over(context, now, proposal_number):
     voters, known = {name: name for name in "abc"}, {TABLE: (1, proposal_number, "b", 1)}
     assert context.sessions.word_until(now, voters, 1, known, {TABLE: NO_PROPOSAL}) < now
--- a/features/steps/sessions.py
+++ b/features/steps/sessions.py
@@ -1,7 +1,8 @@
 from behave import given, then, when
 
 from bramblewood.common.worker_registry import GONE, READY, WorkerRegistration, WorkerRegistry
-from bramblewood.controller.consensus.replica import NO_PROPOSAL, TABLE
+from bramblewood.controller.consensus.proposal_number import NO_PROPOSAL
+from bramblewood.controller.consensus.registers import TABLE
 from bramblewood.controller.sessions import Sessions
 
 ABOUT = {"voters": ["a", "b", "c"], "archives": ["a", "b", "c"], "desks": ["d1"]}
@@ -32,14 +33,14 @@
     assert context.sessions.news(peer, ABOUT) == ABOUT
 
 
-@when("{peer} gave back the stamp {stamp:g} at {now:g}, with ballot {ballot:d} accepted")
+@when("{peer} gave back the stamp {stamp:g} at {now:g}, with ballot {proposal_number:d} accepted")
 def pulsed(context, peer, stamp, now, proposal_number):
     accepted = {TABLE: [1, proposal_number, "b", 1]}
     told = {"acc": accepted, "dur": accepted, "e": stamp, "t": 0.0, "v": True, "w": True, "desks": []}
     context.sessions.pulse(now, peer, {**told, "ep": 1, "disk": peer, "leaving": False, "ver": {}})
 
 
-@then("at {now:g} its word on ballot {ballot:d} holds until {until:g}")
+@then("at {now:g} its word on ballot {proposal_number:d} holds until {until:g}")
 def word(context, now, proposal_number, until):
     voters, known = {name: name for name in "abc"}, {TABLE: (1, proposal_number, "b", 1)}
     found = context.sessions.word_until(now, voters, 1, known, {TABLE: NO_PROPOSAL})
@@ -49,18 +50,18 @@
 @then("a life that ended while its archive was cut off does not end the one that came after it")
 def healed(context):
     cut, others = WorkerRegistry(), WorkerRegistry()  # told at 12 of each other's rows, as the cut heals
-    cut.merge(1.0, "old", WorkerRegistration("s", "10.0.0.9:1", "z", 1, READY, 3))
-    others.merge(11.0, "new", WorkerRegistration("s", "10.0.0.9:1", "z", 1, READY, 1))
+    cut.record(1.0, "old", WorkerRegistration("s", "10.0.0.9:1", "z", 1, READY, 3))
+    others.record(11.0, "new", WorkerRegistration("s", "10.0.0.9:1", "z", 1, READY, 1))
     sent = {}
     for name, registry in (("cut", cut), ("others", others)):
-        rows = {instance_id: [*row] for instance_id, row in registry.rows.items()}
-        sent[name] = (rows, registry.ages(12.0, 60.0))
-    news, _ = others.take(12.0, *sent["cut"])
-    cut.take(12.0, *sent["others"])
+        rows = {instance_id: [*row] for instance_id, row in registry.registrations.items()}
+        sent[name] = (rows, registry.seconds_since_heard(12.0, 60.0))
+    news, _ = others.record_all(12.0, *sent["cut"])
+    cut.record_all(12.0, *sent["others"])
     for registry in (cut, others):
-        assert {instance_id: row.phase for instance_id, row in registry.rows.items()} == {
+        assert {instance_id: row.phase for instance_id, row in registry.registrations.items()} == {
             "old": GONE,
             "new": READY,
         }
-        assert registry.homes["10.0.0.9:1"] == "new"
+        assert registry.instance_by_address["10.0.0.9:1"] == "new"
     assert WorkerRegistration(*news["old"]).phase == GONE  # as it is told on
--- a/tests/simulation/storage_failures.py
+++ b/tests/simulation/storage_failures.py
@@ -22,10 +22,12 @@
 
 from benchmarks.controller_storage import moved, table
 from bramblewood.common.settings import Bounds, Settings
-from bramblewood.controller.consensus.replica import CONFIG, ConsensusReplica, Effects
+from bramblewood.controller.consensus.effects import Effects
+from bramblewood.controller.consensus.registers import CONFIG
+from bramblewood.controller.consensus.replica import ConsensusReplica
 from bramblewood.controller.server import Controller
 from bramblewood.controller.storage import Storage
-from bramblewood.controller.value_diff import Made, difference, patched
+from bramblewood.controller.value_diff import PatchedDict, apply_difference, difference
 from tests.simulation.simulated_disk import Disc, PowerCut
 
 
@@ -222,7 +224,7 @@
                 if dice.random() < 0.2:
                     value = json.loads(json.dumps(value))  # shares nothing
                 elif name in registers:
-                    value = patched(registers[name][2], difference(registers[name][2], value))
+                    value = apply_difference(registers[name][2], difference(registers[name][2], value))
                 rows.append((name, proposal_number(self.number), proposal_number(self.number - 1), value))
                 registers[name] = rows[-1][1:]
             batch.append((rows, told, None))
@@ -302,37 +304,37 @@
 
     def commit(self, batch):
         problem = super().commit(batch)
-        self.stored |= {name: value for rows, _, _ in batch for name, _, _, value in rows}
+        self.stored_values |= {name: value for rows, _, _ in batch for name, _, _, value in rows}
         return problem
 
 
 class Stepwise(Storage):
     """Turns form 1 into form 2 by a transaction for each step."""
 
-    def turn(self, base, form, registers):
+    def upgrade(self, base, form, registers):
         bare = types.SimpleNamespace(
             execute=lambda sql, values=(): (
                 Rows() if sql in ("begin immediate", "commit") else base.execute(sql, values)
             )
         )
-        super().turn(bare, form, registers)
+        super().upgrade(bare, form, registers)
 
 
 class Loose(Storage):
     """Takes what Python calls equal for the same."""
 
-    def put(self, base, registers, facts):
-        with mock.patch("bramblewood.controller.value_diff.same", operator.eq):
-            super().put(base, registers, facts)
+    def write_rows(self, base, registers, facts):
+        with mock.patch("bramblewood.controller.value_diff.equal_as_json", operator.eq):
+            super().write_rows(base, registers, facts)
 
 
 class Trusting(Storage):
     """Takes the difference that a value was made by for the one to what is stored."""
 
-    def put(self, base, registers, facts):
-        known = lambda old, new: new.change if isinstance(new, Made) else difference(old, new)  # noqa: E731
+    def write_rows(self, base, registers, facts):
+        known = lambda old, new: new.change if isinstance(new, PatchedDict) else difference(old, new)  # noqa: E731
         with mock.patch("bramblewood.controller.storage.difference", known):
-            super().put(base, registers, facts)
+            super().write_rows(base, registers, facts)
 
 
 FULL = ("synchronous=extra", "synchronous=full")
@@ -372,7 +374,7 @@
     if isinstance(new, dict) and dice.random() < 0.2:
         new = dict(dice.sample([*new.items()], len(new)))
     new = json.loads(json.dumps(new)) if dice.random() < 0.3 else new
-    return repr(patched(old, json.loads(json.dumps(difference(old, new))))) == repr(new)
+    return repr(apply_difference(old, json.loads(json.dumps(difference(old, new))))) == repr(new)
 
 
 class Growing:
@@ -432,7 +434,7 @@
         self.storage = self.controller.storage = shelf_on(self.disc)
         assert self.storage.open().is_ok() and self.storage.commit([BORN]) is None
         self.disc.refusals = {"flush": self.hang}
-        self.storage.thread = threading.Thread(target=self.work, daemon=True)
+        self.storage.writer_thread = threading.Thread(target=self.work, daemon=True)
         self.storage.start(lambda done, problem: self.told.put((done, problem)))
 
     def hang(self):
@@ -443,7 +445,7 @@
 
     def work(self):
         try:
-            self.storage._work()
+            self.storage.run_writer()
         except PowerCut:
             pass  # the machine is off
 
@@ -456,7 +458,7 @@
     def answer(self):
         self.go.set()
         self.storage.close()
-        self.storage.thread.join(ANSWER)
+        self.storage.writer_thread.join(ANSWER)
         while not self.told.empty():
             done, problem = self.told.get()
             done(problem)
