--- a/bramblewood/common/messages/between_controllers.py
+++ b/bramblewood/common/messages/between_controllers.py
@@ -2,6 +2,7 @@
 
 from typing import Any, NamedTuple
 
+from . import kinds
 from .greetings import Registrations, Versions
 
 
@@ -30,8 +31,6 @@
     proxies: list[str] | None = None  # names of those connected to the sender
     worker_ages: dict[str, float] | None = None  # s since workers were heard, of the last ones
 
-    kind = "pulse"
-
     @classmethod
     def from_wire(cls, message: dict) -> "ControllerHeartbeat":
         return cls(
@@ -56,7 +55,7 @@
 
     def to_wire(self) -> dict[str, Any]:
         made = {
-            "k": self.kind,
+            "k": kinds.HEARTBEAT,
             "t": self.sent_at,
             "v": self.is_voting,
             "w": self.is_current,
@@ -89,11 +88,14 @@
     newer: Registrations  # of workers that leave, where the sender knows more
     epoch: int  # in which it was an active voter as it said so; -1 for none
 
-    kind = "rolled"
-
     @classmethod
     def from_wire(cls, message: dict) -> "RegistryAcknowledgement":
         return cls(message["id"], message["rows"], message["epoch"])
 
     def to_wire(self) -> dict[str, Any]:
-        return {"k": self.kind, "id": self.request_id, "rows": self.newer, "epoch": self.epoch}
+        return {
+            "k": kinds.REGISTRY_ACKNOWLEDGEMENT,
+            "id": self.request_id,
+            "rows": self.newer,
+            "epoch": self.epoch,
+        }
--- a/bramblewood/common/messages/greetings.py
+++ b/bramblewood/common/messages/greetings.py
@@ -2,6 +2,8 @@
 
 from typing import Any, NamedTuple
 
+from . import kinds
+
 ROLE_CONTROLLER, ROLE_PROXY = "archive", "desk"  # values of `role`
 Versions = dict[str, int]  # newest version, by register
 Registrations = dict[str, list]  # rows, by worker instance id
@@ -15,14 +17,12 @@
     registrations: Registrations
     ages: dict[str, float] | None = None  # s since each worker was heard; only from controllers
 
-    kind = "hello"
-
     @classmethod
     def from_wire(cls, message: dict) -> "Hello":
         return cls(message["role"], str(message["from"]), message.get("rows", {}), message.get("ages"))
 
     def to_wire(self) -> dict[str, Any]:
-        made = {"k": self.kind, "role": self.role, "from": self.sender, "rows": self.registrations}
+        made = {"k": kinds.HELLO, "role": self.role, "from": self.sender, "rows": self.registrations}
         return made if self.ages is None else {**made, "ages": self.ages}
 
 
@@ -33,14 +33,12 @@
     request_id: int | None = None  # asks for a RegistryAcknowledgement with this id; between controllers
     is_complete: bool = False  # all that the sender knows; to proxies
 
-    kind = "roll"
-
     @classmethod
     def from_wire(cls, message: dict) -> "RegistryUpdate":
         return cls(message["rows"], message.get("id"), "all" in message)
 
     def to_wire(self) -> dict[str, Any]:
-        made: dict[str, Any] = {"k": self.kind, "rows": self.registrations}
+        made: dict[str, Any] = {"k": kinds.REGISTRY_UPDATE, "rows": self.registrations}
         if self.request_id is not None:
             made["id"] = self.request_id
         if self.is_complete:
--- a/bramblewood/common/messages/with_proxies.py
+++ b/bramblewood/common/messages/with_proxies.py
@@ -2,6 +2,7 @@
 
 from typing import Any, NamedTuple
 
+from . import kinds
 from .greetings import Versions
 
 
@@ -19,8 +20,6 @@
     zone_affinity: dict[str, Any] | None = None  # by service and zone: the part of requests that stay in it
     hot_keys: dict[str, Any] | None = None  # by service; only with `zone_affinity`
 
-    kind = "pulse"
-
     @classmethod
     def from_wire(cls, message: dict) -> "ProxyHeartbeat":
         return cls(
@@ -37,7 +36,7 @@
 
     def to_wire(self) -> dict[str, Any]:
         made = {
-            "k": self.kind,
+            "k": kinds.HEARTBEAT,
             "n": self.versions,
             "whole": self.is_current,
             "scribe": self.is_coordinator,
@@ -60,23 +59,19 @@
 
     versions: Versions
 
-    kind = "home"
-
     @classmethod
     def from_wire(cls, message: dict) -> "Subscribe":
         return cls(message["have"])
 
     def to_wire(self) -> dict[str, Any]:
-        return {"k": self.kind, "on": True, "have": self.versions}
+        return {"k": kinds.SUBSCRIPTION, "on": True, "have": self.versions}
 
 
 class Unsubscribe(NamedTuple):
     """A proxy is pushed to from another controller now."""
 
-    kind = "home"
-
     def to_wire(self) -> dict[str, Any]:
-        return {"k": self.kind, "on": False}
+        return {"k": kinds.SUBSCRIPTION, "on": False}
 
 
 def subscription_from_wire(message: dict) -> Subscribe | Unsubscribe:
@@ -90,14 +85,12 @@
     register: str
     version: int  # that it has; 0 for none
 
-    kind = "want"
-
     @classmethod
     def from_wire(cls, message: dict) -> "UpdateRequest":
         return cls(message["r"], message["have"])
 
     def to_wire(self) -> dict[str, Any]:
-        return {"k": self.kind, "r": self.register, "have": self.version}
+        return {"k": kinds.UPDATE_REQUEST, "r": self.register, "have": self.version}
 
 
 class LoadReport(NamedTuple):
@@ -111,8 +104,6 @@
     table_version: int | None = None  # that it follows; only while a drain plan stands
     in_flight: dict[str, Any] | None = None  # by worker of a plan: requests under way
 
-    kind = "report"
-
     @classmethod
     def from_wire(cls, message: dict) -> "LoadReport":
         return cls(
@@ -125,7 +116,7 @@
         )
 
     def to_wire(self) -> dict[str, Any]:
-        made = {"k": self.kind, "over": self.seconds, "heat": self.heat, "met": self.workers}
+        made = {"k": kinds.LOAD_REPORT, "over": self.seconds, "heat": self.heat, "met": self.workers}
         for key, value in (("n", self.table_version), ("left", self.in_flight), ("keys", self.keys)):
             if value is not None:
                 made[key] = value
@@ -137,14 +128,12 @@
 
     asked_at: float  # on the proxy's clock, given back with the answer
 
-    kind = "confirm"
-
     @classmethod
     def from_wire(cls, message: dict) -> "ConfirmationRequest":
         return cls(message["t"])
 
     def to_wire(self) -> dict[str, Any]:
-        return {"k": self.kind, "t": self.asked_at}
+        return {"k": kinds.CONFIRMATION_REQUEST, "t": self.asked_at}
 
 
 class Confirmation(NamedTuple):
@@ -153,14 +142,12 @@
     asked_at: float
     versions: Versions
 
-    kind = "confirmed"
-
     @classmethod
     def from_wire(cls, message: dict) -> "Confirmation":
         return cls(message["t"], message["n"])
 
     def to_wire(self) -> dict[str, Any]:
-        return {"k": self.kind, "t": self.asked_at, "n": self.versions}
+        return {"k": kinds.CONFIRMATION, "t": self.asked_at, "n": self.versions}
 
 
 class RemoveReaders(NamedTuple):
@@ -171,15 +158,13 @@
     key: int
     instance_ids: tuple[str, ...]
 
-    kind = "off"
-
     @classmethod
     def from_wire(cls, message: dict) -> "RemoveReaders":
         return cls(message["id"], message["service"], message["key"], tuple(message["lives"]))
 
     def to_wire(self) -> dict[str, Any]:
         return {
-            "k": self.kind,
+            "k": kinds.REMOVE_READERS,
             "id": self.request_id,
             "service": self.service,
             "key": self.key,
@@ -193,14 +178,12 @@
     request_id: int
     table_version: int
 
-    kind = "offed"
-
     @classmethod
     def from_wire(cls, message: dict) -> "ReadersRemoved":
         return cls(message["id"], message["n"])
 
     def to_wire(self) -> dict[str, Any]:
-        return {"k": self.kind, "id": self.request_id, "n": self.table_version}
+        return {"k": kinds.READERS_REMOVED, "id": self.request_id, "n": self.table_version}
 
 
 class ConfigurationUpdate(NamedTuple):
@@ -209,14 +192,12 @@
     version: int
     configuration: dict[str, Any]  # as the operator gave it
 
-    kind = "config"
-
     @classmethod
     def from_wire(cls, message: dict) -> "ConfigurationUpdate":
         return cls(message["n"], message["config"])
 
     def to_wire(self) -> dict[str, Any]:
-        return {"k": self.kind, "n": self.version, "config": self.configuration}
+        return {"k": kinds.CONFIGURATION_UPDATE, "n": self.version, "config": self.configuration}
 
 
 class TableUpdate(NamedTuple):
@@ -228,15 +209,13 @@
     # step in its drain plan, by worker; None where the base has the same
     leaving: dict[str, str] | None = None
 
-    kind = "table"
-
     @classmethod
     def from_wire(cls, message: dict) -> "TableUpdate":
         base = message.get("base")
         return cls(message["n"], message["s" if base is None else "d"], base, message.get("w"))
 
     def to_wire(self) -> dict[str, Any]:
-        made: dict[str, Any] = {"k": self.kind, "n": self.version}
+        made: dict[str, Any] = {"k": kinds.TABLE_UPDATE, "n": self.version}
         made |= {"s": self.services} if self.base is None else {"base": self.base, "d": self.services}
         if self.leaving is not None:
             made["w"] = self.leaving
