--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -13,6 +13,7 @@
 from dataclasses import dataclass
 
 from bramblewood.common.configuration import Service, build_configuration
+from bramblewood.common.messages import TableUpdate
 from bramblewood.common.slice_table import KEY_SPACE_SIZE, KEYS_PER_RANGE
 from bramblewood.common.worker_registry import WorkerRegistration, WorkerRegistry
 from bramblewood.controller.placement import PlacementPlanner, apply_slice_changes, worker_report
@@ -144,11 +145,11 @@
             self.table = table
             self.load_balancer.take_table({"n": table["n"], "s": table["s"]})
 
-    def count_bytes(self, table: dict, update: object) -> None:
+    def count_bytes(self, table: dict, update: TableUpdate) -> None:
         """Bytes of a new table to voters and proxies, beside those of the whole."""
         self.costs.accepts += size(difference(self.table, table))
         self.costs.accepts_whole += size(table)
-        self.costs.pushed += size(update) * self.proxies
+        self.costs.pushed += size(update.to_wire()) * self.proxies
         self.costs.pushed_whole += size({"k": "table", **table}) * self.proxies
 
     def time_choices(self, routes: int) -> float:
--- /dev/null
+++ b/bramblewood/controller/coordinator_loop.py
@@ -0,0 +1,153 @@
+"""What the coordinator of the moment does: moves, grants, steps of drain plans, ejections of outliers.
+
+Two coordinators at once do no harm: every change is agreed by a quorum, and each grant rests on its sender's
+own quorum contact. The other controllers stand by.
+"""
+
+from collections.abc import Callable
+from typing import Any
+
+from ..common.worker_registry import READY
+from .chosen_values import ChosenValues
+from .consensus.registers import TABLE
+from .drain_plans import drain_steps_of, worker_drains_of
+from .drain_progress import DrainProgress
+from .key_leases import KeyLeases
+from .key_releases import KeyReleases
+from .lease_calls import LeaseCalls
+from .outlier_detection import OutlierDetection, ejections_of, with_ejections
+from .placement import PlacementPlanner, apply_slice_changes
+from .quorum_contact import QuorumContact
+from .quorum_io import QuorumIO
+from .read_replicas import ReadReplicas, without_expired_readers
+from .registry_exchange import RegistryExchange
+from .runtime import Runtime
+
+OUTLIER_CHECK_INTERVAL = 0.5  # s, the policy's own turn
+PROPOSAL_TIMEOUT = 1.0  # s
+
+
+class CoordinatorLoop:
+    """The coordinator's part of this controller. One change of the table is under way at a time."""
+
+    placement: PlacementPlanner
+
+    def __init__(
+        self,
+        runtime: Runtime,
+        quorum_io: QuorumIO,
+        quorum_contact: QuorumContact,
+        chosen_values: ChosenValues,
+        registry_exchange: RegistryExchange,
+        key_leases: KeyLeases,
+        read_replicas: ReadReplicas,
+        key_releases: KeyReleases,
+        lease_calls: LeaseCalls,
+        drain_progress: DrainProgress,
+        outlier_detection: OutlierDetection,
+    ) -> None:
+        self.runtime, self.quorum_io, self.quorum_contact = runtime, quorum_io, quorum_contact
+        self.chosen_values, self.registry_exchange = chosen_values, registry_exchange
+        self.registry = registry_exchange.registry
+        self.key_leases, self.read_replicas = key_leases, read_replicas
+        self.key_releases, self.lease_calls = key_releases, lease_calls
+        self.drain_progress, self.outlier_detection = drain_progress, outlier_detection
+        self.is_coordinator = False  # as of the last step
+        self.is_proposing = False
+        self.next_outlier_check_at = 0.0
+
+    def step(self, now: float) -> None:
+        """Do what is due, if this controller is the coordinator."""
+        self._update_role(now)
+        configuration = self.chosen_values.configuration
+        if not self.is_coordinator or configuration is None:
+            return
+        table = self.quorum_io.consensus.value(TABLE)
+        services = configuration.services
+        keyed = {name for name, service in services.items() if service.keyed}
+        if table is not None:
+            self._renew_leases(now, table, keyed)
+            if worker_drains_of(table) and not self.is_proposing:
+                self._advance_drain_plans(now, table)
+            if now >= self.next_outlier_check_at:
+                self.next_outlier_check_at = now + OUTLIER_CHECK_INTERVAL
+                self._eject_outliers(now, table)
+        if not self.is_proposing:
+            self._move_slices(now, services, keyed, table)
+
+    def change_table(self, change: Callable[[Any], tuple[Any, Any]]) -> None:
+        """Propose a change of the table; void if this controller is not current when its turn comes."""
+        self.is_proposing = True
+
+        def change_if_current(table: Any) -> tuple[Any, Any]:
+            return change(table) if self.quorum_contact.is_current(self.runtime.now()) else (None, None)
+
+        self.quorum_io.propose(TABLE, change_if_current, self._change_finished, PROPOSAL_TIMEOUT)
+
+    def _change_finished(self, outcome: Any) -> None:
+        self.is_proposing = False
+        if outcome is None:
+            self.placement.reset()  # unclear: begin again from what stands
+        self.chosen_values.refresh()
+
+    def _update_role(self, now: float) -> None:
+        is_coordinator = (
+            self.quorum_contact.coordinator(now) == self.runtime.own_address
+            and self.chosen_values.configuration is not None
+        )
+        if is_coordinator == self.is_coordinator:
+            return
+        self.is_coordinator = is_coordinator
+        event = "coordinating" if is_coordinator else "not coordinating"
+        self.runtime.log.info(event, step="coordinator")
+        if is_coordinator:
+            self.placement.reset()  # others have moved things since
+            self.key_leases.calls_in_flight.clear()
+
+    def _renew_leases(self, now: float, table: Any, keyed: set[str]) -> None:
+        calls, released = self.key_leases.next_calls(now, table, keyed, self.registry)
+        until = self.quorum_contact.quorum_contact_until(now)
+        for call in calls:
+            self.lease_calls.start(self.lease_calls.grant_or_release(call, until))
+        for keys in released:
+            self.key_releases.add(keys)
+        leases, expired_readers = self.read_replicas.due_leases(now, table, self.registry)
+        for lease in leases:
+            self.lease_calls.start(self.lease_calls.lease_replica(lease, until))
+        if expired_readers and not self.is_proposing:
+            self.change_table(lambda value: without_expired_readers(value, expired_readers))
+
+    def _advance_drain_plans(self, now: float, table: Any) -> None:
+        capacities = self.placement.service_capacities()
+        change = self.drain_progress.next_change(now, table, self.registry, capacities)
+        if change is not None:
+            self.change_table(change)
+
+    def _eject_outliers(self, now: float, table: Any) -> None:
+        """Take workers out of use that look unhealthy to the proxies, and back after a while."""
+        out_of_use = self.registry_exchange.timed_out_workers(now) | drain_steps_of(table).keys()
+        in_use: dict[str, list[str]] = {}  # by service
+        for instance_id, registration in self.registry.registrations.items():
+            if registration.phase == READY and instance_id not in out_of_use:
+                in_use.setdefault(registration.service, []).append(instance_id)
+        outliers = self.outlier_detection.find_outliers(in_use)
+        ejections = self.outlier_detection.plan_ejections(now, table, outliers, in_use)
+        seen = ejections_of(table)
+        if with_ejections(table, ejections, seen)[0] is not None and not self.is_proposing:
+            self.runtime.log.info("ejections", step="outlier detection", ejections=ejections)
+            self.change_table(lambda value: with_ejections(value, ejections, seen))
+
+    def _move_slices(self, now: float, services: Any, keyed: set[str], table: Any) -> None:
+        changes = self.placement.plan_changes(
+            now,
+            services,
+            self.chosen_values.latency_targets,
+            self.registry,
+            self.registry_exchange.timed_out_workers(now),
+            table,
+        )
+        if changes:
+            moves = {service: (len(c.assignments), len(c.splits)) for service, c in changes.items()}
+            version = self.quorum_io.consensus.version(TABLE)
+            self.runtime.log.info("moves", step="placement", moves=moves, table=version)
+            self.change_table(lambda value: apply_slice_changes(value, changes, keyed))
--- a/bramblewood/controller/deregistration.py
+++ b/bramblewood/controller/deregistration.py
@@ -1,46 +1,69 @@
-"""Leaves: a worker's `draining` or last call is confirmed once a majority of the voters holds it. Pure.
-
-Each call is a round of its own, also a repeated one: the row goes to all archives, each answers that its roll
-has it, or a newer one. Who answers holds it from then on and tells all desks that it is linked to, so a desk
-hears of a leave by as many ways as there are holders. Archives that don't vote hold rows too, and are not
-counted, nor are voters of another epoch: one that is sealed may have told its successors before it heard of
-the leave, while one that is not tells them the row before it tells what its epoch has chosen. A round is
-void once HELD_WITHIN have passed by the asker's clock: what waited in a socket through a freeze confirms
+"""Deregistrations: a worker's `draining` or last call is confirmed once a majority of the voters holds it.
+
+A state machine without I/O. Each call is a request of its own, also a repeated one: the registration goes to
+all controllers, each answers that its registry has it, or a newer one. Who answers holds it from then on and
+tells all proxies connected to it, so a proxy hears of a deregistration by as many ways as there are holders.
+Controllers that don't vote hold registrations too, and are not counted, nor are voters of another epoch: one
+that has left the epoch may have told its successors before it heard of the deregistration, while one that has
+not tells them the registration before it tells what its epoch has chosen. A request is void once
+CONFIRMATION_TIMEOUT has passed by the clock of who asks: what waited in a socket through a freeze confirms
 nothing.
 """
 
 import itertools
 from collections.abc import Collection
 
-HELD_WITHIN = 0.6  # s that a leave waits for its majority: the caller goes elsewhere after a second, PROTOCOL
+# s that a deregistration waits for its majority: the caller goes elsewhere after a second, PROTOCOL
+CONFIRMATION_TIMEOUT = 0.6
+
+
+class PendingDeregistration:
+    """One request under way."""
+
+    __slots__ = ("asked_at", "holders")
+
+    def __init__(self, asked_at: float) -> None:
+        self.asked_at = asked_at  # s, own clock
+        self.holders: dict[str, int] = {}  # by controller: the epoch in which it was an active voter
 
 
 class Deregistrations:
-    """The rounds under way at one archive."""
-
-    def __init__(self, me: str) -> None:
-        self.me = me
-        self.numbers = itertools.count(1)
-        self.rounds: dict[int, tuple[float, dict[str, int]]] = {}  # when asked; who holds the row, its epoch
-
-    def ask(self, now: float) -> int:
-        """Begin a round; we hold the row ourselves. The number by which archives answer."""
-        number = next(self.numbers)
-        self.rounds[number] = (now, {})
-        return number
-
-    def held(self, number: int, peer: str, epoch: int) -> None:
-        """It holds the row, and was an active voter of this epoch as it said so; -1 for none."""
-        if number in self.rounds:
-            self.rounds[number][1][peer] = epoch
-
-    def confirmed(self, now: float, number: int, voters: Collection[str], epoch: int, contact: bool) -> bool:
-        """Whether a majority of the voters of this epoch holds it; contact: whether a majority was heard
-        within a word's time, which also says that these still are the voters.
+    """The requests under way at one controller, which holds each registration itself."""
+
+    def __init__(self, own_address: str) -> None:
+        self.own_address = own_address
+        self.request_ids = itertools.count(1)
+        self.pending: dict[int, PendingDeregistration] = {}  # by request id
+
+    def begin(self, now: float) -> int:
+        """Begin a request; the id by which controllers answer."""
+        request_id = next(self.request_ids)
+        self.pending[request_id] = PendingDeregistration(now)
+        return request_id
+
+    def record_holder(self, request_id: int, peer: str, epoch: int) -> None:
+        """A controller holds the registration; epoch: in which it was an active voter then, -1 for none."""
+        if request_id in self.pending:
+            self.pending[request_id].holders[peer] = epoch
+
+    def is_confirmed(
+        self,
+        now: float,
+        request_id: int,
+        voters: Collection[str],
+        epoch: int,
+        has_quorum_contact: bool,
+    ) -> bool:
+        """Whether a majority of the voters of this epoch holds the registration.
+
+        has_quorum_contact also says that these still are the voters.
         """
-        asked, holders = self.rounds[number]
-        held = {self.me, *(peer for peer, at in holders.items() if at == epoch)}.intersection(voters)
-        return bool(voters) and 2 * len(held) > len(voters) and contact and now < asked + HELD_WITHIN
+        pending = self.pending[request_id]
+        active = {peer for peer, held_in in pending.holders.items() if held_in == epoch}
+        holders = {self.own_address, *active}.intersection(voters)
+        is_majority = bool(voters) and 2 * len(holders) > len(voters)
+        return is_majority and has_quorum_contact and now < pending.asked_at + CONFIRMATION_TIMEOUT
 
-    def end(self, number: int) -> None:
-        del self.rounds[number]
+    def end(self, request_id: int) -> None:
+        """The request was answered, one way or the other."""
+        del self.pending[request_id]
--- /dev/null
+++ b/bramblewood/controller/peer_handlers.py
@@ -0,0 +1,203 @@
+"""Messages from other controllers and from proxies: one small handler for each kind."""
+
+import math
+from typing import Any
+
+from ..common.messages import (
+    ROLE_CONTROLLER,
+    Confirmation,
+    ConfirmationRequest,
+    ControllerHeartbeat,
+    Hello,
+    LoadReport,
+    ReadersRemoved,
+    RegistryAcknowledgement,
+    RegistryUpdate,
+    RemoveReaders,
+    Subscribe,
+    UpdateRequest,
+    kinds,
+    subscription_from_wire,
+)
+from ..common.peer_connections import PeerConnection
+from .chosen_values import ChosenValues
+from .consensus.effects import no_effects
+from .consensus.messages import CONSENSUS_MESSAGE_KINDS
+from .consensus.proposal_number import NO_PROPOSAL
+from .consensus.registers import DATA_REGISTERS, TABLE
+from .controller_peers import ControllerPeers
+from .load_reports import LoadReports
+from .proxy_feed import ProxyFeed
+from .proxy_heartbeats import ProxyHeartbeats
+from .quorum_contact import QuorumContact
+from .quorum_io import QuorumIO, new_disk_name
+from .read_replicas import without_readers
+from .registry_exchange import RegistryExchange
+from .runtime import Runtime
+from .sessions import Sessions
+from .worker_api import WorkerApi
+
+PROPOSAL_TIMEOUT = 1.0  # s
+
+
+class PeerHandlers:
+    """Takes what connections bring, decodes it, and hands it to the part that it concerns."""
+
+    def __init__(
+        self,
+        runtime: Runtime,
+        quorum_io: QuorumIO,
+        quorum_contact: QuorumContact,
+        sessions: Sessions,
+        controller_peers: ControllerPeers,
+        registry_exchange: RegistryExchange,
+        proxy_feed: ProxyFeed,
+        proxy_heartbeats: ProxyHeartbeats,
+        chosen_values: ChosenValues,
+        load_reports: LoadReports,
+        worker_api: WorkerApi,
+    ) -> None:
+        self.runtime, self.quorum_io, self.quorum_contact = runtime, quorum_io, quorum_contact
+        self.sessions, self.controller_peers = sessions, controller_peers
+        self.registry_exchange, self.registry = registry_exchange, registry_exchange.registry
+        self.proxy_feed, self.proxy_sessions = proxy_feed, proxy_feed.proxy_sessions
+        self.proxy_heartbeats, self.chosen_values = proxy_heartbeats, chosen_values
+        self.load_reports, self.worker_api = load_reports, worker_api
+        self.handlers = {
+            kinds.HEARTBEAT: self.handle_heartbeat,
+            kinds.REGISTRY_UPDATE: self.handle_registry_update,
+            kinds.REGISTRY_ACKNOWLEDGEMENT: self.handle_registry_acknowledgement,
+            kinds.SUBSCRIPTION: self.handle_subscription,
+            kinds.UPDATE_REQUEST: self.handle_update_request,
+            kinds.LOAD_REPORT: self.handle_load_report,
+            kinds.CONFIRMATION_REQUEST: self.handle_confirmation_request,
+            kinds.REMOVE_READERS: self.handle_remove_readers,
+            **dict.fromkeys(CONSENSUS_MESSAGE_KINDS, self.handle_consensus_message),
+        }
+
+    def greeting(self, peer: str) -> dict[str, Any]:
+        """The first message on each connection that we dial."""
+        ages = self.registry.seconds_since_heard(self.runtime.now(), math.inf)
+        rows = self.registry_exchange.all_rows()
+        return Hello(ROLE_CONTROLLER, self.runtime.own_address, rows, ages).to_wire()
+
+    def handle_greeting(self, connection: PeerConnection, message: dict) -> None:
+        """A controller or a proxy has dialled us and says who it is."""
+        hello = Hello.from_wire(message)
+        connection.peer, connection.role = hello.sender, hello.role
+        if hello.role == ROLE_CONTROLLER:
+            self.controller_peers.add(hello.sender)
+            self.registry_exchange.record_all(hello.registrations, hello.sender, hello.ages)
+            return
+        self.proxy_sessions.add(connection)
+        self.load_reports.drain_progress.forget_report(hello.sender)
+        # what all controllers forgot in a restart, proxies have kept
+        self.registry_exchange.record_all(hello.registrations)
+        connection.send(RegistryUpdate(self.registry.departing_registrations()).to_wire())
+        self.proxy_heartbeats.send(self.runtime.now())
+
+    def handle_disconnect(self, connection: PeerConnection) -> None:
+        """A connection that was dialled to us has ended."""
+        self.proxy_sessions.remove(connection)
+
+    def handle_message(self, connection: PeerConnection, message: dict) -> None:
+        """Any message but the first on a connection. Unknown kinds are ignored: newer peers may send them."""
+        handler = self.handlers.get(message["k"])
+        if handler is not None:
+            handler(connection, message)
+
+    def handle_consensus_message(self, connection: PeerConnection, message: dict) -> None:
+        """A message of the consensus."""
+        self.quorum_io.handle_consensus_message(connection.peer, message)
+
+    def handle_heartbeat(self, connection: PeerConnection, message: dict) -> None:
+        """A controller is there, and says what it has accepted and knows to be chosen."""
+        now, peer, heartbeat = self.runtime.now(), connection.peer, ControllerHeartbeat.from_wire(message)
+        self.sessions.record_heartbeat(now, peer, heartbeat)
+        if heartbeat.echo < 0:  # it has heard nothing of ours yet: at a start nobody waits for the next turn
+            self.controller_peers.send_heartbeats(now, peer)
+        self.registry.record_last_heard(now, heartbeat.worker_ages or {})
+        self._learn_from_heartbeat(now, peer, heartbeat)
+        self.chosen_values.refresh()
+        self.worker_api.check_confirmations()
+        if not self.proxy_heartbeats.was_current and self.quorum_contact.is_current(now):
+            self.proxy_heartbeats.send(now)
+        for controller in heartbeat.controllers or ():
+            self.controller_peers.add(controller)
+
+    def _learn_from_heartbeat(self, now: float, peer: str, heartbeat: ControllerHeartbeat) -> None:
+        consensus, effects = self.quorum_io.consensus, no_effects()
+        if heartbeat.members is not None:
+            consensus.adopt_voter_set(now, heartbeat.members, effects)
+        for register, proposal_number in heartbeat.durable.items():
+            if proposal_number != NO_PROPOSAL and heartbeat.is_voting:
+                consensus.record_acceptance(now, peer, heartbeat.disk, register, proposal_number, effects)
+        self.quorum_io.execute(effects)
+        rolled_back = consensus.check_disk_rollback(heartbeat.epoch, heartbeat.bound or {}, new_disk_name())
+        if rolled_back.facts:
+            self.runtime.log.error("disk rolled back", step="epoch", peer=peer, disk=consensus.disk)
+            self.quorum_io.execute(rolled_back)
+
+    def handle_registry_update(self, connection: PeerConnection, message: dict) -> None:
+        """A controller or a proxy passes on registrations."""
+        update, peer = RegistryUpdate.from_wire(message), connection.peer
+        newer = self.registry_exchange.record_all(update.registrations, peer)
+        if update.request_id is not None:
+            consensus = self.quorum_io.consensus
+            epoch = consensus.epoch if consensus.is_active_voter else -1
+            answer = RegistryAcknowledgement(update.request_id, newer, epoch)
+            self.runtime.peer_connections.send(peer, answer.to_wire())
+        elif newer:
+            self.runtime.peer_connections.send(peer, RegistryUpdate(newer).to_wire())
+
+    def handle_registry_acknowledgement(self, connection: PeerConnection, message: dict) -> None:
+        """A controller holds a registration that we asked it to hold."""
+        answer, peer = RegistryAcknowledgement.from_wire(message), connection.peer
+        self.registry_exchange.record_all(answer.newer, peer)
+        self.worker_api.deregistrations.record_holder(answer.request_id, peer, answer.epoch)
+        self.worker_api.check_confirmations()
+
+    def handle_subscription(self, connection: PeerConnection, message: dict) -> None:
+        """A proxy wants all updates pushed from here, or no longer."""
+        subscription = subscription_from_wire(message)
+        if not isinstance(subscription, Subscribe):
+            self.proxy_sessions.unsubscribe(connection)
+            return
+        self.proxy_sessions.subscribe(connection, subscription.versions)
+        registry = RegistryUpdate(self.registry_exchange.all_rows(), is_complete=True)
+        connection.send(registry.to_wire())
+        for register in DATA_REGISTERS:
+            self.proxy_feed.push(connection, register)
+
+    def handle_update_request(self, connection: PeerConnection, message: dict) -> None:
+        """A proxy asks for what it lacks of a register."""
+        request = UpdateRequest.from_wire(message)
+        connection.sent[request.register] = request.version
+        self.proxy_feed.push(connection, request.register)
+
+    def handle_load_report(self, connection: PeerConnection, message: dict) -> None:
+        """A proxy reports its load."""
+        self.load_reports.record(self.runtime.now(), connection.peer, LoadReport.from_wire(message))
+
+    def handle_confirmation_request(self, connection: PeerConnection, message: dict) -> None:
+        """A proxy asks which versions are the newest; only a controller that is current answers."""
+        if self.quorum_contact.is_current(self.runtime.now()):
+            request = ConfirmationRequest.from_wire(message)
+            connection.send(Confirmation(request.asked_at, self.quorum_io.versions()).to_wire())
+
+    def handle_remove_readers(self, connection: PeerConnection, message: dict) -> None:
+        """A proxy asks that workers which don't answer are read replicas of a key no longer."""
+        request = RemoveReaders.from_wire(message)
+        service, key, instance_ids = request.service, request.key, set(request.instance_ids)
+
+        def answer(outcome: Any) -> None:
+            if outcome:
+                version = self.quorum_io.consensus.version(TABLE)
+                connection.send(ReadersRemoved(request.request_id, version).to_wire())
+
+        self.runtime.log.info(
+            "readers removed", step="read replicas", peer=sorted(instance_ids), keys=(key, key)
+        )
+        self.quorum_io.propose(
+            TABLE, lambda table: without_readers(table, service, key, instance_ids), answer, PROPOSAL_TIMEOUT
+        )
--- /dev/null
+++ b/bramblewood/controller/quorum_io.py
@@ -0,0 +1,169 @@
+"""Carries out what the consensus asks for: writes first, messages and answers once these are safe on disk."""
+
+import asyncio
+import os
+from collections.abc import Callable
+from typing import Any
+
+from .consensus.effects import (
+    ACTIVE_EPOCH_FACT,
+    DISK_FACT,
+    VOTER_SET_FACT,
+    Effects,
+    PendingWrites,
+    no_effects,
+)
+from .consensus.proposal_number import format_proposal_number
+from .consensus.registers import DATA_REGISTERS
+from .consensus.replica import ConsensusReplica
+from .consensus.voter_set import founding_voters
+from .runtime import TICK_INTERVAL, Runtime
+from .storage import Storage
+
+# s for an operator's or worker's call: callers go elsewhere after a second of silence; PROTOCOL
+AGREEMENT_TIMEOUT = 0.85
+STALL_TIMEOUT = 0.3  # s that a write may take before this controller leaves the proposing to others
+EPOCH_FACTS = {VOTER_SET_FACT, ACTIVE_EPOCH_FACT}
+
+
+class QuorumIO:
+    """The consensus replica of this controller, its writes under way, and proposals to its quorum.
+
+    Invariant: nothing that rests on a write is sent or answered before the write is durable. Where a write
+    fails, its proposals are answered with None: their outcome is unclear.
+    """
+
+    consensus: ConsensusReplica
+
+    def __init__(self, runtime: Runtime, storage: Storage) -> None:
+        self.runtime, self.storage = runtime, storage
+        self.incarnation = int.from_bytes(os.urandom(4), "big")
+        self.pending_writes = PendingWrites({})
+        self.writes_in_flight = 0
+        self.writing_since: float | None = None  # of the oldest write under way, own clock
+        self.announced_epoch = (-1, False)  # epoch, and whether this is an active voter of it
+        self.on_epoch_changed: Callable[[], None] = lambda: None  # once it is on disk
+        self.on_progress: Callable[[], None] = lambda: None  # after each step that may have chosen something
+
+    def restore(self, facts: dict[str, Any], registers: dict[str, tuple]) -> None:
+        """Begin from what the disk holds. An empty one is new, whether or not there was another before."""
+        settings = self.runtime.settings
+        voter_set, active_epoch = facts.get(VOTER_SET_FACT), facts.get(ACTIVE_EPOCH_FACT, -1)
+        if voter_set is None and "voters" in facts:  # of form 1, which knew no epochs
+            voter_set = {"n": 1, "voters": dict.fromkeys(facts["voters"], ""), "before": {}}
+            active_epoch = 1 if "born" in facts else -1
+        elif voter_set is None and settings.first_boot and settings.ip in settings.seed_ips():
+            voter_set, active_epoch = founding_voters(settings.seed_ips()), 0
+        disk = facts.get(DISK_FACT) or new_disk_name()
+        self.consensus = ConsensusReplica(
+            settings.ip, disk, self.incarnation, registers, voter_set, active_epoch
+        )
+        self.pending_writes.facts = {DISK_FACT: disk, ACTIVE_EPOCH_FACT: active_epoch}
+        if voter_set is not None:
+            self.pending_writes.facts[VOTER_SET_FACT] = voter_set
+
+    def versions(self) -> dict[str, int]:
+        """The newest versions known to be chosen, by register."""
+        return {register: self.consensus.version(register) for register in DATA_REGISTERS}
+
+    def is_durably_voting(self) -> bool:
+        """Whether this is an active voter of its epoch, on disk too."""
+        return self.consensus.is_active_voter and not self.pending_writes.facts.keys() & EPOCH_FACTS
+
+    def is_stalled(self, now: float) -> bool:
+        """Whether the disk has not answered a write for too long."""
+        return self.writing_since is not None and now - self.writing_since > STALL_TIMEOUT
+
+    def propose(
+        self, register: str, change: Callable, on_outcome: Callable[[Any], None], timeout: float
+    ) -> None:
+        """Propose a change of a register's value to the quorum.
+
+        change(value) gives the next value, None for none, and an outcome; on_outcome gets that outcome, or
+        None where it stayed unclear for `timeout` s.
+        """
+        self.execute(self.consensus.propose(self.runtime.now(), register, change, on_outcome, timeout))
+
+    async def agree(self, register: str, change: Callable) -> Any:
+        """The outcome of a proposal; None where there was none in time, also after a thaw of this machine."""
+        waiting, asked_at = self.runtime.loop.create_future(), self.runtime.now()
+        self.propose(
+            register,
+            change,
+            lambda outcome: waiting.done() or waiting.set_result(outcome),
+            AGREEMENT_TIMEOUT,
+        )
+        try:
+            async with asyncio.timeout(AGREEMENT_TIMEOUT + TICK_INTERVAL):
+                outcome = await waiting
+        except TimeoutError:
+            return None
+        in_time = self.runtime.now() <= asked_at + AGREEMENT_TIMEOUT + TICK_INTERVAL
+        return outcome if in_time else None
+
+    def handle_consensus_message(self, peer: str, message: dict) -> None:
+        """Take a message of the consensus, in its wire form."""
+        consensus = self.consensus
+        self.execute(consensus.receive(self.runtime.now(), peer, message))
+        rejection = consensus.take_last_rejection()
+        if rejection is not None:
+            rejecting_peer, proposal_number, promised = rejection
+            self.runtime.log.info(
+                "proposal rejected",
+                step="consensus",
+                peer=rejecting_peer,
+                proposal_number=format_proposal_number(proposal_number),
+                promised=format_proposal_number(promised),
+            )
+
+    def execute(self, effects: Effects) -> None:
+        """Write what these effects ask for, then send and answer."""
+        rows, facts = self.pending_writes.prepare_write(effects)
+        if not rows and not facts:
+            if effects.sends or effects.answers:
+                self._send_and_answer(effects)
+            return
+        if self.writing_since is None:
+            self.writing_since = self.runtime.now()
+        self.writes_in_flight += 1
+        self.storage.write(rows, facts, lambda problem: self._write_finished(effects, rows, facts, problem))
+
+    def _write_finished(
+        self, effects: Effects, rows: list, facts: dict[str, Any], problem: str | None
+    ) -> None:
+        self.writes_in_flight -= 1
+        self.writing_since = self.runtime.now() if self.writes_in_flight else None
+        if problem:
+            self.runtime.log.error("write failed", step="write", problem=problem)
+            unclear = [(tag, None) for tag, _ in effects.answers]
+            self._send_and_answer(no_effects()._replace(answers=unclear))
+            return
+        self.pending_writes.mark_durable(rows, facts)
+        for register, _, accepted, _ in rows:
+            self.consensus.mark_durable(register, accepted)
+        self._send_and_answer(effects)
+
+    def _send_and_answer(self, effects: Effects) -> None:
+        loop, own_address = self.runtime.loop, self.runtime.own_address
+        for peer, message in effects.sends:
+            if peer == own_address:
+                loop.call_soon(self.handle_consensus_message, own_address, message)
+            else:
+                self.runtime.peer_connections.send(peer, message)
+        for on_outcome, outcome in effects.answers:
+            if callable(on_outcome):
+                loop.call_soon(on_outcome, outcome)
+        if effects.facts.keys() & EPOCH_FACTS:
+            self._announce_epoch()
+        self.on_progress()
+
+    def _announce_epoch(self) -> None:
+        epoch = (self.consensus.epoch, self.consensus.is_active_voter)
+        if epoch != self.announced_epoch:
+            self.announced_epoch = epoch
+            self.on_epoch_changed()
+
+
+def new_disk_name() -> str:
+    """A name for a disk, or for one that goes on as another."""
+    return f"{int.from_bytes(os.urandom(4), 'big'):08x}"
--- a/bramblewood/controller/sessions.py
+++ b/bramblewood/controller/sessions.py
@@ -1,155 +1,187 @@
-"""Who is there: sessions between archives and of desks with archives, and how fresh the word of the majority
-is.
-
-An archive pulses each other one. A pulse says what its sender has accepted and gives back the stamp of the
-last pulse heard from the receiver, in the receiver's own clock. So the receiver knows that the sender had
-accepted nothing newer when that stamp was set, or later. A word rests on the stamps of a majority and is good
-for WORD s from the oldest of them: whatever a majority chooses later is chosen after that stamp, so whoever
-moves keys on a chosen change need wait no longer than WORD for the last renewal that rested on an older word.
-
-All times are this archive's own steady clock, and a stamp counts only once it came there and back. So a word
-ends by itself after a freeze, and after a cut in either direction, whatever still waits in a socket.
+"""Sessions between controllers: who was heard, and how fresh the contact with a quorum is.
+
+Each controller sends heartbeats to each other one. A heartbeat says what its sender has accepted and echoes
+the time that the receiver put into its own last heartbeat, on the receiver's clock. So the receiver knows
+that the sender had accepted nothing newer at that time, or later. Quorum contact rests on the echoes of a
+majority and holds for QUORUM_CONTACT_VALIDITY s from the oldest of them: whatever a majority chooses later is
+chosen after that, so whoever moves keys on a chosen change need wait no longer than that for the last renewal
+that rested on older contact.
+
+All times are this controller's own steady clock, in s, and an echo counts only once it came there and back.
+So quorum contact ends by itself after a freeze, and after a partition in either direction, whatever still
+waits in a socket.
 """
 
 from typing import NamedTuple
 
+from ..common.messages import ControllerHeartbeat
 from ..common.timeouts import QUORUM_CONTACT_VALIDITY
 from .consensus.peer_status import PeerStatus
 from .consensus.proposal_number import NO_PROPOSAL, ProposalNumber
-from .consensus.voter_set import is_voter, majority
+from .consensus.voter_set import VoterSet, is_voter, majority
+
+HEARTBEAT_INTERVAL = 0.25  # s between heartbeats; three of them fit into QUORUM_CONTACT_VALIDITY
+PEER_TIMEOUT = 0.9  # s without a heartbeat after which a controller counts as away: three and their way
 
-HEARTBEAT_INTERVAL = 0.25  # s between pulses; three of them fit into WORD
-PEER_TIMEOUT = 0.9  # s without a pulse after which an archive counts as away: three pulses and some way
 
+class PeerSession(NamedTuple):
+    """What the newest heartbeat of another controller said."""
 
-class Heard(NamedTuple):
-    at: float  # when the pulse came, our clock
-    stamp: float  # our own stamp that it gave back, our clock
-    accepted: dict[str, ProposalNumber]  # newest accepted ballot by register, on disk or not yet
-    votes: bool  # an active voter of its epoch
-    whole: bool  # it has a word of the majority itself and its disk answers
+    heard_at: float
+    echo: float  # when we sent the heartbeat that it echoes
+    accepted: dict[str, ProposalNumber]  # newest accepted proposal by register, on disk or not yet
+    is_voting: bool  # an active voter of its epoch
+    is_current: bool  # it has quorum contact itself and its disk answers
     epoch: int
     disk: str
-    leaving: bool
+    is_leaving: bool
     versions: dict[str, int]  # what it knows to be chosen, by register
-    durable: dict[str, ProposalNumber]  # newest accepted ballot by register that is safe on its disk
+    durable: dict[str, ProposalNumber]  # newest accepted proposal by register that is safe on its disk
+
+
+class PeerDetails(NamedTuple):
+    """What a controller tells others of itself that changes seldom; None for what was sent before."""
+
+    members: VoterSet | None
+    zone: str | None
+    counted: bool | None  # whether the loss of its zone is to be borne
+    controllers: list[str] | None
+    proxies: list[str] | None
+
+
+NOTHING_SENT = PeerDetails(None, None, None, None, None)
 
 
 class Sessions:
-    def __init__(self, me: str) -> None:
-        self.me = me
-        self.heard: dict[str, Heard] = {}
-        self.told: dict[str, dict] = {}  # by archive, what changes seldom and was said on its link
-        self.stamps: dict[str, float] = {}  # last stamp of each other archive, to give back
-        self.proxies: dict[str, list[str]] = {}  # by archive, the desks that it last told of
-        self.places: dict[str, tuple[str, bool]] = {}  # by archive, its zone and whether its loss is counted
-        self.since: dict[str, float] = {}  # by archive, since when its pulses come without a gap
-        self.level: dict[str, float] = {}  # by register, when we had accepted nothing newer than was known
-
-    def anew(self, peer: str) -> None:
-        """A link to this archive stands anew: whoever listens there now may know nothing."""
-        self.told.pop(peer, None)
-
-    def news(self, peer: str, about: dict) -> dict:
-        """Of what changes seldom, what this archive was not told on this link."""
-        before = self.told.get(peer, {})
-        self.told[peer] = about
-        return {name: value for name, value in about.items() if name not in before or before[name] != value}
-
-    def pulse(self, now: float, peer: str, message: dict) -> None:
-        accepted, durable = (
-            {name: tuple(proposal_number) for name, proposal_number in message[kind].items()}
-            for kind in ("acc", "dur")
-        )
+    """The sessions of one controller with all others, by their addresses."""
+
+    def __init__(self, own_address: str) -> None:
+        self.own_address = own_address
+        self.heard: dict[str, PeerSession] = {}
+        self.sent_details: dict[str, PeerDetails] = {}  # on the connection that stands
+        self.echoes: dict[str, float] = {}  # time in each one's last heartbeat, to give back
+        self.proxies: dict[str, list[str]] = {}  # those connected to each one, by its last word
+        self.zones: dict[str, tuple[str, bool]] = {}  # zone, and whether its loss is to be borne
+        self.heard_since: dict[str, float] = {}  # since when its heartbeats come without a gap
+        # by register, when we had last accepted nothing newer than was known to be chosen
+        self.up_to_date_at: dict[str, float] = {}
+
+    def forget_sent_details(self, peer: str) -> None:
+        """A new connection to this controller: whoever listens there now may know nothing."""
+        self.sent_details.pop(peer, None)
+
+    def has_sent_details(self, peer: str) -> bool:
+        """Whether something was sent on the connection that stands."""
+        return peer in self.sent_details
+
+    def take_unsent_details(self, peer: str, details: PeerDetails) -> PeerDetails:
+        """Of these details what was not yet sent on this connection; it counts as sent from now on."""
+        sent = self.sent_details.get(peer, NOTHING_SENT)
+        self.sent_details[peer] = details
+        changed = [None if old == new else new for old, new in zip(sent, details, strict=True)]
+        return PeerDetails._make(changed)
+
+    def record_heartbeat(self, now: float, peer: str, heartbeat: ControllerHeartbeat) -> None:
+        """Take a heartbeat of another controller."""
         before = self.heard.get(peer)
-        if before is None or now - before.at > PEER_TIMEOUT or before.disk != message["disk"]:
-            self.since[peer] = now
-        self.heard[peer] = Heard(
+        if before is None or now - before.heard_at > PEER_TIMEOUT or before.disk != heartbeat.disk:
+            self.heard_since[peer] = now
+        self.heard[peer] = PeerSession(
             now,
-            message["e"],
-            accepted,
-            message["v"],
-            message["w"],
-            message["ep"],
-            message["disk"],
-            message["leaving"],
-            message["ver"],
-            durable,
+            heartbeat.echo,
+            heartbeat.accepted,
+            heartbeat.is_voting,
+            heartbeat.is_current,
+            heartbeat.epoch,
+            heartbeat.disk,
+            heartbeat.is_leaving,
+            heartbeat.versions,
+            heartbeat.durable,
         )
-        self.stamps[peer] = message["t"]
-        if "desks" in message:
-            self.proxies[peer] = message["desks"]
-        if "zone" in message:
-            self.places[peer] = (message["zone"], message["counted"])
+        self.echoes[peer] = heartbeat.sent_at
+        if heartbeat.proxies is not None:
+            self.proxies[peer] = heartbeat.proxies
+        if heartbeat.zone is not None:
+            self.zones[peer] = (heartbeat.zone, bool(heartbeat.counted))
 
-    def word_until(
+    def quorum_contact_until(
         self,
         now: float,
         voters: dict[str, str],
         epoch: int,
         known: dict[str, ProposalNumber],
-        own: dict[str, ProposalNumber] | None,
+        accepted: dict[str, ProposalNumber] | None,
     ) -> float:
-        """Until when the word holds that in these registers nothing newer than `known` is chosen; 0 where
-        none does. With no register it tells of contact alone.
+        """Until when it is certain that in these registers nothing newer than `known` is chosen; 0.0 where it
+        is not. With no register it tells of contact alone.
 
-        voters, epoch: the set of voters that is known here, with their disks. A majority of it that was not
-        sealed as it stamped is a word that no later epoch had begun.
-        own: what this archive has accepted itself, None where it does not vote. It counts as heard when it
-        was last found to have accepted nothing newer: with one more voter that may be the majority.
+        voters, epoch: the voter set that is known here, with its disks. A majority of it that had not left
+        the epoch as it sent shows that no later epoch had begun.
+        accepted: what this controller has accepted itself, None where it does not vote. It counts as heard
+        when it was last found to have accepted nothing newer: with one more voter that may be the majority.
         """
-        stamps = []
-        if own is not None and self.me in voters:
+        echoes = []
+        if accepted is not None and self.own_address in voters:
             for register, proposal_number in known.items():
-                if own[register] <= proposal_number:
-                    self.level[register] = now
-            stamps.append(
-                min((self.level.get(register, -QUORUM_CONTACT_VALIDITY) for register in known), default=now)
+                if accepted[register] <= proposal_number:
+                    self.up_to_date_at[register] = now
+            echoes.append(
+                min(
+                    (self.up_to_date_at.get(register, -QUORUM_CONTACT_VALIDITY) for register in known),
+                    default=now,
+                )
             )
-        for peer, heard in self.heard.items():
-            level = all(
-                heard.accepted.get(register, NO_PROPOSAL) <= proposal_number
+        for peer, session in self.heard.items():
+            has_nothing_newer = all(
+                session.accepted.get(register, NO_PROPOSAL) <= proposal_number
                 for register, proposal_number in known.items()
             )
-            if is_voter(voters, peer, heard.disk) and heard.votes and heard.epoch == epoch and level:
-                stamps.append(heard.stamp)
+            is_active = is_voter(voters, peer, session.disk) and session.is_voting and session.epoch == epoch
+            if is_active and has_nothing_newer:
+                echoes.append(session.echo)
         needed = majority(voters)
-        if not voters or len(stamps) < needed:
+        if not voters or len(echoes) < needed:
             return 0.0
-        return sorted(stamps, reverse=True)[needed - 1] + QUORUM_CONTACT_VALIDITY
-
-    def peers(self, now: float) -> dict[str, PeerStatus]:
-        """The other archives as the question of who should vote sees them."""
-        return {
-            name: PeerStatus(
-                heard.disk,
-                *self.places.get(name, ("", False)),
-                heard.epoch,
-                heard.votes,
-                heard.leaving,
-                now - heard.at,
-                max(now - self.since[name], HEARTBEAT_INTERVAL) if now - heard.at <= PEER_TIMEOUT else 0.0,
-                heard.versions,
+        return sorted(echoes, reverse=True)[needed - 1] + QUORUM_CONTACT_VALIDITY
+
+    def peer_statuses(self, now: float) -> dict[str, PeerStatus]:
+        """The other controllers that were heard, as changes of the voter set look at them."""
+        statuses = {}
+        for peer, session in self.heard.items():
+            silent_for = now - session.heard_at
+            heard_for = max(now - self.heard_since[peer], HEARTBEAT_INTERVAL)
+            statuses[peer] = PeerStatus(
+                session.disk,
+                *self.zones.get(peer, ("", False)),
+                session.epoch,
+                session.is_voting,
+                session.is_leaving,
+                silent_for,
+                heard_for if silent_for <= PEER_TIMEOUT else 0.0,
+                session.versions,
             )
-            for name, heard in self.heard.items()
-        }
+        return statuses
 
-    def present(self, now: float) -> list[str]:
-        """The other archives heard of late that have a word of the majority."""
-        return [peer for peer, heard in self.heard.items() if now - heard.at <= PEER_TIMEOUT and heard.whole]
+    def current_peers(self, now: float) -> list[str]:
+        """The other controllers heard of late that have quorum contact."""
+        return [
+            peer for peer, session in self.heard.items() if self._is_heard(now, peer) and session.is_current
+        ]
 
-    def coordinator(self, now: float, whole: bool) -> str | None:
-        """Whose turn it is to propose moves and to send grants: the first by name of those that are whole.
+    def coordinator(self, now: float, is_current: bool) -> str | None:
+        """Whose turn it is to propose moves and to send grants: the first by name of those that are current.
 
-        Only to keep out of each other's way: every move is agreed by ballots, whoever proposes it.
+        Only to keep out of each other's way: every move is agreed by a quorum, whoever proposes it.
+        is_current: whether this controller itself is.
         """
-        return min([*self.present(now), *([self.me] if whole else [])], default=None)
-
-    def all_proxies(self, now: float, mine: list[str]) -> set[str]:
-        others = [
-            name
-            for peer, names in self.proxies.items()
-            for name in names
-            if peer in self.heard and now - self.heard[peer].at <= PEER_TIMEOUT
+        return min([*self.current_peers(now), *([self.own_address] if is_current else [])], default=None)
+
+    def all_proxies(self, now: float, connected: list[str]) -> set[str]:
+        """The proxies connected to any controller heard of late; connected: those connected to this one."""
+        elsewhere = [
+            proxy for peer, proxies in self.proxies.items() for proxy in proxies if self._is_heard(now, peer)
         ]
-        return {*mine, *others}
+        return {*connected, *elsewhere}
+
+    def _is_heard(self, now: float, peer: str) -> bool:
+        return peer in self.heard and now - self.heard[peer].heard_at <= PEER_TIMEOUT
--- a/features/steps/calls.py
+++ b/features/steps/calls.py
@@ -4,7 +4,7 @@
 from behave import given, then, when
 
 from bramblewood.controller.commands import PutConfiguration, Rejection, apply_configuration, decode
-from bramblewood.controller.server import answer
+from bramblewood.controller.http_responses import make_response
 from tests.approved import approve
 from tests.simulation.proxy import CONFIG
 
@@ -68,7 +68,7 @@
     calls += [("PUT", path, many), ("PUT", path + many, "{}"), (many, path, ""), (many, many, "")]
     for method, at, body in calls:
         reason = decode(method, at, body.encode()).err_value.reason
-        assert len(answer(400, reason, {"Allow": "PUT, DELETE"}).body) < 4096 - 512  # for its head
+        assert len(make_response(400, reason, {"Allow": "PUT, DELETE"}).body) < 4096 - 512  # for its head
 
 
 @then('the answers are "{name}"')
--- a/features/steps/contact.py
+++ b/features/steps/contact.py
@@ -5,50 +5,54 @@
 from behave import given, then, when
 
 from bramblewood.common.worker_registry import GONE, WorkerRegistration, WorkerRegistry
-from bramblewood.controller import server
-from bramblewood.controller.commands import DeregisterWorker
 from bramblewood.controller.consensus.proposal_number import NO_PROPOSAL
 from bramblewood.controller.consensus.registers import TABLE
 from bramblewood.controller.deregistration import Deregistrations
+from bramblewood.controller.http_responses import make_response
 from bramblewood.controller.key_leases import KeyLeases
-from bramblewood.controller.server import Controller
+from bramblewood.controller.lease_calls import LeaseCalls
+from bramblewood.controller.quorum_contact import QuorumContact
+from bramblewood.controller.quorum_io import QuorumIO
+from bramblewood.controller.registry_exchange import RegistryExchange
 from bramblewood.controller.sessions import Sessions
+from bramblewood.controller.worker_api import WorkerApi
 from bramblewood.proxy.controller_selection import ControllerSelection
 from tests.simulation import majority_contact
 from tests.simulation.majority_contact import Broken
 
-word_until, obey, call, pulse = (
-    Sessions.word_until,
-    Controller.obey,
-    Controller.call,
-    ControllerSelection.pulse,
-)
+quorum_contact_until, deregister = Sessions.quorum_contact_until, WorkerApi.deregister
+grant_or_release, pulse = LeaseCalls.grant_or_release, ControllerSelection.pulse
 
 
-def one_other(self, now, number, voters, epoch, contact):
-    return len(self.rounds[number][1]) > 0
+def one_other_holder(self, now, request_id, voters, epoch, has_quorum_contact):
+    return len(self.pending[request_id].holders) > 0
 
 
 def no_forwarding(self, rows, sender="", ages=None):
-    news, newer = self.registry.record_all(self.loop.time(), rows, ages)
-    self.tell_desks(news)
+    news, newer = self.registry.record_all(self.runtime.now(), rows, ages)
+    self.proxy_sessions.send_registrations(news)
     return newer
 
 
-async def no_row(self, command):
-    if isinstance(command, DeregisterWorker) and command.instance_id not in self.registry.registrations:
-        return server.answer(200 if self.contact(self.loop.time()) else 503)
-    return await obey(self, command)
+async def unknown_worker_unrecorded(self, call):
+    if call.instance_id not in self.registry_exchange.registry.registrations:
+        return make_response(200 if self.quorum_contact.has_quorum_contact(self.runtime.now()) else 503)
+    return await deregister(self, call)
 
 
-async def no_clock(self, register, change):
-    waiting = self.loop.create_future()
+async def no_look_at_clock(self, register, change):
+    waiting = self.runtime.loop.create_future()
     self.propose(register, change, lambda outcome: waiting.done() or waiting.set_result(outcome), 0.85)
     return await waiting
 
 
-def not_oneself(self, now, voters, epoch, known, own):
-    return word_until(self, now, voters, epoch, known, own and dict.fromkeys(own, NO_PROPOSAL))
+async def grant_on_old_contact(self, call, until):
+    return await grant_or_release(self, call, 1e9)
+
+
+def ignores_own_acceptance(self, now, voters, epoch, known, accepted):
+    nothing_accepted = accepted and dict.fromkeys(accepted, NO_PROPOSAL)
+    return quorum_contact_until(self, now, voters, epoch, known, nothing_accepted)
 
 
 def claims(self, now, peer, message, have):
@@ -58,23 +62,27 @@
 
 
 GUARDS = {
-    "the majority that holds a leave": (Deregistrations, "confirmed", one_other),
-    "contact before a worker's call is answered": (Controller, "contact", lambda self, now: True),
-    "the word of the majority": (Controller, "whole", lambda self, now: True),
-    "leaves going on between archives": (Controller, "take_rows", no_forwarding),
-    "the row of a leave that nobody knew": (Controller, "obey", no_row),
+    "the majority that holds a leave": (Deregistrations, "is_confirmed", one_other_holder),
+    "contact before a worker's call is answered": (
+        QuorumContact,
+        "has_quorum_contact",
+        lambda self, now: True,
+    ),
+    "the word of the majority": (QuorumContact, "is_current", lambda self, now: True),
+    "leaves going on between archives": (RegistryExchange, "record_all", no_forwarding),
+    "the row of a leave that nobody knew": (WorkerApi, "deregister", unknown_worker_unrecorded),
     "desks that tell of leaves again": (
         WorkerRegistry,
         "departing_registrations",
         lambda self, since=0.0: {},
     ),
-    "the look at the clock after a round": (Controller, "agreed", no_clock),
-    "the look at the word as a grant leaves": (Controller, "call", lambda self, one, _: call(self, one, 1e9)),
-    "the look at what oneself has accepted": (Sessions, "word_until", not_oneself),
+    "the look at the clock after a round": (QuorumIO, "agree", no_look_at_clock),
+    "the look at the word as a grant leaves": (LeaseCalls, "grant_or_release", grant_on_old_contact),
+    "the look at what oneself has accepted": (Sessions, "quorum_contact_until", ignores_own_acceptance),
     "the word on the configuration": (
-        Controller,
-        "whole",
-        lambda self, now: self.word(now, (TABLE,)) > now,
+        QuorumContact,
+        "is_current",
+        lambda self, now: self.quorum_contact_until(now, (TABLE,)) > now,
     ),
     "the question before a desk is ready": (ControllerSelection, "pulse", claims),
 }
@@ -150,21 +158,21 @@
     context.play = majority_contact.begun(1, 3)
     context.play.run(3.0)
     context.server = context.play.nodes["a"].server
-    context.before = context.server.consensus.version(TABLE)
+    context.before = context.server.quorum_io.consensus.version(TABLE)
 
 
 @when("one proposes a move")
 @when("one proposes a move, and its word {ends}")
 def proposes(context, ends=""):
     change = lambda value: ({**value, "n": value["n"] + 1}, True)  # noqa: E731
-    with mock.patch.object(context.server, "whole", lambda now: not ends):
-        context.server.move(change)
+    with mock.patch.object(context.server.quorum_contact, "is_current", lambda now: not ends):
+        context.server.coordinator_loop.change_table(change)
         context.play.run(1.0)
 
 
 @then("the table {word}")
 def stands(context, word):
-    changed = context.server.consensus.version(TABLE) != context.before
+    changed = context.server.quorum_io.consensus.version(TABLE) != context.before
     assert changed == (word == "has changed")
 
 
@@ -197,20 +205,20 @@
 @given("a leave that is asked about among three voters of epoch 4")
 def asked_about(context):
     context.deregistrations = Deregistrations("a")
-    context.number = context.deregistrations.ask(10.0)
+    context.number = context.deregistrations.begin(10.0)
 
 
 @when("b answers as a voter of epoch 3, and c as none")
 def other_epochs(context):
-    context.deregistrations.held(context.number, "b", 3)
-    context.deregistrations.held(context.number, "c", -1)
+    context.deregistrations.record_holder(context.number, "b", 3)
+    context.deregistrations.record_holder(context.number, "c", -1)
 
 
 @when("c answers as a voter of epoch 4")
 def this_epoch(context):
-    context.deregistrations.held(context.number, "c", 4)
+    context.deregistrations.record_holder(context.number, "c", 4)
 
 
 @then("it is {word} in epoch 4")
 def in_epoch(context, word):
-    assert context.deregistrations.confirmed(10.1, context.number, "abc", 4, True) == (word == "confirmed")
+    assert context.deregistrations.is_confirmed(10.1, context.number, "abc", 4, True) == (word == "confirmed")
--- a/features/steps/holds.py
+++ b/features/steps/holds.py
@@ -1,13 +1,16 @@
 import asyncio
 import socket
-from functools import partial
 from types import SimpleNamespace
 
 from behave import given, then, when
 
 from bramblewood.common.worker_registry import GONE, WorkerRegistration, WorkerRegistry
 from bramblewood.controller.key_leases import MAX_CALL_TRANSIT, KeyLeases
-from bramblewood.controller.server import Controller, caller
+from bramblewood.controller.lease_calls import (
+    LeaseCalls,
+    open_pooled_session,
+    open_single_use_session,
+)
 from tests.simulation.key_leases import LATE, STEP, Play, Twice, exhaust, margin
 
 
@@ -87,12 +90,13 @@
     assert holds.call_finished(0.0, call, 0.0, 421, "", False).previous_owner == "young"
 
 
-def asking() -> SimpleNamespace:
-    """As much of an archive as its calls need."""
-    shell = SimpleNamespace(loop=asyncio.get_running_loop(), settings=SimpleNamespace(name="a"))
-    shell.calls, shell.fresh = caller(), caller(force_close=True)
-    shell.ask = partial(Controller.ask, shell)
-    return shell
+def lease_calls() -> LeaseCalls:
+    """The calls of a controller that has nothing else."""
+    clock = asyncio.get_running_loop().time
+    runtime = SimpleNamespace(now=clock, settings=SimpleNamespace(name="a"))
+    calls = LeaseCalls(runtime, None, None, SimpleNamespace(registry=None), None, None, None)
+    calls.pooled_session, calls.single_use_session = open_pooled_session(), open_single_use_session()
+    return calls
 
 
 @given("a worker that is busy with a key, and answers the grant before twice")
@@ -123,19 +127,19 @@
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        shell = asking()
-        until = shell.loop.time() + 9
-        granted, _ = await shell.ask("grant", address, "w1", {}, until)
-        release = asyncio.ensure_future(shell.ask("release", address, "w1", {}, until))
+        calls = lease_calls()
+        until = calls.runtime.now() + 9
+        granted, _ = await calls.send("grant", address, "w1", {}, until)
+        release = asyncio.ensure_future(calls.send("release", address, "w1", {}, until))
         await asked.wait()
         for _ in range(50):
             await asyncio.sleep(0)
         early = release.result() if release.done() else None
-        shell.loop.call_later(0.05, done.set)
-        told = granted, early, await release, await shell.ask("release", address, "w1", {}, until)
-        late = await shell.ask("grant", address, "w1", {}, shell.loop.time())
-        await shell.calls.close()
-        await shell.fresh.close()
+        asyncio.get_running_loop().call_later(0.05, done.set)
+        told = granted, early, await release, await calls.send("release", address, "w1", {}, until)
+        late = await calls.send("grant", address, "w1", {}, calls.runtime.now())
+        await calls.pooled_session.close()
+        await calls.single_use_session.close()
         server.close()
         return *told, late, len(kinds)
 
@@ -167,16 +171,16 @@
 @then("a grant on a word of {more:g} s more is given up with that word")
 def given_up(context, more):
     async def play() -> float:
-        shell, (host, port) = asking(), context.listen_on.getsockname()
-        began = shell.loop.time()
+        calls, (host, port) = lease_calls(), context.listen_on.getsockname()
+        began = calls.runtime.now()
         try:
             async with asyncio.timeout(20 * more):
-                await shell.ask("grant", f"{host}:{port}", "w1", {}, began + more)
+                await calls.send("grant", f"{host}:{port}", "w1", {}, began + more)
         except TimeoutError:
-            return shell.loop.time() - began
+            return calls.runtime.now() - began
         finally:
-            await shell.calls.close()
-            await shell.fresh.close()
+            await calls.pooled_session.close()
+            await calls.single_use_session.close()
 
     took = asyncio.run(play())
     for one in (context.listen_on, *context.queued):
--- a/features/steps/leaving.py
+++ b/features/steps/leaving.py
@@ -128,4 +128,4 @@
 @then("at {now:g} its word on ballot {proposal_number:d} is over")
 def over(context, now, proposal_number):
     voters, known = {name: name for name in "abc"}, {TABLE: (1, proposal_number, "b", 1)}
-    assert context.sessions.word_until(now, voters, 1, known, {TABLE: NO_PROPOSAL}) < now
+    assert context.sessions.quorum_contact_until(now, voters, 1, known, {TABLE: NO_PROPOSAL}) < now
--- a/features/steps/membership_commands.py
+++ b/features/steps/membership_commands.py
@@ -154,7 +154,9 @@
 def ended(context):
     code, took = context.ended
     assert code == 0 and took < Bounds().GraceS, context.ended
-    last = [context.fleet.log_events(context.leaver, event)[-1]["step"] for event in ("ending", "stopped")]
+    last = [
+        context.fleet.log_events(context.leaver, event)[-1]["step"] for event in ("shutting down", "stopped")
+    ]
     assert last == ["end", "end"], last
 
 
@@ -163,7 +165,7 @@
     ended(context)
     fleet = context.fleet
     fleet.wait_for_states({n: "voter"})
-    said = [line["why"] for one in fleet.running for line in fleet.log_events(one, "member change")]
+    said = [line["reason"] for one in fleet.running for line in fleet.log_events(one, "voter set change")]
     assert f"{fleet.address_of(context.leaver)} leaves" in said, said
 
 
--- a/features/steps/sessions.py
+++ b/features/steps/sessions.py
@@ -1,11 +1,12 @@
 from behave import given, then, when
 
+from bramblewood.common.messages import ControllerHeartbeat
 from bramblewood.common.worker_registry import GONE, READY, WorkerRegistration, WorkerRegistry
 from bramblewood.controller.consensus.proposal_number import NO_PROPOSAL
 from bramblewood.controller.consensus.registers import TABLE
-from bramblewood.controller.sessions import Sessions
+from bramblewood.controller.sessions import PeerDetails, Sessions
 
-ABOUT = {"voters": ["a", "b", "c"], "archives": ["a", "b", "c"], "desks": ["d1"]}
+DETAILS = PeerDetails({"n": 1}, "z", True, ["a", "b", "c"], ["d1"])
 
 
 @given("an archive of three")
@@ -15,35 +16,38 @@
 
 @when("it has told {peer} who votes")
 def told(context, peer):
-    assert context.sessions.news(peer, ABOUT) == ABOUT
+    assert context.sessions.take_unsent_details(peer, DETAILS) == DETAILS
 
 
 @when("the link to {peer} stands anew")
 def anew(context, peer):
-    context.sessions.anew(peer)
+    context.sessions.forget_sent_details(peer)
 
 
 @then("it tells {peer} nothing again but {what}")
 def changed(context, peer, what):
-    assert context.sessions.news(peer, {**ABOUT, "desks": ["d1", "d2"]}) == {"desks": ["d1", "d2"]}
+    changed = DETAILS._replace(proxies=["d1", "d2"])
+    unsent = PeerDetails(None, None, None, None, ["d1", "d2"])
+    assert context.sessions.take_unsent_details(peer, changed) == unsent
 
 
 @then("it tells {peer} who votes again")
 def again(context, peer):
-    assert context.sessions.news(peer, ABOUT) == ABOUT
+    assert context.sessions.take_unsent_details(peer, DETAILS) == DETAILS
 
 
 @when("{peer} gave back the stamp {stamp:g} at {now:g}, with ballot {proposal_number:d} accepted")
 def pulsed(context, peer, stamp, now, proposal_number):
     accepted = {TABLE: [1, proposal_number, "b", 1]}
     told = {"acc": accepted, "dur": accepted, "e": stamp, "t": 0.0, "v": True, "w": True, "desks": []}
-    context.sessions.pulse(now, peer, {**told, "ep": 1, "disk": peer, "leaving": False, "ver": {}})
+    wire = {**told, "ep": 1, "disk": peer, "leaving": False, "ver": {}}
+    context.sessions.record_heartbeat(now, peer, ControllerHeartbeat.from_wire(wire))
 
 
 @then("at {now:g} its word on ballot {proposal_number:d} holds until {until:g}")
 def word(context, now, proposal_number, until):
     voters, known = {name: name for name in "abc"}, {TABLE: (1, proposal_number, "b", 1)}
-    found = context.sessions.word_until(now, voters, 1, known, {TABLE: NO_PROPOSAL})
+    found = context.sessions.quorum_contact_until(now, voters, 1, known, {TABLE: NO_PROPOSAL})
     assert abs(found - until) < 1e-9, found
 
 
--- a/features/steps/shelf.py
+++ b/features/steps/shelf.py
@@ -171,7 +171,9 @@
 @then("nothing of it goes out, and at {soon:g} it may act for the core, at {late:g} not")
 def held(context, soon, late):
     assert not context.play.sent
-    assert context.play.controller.whole(soon) and not context.play.controller.whole(late)
+    assert context.play.controller.quorum_contact.is_current(
+        soon
+    ) and not context.play.controller.quorum_contact.is_current(late)
 
 
 @when("the disc answers again")
@@ -181,7 +183,7 @@
 
 @then("the promise goes out, lies there after a power cut, and the archive may act again")
 def goes(context):
-    assert context.play.sent == [("b", PROMISE)] and context.play.controller.whole(20.0)
+    assert context.play.sent == [("b", PROMISE)] and context.play.controller.quorum_contact.is_current(20.0)
     assert context.play.after_power_cut()["config"][0] == (1, 7, "b", 1)
 
 
--- a/tests/simulation/majority_contact.py
+++ b/tests/simulation/majority_contact.py
@@ -22,7 +22,6 @@
     QUORUM_CONTACT_VALIDITY,
 )
 from bramblewood.common.worker_registry import READY, WorkerRegistration
-from bramblewood.controller import server as archive_program
 from bramblewood.controller.commands import (
     DeregisterWorker,
     GetConfiguration,
@@ -31,6 +30,8 @@
 )
 from bramblewood.controller.consensus.registers import CONFIG, TABLE
 from bramblewood.controller.placement import PlacementPlanner
+from bramblewood.controller.quorum_io import AGREEMENT_TIMEOUT
+from bramblewood.controller.runtime import TICK_INTERVAL
 from bramblewood.controller.server import Controller
 from bramblewood.emulator.operator import configuration
 from bramblewood.proxy.server import Proxy
@@ -45,7 +46,7 @@
 WITHIN = 1.0  # s that a caller waits; it takes no later answer
 LATE = 0.1  # s that an answer of a machine may be late by its own timers
 # s after which a machine that is cut off must have seen it: the word it had, and a call's time
-SEEN = QUORUM_CONTACT_VALIDITY + archive_program.CALL_WITHIN + LATE
+SEEN = QUORUM_CONTACT_VALIDITY + AGREEMENT_TIMEOUT + LATE
 TOUCH = 3.0  # s; ContactS
 SLOTS = 2
 
@@ -141,7 +142,7 @@
             del dialler.peer_connections.up[acceptor.name]
             dialler.tell(acceptor.name, False)
         if self.met:
-            acceptor.loop.call_soon(acceptor.server.left, self.far)
+            acceptor.loop.call_soon(acceptor.handlers.handle_disconnect, self.far)
         dialler.peer_connections.again[acceptor.name] = dialler.play.now + REDIAL
 
     def ways(self):
@@ -172,12 +173,12 @@
     def bring(self, end, target, message):
         if end is self.far:
             self.heard_at = self.dialler.play.now
-            target.loop.call_soon(target.server.hear, self.near, message)
+            target.loop.call_soon(target.handlers.handle_message, self.near, message)
         elif self.met:
-            target.loop.call_soon(target.server.hear, self.far, message)
+            target.loop.call_soon(target.handlers.handle_message, self.far, message)
         else:
             self.met = True
-            target.loop.call_soon(target.server.met, self.far, message)
+            target.loop.call_soon(target.handlers.handle_greeting, self.far, message)
 
 
 class Wires:
@@ -205,10 +206,28 @@
             wire = Wire(node, target)
             play.wires.append(wire)
             self.up[peer] = wire.near
-            wire.near.send(node.server.hello(peer))
+            wire.near.send(node.handlers.greeting(peer))
             node.tell(peer, True)
 
 
+class ControllerHandlers:
+    """What connections bring to a controller, by the names that both kinds of programs have here."""
+
+    def __init__(self, controller):
+        handlers = controller.peer_handlers
+        self.greeting, self.handle_greeting = handlers.greeting, handlers.handle_greeting
+        self.handle_message, self.handle_disconnect = handlers.handle_message, handlers.handle_disconnect
+        self.connection_changed = controller.controller_peers.connection_changed
+
+
+class ProxyHandlers:
+    """The same of a proxy, which nobody dials."""
+
+    def __init__(self, proxy):
+        self.greeting, self.handle_message = proxy.hello, proxy.hear
+        self.connection_changed = proxy.link_told
+
+
 class Node:
     """A machine: its program of the moment, its disk, whether it is frozen."""
 
@@ -232,32 +251,37 @@
         )
         with mock.patch("bramblewood.common.logs.begin", return_value=mock.Mock()):
             made = self.kind(told)
-        made.loop, made.peer_connections = self.loop, self.peer_connections
         if self.kind is Controller:
             self.controller(made)
+            self.handlers = ControllerHandlers(made)
         else:
+            made.loop, made.peer_connections = self.loop, self.peer_connections
             made.changed = asyncio.Event()
+            self.handlers = ProxyHandlers(made)
         for peer in controllers:
             if peer != self.name:
-                made.peer_connections.keep(peer, 1)
+                self.peer_connections.keep(peer, 1)
         self.server = made
         self.loop.begin(self.turns(made))
 
     def tell(self, peer, up):
         """A link came or went; one that is frozen hears of it when it is thawed."""
         if self.frozen:
-            self.loop.call_soon(self.server.link_told, peer, up)
+            self.loop.call_soon(self.handlers.connection_changed, peer, up)
         else:
-            self.server.link_told(peer, up)
+            self.handlers.connection_changed(peer, up)
 
     def controller(self, made):
         """What a start does, with a first set of voters; it changes as the archives see fit."""
-        made.instance_id = 1000 * self.instance_ids + ord(self.name)
-        made.begin(dict(self.facts), dict(self.registers))
-        made.controllers = set(self.play.controllers) - {self.name}
-        made.storage, made.calls, made.fresh = self, Calls(self), Calls(self)
-        made.started, made.lonely_at = self.play.now, 1e9
-        made.placement = PlacementPlanner(self.play.now, BEAT, False)
+        made.runtime.loop, made.runtime.peer_connections = self.loop, self.peer_connections
+        made.runtime.started_at = self.play.now
+        made.quorum_io.incarnation = 1000 * self.instance_ids + ord(self.name)
+        made.quorum_io.storage = self
+        made.quorum_io.restore(dict(self.facts), dict(self.registers))
+        made.controller_peers.known = set(self.play.controllers) - {self.name}
+        made.controller_peers.next_seed_reread_at = 1e9
+        made.lease_calls.pooled_session = made.lease_calls.single_use_session = Calls(self)
+        made.set_planner(PlacementPlanner(self.play.now, BEAT, False))
 
     def write(self, rows, facts, done):
         """What `archive.shelf.Shelf` is to its shell."""
@@ -276,7 +300,7 @@
                 made.tick(self.play.now)
             else:
                 made.report(self.play.now)
-            await asyncio.sleep(archive_program.TICK if self.kind is Controller else 0.5)
+            await asyncio.sleep(TICK_INTERVAL if self.kind is Controller else 0.5)
 
     def stop(self):
         """Killed: its links break, what was not synced is gone."""
@@ -464,7 +488,7 @@
         async def serve(made):
             began = self.now  # a call that waited for a thaw begins then
             known = max((n for n, (at, _) in self.acked.items() if at <= began), default=0)
-            answer = await made.obey(command)
+            answer = await made.execute(command)
             self.judge_answer(node, command, answer, began, known)
             if not self.cut(node.name, caller):
                 kept[0] = answer.status
@@ -519,7 +543,7 @@
             return {**value, "n": value["n"] + 1, "s": {**value["s"], "s": entries}}, True
 
         if node.server is not None and not node.frozen:
-            node.loop.call_soon(node.server.propose, TABLE, change, lambda outcome: None, 1.0)
+            node.loop.call_soon(node.server.quorum_io.propose, TABLE, change, lambda outcome: None, 1.0)
 
     # --- judges
 
@@ -539,8 +563,12 @@
     def sets(self):
         """The sets of voters that were the newest at some time within a word's time."""
         for node in self.nodes.values():
-            if node.kind is Controller and node.server is not None and node.server.consensus.is_active_voter:
-                consensus = node.server.consensus
+            if (
+                node.kind is Controller
+                and node.server is not None
+                and node.server.quorum_io.consensus.is_active_voter
+            ):
+                consensus = node.server.quorum_io.consensus
                 self.epochs.setdefault(consensus.epoch, ({*consensus.voters}, self.now))
         ends = [*sorted(self.epochs), None]
         return [
@@ -623,12 +651,12 @@
         for name in self.controllers:
             node = self.nodes[name]
             self.touch(name, node)
-            if node.server is None or node.frozen or not node.server.whole(self.now):
+            if node.server is None or node.frozen or not node.server.quorum_contact.is_current(self.now):
                 continue
             self.count("looks at whole archives")
             if self.now > node.touched_at + QUORUM_CONTACT_VALIDITY + LATE:
                 raise Broken(f"{name} is whole at {self.now:.2f}, apart since {node.touched_at:.2f}")
-            if node.server.consensus.version(CONFIG) < newest:
+            if node.server.quorum_io.consensus.version(CONFIG) < newest:
                 raise Broken(f"{name} is whole at {self.now:.2f}, and behind r{newest}")
             for instance_id in left:
                 row = node.server.registry.registrations.get(instance_id)
@@ -706,7 +734,7 @@
         for node in self.nodes.values():
             if node.server is None:
                 continue
-            value = node.server.consensus.value(CONFIG) if node.kind is Controller else None
+            value = node.server.quorum_io.consensus.value(CONFIG) if node.kind is Controller else None
             past = value["past"] if value else {}
             for number, digest in past.items():
                 if digest in self.refused or self.acked.get(int(number), (0.0, digest))[1] != digest:
@@ -840,11 +868,11 @@
     tell it are too slow for rounds, though not for pulses.
     """
     play = begun(seed, 3)
-    node, before = play.nodes["a"], play.nodes["a"].server.consensus.acceptors[CONFIG].accepted
+    node, before = play.nodes["a"], play.nodes["a"].server.quorum_io.consensus.acceptors[CONFIG].accepted
     play.patience = 30.0
     play.put("c", newest=True)
     play.part(["b"], play.now + 0.6, "in")
-    while node.server.consensus.acceptors[CONFIG].accepted == before:
+    while node.server.quorum_io.consensus.acceptors[CONFIG].accepted == before:
         play.step()
     for other in "ab":
         play.cuts["c", other] = play.now + 20.0
@@ -925,9 +953,9 @@
 def behind(seed):
     """A configuration comes to two of three, while tables still come to the third."""
     play = begun(seed, 3)
-    acceptor = play.nodes["a"].server.consensus
+    learner = play.nodes["a"].server.quorum_io.consensus.learner
     play.run(play.dice.random())
-    with mock.patch.object(acceptor, "learn", lambda register, *told: None):
+    with mock.patch.object(learner, "learn", lambda *_: None):
         play.put("b", newest=True)
         play.run(3.0)
     play.end()
--- a/tests/simulation/membership_epoch_cases.py
+++ b/tests/simulation/membership_epoch_cases.py
@@ -4,6 +4,7 @@
 from typing import Any
 from unittest import mock
 
+from bramblewood.common.messages import ControllerHeartbeat
 from bramblewood.common.settings import Tolerance
 from bramblewood.controller.consensus.effects import Effects, PendingWrites
 from bramblewood.controller.consensus.membership import Membership, may_shut_down
@@ -281,7 +282,7 @@
             new = f"m{len(voters) + 1}"
             voters[new] = world.machines[new].consensus.disk
             change = next_voter_set(machine.consensus.voter_set, voters)
-            machine.propose(VOTER_SET, change, lambda outcome: None, 1.0)
+            machine.quorum_io.propose(VOTER_SET, change, lambda outcome: None, 1.0)
             world.advance(0.004 * step)
             (world.lose_disk if way == "disk" else world.lose_power)("m0")
             world.away["m0"] = None
@@ -411,12 +412,14 @@
     """A change whose answer rests on a refused write is unclear, not under way for ever."""
     world = ControllerFleet(1)
     machine = next(iter(world.machines.values()))
-    machine.changing = True
-    effects = Effects([], [], [(machine.changed, True)], {"members": machine.consensus.voter_set})
-    machine.storage = SimpleNamespace(write=lambda rows, facts, done: done("refused"))
-    machine.carry(effects)
+    machine.voter_changes.is_changing = True
+    effects = Effects(
+        [], [], [(machine.voter_changes._change_finished, True)], {"members": machine.consensus.voter_set}
+    )
+    machine.quorum_io.storage = SimpleNamespace(write=lambda rows, facts, done: done("refused"))
+    machine.quorum_io.execute(effects)
     world.advance(0.01)
-    if machine.changing:
+    if machine.voter_changes.is_changing:
         raise RuleViolation("no change of the set is proposed from here any more")
 
 
@@ -426,11 +429,11 @@
     world.advance(2.0)
     machine, sent = world.machines["m0"], []
     for due in ({}, {"held": 1}, {"members": machine.consensus.voter_set}):
-        machine.due.facts = due
+        machine.quorum_io.pending_writes.facts = due
         with mock.patch.object(
-            machine.peer_connections, "send", lambda peer, message: sent.append(message["v"])
+            machine.runtime.peer_connections, "send", lambda peer, message: sent.append(message["v"])
         ):
-            machine.pulse(world.now)
+            machine.controller_peers.send_heartbeats(world.now)
     if not sent or sent != [True] * (len(sent) // 3) + [False] * (2 * len(sent) // 3):
         raise RuleViolation(f"called active: {sent}")
 
@@ -450,8 +453,9 @@
         "leaving": False,
         "ver": {},
     }
-    machine.sessions.pulse(10.0, "m1", {**heartbeat, "e": 9.9, "t": 0.0, "disk": "m1.0"})
-    if machine.word(10.0) > 10.0:
+    wire = {**heartbeat, "e": 9.9, "t": 0.0, "disk": "m1.0"}
+    machine.sessions.record_heartbeat(10.0, "m1", ControllerHeartbeat.from_wire(wire))
+    if machine.quorum_contact.quorum_contact_until(10.0) > 10.0:
         raise RuleViolation("quorum contact that nothing newer is chosen, from one who accepted it")
 
 
@@ -471,8 +475,9 @@
     }
     for disk, epoch in (("b0", 2), ("b9", 1)):
         sessions = Sessions("a")
-        sessions.pulse(10.0, "b", {**heartbeat, "ep": epoch, "disk": disk})
-        if sessions.word_until(10.0, voters, 2, {TABLE: (1, 1, "a", 1)}, {TABLE: NO_PROPOSAL}):
+        wire = {**heartbeat, "ep": epoch, "disk": disk}
+        sessions.record_heartbeat(10.0, "b", ControllerHeartbeat.from_wire(wire))
+        if sessions.quorum_contact_until(10.0, voters, 2, {TABLE: (1, 1, "a", 1)}, {TABLE: NO_PROPOSAL}):
             raise RuleViolation(f"quorum contact by disk {disk} in epoch {epoch}")
 
 
--- a/tests/simulation/membership_epochs.py
+++ b/tests/simulation/membership_epochs.py
@@ -13,7 +13,7 @@
 from unittest import mock
 
 from bramblewood.common.settings import Bounds, Settings, Tolerance
-from bramblewood.controller import server
+from bramblewood.controller import quorum_io, runtime, server, voter_changes
 from bramblewood.controller.commands import apply_configuration
 from bramblewood.controller.consensus import epochs, local_member
 from bramblewood.controller.consensus.effects import PendingWrites, no_effects
@@ -127,7 +127,7 @@
 
 def shuts_down_at_once(play: Any) -> Any:
     """A controller ends on SIGTERM, whoever holds what it holds."""
-    return mock.patch.object(server, "may_shut_down", lambda *_: True)
+    return mock.patch.object(voter_changes, "may_shut_down", lambda *_: True)
 
 
 def refused_rows_forgotten(play: Any) -> Any:
@@ -162,59 +162,68 @@
 
 
 class SimulatedConnections:
-    """The links of one controller, as its shell uses them."""
+    """The connections of one controller, as its parts use them."""
 
-    def __init__(self, world: "ControllerFleet", me: "SimulatedController") -> None:
-        self.world, self.me, self.up, self.kept = world, me, {}, {}
+    def __init__(self, world: "ControllerFleet", controller: "SimulatedController") -> None:
+        self.world, self.controller, self.up, self.kept = world, controller, {}, {}
 
     def keep(self, peer: str, port: int) -> None:
         self.kept.setdefault(peer, 0.0)
 
     def send(self, peer: str, message: dict) -> None:
         if peer in self.up:
-            self.world.send(self.me, peer, message)
+            self.world.send(self.controller, peer, message)
 
     def drop(self, peer: str) -> None:
         if self.up.pop(peer, None):
             self.kept[peer] = self.world.now + DIAL_INTERVAL
-            self.me.link_told(peer, False)
+            self.controller.controller_peers.connection_changed(peer, False)
 
     def dial(self) -> None:
+        here = self.controller.name
         for peer, at in self.kept.items():
             if peer not in self.up and self.world.now >= at:
                 self.kept[peer] = self.world.now + DIAL_INTERVAL
-                if self.world.reach(self.me.me, peer) and self.world.reach(peer, self.me.me):
+                if self.world.reach(here, peer) and self.world.reach(peer, here):
                     there = self.world.machines[peer]
                     self.up[peer] = SimpleNamespace(close=lambda peer=peer: self.drop(peer), there=there)
-                    there.know(self.me.me)
-                    self.me.link_told(peer, True)
+                    there.controller_peers.add(here)
+                    self.controller.controller_peers.connection_changed(peer, True)
 
 
 class SimulatedController(server.Controller):
-    """A controller's shell without sockets, threads and workers; consensus and seats are its own code."""
+    """A controller without sockets, threads and workers; consensus and voter changes are its own code."""
 
     def __init__(self, world: "ControllerFleet", name: str, zone: str, first: bool) -> None:
-        made = SimpleNamespace(urandom=lambda n: world.rng.randbytes(n))
-        self.world, self.gone = world, False
+        seeded_os = SimpleNamespace(urandom=lambda n: world.rng.randbytes(n))
+        self.world, self.name, self.gone = world, name, False
         self.checked_value: Any = None  # the newest value that the judges have looked at
-        told = Settings(name, name, zone, (1, 2), world.seeds, first, "/d", 1.5, {}, 2**28, 99, BOUNDS)
-        told = dataclasses.replace(told, tolerance=Tolerance(world.losses))
+        settings = Settings(name, name, zone, (1, 2), world.seeds, first, "/d", 1.5, {}, 2**28, 99, BOUNDS)
+        settings = dataclasses.replace(settings, tolerance=Tolerance(world.losses))
         with (
-            mock.patch.object(server, "os", made),
-            mock.patch.object(server.logs, "begin", lambda _: SILENT_LOG),
+            mock.patch.object(quorum_io, "os", seeded_os),
+            mock.patch.object(runtime.logs, "begin", lambda _: SILENT_LOG),
         ):
-            super().__init__(told)
+            super().__init__(settings)
             self.disk = world.disks[name]
-            self.begin(self.disk["facts"], dict(self.disk["rows"]))
-        self.peer_connections, self.storage, self.waiting = SimulatedConnections(world, self), self, []
-        self.loop = SimpleNamespace(time=lambda: world.now, call_soon=self.soon)
-        self.leaving = SimpleNamespace(is_set=lambda: self.told_to_leave)
-        self.told_to_leave, self.started = False, world.now
-        self.carry(no_effects())
+            self.quorum_io.restore(self.disk["facts"], dict(self.disk["rows"]))
+        self.shutdown_requested, self.waiting = False, []
+        self.runtime.peer_connections = SimulatedConnections(world, self)
+        self.runtime.loop = SimpleNamespace(time=lambda: world.now, call_soon=self.soon)
+        self.runtime.shutdown_requested = SimpleNamespace(is_set=lambda: self.shutdown_requested)
+        self.runtime.started_at = world.now
+        self.quorum_io.storage = self
+        self.chosen_values.refresh = self.quorum_io.on_progress = lambda: world.check_invariants(self)
+        self.proxy_heartbeats.send = lambda now: None  # there are no proxies
+        self.quorum_io.execute(no_effects())
         for peer in sorted(
-            {*told.seed_ips(), *self.consensus.voters, *self.disk["facts"].get("archives", ())}
+            {*settings.seed_ips(), *self.consensus.voters, *self.disk["facts"].get("archives", ())}
         ):
-            self.know(peer)
+            self.controller_peers.add(peer)
+
+    @property
+    def consensus(self) -> ConsensusReplica:
+        return self.quorum_io.consensus
 
     def soon(self, call: Any, *what: Any) -> None:
         self.world.after(0.0, lambda: self.gone or call(*what))
@@ -228,29 +237,20 @@
 
     def synced(self, done: Any) -> None:
         write = self.waiting.pop(0)
-        rejected = self.me in self.world.refusing and self.world.rng.random() < 0.4
+        rejected = self.name in self.world.refusing and self.world.rng.random() < 0.4
         if not rejected or self.world.rng.random() < 0.2:  # a refused write may be there all the same
             keep(self.disk, write)
         done("refused" if rejected else None)
 
     def turn(self) -> None:
         now = self.world.now
-        self.peer_connections.dial()
-        self.was_coordinator = self.sessions.coordinator(now, self.whole(now)) == self.me
-        self.carry(self.consensus.tick(now))
-        self.seats(now)
-        if now >= self.pulse_at:
-            self.pulse_at = now + server.HEARTBEAT_INTERVAL
-            self.pulse(now)
-        if self.may_end(now):
+        self.runtime.peer_connections.dial()
+        self.quorum_io.execute(self.consensus.tick(now))
+        self.voter_changes.propose_due_change(now)
+        self.controller_peers.send_due_heartbeats(now)
+        if self.voter_changes.may_shut_down(now):
             self.world.ended(self)
 
-    def learned(self) -> None:
-        self.world.check_invariants(self)
-
-    def pulse_desks(self, now: float) -> None:
-        pass
-
 
 def keep(disk: dict, write: tuple) -> None:
     rows, facts = write
@@ -307,29 +307,31 @@
         for _ in range(1 + (message["k"] not in ORDERED_KINDS and rng.random() < self.duplication)):
             after = rng.uniform(0.002, 0.02)
             if message["k"] in ORDERED_KINDS:
-                when = self.last[sender.me, peer] = max(
-                    self.now + after, self.last.get((sender.me, peer), 0.0)
+                when = self.last[sender.name, peer] = max(
+                    self.now + after, self.last.get((sender.name, peer), 0.0)
                 )
             else:
                 when = self.now + after + (rng.random() < self.lateness) * rng.uniform(0.0, 3.0)
             self.at(when, lambda: self.deliver(sender, peer, message))
 
     def deliver(self, sender: SimulatedController, peer: str, message: dict) -> None:
-        machine, link = self.machines.get(peer), sender.peer_connections.up.get(peer)
+        machine, link = self.machines.get(peer), sender.runtime.peer_connections.up.get(peer)
         if machine is None:
             return
         if link is not None and link.there is not machine and not sender.gone:
-            sender.peer_connections.drop(peer)  # it has started anew, and knows nothing of the old connection
+            sender.runtime.peer_connections.drop(
+                peer
+            )  # it has started anew, and knows nothing of the old connection
             if message["k"] in ORDERED_KINDS:
                 return
-        if (sender.me, peer) in self.cuts:
+        if (sender.name, peer) in self.cuts:
             if message["k"] in ORDERED_KINDS and "members" in message:
-                sender.sessions.anew(peer)  # said again on the next link
+                sender.sessions.forget_sent_details(peer)  # said again on the next link
             return
         if peer in self.frozen_until:
             self.at(self.frozen_until[peer], lambda: self.deliver(sender, peer, message))
             return
-        machine.hear(SimpleNamespace(peer=sender.me), message)
+        machine.peer_handlers.handle_message(SimpleNamespace(peer=sender.name), message)
 
     # --- machines
 
@@ -362,7 +364,7 @@
         for write in machine.waiting:
             keep(machine.disk, write)
         machine.waiting = []
-        self.lose_power(machine.me)
+        self.lose_power(machine.name)
 
     def lose_disk(self, name: str) -> None:
         self.lose_power(name)
@@ -396,7 +398,7 @@
                 (self.acknowledged if outcome[0] == 200 else self.rejected)[wanted.digest] = wanted
 
         if name in self.machines and name not in self.frozen_until:
-            self.machines[name].propose(
+            self.machines[name].quorum_io.propose(
                 CONFIG, lambda stands: apply_configuration(wanted, stands), told, 0.85
             )
 
@@ -415,7 +417,7 @@
                     )
             found.append(past)
 
-        self.machines[name].propose(CONFIG, lambda stands: (None, [stands]), told, 0.85)
+        self.machines[name].quorum_io.propose(CONFIG, lambda stands: (None, [stands]), told, 0.85)
         return found
 
     def check_reader_answered(self, why: str) -> None:
@@ -503,7 +505,7 @@
             return lambda: world.start(name)
         if kind in ("for good", "plan"):
             if kind == "plan":
-                world.machines[name].told_to_leave = True
+                world.machines[name].shutdown_requested = True
                 until = world.now + BOUNDS.GraceS
                 while name in world.machines and world.now < until:
                     self.orders(0.2)
@@ -545,14 +547,16 @@
         world, rng = self.world, self.rng
         for _ in range(1 + (rng.random() < 0.3)):
             machine = world.machines[rng.choice(sorted(world.machines))]
-            members, peers = machine.consensus.voter_set, machine.peers(world.now)
+            members, peers = machine.consensus.voter_set, machine.voter_changes.peer_statuses(world.now)
             spares = [name for name in peers if name not in members["voters"]]
             old, new = rng.choice(sorted(members["voters"])), rng.choice(sorted(spares) or [""])
-            made = machine.membership.requested_change(members, peers, machine.versions(), old, new)
+            made = machine.voter_changes.membership.requested_change(
+                members, peers, machine.quorum_io.versions(), old, new
+            )
             if new and made.is_ok():
                 self.counts["swap"] = self.counts.get("swap", 0) + 1
                 change = next_voter_set(members, made.ok_value.voters)
-                machine.propose(VOTER_SET, change, lambda outcome: None, 1.0)
+                machine.quorum_io.propose(VOTER_SET, change, lambda outcome: None, 1.0)
         world.advance(rng.uniform(0.0, 0.15))
 
     def leave_then_lose_another(self) -> None:
@@ -563,7 +567,7 @@
             return
         leaver, victim = rng.sample(sorted(voters), 2)
         self.counts["relay"] = self.counts.get("relay", 0) + 1
-        world.machines[leaver].told_to_leave = True
+        world.machines[leaver].shutdown_requested = True
         until = world.now + BOUNDS.GraceS
         while leaver in world.machines and world.now < until:
             world.put(rng.choice(sorted(world.machines)))
--- a/tests/simulation/storage_failures.py
+++ b/tests/simulation/storage_failures.py
@@ -423,15 +423,15 @@
         self.controller = Controller(
             Settings("a", "a", "z", (1, 2), (), False, "/d", 1.5, ports, 2**28, 100, Bounds())
         )
-        self.controller.word = lambda now: now + 1.0
+        self.controller.quorum_contact.quorum_contact_until = lambda now: now + 1.0
         members = {"n": 1, "voters": {name: name for name in "abc"}, "before": {}}
-        self.controller.consensus = ConsensusReplica("a", "a", 1, {}, members, 1)
-        self.controller.loop = types.SimpleNamespace(time=lambda: self.now)
+        self.controller.quorum_io.consensus = ConsensusReplica("a", "a", 1, {}, members, 1)
+        self.controller.runtime.loop = types.SimpleNamespace(time=lambda: self.now)
         self.sent = []
-        self.controller.peer_connections = types.SimpleNamespace(
+        self.controller.runtime.peer_connections = types.SimpleNamespace(
             send=lambda peer, what: self.sent.append((peer, what))
         )
-        self.storage = self.controller.storage = shelf_on(self.disc)
+        self.storage = self.controller.quorum_io.storage = shelf_on(self.disc)
         assert self.storage.open().is_ok() and self.storage.commit([BORN]) is None
         self.disc.refusals = {"flush": self.hang}
         self.storage.writer_thread = threading.Thread(target=self.work, daemon=True)
@@ -452,7 +452,7 @@
     def promise(self, now):
         self.now = now
         row = (CONFIG, (1, 7, "b", 1), (1, 3, "a", 1), {"n": 1})
-        self.controller.carry(Effects([row], [("b", PROMISE)], [], {}))
+        self.controller.quorum_io.execute(Effects([row], [("b", PROMISE)], [], {}))
         assert self.hangs.wait(ANSWER)  # else the moment of what follows would be a matter of luck
 
     def answer(self):
