--- a/bramblewood/controller/operator_api.py
+++ b/bramblewood/controller/operator_api.py
@@ -15,9 +15,8 @@
     RemoveMember,
     ReplaceMember,
     StartDrainPlan,
-    apply_configuration,
-    settled_answer,
 )
+from .configuration_succession import apply_configuration, settled_answer
 from .consensus.registers import CONFIG, TABLE, VOTER_SET
 from .consensus.voter_set import next_voter_set
 from .drain_plans import end_plan, plans_of, start_plan, worker_drains_of, workers_in_use
--- a/bramblewood/controller/voter_changes.py
+++ b/bramblewood/controller/voter_changes.py
@@ -79,9 +79,10 @@
             voters=change.voters,
         )
         following = next_voter_set(consensus.voter_set, change.voters)
-        self.quorum_io.propose(VOTER_SET, following, self._change_finished, PROPOSAL_TIMEOUT)
+        self.quorum_io.propose(VOTER_SET, following, self.change_finished, PROPOSAL_TIMEOUT)
 
-    def _change_finished(self, outcome: Any) -> None:
+    def change_finished(self, outcome: Any) -> None:
+        """A proposed change was agreed, or not; None where that is unclear."""
         self.is_changing = False
 
     def may_shut_down(self, now: float) -> bool:
--- a/tests/simulation/key_leases.py
+++ b/tests/simulation/key_leases.py
@@ -15,6 +15,7 @@
 from bramblewood.controller.key_leases import MAX_CALL_TRANSIT, RETRY_DELAY, KeyLeases, ReleasedKeys
 from bramblewood.controller.placement import SliceChanges, apply_slice_changes, clear_previous_owner
 from bramblewood.controller.sessions import QUORUM_CONTACT_VALIDITY
+from tests.simulation.digests import record_event
 
 STEP = 0.05  # s
 SLICES = 4
@@ -80,6 +81,7 @@
 
     def change(self, made: tuple) -> None:
         if made[0] is not None:
+            record_event("table", self.now, made[0])
             self.tables.append(made[0])
 
     def step(self) -> None:
@@ -160,6 +162,8 @@
             self.lies[name, call.address] = status  # it answers twice
         if self.happens(0.1):
             status = 0  # it arrived, and its answer is lost
+        asked = (call.kind, call.address, call.instance_id, places, call.fencing_token, call.duration)
+        record_event("call", self.now, name, asked, status)
         if read:
             return
         busy = call.kind == "release" and self.happens(0.2)
@@ -177,6 +181,15 @@
             self.free(one)
 
     def free(self, one: ReleasedKeys) -> None:
+        record_event(
+            "freed",
+            self.now,
+            one.service,
+            one.starts,
+            one.fencing_token,
+            one.previous_owner,
+            one.handover,
+        )
         self.change(
             clear_previous_owner(
                 self.tables[-1], one.service, one.starts, one.fencing_token, one.previous_owner, one.handover
