--- a/features/steps/holds.py
+++ b/features/steps/key_leases.py
@@ -11,30 +11,32 @@
     open_pooled_session,
     open_single_use_session,
 )
-from tests.simulation.key_leases import LATE, STEP, Play, Twice, exhaust, margin
+from tests.simulation.key_lease_orders import LATE_ANSWER, all_orders
+from tests.simulation.key_leases import STEP, Play, TwoHolders, margin
 
 
 @then("{count:d} minutes of that never give a key two holders")
 def never(context, count):
     plays = [Play(seed).run(60) for seed in range(count)]
-    met = {
+    counts = {
         what: sum(getattr(play, what) for play in plays)
-        for what in ("moves", "grants", "restarts", "late", "surplus")
+        for what in ("moves", "grants", "restarts", "late_answers", "surplus_read")
     }
-    assert met["moves"] > 10 * count and met["grants"] > 10 * count and min(met.values()) > count, met
+    assert counts["moves"] > 10 * count and counts["grants"] > 10 * count, counts
+    assert min(counts.values()) > count, counts
 
 
 @then(
-    "over {one:d} states of {depth:d} events are met, and over {two:d} of {less:d} with two archives, "
+    "over {one:d} states of {depth:d} events are met, and over {two:d} of {less:d} with two controllers, "
     "and no key has two holders"
 )
-def all_orders(context, one, depth, two, less):
-    assert exhaust(depth) > one and exhaust(less, acting="ab") > two
+def every_order(context, one, depth, two, less):
+    assert all_orders(depth) > one and all_orders(less, acting="ab") > two
 
 
 @then("over {count:d} states of {depth:d} events after a release whose answer is late")
-def all_orders_late(context, count, depth):
-    assert exhaust(depth, "", "ab", LATE) > count
+def every_order_after_late_answer(context, count, depth):
+    assert all_orders(depth, "", "ab", LATE_ANSWER) > count
 
 
 @then(
@@ -42,38 +44,38 @@
     "a late one that frees more within {late:d}"
 )
 def orders_find(context, depth, late):
-    for told in ((depth, "answer"), (late, "older", "ab", LATE)):
+    for arguments in ((depth, "call id"), (late, "fencing token", "ab", LATE_ANSWER)):
         try:
-            exhaust(*told)
-        except Twice:
+            all_orders(*arguments)
+        except TwoHolders:
             continue
-        raise AssertionError(told)
+        raise AssertionError(arguments)
 
 
 @then("{what} is found out within {count:d} minutes")
 def found(context, what, count):
-    careless = {
-        "a grant without a word": "word",
+    guard = {
+        "a grant without quorum contact": "contact",
         "a wait that is too short": "wait",
-        "another call's answer taken for a release's": "answer",
-        "a late release that frees what it did not name": "older",
+        "another call's answer taken for a release's": "call id",
+        "a late release that frees what it did not name": "fencing token",
     }[what]
     for seed in range(count):
         try:
-            Play(seed, careless).run(60)
-        except Twice:
+            Play(seed, guard).run(60)
+        except TwoHolders:
             return
     raise AssertionError("no minute found it")
 
 
-@then("its grant is over as its keys are freed, and would not be on a way that is {more:g} s longer")
+@then("its grant is over as its keys are freed, and would not be with a transit that is {more:g} s longer")
 def just(context, more):
     assert 0 <= margin(MAX_CALL_TRANSIT) <= STEP, margin(MAX_CALL_TRANSIT)
     assert margin(MAX_CALL_TRANSIT + more) < 0
 
 
-@given("a roll that hears of a life, and then of the one before it at the same address")
-def late_word(context):
+@given("a registry that hears of an instance, and then of the one before it at the same address")
+def late_registration(context):
     context.registry = WorkerRegistry()
     for instance_id in ("young", "old"):
         context.registry.record(0.0, instance_id, WorkerRegistration("s", "w:1", "z", 2, "ready", 1))
@@ -81,13 +83,13 @@
     assert context.registry.registrations["young"].phase == GONE
 
 
-@then("the younger one's keys are freed only as another life answers there")
+@then("the younger one's keys are freed only as another instance answers there")
 def asked_there(context):
-    holds, table = KeyLeases(10.0), {"n": 2, "s": {"s": {"0": ["next", "", 0.0, 2, "", "young"]}}}
-    (call,), free = holds.next_calls(0.0, table, {"s"}, context.registry)
-    assert (call.kind, call.instance_id, free) == ("release", "young", [])
-    assert holds.call_finished(0.0, call, 0.0, 0, "", False) is None
-    assert holds.call_finished(0.0, call, 0.0, 421, "", False).previous_owner == "young"
+    key_leases, table = KeyLeases(10.0), {"n": 2, "s": {"s": {"0": ["next", "", 0.0, 2, "", "young"]}}}
+    (call,), released = key_leases.next_calls(0.0, table, {"s"}, context.registry)
+    assert (call.kind, call.instance_id, released) == ("release", "young", [])
+    assert key_leases.call_finished(0.0, call, 0.0, 0, "", False) is None
+    assert key_leases.call_finished(0.0, call, 0.0, 421, "", False).previous_owner == "young"
 
 
 def lease_calls() -> LeaseCalls:
@@ -168,7 +170,7 @@
         one.connect_ex(context.listen_on.getsockname())
 
 
-@then("a grant on a word of {more:g} s more is given up with that word")
+@then("a grant on quorum contact of {more:g} s more is given up with it")
 def given_up(context, more):
     async def play() -> float:
         calls, (host, port) = lease_calls(), context.listen_on.getsockname()
--- a/tests/simulation/majority_contact.py
+++ b/tests/simulation/majority_contact.py
@@ -226,8 +226,9 @@
     """The same of a proxy, which nobody dials."""
 
     def __init__(self, proxy):
-        self.greeting, self.handle_message = proxy.hello, proxy.hear
-        self.connection_changed = proxy.link_told
+        sessions = proxy.sessions
+        self.greeting, self.handle_message = sessions.greeting, sessions.on_message
+        self.connection_changed = sessions.on_connection_changed
 
 
 class Node:
@@ -257,8 +258,8 @@
             self.controller(made)
             self.handlers = ControllerHandlers(made)
         else:
-            made.loop, made.peer_connections = self.loop, self.peer_connections
-            made.changed = asyncio.Event()
+            made.sessions.start(self.loop)
+            made.sessions.peer_connections = self.peer_connections
             self.handlers = ProxyHandlers(made)
         for peer in controllers:
             if peer != self.name:
@@ -302,7 +303,7 @@
             if self.kind is Controller:
                 made.tick(self.play.now)
             else:
-                made.report(self.play.now)
+                made.sessions.send_report(self.play.now)
             await asyncio.sleep(TICK_INTERVAL if self.kind is Controller else 0.5)
 
     def stop(self):
@@ -677,16 +678,17 @@
             self.disturbed[name] = self.now
         if made is None:
             return
-        ready, had = made.controller_selection.is_ready, self.seen.get(name, (0, False, 0, 0))
-        have = tuple(made.have().values())
+        ready, had = made.sessions.selection.is_ready, self.seen.get(name, (0, False, 0, 0))
+        versions = made.sessions.known_versions()
+        have = tuple(versions.values())
         if had[0] == node.instance_ids and any(now < then for now, then in zip(have, had[2:], strict=True)):
-            raise Broken(f"{name} goes back at {self.now:.2f}: {had} to {made.have()}")
+            raise Broken(f"{name} goes back at {self.now:.2f}: {had} to {versions}")
         if ready and not (had[0] == node.instance_ids and had[1]):
             self.count("desks ready")
             bound = self.now - CONFIRMATION_VALIDITY - QUORUM_CONTACT_VALIDITY - LATE
             newest = max((n for n, (at, _) in self.acked.items() if at < bound), default=0)
-            if made.have()["config"] < newest:
-                raise Broken(f"{name} is ready at {self.now:.2f} with {made.have()}, r{newest} stands")
+            if versions["config"] < newest:
+                raise Broken(f"{name} is ready at {self.now:.2f} with {versions}, r{newest} stands")
             for instance_id, at in self.leaves:
                 row = made.load_balancer.registry.registrations.get(instance_id)
                 known = any(
