--- /dev/null
+++ b/features/steps/connection_pool.py
@@ -0,0 +1,57 @@
+import types
+
+from behave import given, then, when
+
+from bramblewood.proxy.connection_pool import ConnectionPool
+
+NOW = 100.0  # s
+
+
+@given("connections to a worker that are idle for {a:g} s, {b:g} s and {c:g} s")
+def idle_connections(context, a, b, c):
+    context.connection_pool = ConnectionPool()
+    context.idle = [
+        types.SimpleNamespace(
+            is_reusable=True,
+            number=0,
+            idle_since=NOW - idle_time,
+            reusable_until=NOW + 100.0,
+            idle_time=idle_time,
+        )
+        for idle_time in sorted((a, b, c), reverse=True)
+    ]
+
+
+def acquired_idle_time(context, non_idempotent):
+    """For how long the acquired connection was idle, or None where a new one is made."""
+    context.connection_pool.idle["w"] = list(context.idle)
+    try:
+        context.connection_pool.acquire("w", "nowhere", NOW, non_idempotent).send(None)
+    except StopIteration as returned:
+        return returned.value.idle_time
+    except RuntimeError:
+        return None  # it connects, and there is no loop here
+    raise AssertionError("it waits")
+
+
+@when("one that was idle for {idle_time:g} s is reset on use")
+def reset_on_use(context, idle_time):
+    context.connection_pool.record_dead_connection(NOW, idle_time)
+
+
+@then("an idempotent request takes the one idle for {first:g} s, the next the one idle for {second:g} s")
+def idempotent(context, first, second):
+    assert acquired_idle_time(context, non_idempotent=False) == first
+    context.idle.pop()
+    assert acquired_idle_time(context, non_idempotent=False) == second
+
+
+@then(
+    "a non-idempotent one takes none idle for over {first:g} s, "
+    "and {after:g} s later none idle for over {second:g} s"
+)
+def non_idempotent(context, first, after, second):
+    assert abs(context.connection_pool.trusted_idle_time(NOW) - first) < 1e-9
+    # the one that is left with the shortest idle time was idle for 0.3 s
+    assert acquired_idle_time(context, non_idempotent=True) is None
+    assert abs(context.connection_pool.trusted_idle_time(NOW + after) - second) < 1e-9
--- a/tests/simulation/proxy.py
+++ b/tests/simulation/proxy.py
@@ -1,6 +1,7 @@
-"""One desk on loopback between a raw client and scripted workers: whole exchanges, as a transcript."""
+"""One proxy on loopback between a raw client and scripted workers; complete exchanges, as a transcript."""
 
 import asyncio
+from typing import Any
 
 from bramblewood.common.configuration import build_configuration
 from bramblewood.common.settings import Bounds, Settings
@@ -14,159 +15,181 @@
     ["keyed", "h.example", "/keyed/", "pure", 2, 0.5, 1, 2, "divided"],
 ]
 CONFIG = configuration("r3", ROUTES, [["plain", None], ["divided", True]])
+SLICES, SLICE_KEYS = 8, 8192
+END_OF_HEAD = b"\r\n\r\n"
 
 
-class Scripted:
-    """A worker that answers its arrivals as scripted, and keeps them. `after` keeps what comes once it was
-    asked.
+def answer(status: int, request_id: str, body: str, extra_field: str = "X-Response-Seal: s") -> bytes:
+    """A worker's answer in bytes."""
+    lines = [
+        f"HTTP/1.1 {status} X",
+        f"X-Attempt-Id: {request_id}",
+        extra_field,
+        f"Content-Length: {len(body)}",
+        "Keep-Alive: timeout=10",
+        "X-Server-Load: 0,0,2",
+    ]
+    return ("\r\n".join(lines) + "\r\n\r\n" + body).encode()
+
+
+class ScriptedWorker:
+    """A worker that does with each request what its script says, and notes what arrived.
+
+    received_fields: header fields of its requests so far. open_connections: those that callers have not
+    closed. reached: set when a request is held. released: lets it go on.
     """
 
     def __init__(self, name: str, script: list[str]) -> None:
-        self.name, self.script, self.arrivals, self.address = name, list(script), [], ""
-        self.fields: dict[str, str] = {}  # of its requests so far
-        self.open = 0  # connections that callers have not closed
-        self.reached, self.go = asyncio.Event(), asyncio.Event()
+        self.name, self.script, self.address = name, list(script), ""
+        self.arrivals: list[str] = []
+        self.received_fields: dict[str, str] = {}
+        self.open_connections = 0
+        self.reached, self.released = asyncio.Event(), asyncio.Event()
 
     async def start(self) -> None:
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        late = b""
-        self.open += 1
+        self.open_connections += 1
         if self.script[:1] == ["no room"]:
             self.arrivals.append(f"{self.name} resets a connection: {self.script.pop(0)}")
             writer.transport.abort()
             return
+        late_bytes = b""
         try:
             while True:
-                head = (await reader.readuntil(b"\r\n\r\n")).decode()
-                fields = {k.lower(): v for k, _, v in (x.partition(": ") for x in head.split("\r\n")[1:])}
-                if self.script[:1] == ["early"]:
-                    self.arrivals.append(f"{self.name} gets a head and no body: {self.script.pop(0)}")
-                    writer.write(answer(503, fields.get("x-attempt-id", ""), "", "X-Not-Run: 1"))
-                    await self.go.wait()
-                body = await reader.readexactly(int(fields.get("content-length", 0)))
-                method, path, _ = head.split("\r\n")[0].split(" ")
-                name, step = fields.get("x-attempt-id", ""), self.script.pop(0) if self.script else "answer"
-                self.arrivals.append(f"{self.name} gets {method} {path} {name} {body.decode()!r}: {step}")
-                self.fields |= fields
-                whole = answer(200, name, f"{self.name} {name}")
-                if method == "HEAD":
-                    whole = whole[: whole.index(b"\r\n\r\n") + 4]
-                writer.write(late)
-                late = b""
-                match step:
-                    case "answer":
-                        writer.write(whole)
-                    case "close":
-                        writer.close()
-                    case "cut":
-                        writer.write(whole[:-3])
-                        writer.close()
-                    case "extra":
-                        writer.write(whole + answer(200, name, "again"))
-                    case "late extra":
-                        writer.write(whole)
-                        late = answer(200, name, "a late second answer")
-                    case "full twice":
-                        whole = late = answer(503, name, "", "X-Not-Run: 1")
-                        writer.write(whole)
-                    case "unasked":
-                        writer.write(whole)
-                        await self.go.wait()
-                        writer.write(answer(200, name, "bytes that nobody asked for"))
-                    case "noise":
-                        writer.write(b"\x00\x01 no answer at all\r\n\r\n")
-                    case "unsealed":
-                        writer.write(whole.replace(b"X-Response-Seal", b"X-Other"))
-                    case "encoded":
-                        writer.write(
-                            whole.replace(b"X-Response-Seal", b"Content-Encoding: br\r\nX-Response-Seal")
-                        )
-                    case "full":
-                        writer.write(answer(503, name, "", "X-Not-Run: 1"))
-                    case "elsewhere":
-                        writer.write(answer(421, name, "", "X-Instance: i-other"))
-                    case "error":
-                        writer.write(answer(500, name, "failed"))
-                    case "silent":
-                        pass
-                    case "held":
-                        self.reached.set()
-                        await self.go.wait()
-                        writer.write(whole)
+                late_bytes = await self.serve_request(reader, writer, late_bytes)
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
-            self.open -= 1
+            self.open_connections -= 1
             writer.close()
 
+    async def serve_request(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, late_bytes: bytes
+    ) -> bytes:
+        """Answer one request after the late bytes of the one before; this one's late bytes."""
+        head = (await reader.readuntil(END_OF_HEAD)).decode()
+        request_line, *lines = head.split("\r\n")
+        fields = {name.lower(): value for name, _, value in (line.partition(": ") for line in lines)}
+        request_id = fields.get("x-attempt-id", "")
+        if self.script[:1] == ["early"]:
+            self.arrivals.append(f"{self.name} gets a head and no body: {self.script.pop(0)}")
+            writer.write(answer(503, request_id, "", "X-Not-Run: 1"))
+            await self.released.wait()
+        body = await reader.readexactly(int(fields.get("content-length", 0)))
+        method, path, _ = request_line.split(" ")
+        step = self.script.pop(0) if self.script else "answer"
+        self.arrivals.append(f"{self.name} gets {method} {path} {request_id} {body.decode()!r}: {step}")
+        self.received_fields |= fields
+        complete = answer(200, request_id, f"{self.name} {request_id}")
+        if method == "HEAD":
+            complete = complete[: complete.index(END_OF_HEAD) + len(END_OF_HEAD)]
+        writer.write(late_bytes)
+        return await self.perform(step, request_id, complete, writer)
 
-def answer(status: int, name: str, body: str, extra: str = "X-Response-Seal: s") -> bytes:
-    lines = [
-        f"HTTP/1.1 {status} X",
-        f"X-Attempt-Id: {name}",
-        extra,
-        f"Content-Length: {len(body)}",
-        "Keep-Alive: timeout=10",
-        "X-Server-Load: 0,0,2",
-    ]
-    return ("\r\n".join(lines) + "\r\n\r\n" + body).encode()
+    async def perform(
+        self, step: str, request_id: str, complete: bytes, writer: asyncio.StreamWriter
+    ) -> bytes:
+        """Do what a step of the script says; bytes that come late, before the next answer."""
+        match step:
+            case "answer":
+                writer.write(complete)
+            case "close":
+                writer.close()
+            case "cut":
+                writer.write(complete[:-3])
+                writer.close()
+            case "extra":
+                writer.write(complete + answer(200, request_id, "again"))
+            case "late extra":
+                writer.write(complete)
+                return answer(200, request_id, "a late second answer")
+            case "full twice":
+                not_run = answer(503, request_id, "", "X-Not-Run: 1")
+                writer.write(not_run)
+                return not_run
+            case "unasked":
+                writer.write(complete)
+                await self.released.wait()
+                writer.write(answer(200, request_id, "bytes that nobody asked for"))
+            case "noise":
+                writer.write(b"\x00\x01 no answer at all\r\n\r\n")
+            case "unsealed":
+                writer.write(complete.replace(b"X-Response-Seal", b"X-Other"))
+            case "encoded":
+                encoded = b"Content-Encoding: br\r\nX-Response-Seal"
+                writer.write(complete.replace(b"X-Response-Seal", encoded))
+            case "full":
+                writer.write(answer(503, request_id, "", "X-Not-Run: 1"))
+            case "elsewhere":
+                writer.write(answer(421, request_id, "", "X-Instance: i-other"))
+            case "error":
+                writer.write(answer(500, request_id, "failed"))
+            case "silent":
+                pass
+            case "held":
+                self.reached.set()
+                await self.released.wait()
+                writer.write(complete)
+        return b""
 
 
-class Play:
+class ProxySimulation:
+    """A proxy, its scripted workers, and the transcript of what clients sent and got."""
+
     def __init__(self, grace: float = 6.0) -> None:
-        told = Settings(
+        """grace: s, GraceS of the settings."""
+        settings = Settings(
             "desk-1", "127.0.0.1", "z", (1, 2), (), False, None, 1.5, {}, 2**28, 100, Bounds(GraceS=grace)
         )
-        self.proxy = Proxy(told)
-        self.workers: dict[str, Scripted] = {}
-        self.lines: list[str] = []
+        self.proxy = Proxy(settings)
+        self.workers: dict[str, ScriptedWorker] = {}
+        self.transcript: list[str] = []
 
-    async def start(self, scripts: dict[str, list[str]], limits: dict | None = None) -> None:
-        proxy = self.proxy
-        loop = asyncio.get_running_loop()
+    async def start(self, scripts: dict[str, list[str]], limits: dict[str, Any] | None = None) -> None:
+        """scripts: by worker. limits: the configuration's `Limits`."""
+        proxy, loop = self.proxy, asyncio.get_running_loop()
         proxy.sessions.start(loop)
-        proxy.sessions.apply_configuration(build_configuration({**CONFIG, "Limits": limits or {}}).ok_value)
-        for place, (name, script) in enumerate(scripts.items()):
-            worker = self.workers[name] = Scripted(name, script)
+        checked = build_configuration({**CONFIG, "Limits": limits or {}})
+        proxy.sessions.apply_configuration(checked.ok_value)
+        for number, (name, script) in enumerate(scripts.items()):
+            worker = self.workers[name] = ScriptedWorker(name, script)
             await worker.start()
-            proxy.load_balancer.registry.record(
-                0.0, name, WorkerRegistration("plain", worker.address, "z", 2, "ready", place)
-            )
-        names = list(scripts)
-        table = {
-            str(i * 8192): [names[0], names[-1] if len(names) > 1 else "", 0.01, 1, "", ""] for i in range(8)
-        }
+            registration = WorkerRegistration("plain", worker.address, "z", 2, "ready", number)
+            proxy.load_balancer.registry.record(0.0, name, registration)
+        first, last = next(iter(scripts)), [*scripts][-1]
+        entry = [first, last if len(scripts) > 1 else "", 0.01, 1, "", ""]
+        table = {str(number * SLICE_KEYS): [*entry] for number in range(SLICES)}
         proxy.load_balancer.slices.apply({"n": 1, "s": {"plain": table, "divided": table}})
-        self.server = await loop.create_server(proxy.client_connections.create_protocol, "127.0.0.1", 0)
-        proxy.client_listener = self.server
-        self.port = self.server.sockets[0].getsockname()[1]
+        self.listener = await loop.create_server(proxy.client_connections.create_protocol, "127.0.0.1", 0)
+        proxy.client_listener = self.listener
+        self.port = self.listener.sockets[0].getsockname()[1]
 
-    async def ask(
-        self, method: str, path: str, name: str, body: str = "", *fields: str, keep: bool = False
+    async def send(
+        self, method: str, path: str, request_id: str, body: str = "", *fields: str, keep: bool = False
     ) -> None:
-        """One request on a connection of its own; what came back is written down."""
+        """Send a request on a connection of its own; what came of it goes to the transcript."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
-        lines = [f"{method} {path} HTTP/1.1", "Host: h.example", f"X-Attempt-Id: {name}", *fields]
+        lines = [f"{method} {path} HTTP/1.1", "Host: h.example", f"X-Attempt-Id: {request_id}", *fields]
         lines += [f"Content-Length: {len(body)}"] * bool(body) + ["Connection: close"] * (not keep)
         if not any("Deadline" in field for field in fields):
             lines.append("X-Deadline-Ms: 1500")
         writer.write(("\r\n".join(lines) + "\r\n\r\n" + body).encode())
         head, _, text = (await reader.read()).decode().partition("\r\n\r\n")
-        status = head.split(" ")[1] if head else "no answer"
-        wanted = ("retry-after", "x-response-seal", *["connection"] * keep)
-        told = [line for line in head.split("\r\n") if line.lower().startswith(wanted)]
-        self.lines.append(f"client asks {method} {path} {name}")
+        writer.close()
+        self.transcript.append(f"client asks {method} {path} {request_id}")
         for worker in self.workers.values():
-            self.lines += [f"  {line}" for line in worker.arrivals]
+            self.transcript += [f"  {line}" for line in worker.arrivals]
             worker.arrivals.clear()
-        shown = [line.split(":")[0] for line in told]
-        self.lines.append(f"  client gets {status} {text!r} {' '.join(shown)}".rstrip())
-        writer.close()
+        status = head.split(" ")[1] if head else "no answer"
+        shown_fields = ("retry-after", "x-response-seal", *["connection"] * keep)
+        shown = [line for line in head.split("\r\n") if line.lower().startswith(shown_fields)]
+        names = " ".join(line.split(":")[0] for line in shown)
+        self.transcript.append(f"  client gets {status} {text!r} {names}".rstrip())
 
     async def end(self) -> None:
-        self.server.close()
+        self.listener.close()
         for worker in self.workers.values():
             worker.server.close()
-        for line in [line for kept in self.proxy.connection_pool.idle.values() for line in kept]:
-            line.close()
+        for instance_id in [*self.proxy.connection_pool.idle]:
+            self.proxy.connection_pool.close_all(instance_id)
--- a/tests/simulation/worker_connections.py
+++ b/tests/simulation/worker_connections.py
@@ -1,10 +1,12 @@
-"""Two requests, one of which may not repeat, over connections to two workers that do whatever workers may.
+"""Two requests, one of which is not idempotent, over connections to two workers that do whatever workers may.
 
-A world plays what a worker and the wire did, event by event; the desk's own connections, shelf of kept ones
-and errands answer. After each event the worker's ledger is held against what the clients were told: MIXED,
-TWICE, REFUSED and UNASKED of the rules. All orders of events up to a depth are played, and dice beyond it.
+The simulation applies what a worker and the network did, event by event; the proxy's own connection states,
+connection pool and request attempts answer. After each event, what the workers executed is compared with what
+the clients were answered: the rules MIXED, TWICE, REFUSED and UNASKED. All orders of events up to a depth are
+played, and random ones beyond it.
 """
 
+import contextlib
 import random
 import re
 from types import SimpleNamespace
@@ -19,7 +21,7 @@
     ExchangeResult,
     WorkerConnectionState,
 )
-from bramblewood.proxy.request_attempts import RequestAttempts, SendToWorker, WaitUntil
+from bramblewood.proxy.request_attempts import FinalReply, RequestAttempts, SendToWorker, WaitUntil
 from bramblewood.proxy.retry_budget import RetryBudget
 from tests.simulation.digests import record_event
 from tests.simulation.proxy import CONFIG, answer
@@ -52,7 +54,7 @@
 
 
 class SimulatedConnection(SimpleNamespace):
-    """A connection as the shell has it, and its worker's end."""
+    """A connection as the pool has it, and its worker's end."""
 
     @property
     def is_reusable(self) -> bool:
@@ -62,18 +64,23 @@
         self.state.on_closed()
 
 
-class World:
-    def __init__(self, keyed: bool, careless: str = "", names: tuple[str, ...] = TWO_REQUESTS) -> None:
-        self.keyed, self.careless, self.names = keyed, careless, names
+class ExchangeSimulation:
+    """The requests, connections and workers, and what happened so far. removed_guard: one taken out."""
+
+    def __init__(self, keyed: bool, removed_guard: str = "", names: tuple[str, ...] = TWO_REQUESTS) -> None:
+        self.keyed, self.removed_guard, self.names = keyed, removed_guard, names
         self.now = dict.fromkeys(names, 0.0)
-        self.connection_pool, self.retry_budget, self.lines = ConnectionPool(), RetryBudget(1.0, 5.0, 1e6), []
-        self.request_attempts, self.out, self.replies = {}, {}, {}
-        self.ledger: list[str] = []
-        self.given: dict[str, list[tuple]] = {name: [] for name in names}
-        self.left: list[str] = []  # requests at workers that the desk has given up
+        self.connection_pool, self.retry_budget = ConnectionPool(), RetryBudget(1.0, 5.0, 1e6)
+        self.connections: list[SimulatedConnection] = []
+        self.request_attempts: dict[str, RequestAttempts] = {}
+        self.in_flight: dict[str, SimulatedConnection] = {}
+        self.replies: dict[str, FinalReply] = {}
+        self.executed: list[str] = []
+        self.answers_given: dict[str, list[tuple]] = {name: [] for name in names}
+        self.abandoned: list[str] = []  # requests still at workers, which the proxy has given up
         self.load_balancer = SimpleNamespace(
             affinity_worker=lambda *_: None,
-            choose_worker=lambda now, service, key, request, tried, pure: next(
+            choose_worker=lambda now, service, key, request_id, tried, idempotent: next(
                 (instance_id for instance_id in ("w1", "w2") if instance_id not in tried), None
             ),
             is_full=lambda *_: False,
@@ -81,7 +88,7 @@
             in_handover=lambda *_: False,
         )
 
-    # --- the desk
+    # --- the proxy
 
     def begin(self, name: str) -> None:
         route, key = ROUTES[name.rstrip("0123456789")], 7 if self.keyed else None
@@ -89,7 +96,7 @@
         self.proceed(name)
 
     def proceed(self, name: str) -> None:
-        while name not in self.out and name not in self.replies:
+        while name not in self.in_flight and name not in self.replies:
             attempts = self.request_attempts[name]
             step = attempts.next_step(self.now[name], self.load_balancer, self.retry_budget)
             if isinstance(step, WaitUntil):
@@ -101,265 +108,299 @@
 
     def send(self, name: str, instance_id: str) -> None:
         attempts = self.request_attempts[name]
-        used_connections = set() if self.careless == "same line" else attempts.used_connections
-        line = self.connection_pool.take_idle(instance_id, 0.0, not attempts.route.pure, used_connections)
-        if line is None:
-            line = SimulatedConnection(
-                number=len(self.lines),
-                state=new_connection_state(self.careless),
+        may_reuse = self.removed_guard == "another connection for the same request"
+        excluded = set() if may_reuse else attempts.used_connections
+        connection = self.connection_pool.take_idle(instance_id, 0.0, attempts.non_idempotent, excluded)
+        if connection is None:
+            connection = SimulatedConnection(
+                number=len(self.connections),
+                state=new_connection_state(self.removed_guard),
                 instance_id=instance_id,
                 reusable_until=9e9,
+                idle_since=0.0,
+                surplus=b"",
+                closed_by_worker=False,
+                unread_body=False,
+                request_at_worker=None,
             )
-            line.idle_since, line.lies, line.shut, line.rest, line.asked = 0.0, b"", False, False, None
-            self.lines.append(line)
-        if line.rest:
+            self.connections.append(connection)
+        if connection.unread_body:
             raise RuleBroken("UNASKED: the rest of a body is read as a request")
-        attempts.used_connections.add(line.number)
-        record_event("request", self.now[name], name, instance_id, line.number)
-        line.state.begin_request(name, False)
-        self.out[name] = line
-        if line.shut:
-            self.ended(line, line.state.on_closed())
+        attempts.used_connections.add(connection.number)
+        record_event("request", self.now[name], name, instance_id, connection.number)
+        connection.state.begin_request(name, False)
+        self.in_flight[name] = connection
+        if connection.closed_by_worker:
+            self.exchange_ended(connection, connection.state.on_closed())
             return
-        line.asked, lies, line.lies = name, line.lies, b""
-        if lies:
-            self.arrive(line, lies)
+        connection.request_at_worker, surplus, connection.surplus = name, connection.surplus, b""
+        if surplus:
+            self.receive(connection, surplus)
 
-    def arrive(self, line: SimulatedConnection, data: bytes, unsent_bytes: int = 0) -> None:
-        self.ended(line, line.state.on_data(data, unsent_bytes))
+    def receive(self, connection: SimulatedConnection, data: bytes, unsent_bytes: int = 0) -> None:
+        self.exchange_ended(connection, connection.state.on_data(data, unsent_bytes))
 
-    def ended(self, line: SimulatedConnection, ended: ExchangeResult | None) -> None:
-        if ended is None:
+    def exchange_ended(self, connection: SimulatedConnection, result: ExchangeResult | None) -> None:
+        if result is None:
             return
-        name = line.state.request_id
-        del self.out[name]
-        if line.asked is not None:  # the desk is done with it, its worker is not
-            self.left.append(line.asked)
-            line.asked = None
-        self.connection_pool.release(line.instance_id, line, 9)
+        name = connection.state.request_id
+        del self.in_flight[name]
+        if connection.request_at_worker is not None:  # the proxy is done with it, its worker is not
+            self.abandoned.append(connection.request_at_worker)
+            connection.request_at_worker = None
+        self.connection_pool.release(connection.instance_id, connection, 9)
         attempts = self.request_attempts[name]
-        if self.careless == "again" and ended.outcome is AttemptOutcome.CONNECTION_BROKEN:
+        if (
+            self.removed_guard == "non-idempotent requests not retried"
+            and result.outcome is AttemptOutcome.CONNECTION_BROKEN
+        ):
             attempts.route = attempts.route._replace(pure=True)
-        reply = attempts.attempt_finished(self.now[name], line.instance_id, ended.outcome, ended.answer)
+        reply = attempts.attempt_finished(
+            self.now[name], connection.instance_id, result.outcome, result.answer
+        )
         answered = reply and (reply.status, reply.response and reply.response.body)
-        record_event("reply", self.now[name], name, line.number, answered)
+        record_event("reply", self.now[name], name, connection.number, answered)
         if reply is not None:
             self.replies[name] = reply
         self.proceed(name)
 
-    # --- workers and the wire
+    # --- workers and the network
 
-    def events(self) -> list[tuple]:
+    def possible_events(self) -> list[tuple]:
         found = [("begin", name) for name in self.names if name not in self.request_attempts]
-        for line in self.lines:
-            if line.asked is not None:
-                found += [(act, line.number) for act in WORKER_ACTIONS]
-            elif line.is_reusable and not line.shut:
-                found += [("shut unseen", line.number), ("shut", line.number)]
-            if line.lies and line.is_reusable:
-                found.append(("arrives", line.number))
-        found += [("silence", name) for name in self.out]
-        return found + [("late run", name) for name in sorted(set(self.left))]
-
-    def play(self, event: tuple) -> None:
-        what, whom = event
-        if what == "begin":
-            self.begin(whom)
-        elif what == "silence":
-            self.now[whom] = self.request_attempts[whom].deadline
-            line = self.out[whom]
-            self.ended(line, line.state.on_timeout())
-        elif what == "late run":
-            self.left.remove(whom)
-            self.ledger.append(whom)
-        elif what == "arrives":
-            line = self.lines[whom]
-            lies, line.lies = line.lies, b""
-            self.arrive(line, lies)
-        elif what.startswith("shut"):
-            line = self.lines[whom]
-            line.shut = True
-            if what == "shut":
-                line.state.on_closed()
+        for connection in self.connections:
+            if connection.request_at_worker is not None:
+                found += [(act, connection.number) for act in WORKER_ACTIONS]
+            elif connection.is_reusable and not connection.closed_by_worker:
+                found += [("shut unseen", connection.number), ("shut", connection.number)]
+            if connection.surplus and connection.is_reusable:
+                found.append(("arrives", connection.number))
+        found += [("silence", name) for name in self.in_flight]
+        return found + [("late run", name) for name in sorted(set(self.abandoned))]
+
+    def apply(self, event: tuple) -> None:
+        action, target = event
+        if action == "begin":
+            self.begin(target)
+        elif action == "silence":
+            self.now[target] = self.request_attempts[target].deadline
+            connection = self.in_flight[target]
+            self.exchange_ended(connection, connection.state.on_timeout())
+        elif action == "late run":
+            self.abandoned.remove(target)
+            self.executed.append(target)
+        elif action == "arrives":
+            connection = self.connections[target]
+            surplus, connection.surplus = connection.surplus, b""
+            self.receive(connection, surplus)
+        elif action.startswith("shut"):
+            connection = self.connections[target]
+            connection.closed_by_worker = True
+            if action == "shut":
+                connection.state.on_closed()
         else:
-            self.act(what, self.lines[whom])
-        self.judge()
-
-    def act(self, what: str, line: SimulatedConnection) -> None:
-        name, line.asked = line.asked, None
-        ran = what not in ("refuse", "refuse late", "drop", "noise", "early", "foreign", "anonymous")
-        self.ledger += [name] * ran
-        status = {"error": 500, "error part": 500, "bare": 503}.get(what, 200 if ran else 503)
-        body = f"{name} {len(self.ledger)}"
+            self.act(action, self.connections[target])
+        self.check_rules()
+
+    def act(self, action: str, connection: SimulatedConnection) -> None:
+        name, connection.request_at_worker = connection.request_at_worker, None
+        ran = action not in ("refuse", "refuse late", "drop", "noise", "early", "foreign", "anonymous")
+        self.executed += [name] * ran
+        status = {"error": 500, "error part": 500, "bare": 503}.get(action, 200 if ran else 503)
+        body = f"{name} {len(self.executed)}"
         extra = "X-Response-Seal: s" if status == 200 else "X-Other: 1" if ran else "X-Not-Run: 1"
-        whole = answer(status, name, body, extra)
-        head, tail = whole.index(b"X-Attempt"), len(whole) - 3
-        data, unsent_bytes = whole, 0
-        match what:
+        complete = answer(status, name, body, extra)
+        head, tail = complete.index(b"X-Attempt"), len(complete) - 3
+        data, unsent_bytes = complete, 0
+        match action:
             case "double":
-                data += whole
+                data += complete
             case "part":
-                data += whole[: head - 2]  # its first line without the end
+                data += complete[: head - 2]  # its first line without the end
             case "late" | "refuse late":
-                line.lies = whole
+                connection.surplus = complete
             case "error part":
-                line.lies = whole[: head - 2]
+                connection.surplus = complete[: head - 2]
             case "cut":
-                data = whole[:tail]
+                data = complete[:tail]
             case "cut head":
-                data = whole[:head]
+                data = complete[:head]
             case "drop" | "run drop":
                 data = b""
             case "noise":
                 data = b"\0\1 no answer\r\n\r\n"
             case "early":
-                unsent_bytes, line.rest = 9, True
+                unsent_bytes, connection.unread_body = 9, True
             case "foreign":
-                data = answer(200, "another", "another's") + whole
+                data = answer(200, "another", "another's") + complete
             case "anonymous":
-                data = whole.replace(b"X-Attempt-Id", b"X-Other")
-        if data[: len(whole)] == whole or what == "foreign":
-            self.given[name].append((status, body))
+                data = complete.replace(b"X-Attempt-Id", b"X-Other")
+        if data[: len(complete)] == complete or action == "foreign":
+            self.answers_given[name].append((status, body))
         if data:
-            self.arrive(line, data, unsent_bytes)
-        if what in ("cut", "cut head", "drop", "run drop"):
-            line.shut = True
-            self.ended(line, line.state.on_closed())
+            self.receive(connection, data, unsent_bytes)
+        if action in ("cut", "cut head", "drop", "run drop"):
+            connection.closed_by_worker = True
+            self.exchange_ended(connection, connection.state.on_closed())
 
-    # --- judges
+    # --- the rules
 
-    def judge(self) -> None:
-        if any(self.ledger.count(name) > 1 for name in self.names if name.startswith("effect")):
+    def check_rules(self) -> None:
+        if any(self.executed.count(name) > 1 for name in self.names if name.startswith("effect")):
             raise RuleBroken("TWICE")
         for name, reply in self.replies.items():
-            told = reply.response
-            if told is not None:
-                if (told.status, told.body.decode()) not in self.given[name]:
+            response = reply.response
+            if response is not None:
+                if (response.status, response.body.decode()) not in self.answers_given[name]:
                     raise RuleBroken("MIXED")
-                if told.status != reply.status or (told.status == 200) != (
-                    "X-Response-Seal" in told.headers_by_name
+                if response.status != reply.status or (response.status == 200) != (
+                    "X-Response-Seal" in response.headers_by_name
                 ):
                     raise RuleBroken("MIXED")
             elif reply.status < 400:
                 raise RuleBroken("MIXED")
-            promised = name.startswith("effect") and reply.status in (408, 421, 429, 503)
-            if promised and name in self.ledger:
+            promises_not_run = name.startswith("effect") and reply.status in (408, 421, 429, 503)
+            if promises_not_run and name in self.executed:
                 raise RuleBroken("REFUSED")
 
-    def key(self) -> tuple:
-        lines = []
-        for line in self.lines:
-            c = line.state
-            lines += [
-                c.phase,
-                c.request_id,
-                bytes(c.parser.buffer),
-                c.parser.response_head,
-                c.foreign_answer_seen,
+    def state_key(self) -> str:
+        """All that decides what may happen from now on."""
+        connections = []
+        for connection in self.connections:
+            state = connection.state
+            connections += [
+                state.phase,
+                state.request_id,
+                bytes(state.parser.buffer),
+                state.parser.response_head,
+                state.foreign_answer_seen,
             ]
-            lines += [line.lies, line.shut, line.rest, line.asked, line.instance_id]
-            lines.append(line in self.connection_pool.idle.get(line.instance_id, ()))
-        tries = [
-            (e.sent_count, sorted(e.tried), sorted(e.used_connections), e.may_have_run)
-            for e in self.request_attempts.values()
+            connections += [
+                connection.surplus,
+                connection.closed_by_worker,
+                connection.unread_body,
+                connection.request_at_worker,
+                connection.instance_id,
+            ]
+            connections.append(connection in self.connection_pool.idle.get(connection.instance_id, ()))
+        attempt_states = [
+            (
+                attempts.sent_count,
+                sorted(attempts.tried),
+                sorted(attempts.used_connections),
+                attempts.may_have_run,
+            )
+            for attempts in self.request_attempts.values()
+        ]
+        replies = [
+            (name, reply.status, reply.response is None) for name, reply in sorted(self.replies.items())
         ]
-        told = [(n, r.status, r.response is None) for n, r in sorted(self.replies.items())]
         return repr(
-            (lines, tries, list(self.request_attempts), told, self.ledger, self.given, self.left, self.now)
+            (
+                connections,
+                attempt_states,
+                list(self.request_attempts),
+                replies,
+                self.executed,
+                self.answers_given,
+                self.abandoned,
+                self.now,
+            )
         )
 
 
 # --- guards taken out
 
 
-class AnyId(WorkerConnectionState):
+class TakesAnyId(WorkerConnectionState):
     def on_data(self, data: bytes, unsent_bytes: int = 0) -> ExchangeResult | None:
         return super().on_data(
             re.sub(rb"(?<=X-Attempt-Id: )\w+", self.request_id.encode(), data), unsent_bytes
         )
 
 
-class KeptWhatever(WorkerConnectionState):
+class KeepsSurplusBytes(WorkerConnectionState):
     def on_data(self, data: bytes, unsent_bytes: int = 0) -> ExchangeResult | None:
-        ended = super().on_data(data, unsent_bytes)
-        if ended is not None and ended.outcome is AttemptOutcome.ANSWERED:
+        result = super().on_data(data, unsent_bytes)
+        if result is not None and result.outcome is AttemptOutcome.ANSWERED:
             self.phase = ConnectionPhase.ANSWER_COMPLETE
-        return ended
+        return result
 
 
-class TakesCut(WorkerConnectionState):
+class TakesTruncated(WorkerConnectionState):
     def on_closed(self) -> ExchangeResult | None:
-        head, rest = self.parser.response_head, bytes(self.parser.buffer)
-        ended = super().on_closed()
-        return (
-            ExchangeResult(AttemptOutcome.ANSWERED, head._replace(body=rest))
-            if ended and head is not None
-            else ended
-        )
+        head, received = self.parser.response_head, bytes(self.parser.buffer)
+        result = super().on_closed()
+        if result is None or head is None:
+            return result
+        return ExchangeResult(AttemptOutcome.ANSWERED, head._replace(body=received))
 
 
-CARELESS = {"id": AnyId, "kept": KeptWhatever, "cut": TakesCut}
+STATES_WITHOUT_GUARD = {
+    "answers matched by id": TakesAnyId,
+    "connections with surplus bytes closed": KeepsSurplusBytes,
+    "truncated answers rejected": TakesTruncated,
+}
 NEVER = re.compile(rb"(?!)")
 
 
-def new_connection_state(careless: str) -> WorkerConnectionState:
-    return CARELESS.get(careless, WorkerConnectionState)()
+def new_connection_state(removed_guard: str) -> WorkerConnectionState:
+    return STATES_WITHOUT_GUARD.get(removed_guard, WorkerConnectionState)()
 
 
-def without(careless: str):
+def without_guard(removed_guard: str):
     """The module's guards that are no method's."""
-    if careless == "bare":
+    if removed_guard == "unconfirmed promises of not run withheld":
         return patch.object(request_attempts, "STATUSES_PROMISING_NOT_RUN", ())
-    return patch.object(
-        response_parser,
-        "EMBEDDED_STATUS_LINE",
-        NEVER if careless == "glued" else response_parser.EMBEDDED_STATUS_LINE,
-    )
+    if removed_guard == "embedded status lines rejected":
+        return patch.object(response_parser, "EMBEDDED_STATUS_LINE", NEVER)
+    return contextlib.nullcontext()
 
 
-# --- plays
+# --- runs
 
 
-def world_after(events_so_far: list[tuple], keyed: bool, careless: str = "") -> World:
-    made = World(keyed, careless)
+def simulation_after(events_so_far: list[tuple], keyed: bool, removed_guard: str = "") -> ExchangeSimulation:
+    simulation = ExchangeSimulation(keyed, removed_guard)
     for event in events_so_far:
-        made.play(event)
-    return made
+        simulation.apply(event)
+    return simulation
 
 
-def play_all_orders(depth: int, keyed: bool, careless: str = "", most: int = 10**9) -> tuple[int, int]:
-    """All orders of events up to this depth; how many states and events. Raises Broken with the trace."""
-    seen, events, level = set(), 0, [[]]
-    with without(careless):
+def play_all_orders(
+    depth: int, keyed: bool, removed_guard: str = "", max_events: int = 10**9
+) -> tuple[int, int]:
+    """Run all orders of so many events; how many states and events there were. Raises RuleBroken."""
+    seen_states, events, level = set(), 0, [[]]
+    with without_guard(removed_guard):
         for _ in range(depth):
-            after = []
+            next_level = []
             for events_so_far in level:
-                for event in world_after(events_so_far, keyed, careless).events():
+                for event in simulation_after(events_so_far, keyed, removed_guard).possible_events():
                     events += 1
-                    if events > most:
-                        return len(seen), events
+                    if events > max_events:
+                        return len(seen_states), events
+                    trace = [*events_so_far, event]
                     try:
-                        reached = world_after([*events_so_far, event], keyed, careless).key()
+                        reached = simulation_after(trace, keyed, removed_guard).state_key()
                     except RuleBroken as broken:
-                        raise RuleBroken(
-                            f"{broken} after {events} events: {[*events_so_far, event]}"
-                        ) from None
-                    if reached not in seen:
-                        seen.add(reached)
-                        after.append([*events_so_far, event])
-            level = after
-    return len(seen), events
-
-
-def play_random(seed: int, steps: int, keyed: bool, careless: str = "") -> int:
-    """One random play of many requests; how many events it had."""
-    random_events, play = random.Random(seed), World(keyed, careless, MANY_REQUESTS)
-    with without(careless):
+                        raise RuleBroken(f"{broken} after {events} events: {trace}") from None
+                    if reached not in seen_states:
+                        seen_states.add(reached)
+                        next_level.append(trace)
+            level = next_level
+    return len(seen_states), events
+
+
+def play_random(seed: int, steps: int, keyed: bool, removed_guard: str = "") -> int:
+    """One random run of many requests; how many events it had."""
+    random_events, simulation = random.Random(seed), ExchangeSimulation(keyed, removed_guard, MANY_REQUESTS)
+    with without_guard(removed_guard):
         for count in range(steps):
-            events = play.events()
+            events = simulation.possible_events()
             if not events:
                 return count
-            play.play(random_events.choice(events))
+            simulation.apply(random_events.choice(events))
     return steps
 
 
@@ -370,8 +411,8 @@
     data: bytes, cuts: tuple[int, ...] = (), head_request: bool = False
 ) -> tuple[WorkerConnectionState, ExchangeResult | None]:
     """A connection whose request "r" was answered with these bytes, in pieces cut at these places."""
-    connection, ended = WorkerConnectionState(), None
+    connection, result = WorkerConnectionState(), None
     connection.begin_request("r", head_request)
     for start, end in zip((0, *cuts), (*cuts, len(data)), strict=True):
-        ended = connection.on_data(data[start:end]) or ended
-    return connection, ended
+        result = connection.on_data(data[start:end]) or result
+    return connection, result
