--- a/bramblewood/proxy/controller_sessions.py
+++ b/bramblewood/proxy/controller_sessions.py
@@ -49,7 +49,7 @@
         self.client_limits = DEFAULT_LIMITS
         self.selection = ControllerSelection(settings.name, settings.zone)
         self.peer_connections = PeerConnections(
-            self.greeting, self.on_message, self.on_connection_changed, CONNECTION_TIMEOUT, settings.bind
+            self.greeting, self.handle_message, self.connection_changed, CONNECTION_TIMEOUT, settings.bind
         )
         self.loop: asyncio.AbstractEventLoop
         self.updated: asyncio.Event
@@ -91,11 +91,11 @@
         departing = self.load_balancer.registry.departing_registrations(since)
         return {"k": "hello", "role": PROXY_ROLE, "from": self.settings.name, "rows": departing}
 
-    def on_connection_changed(self, peer: str, is_up: bool) -> None:
+    def connection_changed(self, peer: str, is_up: bool) -> None:
         """A connection came up or was lost."""
         self._send_all(self.selection.connection_changed(peer, is_up, self.known_versions()))
 
-    def on_message(self, connection: PeerConnection, message: dict) -> None:
+    def handle_message(self, connection: PeerConnection, message: dict) -> None:
         """A message arrived; kinds that are not known are ignored."""
         handler = self._handlers.get(message["k"])
         if handler is not None:
--- a/tests/simulation/membership_epoch_guards.py
+++ b/tests/simulation/membership_epoch_guards.py
@@ -4,7 +4,7 @@
 from typing import Any
 from unittest import mock
 
-from bramblewood.controller import server
+from bramblewood.controller import voter_changes
 from bramblewood.controller.consensus import epochs, local_member
 from bramblewood.controller.consensus.effects import PendingWrites, no_effects
 from bramblewood.controller.consensus.epochs import EpochTransition
@@ -104,7 +104,7 @@
 
 def shuts_down_at_once(play: Any) -> Any:
     """A controller ends on SIGTERM, whoever holds what it holds."""
-    return mock.patch.object(server, "may_shut_down", lambda *_: True)
+    return mock.patch.object(voter_changes, "may_shut_down", lambda *_: True)
 
 
 def refused_rows_forgotten(play: Any) -> Any:
--- a/tests/simulation/proxy.py
+++ b/tests/simulation/proxy.py
@@ -123,6 +123,9 @@
                 writer.write(answer(503, request_id, "", "X-Not-Run: 1"))
             case "elsewhere":
                 writer.write(answer(421, request_id, "", "X-Instance: i-other"))
+            case "slow error":
+                await asyncio.sleep(0.6)
+                writer.write(answer(500, request_id, "failed"))
             case "error":
                 writer.write(answer(500, request_id, "failed"))
             case "silent":
