--- a/tests/simulation/majority_contact.py
+++ b/tests/simulation/majority_contact.py
@@ -227,8 +227,8 @@
 
     def __init__(self, proxy):
         sessions = proxy.sessions
-        self.greeting, self.handle_message = sessions.greeting, sessions.on_message
-        self.connection_changed = sessions.on_connection_changed
+        self.greeting, self.handle_message = sessions.greeting, sessions.handle_message
+        self.connection_changed = sessions.connection_changed
 
 
 class Node:
