--- a/bramblewood/cli/explain.py
+++ b/bramblewood/cli/explain.py
@@ -6,7 +6,7 @@
 import click
 
 from ..common.configuration import Configuration, build_configuration
-from ..common.slice_table import PREVIOUS_OWNER, SECOND, WORKER
+from ..common.slice_table import SliceEntry
 from ..common.worker_registry import WorkerRegistration
 from ..proxy.load_balancing import LoadBalancer
 from .controller_client import get_configuration, get_view
@@ -30,15 +30,16 @@
     return load_balancer
 
 
-def slice_line(service: str, keyed: bool, key: int | None, entry: list | None) -> str:
+def slice_line(service: str, keyed: bool, key: int | None, row: list | None) -> str:
     """Which slice a request falls into, and whose it is."""
     if key is None:
         return f"{service} is divided by key, and no --key was given: 400"
-    if entry is None:
+    if row is None:
         return f"no slice of {service} is placed yet"
-    line = f"slice of {'key' if keyed else 'hash'} {key}: {entry[WORKER] or 'nobody'}"
-    line += f", second {entry[SECOND]}" if entry[SECOND] else ""
-    return line + (f", not yet released by {entry[PREVIOUS_OWNER]}" if entry[PREVIOUS_OWNER] else "")
+    entry = SliceEntry.decode(row)
+    line = f"slice of {'key' if keyed else 'hash'} {key}: {entry.worker or 'nobody'}"
+    line += f", second {entry.second_worker}" if entry.second_worker else ""
+    return line + (f", not yet released by {entry.previous_owner}" if entry.previous_owner else "")
 
 
 @click.command()
--- a/bramblewood/cli/leases.py
+++ b/bramblewood/cli/leases.py
@@ -2,7 +2,7 @@
 
 import click
 
-from ..common.slice_table import FENCING_TOKEN, PREVIOUS_OWNER, SECOND, WORKER, sorted_starts
+from ..common.slice_table import SliceEntry, sorted_starts
 from .controller_client import get_view
 from .options import BOOT, CONTROLLER, JSON
 from .output import write_result
@@ -17,16 +17,16 @@
     rows = []
     for service, entries in sorted(table["s"].items()):
         for start in sorted_starts(entries):
-            entry = entries[str(start)]
+            entry = SliceEntry.decode(entries[str(start)])
             rows.append(
                 {
                     "service": service,
                     "from": start,
-                    "worker": entry[WORKER],
-                    "second": entry[SECOND],
-                    "fence": entry[FENCING_TOKEN],
-                    "old": entry[PREVIOUS_OWNER],
-                    "until": expiry.get((service, start, entry[WORKER])),
+                    "worker": entry.worker,
+                    "second": entry.second_worker,
+                    "fence": entry.fencing_token,
+                    "old": entry.previous_owner,
+                    "until": expiry.get((service, start, entry.worker)),
                 }
             )
     return rows
--- a/bramblewood/controller/placement/slice_changes.py
+++ b/bramblewood/controller/placement/slice_changes.py
@@ -12,14 +12,10 @@
 
 from ...common.slice_table import (
     FENCING_TOKEN,
-    HANDOVER,
     KEY_SPACE_SIZE,
-    PREVIOUS_OWNER,
     READERS,
-    SECOND,
-    SECOND_SHARE,
     UNASSIGNED,
-    WORKER,
+    SliceEntry,
     active_readers,
     with_readers,
 )
@@ -79,15 +75,14 @@
 
 def reassigned(entry: Entry, assignment: Assignment, keyed: bool, version: int) -> Entry:
     """The entry with another assignment. The owner of a keyed slice must first release its keys."""
-    new_entry = list(entry)
-    worker, second_worker, second_share = assignment
-    if new_entry[WORKER] != worker:
+    slice_entry = SliceEntry.decode(entry)
+    if slice_entry.worker != assignment.worker:
         if keyed:
-            new_entry[PREVIOUS_OWNER] = new_entry[PREVIOUS_OWNER] or new_entry[WORKER]
-            new_entry[HANDOVER] = ""
-        new_entry[FENCING_TOKEN] = version
-    new_entry[WORKER], new_entry[SECOND], new_entry[SECOND_SHARE] = worker, second_worker, second_share
-    readers = [instance_id for instance_id in active_readers(new_entry) if instance_id != worker]
+            previous_owner = slice_entry.previous_owner or slice_entry.worker
+            slice_entry = slice_entry._replace(previous_owner=previous_owner, handover="")
+        slice_entry = slice_entry._replace(fencing_token=version)
+    new_entry = slice_entry._replace(**assignment._asdict()).encode()
+    readers = [instance_id for instance_id in active_readers(entry) if instance_id != assignment.worker]
     return with_readers(new_entry, readers, version)
 
 
@@ -171,10 +166,10 @@
     """
 
     def release(entry: Entry, _version: int) -> Entry | None:
-        if entry[PREVIOUS_OWNER] != previous_owner or entry[FENCING_TOKEN] != fencing_token:
+        slice_entry = SliceEntry.decode(entry)
+        if slice_entry.previous_owner != previous_owner or slice_entry.fencing_token != fencing_token:
             return None
-        entry[PREVIOUS_OWNER], entry[HANDOVER] = "", handover
-        return entry
+        return slice_entry._replace(previous_owner="", handover=handover).encode()
 
     return with_changed_entries(value, service, starts, release)
 
@@ -187,9 +182,9 @@
     """
 
     def raise_token(entry: Entry, version: int) -> Entry | None:
-        if entry[FENCING_TOKEN] != fencing_token:
+        slice_entry = SliceEntry.decode(entry)
+        if slice_entry.fencing_token != fencing_token:
             return None
-        entry[FENCING_TOKEN] = version
-        return entry
+        return slice_entry._replace(fencing_token=version).encode()
 
     return with_changed_entries(value, service, starts, raise_token)
--- a/tests/simulation/key_leases.py
+++ b/tests/simulation/key_leases.py
@@ -24,6 +24,7 @@
     ReleasedKeys,
 )
 from bramblewood.controller.placement import SliceChanges, apply_slice_changes, clear_previous_owner
+from bramblewood.controller.placement.slice_changes import Assignment
 from bramblewood.controller.sessions import QUORUM_CONTACT_VALIDITY
 from tests.simulation.digests import record_event
 
@@ -136,7 +137,7 @@
 
     def move(self, start: int, instance_id: str, slices: int) -> None:
         """The slice that begins with this key gets another worker."""
-        changes = {SERVICE: SliceChanges({start: (instance_id, "", 0.0)}, [], slices)}
+        changes = {SERVICE: SliceChanges({start: Assignment(instance_id)}, [], slices)}
         self.propose(apply_slice_changes(self.tables[-1], changes, {SERVICE}))
 
     def restart(self, address: str) -> None:
