--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -143,7 +143,7 @@
             if update:
                 self.count_bytes(table, update)
             self.table = table
-            self.load_balancer.slices.apply({"n": table["n"], "s": table["s"]})
+            self.load_balancer.slices.apply(TableUpdate(table["n"], table["s"]))
 
     def count_bytes(self, table: dict, update: TableUpdate) -> None:
         """Bytes of a new table to voters and proxies, beside those of the whole."""
--- a/bramblewood/cli/explain.py
+++ b/bramblewood/cli/explain.py
@@ -6,6 +6,7 @@
 import click
 
 from ..common.configuration import Configuration, build_configuration
+from ..common.messages import TableUpdate
 from ..common.slice_table import PREVIOUS_OWNER, SECOND, WORKER
 from ..common.worker_registry import WorkerRegistration
 from ..proxy.load_balancing import LoadBalancer
@@ -22,7 +23,7 @@
 def load_balancer_from(registrations: dict[str, WorkerView], table: TableView) -> LoadBalancer:
     """A proxy's load balancer that has this registry and table."""
     load_balancer = LoadBalancer(NOW)
-    load_balancer.slices.apply(table)
+    load_balancer.slices.apply(TableUpdate.from_wire(table))
     for instance_id, row in registrations.items():
         registration = WorkerRegistration.from_view(row)
         load_balancer.registry.record(NOW, instance_id, registration)
--- a/bramblewood/proxy/controller_selection.py
+++ b/bramblewood/proxy/controller_selection.py
@@ -10,13 +10,22 @@
 
 import zlib
 
+from ..common.messages import (
+    Confirmation,
+    ConfirmationRequest,
+    ProxyHeartbeat,
+    Subscribe,
+    Unsubscribe,
+    UpdateRequest,
+    Versions,
+)
 from ..common.timeouts import CONFIRMATION_VALIDITY
 
 UPSTREAM_GRACE = 0.2  # s in which the upstream may bring what another controller states
 REQUEST_RETRY_INTERVAL = 0.4  # s after which what was asked for and did not arrive is asked elsewhere
 
-OutgoingMessages = list[tuple[str, dict]]  # controller, message
-Versions = dict[str, int]  # by register, `config` and `table`
+Message = Subscribe | Unsubscribe | UpdateRequest | ConfirmationRequest
+OutgoingMessages = list[tuple[str, Message]]  # controller, message
 
 
 class ControllerSelection:
@@ -31,7 +40,7 @@
     def __init__(self, name: str, zone: str) -> None:
         self.name, self.zone = name, zone
         self.connected: set[str] = set()
-        self.heartbeats: dict[str, dict] = {}  # by controller: the newest on this connection
+        self.heartbeats: dict[str, ProxyHeartbeat] = {}  # by controller: the newest on this connection
         self.zones: dict[str, str] = {}  # by controller
         self.coordinator: str | None = None
         self.upstream: str | None = None
@@ -62,12 +71,12 @@
         candidates = [
             peer
             for peer, heartbeat in self.heartbeats.items()
-            if heartbeat["whole"] and peer in self.connected
+            if heartbeat.is_current and peer in self.connected
         ]
         best = min(
             candidates,
             key=lambda peer: (
-                self.zones.get(peer) != self.zone,
+                self.zones.get(peer, "") != self.zone,
                 zlib.crc32(f"{self.name}{peer}".encode()),
             ),
             default=None,
@@ -76,25 +85,26 @@
             return []
         messages: OutgoingMessages = []
         if self.upstream is not None:
-            messages.append((self.upstream, {"k": "home", "on": False}))
+            messages.append((self.upstream, Unsubscribe()))
         self.upstream, self.registry_source = best, None
-        messages.append((best, {"k": "home", "on": True, "have": known_versions}))
+        messages.append((best, Subscribe(known_versions)))
         return messages
 
     def heartbeat_received(
-        self, now: float, peer: str, message: dict, known_versions: Versions
+        self, now: float, peer: str, heartbeat: ProxyHeartbeat, known_versions: Versions
     ) -> OutgoingMessages:
         """A controller's heartbeat arrived; known_versions: those that this proxy has."""
-        self.heartbeats[peer] = message
-        self.zones[peer] = message.get("zone", self.zones.get(peer, ""))
-        if message["scribe"]:
+        self.heartbeats[peer] = heartbeat
+        if heartbeat.zone is not None:
+            self.zones[peer] = heartbeat.zone
+        if heartbeat.is_coordinator:
             self.coordinator = peer
         elif self.coordinator == peer:
             self.coordinator = None
         messages = self._select_upstream(known_versions)
-        for register, version in message["n"].items():
+        for register, version in heartbeat.versions.items():
             if version > known_versions[register] and self._is_due(now, register, version):
-                messages.append((peer, {"k": "want", "r": register, "have": known_versions[register]}))
+                messages.append((peer, UpdateRequest(register, known_versions[register])))
         return messages + self.confirmation_request(now, known_versions)
 
     def _is_due(self, now: float, register: str, version: int) -> bool:
@@ -117,11 +127,13 @@
         """While not ready: ask the upstream whether what is here is all and the newest."""
         if self.is_ready or self.registry_source is None or not all(known_versions.values()):
             return []
-        return [(self.registry_source, {"k": "confirm", "t": now})]
+        return [(self.registry_source, ConfirmationRequest(now))]
 
-    def confirmation_received(self, now: float, peer: str, message: dict, known_versions: Versions) -> None:
-        """A controller that is current answers what we asked it at `t`: `n` are the newest versions."""
-        newest, asked_at = message["n"], message["t"]
+    def confirmation_received(
+        self, now: float, peer: str, confirmation: Confirmation, known_versions: Versions
+    ) -> None:
+        """A controller that is current answers what we asked it: these versions are the newest."""
+        newest, asked_at = confirmation.versions, confirmation.asked_at
         if newest["table"] <= known_versions["table"]:
             self.table_confirmed_at = max(self.table_confirmed_at, asked_at)
         has_newest = all(known_versions.values()) and all(
--- a/bramblewood/proxy/controller_sessions.py
+++ b/bramblewood/proxy/controller_sessions.py
@@ -10,6 +10,21 @@
 import logbook
 
 from ..common.configuration import Configuration, build_configuration
+from ..common.messages import (
+    ROLE_PROXY,
+    ConfigurationUpdate,
+    Confirmation,
+    ConfirmationRequest,
+    Hello,
+    ProxyHeartbeat,
+    ReadersRemoved,
+    RegistryUpdate,
+    RemoveReaders,
+    TableUpdate,
+    UpdateRequest,
+    Versions,
+    kinds,
+)
 from ..common.peer_connections import CONNECTION_TIMEOUT, PeerConnection, PeerConnections
 from ..common.settings import Settings, reread_seeds
 from ..common.worker_registry import GONE, WorkerRegistration
@@ -20,7 +35,7 @@
 from .load_report import take_report
 from .retry_budget import RetryBudget
 
-PROXY_ROLE = "desk"  # the proxy's role on the wire
+CONFIGURATION_REGISTER, TABLE_REGISTER = "config", "table"  # names of the registers on the wire
 # s for which a deregistration is told to controllers again: many times what a late call about it takes
 DEREGISTRATION_MEMORY = 10.0
 CONFIRMATION_RETRY_INTERVAL = 0.1  # s until a controller is asked again whether a table is the newest
@@ -57,12 +72,12 @@
         self._removal_count = 0
         self._pending_removals: dict[int, asyncio.Future[bool]] = {}  # by number, as the answer repeats it
         self._handlers = {
-            "pulse": self._on_heartbeat,
-            "roll": self._on_registrations,
-            "config": self._on_configuration,
-            "table": self._on_table,
-            "confirmed": self._on_confirmation,
-            "offed": self._on_readers_removed,
+            kinds.HEARTBEAT: self._on_heartbeat,
+            kinds.REGISTRY_UPDATE: self._on_registrations,
+            kinds.CONFIGURATION_UPDATE: self._on_configuration,
+            kinds.TABLE_UPDATE: self._on_table,
+            kinds.CONFIRMATION: self._on_confirmation,
+            kinds.READERS_REMOVED: self._on_readers_removed,
         }
 
     def start(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -89,7 +104,7 @@
         """The first message on a connection; it repeats deregistrations, as a restart forgets them."""
         since = self.loop.time() - DEREGISTRATION_MEMORY
         departing = self.load_balancer.registry.departing_registrations(since)
-        return {"k": "hello", "role": PROXY_ROLE, "from": self.settings.name, "rows": departing}
+        return Hello(ROLE_PROXY, self.settings.name, departing).to_wire()
 
     def connection_changed(self, peer: str, is_up: bool) -> None:
         """A connection came up or was lost."""
@@ -102,33 +117,37 @@
             handler(self.loop.time(), connection, message)
 
     def _on_heartbeat(self, now: float, connection: PeerConnection, message: dict) -> None:
-        if message["scribe"] and "near" in message:
-            self.load_balancer.request_counts.apply_hot_keys(message.get("crowds", {}))
+        heartbeat = ProxyHeartbeat.from_wire(message)
+        if heartbeat.is_coordinator and heartbeat.zone_affinity is not None:
+            self.load_balancer.request_counts.apply_hot_keys(heartbeat.hot_keys or {})
             self.load_balancer.local_fractions = {
-                service: by_zone.get(self.settings.zone, 0.0) for service, by_zone in message["near"].items()
+                service: by_zone.get(self.settings.zone, 0.0)
+                for service, by_zone in heartbeat.zone_affinity.items()
             }
-        if message["whole"]:
-            self.load_balancer.timed_out = set(message.get("silent", ()))
-            self.retry_budget.proxies = max(message["desks"], 1)
-        for controller in message.get("archives", ()):
+        if heartbeat.is_current:
+            self.load_balancer.timed_out = set(heartbeat.silent_workers or ())
+            self.retry_budget.proxies = max(heartbeat.proxy_count, 1)
+        for controller in heartbeat.controllers or ():
             self.peer_connections.keep(controller, self.settings.inner)
         versions = self.known_versions()
-        self._send_all(self.selection.heartbeat_received(now, connection.peer, message, versions))
+        self._send_all(self.selection.heartbeat_received(now, connection.peer, heartbeat, versions))
 
     def _on_registrations(self, now: float, connection: PeerConnection, message: dict) -> None:
-        for instance_id, row in message["rows"].items():
+        update = RegistryUpdate.from_wire(message)
+        for instance_id, row in update.registrations.items():
             registration = WorkerRegistration(*row)
             changed = self.load_balancer.registry.record(now, instance_id, registration)
             if changed and registration.phase == GONE:
                 self.connection_pool.close_all(instance_id)
-        if "all" in message:
+        if update.is_complete:
             versions = self.known_versions()
             self._send_all(self.selection.registry_received(now, connection.peer, versions))
         self._notify_waiting()
 
     def _on_configuration(self, now: float, connection: PeerConnection, message: dict) -> None:
-        if self.configuration is None or message["n"] > self.configuration.number:
-            configuration = build_configuration(message["config"])
+        update = ConfigurationUpdate.from_wire(message)
+        if self.configuration is None or update.version > self.configuration.number:
+            configuration = build_configuration(update.configuration)
             if configuration.is_ok():
                 self.apply_configuration(configuration.ok_value)
                 self.log.info("configuration", step="take", number=self.configuration.number)
@@ -136,20 +155,22 @@
         self._send_all(self.selection.confirmation_request(now, self.known_versions()))
 
     def _on_table(self, now: float, connection: PeerConnection, message: dict) -> None:
-        if not self.load_balancer.slices.apply(message):
-            connection.send({"k": "want", "r": "table", "have": 0})
+        if not self.load_balancer.slices.apply(TableUpdate.from_wire(message)):
+            connection.send(UpdateRequest(TABLE_REGISTER, 0).to_wire())
         self._notify_waiting()
         self._send_all(self.selection.confirmation_request(now, self.known_versions()))
 
     def _on_confirmation(self, now: float, connection: PeerConnection, message: dict) -> None:
         was_ready = self.selection.is_ready
-        self.selection.confirmation_received(now, connection.peer, message, self.known_versions())
+        self.selection.confirmation_received(
+            now, connection.peer, Confirmation.from_wire(message), self.known_versions()
+        )
         if self.selection.is_ready and not was_ready:
             self.log.info("ready", step="start", number=self.configuration.number)
         self._notify_waiting()
 
     def _on_readers_removed(self, now: float, connection: PeerConnection, message: dict) -> None:
-        pending = self._pending_removals.get(message["id"])
+        pending = self._pending_removals.get(ReadersRemoved.from_wire(message).request_id)
         if pending is not None and not pending.done():
             pending.set_result(True)
 
@@ -159,11 +180,11 @@
 
     # --- what the rest of the proxy asks
 
-    def known_versions(self) -> dict[str, int]:
+    def known_versions(self) -> Versions:
         """The versions that this proxy has, by register; 0 for none."""
         return {
-            "config": self.configuration.number if self.configuration else 0,
-            "table": self.load_balancer.slices.version,
+            CONFIGURATION_REGISTER: self.configuration.number if self.configuration else 0,
+            TABLE_REGISTER: self.load_balancer.slices.version,
         }
 
     async def wait_for_update(self, until: float) -> None:
@@ -177,7 +198,7 @@
     async def confirm_table(self, deadline: float) -> None:
         """Ask the upstream whether our slice table is the newest, and wait a while for the answer."""
         now = self.loop.time()
-        self._send_upstream({"k": "confirm", "t": now})
+        self._send_upstream(ConfirmationRequest(now))
         await self.wait_for_update(min(now + CONFIRMATION_RETRY_INTERVAL, deadline))
 
     async def remove_readers(
@@ -189,7 +210,7 @@
         """
         number = self._removal_count = self._removal_count + 1
         pending = self._pending_removals[number] = self.loop.create_future()
-        request = {"k": "off", "id": number, "service": service, "key": key, "lives": instance_ids}
+        request = RemoveReaders(number, service, key, instance_ids)
         try:
             if not self._send_upstream(request):
                 retry_at = self.loop.time() + CONFIRMATION_RETRY_INTERVAL
@@ -208,7 +229,7 @@
         if coordinator is None:
             return
         report = take_report(self.load_balancer, now - self.reported_at, now)
-        if self.peer_connections.send(coordinator, report):
+        if self.peer_connections.send(coordinator, report.to_wire()):
             self.reported_at = now
 
     def _notify_waiting(self) -> None:
@@ -216,10 +237,10 @@
         self.updated.set()
         self.updated = asyncio.Event()
 
-    def _send_upstream(self, message: dict) -> bool:
+    def _send_upstream(self, message: ConfirmationRequest | RemoveReaders) -> bool:
         upstream = self.selection.upstream
-        return upstream is not None and self.peer_connections.send(upstream, message)
+        return upstream is not None and self.peer_connections.send(upstream, message.to_wire())
 
     def _send_all(self, messages: OutgoingMessages) -> None:
         for peer, message in messages:
-            self.peer_connections.send(peer, message)
+            self.peer_connections.send(peer, message.to_wire())
--- a/bramblewood/proxy/load_report.py
+++ b/bramblewood/proxy/load_report.py
@@ -1,27 +1,20 @@
-"""The load report that a proxy sends to the coordinator: requests counted, workers observed, drains awaited.
-
-Keys on the wire: `k` kind, `over` s that the report covers, `heat` requests by service and key range, `keys`
-by service and key in watched ranges, `met` by instance id what was observed, `n` the slice table's version,
-`left` by instance id what is in flight at workers that drain.
-"""
-
-from typing import Any
+"""The load report that a proxy sends to the coordinator: requests counted, workers observed, drains."""
 
+from ..common.messages import LoadReport
 from .load_balancing import LoadBalancer
 
 
-def take_report(load_balancer: LoadBalancer, elapsed: float, now: float) -> dict[str, Any]:
+def take_report(load_balancer: LoadBalancer, elapsed: float, now: float) -> LoadReport:
     """The report of the last `elapsed` s; all counts begin anew."""
     workers = {}
     for instance_id, observation in load_balancer.observations.by_instance.items():
         if (row := observation.take_statistics()) is not None:
             workers[instance_id] = row
     by_range, by_key = load_balancer.request_counts.take()
-    report: dict[str, Any] = {"k": "report", "over": round(elapsed, 3), "heat": by_range, "met": workers}
+    report = LoadReport(round(elapsed, 3), by_range, workers, by_key or None)
     if load_balancer.slices.drain_steps:
-        report |= {"n": load_balancer.slices.version, "left": remaining_work(load_balancer, now)}
-    if by_key:
-        report["keys"] = by_key
+        in_flight = remaining_work(load_balancer, now)
+        report = report._replace(table_version=load_balancer.slices.version, in_flight=in_flight)
     return report
 
 
--- a/bramblewood/proxy/readiness.py
+++ b/bramblewood/proxy/readiness.py
@@ -7,7 +7,7 @@
 
 from ..common import metrics
 from .connection_pool import ConnectionPool
-from .controller_sessions import ControllerSessions
+from .controller_sessions import CONFIGURATION_REGISTER, TABLE_REGISTER, ControllerSessions
 from .forwarding import Forwarder
 from .request_handler import RequestHandler
 
@@ -55,8 +55,8 @@
         found = {
             READY: int(self.is_ready),
             REQUESTS_IN_FLIGHT: self.request_handler.in_flight,
-            CONFIGURATION_VERSION: versions["config"],
-            TABLE_VERSION: versions["table"],
+            CONFIGURATION_VERSION: versions[CONFIGURATION_REGISTER],
+            TABLE_VERSION: versions[TABLE_REGISTER],
             CONNECTED_CONTROLLERS: len(self.sessions.peer_connections.up),
             CONNECTIONS_OPENED: pool.opened,
             CONNECTIONS_REUSED: pool.reused,
--- a/bramblewood/proxy/slice_lookup.py
+++ b/bramblewood/proxy/slice_lookup.py
@@ -5,6 +5,7 @@
 
 from bisect import bisect_right
 
+from ..common.messages import TableUpdate
 from ..common.slice_table import FENCING_TOKEN, all_readers, sorted_starts
 
 
@@ -21,24 +22,21 @@
         self.version = 0
         self.drain_steps: dict[str, str] = {}
 
-    def apply(self, message: dict) -> bool:
-        """Take in a table, or the difference to an older one; false where that one is newer than ours.
-
-        message: `n` the version, `w` the drain steps, and either `s`, the table, or `d`, the changed entries
-        by service, with `base`, the version that they are a difference to.
-        """
-        if message["n"] <= self.version:
+    def apply(self, update: TableUpdate) -> bool:
+        """Take in a table, or the difference to an older one; false where that one is newer than ours."""
+        if update.version <= self.version:
             return True
-        drain_steps = message.get("w", self.drain_steps)
-        if "s" in message:
-            self.table = message["s"]
+        if update.base is None:
+            self.table = update.services
             self.starts = {service: sorted_starts(entries) for service, entries in self.table.items()}
-        elif message["base"] > self.version:
+        elif update.base > self.version:
             return False
         else:
-            for service, changes in message["d"].items():
+            for service, changes in update.services.items():
                 self._update_entries(service, changes)
-        self.version, self.drain_steps = message["n"], drain_steps
+        self.version = update.version
+        if update.leaving is not None:
+            self.drain_steps = update.leaving
         return True
 
     def _update_entries(self, service: str, changes: dict[str, list]) -> None:
--- a/features/steps/contact.py
+++ b/features/steps/contact.py
@@ -4,6 +4,7 @@
 
 from behave import given, then, when
 
+from bramblewood.common.messages import Confirmation, ConfirmationRequest, ProxyHeartbeat, Subscribe
 from bramblewood.common.worker_registry import GONE, WorkerRegistration, WorkerRegistry
 from bramblewood.controller.consensus.proposal_number import NO_PROPOSAL
 from bramblewood.controller.consensus.registers import TABLE
@@ -56,12 +57,12 @@
     return quorum_contact_until(self, now, voters, epoch, known, nothing_accepted)
 
 
-def without_question(self, now, peer, message, known_versions):
+def without_question(self, now, peer, heartbeat, known_versions):
     here = all(known_versions.values()) and all(
-        number <= known_versions[name] for name, number in message["n"].items()
+        number <= known_versions[name] for name, number in heartbeat.versions.items()
     )
-    self.is_ready = self.is_ready or bool(message["whole"] and self.registry_source and here)
-    return heartbeat_received(self, now, peer, message, known_versions)
+    self.is_ready = self.is_ready or bool(heartbeat.is_current and self.registry_source and here)
+    return heartbeat_received(self, now, peer, heartbeat, known_versions)
 
 
 GUARDS = {
@@ -137,13 +138,13 @@
 def has_all(context):
     context.contact, context.known_versions = ControllerSelection("d", "z"), {"config": 3, "table": 7}
     context.contact.connection_changed("a", True, context.known_versions)
-    told = {"scribe": True, "whole": True, "n": context.known_versions}
+    heartbeat = ProxyHeartbeat(context.known_versions, True, True, 1)
     assert (
         "a",
-        {"k": "home", "on": True, "have": context.known_versions},
-    ) in context.contact.heartbeat_received(9.0, "a", told, context.known_versions)
+        Subscribe(context.known_versions),
+    ) in context.contact.heartbeat_received(9.0, "a", heartbeat, context.known_versions)
     assert context.contact.registry_received(9.1, "a", context.known_versions) == [
-        ("a", {"k": "confirm", "t": 9.1})
+        ("a", ConfirmationRequest(9.1))
     ]
 
 
@@ -151,7 +152,7 @@
 @when("that answers what was asked {ago:g} s ago, with a newer {register}")
 def answers(context, ago, register=""):
     newest = {name: number + (name == register) for name, number in context.known_versions.items()}
-    context.contact.confirmation_received(20.0, "a", {"t": 20.0 - ago, "n": newest}, context.known_versions)
+    context.contact.confirmation_received(20.0, "a", Confirmation(20.0 - ago, newest), context.known_versions)
 
 
 @then("the desk is {word}")
--- a/features/steps/graceful_shutdown.py
+++ b/features/steps/graceful_shutdown.py
@@ -5,6 +5,7 @@
 
 from behave import given, then, when
 
+from bramblewood.common.messages import TableUpdate
 from bramblewood.common.slice_table import KEY_SPACE_SIZE
 from bramblewood.common.worker_registry import WorkerRegistration
 from bramblewood.proxy import server
@@ -26,7 +27,7 @@
         record(context, name, 0.0, "ready", 1)
     second = "" if context.keyed else "w2"
     context.entries = {str(number * 8192): ["w1", second, 0.01, 1, "", ""] for number in range(8)}
-    context.load_balancer.slices.apply({"n": 1, "s": {"s": context.entries}})
+    context.load_balancer.slices.apply(TableUpdate(1, {"s": context.entries}))
 
 
 @when("{name} is known to drain from {now:g} s")
@@ -42,13 +43,13 @@
 @when("the slice table moves all keys from w1 to w2")
 def table_moves_keys(context):
     entries = {start: ["w2", "", 0.0, 2, "", "w1"] for start in context.entries}
-    context.load_balancer.slices.apply({"n": 2, "base": 1, "d": {"s": entries}})
+    context.load_balancer.slices.apply(TableUpdate(2, {"s": entries}, base=1))
 
 
 @when("w1 has released them")
 def keys_released(context):
     entries = {start: ["w2", "", 0.0, 2, "h", ""] for start in context.entries}
-    context.load_balancer.slices.apply({"n": 3, "base": 2, "d": {"s": entries}})
+    context.load_balancer.slices.apply(TableUpdate(3, {"s": entries}, base=2))
 
 
 @then("of {count:d} requests at {now:g} s {part} to {name}")
--- a/features/steps/zone_affinity.py
+++ b/features/steps/zone_affinity.py
@@ -1,5 +1,6 @@
 from behave import given, then, when
 
+from bramblewood.common.messages import TableUpdate
 from bramblewood.common.worker_registry import WorkerRegistration
 from bramblewood.controller.zone_affinity import WorkerUtilization, ZoneAffinity
 from bramblewood.proxy.load_balancing import LoadBalancer
@@ -46,7 +47,7 @@
         )
     names = ("w1", "w2", "w3", "w4")
     entries = {str(i * 8192): [names[i % 4], "", 0.01, 1, "", ""] for i in range(8)}
-    context.load_balancer.slices.apply({"n": 1, "s": {"s": entries}})
+    context.load_balancer.slices.apply(TableUpdate(1, {"s": entries}))
     context.now = 10.0
 
 
--- a/tests/simulation/proxy.py
+++ b/tests/simulation/proxy.py
@@ -4,6 +4,7 @@
 from typing import Any
 
 from bramblewood.common.configuration import build_configuration
+from bramblewood.common.messages import TableUpdate
 from bramblewood.common.settings import Bounds, Settings
 from bramblewood.common.worker_registry import WorkerRegistration
 from bramblewood.emulator.operator import configuration
@@ -163,7 +164,7 @@
         first, last = next(iter(scripts)), [*scripts][-1]
         entry = [first, last if len(scripts) > 1 else "", 0.01, 1, "", ""]
         table = {str(number * SLICE_KEYS): [*entry] for number in range(SLICES)}
-        proxy.load_balancer.slices.apply({"n": 1, "s": {"plain": table, "divided": table}})
+        proxy.load_balancer.slices.apply(TableUpdate(1, {"plain": table, "divided": table}))
         self.listener = await loop.create_server(proxy.client_connections.create_protocol, "127.0.0.1", 0)
         proxy.client_listener = self.listener
         self.port = self.listener.sockets[0].getsockname()[1]
