--- a/features/steps/contact.py
+++ b/features/steps/quorum_contact.py
@@ -1,4 +1,4 @@
-"""Plays of whole archives and desks; GUARDS are what may be taken out, each by its words in the feature."""
+"""Runs of whole fleets; GUARDS are what may be taken out, each by its words in the feature."""
 
 from unittest import mock
 
@@ -17,8 +17,9 @@
 from bramblewood.controller.sessions import Sessions
 from bramblewood.controller.worker_api import WorkerApi
 from bramblewood.proxy.controller_selection import ControllerSelection
-from tests.simulation import majority_contact
-from tests.simulation.majority_contact import Broken
+from tests.simulation import quorum_contact
+from tests.simulation.fleet import RuleViolation
+from tests.simulation.quorum_contact import DIRECTED_RUNS
 
 quorum_contact_until, deregister = Sessions.quorum_contact_until, WorkerApi.deregister
 grant_or_release = LeaseCalls.grant_or_release
@@ -65,75 +66,78 @@
 
 
 GUARDS = {
-    "the majority that holds a leave": (Deregistrations, "is_confirmed", one_other_holder),
-    "contact before a worker's call is answered": (
+    "the majority that holds a deregistration": (Deregistrations, "is_confirmed", one_other_holder),
+    "quorum contact before a worker's call is answered": (
         QuorumContact,
         "has_quorum_contact",
         lambda self, now: True,
     ),
-    "the word of the majority": (QuorumContact, "is_current", lambda self, now: True),
-    "leaves going on between archives": (RegistryExchange, "record_all", no_forwarding),
-    "the row of a leave that nobody knew": (WorkerApi, "deregister", unknown_worker_unrecorded),
-    "desks that tell of leaves again": (
+    "quorum contact of a current controller": (QuorumContact, "is_current", lambda self, now: True),
+    "forwarding of deregistrations between controllers": (RegistryExchange, "record_all", no_forwarding),
+    "the registration of a worker that nobody knew": (WorkerApi, "deregister", unknown_worker_unrecorded),
+    "proxies that hand deregistrations over again": (
         WorkerRegistry,
         "departing_registrations",
         lambda self, since=0.0: {},
     ),
-    "the look at the clock after a round": (QuorumIO, "agree", no_look_at_clock),
-    "the look at the word as a grant leaves": (LeaseCalls, "grant_or_release", grant_on_old_contact),
-    "the look at what oneself has accepted": (Sessions, "quorum_contact_until", ignores_own_acceptance),
-    "the word on the configuration": (
+    "the look at the clock after a proposal": (QuorumIO, "agree", no_look_at_clock),
+    "the look at quorum contact as a grant leaves": (LeaseCalls, "grant_or_release", grant_on_old_contact),
+    "the look at what the controller itself has accepted": (
+        Sessions,
+        "quorum_contact_until",
+        ignores_own_acceptance,
+    ),
+    "quorum contact on the configuration": (
         QuorumContact,
         "is_current",
         lambda self, now: self.quorum_contact_until(now, (TABLE,)) > now,
     ),
-    "the question before a desk is ready": (ControllerSelection, "heartbeat_received", without_question),
+    "the question before a proxy is ready": (ControllerSelection, "heartbeat_received", without_question),
 }
 
 
-def together(seed):
-    return majority_contact.twenty(seed, "ab", "both")
-
-
-def played(name):
-    return together if name == "together" else getattr(majority_contact, name)
-
-
-@then("{count:d} plays of {some} of {controllers:d} for twenty seconds {way} keep the rules")
-def twenty(context, count, some, controllers, way):
-    made = [
-        majority_contact.twenty(seed, some, way, controllers, controllers % 5 and 1) for seed in range(count)
+@then("{count:d} runs with {isolated} of {controllers:d} isolated, {direction}, keep the rules")
+def isolated_runs_keep_rules(context, count, isolated, controllers, direction):
+    runs = [
+        quorum_contact.isolation(seed, isolated, direction, controllers, controllers % 5 and 1)
+        for seed in range(count)
     ]
-    for what in ("orders taken", "configurations read", "leaves confirmed", "grants"):
-        assert all(play.plenty.get(what, 0) for play in made), (what, [play.plenty for play in made])
-
-
-@then("{five:d} storms of {seconds:d} s among five archives and {three:d} among three keep the rules")
-def storms(context, five, seconds, three):
+    for what in ("configurations taken", "configurations read", "deregistrations confirmed", "grants"):
+        assert all(fleet.rules.counts.get(what, 0) for fleet in runs), (
+            what,
+            [fleet.rules.counts for fleet in runs],
+        )
+
+
+@then(
+    "{five:d} runs of {seconds:d} s of random faults among five controllers and {three:d} among three "
+    "keep the rules"
+)
+def random_runs_keep_rules(context, five, seconds, three):
     for count, seeds in ((5, five), (3, three)):
         for seed in range(seeds):
-            majority_contact.storm(seed, count, seconds)
+            quorum_contact.random_faults(seed, count, seconds)
 
 
-@then('{count:d} plays of "{name}" keep the rules')
-def keep(context, count, name):
+@then('{count:d} runs of "{name}" keep the rules')
+def directed_runs_keep_rules(context, count, name):
     for seed in range(count):
-        played(name)(seed)
+        DIRECTED_RUNS[name](seed)
 
 
-@then('without {guard} a play of "{name}" is found out within {count:d} seeds')
-def found(context, guard, name, count):
-    place, what, instead = GUARDS[guard]
-    with mock.patch.object(place, what, instead):
+@then('without {guard} a run of "{name}" breaks a rule within {count:d} seeds')
+def missing_guard_breaks_rule(context, guard, name, count):
+    owner, attribute, replacement = GUARDS[guard]
+    with mock.patch.object(owner, attribute, replacement):
         for seed in range(count):
             try:
-                played(name)(seed)
-            except Broken:
+                DIRECTED_RUNS[name](seed)
+            except RuleViolation:
                 return
-    raise AssertionError("no play found it")
+    raise AssertionError("no run broke a rule")
 
 
-@given("a desk that has all, from an archive that is whole")
+@given("a proxy that has all, from a controller that is current")
 def has_all(context):
     context.contact, context.known_versions = ControllerSelection("d", "z"), {"config": 3, "table": 7}
     context.contact.connection_changed("a", True, context.known_versions)
@@ -154,35 +158,35 @@
     context.contact.confirmation_received(20.0, "a", {"t": 20.0 - ago, "n": newest}, context.known_versions)
 
 
-@then("the desk is {word}")
-def ready(context, word):
-    assert context.contact.is_ready == (word == "ready")
+@then("the proxy is {state}")
+def ready(context, state):
+    assert context.contact.is_ready == (state == "ready")
 
 
-@given("three archives with a table")
+@given("three controllers with a table")
 def three(context):
-    context.play = majority_contact.begun(1, 3)
-    context.play.run(3.0)
-    context.server = context.play.nodes["a"].server
-    context.before = context.server.quorum_io.consensus.version(TABLE)
+    context.fleet = quorum_contact.started_fleet(1, 3)
+    context.fleet.run(3.0)
+    context.server = context.fleet.machines["a"].server
+    context.version_before = context.server.quorum_io.consensus.version(TABLE)
 
 
 @when("one proposes a move")
-@when("one proposes a move, and its word {ends}")
+@when("one proposes a move, and its quorum contact {ends}")
 def proposes(context, ends=""):
     change = lambda value: ({**value, "n": value["n"] + 1}, True)  # noqa: E731
     with mock.patch.object(context.server.quorum_contact, "is_current", lambda now: not ends):
         context.server.coordinator_loop.change_table(change)
-        context.play.run(1.0)
+        context.fleet.run(1.0)
 
 
 @then("the table {word}")
 def stands(context, word):
-    changed = context.server.quorum_io.consensus.version(TABLE) != context.before
+    changed = context.server.quorum_io.consensus.version(TABLE) != context.version_before
     assert changed == (word == "has changed")
 
 
-@given("a roll that has heard only the last call of w1")
+@given("a registry that has heard only the last call of w1")
 def last(context):
     context.registry = WorkerRegistry()
     context.registry.record(1.0, "w1", WorkerRegistration("", "", "", 1, GONE, 1))
@@ -208,7 +212,7 @@
         assert not free and len(calls) == (registry is context.registry)
 
 
-@given("a leave that is asked about among three voters of epoch 4")
+@given("a deregistration that is asked about among three voters of epoch 4")
 def asked_about(context):
     context.deregistrations = Deregistrations("a")
     context.number = context.deregistrations.begin(10.0)
--- /dev/null
+++ b/tests/simulation/fleet/machine.py
@@ -0,0 +1,195 @@
+"""A machine of the fleet: its program of the moment, its disk, whether it is frozen."""
+
+import asyncio
+from unittest import mock
+
+from multidict import CIMultiDict
+
+from bramblewood.common.settings import Bounds, Settings
+from bramblewood.controller.placement import PlacementPlanner
+from bramblewood.controller.runtime import TICK_INTERVAL
+from bramblewood.controller.server import Controller
+from bramblewood.proxy.server import Proxy
+from tests.simulation.digests import record_event
+
+from .event_loop import SimulationLoop
+from .network import SimulatedConnections
+from .timing import REPORT_INTERVAL, SYNC_TIME, TRANSIT_TIMES, WORKER_HEARTBEAT
+
+PORT = 3
+
+
+class ControllerHandlers:
+    """What connections bring to a controller, by the names that both kinds of programs have here."""
+
+    def __init__(self, controller):
+        handlers = controller.peer_handlers
+        self.greeting, self.handle_greeting = handlers.greeting, handlers.handle_greeting
+        self.handle_message, self.handle_disconnect = handlers.handle_message, handlers.handle_disconnect
+        self.connection_changed = controller.controller_peers.connection_changed
+
+
+class ProxyHandlers:
+    """The same of a proxy, which nobody dials."""
+
+    def __init__(self, proxy):
+        sessions = proxy.sessions
+        self.greeting, self.handle_message = sessions.greeting, sessions.on_message
+        self.connection_changed = sessions.on_connection_changed
+
+
+class Machine:
+    """One machine; `server` is None while it is down."""
+
+    def __init__(self, fleet, name, program):
+        self.fleet, self.name, self.program, self.starts = fleet, name, program, 0
+        voters = {name: f"disk-{name}" for name in fleet.voters}
+        self.facts = {"disk": f"disk-{name}", "held": 1 if name in voters else -1}
+        self.facts["members"] = {"n": 1, "voters": voters, "before": {}}
+        self.registers, self.server, self.is_frozen, self.thawed_at = {}, None, False, -9.0
+        # what it said until then has come to a majority, and an answer from there back
+        self.last_contact_at = 0.0
+        # by machine: when what was last heard from it, and what it had last heard from here, was sent
+        self.heard, self.echoed = {}, {}
+
+    @property
+    def is_controller(self):
+        return self.program is Controller
+
+    @property
+    def is_proxy(self):
+        return self.program is Proxy
+
+    def start(self, is_first_boot):
+        fleet = self.fleet
+        self.loop, self.peer_connections = SimulationLoop(fleet), SimulatedConnections(self)
+        self.starts, self.heard, self.echoed = self.starts + 1, {}, {}
+        with mock.patch("bramblewood.common.logs.begin", return_value=mock.Mock()):
+            server = self.program(self.settings(is_first_boot))
+        if self.is_controller:
+            self.prepare_controller(server)
+            self.handlers = ControllerHandlers(server)
+        else:
+            server.sessions.start(self.loop)
+            server.sessions.peer_connections = self.peer_connections
+            self.handlers = ProxyHandlers(server)
+        for peer in fleet.controllers:
+            if peer != self.name:
+                self.peer_connections.keep(peer, 1)
+        self.server = server
+        self.loop.start(self.run_turns(server))
+
+    def settings(self, is_first_boot):
+        ports = {"Control" if self.is_controller else "Front": (self.name, PORT)}
+        seeds = tuple(f"{name}:{PORT}" for name in self.fleet.voters)
+        return Settings(
+            self.name,
+            self.name,
+            "z",
+            (1, 2),
+            seeds,
+            is_first_boot,
+            None,
+            WORKER_HEARTBEAT,
+            ports,
+            2**28,
+            100,
+            Bounds(),
+        )
+
+    def prepare_controller(self, controller):
+        """What a start does, with a first voter set; it changes as the controllers see fit."""
+        now = self.fleet.now
+        controller.runtime.loop, controller.runtime.peer_connections = self.loop, self.peer_connections
+        controller.runtime.started_at = now
+        controller.quorum_io.incarnation = 1000 * self.starts + ord(self.name)
+        controller.quorum_io.storage = self
+        controller.quorum_io.restore(dict(self.facts), dict(self.registers))
+        controller.controller_peers.known = set(self.fleet.controllers) - {self.name}
+        controller.controller_peers.next_seed_reread_at = 1e9
+        worker_session = WorkerSession(self)
+        controller.lease_calls.pooled_session = worker_session
+        controller.lease_calls.single_use_session = worker_session
+        controller.set_planner(PlacementPlanner(now, WORKER_HEARTBEAT, False))
+
+    def report_connection(self, peer, is_up):
+        """A connection came or went; a machine that is frozen notices when it is thawed."""
+        if self.is_frozen:
+            self.loop.call_soon(self.handlers.connection_changed, peer, is_up)
+        else:
+            self.handlers.connection_changed(peer, is_up)
+
+    def write(self, rows, facts, on_done):
+        """What `Storage.write` is to a controller."""
+
+        def synced():
+            record_event("write", self.fleet.now, self.name, rows, facts)
+            for register, promised, accepted, value in rows:
+                self.registers[register] = (promised, accepted, value)
+            self.facts |= facts
+            on_done(None)
+
+        self.loop.call_later(SYNC_TIME, synced)
+
+    async def run_turns(self, server):
+        while True:
+            if self.is_controller:
+                server.tick(self.fleet.now)
+            else:
+                server.sessions.send_report(self.fleet.now)
+            await asyncio.sleep(TICK_INTERVAL if self.is_controller else REPORT_INTERVAL)
+
+    def kill(self):
+        """Its connections break, what was not synced is gone."""
+        for connection in self.fleet.connections:
+            if self in (connection.dialler, connection.acceptor):
+                connection.lose()
+        self.server, self.is_frozen = None, False
+        self.end()
+
+    def end(self):
+        for task in list(self.loop.running_tasks):
+            task.cancel()
+        self.loop.run_due()
+        self.loop.close()
+
+
+class WorkerSession:
+    """Calls to workers: what `aiohttp.ClientSession` is to a controller."""
+
+    def __init__(self, machine):
+        self.machine = machine
+
+    def post(self, url, json, headers, timeout):
+        _, _, address, *path = url.split("/")
+        return WorkerCall(self.machine, address, path[-1], json, headers)
+
+
+class WorkerCall:
+    """One call, and its answer."""
+
+    def __init__(self, machine, address, kind, body, headers):
+        self.machine, self.address, self.kind, self.body = machine, address, kind, body
+        self.status, self.headers = 0, CIMultiDict({"X-Attempt-Id": headers["X-Attempt-Id"]})
+
+    async def __aenter__(self):
+        machine, fleet = self.machine, self.machine.fleet
+        fleet.rules.check_grant_is_sent_in_contact(machine, self.kind)
+        await asyncio.sleep(fleet.rng.uniform(*TRANSIT_TIMES))
+        worker = fleet.workers.get(self.address.partition(":")[0])
+        if worker is None or worker.has_ended or fleet.is_cut(machine.name, worker.name):
+            raise OSError
+        self.status = worker.handle_call(self.kind, self.body, machine)
+        record_event("call", fleet.now, machine.name, worker.name, self.kind, self.body, self.status)
+        if self.kind == "release":
+            self.headers["X-Handover"] = "h"
+        await asyncio.sleep(fleet.rng.uniform(*TRANSIT_TIMES))
+        if fleet.is_cut(worker.name, machine.name):
+            raise OSError
+        return self
+
+    async def __aexit__(self, *problem):
+        pass
+
+    async def read(self):
+        pass
--- a/tests/simulation/recorded_runs.py
+++ b/tests/simulation/recorded_runs.py
@@ -19,8 +19,8 @@
     consensus,
     drain_plans,
     key_leases,
-    majority_contact,
     membership_epoch_days,
+    quorum_contact,
     read_replicas,
     worker_connections,
 )
@@ -40,7 +40,7 @@
 
 
 def isolation(seed: int) -> Any:
-    return majority_contact.twenty(seed, "ab", ("both", "in", "out", "frozen")[seed % 4])
+    return quorum_contact.isolation(seed, "ab", ("both", "in", "out", "frozen")[seed % 4])
 
 
 # by name: what runs one seed, and which seeds are recorded
@@ -51,10 +51,10 @@
     "orders": (operators, range(4)),
     "orders, long": (operators_over_hundreds, range(1)),
     "orders, far reader": (partial(configuration_changes.readers, voters=3), range(2)),
-    "contact": (partial(majority_contact.storm, seconds=10.0), range(2)),
+    "contact": (partial(quorum_contact.random_faults, seconds=10.0), range(2)),
     "contact, five and a spare": (isolation, range(4)),
-    "contact, frozen scribe": (majority_contact.halted, range(1)),
-    "contact, forgotten leave": (majority_contact.forgot, range(1)),
+    "contact, frozen scribe": (quorum_contact.freeze_before_grants, range(1)),
+    "contact, forgotten leave": (quorum_contact.restart_of_all_after_deregistration, range(1)),
     "holds": (lambda seed: key_leases.Play(seed).run(300.0), range(4)),
     "copies": (lambda seed: read_replicas.Play(seed).run(120.0), range(4)),
     "withdrawal": (lambda seed: drain_plans.Play(seed).run(300.0), range(4)),
