--- /dev/null
+++ b/bramblewood/controller/http_listener.py
@@ -0,0 +1,93 @@
+"""The controller's HTTP listeners: requests decoded and handed to whatever answers them."""
+
+from aiohttp import web
+from result import Err
+
+from ..common.peer_connections import accept
+from .commands import (
+    MAX_CALL_BYTES,
+    Command,
+    DeregisterWorker,
+    GetConfiguration,
+    PutConfiguration,
+    RegisterWorker,
+    Rejection,
+    decode,
+    decode_drain_plan_call,
+    decode_membership_call,
+    max_body_bytes,
+)
+from .http_responses import make_response
+from .introspection import Introspection
+from .operator_api import OperatorApi
+from .peer_handlers import PeerHandlers
+from .runtime import Runtime
+from .worker_api import WorkerApi
+
+READ_CHUNK = 2**16  # bytes
+CONNECTION_PATH = "/link"  # where peers dial
+DRAIN_PLAN_PATH, MEMBERS_PATH = "/plan", "/members"
+
+
+class HttpListener:
+    """Serves both listeners: the inner one, for peers and operators, and that for workers and clients."""
+
+    def __init__(
+        self,
+        runtime: Runtime,
+        peer_handlers: PeerHandlers,
+        worker_api: WorkerApi,
+        operator_api: OperatorApi,
+        introspection: Introspection,
+    ) -> None:
+        self.runtime, self.peer_handlers = runtime, peer_handlers
+        self.worker_api, self.operator_api, self.introspection = worker_api, operator_api, introspection
+
+    async def serve(self, request: web.BaseRequest) -> web.StreamResponse:
+        """One HTTP request: of peers and operators' tools on the inner port, of workers and clients else."""
+        if request.transport.get_extra_info("sockname")[1] == self.runtime.settings.inner:
+            return await self._serve_inner(request)
+        method, path, body = request.method, request.raw_path, b""
+        limit = max_body_bytes(method, path)
+        async for chunk in request.content.iter_chunked(READ_CHUNK):
+            body += chunk
+            if len(body) > limit:
+                return make_response(413, f"at most {limit} bytes")
+        command = decode(method, path, body)
+        if isinstance(command, Err):
+            rejection: Rejection = command.err_value
+            if method == "PUT" and path.startswith("/bramblewood/config"):
+                self.runtime.log.info("configuration rejected", step="check", reason=rejection.reason)
+            headers = {"Allow": rejection.allow} if rejection.allow else {}
+            return make_response(rejection.status, rejection.reason, headers)
+        return await self.execute(command.ok_value)
+
+    async def _serve_inner(self, request: web.BaseRequest) -> web.StreamResponse:
+        handlers, path = self.peer_handlers, request.raw_path
+        if request.path == CONNECTION_PATH:
+            return await accept(
+                request, handlers.handle_greeting, handlers.handle_message, handlers.handle_disconnect
+            )
+        if request.method != "POST" or path not in (DRAIN_PLAN_PATH, MEMBERS_PATH):
+            return self.introspection.respond(path)
+        body = (await request.content.read())[:MAX_CALL_BYTES]
+        command: Any = (
+            decode_drain_plan_call(body) if path == DRAIN_PLAN_PATH else decode_membership_call(body)
+        )
+        if isinstance(command, Err):
+            return make_response(command.err_value.status, command.err_value.reason)
+        if path == DRAIN_PLAN_PATH:
+            return await self.operator_api.change_drain_plan(command.ok_value)
+        return await self.operator_api.change_voter_set(command.ok_value)
+
+    async def execute(self, command: Command) -> web.Response:
+        """A worker's or the operator's call: taken, served or refused for good with a quorum only."""
+        match command:
+            case RegisterWorker():
+                return await self.worker_api.register(command)
+            case DeregisterWorker():
+                return await self.worker_api.deregister(command)
+            case PutConfiguration():
+                return await self.operator_api.put_configuration(command)
+            case GetConfiguration():
+                return await self.operator_api.get_configuration()
--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -9,28 +9,15 @@
 from result import Err
 
 from ..common import logs
-from ..common.peer_connections import PeerConnections, accept
+from ..common.peer_connections import PeerConnections
 from ..common.settings import SEED_REREAD_INTERVAL, Settings
 from ..common.worker_registry import WorkerRegistry
 from .chosen_values import ChosenValues
-from .commands import (
-    MAX_CALL_BYTES,
-    Command,
-    DeregisterWorker,
-    GetConfiguration,
-    PutConfiguration,
-    RegisterWorker,
-    Rejection,
-    decode,
-    decode_drain_plan_call,
-    decode_membership_call,
-    max_body_bytes,
-)
 from .consensus.effects import no_effects
 from .controller_peers import KNOWN_CONTROLLERS_FACT, ControllerPeers
 from .coordinator_loop import CoordinatorLoop
 from .drain_progress import DrainProgress
-from .http_responses import make_response
+from .http_listener import HttpListener
 from .introspection import Introspection
 from .key_leases import KeyLeases
 from .key_releases import KeyReleases
@@ -56,7 +43,6 @@
 DEFAULT_FOLDER = "/tmp"
 HOUSEKEEPING_INTERVAL = 0.5  # s, the policy's own turn
 LISTEN_BACKLOG = 512
-READ_CHUNK = 2**16  # bytes
 STORAGE_UNUSABLE = 2  # exit code
 
 
@@ -157,6 +143,9 @@
             LoadReports(self.coordinator_loop, self.drain_progress, self.outlier_detection),
             self.worker_api,
         )
+        self.http_listener = HttpListener(
+            runtime, self.peer_handlers, self.worker_api, self.operator_api, self.introspection
+        )
 
     def _connect_parts(self) -> None:
         runtime, handlers = self.runtime, self.peer_handlers
@@ -223,7 +212,7 @@
         resources.push_async_callback(self.runtime.peer_connections.end)
         settings = self.runtime.settings
         for address in (settings.listen["Control"], (settings.bind or settings.ip, settings.inner)):
-            protocol = web.Server(self.serve, access_log=None)
+            protocol = web.Server(self.http_listener.serve, access_log=None)
             server = await self.runtime.loop.create_server(protocol, *address, backlog=LISTEN_BACKLOG)
             resources.callback(server.close)
 
@@ -274,50 +263,3 @@
             voting=consensus.is_active_voter,
         )
         self.controller_peers.send_heartbeats(self.runtime.now())  # nobody waits for the next turn
-
-    async def serve(self, request: web.BaseRequest) -> web.StreamResponse:
-        """One HTTP request: of peers and operators' tools on the inner port, of workers and clients else."""
-        if request.transport.get_extra_info("sockname")[1] == self.runtime.settings.inner:
-            return await self._serve_inner(request)
-        method, path, body = request.method, request.raw_path, b""
-        limit = max_body_bytes(method, path)
-        async for chunk in request.content.iter_chunked(READ_CHUNK):
-            body += chunk
-            if len(body) > limit:
-                return make_response(413, f"at most {limit} bytes")
-        command = decode(method, path, body)
-        if isinstance(command, Err):
-            rejection: Rejection = command.err_value
-            if method == "PUT" and path.startswith("/bramblewood/config"):
-                self.runtime.log.info("configuration rejected", step="check", reason=rejection.reason)
-            headers = {"Allow": rejection.allow} if rejection.allow else {}
-            return make_response(rejection.status, rejection.reason, headers)
-        return await self.execute(command.ok_value)
-
-    async def _serve_inner(self, request: web.BaseRequest) -> web.StreamResponse:
-        handlers, path = self.peer_handlers, request.raw_path
-        if request.path == "/link":
-            return await accept(
-                request, handlers.handle_greeting, handlers.handle_message, handlers.handle_disconnect
-            )
-        if request.method != "POST" or path not in ("/plan", "/members"):
-            return self.introspection.respond(path)
-        body = (await request.content.read())[:MAX_CALL_BYTES]
-        command: Any = decode_drain_plan_call(body) if path == "/plan" else decode_membership_call(body)
-        if isinstance(command, Err):
-            return make_response(command.err_value.status, command.err_value.reason)
-        if path == "/plan":
-            return await self.operator_api.change_drain_plan(command.ok_value)
-        return await self.operator_api.change_voter_set(command.ok_value)
-
-    async def execute(self, command: Command) -> web.Response:
-        """A worker's or the operator's call: taken, served or refused for good with a quorum only."""
-        match command:
-            case RegisterWorker():
-                return await self.worker_api.register(command)
-            case DeregisterWorker():
-                return await self.worker_api.deregister(command)
-            case PutConfiguration():
-                return await self.operator_api.put_configuration(command)
-            case GetConfiguration():
-                return await self.operator_api.get_configuration()
--- a/features/steps/leaving.py
+++ b/features/steps/leaving.py
@@ -5,8 +5,6 @@
 from behave import given, then, when
 
 from bramblewood.common.worker_registry import WorkerRegistration
-from bramblewood.controller.consensus.proposal_number import NO_PROPOSAL
-from bramblewood.controller.consensus.registers import TABLE
 from bramblewood.proxy import server
 from bramblewood.proxy.load_balancing import LoadBalancer
 from tests.simulation.proxy import Play
@@ -123,9 +121,3 @@
 
 class Probe:
     path = "/bramblewood/readiness"
-
-
-@then("at {now:g} its word on ballot {proposal_number:d} is over")
-def over(context, now, proposal_number):
-    voters, known = {name: name for name in "abc"}, {TABLE: (1, proposal_number, "b", 1)}
-    assert context.sessions.quorum_contact_until(now, voters, 1, known, {TABLE: NO_PROPOSAL}) < now
--- a/tests/simulation/fleet/fleet.py
+++ b/tests/simulation/fleet/fleet.py
@@ -109,7 +109,7 @@
         async def serve(server):
             began_at = self.now  # a call that waited for a thaw begins then
             known = max((n for n, one in self.rules.acknowledged.items() if one.at <= began_at), default=0)
-            response = await server.execute(command)
+            response = await server.http_listener.execute(command)
             record_event("answer", self.now, name, response.status, response.text)
             self.rules.check_answer(machine, command, response, began_at, known)
             if not self.is_cut(machine.name, caller):
