--- a/bramblewood/controller/http_listener.py
+++ b/bramblewood/controller/http_listener.py
@@ -71,14 +71,14 @@
         if request.method != "POST" or path not in (DRAIN_PLAN_PATH, MEMBERS_PATH):
             return self.introspection.respond(path)
         body = (await request.content.read())[:MAX_CALL_BYTES]
-        command: Any = (
-            decode_drain_plan_call(body) if path == DRAIN_PLAN_PATH else decode_membership_call(body)
-        )
+        decode_call, execute = {
+            DRAIN_PLAN_PATH: (decode_drain_plan_call, self.operator_api.change_drain_plan),
+            MEMBERS_PATH: (decode_membership_call, self.operator_api.change_voter_set),
+        }[path]
+        command = decode_call(body)
         if isinstance(command, Err):
             return make_response(command.err_value.status, command.err_value.reason)
-        if path == DRAIN_PLAN_PATH:
-            return await self.operator_api.change_drain_plan(command.ok_value)
-        return await self.operator_api.change_voter_set(command.ok_value)
+        return await execute(command.ok_value)
 
     async def execute(self, command: Command) -> web.Response:
         """A worker's or the operator's call: taken, served or refused for good with a quorum only."""
