--- a/bramblewood/proxy/client_connections.py
+++ b/bramblewood/proxy/client_connections.py
@@ -11,6 +11,7 @@
 from aiohttp import web
 
 from ..common.configuration import Configuration
+from .client_disconnects import ClientDisconnects, ClientServer
 from .client_limits import ClientLimits
 from .controller_sessions import ControllerSessions
 
@@ -24,8 +25,10 @@
 class ClientConnections:
     """Makes the protocols of clients' connections; awaiting_first_request: ids of those without a request."""
 
-    def __init__(self, sessions: ControllerSessions, handler: Handler) -> None:
-        self.sessions, self.handler = sessions, handler
+    def __init__(
+        self, sessions: ControllerSessions, handler: Handler, disconnects: ClientDisconnects
+    ) -> None:
+        self.sessions, self.handler, self.disconnects = sessions, handler, disconnects
         self.awaiting_first_request: set[int] = set()
         self._server: web.Server | None = None
         self._server_configuration: Configuration | None = None  # by whose limits the server serves
@@ -49,8 +52,9 @@
         return protocol
 
     def _create_server(self, limits: ClientLimits) -> web.Server:
-        return web.Server(
+        return ClientServer(
             self._serve,
+            self.disconnects,
             access_log=None,
             max_line_size=int(limits.max_header_bytes),
             max_field_size=int(limits.max_header_bytes),
--- a/bramblewood/proxy/request_handler.py
+++ b/bramblewood/proxy/request_handler.py
@@ -9,6 +9,7 @@
 from ..common.configuration import Configuration, Route
 from ..common.settings import Settings
 from ..common.slice_table import KEY_SPACE_SIZE
+from .client_disconnects import ClientDisconnected, ClientDisconnects
 from .controller_sessions import ControllerSessions
 from .forwarding import Forwarder
 from .http_fields import (
@@ -65,9 +66,11 @@
         load_balancer: LoadBalancer,
         retry_budget: RetryBudget,
         forwarder: Forwarder,
+        disconnects: ClientDisconnects,
     ) -> None:
         self.settings, self.sessions, self.load_balancer = settings, sessions, load_balancer
         self.retry_budget, self.forwarder = retry_budget, forwarder
+        self.disconnects = disconnects
         self.in_flight = self.body_bytes = 0
         self.responses_by_class: dict[int, int] = {}
         self.is_shutting_down = False
@@ -104,6 +107,8 @@
         try:
             reply = await self._attempt_until_answered(request, body, attempts)
             return client_response(reply, request.method)
+        except ClientDisconnected:
+            return error_response(400, "the client went away", close=True)  # nobody reads it
         finally:
             attempts.leave_queue()
             self.body_bytes -= len(body)
@@ -184,10 +189,21 @@
         while True:
             step = attempts.next_step(loop.time(), load_balancer, self.retry_budget)
             if isinstance(step, WaitUntil):
-                await self.sessions.wait_for_update(step.until)
+                async with self.disconnects.watch(request):
+                    await self.sessions.wait_for_update(step.until)
                 continue
             if isinstance(step, FinalReply):
                 return step
-            reply = await self.forwarder.attempt(request, body, attempts, step.instance_id)
+            reply = await self._attempt(request, body, attempts, step.instance_id)
             if reply is not None:
                 return reply
+
+    async def _attempt(
+        self, request: web.BaseRequest, body: bytes, attempts: RequestAttempts, instance_id: str
+    ) -> FinalReply | None:
+        """One attempt, which ends with its client if the request may be repeated."""
+        if attempts.non_idempotent:
+            self.disconnects.check(request)
+            return await self.forwarder.attempt(request, body, attempts, instance_id)
+        async with self.disconnects.watch(request):
+            return await self.forwarder.attempt(request, body, attempts, instance_id)
--- a/bramblewood/proxy/server.py
+++ b/bramblewood/proxy/server.py
@@ -11,6 +11,7 @@
 from ..common.settings import SEED_REREAD_INTERVAL, Settings
 from ..common.worker_registry import GONE
 from .client_connections import ClientConnections
+from .client_disconnects import ClientDisconnects
 from .connection_pool import ConnectionPool
 from .controller_sessions import ControllerSessions
 from .forwarding import Forwarder
@@ -52,10 +53,11 @@
             self.connection_pool,
             self.sessions,
         )
+        disconnects = ClientDisconnects()
         self.request_handler = RequestHandler(
-            settings, self.sessions, self.load_balancer, self.retry_budget, self.forwarder
+            settings, self.sessions, self.load_balancer, self.retry_budget, self.forwarder, disconnects
         )
-        self.client_connections = ClientConnections(self.sessions, self.request_handler.handle)
+        self.client_connections = ClientConnections(self.sessions, self.request_handler.handle, disconnects)
         self.readiness = Readiness(self.sessions, self.request_handler, self.forwarder, self.connection_pool)
         self.client_listener: asyncio.Server | None = None
 
