--- a/tests/simulation/fleet/event_loop.py
+++ b/tests/simulation/fleet/event_loop.py
@@ -39,12 +39,16 @@
         self.running_tasks.add(task)
         task.add_done_callback(finished)
 
+    def has_due(self):
+        ready, scheduled = self._ready, self._scheduled  # type: ignore[attr-defined]
+        return ready or scheduled and scheduled[0].when() <= self.time()
+
     def run_due(self):
         """All that is due now."""
         asyncio._set_running_loop(self)
         try:
-            while self._ready or self._scheduled and self._scheduled[0].when() <= self.time():
-                self._run_once()
+            while self.has_due():
+                self._run_once()  # type: ignore[attr-defined]  # asyncio's own, missing in its stubs
                 if self.should_stop is not None and self.should_stop():  # frozen amid a turn
                     return
         finally:
