--- a/features/control_api.feature
+++ b/features/control_api.feature
@@ -1,4 +1,4 @@
-Feature: What can't be taken gets one clear answer and changes nothing
+Feature: A call that is rejected gets one clear answer and changes nothing
 
   Scenario: Each invalid kind of configuration
     Given a register that holds r3
@@ -25,7 +25,7 @@
     Then the answers are "invalid-configurations"
     And the register holds r3
 
-  Scenario: A configuration is taken once, its repeat is known, what does not follow is refused
+  Scenario: A configuration is taken once, its repeat is known, what does not follow is rejected
     Given a register that holds r3
     When the operator puts
       | what            | change                                 |
@@ -58,4 +58,4 @@
     Then the answers are "calls"
 
   Scenario: What a worker is answered fits into the 4 KiB that it reads
-    Then a call with 60000 bytes in any one field, in its path or method is refused within 4 KiB
+    Then a call with 60000 bytes in any one field, in its path or method is rejected within 4 KiB
