--- a/bramblewood/common/messages/between_controllers.py
+++ b/bramblewood/common/messages/between_controllers.py
@@ -33,6 +33,7 @@
 
     @classmethod
     def from_wire(cls, message: dict) -> "ControllerHeartbeat":
+        """Read the form on the wire."""
         return cls(
             message["t"],
             message["v"],
@@ -54,6 +55,7 @@
         )
 
     def to_wire(self) -> dict[str, Any]:
+        """The form on the wire."""
         made = {
             "k": kinds.HEARTBEAT,
             "t": self.sent_at,
@@ -90,9 +92,11 @@
 
     @classmethod
     def from_wire(cls, message: dict) -> "RegistryAcknowledgement":
+        """Read the form on the wire."""
         return cls(message["id"], message["rows"], message["epoch"])
 
     def to_wire(self) -> dict[str, Any]:
+        """The form on the wire."""
         return {
             "k": kinds.REGISTRY_ACKNOWLEDGEMENT,
             "id": self.request_id,
--- a/bramblewood/common/messages/greetings.py
+++ b/bramblewood/common/messages/greetings.py
@@ -19,9 +19,11 @@
 
     @classmethod
     def from_wire(cls, message: dict) -> "Hello":
+        """Read the form on the wire."""
         return cls(message["role"], str(message["from"]), message.get("rows", {}), message.get("ages"))
 
     def to_wire(self) -> dict[str, Any]:
+        """The form on the wire."""
         made = {"k": kinds.HELLO, "role": self.role, "from": self.sender, "rows": self.registrations}
         return made if self.ages is None else {**made, "ages": self.ages}
 
@@ -35,9 +37,11 @@
 
     @classmethod
     def from_wire(cls, message: dict) -> "RegistryUpdate":
+        """Read the form on the wire."""
         return cls(message["rows"], message.get("id"), "all" in message)
 
     def to_wire(self) -> dict[str, Any]:
+        """The form on the wire."""
         made: dict[str, Any] = {"k": kinds.REGISTRY_UPDATE, "rows": self.registrations}
         if self.request_id is not None:
             made["id"] = self.request_id
--- a/bramblewood/common/messages/with_proxies.py
+++ b/bramblewood/common/messages/with_proxies.py
@@ -22,6 +22,7 @@
 
     @classmethod
     def from_wire(cls, message: dict) -> "ProxyHeartbeat":
+        """Read the form on the wire."""
         return cls(
             message["n"],
             message["whole"],
@@ -35,6 +36,7 @@
         )
 
     def to_wire(self) -> dict[str, Any]:
+        """The form on the wire."""
         made = {
             "k": kinds.HEARTBEAT,
             "n": self.versions,
@@ -61,9 +63,11 @@
 
     @classmethod
     def from_wire(cls, message: dict) -> "Subscribe":
+        """Read the form on the wire."""
         return cls(message["have"])
 
     def to_wire(self) -> dict[str, Any]:
+        """The form on the wire."""
         return {"k": kinds.SUBSCRIPTION, "on": True, "have": self.versions}
 
 
@@ -71,6 +75,7 @@
     """A proxy is pushed to from another controller now."""
 
     def to_wire(self) -> dict[str, Any]:
+        """The form on the wire."""
         return {"k": kinds.SUBSCRIPTION, "on": False}
 
 
@@ -87,9 +92,11 @@
 
     @classmethod
     def from_wire(cls, message: dict) -> "UpdateRequest":
+        """Read the form on the wire."""
         return cls(message["r"], message["have"])
 
     def to_wire(self) -> dict[str, Any]:
+        """The form on the wire."""
         return {"k": kinds.UPDATE_REQUEST, "r": self.register, "have": self.version}
 
 
@@ -106,6 +113,7 @@
 
     @classmethod
     def from_wire(cls, message: dict) -> "LoadReport":
+        """Read the form on the wire."""
         return cls(
             message["over"],
             message["heat"],
@@ -116,6 +124,7 @@
         )
 
     def to_wire(self) -> dict[str, Any]:
+        """The form on the wire."""
         made = {"k": kinds.LOAD_REPORT, "over": self.seconds, "heat": self.heat, "met": self.workers}
         for key, value in (("n", self.table_version), ("left", self.in_flight), ("keys", self.keys)):
             if value is not None:
@@ -130,9 +139,11 @@
 
     @classmethod
     def from_wire(cls, message: dict) -> "ConfirmationRequest":
+        """Read the form on the wire."""
         return cls(message["t"])
 
     def to_wire(self) -> dict[str, Any]:
+        """The form on the wire."""
         return {"k": kinds.CONFIRMATION_REQUEST, "t": self.asked_at}
 
 
@@ -144,9 +155,11 @@
 
     @classmethod
     def from_wire(cls, message: dict) -> "Confirmation":
+        """Read the form on the wire."""
         return cls(message["t"], message["n"])
 
     def to_wire(self) -> dict[str, Any]:
+        """The form on the wire."""
         return {"k": kinds.CONFIRMATION, "t": self.asked_at, "n": self.versions}
 
 
@@ -160,9 +173,11 @@
 
     @classmethod
     def from_wire(cls, message: dict) -> "RemoveReaders":
+        """Read the form on the wire."""
         return cls(message["id"], message["service"], message["key"], tuple(message["lives"]))
 
     def to_wire(self) -> dict[str, Any]:
+        """The form on the wire."""
         return {
             "k": kinds.REMOVE_READERS,
             "id": self.request_id,
@@ -180,9 +195,11 @@
 
     @classmethod
     def from_wire(cls, message: dict) -> "ReadersRemoved":
+        """Read the form on the wire."""
         return cls(message["id"], message["n"])
 
     def to_wire(self) -> dict[str, Any]:
+        """The form on the wire."""
         return {"k": kinds.READERS_REMOVED, "id": self.request_id, "n": self.table_version}
 
 
@@ -194,9 +211,11 @@
 
     @classmethod
     def from_wire(cls, message: dict) -> "ConfigurationUpdate":
+        """Read the form on the wire."""
         return cls(message["n"], message["config"])
 
     def to_wire(self) -> dict[str, Any]:
+        """The form on the wire."""
         return {"k": kinds.CONFIGURATION_UPDATE, "n": self.version, "config": self.configuration}
 
 
@@ -211,10 +230,12 @@
 
     @classmethod
     def from_wire(cls, message: dict) -> "TableUpdate":
+        """Read the form on the wire."""
         base = message.get("base")
         return cls(message["n"], message["s" if base is None else "d"], base, message.get("w"))
 
     def to_wire(self) -> dict[str, Any]:
+        """The form on the wire."""
         made: dict[str, Any] = {"k": kinds.TABLE_UPDATE, "n": self.version}
         made |= {"s": self.services} if self.base is None else {"base": self.base, "d": self.services}
         if self.leaving is not None:
--- a/bramblewood/controller/coordinator_loop.py
+++ b/bramblewood/controller/coordinator_loop.py
@@ -18,13 +18,12 @@
 from .outlier_detection import OutlierDetection, ejections_of, with_ejections
 from .placement import PlacementPlanner, apply_slice_changes
 from .quorum_contact import QuorumContact
-from .quorum_io import QuorumIO
+from .quorum_io import PROPOSAL_TIMEOUT, QuorumIO
 from .read_replicas import ReadReplicas, without_expired_readers
 from .registry_exchange import RegistryExchange
 from .runtime import Runtime
 
 OUTLIER_CHECK_INTERVAL = 0.5  # s, the policy's own turn
-PROPOSAL_TIMEOUT = 1.0  # s
 
 
 class CoordinatorLoop:
--- a/bramblewood/controller/key_releases.py
+++ b/bramblewood/controller/key_releases.py
@@ -6,9 +6,7 @@
 from .consensus.registers import TABLE
 from .key_leases import ReleasedKeys
 from .placement import clear_previous_owner
-from .quorum_io import QuorumIO
-
-PROPOSAL_TIMEOUT = 1.0  # s
+from .quorum_io import PROPOSAL_TIMEOUT, QuorumIO
 
 
 class KeyReleases:
--- a/bramblewood/controller/lease_calls.py
+++ b/bramblewood/controller/lease_calls.py
@@ -25,13 +25,12 @@
 )
 from .key_releases import KeyReleases
 from .placement import raise_fencing_tokens
-from .quorum_io import QuorumIO
+from .quorum_io import PROPOSAL_TIMEOUT, QuorumIO
 from .read_replicas import ReadReplicas, ReplicaLease
 from .registry_exchange import RegistryExchange
 from .runtime import Runtime
 
 GRANT_TIMEOUT = 1.0  # s
-PROPOSAL_TIMEOUT = 1.0  # s
 KEEPALIVE = 4.0  # s that an idle connection to a worker is kept
 # a worker whose port refuses calls has ended once it was silent for this many of its heartbeat intervals
 SILENT_HEARTBEATS = 1.3
--- a/bramblewood/controller/peer_handlers.py
+++ b/bramblewood/controller/peer_handlers.py
@@ -30,15 +30,13 @@
 from .proxy_feed import ProxyFeed
 from .proxy_heartbeats import ProxyHeartbeats
 from .quorum_contact import QuorumContact
-from .quorum_io import QuorumIO, new_disk_name
+from .quorum_io import PROPOSAL_TIMEOUT, QuorumIO, new_disk_name
 from .read_replicas import without_readers
 from .registry_exchange import RegistryExchange
 from .runtime import Runtime
 from .sessions import Sessions
 from .worker_api import WorkerApi
 
-PROPOSAL_TIMEOUT = 1.0  # s
-
 
 class PeerHandlers:
     """Takes what connections bring, decodes it, and hands it to the part that it concerns."""
--- a/bramblewood/controller/quorum_io.py
+++ b/bramblewood/controller/quorum_io.py
@@ -22,6 +22,7 @@
 
 # s for an operator's or worker's call: callers go elsewhere after a second of silence; PROTOCOL
 AGREEMENT_TIMEOUT = 0.85
+PROPOSAL_TIMEOUT = 1.0  # s for a proposal that no caller waits for
 STALL_TIMEOUT = 0.3  # s that a write may take before this controller leaves the proposing to others
 EPOCH_FACTS = {VOTER_SET_FACT, ACTIVE_EPOCH_FACT}
 
--- a/bramblewood/controller/voter_changes.py
+++ b/bramblewood/controller/voter_changes.py
@@ -8,13 +8,12 @@
 from .consensus.voter_set import next_voter_set
 from .controller_peers import ControllerPeers
 from .quorum_contact import QuorumContact
-from .quorum_io import QuorumIO
+from .quorum_io import PROPOSAL_TIMEOUT, QuorumIO
 from .runtime import Runtime
 from .sessions import Sessions
 
 FOUNDING_TIMEOUT = 3.0  # s of the first boot in which more controllers may show up; all start at once
 VOTE_KEPT_FRACTION = 2 / 3  # of GraceS that a vote is kept after SIGTERM, until others hold what it holds
-PROPOSAL_TIMEOUT = 1.0  # s
 
 
 class VoterChanges:
