--- a/bramblewood/controller/load_reports.py
+++ b/bramblewood/controller/load_reports.py
@@ -24,15 +24,17 @@
         seconds, heat, keys = report.seconds, report.heat, report.keys or {}
         if report.table_version is not None:
             self.drain_progress.record_report(proxy, report.table_version, report.in_flight or {})
+        # called hundreds of times a second with as many workers each: names looked up once
         last_heard, registrations = self.registry.last_heard, self.registry.registrations
+        record_attempts, heard_at = self.outlier_detection.record_attempts, now - seconds
         by_service: dict[str, list] = {service: [] for service in {**heat, **keys}}
         for instance_id, (attempts, unanswered, mean_time, load, *failed) in report.workers.items():
             registration = registrations.get(instance_id)
             if registration is None:
                 continue
-            self.outlier_detection.record_attempts(proxy, instance_id, attempts, sum(failed))
+            record_attempts(proxy, instance_id, attempts, sum(failed))
             if attempts > unanswered:
-                last_heard[instance_id] = max(last_heard.get(instance_id, 0.0), now - seconds)
+                last_heard[instance_id] = max(last_heard.get(instance_id, 0.0), heard_at)
             by_service.setdefault(registration.service, []).append(
                 worker_report(instance_id, attempts, unanswered, mean_time, seconds, load)
             )
--- a/bramblewood/controller/outlier_detection.py
+++ b/bramblewood/controller/outlier_detection.py
@@ -87,7 +87,9 @@
     def record_attempts(self, proxy: str, instance_id: str, attempts: int, failures: int) -> None:
         """Take in what a proxy reports of a worker."""
         by_proxy = self._current_cycle.setdefault(instance_id, {})
-        counts = by_proxy.setdefault(proxy, AttemptCounts())
+        counts = by_proxy.get(proxy)
+        if counts is None:
+            counts = by_proxy[proxy] = AttemptCounts()
         counts.attempts += attempts
         counts.failures += failures
 
--- a/bramblewood/controller/placement/service_load.py
+++ b/bramblewood/controller/placement/service_load.py
@@ -37,8 +37,8 @@
     """
     stated_load = {}
     if load:
-        running, waiting, slots = load[:3]
-        stated_load = {"busy": running / max(slots, 1), "queued": waiting / max(slots, 1)}
+        slots = max(load[2], 1)
+        stated_load = {"busy": load[0] / slots, "queued": load[1] / slots}
     return events.WorkerHeard(instance_id, "", attempts, unanswered, mean_time, interval, stated_load)
 
 
