--- /dev/null
+++ b/bramblewood/controller/command_decoding.py
@@ -0,0 +1,233 @@
+"""Calls of workers and operators, decoded into commands. Pure: commands are run elsewhere.
+
+Each decoder gives a command, or the `Rejection` that answers a call that can't be taken. The TypedDict
+classes state the fields of calls as the operators' and workers' pages give them.
+"""
+
+import json
+import re
+from typing import Any, Literal, NotRequired, TypedDict
+
+from result import Err, Ok, Result
+
+from ..common.configuration import parse
+from ..common.schema import check
+from ..common.worker_registry import DRAINING, READY, WorkerRegistration
+from .commands import (
+    AddMember,
+    Command,
+    DeregisterWorker,
+    EndDrainPlan,
+    GetConfiguration,
+    PutConfiguration,
+    RegisterWorker,
+    Rejection,
+    RemoveMember,
+    ReplaceMember,
+    StartDrainPlan,
+)
+
+MAX_CALL_BYTES = 64 * 2**10  # of a worker's or operator's call
+MAX_CONFIGURATION_BYTES = 32 * 2**20
+INSTANCES_PATH = "/bramblewood/instances/"
+CONFIGURATION_PATH = "/bramblewood/config"
+INSTANCE_ID = re.compile(r"[\w.~-]{1,128}")
+PLAN_NAME = re.compile(r"[\w.-]{1,64}")
+CONTROLLER_ADDRESS = re.compile(r"\d{1,3}(\.\d{1,3}){3}")  # of a machine, as `Ip` gives it
+CALL_SEQUENCE_END = 2**53  # JSON's whole numbers are exact below it
+SLOTS_END = 2**20
+
+
+# --- calls of workers and of whoever puts configurations, on the Control listener
+
+
+class WorkerSummary(TypedDict):
+    """What a worker is."""
+
+    Target: str
+    Zone: NotRequired[str]
+    Revision: NotRequired[str]
+    Slots: NotRequired[int]
+
+
+class WorkerCondition(TypedDict):
+    """How a worker is, and the number of this call."""
+
+    Phase: Literal["ready", "draining"]
+    CallSeq: int
+    ColdLeftS: NotRequired[float]
+
+
+class Heartbeat(TypedDict):
+    """The body of a worker's call."""
+
+    Address: str
+    Summary: WorkerSummary
+    Condition: WorkerCondition
+
+
+def max_body_bytes(method: str, path: str) -> int:
+    """Bytes that the body of this call may have."""
+    puts_configuration = path == CONFIGURATION_PATH and method == "PUT"
+    return MAX_CONFIGURATION_BYTES if puts_configuration else MAX_CALL_BYTES
+
+
+def decode(method: str, path: str, body: bytes) -> Result[Command, Rejection]:
+    """The command of a call on the Control listener."""
+    path = path.partition("?")[0]
+    if path == CONFIGURATION_PATH:
+        return decode_configuration_call(method, body)
+    if path.startswith(INSTANCES_PATH):
+        return decode_instance_call(method, path.removeprefix(INSTANCES_PATH), body)
+    return Err(Rejection(404, "no such call"))
+
+
+def decode_configuration_call(method: str, body: bytes) -> Result[Command, Rejection]:
+    """The command of a call that reads or puts the configuration."""
+    if method == "GET":
+        return Ok(GetConfiguration())
+    if method == "PUT":
+        return parse(body).map(PutConfiguration).map_err(lambda violation: Rejection(400, str(violation)))
+    return Err(wrong_method(method, CONFIGURATION_PATH, "GET, PUT"))
+
+
+def decode_instance_call(method: str, instance_id: str, body: bytes) -> Result[Command, Rejection]:
+    """The command of a worker's call."""
+    if not INSTANCE_ID.fullmatch(instance_id):
+        return Err(Rejection(400, "the path holds no worker's id"))
+    if method == "DELETE":
+        return Ok(DeregisterWorker(instance_id))
+    if method == "PUT":
+        return decode_heartbeat(instance_id, body)
+    return Err(wrong_method(method, INSTANCES_PATH, "PUT, DELETE"))
+
+
+def decode_heartbeat(instance_id: str, body: bytes) -> Result[RegisterWorker, Rejection]:
+    """The command of a worker's heartbeat."""
+    checked = decode_body(body, Heartbeat)
+    if isinstance(checked, Err):
+        return checked
+    heartbeat: Heartbeat = checked.ok_value
+    host, _, port = heartbeat["Address"].rpartition(":")
+    if not host or not port.isdigit():
+        return Err(Rejection(400, f"Address: expected host:port, found {heartbeat['Address']!r:.60}"))
+    summary, condition = heartbeat["Summary"], heartbeat["Condition"]
+    slots = summary.get("Slots", 1)
+    if not 0 <= condition["CallSeq"] < CALL_SEQUENCE_END or not 0 < slots < SLOTS_END:
+        return Err(Rejection(400, "CallSeq or Slots: out of range"))
+    registration = WorkerRegistration(
+        service=summary["Target"],
+        address=heartbeat["Address"],
+        zone=summary.get("Zone", ""),
+        slots=slots,
+        phase=condition["Phase"] if condition["Phase"] == DRAINING else READY,
+        call_sequence=condition["CallSeq"],
+        warm_up_left=max(condition.get("ColdLeftS", 0.0), 0.0),
+        revision=summary.get("Revision", ""),
+    )
+    return Ok(RegisterWorker(instance_id, registration))
+
+
+# --- calls of operators, on the listener for other controllers
+
+
+class DrainPlanCall(TypedDict):
+    """An operator's call about a drain plan."""
+
+    Do: Literal["start", "plan", "stop", "back"]
+    Name: str
+    Service: NotRequired[str]
+    Workers: NotRequired[list[str]]
+    Zone: NotRequired[str]
+    Revision: NotRequired[str]
+    Count: NotRequired[int]
+    Wave: NotRequired[int]
+
+
+def decode_drain_plan_call(body: bytes) -> Result[StartDrainPlan | EndDrainPlan, Rejection]:
+    """The command of a call about a drain plan."""
+    checked = decode_body(body, DrainPlanCall)
+    if isinstance(checked, Err):
+        return checked
+    call: DrainPlanCall = checked.ok_value
+    if not PLAN_NAME.fullmatch(call["Name"]):
+        return Err(Rejection(400, "Name: expected letters, digits, . _ -, 64 at most"))
+    if call["Do"] in ("stop", "back"):
+        return Ok(EndDrainPlan(call["Name"], "stopped" if call["Do"] == "stop" else "back"))
+    if not call.get("Service"):
+        return Err(Rejection(400, "Service: expected a value, found nothing"))
+    if call.get("Wave", 1) < 1 or call.get("Count", 1) < 1:
+        return Err(Rejection(400, "Wave or Count: expected 1 or more"))
+    return Ok(
+        StartDrainPlan(
+            name=call["Name"],
+            service=call["Service"],
+            instance_ids=tuple(call.get("Workers", ())),
+            zone=call.get("Zone", ""),
+            revision=call.get("Revision", ""),
+            count=call.get("Count", 0),
+            wave=call.get("Wave", 1),
+            dry_run=call["Do"] == "plan",
+        )
+    )
+
+
+class MembershipCall(TypedDict):
+    """An operator's call about who votes."""
+
+    Do: Literal["replace", "remove", "add"]
+    Old: NotRequired[str]
+    New: NotRequired[str]
+
+
+MEMBERSHIP_CALL_FIELDS = {"replace": ("Old", "New"), "remove": ("Old",), "add": ("New",)}
+
+
+def decode_membership_call(body: bytes) -> Result[ReplaceMember | RemoveMember | AddMember, Rejection]:
+    """The command of a call about who votes."""
+    checked = decode_body(body, MembershipCall)
+    if isinstance(checked, Err):
+        return checked
+    call: MembershipCall = checked.ok_value
+    if rejection := check_membership_addresses(call):
+        return Err(rejection)
+    match call["Do"]:
+        case "remove":
+            return Ok(RemoveMember(call["Old"]))
+        case "add":
+            return Ok(AddMember(call["New"]))
+    if call["Old"] == call["New"]:
+        return Err(Rejection(400, f"New: expected another archive than {call['Old']}"))
+    return Ok(ReplaceMember(call["Old"], call["New"]))
+
+
+def check_membership_addresses(call: MembershipCall) -> Rejection | None:
+    """The first address that is missing, one too many, or none."""
+    expected_fields = MEMBERSHIP_CALL_FIELDS[call["Do"]]
+    for name in ("Old", "New"):
+        if (name in expected_fields) != (name in call):
+            found, expected = (
+                ("nothing", "an address") if name in expected_fields else ("an address", "nothing")
+            )
+            return Rejection(400, f"{name}: expected {expected} to {call['Do']}, found {found}")
+        if name in call and not CONTROLLER_ADDRESS.fullmatch(call[name]):
+            expected = "an address such as 10.0.0.4"
+            return Rejection(400, f"{name}: expected {expected}, found {call[name]!r:.60}")
+    return None
+
+
+# --- what the decoders share
+
+
+def decode_body(body: bytes, shape: type) -> Result[Any, Rejection]:
+    """The body's known fields, or a rejection that names the first fault."""
+    try:
+        checked = check(json.loads(body), shape)
+    except (ValueError, RecursionError):
+        return Err(Rejection(400, "the body is no JSON"))
+    return checked.map_err(lambda violation: Rejection(400, str(violation)))
+
+
+def wrong_method(method: str, path: str, allow: str) -> Rejection:
+    """The rejection of a method that the path doesn't take."""
+    return Rejection(405, f"{method:.20} is not for {path}", allow)
--- a/bramblewood/controller/http_listener.py
+++ b/bramblewood/controller/http_listener.py
@@ -4,19 +4,14 @@
 from result import Err
 
 from ..common.peer_connections import accept
-from .commands import (
+from .command_decoding import (
     MAX_CALL_BYTES,
-    Command,
-    DeregisterWorker,
-    GetConfiguration,
-    PutConfiguration,
-    RegisterWorker,
-    Rejection,
     decode,
     decode_drain_plan_call,
     decode_membership_call,
     max_body_bytes,
 )
+from .commands import Command, DeregisterWorker, GetConfiguration, PutConfiguration, RegisterWorker, Rejection
 from .http_responses import make_response
 from .introspection import Introspection
 from .operator_api import OperatorApi
--- a/bramblewood/controller/operator_api.py
+++ b/bramblewood/controller/operator_api.py
@@ -8,14 +8,7 @@
 from result import Err
 
 from ..common.worker_registry import WorkerRegistry
-from .commands import (
-    AddMember,
-    EndDrainPlan,
-    PutConfiguration,
-    RemoveMember,
-    ReplaceMember,
-    StartDrainPlan,
-)
+from .commands import AddMember, EndDrainPlan, PutConfiguration, RemoveMember, ReplaceMember, StartDrainPlan
 from .configuration_succession import apply_configuration, settled_answer
 from .consensus.registers import CONFIG, TABLE, VOTER_SET
 from .consensus.voter_set import next_voter_set
--- a/features/steps/control_api.py
+++ b/features/steps/control_api.py
@@ -3,7 +3,8 @@
 
 from behave import given, then, when
 
-from bramblewood.controller.commands import CONFIGURATION_PATH, PutConfiguration, Rejection, decode
+from bramblewood.controller.command_decoding import CONFIGURATION_PATH, decode
+from bramblewood.controller.commands import PutConfiguration, Rejection
 from bramblewood.controller.configuration_succession import apply_configuration
 from bramblewood.controller.http_responses import make_response
 from tests.approved import approve
--- a/features/steps/membership_commands.py
+++ b/features/steps/membership_commands.py
@@ -11,7 +11,7 @@
 
 from bramblewood.cli.gateway import gateway
 from bramblewood.common.settings import Bounds
-from bramblewood.controller.commands import decode_membership_call
+from bramblewood.controller.command_decoding import decode_membership_call
 from bramblewood.controller.sessions import HEARTBEAT_INTERVAL
 from tests.approved import approve
 from tests.simulation.membership_commands import SEAT_KEPT_FOR, ControllerFleet
