--- a/bramblewood/controller/consensus/messages.py
+++ b/bramblewood/controller/consensus/messages.py
@@ -253,6 +253,11 @@
         return {**wire, "regs": registers}
 
 
+VoterRequest = Prepare | Accept | AcceptDifference
+VoterReply = Promise | Accepted | Rejected
+RegisterMessage = VoterRequest | VoterReply | RoundDone | FetchChosen | Chosen
+EpochMessage = EpochNotice | JoinEpoch | EpochState
+
 MESSAGE_TYPES: dict[str, Any] = {
     PREPARE: Prepare,
     PROMISE: Promise,
@@ -269,6 +274,6 @@
 CONSENSUS_MESSAGE_KINDS = frozenset(MESSAGE_TYPES)  # of the messages on a link that consensus handles
 
 
-def decode(wire: dict) -> Any:
+def decode(wire: dict) -> RegisterMessage | EpochMessage:
     """The message of this wire form. KeyError where its kind or a key of it is unknown or missing."""
     return MESSAGE_TYPES[wire["k"]].from_wire(wire)
--- a/bramblewood/controller/consensus/proposal_round.py
+++ b/bramblewood/controller/consensus/proposal_round.py
@@ -8,6 +8,9 @@
 from .messages import Accept, AcceptDifference
 from .proposal_number import NO_PROPOSAL, ProposalNumber
 
+# from the value that stands (None at first) to (next value or None for none, outcome)
+Change = Callable[[Any], tuple[Any, Any]]
+
 
 class Phase(Enum):
     """How far a round has come."""
@@ -20,7 +23,7 @@
 class ProposalRound:
     """One change that was proposed here, and how far the round that carries it has come."""
 
-    def __init__(self, register: str, change: Callable, tag: Any, deadline: float) -> None:
+    def __init__(self, register: str, change: Change, tag: Any, deadline: float) -> None:
         """change, tag: as in `Proposer.propose`; deadline: when its outcome counts as unclear."""
         self.register, self.change, self.tag, self.deadline = register, change, tag, deadline
         self.outcome: Any = None
--- a/bramblewood/controller/consensus/proposer.py
+++ b/bramblewood/controller/consensus/proposer.py
@@ -1,7 +1,6 @@
 """The proposer: rounds of prepare and accept that carry the changes proposed at this controller."""
 
 import zlib
-from collections.abc import Callable
 from typing import Any, NamedTuple
 
 from ..value_diff import difference
@@ -11,7 +10,7 @@
 from .local_member import LocalMember
 from .messages import Prepare, Promise, Rejected, RoundDone
 from .proposal_number import NO_PROPOSAL, ProposalNumber
-from .proposal_round import Phase, ProposalRound
+from .proposal_round import Change, Phase, ProposalRound
 from .proposer_backoff import ProposerBackoff
 from .registers import ALL_REGISTERS, VOTER_SET
 from .timing import MAX_RETRY_BACKOFF_UNITS, PHASE_TIMEOUT, RETRY_BACKOFF, UNFINISHED_TIMEOUT
@@ -57,7 +56,7 @@
         self.highest_counters[register] = max(self.highest_counters[register], number.counter)
 
     def propose(
-        self, now: float, register: str, change: Callable, tag: Any, within: float, effects: Effects
+        self, now: float, register: str, change: Change, tag: Any, within: float, effects: Effects
     ) -> None:
         """Queue a change. It gets an answer in these or later effects; see `ConsensusReplica.propose`."""
         self.rounds[register].append(ProposalRound(register, change, tag, now + within))
--- a/bramblewood/controller/consensus/replica.py
+++ b/bramblewood/controller/consensus/replica.py
@@ -12,7 +12,7 @@
 value that was only carried over counts as chosen once a proposal of the epoch itself has chosen it.
 """
 
-from collections.abc import Callable, Mapping, Sequence
+from collections.abc import Mapping, Sequence
 from typing import Any
 
 from ..value_diff import apply_difference
@@ -32,11 +32,15 @@
     JoinEpoch,
     Prepare,
     Promise,
+    RegisterMessage,
     Rejected,
     RoundDone,
+    VoterReply,
+    VoterRequest,
     decode,
 )
 from .proposal_number import NO_PROPOSAL, ProposalNumber
+from .proposal_round import Change
 from .proposer import Proposer, Rejection
 from .proposer_backoff import ProposerBackoff
 from .registers import ALL_REGISTERS, VOTER_SET
@@ -145,7 +149,7 @@
 
     # --- what the shell brings
 
-    def propose(self, now: float, register: str, change: Callable, tag: Any, within: float) -> Effects:
+    def propose(self, now: float, register: str, change: Change, tag: Any, within: float) -> Effects:
         """Queue a change.
 
         change: from the value that stands (None at first) to (next value or None for none, outcome). It may
@@ -213,7 +217,9 @@
                 self._receive_about_register(now, peer, message, effects)
         return effects
 
-    def _receive_about_register(self, now: float, peer: str, message: Any, effects: Effects) -> None:
+    def _receive_about_register(
+        self, now: float, peer: str, message: RegisterMessage, effects: Effects
+    ) -> None:
         match message:
             case Prepare() | Accept() | AcceptDifference():
                 self._on_voter_request(now, peer, message, effects)
@@ -228,9 +234,7 @@
                 self.proposer.backoff.round_finished(register, number)
                 self.proposer.start_next_round(now, register, effects)
 
-    def _on_voter_reply(
-        self, now: float, peer: str, message: Promise | Accepted | Rejected, effects: Effects
-    ) -> None:
+    def _on_voter_reply(self, now: float, peer: str, message: VoterReply, effects: Effects) -> None:
         match message:
             case Promise():
                 self.proposer.on_promise(now, peer, message, effects)
@@ -241,9 +245,7 @@
 
     # --- the acceptors
 
-    def _on_voter_request(
-        self, now: float, peer: str, request: Prepare | Accept | AcceptDifference, effects: Effects
-    ) -> None:
+    def _on_voter_request(self, now: float, peer: str, request: VoterRequest, effects: Effects) -> None:
         """Answer a proposer of this epoch; tell one of an earlier epoch that it missed a change."""
         if request.proposal_number.epoch < self.epoch:
             effects.send(peer, EpochNotice(self.voter_set))
--- a/bramblewood/controller/consensus/voter_set.py
+++ b/bramblewood/controller/consensus/voter_set.py
@@ -31,7 +31,9 @@
     return voters.get(address) in (ANY_DISK, disk)
 
 
-def next_voter_set(current: VoterSet, voters: dict[str, str]) -> Callable:
+def next_voter_set(
+    current: VoterSet, voters: dict[str, str]
+) -> Callable[[VoterSet | None], tuple[VoterSet | None, bool]]:
     """The change that makes these voters the epoch after `current`, unless another set has been agreed.
 
     Returns a change as `ConsensusReplica.propose` takes it; its outcome is whether this set was chosen.
