--- a/bramblewood/controller/placement/service_load.py
+++ b/bramblewood/controller/placement/service_load.py
@@ -37,8 +37,8 @@
     """
     stated_load = {}
     if load:
-        running, waiting, slots = load[:3]
-        stated_load = {"utilization": running / max(slots, 1), "queued": waiting / max(slots, 1)}
+        slots = max(load[2], 1)
+        stated_load = {"utilization": load[0] / slots, "queued": load[1] / slots}
     return events.WorkerReported(instance_id, "", attempts, unanswered, mean_time, interval, stated_load)
 
 
--- a/bramblewood/controller/proxy_updates.py
+++ b/bramblewood/controller/proxy_updates.py
@@ -6,8 +6,9 @@
 """
 
 from collections import deque
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
+from ..common.messages import TableUpdate
 from ..common.slice_table import DRAIN_IN_PROGRESS, Row
 from .drain_plans import drain_steps_of
 from .outlier_detection import ejected_workers
@@ -53,7 +54,7 @@
         self.changes.append(TableStep(self.version, value["n"], changed_starts))
         self.version, self.services = value["n"], value["s"]
 
-    def message_since(self, known: int) -> dict[str, Any] | None:
+    def message_since(self, known: int) -> TableUpdate | None:
         """The message that brings a proxy from version `known` to the newest; None where it has that.
 
         It holds the whole table where the changes since are not all kept here.
@@ -62,7 +63,7 @@
             return None
         steps = [step for step in self.changes if step.to_version > known]
         if known <= 0 or not steps or steps[0].from_version > known:
-            return {"k": "table", "n": self.version, "s": self.services, "w": self.draining}
+            return TableUpdate(self.version, self.services, leaving=self.draining)
         starts: dict[str, set[str]] = {}
         for step in steps:
             for service, changed in step.changed_starts.items():
@@ -71,5 +72,5 @@
             service: {start: self.services[service][start] for start in changed}
             for service, changed in starts.items()
         }
-        message = {"k": "table", "n": self.version, "base": known, "d": rows}
-        return {**message, "w": self.draining} if self.draining_version > known else message
+        draining = self.draining if self.draining_version > known else None
+        return TableUpdate(self.version, rows, known, draining)
--- a/bramblewood/net/program/service.py
+++ b/bramblewood/net/program/service.py
@@ -306,7 +306,7 @@
 
         try:
             told = bylaws.load(self.bylaws.path)
-        except bylaws.ConfigurationError as problem:
+        except bylaws.Faulty as problem:
             self.log.warning("new operator's file refused", why=str(problem))
             return
         self.bylaws, now, later = bylaws.renewed(self.bylaws, told)
--- a/bramblewood/net/routing/stream.py
+++ b/bramblewood/net/routing/stream.py
@@ -4,6 +4,7 @@
 """
 
 from ..protocol.fields import ProtocolError
+from ..transport.buffer import Buffer
 from ..transport.connection import Address, Connection, growing_wait
 from ..transport.ending import Ending
 from ..transport.loop import Loop
@@ -162,6 +163,14 @@
                 max(attempt.since + wait - self.loop.now(), 0.0), self.open
             )
 
+    def greeting(self) -> bytes:
+        """What is sent first on a new connection."""
+        raise NotImplementedError
+
+    def read(self, attempt: Attempt, buffer: Buffer) -> None:
+        """Read what has arrived on an attempt; raises ProtocolError."""
+        raise NotImplementedError
+
     def reader(self):
         """What reads one connection and no other, where something must."""
 
--- a/bramblewood/policy/admission.py
+++ b/bramblewood/policy/admission.py
@@ -8,6 +8,17 @@
 class AdmissionControl(WorkerState):
     """What a worker admits, by operation, and whether others may retry."""
 
+    @property
+    def is_warm(self) -> bool:
+        """Whether its slow start is over."""
+        return self.warmth() >= 1.0
+
+    def warmth(self) -> float:
+        """The share of its capacity that it surely has in its slow start, from `slow_start_minimum` to 1."""
+        settings, age = self.manager.settings, self.manager.now - self.warming_since
+        least, window = settings.slow_start_minimum, settings.slow_start_window
+        return 1.0 if age >= window else least + (1 - least) * max(age, 0.0) / window
+
     def adjust_admission(self) -> None:
         """Once a cycle: admit less while overloaded, whatever the cause, and more again afterwards."""
         before = self.retries_cut, list(self.admitted)
--- a/bramblewood/policy/workers.py
+++ b/bramblewood/policy/workers.py
@@ -20,17 +20,6 @@
         """Whether it is listed ready and not ejected."""
         return self.state == READY and self.ejected_until <= self.manager.now
 
-    @property
-    def is_warm(self) -> bool:
-        """Whether its slow start is over."""
-        return self.warmth() >= 1.0
-
-    def warmth(self) -> float:
-        """The share of its capacity that it surely has in its slow start, from `slow_start_minimum` to 1."""
-        settings, age = self.manager.settings, self.manager.now - self.warming_since
-        least, window = settings.slow_start_minimum, settings.slow_start_window
-        return 1.0 if age >= window else least + (1 - least) * max(age, 0.0) / window
-
     def is_over_limit(self, reports: int = parameters.REPORTS_AVERAGED) -> bool:
         """Whether its own reports show it over the limit; true where they don't tell utilization."""
         average = mean([*self.loads][-reports:])
--- a/features/steps/request_lifetime.py
+++ b/features/steps/request_lifetime.py
@@ -3,7 +3,7 @@
 
 from behave import given, then, when
 
-from tests.simulation.proxy import Play
+from tests.simulation.proxy import ProxySimulation
 
 FROM_CONTROLLER = types.SimpleNamespace(peer="127.0.0.9")  # the connection that a message arrives on
 
@@ -12,13 +12,13 @@
     """Run one exchange with a proxy and its scripted workers; what the exchange returns."""
 
     async def run():
-        play = Play()
+        play = ProxySimulation()
         await play.start(context.scripts)
         try:
             return await exchange(play)
         finally:
             for worker in play.workers.values():
-                worker.go.set()
+                worker.released.set()
             await play.end()
 
     return asyncio.run(run())
@@ -58,7 +58,7 @@
 def lookup(context, seconds):
     async def exchange(play):
         status = await status_of(*await send(play, "GET", "/look/1", int(seconds * 1000)))
-        return status, {name: worker.fields for name, worker in play.workers.items()}
+        return status, {name: worker.received_fields for name, worker in play.workers.items()}
 
     context.status, context.fields = run_play(context, exchange)
 
@@ -98,10 +98,10 @@
         writer.transport.abort()
         left_at = asyncio.get_running_loop().time()
         await asyncio.sleep(0.4)
-        worker.go.set()  # it reads on, and so finds out whether its caller has gone
-        while worker.open and asyncio.get_running_loop().time() < left_at + 1.0:
+        worker.released.set()  # it reads on, and so finds out whether its caller has gone
+        while worker.open_connections and asyncio.get_running_loop().time() < left_at + 1.0:
             await asyncio.sleep(0.01)
-        return worker.open, asyncio.get_running_loop().time() - left_at
+        return worker.open_connections, asyncio.get_running_loop().time() - left_at
 
     context.open, context.took = run_play(context, exchange)
 
@@ -117,8 +117,8 @@
         connection = await send(play, "GET", "/look/1", 1500)
         worker = await first_asked(play)
         gone = ["plain", worker.address, "z", 2, "gone", 9]
-        play.proxy.sessions.on_message(FROM_CONTROLLER, {"k": "roll", "rows": {worker.name: gone}})
-        worker.go.set()
+        play.proxy.sessions.handle_message(FROM_CONTROLLER, {"k": "roll", "rows": {worker.name: gone}})
+        worker.released.set()
         status, before = await status_of(*connection), len(worker.arrivals)
         later = [await status_of(*await send(play, "GET", f"/look/{n}", 1500)) for n in range(8)]
         return status, later, len(worker.arrivals) - before
--- a/tests/simulation/membership_epoch_cases.py
+++ b/tests/simulation/membership_epoch_cases.py
@@ -227,7 +227,7 @@
             new = f"m{len(voters) + 1}"
             voters[new] = world.machines[new].consensus.disk
             change = next_voter_set(machine.consensus.voter_set, voters)
-            machine.propose(VOTER_SET, change, lambda outcome: None, 1.0)
+            machine.quorum_io.propose(VOTER_SET, change, lambda outcome: None, 1.0)
             world.advance(0.004 * step)
             (world.lose_disk if way == "disk" else world.lose_power)("m0")
             world.away["m0"] = None
--- a/tests/simulation/membership_epoch_days.py
+++ b/tests/simulation/membership_epoch_days.py
@@ -56,7 +56,7 @@
             return lambda: world.start(name)
         if kind in ("for good", "plan"):
             if kind == "plan":
-                world.machines[name].told_to_leave = True
+                world.machines[name].shutdown_requested = True
                 until = world.now + BOUNDS.GraceS
                 while name in world.machines and world.now < until:
                     self.orders(0.2)
@@ -98,14 +98,16 @@
         world, rng = self.world, self.rng
         for _ in range(1 + (rng.random() < 0.3)):
             machine = world.machines[rng.choice(sorted(world.machines))]
-            members, peers = machine.consensus.voter_set, machine.peers(world.now)
+            members, peers = machine.consensus.voter_set, machine.voter_changes.peer_statuses(world.now)
             spares = [name for name in peers if name not in members["voters"]]
             old, new = rng.choice(sorted(members["voters"])), rng.choice(sorted(spares) or [""])
-            made = machine.membership.requested_change(members, peers, machine.versions(), old, new)
+            made = machine.voter_changes.membership.requested_change(
+                members, peers, machine.quorum_io.versions(), old, new
+            )
             if new and made.is_ok():
                 self.counts["swap"] = self.counts.get("swap", 0) + 1
                 change = next_voter_set(members, made.ok_value.voters)
-                machine.propose(VOTER_SET, change, lambda outcome: None, 1.0)
+                machine.quorum_io.propose(VOTER_SET, change, lambda outcome: None, 1.0)
         world.advance(rng.uniform(0.0, 0.15))
 
     def leave_then_lose_another(self) -> None:
@@ -116,7 +118,7 @@
             return
         leaver, victim = rng.sample(sorted(voters), 2)
         self.counts["relay"] = self.counts.get("relay", 0) + 1
-        world.machines[leaver].told_to_leave = True
+        world.machines[leaver].shutdown_requested = True
         until = world.now + BOUNDS.GraceS
         while leaver in world.machines and world.now < until:
             world.put(rng.choice(sorted(world.machines)))
