--- a/bramblewood/controller/drain_progress.py
+++ b/bramblewood/controller/drain_progress.py
@@ -22,7 +22,7 @@
     WORKER,
 )
 from ..common.worker_registry import GONE, WorkerRegistry
-from ..policy_base.parameters import CAPACITY_LIMIT
+from ..policy.parameters import CAPACITY_LIMIT
 from .drain_plans import (
     DONE,
     RUNNING,
--- a/bramblewood/controller/hot_keys.py
+++ b/bramblewood/controller/hot_keys.py
@@ -16,7 +16,7 @@
 from typing import NamedTuple
 
 from ..common.slice_table import KEYS_PER_RANGE
-from ..policy_base.parameters import CAPACITY_LIMIT, REPORTS_AVERAGED, REPORTS_HELD
+from ..policy.parameters import CAPACITY_LIMIT, REPORTS_AVERAGED, REPORTS_HELD
 
 WATCH_RATE_SHARE = 0.5  # of one worker's throughput, at which a range is counted key by key
 MAX_WATCHED_RANGES = 8  # at once: a proxy then has 64 more counters at the most
--- a/bramblewood/controller/outlier_detection.py
+++ b/bramblewood/controller/outlier_detection.py
@@ -17,8 +17,8 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from ..policy_base.averages import median
-from ..policy_base.parameters import REPORTS_AVERAGED, REPORTS_HELD
+from ..policy.parameters import REPORTS_AVERAGED, REPORTS_HELD
+from ..policy_mechanisms.averages import median
 from .table_changes import ProposedTable, TableValue
 
 EJECTIONS_KEY = "h"  # in the table's value
--- a/bramblewood/controller/placement/rebalancing.py
+++ b/bramblewood/controller/placement/rebalancing.py
@@ -15,9 +15,9 @@
 
 from ...common.slice_table import KEY_SPACE_SIZE, PREVIOUS_OWNER
 from ...policy.manager import Manager
+from ...policy.parameters import CAPACITY_LIMIT, LONG_AGO, REPORT_LAG, REPORTS_HELD
 from ...policy.slices import Slice
 from ...policy.workers import Worker
-from ...policy_base.parameters import CAPACITY_LIMIT, LONG_AGO, REPORT_LAG, REPORTS_HELD
 from ..table_changes import Entry
 from .service_load import REPORT_CYCLE, ServiceLoad
 from .slice_changes import Assignment, SliceSplit
--- a/bramblewood/controller/placement/service_load.py
+++ b/bramblewood/controller/placement/service_load.py
@@ -8,7 +8,7 @@
 
 from ... import events
 from ...common.slice_table import KEYS_PER_RANGE
-from ...policy_base.parameters import LONG_AGO
+from ...policy.parameters import LONG_AGO
 from ..hot_keys import HotKeys
 
 # s between the reports of a proxy, and the policy's cycle: hot keys are spread in seconds
--- a/bramblewood/controller/placement/service_placement.py
+++ b/bramblewood/controller/placement/service_placement.py
@@ -9,9 +9,9 @@
 
 from ... import events
 from ...policy.manager import Manager
+from ...policy.parameters import LONG_AGO
 from ...policy.slices import Slice
-from ...policy_base.averages import mean
-from ...policy_base.parameters import LONG_AGO
+from ...policy_mechanisms.averages import mean
 from ...startup_settings import Operation, StartupSettings
 from ..drain_progress import ServiceCapacity
 from ..hot_keys import HotKeyStatus
--- a/bramblewood/controller/placement/worker_loads.py
+++ b/bramblewood/controller/placement/worker_loads.py
@@ -2,7 +2,7 @@
 
 from ...policy.manager import Manager
 from ...policy.workers import Worker
-from ...policy_base.averages import mean, median
+from ...policy_mechanisms.averages import mean, median
 
 
 class WorkerLoads:
--- a/bramblewood/controller/read_replicas.py
+++ b/bramblewood/controller/read_replicas.py
@@ -20,7 +20,7 @@
 from ..common.slice_table import READERS, Row, SliceEntry, active_readers, all_readers, with_readers
 from ..common.timeouts import READ_LEASE_DURATION, READ_LEASE_EXPIRY, REPLICA_ANNOUNCEMENT_DELAY
 from ..common.worker_registry import READY, WorkerRegistry
-from ..policy_base.parameters import CAPACITY_LIMIT
+from ..policy.parameters import CAPACITY_LIMIT
 from .key_leases import RENEWAL_FRACTION, RETRY_DELAY
 from .table_changes import ProposedTable, TableValue
 
--- a/bramblewood/policy/failover.py
+++ b/bramblewood/policy/failover.py
@@ -4,8 +4,8 @@
 from collections import Counter
 
 from ..events import READY
-from ..policy_base import parameters
-from ..policy_base.averages import mean, median
+from ..policy_mechanisms.averages import mean, median
+from . import parameters
 from .load_accounting import LoadAccounting
 from .slices import Slice
 from .workers import Worker
--- a/bramblewood/policy/load_accounting.py
+++ b/bramblewood/policy/load_accounting.py
@@ -2,8 +2,8 @@
 
 from collections import Counter, deque
 
-from ..policy_base import parameters
-from ..policy_base.averages import mean
+from ..policy_mechanisms.averages import mean
+from . import parameters
 from .slices import Slice
 from .workers import Worker
 
@@ -24,8 +24,7 @@
         """Loads in heat: reported loads scaled to add up to the heat of all slices, recent moves included."""
         manager, slices = self.manager, self.manager.own_slices()
         ready = manager.ready_workers()
-        known_heat = [slice.estimate() for slice in slices if slice.estimates]
-        self.typical_heat = mean(known_heat) or self.typical_heat
+        self.typical_heat = mean([s.estimate() for s in slices if s.estimates]) or self.typical_heat
         self.own_loads, self.by_primary = Counter(), {}
         for slice in slices:
             self.own_loads[slice.primary] += slice.estimate()
@@ -101,8 +100,7 @@
         target.last_slice_at = self.manager.now
         known = sum(rate > 0 for rate in self.answered_rates) >= parameters.REPORTS_HELD
         if urgent and known:  # a start knows nothing to cut ahead by
-            expected_load = self.loads[target] / (self.sure_capacity(target) or 1.0)
-            self.manager.schedule(target.cut_ahead, expected_load)
+            self.manager.schedule(target.cut_ahead, self.loads[target] / (self.sure_capacity(target) or 1.0))
         keeps = slice.standby and slice.standby is not target and slice.standby.usable
         standby = slice.standby if keeps else self.choose_standby(target)
         self.manager.schedule(slice.assign_workers, target, standby, urgent)
--- a/bramblewood/policy_base/parameters.py
+++ b/bramblewood/policy/parameters.py
@@ -11,7 +11,7 @@
 REST_TIMES = (5.0, 640.0)  # that a slice rests after its first ordinary move, doubled with each, and at most
 MAX_MOVES_COUNTED = 16  # ordinary moves of a slice, far past its longest rest
 
-# Reports
+# Reports and the worker list
 REPORT_LAG = 2.0  # before a report shows a move: longest delay of a report and of an order, roughly
 STALE_CYCLES = 3  # cycles, or intervals of a report, after which the last report no longer counts
 MIN_ATTEMPTS = 4  # fewer attempts say nothing
@@ -19,6 +19,8 @@
 QUEUE_WEIGHT = 0.1  # utilization that one queued invocation counts as; ten are a full worker more
 FORGET_AFTER = 60  # cycles without a report after which a deregistered worker is forgotten
 MIN_INTERVAL = 0.1  # that a report's counts are taken to span at least
+LIST_TIMEOUT = 4.0  # without an answer before the list is asked for again; calls time out sooner
+LIST_BACKOFF = 0.5  # before asking again after a failure, doubled with each
 LONG_AGO = -1e9  # a start before any clock
 
 # Admission control
@@ -36,12 +38,10 @@
 SPARE_LOAD = 0.5  # share of capacity that the median worker uses while it can take in what jams another
 MOST_EJECTED = 0.45  # share of ready workers that may be ejected; more is a fault of the view
 SURGE = 1.3  # latest heat over its average; below it growth is noise
-# share used of a warming worker's sure capacity; at all of it one fell over under overload
-WARMING_SHARE = 0.8
+WARMING_SHARE = 0.8  # share used of a warming worker's sure capacity; at all of it one fell over
 SLICE_SPACING = 0.9  # cycles between slices given to a warming worker: one a cycle, whose turns vary
 STANDBY_WEIGHT = 0.01  # weight of the standby route; enough to retry at, too little to be a move
-# weight of the standby route while the primary is strained and the standby is not; it costs key caches
-OVERFLOW_WEIGHT = 0.4
+OVERFLOW_WEIGHT = 0.4  # the same while the primary alone is strained; it costs key caches
 
 # Publishing
 TURN_INTERVAL = 0.5  # between publishing turns, so that ten turns take about the time of five reports
@@ -51,7 +51,3 @@
 ACK_TIMEOUT = 120.0  # after which an unacknowledged message no longer waits; channels were seen 40 s behind
 MAX_EXCLUDED_ROUTES = 2  # routes to excluded workers left in an urgent table; more reach who joins
 MAX_EXCLUDED = 1000  # excluded workers remembered; ids may come again long after, and for ever would grow
-
-# The worker list
-LIST_TIMEOUT = 4.0  # without an answer before the list is asked for again; calls time out sooner
-LIST_BACKOFF = 0.5  # before asking again after a failure, doubled with each
--- a/bramblewood/policy/rebalancing.py
+++ b/bramblewood/policy/planner.py
@@ -1,23 +1,54 @@
-"""The ordinary rule of the design: two averaged tests that hold, then one smallest slice a cycle moves."""
+"""Once a cycle: urgent moves, then the design's two averaged tests that hold and one smallest slice."""
 
 from collections import Counter
 
-from ..policy_base import parameters
-from ..policy_base.averages import mean, median
-from .load_accounting import LoadAccounting
-from .slices import Slice
+from ..events import DEREGISTERED
+from ..policy_mechanisms.averages import mean, median
+from . import parameters
+from .failover import Failover
 from .workers import Worker
 
 
-class Rebalancing(LoadAccounting):
-    """The design's rule."""
+class Planner(Failover):
+    """The design's rule, and the urgent moves around it."""
+
+    def cycle(self) -> None:
+        """Once a cycle: end it for slices and workers, then eject, prepare and rebalance."""
+        manager = self.manager
+        self.forget_workers()
+        for slice in manager.own_slices():
+            slice.end_cycle()
+        answered = sum(worker.answered for worker in manager.workers.values())
+        self.answered_rates.append(answered / manager.settings.cycle)
+        self.eject_failing()
+        self.median_load = median(mean(w.new_loads) for w in manager.workers.values() if w.new_loads)
+        others_share = self.median_load * (1 - 1 / manager.manager_count)
+        for worker in manager.workers.values():
+            worker.end_cycle(self.median_load, others_share * worker.warmth())
+        before = self.strained_count
+        self.strained_count = len([worker for worker in manager.usable_workers() if worker.retries_cut])
+        if self.strained_count != before:
+            manager.log(f"{self.strained_count} workers strained: tries, then levels cut")
+        self.update_loads()
+        self.prepare_for_surge()
+        self.rebalance()
+
+    def forget_workers(self) -> None:
+        """Forget those long deregistered: ids are new all day, and one that was cut off returns sooner."""
+        named = {worker for slice in self.manager.own_slices() for worker in slice.routes}
+        for worker in list(self.manager.workers.values()):
+            silent = worker.cycles_without_report >= parameters.FORGET_AFTER
+            if worker.state == DEREGISTERED and silent and worker not in named:
+                del self.manager.workers[worker.name]
 
     def rebalance(self) -> None:
         """The smallest slice of a worker over its limit and over the bound goes to the least loaded."""
         ranked = sorted(self.manager.usable_workers(), key=lambda w: (self.relative_load(w), w.name))
         over, newcomers = self.over_limit(ranked), self.newcomers(ranked)
         for source in over[::-1][: 1 + len(newcomers)]:  # each newcomer may take one till it has its part
-            slice = self.smallest_rested_slice(source)
+            is_over = source.is_over_limit()  # moves cost key caches and a route to all proxies: few, small
+            rested = [s for s in self.by_primary[source] if is_over or s.rests_until <= self.manager.now]
+            slice = min(rested, key=lambda s: (s.estimate(), s.number), default=None)
             target = self.least_loaded(slice.estimate(), source) if slice else None
             if not slice or not target or source is not over[-1] and target not in newcomers:
                 continue
@@ -50,9 +81,3 @@
         shown = self.manager.now - settings.slow_start_window - parameters.REPORTS_AVERAGED * settings.cycle
         young = [worker for worker in ranked if worker.warming_since > shown]
         return [w for w in young if self.relative_load(w) * parameters.FLUCTUATION_BOUND < average]
-
-    def smallest_rested_slice(self, source: Worker) -> Slice | None:
-        """The smallest slice that may move: each move costs key caches and a route to all proxies."""
-        is_over, now = source.is_over_limit(), self.manager.now
-        rested = [slice for slice in self.by_primary[source] if is_over or slice.rests_until <= now]
-        return min(rested, key=lambda slice: (slice.estimate(), slice.number), default=None)
--- a/bramblewood/policy/publishing.py
+++ b/bramblewood/policy/publishing.py
@@ -2,11 +2,10 @@
 
 import math
 
-from ..events import ALL_SLICES, READY, RETRY_UNSTARTED, ExcludeWorker, RequestAcknowledgement, SetAdmission
-from ..policy_base import parameters
-from ..policy_base.sent_messages import MessageDraft, SentMessages
+from ..events import ALL_SLICES, RETRY_UNSTARTED, ExcludeWorker, RequestAcknowledgement, SetAdmission
+from ..policy_mechanisms.sent_messages import MessageDraft, SentMessages
+from . import parameters
 from .slices import Slice
-from .workers import Worker
 
 
 class Publisher:
@@ -31,10 +30,6 @@
         own = [slice for slice in self.manager.own_slices() if slice not in self.urgent]
         self.ordinary |= dict.fromkeys(own if self.excluded else ())
 
-    def is_excluded(self, worker: Worker) -> bool:
-        """Whether all proxies were told to keep away from a worker that is draining or gone."""
-        return worker.state != READY and self.excluded.get(worker.name, False)
-
     def is_rate_limited(self) -> bool:
         """Whether the number of messages allowed forbids another one now."""
         allowed, span = self.manager.settings.max_messages, self.manager.settings.messages_window
@@ -49,28 +44,22 @@
         spare = settings.drain_grace - settings.longest_delay
         return min(parameters.WAITING_SHARE * most, rate * max(spare, parameters.TURN_INTERVAL) / 2 or most)
 
-    def next_slices(self, turn: bool) -> list[Slice]:
-        """The slices to publish, in order: all urgent ones, in a turn a tenth of the others."""
-        slices = sorted(self.urgent, key=Slice.publishing_priority)
-        if turn:
-            slices += list(self.ordinary)[: math.ceil(len(self.ordinary) / parameters.TURNS_TO_PUBLISH)]
-        return slices
-
     def flush(self, turn: bool) -> None:
         """Send what the channel can take: exclusions, a line each, then tables as far as they fit."""
         self.sent.expire(self.manager.now, self.manager.settings.messages_window)
         if self.is_rate_limited():
             return
         settings, now, proxies = self.manager.settings, self.manager.now, len(self.manager.proxies)
-        defaults = [SetAdmission(ALL_SLICES, (), 1.0, RETRY_UNSTARTED)]
-        defaults *= settings.default_retry != RETRY_UNSTARTED  # only where the proxies' own way differs
-        header = settings.message_header + 1 + len(defaults) * len(self.manager.operations_by_value)
-        defaults = defaults if self.defaults_due and self.manager.own_slices() else []
+        differs = settings.default_retry != RETRY_UNSTARTED  # the proxies' own way: defaults are sent
+        header = settings.message_header + 1 + differs * len(self.manager.operations_by_value)
+        due = differs and self.defaults_due and self.manager.own_slices()
+        defaults = [SetAdmission(ALL_SLICES, (), 1.0, RETRY_UNSTARTED)] if due else []
         travelling = settings.lines_per_second * settings.message_delay
         waiting, limit = max(self.sent.waiting_lines() - travelling, 0.0), self.line_limit()
         urgent_limit = limit + (settings.max_waiting_lines - limit) / 3
         from_warming = any(s.leaves_warming_worker() for s in self.urgent)  # one falls over within seconds
-        slices = self.next_slices(turn)
+        part = math.ceil(len(self.ordinary) / parameters.TURNS_TO_PUBLISH) if turn else 0
+        slices = sorted(self.urgent, key=Slice.publishing_priority) + list(self.ordinary)[:part]
         hasty = any(s.closed_workers() or s.routes.get(s.primary) != 1.0 for s in self.urgent)
         fitting = (urgent_limit - waiting) // (proxies or 1) - header - len(defaults)  # all may never fit
         closed = list(dict.fromkeys(w for s in slices for w in s.closed_workers()))[: max(int(fitting), 0)]
@@ -99,18 +88,14 @@
             changes += [ExcludeWorker(w.name, False) for w in readmitted]  # after its route: fewer are told
             if not draft.fits(limit, len(changes)):
                 return
-            self.requeue(slice, wanted, returning, readmitted)
+            for worker in readmitted:
+                del self.excluded[worker.name]
+            self.urgent.pop(slice, None)
+            self.ordinary.pop(slice, None)
+            if returning != readmitted or slice.standby and slice.standby not in wanted:
+                self.urgent[slice] = None  # the table is not complete
+            elif set(wanted) - {slice.primary, slice.standby}:
+                self.ordinary[slice] = None
             if changes:
                 draft.add(changes)
-                self.manager.schedule(slice.set_published, wanted, admission)
-
-    def requeue(self, slice, wanted, returning, readmitted):
-        """Take a slice that goes out off the queue, or queue it again where its table is not complete."""
-        for worker in readmitted:
-            del self.excluded[worker.name]
-        self.urgent.pop(slice, None)
-        self.ordinary.pop(slice, None)
-        if returning != readmitted or slice.standby and slice.standby not in wanted:
-            self.urgent[slice] = None
-        elif set(wanted) - {slice.primary, slice.standby}:
-            self.ordinary[slice] = None
+                slice.routes, slice.admission = wanted, admission
--- a/bramblewood/policy/slices.py
+++ b/bramblewood/policy/slices.py
@@ -1,9 +1,9 @@
 """Slices: heat with the design's trend, the routes that a table should have, and the way there."""
 
-from ..events import READY, RETRY_UNSTARTED, SetAdmission, SetRoute
-from ..policy_base import parameters
-from ..policy_base.averages import mean
-from ..policy_base.state import SliceState
+from ..events import NO_RETRY, READY, RETRY_UNSTARTED, SetAdmission, SetRoute
+from ..policy_mechanisms.averages import mean
+from ..policy_mechanisms.state import SliceState
+from . import parameters
 from .workers import Worker
 
 
@@ -16,9 +16,10 @@
         self.primary = self.standby = self.admission = None
         self.manager.schedule(self.manager.publisher.renew)
 
-    def set_published(self, routes: dict, admission: list) -> None:
-        """The orders to this table went out."""
-        self.routes, self.admission = routes, admission
+    def add_route(self, worker: Worker, weight: float) -> None:
+        """Add a route that the store has; the heaviest one is the primary."""
+        self.routes[worker] = weight
+        self.primary, self.standby, *_ = [*sorted(self.routes, key=lambda w: -self.routes[w]), None]
 
     def end_cycle(self) -> None:
         """One estimate of heat with the design's trend: heat now x (1 + growth), the factor in bounds."""
@@ -40,8 +41,8 @@
 
     def closed_workers(self) -> list[Worker]:
         """Workers with a route that are draining or gone, and that not all proxies know to be excluded."""
-        is_excluded = self.manager.publisher.is_excluded
-        return [worker for worker in self.routes if worker.state != READY and not is_excluded(worker)]
+        excluded = self.manager.publisher.excluded
+        return [w for w in self.routes if w.state != READY and not excluded.get(w.name)]
 
     def is_unserved(self) -> bool:
         """Whether no route leads to a usable worker."""
@@ -49,10 +50,8 @@
 
     def leaves_warming_worker(self) -> bool:
         """Whether its traffic still goes to a worker in slow start that is not to keep it."""
-        return any(
-            weight == 1.0 and worker is not self.primary and worker.usable and not worker.is_warm
-            for worker, weight in self.routes.items()
-        )
+        losing = [w for w, weight in self.routes.items() if weight == 1.0 and w is not self.primary]
+        return any(worker.usable and not worker.is_warm for worker in losing)
 
     def publishing_priority(self) -> tuple[bool, ...]:
         """The order in which urgent tables go: unserved, closed and warming workers first, new primaries."""
@@ -69,23 +68,20 @@
         return parameters.OVERFLOW_WEIGHT if primary.is_over_limit(reports) else parameters.STANDBY_WEIGHT
 
     def changes(self, urgent: bool) -> tuple[dict, list | None, list]:
-        """The routes and admission that the table should have, and the orders that bring it there.
-
-        New routes come first. Where it is urgent, an unserved slice gets its primary route alone, and two
-        routes to excluded workers at most wait.
-        """
+        """The routes and admission that the table should have, and the orders to it, new routes first."""
         primary, standby = self.primary, self.standby
-        if urgent and self.routes and self.is_unserved() and primary and primary.usable:
+        if urgent and self.routes and self.is_unserved() and primary and primary.usable:  # that route alone
             return {**self.routes, primary: 1.0}, self.admission, [SetRoute(self.number, primary.name, 1.0)]
         routes = ((standby, self.standby_weight()), (primary, 1.0))
         wanted = {worker: weight for worker, weight in routes if worker}
         orders = [SetRoute(self.number, w.name, n) for w, n in wanted.items() if self.routes.get(w) != n]
-        excluded = [w for w in self.routes if urgent and self.manager.publisher.is_excluded(w)]
-        kept = {w: self.routes[w] for w in excluded[-parameters.MAX_EXCLUDED_ROUTES :]}
-        wanted = {**kept, **wanted}
+        closed = self.closed_workers()
+        excluded = [w for w in self.routes if urgent and w.state != READY and w not in closed]
+        wanted = {w: self.routes[w] for w in excluded[-parameters.MAX_EXCLUDED_ROUTES :]} | wanted
         orders += [SetRoute(self.number, w.name, 0) for w in self.routes if w not in wanted]
         default = [(1.0, RETRY_UNSTARTED)] * len(self.manager.operations_by_value)
-        rules = primary.admission_rules() if primary else default
+        retry = NO_RETRY if primary and primary.retries_cut else RETRY_UNSTARTED  # none may act twice
+        rules = [(round(level, 3), retry) for level in primary.admitted] if primary else default
         changed = [k for k, rule in enumerate(rules) if rule != (self.admission or default)[k]]
         for rule in dict.fromkeys(rules[k] for k in changed):  # equal rules share an order
             orders.append(SetAdmission(self.number, tuple(k for k in changed if rules[k] == rule), *rule))
--- a/bramblewood/policy/worker_list.py
+++ b/bramblewood/policy/worker_list.py
@@ -1,7 +1,7 @@
 """The subscription to the worker list: followed, and asked for again in time and without flooding."""
 
 from ..events import DEREGISTERED, ListedWorker, WatchWorkerList, WorkersListed
-from ..policy_base import parameters
+from . import parameters
 
 
 class WorkerListSubscription:
@@ -28,7 +28,7 @@
             self.following = self.asked = False
             self.failures += 1
             backoff = min(parameters.LIST_BACKOFF * 2**self.failures, settings.request_list_within / 2)
-            self.ask_at = self.manager.now + backoff * (0.5 + self.manager.random_fraction())
+            self.ask_at = self.manager.now + backoff * (0.5 + next(self.manager.random_fractions))
             self.manager.log(f"a call for the list failed, the {self.failures}. time: asked again soon")
 
     def turn(self) -> None:
--- a/bramblewood/policy_base/dispatch.py
+++ b/bramblewood/policy_mechanisms/dispatch.py
@@ -1,4 +1,4 @@
-"""Passes events on to the parts of a manager, and keeps the queue of work that these give each other."""
+"""Tables of workers and slices, events passed on to a manager's parts, and the queue of calls."""
 
 from collections import deque
 from collections.abc import Callable, Iterable
@@ -9,12 +9,13 @@
 
 
 class Dispatcher:
-    """The queue of work and the checks of events; a Manager adds the parts that it passes them on to."""
+    """The tables, the queue of work and the checks of events; a Manager adds the parts that act on them."""
 
     worker_list: Any
     publisher: Any
 
-    def __init__(self) -> None:
+    def __init__(self, worker_type: type, slice_type: type) -> None:
+        self.worker_type, self.slice_type = worker_type, slice_type
         self.work: deque[tuple[Callable, tuple]] = deque()
         self.now = 0.0  # unix time in s
         self.orders: list[events.Order] = []  # of the batch in work
@@ -23,17 +24,34 @@
         self.proxies: dict[int, str] = {}  # joined ones, with their zones
 
     def worker(self, name: str) -> Any:
-        """The worker of this name."""
-        raise NotImplementedError
+        """The worker of this name; one that no list has named, only the store, counts as deregistered."""
+        return self.workers.get(name) or self.workers.setdefault(name, self.worker_type(self, name))
 
     def slice(self, number: int) -> Any:
-        """The slice of this number."""
-        raise NotImplementedError
+        """The slice of this number, new where it was never assigned."""
+        return self.slices.get(number) or self.slices.setdefault(number, self.slice_type(self, number))
+
+    def ready_workers(self) -> list[Any]:
+        """Workers that are listed ready, ejected ones too."""
+        return [worker for worker in self.workers.values() if worker.state == events.READY]
+
+    def usable_workers(self) -> list[Any]:
+        """Workers that are listed ready and not ejected."""
+        return [worker for worker in self.workers.values() if worker.usable]
+
+    def own_slices(self) -> list[Any]:
+        """Slices that are assigned to this manager."""
+        return [slice for slice in self.slices.values() if slice.assigned]
 
     def schedule(self, call: Callable, *arguments: Any) -> None:
         """Queue a call: parts act one after another, never within each other."""
         self.work.append((call, arguments))
 
+    def complete(self, call: Callable, *arguments: Any) -> None:
+        """Make a call, then all that it queues."""
+        self.schedule(call, *arguments)
+        self.run()
+
     def run(self) -> None:
         """Make all calls that are queued, and those that they queue."""
         while self.work:
@@ -47,8 +65,7 @@
     def accept(self, batch: Iterable[events.Event]) -> None:
         """Pass on events one by one; what is unknown, unusable or no longer assigned is dropped."""
         for event in batch:
-            self.pass_on(event)
-            self.run()
+            self.complete(self.pass_on, event)
 
     def pass_on(self, event: events.Event) -> None:
         """Queue the call that an event leads to, if any."""
--- /dev/null
+++ b/bramblewood/policy_mechanisms/random_fractions.py
@@ -0,0 +1,14 @@
+"""A seeded sequence of numbers, equal on all machines and in all versions of Python."""
+
+import zlib
+
+
+class RandomFractions:
+    """The sequence of a seed, from 0 to 1; next(fractions) draws the next number."""
+
+    def __init__(self, seed: int) -> None:
+        self.seed, self.count = seed, 0
+
+    def __next__(self) -> float:
+        self.count += 1
+        return zlib.crc32(f"{self.seed}:{self.count}".encode()) / 2**32
--- a/bramblewood/policy_base/sent_messages.py
+++ b/bramblewood/policy_mechanisms/sent_messages.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from ..events import MessageAcknowledged, Order
-from .parameters import ACK_TIMEOUT, LONG_AGO, REPORT_LAG
+from ..policy.parameters import ACK_TIMEOUT, LONG_AGO, REPORT_LAG
 
 NUMBERS = 65536  # message numbers, used in turn
 
--- a/bramblewood/policy_base/state.py
+++ b/bramblewood/policy_mechanisms/state.py
@@ -6,9 +6,8 @@
 from collections import deque
 from typing import Any
 
-from ..events import DEREGISTERED, SliceHeatReported, WorkerReported
-from .averages import is_usable
-from .parameters import LONG_AGO, MIN_INTERVAL, QUEUE_WEIGHT, REPORTS_AVERAGED, STALE_CYCLES, TURN_INTERVAL
+from ..events import DEREGISTERED, SliceHeatReported
+from ..policy.parameters import LONG_AGO, REPORTS_AVERAGED, STALE_CYCLES, TURN_INTERVAL
 
 
 class WorkerState:
@@ -22,9 +21,10 @@
         self.ejected_until = LONG_AGO  # unix time
         self.ejections = 0  # in a row, as far as counted
         self.last_slice_at = LONG_AGO  # unix time at which it was last given a slice
+        self.reset_measurements()
 
-    def reset_measurements(self, operations: int) -> None:
-        """Forget what was measured; all of so many operations are admitted."""
+    def reset_measurements(self) -> None:
+        """Forget what was measured; all operations are admitted."""
         self.loads: deque[float] = deque(maxlen=REPORTS_AVERAGED)  # load over capacity, one a cycle
         self.response_times: deque[float] = deque(maxlen=REPORTS_AVERAGED)  # s, one an evaluation
         self.new_loads: list[float] = []  # reported since the last cycle
@@ -36,29 +36,11 @@
         self.strain = 0.0  # last response time over the latency objective
         self.cycles_without_report = STALE_CYCLES  # cycles since the last load report
         self.report_gap = 1  # cycles that the last load report spans
-        self.admitted = [1.0] * operations  # admission level by operation
+        self.admitted = [1.0] * len(self.manager.settings.operations)  # admission level by operation
         self.retries_cut = False
         self.next_cut_at = LONG_AGO  # unix time before which admission is not cut again
         self.no_raise_before = LONG_AGO  # unix time before which admission is not raised
 
-    def add_report(self, report: WorkerReported) -> None:
-        """Add what the proxies of a zone observed, and its load report."""
-        answered = max(report.attempts - report.unanswered, 0)
-        self.answered += answered
-        if self.manager.now - report.interval >= self.ejected_until:  # older counts say nothing of it now
-            self.outcomes[0] += answered
-            self.outcomes[1] += report.unanswered
-            self.samples += [(report.mean_response_time, answered)] * (
-                answered > 0 < report.mean_response_time
-            )
-        load = {name: value for name, value in report.load.items() if is_usable(value)}
-        if "utilization" in load:
-            self.new_loads.append(load["utilization"] + QUEUE_WEIGHT * load.get("queued", 0.0))
-        elif "in_flight" in load:
-            self.new_loads.append(load["in_flight"] / self.weight)
-        elif not {"utilization", "in_flight"} & set(self.manager.settings.load_fields):
-            self.new_loads.append(report.attempts / max(report.interval, MIN_INTERVAL) / self.weight)
-
     def response_time(self) -> float:
         """The mean response time in s since the last evaluation, or the last one known."""
         answered = sum(count for _, count in self.samples)
@@ -83,11 +65,6 @@
         self.estimates: deque[float] = deque(maxlen=REPORTS_AVERAGED)  # invocations a second
         self.rests_until, self.moves = LONG_AGO, 0  # of moves by the ordinary rule
 
-    def add_route(self, worker: WorkerState, weight: float) -> None:
-        """Add a route that the store has; the heaviest one is the primary."""
-        self.routes[worker] = weight
-        self.primary, self.standby, *_ = [*sorted(self.routes, key=lambda w: -self.routes[w]), None]
-
     def add_heat(self, report: SliceHeatReported) -> None:
         """Add the invocations of one operation."""
         interval = max(report.interval, TURN_INTERVAL)  # where reports are capped they span seconds
--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -3,8 +3,8 @@
 import pytest
 
 from bramblewood import events
-from bramblewood.policy_base import parameters
-from bramblewood.policy_base.parameters import FORGET_AFTER
+from bramblewood.policy import parameters
+from bramblewood.policy.parameters import FORGET_AFTER
 
 from .simulation import SimulatedSite, entry, random_day
 
--- a/tests/policy/test_publishing.py
+++ b/tests/policy/test_publishing.py
@@ -3,7 +3,7 @@
 import pytest
 
 from bramblewood import events
-from bramblewood.policy_base.parameters import STANDBY_WEIGHT
+from bramblewood.policy.parameters import STANDBY_WEIGHT
 
 from .simulation import SimulatedSite, entry
 
--- a/tests/policy/test_rebalancing.py
+++ b/tests/policy/test_rebalancing.py
@@ -5,7 +5,7 @@
 import pytest
 
 from bramblewood import events
-from bramblewood.policy_base.parameters import FLUCTUATION_BOUND, REPORTS_HELD, REST_TIMES
+from bramblewood.policy.parameters import FLUCTUATION_BOUND, REPORTS_HELD, REST_TIMES
 
 from .simulation import SimulatedSite, entry
 
--- a/tests/policy/test_slices.py
+++ b/tests/policy/test_slices.py
@@ -4,8 +4,8 @@
 
 from bramblewood import events
 from bramblewood.policy.manager import Manager
+from bramblewood.policy.parameters import OVERFLOW_WEIGHT
 from bramblewood.policy.slices import Slice
-from bramblewood.policy_base.parameters import OVERFLOW_WEIGHT
 
 from .simulation import SETTINGS, SimulatedSite
 
