--- a/bramblewood/proxy/server.py
+++ b/bramblewood/proxy/server.py
@@ -131,7 +131,7 @@
         loop, handler = asyncio.get_running_loop(), self.request_handler
         started_at = loop.time()
         handler.is_shutting_down = True
-        self.log.info("ending", step="end", flight=handler.in_flight)
+        self.log.info("shutting down", step="end", in_flight=handler.in_flight)
         deadline = started_at + self.settings.bounds.GraceS - SHUTDOWN_RESERVE
         refuse_at = started_at + HEALTH_CHECKS_FAILED_AFTER
         while loop.time() < deadline and (handler.in_flight or loop.time() < refuse_at):
@@ -140,6 +140,6 @@
                 self.client_listener = None
             await asyncio.sleep(SHUTDOWN_POLL_INTERVAL)
             self.sessions.send_report(loop.time())
-        self.log.info("stopped", step="end", flight=handler.in_flight)
+        self.log.info("stopped", step="end", in_flight=handler.in_flight)
         await self.sessions.close()
         return 0
