--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -12,7 +12,8 @@
 import time
 from dataclasses import dataclass
 
-from bramblewood.common.configuration import Service, build_configuration
+from bramblewood.common.configuration import Service
+from bramblewood.common.configuration_parser import build_configuration
 from bramblewood.common.slice_table import KEY_SPACE_SIZE, KEYS_PER_RANGE
 from bramblewood.common.worker_registry import WorkerRegistration, WorkerRegistry
 from bramblewood.controller.placement import PlacementPlanner, apply_slice_changes, worker_report
@@ -158,7 +159,7 @@
         paths = [(f"h{i % 7}.example", f"/p{i}/q/x") for i in numbers]
         began = time.process_time()
         for number, (host, path) in enumerate(paths):
-            built.route(host, path)
+            built.find_route(host, path)
             self.load_balancer.choose_worker(self.now, "plain", None, str(number), set())
         return (time.process_time() - began) / len(paths)
 
--- a/bramblewood/cli/config.py
+++ b/bramblewood/cli/config.py
@@ -7,7 +7,7 @@
 import click
 from result import Err
 
-from ..common.configuration import build_configuration
+from ..common.configuration_parser import build_configuration
 from . import controller_client
 from .configuration_file import read_configuration
 from .exit_codes import PROBLEM_FOUND, SUCCESS
@@ -50,15 +50,19 @@
     configuration = build_configuration(raw)
     if isinstance(configuration, Err):
         fail(f"{name}: {configuration.err_value}")
-    hosts = configuration.ok_value.hosts
+    hosts = configuration.ok_value.routes_by_host
     return {(host, prefix): route for host, routes in hosts.items() for prefix, route in routes.items()}
 
 
+# of fields of a route, where scripts that read `config diff` know another than the code's
+PRINTED_NAMES = {"path_prefix": "prefix", "latency_target": "aim", "max_attempts": "attempts"}
+
+
 def changed_fields(key: RouteKey, old: Any, new: Any) -> list[str]:
     """One text for each field in which a route differs."""
     host, prefix = key
     return [
-        f"{host}{prefix}: {field} {getattr(old, field)} -> {getattr(new, field)}"
+        f"{host}{prefix}: {PRINTED_NAMES.get(field, field)} {getattr(old, field)} -> {getattr(new, field)}"
         for field in new._fields
         if getattr(new, field) != getattr(old, field)
     ]
--- a/bramblewood/cli/controller_client.py
+++ b/bramblewood/cli/controller_client.py
@@ -82,12 +82,12 @@
     if controller:
         return [controller]
     settings = load_settings(boot)
-    return [f"{ip}:{settings.inner}" for ip in settings.seed_ips()]
+    return [f"{ip}:{settings.peer_port}" for ip in settings.seed_hosts()]
 
 
 def control_addresses(control: str | None, boot: str | None) -> list[str]:
     """The Control address given, else those of the settings' seeds."""
-    return [control] if control else list(load_settings(boot).seeds)
+    return [control] if control else list(load_settings(boot).seed_addresses)
 
 
 def get_view(controller: str | None, boot: str | None, name: str) -> Any:
--- a/bramblewood/cli/explain.py
+++ b/bramblewood/cli/explain.py
@@ -5,7 +5,8 @@
 
 import click
 
-from ..common.configuration import Configuration, build_configuration
+from ..common.configuration import Configuration
+from ..common.configuration_parser import build_configuration
 from ..common.slice_table import PREVIOUS_OWNER, SECOND, WORKER
 from ..common.worker_registry import WorkerRegistration
 from ..proxy.load_balancing import LoadBalancer
@@ -62,13 +63,13 @@
 ) -> None:
     """Explain which route, slice and worker a request gets. Exit codes: 0 a worker, 1 none."""
     configuration: Configuration = build_configuration(get_configuration(control, boot)).ok_value
-    revision, route = f"r{configuration.number}", configuration.route(host, path)
+    revision, route = f"r{configuration.revision}", configuration.find_route(host, path)
     found: dict[str, Any] = {"version": revision, "route": route and route.label}
     if route is None:
         write_result(found, as_json, [f"{revision}: no route of {host} begins {path}: 404"])
         sys.exit(PROBLEM_FOUND)
-    service = route.service(request)
-    keyed = configuration.services[service].keyed
+    service = route.choose_service(request)
+    keyed = configuration.services[service].sharded
     registrations = get_view(controller, boot, WORKERS_VIEW)
     load_balancer = load_balancer_from(registrations, get_view(controller, boot, "table"))
     slice_key = key if keyed else load_balancer.hash_request_id(request)
@@ -77,7 +78,7 @@
     worker = choose() if entry else None
     found |= {"service": service, "keyed": keyed, "key": slice_key, "entry": entry, "worker": worker}
     lines = [
-        f"{revision}: route {route.label}, prefix {route.prefix}, service {service}",
+        f"{revision}: route {route.label}, prefix {route.path_prefix}, service {service}",
         slice_line(service, keyed, slice_key, entry),
         f"goes to {worker}" if worker else "no worker may get it now",
     ]
--- a/bramblewood/cli/options.py
+++ b/bramblewood/cli/options.py
@@ -4,10 +4,11 @@
 from result import Err
 
 from ..common import settings
+from ..common.settings_path import SETTINGS_PATH_VARIABLE
 from .output import fail
 
 BOOT = click.option(
-    "--boot", metavar="FILE", help=f"the settings file; else the one that {settings.VARIABLE} names"
+    "--boot", metavar="FILE", help=f"the settings file; else the one that {SETTINGS_PATH_VARIABLE} names"
 )
 JSON = click.option("--json", "as_json", is_flag=True, help="one JSON value")
 CONTROLLER = click.option(
@@ -28,6 +29,6 @@
     if isinstance(loaded, Err):
         fail(loaded.err_value)
     for name in listeners:
-        if name not in loaded.ok_value.listen:
+        if name not in loaded.ok_value.listen_addresses:
             fail(f"{loaded.ok_value.path}: BindMap.{name}: expected host:port, found nothing")
     return loaded.ok_value
--- a/bramblewood/cli/settings_check.py
+++ b/bramblewood/cli/settings_check.py
@@ -6,7 +6,7 @@
 from result import Err
 
 from ..common import settings
-from ..common.configuration import survey
+from ..common.configuration_parser import validate_configuration
 from .configuration_file import read_configuration
 from .exit_codes import PROBLEM_FOUND, SUCCESS
 from .options import BOOT, JSON
@@ -25,8 +25,8 @@
     faults = []
     if boot or not config:
         loaded = settings.load(boot)
-        faults += [loaded.err_value] if isinstance(loaded, Err) else []
+        faults += [str(loaded.err_value)] if isinstance(loaded, Err) else []
     if config:
-        faults += [f"{config}: {fault}" for fault in survey(read_configuration(config))[1]]
+        faults += [f"{config}: {fault}" for fault in validate_configuration(read_configuration(config))[1]]
     write_result(faults, as_json, faults or ["no fault"])
     sys.exit(PROBLEM_FOUND if faults else SUCCESS)
--- a/bramblewood/cli/storage.py
+++ b/bramblewood/cli/storage.py
@@ -9,7 +9,7 @@
 
 import click
 
-from ..common.configuration import number_of
+from ..common.configuration_parser import parse_revision
 from ..controller.storage import DATABASE_FILE, SCHEMA_VERSION, read_database
 from .exit_codes import PROBLEM_FOUND, SUCCESS
 from .options import JSON
@@ -71,7 +71,7 @@
     if not DISK_NAME_FACTS & contents["facts"].keys():
         faults.append("the disk has no name: no archive has written to it")
     config = contents["registers"].get("config", {}).get("value")
-    if config and (number := number_of(config["config"].get("Revision"))) != config["n"]:
+    if config and (number := parse_revision(config["config"].get("Revision"))) != config["n"]:
         faults.append(f"the configuration says r{number}, its register r{config['n']}")
     return faults
 
--- a/bramblewood/common/__init__.py
+++ b/bramblewood/common/__init__.py
@@ -1,1 +1,1 @@
-"""What the desk and the archive share: settings, configurations, messages, links, logs."""
+"""What proxies and controllers share: settings, configurations, connections between them, logs, errors."""
--- /dev/null
+++ b/bramblewood/common/configuration_parser.py
@@ -0,0 +1,235 @@
+"""Reads a configuration as an operator sends it; each fault is reported with its place.
+
+Field names are those of docs/configuration.md, "The gateway's wire". A configuration with any fault isn't
+used.
+"""
+
+import hashlib
+import json
+import re
+from typing import Any, Literal, NotRequired, TypedDict
+
+from result import Err, Ok, Result
+
+from .configuration import Configuration, Route, Service
+from .schema import SchemaViolation, check
+
+MAX_ROUTE_TIMEOUT = 600.0  # s, ten minutes: the most that a TimeoutS may be; PROTOCOL, "The operator"
+PURE = "pure"  # of `RouteType`
+DIGEST_LENGTH = 32  # hexadecimal digits
+
+
+class Table(TypedDict):
+    """Records as lists of values, in the order of the column names."""
+
+    ColumnNames: list[str]
+    Records: list[list[Any]]
+
+
+class LimitFields(TypedDict):
+    """`Limits`: what clients may send, and how long it may take."""
+
+    MaxHeaderBytes: NotRequired[int]
+    MaxBodyBytes: NotRequired[int]
+    HeaderTimeoutS: NotRequired[float]
+    IdleTimeoutS: NotRequired[float]
+
+
+class ConfigurationFields(TypedDict):
+    """The whole of a configuration."""
+
+    Revision: str
+    RouteList: Table
+    ServiceList: Table
+    Limits: NotRequired[LimitFields]
+    ParentVersion: NotRequired[Any]
+
+
+class WeightedTarget(TypedDict):
+    """A service's share of a route's requests."""
+
+    Target: str
+    Share: float
+
+
+class RouteRecord(TypedDict):
+    """One record of `RouteList`."""
+
+    Label: str
+    Hostname: str
+    PathPrefix: str
+    RouteType: Literal["pure", "effectful"]
+    TimeoutS: NotRequired[float]
+    TargetLatencyS: NotRequired[float]
+    Priority: NotRequired[int]
+    WeightedTargets: NotRequired[list[WeightedTarget]]
+    MaxAttempts: NotRequired[int]
+    Pinned: NotRequired[bool]
+    Target: NotRequired[str]
+
+
+class ServiceRecord(TypedDict):
+    """One record of `ServiceList`."""
+
+    Label: str
+    HealthPath: NotRequired[str]
+    MaxConns: NotRequired[int]
+    Sharded: NotRequired[bool]
+    WarmS: NotRequired[float]
+    ReadCopies: NotRequired[bool]
+
+
+def decode_configuration(body: bytes) -> Result[Configuration, SchemaViolation]:
+    """The configuration in the body of a call that puts one."""
+    try:
+        raw = json.loads(body)
+    except (ValueError, RecursionError):
+        return Err(SchemaViolation("", "a whole JSON object", f"{len(body)} bytes that are none"))
+    return build_configuration(raw)
+
+
+def build_configuration(raw: Any) -> Result[Configuration, SchemaViolation]:
+    """A configuration, or its first violation."""
+    configuration, violations = validate_configuration(raw)
+    return Err(violations[0]) if violations else Ok(configuration)
+
+
+def validate_configuration(raw: Any) -> tuple[Configuration | None, list[SchemaViolation]]:
+    """A configuration and all its violations; where there are any, it is not to be used."""
+    checked = check(raw, ConfigurationFields)
+    if isinstance(checked, Err):
+        return None, [checked.err_value]
+    fields, violations = checked.ok_value, []
+    revision = parse_revision(fields["Revision"])
+    if not revision:
+        found = f"{fields['Revision']!r:.60}"
+        violations.append(SchemaViolation("Revision", "r and a number above 0", found))
+    parent_revision = parse_revision(fields.get("ParentVersion"))
+    if parent_revision is None:
+        found = f"{fields['ParentVersion']!r:.60}"
+        violations.append(SchemaViolation("ParentVersion", "0, or r and a number", found))
+    services = _parse_services(fields["ServiceList"], violations)
+    configuration = Configuration(
+        revision=revision or 0,
+        parent_revision=parent_revision or 0,
+        digest=configuration_digest(raw),
+        routes_by_host=_parse_routes(fields["RouteList"], services, violations),
+        services=services,
+        limits=fields.get("Limits", {}),
+        raw=raw,
+    )
+    return configuration, violations
+
+
+def parse_revision(text: Any) -> int | None:
+    """`r12` is 12; 0 stands for no revision; None for what is neither."""
+    if text in (0, "0", None, "", "r0") and text is not False:
+        return 0
+    match = re.fullmatch(r"r(\d{1,18})", text) if isinstance(text, str) else None
+    return int(match[1]) if match else None
+
+
+def configuration_digest(raw: dict) -> str:
+    """The same for the same configuration, however its fields were ordered."""
+    return hashlib.sha256(json.dumps(raw, sort_keys=True).encode()).hexdigest()[:DIGEST_LENGTH]
+
+
+def _parse_services(table: Table, violations: list[SchemaViolation]) -> dict[str, Service]:
+    services = {}
+    for record in _parse_records(table, ServiceRecord, "ServiceList", violations).values():
+        services[record["Label"]] = Service(
+            label=record["Label"],
+            health_path=record.get("HealthPath", "/health"),
+            max_connections=record.get("MaxConns", 100),
+            sharded=record.get("Sharded", False),
+            warm_up_seconds=record.get("WarmS", 0.0),
+            read_replicas=record.get("ReadCopies", False),
+        )
+    return services
+
+
+def _parse_routes(
+    table: Table, services: dict[str, Service], violations: list[SchemaViolation]
+) -> dict[str, dict[str, Route]]:
+    """Routes by host, then by path prefix; of two with the same the first stays."""
+    routes_by_host: dict[str, dict[str, Route]] = {}
+    for path, record in _parse_records(table, RouteRecord, "RouteList", violations).items():
+        parsed = _parse_route(record, path, services)
+        if isinstance(parsed, Err):
+            violations.append(parsed.err_value)
+            continue
+        route = parsed.ok_value
+        routes = routes_by_host.setdefault(route.host, {})
+        if route.path_prefix in routes:
+            found = f"those of {routes[route.path_prefix].label[:40]}"
+            violations.append(SchemaViolation(path, "a host and prefix of its own", found))
+        routes.setdefault(route.path_prefix, route)
+    return routes_by_host
+
+
+def _parse_records(
+    table: Table, schema: type, name: str, violations: list[SchemaViolation]
+) -> dict[str, dict[str, Any]]:
+    """Checked records by their path; null is left out of a record, faulty ones are reported and left out."""
+    columns, records = table["ColumnNames"], {}
+    for index, values in enumerate(table["Records"]):
+        path = f"{name}.Records.{index}"
+        if len(values) != len(columns):
+            violations.append(SchemaViolation(path, f"{len(columns)} values", str(len(values))))
+            continue
+        pairs = zip(columns, values, strict=True)
+        record = check({column: value for column, value in pairs if value is not None}, schema, path)
+        if isinstance(record, Err):
+            violations.append(record.err_value)
+        else:
+            records[path] = record.ok_value
+    return records
+
+
+def _parse_route(
+    record: RouteRecord, path: str, services: dict[str, Service]
+) -> Result[Route, SchemaViolation]:
+    path_prefix, timeout = record["PathPrefix"], record.get("TimeoutS", MAX_ROUTE_TIMEOUT)
+    if not path_prefix.startswith("/") or not path_prefix.endswith("/"):
+        expected = "a prefix that begins and ends with a slash"
+        return Err(SchemaViolation(f"{path}.PathPrefix", expected, path_prefix[:60]))
+    if not 0 < timeout <= MAX_ROUTE_TIMEOUT:
+        expected = f"over 0 and at most {MAX_ROUTE_TIMEOUT:.0f} s"
+        return Err(SchemaViolation(f"{path}.TimeoutS", expected, str(timeout)))
+    if record.get("MaxAttempts", 1) < 1:
+        return Err(SchemaViolation(f"{path}.MaxAttempts", "1 or more", str(record["MaxAttempts"])))
+    targets = _parse_targets(record, path, services)
+    if isinstance(targets, Err):
+        return targets
+    return Ok(
+        Route(
+            label=record["Label"],
+            host=record["Hostname"].lower(),
+            path_prefix=path_prefix,
+            pure=record["RouteType"] == PURE,
+            timeout=timeout,
+            latency_target=record.get("TargetLatencyS", timeout),
+            priority=record.get("Priority", 0),
+            max_attempts=record.get("MaxAttempts", 1),
+            targets=targets.ok_value,
+            pinned=record.get("Pinned", False),
+        )
+    )
+
+
+def _parse_targets(
+    record: RouteRecord, path: str, services: dict[str, Service]
+) -> Result[tuple[tuple[str, float], ...], SchemaViolation]:
+    """The services of a route with their shares; those of share 0 are left out."""
+    targets = [(target["Target"], target["Share"]) for target in record.get("WeightedTargets", [])]
+    if not targets and "Target" in record:
+        targets = [(record["Target"], 1.0)]
+    for service, share in targets:
+        if service not in services:
+            return Err(SchemaViolation(f"{path}.Target", "a service of ServiceList", service[:60]))
+        if share < 0:
+            return Err(SchemaViolation(f"{path}.WeightedTargets", "shares of 0 or more", str(share)))
+    weighted = tuple((service, share) for service, share in targets if share > 0)
+    if not weighted:
+        return Err(SchemaViolation(f"{path}.Target", "a service, or shares above 0", "none"))
+    return Ok(weighted)
--- a/bramblewood/common/metrics.py
+++ b/bramblewood/common/metrics.py
@@ -1,7 +1,11 @@
-"""Counters in the text form that operators scrape. Names are bounded: they come from the program, never from
-a call.
+"""Metrics in the text form that monitoring scrapes.
+
+Names come from the program, never from a request, so that their number is bounded.
 """
 
+PREFIX = "bramblewood_"
+
 
-def text(values: dict[str, float]) -> str:
-    return "".join(f"bramblewood_{name} {value}\n" for name, value in sorted(values.items()))
+def format_metrics(values: dict[str, float]) -> str:
+    """One line `bramblewood_NAME VALUE` a metric, sorted by name."""
+    return "".join(f"{PREFIX}{name} {value}\n" for name, value in sorted(values.items()))
--- a/bramblewood/common/peer_connections.py
+++ b/bramblewood/common/peer_connections.py
@@ -1,8 +1,7 @@
-"""Links between managers: one websocket to each peer, dialled again when it breaks, silent ones given up in
-time.
+"""Connections between controllers and proxies: one websocket to each peer, dialled again when it breaks.
 
-A link promises nothing but order: what was on its way when it broke is lost, and whoever sent it says it
-again.
+A connection promises nothing but order: what was in transit when it broke is lost, and its sender sends it
+again. A peer that stays silent for too long is given up, as a partition closes no socket.
 """
 
 import asyncio
@@ -14,175 +13,222 @@
 import aiohttp
 from aiohttp import web
 
-DIAL = 0.6  # s for a link to come up; many times the way between zones
-CONNECTION_TIMEOUT = (
-    1.2  # s without a message after which a link counts as cut; pulses come each quarter of a second
-)
-WAITS = (0.1, 0.5)  # s between dials, growing
-BACKLOG = 400  # messages that may wait for a slow peer; more, and the link is given up
-LARGEST = 16 * 2**20  # bytes of one message: a configuration of thousands of routes and its table
-UNHEARD_MS = 1000  # ms that sent bytes may stay unacknowledged (TCP_USER_TIMEOUT)
+from .errors import PeerMessageError
 
+CONNECT_TIMEOUT = 0.6  # s for a connection to come up; many times the way between zones
+# s without a message after which a connection counts as lost; heartbeats come each quarter of a second
+CONNECTION_TIMEOUT = 1.2
+FIRST_RECONNECT_DELAY = 0.1  # s between dials; doubled after each that failed
+MAX_RECONNECT_DELAY = 0.5  # s
+MAX_QUEUED_MESSAGES = 400  # that may wait for a slow peer; with more the connection is given up
+MAX_MESSAGE_BYTES = 16 * 2**20  # a configuration of thousands of routes and its table
+UNACKNOWLEDGED_TIMEOUT_MS = 1000  # that sent bytes may stay unacknowledged (TCP_USER_TIMEOUT)
+COMPRESSION_WINDOW_BITS = 15
 
-def set_connection_timeouts(sock: socket.socket | None, unheard_ms: int = UNHEARD_MS) -> None:
-    """A cut must not leave a connection hanging."""
+Message = dict[str, Any]
+
+
+def set_connection_timeouts(
+    sock: socket.socket | None, unacknowledged_ms: int = UNACKNOWLEDGED_TIMEOUT_MS
+) -> None:
+    """Have the system end a connection whose bytes stay unacknowledged, as behind a partition."""
     if sock is not None:
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, unheard_ms)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, unacknowledged_ms)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
-def create_connection_socket(info: tuple) -> socket.socket:
-    family, kind, proto, _, _ = info
-    sock = socket.socket(family, kind, proto)
+def create_connection_socket(address_info: tuple) -> socket.socket:
+    """A socket for an outgoing connection, as aiohttp's `socket_factory`."""
+    family, kind, protocol, _, _ = address_info
+    sock = socket.socket(family, kind, protocol)
     sock.setblocking(False)
     set_connection_timeouts(sock)
     return sock
 
 
 class PeerConnection:
-    """One standing websocket and what waits to go out on it."""
-
-    def __init__(self, peer: str, ws: Any) -> None:
-        self.peer, self.ws = peer, ws
-        self.role, self.about, self.sent = (
-            "",
-            -1,
-            {},
-        )  # what the peer is and was told, kept by the link's user
-        self.waiting: asyncio.Queue = asyncio.Queue()
-        self.writer = asyncio.ensure_future(self._write())
-
-    def send(self, message: dict | str) -> None:
-        if self.waiting.qsize() > BACKLOG:
+    """One websocket and the messages that wait to be sent on it. It owns the task that writes them."""
+
+    def __init__(self, peer: str, websocket: Any) -> None:
+        self.peer, self.websocket = peer, websocket
+        # kept by the program that uses the connection: what the peer is, and what it was sent
+        self.role = ""
+        self.details_version = -1
+        self.sent_versions: dict[str, int] = {}
+        self._outgoing: asyncio.Queue[str] = asyncio.Queue()
+        self._writer_task = asyncio.ensure_future(self._write_messages())
+
+    def send(self, message: Message | str) -> None:
+        """Queue a message, or its JSON text; a peer that falls too far behind loses the connection."""
+        if self._outgoing.qsize() > MAX_QUEUED_MESSAGES:
             self.close()
             return
-        self.waiting.put_nowait(
-            message if isinstance(message, str) else json.dumps(message, separators=(",", ":"))
-        )
+        text = message if isinstance(message, str) else json.dumps(message, separators=(",", ":"))
+        self._outgoing.put_nowait(text)
 
-    async def _write(self) -> None:
+    async def _write_messages(self) -> None:
         try:
             while True:
-                await self.ws.send_str(await self.waiting.get())
+                await self.websocket.send_str(await self._outgoing.get())
         except (ConnectionError, RuntimeError, aiohttp.ClientError):
             self.close()
 
     def close(self) -> None:
-        self.writer.cancel()
-        transport = getattr(getattr(self.ws, "_writer", None), "transport", None)
+        """Abort the connection; messages that wait are lost."""
+        self._writer_task.cancel()
+        transport = getattr(getattr(self.websocket, "_writer", None), "transport", None)
         if transport is not None:
             transport.abort()  # a close handshake would wait for a peer that may be gone
 
+    async def wait_closed(self) -> None:
+        """Wait for the writing task to end, after `close`."""
+        await asyncio.wait((self._writer_task,))
+
+
+MessageHandler = Callable[[PeerConnection, Message], None]
 
-async def listen(
-    link: PeerConnection, hear: Callable[[PeerConnection, dict], None], quiet: float | None
+
+def decode_message(connection: PeerConnection, text: str) -> Message:
+    """The message in a websocket's text; raises PeerMessageError where it is no JSON."""
+    try:
+        return json.loads(text)
+    except ValueError as error:
+        raise PeerMessageError(error, peer=connection.peer) from error
+
+
+async def receive_messages(
+    connection: PeerConnection, on_message: MessageHandler, timeout: float | None
 ) -> None:
-    """Hand on what a link brings until it ends or stays quiet for too long."""
+    """Hand on each message until the connection ends or brings none for `timeout` s."""
     while True:
         try:
-            message = await link.ws.receive(timeout=quiet)
+            frame = await connection.websocket.receive(timeout=timeout)
         except TimeoutError:
             return
-        if message.type is not aiohttp.WSMsgType.TEXT:
+        if frame.type is not aiohttp.WSMsgType.TEXT:
             return
-        hear(link, json.loads(message.data))
+        on_message(connection, decode_message(connection, frame.data))
 
 
 class PeerConnections:
-    """Dialled links, by peer."""
+    """The connections that this program dials, by peer. It owns the task that dials each."""
 
     def __init__(
         self,
-        hello: Callable[[str], dict],
-        hear: Callable[[PeerConnection, dict], None],
-        told: Callable[[str, bool], None],
-        quiet: float | None,
-        local: str = "",
+        first_message: Callable[[str], Message],
+        on_message: MessageHandler,
+        on_change: Callable[[str, bool], None],
+        receive_timeout: float | None,
+        local_ip: str = "",
     ) -> None:
-        """hello(peer) is the first message on each new link; told(peer, up) is called when one comes or goes.
+        """Dial nobody yet.
 
-        quiet: s without a message after which a link counts as cut; None where its peer says nothing on it.
-        local: the address to dial from, where that matters.
+        first_message: of a peer, what each new connection to it begins with.
+        on_change: called with a peer and whether its connection has come up or has been lost.
+        receive_timeout: s without a message after which a connection counts as lost; None: never, for peers
+        that send nothing.
+        local_ip: the address to dial from, where that matters.
         """
-        self.local = (local, 0) if local else None
-        self.hello, self.hear, self.told, self.quiet = hello, hear, told, quiet
-        self.up: dict[str, PeerConnection] = {}
-        self.tasks: dict[str, asyncio.Task] = {}
-        self.session: aiohttp.ClientSession | None = None
-
-    def keep(self, peer: str, port: int) -> None:
-        """Keep a link to this peer from now on."""
+        self.connected: dict[str, PeerConnection] = {}
+        self.tasks: dict[str, asyncio.Task[None]] = {}
+        self._first_message, self._on_message, self._on_change = first_message, on_message, on_change
+        self._receive_timeout = receive_timeout
+        self._local_address = (local_ip, 0) if local_ip else None
+        self._session: aiohttp.ClientSession | None = None
+
+    def maintain(self, peer: str, port: int) -> None:
+        """Keep a connection to this peer from now on."""
         if peer not in self.tasks:
-            self.tasks[peer] = asyncio.ensure_future(self._keep(peer, port))
+            self.tasks[peer] = asyncio.ensure_future(self._maintain(peer, port))
 
-    async def _keep(self, peer: str, port: int) -> None:
-        if self.session is None:
-            connector = aiohttp.TCPConnector(
-                socket_factory=create_connection_socket, limit=0, ttl_dns_cache=None, local_addr=self.local
-            )
-            self.session = aiohttp.ClientSession(connector=connector)
-        wait = WAITS[0]
-        while True:
-            link = None
-            try:
-                async with asyncio.timeout(DIAL):
-                    ws = await self.session.ws_connect(
-                        f"http://{peer}:{port}/link", compress=15, autoping=True, max_msg_size=LARGEST
-                    )
-                link = PeerConnection(peer, ws)
-                link.send(self.hello(peer))
-                self.up[peer] = link
-                self.told(peer, True)
-                wait = WAITS[0]
-                await listen(link, self.hear, self.quiet)
-            except (OSError, TimeoutError, aiohttp.ClientError, ValueError):
-                pass
-            finally:
-                if link is not None:
-                    link.close()
-                    await link.ws.close()
-                    if self.up.get(peer) is link:
-                        del self.up[peer]
-                        self.told(peer, False)
-            await asyncio.sleep(wait)
-            wait = min(wait * 2, WAITS[1])
-
-    async def end(self) -> None:
+    def send(self, peer: str, message: Message | str) -> bool:
+        """Send to a peer; False where it is not connected."""
+        connection = self.connected.get(peer)
+        if connection is not None:
+            connection.send(message)
+        return connection is not None
+
+    async def close(self) -> None:
+        """Dial no more, and close all connections."""
         for task in self.tasks.values():
             task.cancel()
         await asyncio.gather(*self.tasks.values(), return_exceptions=True)
-        if self.session is not None:
-            await self.session.close()
+        if self._session is not None:
+            await self._session.close()
+
+    async def _maintain(self, peer: str, port: int) -> None:
+        delay = FIRST_RECONNECT_DELAY
+        while True:
+            if await self._connect_and_receive(peer, port):
+                delay = FIRST_RECONNECT_DELAY
+            await asyncio.sleep(delay)
+            delay = min(delay * 2, MAX_RECONNECT_DELAY)
+
+    async def _connect_and_receive(self, peer: str, port: int) -> bool:
+        """Dial once, and receive until the connection is lost; whether it came up."""
+        connection = None
+        try:
+            connection = PeerConnection(peer, await self._open(peer, port))
+            connection.send(self._first_message(peer))
+            self.connected[peer] = connection
+            self._on_change(peer, True)
+            await receive_messages(connection, self._on_message, self._receive_timeout)
+        except (OSError, TimeoutError, aiohttp.ClientError, ValueError):
+            pass  # dialled again, whatever the reason
+        finally:
+            if connection is not None:
+                await self._close_lost(peer, connection)
+        return connection is not None
+
+    async def _open(self, peer: str, port: int) -> aiohttp.ClientWebSocketResponse:
+        if self._session is None:
+            connector = aiohttp.TCPConnector(
+                socket_factory=create_connection_socket,
+                limit=0,
+                ttl_dns_cache=None,
+                local_addr=self._local_address,
+            )
+            self._session = aiohttp.ClientSession(connector=connector)
+        async with asyncio.timeout(CONNECT_TIMEOUT):
+            return await self._session.ws_connect(
+                f"http://{peer}:{port}/link",
+                compress=COMPRESSION_WINDOW_BITS,
+                autoping=True,
+                max_msg_size=MAX_MESSAGE_BYTES,
+            )
 
-    def send(self, peer: str, message: dict | str) -> bool:
-        link = self.up.get(peer)
-        if link is not None:
-            link.send(message)
-        return link is not None
+    async def _close_lost(self, peer: str, connection: PeerConnection) -> None:
+        connection.close()
+        await connection.websocket.close()
+        if self.connected.get(peer) is connection:
+            del self.connected[peer]
+            self._on_change(peer, False)
+        await connection.wait_closed()
 
 
-async def accept(
+async def accept_connection(
     request: web.BaseRequest,
-    met: Callable[[PeerConnection, dict], None],
-    hear: Callable[[PeerConnection, dict], None],
-    left: Callable[[PeerConnection], None],
+    on_first_message: MessageHandler,
+    on_message: MessageHandler,
+    on_close: Callable[[PeerConnection], None],
 ) -> web.StreamResponse:
-    """Serve one link that a peer dialled: its first message says who it is."""
-    ws = web.WebSocketResponse(compress=True, max_msg_size=LARGEST)
+    """Serve a connection that a peer dialled: its first message says who it is."""
+    websocket = web.WebSocketResponse(compress=True, max_msg_size=MAX_MESSAGE_BYTES)
     try:
-        await ws.prepare(request)
+        await websocket.prepare(request)
     except ConnectionError:  # the dialler has gone meanwhile
         return web.Response(status=503)
     set_connection_timeouts(request.transport.get_extra_info("socket") if request.transport else None)
-    link = PeerConnection(request.remote or "", ws)
+    connection = PeerConnection(request.remote or "", websocket)
     try:
-        first = await ws.receive(timeout=CONNECTION_TIMEOUT)
+        first = await websocket.receive(timeout=CONNECTION_TIMEOUT)
         if first.type is aiohttp.WSMsgType.TEXT:
-            met(link, json.loads(first.data))
-            await listen(link, hear, None)
+            on_first_message(connection, decode_message(connection, first.data))
+            await receive_messages(connection, on_message, None)
     except (TimeoutError, ValueError, ConnectionError):
-        pass
+        pass  # the peer dials again
     finally:
-        left(link)
-        link.close()
-    return ws
+        on_close(connection)
+        connection.close()
+        await connection.wait_closed()
+    return websocket
--- a/bramblewood/common/schema.py
+++ b/bramblewood/common/schema.py
@@ -1,8 +1,8 @@
-"""A small checker for typed dictionaries: what comes from outside becomes plain values, or one fault with its
-place.
+"""Checks values from outside (JSON, TOML) against typed dictionaries; names the first violation and its path.
 
-Shapes are TypedDict classes (fields may be NotRequired), str, int, float (whole numbers too), bool, Any,
-Literal, list[X], dict[str, X] and X | None. Unknown fields are left out.
+Schemas are TypedDict classes (fields may be NotRequired), str, int, float (whole numbers too), bool, Any,
+Literal, list[X], dict[str, X] and X | None. Unknown fields are left out of the result, so that later versions
+of a file or message can have more of them.
 """
 
 import math
@@ -23,87 +23,118 @@
 
 from result import Err, Ok, Result
 
+from .errors import BramblewoodError
+
+SCALAR_NAMES = {str: "a text", int: "a whole number", float: "a number", bool: "true or false"}
+MAX_VALUE_LENGTH = 60  # characters of an invalid value that are shown
+
 
 class SchemaViolation(NamedTuple):
     """What is wrong with a value: where it stands, what was expected, what was found."""
 
-    where: str
+    path: str
     expected: str
     found: str
 
     def __str__(self) -> str:
-        return f"{self.where or 'the whole'}: expected {self.expected}, found {self.found}"
+        return f"{self.path or 'the whole'}: expected {self.expected}, found {self.found}"
+
+
+class SchemaError(BramblewoodError):
+    """Carries a violation up to `check`; never leaves this module."""
 
+    step = "check"
 
-class SchemaError(Exception):
-    """Carries a fault up to `check`; never leaves this file."""
+    def __init__(self, violation: SchemaViolation) -> None:
+        super().__init__(violation)
+        self.violation = violation
 
 
-PLAIN = {str: "a text", int: "a whole number", float: "a number", bool: "true or false"}
+class Field(NamedTuple):
+    """One field of a typed dictionary."""
+
+    name: str
+    schema: Any
+    required: bool
+
+
+def check(value: Any, schema: Any, path: str = "") -> Result[Any, SchemaViolation]:
+    """The value with its known fields only, or the first violation.
+
+    path: where the value stands in what it came with; the violation's path begins with it.
+    """
+    try:
+        return Ok(_checked(value, schema, path))
+    except SchemaError as error:
+        return Err(error.violation)
 
 
 @cache
-def fields_of(shape: type) -> tuple:
-    """(name, shape, required) of each field; worked out once a shape."""
-    found = []
-    for name, hint in get_type_hints(shape, include_extras=True).items():
-        wrapped = get_origin(hint)
-        required = wrapped is not NotRequired and (wrapped is Required or shape.__total__)
-        found.append((name, get_args(hint)[0] if wrapped in (NotRequired, Required) else hint, required))
-    return tuple(found)
+def fields_of(schema: type) -> tuple[Field, ...]:
+    """The fields of a typed dictionary; worked out once for each."""
+    fields = []
+    for name, hint in get_type_hints(schema, include_extras=True).items():
+        qualifier = get_origin(hint)
+        required = qualifier is not NotRequired and (qualifier is Required or schema.__total__)
+        field_schema = get_args(hint)[0] if qualifier in (NotRequired, Required) else hint
+        fields.append(Field(name, field_schema, required))
+    return tuple(fields)
 
 
-def wrong(where: str, expected: str, value: Any) -> SchemaError:
-    return SchemaError(SchemaViolation(where, expected, f"{value!r:.60}"))
+def _violation(path: str, expected: str, value: Any) -> SchemaError:
+    return SchemaError(SchemaViolation(path, expected, f"{value!r:.{MAX_VALUE_LENGTH}}"))
 
 
-def read(value: Any, shape: Any, where: str) -> Any:
-    if shape is Any:
+def _checked(value: Any, schema: Any, path: str) -> Any:
+    """The checked value; raises SchemaError at the first violation."""
+    if schema is Any:
         return value
-    if shape in PLAIN:
-        fits = isinstance(value, shape) or shape is float and isinstance(value, int)
-        if (
-            not fits
-            or shape is not bool
-            and isinstance(value, bool)
-            or shape is float
-            and not math.isfinite(value)
-        ):
-            raise wrong(where, PLAIN[shape], value)
+    if schema in SCALAR_NAMES:
+        if not _is_scalar(value, schema):
+            raise _violation(path, SCALAR_NAMES[schema], value)
         return value
-    if is_typeddict(shape):
-        if not isinstance(value, dict):
-            raise wrong(where, "an object", value)
-        made = {}
-        for name, inner, required in fields_of(shape):
-            if name in value:
-                made[name] = read(value[name], inner, f"{where}.{name}" if where else name)
-            elif required:
-                raise SchemaError(SchemaViolation(f"{where}.{name}" if where else name, "a value", "nothing"))
-        return made
-    outer, inner = get_origin(shape), get_args(shape)
-    if outer is Literal:
-        if value not in inner:
-            raise wrong(where, f"one of {', '.join(map(str, inner))}", value)
+    if is_typeddict(schema):
+        return _checked_fields(value, schema, path)
+    return _checked_generic(value, schema, path)
+
+
+def _is_scalar(value: Any, schema: type) -> bool:
+    if isinstance(value, bool):  # a kind of int to Python, not to us
+        return schema is bool
+    if schema is float:
+        return isinstance(value, (float, int)) and math.isfinite(value)
+    return isinstance(value, schema)
+
+
+def _checked_fields(value: Any, schema: type, path: str) -> dict[str, Any]:
+    if not isinstance(value, dict):
+        raise _violation(path, "an object", value)
+    checked = {}
+    for name, field_schema, required in fields_of(schema):
+        field_path = f"{path}.{name}" if path else name
+        if name in value:
+            checked[name] = _checked(value[name], field_schema, field_path)
+        elif required:
+            raise SchemaError(SchemaViolation(field_path, "a value", "nothing"))
+    return checked
+
+
+def _checked_generic(value: Any, schema: Any, path: str) -> Any:
+    origin, arguments = get_origin(schema), get_args(schema)
+    if origin is Literal:
+        if value not in arguments:
+            raise _violation(path, f"one of {', '.join(map(str, arguments))}", value)
         return value
-    if outer is list:
+    if origin is list:
         if not isinstance(value, list):
-            raise wrong(where, "a list", value)
-        return [read(item, inner[0], f"{where}.{place}") for place, item in enumerate(value)]
-    if outer is dict:
+            raise _violation(path, "a list", value)
+        return [_checked(item, arguments[0], f"{path}.{index}") for index, item in enumerate(value)]
+    if origin is dict:
         if not isinstance(value, dict):
-            raise wrong(where, "an object", value)
-        return {name: read(item, inner[1], f"{where}.{name}") for name, item in value.items()}
-    if outer in (Union, types.UnionType):
-        if value is None and type(None) in inner:
+            raise _violation(path, "an object", value)
+        return {name: _checked(item, arguments[1], f"{path}.{name}") for name, item in value.items()}
+    if origin in (Union, types.UnionType):
+        if value is None and type(None) in arguments:
             return None
-        return read(value, next(part for part in inner if part is not type(None)), where)
-    raise TypeError(f"no such shape: {shape!r}")
-
-
-def check(value: Any, shape: Any, where: str = "") -> Result[Any, SchemaViolation]:
-    """The value with its known fields only, or the first fault."""
-    try:
-        return Ok(read(value, shape, where))
-    except SchemaError as problem:
-        return Err(problem.args[0])
+        return _checked(value, next(part for part in arguments if part is not type(None)), path)
+    raise TypeError(f"not a schema: {schema!r}")
--- a/bramblewood/common/timeouts.py
+++ b/bramblewood/common/timeouts.py
@@ -1,17 +1,20 @@
-"""Spans that archives and desks both rest on; each follows from the protocol or from the others. In s."""
+"""Durations in seconds that controllers and proxies both rely on; each follows from the protocol or others.
 
-QUORUM_CONTACT_VALIDITY = (
-    1.0  # that a word of the majority is good for; callers give a manager a second, PROTOCOL
-)
-CLOCK_DRIFT_FACTOR = 1.02  # a worker's clock may run 2% slow; PROTOCOL
-MAX_TRANSIT_TIME = 0.3  # for a call on its way, as the pages allow after a thaw (ThawSlackS)
-# of a read copy; one that can't be reached holds an effect's answer up as long as a call may take
+Both programs must use the same values: what one of them still counts on, the other must not have given up.
+"""
+
+# for which an answer from a quorum is good; callers give a controller one second, PROTOCOL
+QUORUM_CONTACT_VALIDITY = 1.0
+# a worker's clock may run 2% slow; PROTOCOL
+CLOCK_DRIFT_FACTOR = 1.02
+# for a call in transit, as the pages allow after a freeze (ThawSlackS)
+MAX_TRANSIT_TIME = 0.3
+# of a read replica; one that can't be reached holds up a write's answer as long as a call may take
 READ_LEASE_DURATION = 1.0
-# until a new reader's first lease: a word's age, a confirmation's way, a second for desks to use it
+# until a new reader's first lease: the age of a quorum's answer, the way of the confirmation, a second for
+# proxies to use it
 REPLICA_ANNOUNCEMENT_DELAY = 3.0
-CONFIRMATION_VALIDITY = (
-    REPLICA_ANNOUNCEMENT_DELAY - QUORUM_CONTACT_VALIDITY - MAX_TRANSIT_TIME
-)  # from asking for a confirmation until it is used no more
-READ_LEASE_EXPIRY = (
-    QUORUM_CONTACT_VALIDITY + READ_LEASE_DURATION * CLOCK_DRIFT_FACTOR + MAX_TRANSIT_TIME
-)  # after a reader was taken off until no copy of its can be read
+# from asking for a confirmation until it is used no more
+CONFIRMATION_VALIDITY = REPLICA_ANNOUNCEMENT_DELAY - QUORUM_CONTACT_VALIDITY - MAX_TRANSIT_TIME
+# after a reader was removed until no copy that it holds can be read
+READ_LEASE_EXPIRY = QUORUM_CONTACT_VALIDITY + READ_LEASE_DURATION * CLOCK_DRIFT_FACTOR + MAX_TRANSIT_TIME
--- a/bramblewood/controller/commands.py
+++ b/bramblewood/controller/commands.py
@@ -11,7 +11,8 @@
 
 from result import Err, Ok, Result
 
-from ..common.configuration import Configuration, parse
+from ..common.configuration import Configuration
+from ..common.configuration_parser import decode_configuration
 from ..common.schema import check
 from ..common.worker_registry import DRAINING, READY, WorkerRegistration
 
@@ -162,7 +163,11 @@
     if method == "GET":
         return Ok(GetConfiguration())
     if method == "PUT":
-        return parse(body).map(PutConfiguration).map_err(lambda violation: Rejection(400, str(violation)))
+        return (
+            decode_configuration(body)
+            .map(PutConfiguration)
+            .map_err(lambda violation: Rejection(400, str(violation)))
+        )
     return Err(wrong_method(method, CONFIGURATION_PATH, "GET, PUT"))
 
 
--- a/bramblewood/controller/configuration_succession.py
+++ b/bramblewood/controller/configuration_succession.py
@@ -49,16 +49,16 @@
     forgotten or not there yet. kept: digests of past versions to keep.
     """
     number, past = (current["n"], current["past"]) if current else (0, {})
-    if past.get(str(configuration.number)) == configuration.digest:
+    if past.get(str(configuration.revision)) == configuration.digest:
         return None, ACCEPTED
-    if configuration.number <= configuration.parent:
+    if configuration.revision <= configuration.parent_revision:
         return None, invalid_revision(configuration)
-    if configuration.number <= highest_forgotten(current):
+    if configuration.revision <= highest_forgotten(current):
         return None, too_old(configuration)
     refused = current.get("refused", {}) if current else {}
-    if configuration.parent < number or configuration.digest in refused:
+    if configuration.parent_revision < number or configuration.digest in refused:
         return None, version_conflict(number)
-    if configuration.parent > number:
+    if configuration.parent_revision > number:
         return refuse_early(configuration, current)
     return successor(configuration, current, kept), ACCEPTED
 
@@ -70,21 +70,21 @@
     refused = current.get("refused", {}) if current else {}
     if current is None or len(refused) >= MAX_REFUSED:
         return None, unknown_parent(configuration, current["n"] if current else 0)
-    refused = {**refused, configuration.digest: configuration.parent}
+    refused = {**refused, configuration.digest: configuration.parent_revision}
     return {**current, "refused": refused}, version_conflict(current["n"])
 
 
 def successor(configuration: Configuration, current: RegisterValue | None, kept: int) -> RegisterValue:
     """The register's value once this configuration is taken."""
-    past = {**(current["past"] if current else {}), str(configuration.number): configuration.digest}
+    past = {**(current["past"] if current else {}), str(configuration.revision): configuration.digest}
     refused = current.get("refused", {}) if current else {}
     rising = sorted(past, key=int)
     return {
-        "n": configuration.number,
+        "n": configuration.revision,
         "config": configuration.raw,
         "past": {number: past[number] for number in rising[-kept:]},
         "forgotten": int(rising[-kept - 1]) if len(rising) > kept else highest_forgotten(current),
-        "refused": {digest: parent for digest, parent in refused.items() if parent >= configuration.number},
+        "refused": {digest: parent for digest, parent in refused.items() if parent >= configuration.revision},
     }
 
 
@@ -99,7 +99,7 @@
     if current is None:
         return None
     following, answer = transition(configuration, current)
-    return answer if following is None and configuration.parent <= current["n"] else None
+    return answer if following is None and configuration.parent_revision <= current["n"] else None
 
 
 def highest_forgotten(current: RegisterValue | None) -> int:
@@ -118,13 +118,13 @@
 
 def invalid_revision(configuration: Configuration) -> ConfigurationAnswer:
     """Its number does not rise above its parent's."""
-    reason = f"Revision: expected above r{configuration.parent}, found r{configuration.number}"
+    reason = f"Revision: expected above r{configuration.parent_revision}, found r{configuration.revision}"
     return ConfigurationAnswer(INVALID, reason)
 
 
 def too_old(configuration: Configuration) -> ConfigurationAnswer:
     """Its digest may have been kept once."""
-    reason = f"r{configuration.number} is too long ago: whether it was taken is no longer known"
+    reason = f"r{configuration.revision} is too long ago: whether it was taken is no longer known"
     return ConfigurationAnswer(UNCLEAR, reason)
 
 
@@ -135,5 +135,5 @@
 
 def unknown_parent(configuration: Configuration, number: int) -> ConfigurationAnswer:
     """Its parent may still come, and there is no room to note a refusal."""
-    reason = f"r{configuration.parent} is not known, r{number} is current"
+    reason = f"r{configuration.parent_revision} is not known, r{number} is current"
     return ConfigurationAnswer(UNCLEAR, reason)
--- a/bramblewood/controller/key_leases.py
+++ b/bramblewood/controller/key_leases.py
@@ -21,7 +21,7 @@
 from http import HTTPStatus
 from typing import Any, Literal, NamedTuple
 
-from ..common.peer_connections import UNHEARD_MS
+from ..common.peer_connections import UNACKNOWLEDGED_TIMEOUT_MS
 from ..common.slice_table import KEY_SPACE_SIZE, Row, SliceEntry, sorted_starts
 from ..common.timeouts import CLOCK_DRIFT_FACTOR, MAX_TRANSIT_TIME, QUORUM_CONTACT_VALIDITY
 from ..common.worker_registry import GONE, WorkerRegistry
@@ -31,7 +31,7 @@
 LEASE_FRACTION = 0.6
 RENEWAL_FRACTION = 1 / 3  # of a lease after which it is renewed: two further attempts fit
 # s from a call's sending to its arrival at most: lost packets are sent again until the socket gives them up
-MAX_CALL_TRANSIT = UNHEARD_MS / 1000 + MAX_TRANSIT_TIME
+MAX_CALL_TRANSIT = UNACKNOWLEDGED_TIMEOUT_MS / 1000 + MAX_TRANSIT_TIME
 RETRY_DELAY = 0.3  # s between attempts of a call that failed
 
 GRANT: Literal["grant"] = "grant"  # kinds of calls, as in their paths
--- a/bramblewood/controller/placement/planner.py
+++ b/bramblewood/controller/placement/planner.py
@@ -90,7 +90,7 @@
             if not self._may_plan(now, name, entries, ready_count, registry):
                 continue
             slice_count = len(entries) if entries else initial_slice_count(ready_count)
-            placement = self._placement_of(name, service.keyed, slice_count, latency_targets)
+            placement = self._placement_of(name, service.sharded, slice_count, latency_targets)
             workers = _list_workers(registrations, timed_out, out_of_use, registry.warm_at)
             worker_reports = self._worker_reports.pop(name, [])
             service_changes = placement.plan_changes(
--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -12,12 +12,12 @@
 from result import Err
 
 from ..common import logs, metrics
-from ..common.configuration import build_configuration
+from ..common.configuration_parser import build_configuration
 from ..common.peer_connections import (
     CONNECTION_TIMEOUT,
     PeerConnection,
     PeerConnections,
-    accept,
+    accept_connection,
     create_connection_socket,
 )
 from ..common.settings import SEED_REREAD_INTERVAL, Settings, reread_seeds
@@ -82,14 +82,14 @@
 class Controller:
     def __init__(self, told: Settings) -> None:
         self.settings, self.me = told, told.ip
-        self.log = logs.begin(told.name)
+        self.log = logs.start_logging(told.name)
         self.incarnation = int.from_bytes(os.urandom(4), "big")
-        self.storage = Storage(told.data or "/tmp")
+        self.storage = Storage(told.data_directory or "/tmp")
         self.registry, self.sessions = WorkerRegistry(), Sessions(self.me)
-        self.peer_connections = PeerConnections(self.hello, self.hear, self.link_told, None, told.bind)
+        self.peer_connections = PeerConnections(self.hello, self.hear, self.link_told, None, told.bind_ip)
         self.up_since: dict[str, float] = {}
         self.controllers: set[str] = set()
-        self.membership = Membership(told.tolerance, told.zones, told.bounds.CatchUpS)
+        self.membership = Membership(told.tolerance, told.region_of_zone, told.bounds.CatchUpS)
         self.due = PendingWrites({})
         self.changing = False  # the set of voters, from here
         self.proxies: dict[str, PeerConnection] = {}
@@ -130,10 +130,12 @@
             return 2
         facts = found.ok_value["facts"]
         self.begin(facts, found.ok_value["registers"])
-        self.placement = placement.PlacementPlanner(loop.time(), self.settings.beat, self.settings.notice)
+        self.placement = placement.PlacementPlanner(
+            loop.time(), self.settings.heartbeat_interval, self.settings.detect_hot_keys
+        )
         self.storage.start(lambda done, problem: loop.call_soon_threadsafe(done, problem))
         self.carry(no_effects())
-        for peer in {*self.settings.seed_ips(), *self.consensus.voters, *facts.get("archives", ())}:
+        for peer in {*self.settings.seed_hosts(), *self.consensus.voters, *facts.get("archives", ())}:
             self.know(peer)
         self.started = loop.time()
         self.lonely_at = self.started + SEED_REREAD_INTERVAL
@@ -141,16 +143,16 @@
         loop.add_signal_handler(signal.SIGHUP, self.reread_seeds)
         servers = []
         for place in (
-            self.settings.listen["Control"],
-            (self.settings.bind or self.settings.ip, self.settings.inner),
+            self.settings.listen_addresses["Control"],
+            (self.settings.bind_ip or self.settings.ip, self.settings.peer_port),
         ):
             server = await loop.create_server(web.Server(self.serve, access_log=None), *place, backlog=512)
             servers.append(server)
         self.calls, self.fresh = caller(keepalive_timeout=4.0), caller(force_close=True)
-        logs.started(
+        logs.log_started(
             self.log,
-            self.settings.unread,
-            contract=self.settings.contract,
+            self.settings.unsupported,
+            contract=self.settings.rule_parts,
             epoch=self.consensus.epoch,
             voters=sorted(self.consensus.voters),
             voting=self.consensus.is_active_voter,
@@ -167,7 +169,7 @@
         self.log.info("stopped", step="end")
         for server in servers:
             server.close()
-        await self.peer_connections.end()
+        await self.peer_connections.close()
         await self.calls.close()
         await self.fresh.close()
         self.storage.close()
@@ -181,8 +183,8 @@
         if members is None and "voters" in facts:  # of form 1, which knew no epochs
             members = {"n": 1, "voters": dict.fromkeys(facts["voters"], ""), "before": {}}
             held = 1 if "born" in facts else -1
-        elif members is None and self.settings.first_boot and self.me in self.settings.seed_ips():
-            members, held = founding_voters(self.settings.seed_ips()), 0
+        elif members is None and self.settings.first_boot and self.me in self.settings.seed_hosts():
+            members, held = founding_voters(self.settings.seed_hosts()), 0
         disk = disk or new_name()
         self.consensus = ConsensusReplica(self.me, disk, self.incarnation, stored, members, held)
         self.due.facts = {"disk": disk, "held": held}
@@ -193,7 +195,7 @@
         if peer != self.me and peer not in self.controllers:
             self.controllers.add(peer)
             self.due.facts["archives"] = sorted(self.controllers)
-            self.peer_connections.keep(peer, self.settings.inner)
+            self.peer_connections.maintain(peer, self.settings.peer_port)
 
     def peers(self, now: float) -> dict[str, PeerStatus]:
         """All archives known as the question of who should vote sees them; one that was never heard counts as
@@ -204,7 +206,7 @@
         mine = PeerStatus(
             consensus.disk,
             self.settings.zone,
-            self.settings.counted,
+            self.settings.counts_for_tolerance,
             consensus.epoch,
             consensus.is_active_voter,
             self.leaving.is_set(),
@@ -226,7 +228,7 @@
         change = None
         if consensus.epoch == 0:
             late = now >= self.started + FOUND_WITHIN
-            change = self.membership.founding_change(self.settings.seed_ips(), self.peers(now), late)
+            change = self.membership.founding_change(self.settings.seed_hosts(), self.peers(now), late)
         elif self.sessions.coordinator(now, self.whole(now)) == self.me:
             change = self.membership.due_change(consensus.voter_set, self.peers(now), self.versions())
         if change is not None:
@@ -272,8 +274,8 @@
     def tick(self, now: float) -> None:
         self.carry(self.consensus.tick(now))
         self.seats(now)
-        if self.peer_connections.up or now >= self.lonely_at:
-            if not self.peer_connections.up:
+        if self.peer_connections.connected or now >= self.lonely_at:
+            if not self.peer_connections.connected:
                 self.reread_seeds()
             self.lonely_at = now + SEED_REREAD_INTERVAL
         if now >= self.pulse_at:
@@ -328,16 +330,18 @@
         about = {
             "members": consensus.voter_set,
             "zone": self.settings.zone,
-            "counted": self.settings.counted,
+            "counted": self.settings.counts_for_tolerance,
             "archives": sorted({self.me, *self.controllers}),
             "desks": sorted(self.proxies),
         }
-        for peer in [only] if only else list(self.peer_connections.up):
-            if peer not in self.peer_connections.up:
+        for peer in [only] if only else list(self.peer_connections.connected):
+            if peer not in self.peer_connections.connected:
                 continue
             heard = self.sessions.heard.get(peer)
             if now - max(heard.at if heard else 0.0, self.up_since[peer]) > CONNECTION_TIMEOUT:
-                self.peer_connections.up[peer].close()  # its own link brings nothing any more: likely a cut
+                self.peer_connections.connected[
+                    peer
+                ].close()  # its own link brings nothing any more: likely a cut
                 continue
             told = {**message, "e": self.sessions.stamps.get(peer, -1e9)}
             if peer not in self.sessions.told:  # whoever listens there now may have an older disk
@@ -371,23 +375,23 @@
         if seldom[len(message) :] != self.said:  # what changes seldom is said when it has, and on a new link
             self.said, self.sayings = seldom[len(message) :], self.sayings + 1
         for link in list(self.proxies.values()):
-            link.send(message if link.about == self.sayings else seldom)
-            link.about = self.sayings
+            link.send(message if link.details_version == self.sayings else seldom)
+            link.details_version = self.sayings
 
     def push(self, link: PeerConnection, register: str) -> None:
         """Send a desk what it lacks of a register, as far as was sent to it before."""
         if register == TABLE:
-            if message := self.proxy_updates.message_since(link.sent.get(TABLE, 0)):
-                link.sent[TABLE] = message["n"]
+            if message := self.proxy_updates.message_since(link.sent_versions.get(TABLE, 0)):
+                link.sent_versions[TABLE] = message["n"]
                 link.send(message)
             return
         value = self.consensus.value(register)
-        if value is not None and value["n"] > link.sent.get(register, 0):
-            link.sent[register] = value["n"]
+        if value is not None and value["n"] > link.sent_versions.get(register, 0):
+            link.sent_versions[register] = value["n"]
             link.send({"k": "config", "n": value["n"], "config": value["config"]})
 
     def silent(self, now: float) -> set[str]:
-        return self.registry.timed_out(now, BEATS_MISSED * self.settings.beat)
+        return self.registry.timed_out(now, BEATS_MISSED * self.settings.heartbeat_interval)
 
     def learned(self) -> None:
         """Show what is newly chosen to the desks."""
@@ -417,7 +421,7 @@
             configuration = build_configuration(self.consensus.value(CONFIG)["config"]).ok()
             self.configurations, self.aims = (
                 (version, configuration),
-                configuration.aims() if configuration else {},
+                configuration.latency_targets() if configuration else {},
             )
 
     def show(self, register: str, version: int) -> None:
@@ -444,7 +448,7 @@
             return
         table = self.consensus.value(TABLE)
         services = self.configurations[1].services
-        keyed = {name for name, service in services.items() if service.keyed}
+        keyed = {name for name, service in services.items() if service.sharded}
         if table is not None:
             calls, free = self.key_leases.next_calls(now, table, keyed, self.registry)
             until = self.word(now)
@@ -564,7 +568,7 @@
             row is None
             or row.phase == GONE
             or self.refused[call.instance_id] > 1
-            and unheard > 1.3 * self.settings.beat
+            and unheard > 1.3 * self.settings.heartbeat_interval
         )
         if status != 200:
             self.log.info(
@@ -759,7 +763,7 @@
         if not message["on"]:
             self.homes.pop(link.peer, None)
             return
-        self.homes[link.peer], link.sent = link, dict(message["have"])
+        self.homes[link.peer], link.sent_versions = link, dict(message["have"])
         link.send({"k": "roll", "rows": self.rows(), "all": True})
         for register in DATA_REGISTERS:
             self.push(link, register)
@@ -830,7 +834,7 @@
         self.propose(TABLE, lambda value: without_readers(value, service, key, instance_ids), told, 1.0)
 
     def wanted(self, link: PeerConnection, register: str, have: int) -> None:
-        link.sent[register] = have
+        link.sent_versions[register] = have
         self.push(link, register)
 
     def reported(self, now: float, link: PeerConnection, message: dict) -> None:
@@ -901,7 +905,7 @@
     def share(self, rows: dict, number: int | None = None, but: str = "") -> None:
         """Send rows to the other archives; with a number they answer that they hold them."""
         message = {"k": "roll", "rows": rows} | ({} if number is None else {"id": number})
-        for peer in list(self.peer_connections.up):
+        for peer in list(self.peer_connections.connected):
             if peer != but:
                 self.peer_connections.send(peer, message)
 
@@ -912,10 +916,13 @@
     # --- callers of control
 
     async def serve(self, request: web.BaseRequest) -> web.StreamResponse:
-        if request.path == "/link" and request.transport.get_extra_info("sockname")[1] == self.settings.inner:
-            return await accept(request, self.met, self.hear, self.left)
+        if (
+            request.path == "/link"
+            and request.transport.get_extra_info("sockname")[1] == self.settings.peer_port
+        ):
+            return await accept_connection(request, self.met, self.hear, self.left)
         method, path = request.method, request.raw_path
-        if request.transport.get_extra_info("sockname")[1] == self.settings.inner:
+        if request.transport.get_extra_info("sockname")[1] == self.settings.peer_port:
             if method == "POST" and path in ("/plan", "/members"):
                 body = (await request.content.read())[:MAX_CALL_BYTES]
                 if path == "/plan":
@@ -960,8 +967,8 @@
                 self.log.info(
                     "configuration",
                     step="put",
-                    number=configuration.number,
-                    parent=configuration.parent,
+                    number=configuration.revision,
+                    parent=configuration.parent_revision,
                     told=told,
                 )
                 return answer(*told) if told else answer(503, "no majority heard in time")
@@ -1129,7 +1136,7 @@
         if path == "/metrics":
             consensus = self.consensus
             return web.Response(
-                text=metrics.text(
+                text=metrics.format_metrics(
                     {
                         "archive_whole": int(self.whole(now)),
                         "archive_votes": int(consensus.is_active_voter),
--- a/bramblewood/proxy/request_attempts.py
+++ b/bramblewood/proxy/request_attempts.py
@@ -98,7 +98,7 @@
         self.started_at = now
         self.affinity_key = ""  # the client's key, where what it began is to finish where it began
         self.deadline = now + min(deadline - DEADLINE_MARGIN, route.timeout)
-        self.no_owner_wait_until = now + NO_OWNER_WAIT_FRACTION * route.aim
+        self.no_owner_wait_until = now + NO_OWNER_WAIT_FRACTION * route.latency_target
         self.tried: set[str] = set()
         self.used_connections: set[int] = set()  # numbers of the connections that it went out on
         self.sent_count = self.unsent_count = 0
@@ -120,7 +120,7 @@
         """What to do now."""
         if now >= self.deadline:
             return self.fail(now, "no answer in time")
-        if self.sent_count >= self.route.attempts:
+        if self.sent_count >= self.route.max_attempts:
             return self.fail(now, "all attempts used")
         instance_id = (
             load_balancer.affinity_worker(now, self.service, self.affinity_key)
@@ -136,7 +136,7 @@
             )  # it said no a moment ago: let its queue go down, or a grant arrive
         if instance_id is not None:
             if self.key is not None and not self.sent_count and load_balancer.is_full(now, instance_id):
-                if now < self.started_at + FULL_WORKER_WAIT_FRACTION * self.route.aim:
+                if now < self.started_at + FULL_WORKER_WAIT_FRACTION * self.route.latency_target:
                     return WaitUntil(now + FULL_WORKER_POLL_INTERVAL)
             if (
                 self.key is not None
@@ -148,7 +148,9 @@
             return SendToWorker(instance_id)
         moving = self.key is not None and load_balancer.in_handover(self.service, self.key)
         until = (
-            self.started_at + HANDOVER_WAIT_FRACTION * self.route.aim if moving else self.no_owner_wait_until
+            self.started_at + HANDOVER_WAIT_FRACTION * self.route.latency_target
+            if moving
+            else self.no_owner_wait_until
         )
         if now < until and not self.last_response:
             return WaitUntil(until)
@@ -173,7 +175,7 @@
         if hot_key_queue is None:
             return None
         if self.route.pure:
-            until = min(self.started_at + HOT_KEY_WAIT_FRACTION * self.route.aim, self.deadline)
+            until = min(self.started_at + HOT_KEY_WAIT_FRACTION * self.route.latency_target, self.deadline)
             at = hot_key_queue.turn_at(now, self.request_id, (self.route.priority, self.started_at), until)
             if at is None:
                 return self.fail(now, "a crowd at its record", long=True)
@@ -223,7 +225,7 @@
             if outcome is AttemptOutcome.CONNECTION_REJECTED and self.key is not None:
                 self.backed_off_worker, self.backoff_until = (
                     instance_id,
-                    now + CONNECTION_REJECTED_BACKOFF_FRACTION * self.route.aim,
+                    now + CONNECTION_REJECTED_BACKOFF_FRACTION * self.route.latency_target,
                 )
             else:
                 self.tried.add(instance_id)
@@ -242,7 +244,7 @@
             if self.says_not_run(response):
                 self.backed_off_worker, self.backoff_until = (
                     instance_id,
-                    now + SAME_WORKER_BACKOFF_FRACTION * self.route.aim,
+                    now + SAME_WORKER_BACKOFF_FRACTION * self.route.latency_target,
                 )
                 return None
             if 200 <= response.status < 300 and not is_valid_success(response):
@@ -258,7 +260,7 @@
         self.may_have_run = True
         self.backed_off_worker, self.backoff_until = (
             instance_id,
-            now + SAME_WORKER_BACKOFF_FRACTION * self.route.aim,
+            now + SAME_WORKER_BACKOFF_FRACTION * self.route.latency_target,
         )
         if outcome is AttemptOutcome.TIMED_OUT or not self.route.pure:
             return self.fail(
--- a/bramblewood/proxy/server.py
+++ b/bramblewood/proxy/server.py
@@ -11,8 +11,9 @@
 from multidict import CIMultiDict
 
 from ..common import logs, metrics
-from ..common.configuration import Configuration, build_configuration
-from ..common.listeners import BACKLOG, listen_on
+from ..common.configuration import Configuration
+from ..common.configuration_parser import build_configuration
+from ..common.listeners import ACCEPT_BACKLOG, listen_on
 from ..common.peer_connections import CONNECTION_TIMEOUT, PeerConnection, PeerConnections
 from ..common.settings import SEED_REREAD_INTERVAL, Settings, reread_seeds
 from ..common.slice_table import KEY_SPACE_SIZE
@@ -63,14 +64,14 @@
     def __init__(self, told: Settings, doors: dict[str, socket.socket] | None = None) -> None:
         """doors: sockets that listen already, by their names in `BindMap`."""
         self.settings, self.doors = told, doors or {}
-        self.log = logs.begin(told.name)
+        self.log = logs.start_logging(told.name)
         bounds = told.bounds
         self.load_balancer = LoadBalancer(bounds.DrainS, told.zone)
         self.retry_budget = RetryBudget(bounds.RetryRatio, bounds.RetryWindowS, bounds.RetrySlack)
         self.connection_pool = ConnectionPool()
         self.configuration: Configuration | None = None
         self.peer_connections = PeerConnections(
-            self.hello, self.hear, self.link_told, CONNECTION_TIMEOUT, told.bind
+            self.hello, self.hear, self.link_told, CONNECTION_TIMEOUT, told.bind_ip
         )
         self.controller_selection = ControllerSelection(told.name, told.zone)
         self.ending = False
@@ -91,16 +92,16 @@
         self.leaving, self.changed = asyncio.Event(), asyncio.Event()
         loop.add_signal_handler(signal.SIGTERM, self.leaving.set)
         loop.add_signal_handler(signal.SIGHUP, self.reread_seeds)
-        for peer in self.settings.seed_ips():
-            self.peer_connections.keep(peer, self.settings.inner)
+        for peer in self.settings.seed_hosts():
+            self.peer_connections.maintain(peer, self.settings.peer_port)
         probe = web.Server(self.readiness, access_log=None, keepalive_timeout=5.0)
         for name, server in (("Front", self.newcomer), ("ReadyProbe", probe)):
-            sock = self.doors.get(name) or listen_on(*self.settings.listen[name])
-            made = await loop.create_server(server, sock=sock, backlog=BACKLOG)
+            sock = self.doors.get(name) or listen_on(*self.settings.listen_addresses[name])
+            made = await loop.create_server(server, sock=sock, backlog=ACCEPT_BACKLOG)
             self.front = made if name == "Front" else self.front
         self.reported_at = tidy_at = loop.time()
         lonely_at = self.reported_at + SEED_REREAD_INTERVAL
-        logs.started(self.log, self.settings.unread, contract=self.settings.contract)
+        logs.log_started(self.log, self.settings.unsupported, contract=self.settings.rule_parts)
         while not self.leaving.is_set():
             try:
                 async with asyncio.timeout(REPORT):
@@ -109,8 +110,8 @@
                 pass
             now = loop.time()
             self.report(now)
-            if self.peer_connections.up or now >= lonely_at:
-                if not self.peer_connections.up:
+            if self.peer_connections.connected or now >= lonely_at:
+                if not self.peer_connections.connected:
                     self.reread_seeds()
                 lonely_at = now + SEED_REREAD_INTERVAL
             if now >= tidy_at:
@@ -178,14 +179,14 @@
             await asyncio.sleep(0.05)
             self.report(self.loop.time())
         self.log.info("stopped", step="end", flight=self.flight)
-        await self.peer_connections.end()
+        await self.peer_connections.close()
         return 0
 
     # --- the archives
 
     def reread_seeds(self) -> None:
         for peer in reread_seeds(self.settings, self.log):
-            self.peer_connections.keep(peer, self.settings.inner)
+            self.peer_connections.maintain(peer, self.settings.peer_port)
 
     def hello(self, peer: str) -> dict:
         """The first words to an archive: also who leaves, as a restart of all archives forgets it."""
@@ -201,7 +202,7 @@
 
     def have(self) -> dict[str, int]:
         return {
-            "config": self.configuration.number if self.configuration else 0,
+            "config": self.configuration.revision if self.configuration else 0,
             "table": self.load_balancer.table_version,
         }
 
@@ -225,7 +226,7 @@
             was_ready = self.controller_selection.is_ready
             self.controller_selection.confirmation_received(now, link.peer, message, self.have())
             if self.controller_selection.is_ready and not was_ready:
-                self.log.info("ready", step="start", number=self.configuration.number)
+                self.log.info("ready", step="start", number=self.configuration.revision)
             self.stir()
         elif kind == "offed":
             if (waiting := self.offs.get(message["id"])) is not None and not waiting.done():
@@ -248,16 +249,16 @@
             self.load_balancer.timed_out = set(message.get("silent", ()))
             self.retry_budget.proxies = max(message["desks"], 1)
         for other in message.get("archives", ()):
-            self.peer_connections.keep(other, self.settings.inner)
+            self.peer_connections.maintain(other, self.settings.peer_port)
         self.say(self.controller_selection.heartbeat_received(now, peer, message, self.have()))
 
     def take_config(self, message: dict) -> None:
-        if self.configuration is not None and message["n"] <= self.configuration.number:
+        if self.configuration is not None and message["n"] <= self.configuration.revision:
             return  # never back within one life
         configuration = build_configuration(message["config"])
         if configuration.is_ok():
             self.configuration = configuration.ok_value
-            self.log.info("configuration", step="take", number=self.configuration.number)
+            self.log.info("configuration", step="take", number=self.configuration.revision)
             self.stir()
 
     def stir(self) -> None:
@@ -284,7 +285,7 @@
 
     async def readiness(self, request: web.BaseRequest) -> web.Response:
         if request.path == "/metrics":
-            return web.Response(text=metrics.text(self.counted()))
+            return web.Response(text=metrics.format_metrics(self.counted()))
         ready = self.controller_selection.is_ready and not self.ending
         return web.Response(status=200 if ready else 503)
 
@@ -293,9 +294,9 @@
         return {
             "desk_ready": int(self.controller_selection.is_ready and not self.ending),
             "desk_in_flight": self.flight,
-            "desk_config_version": self.configuration.number if self.configuration else 0,
+            "desk_config_version": self.configuration.revision if self.configuration else 0,
             "desk_table_version": self.load_balancer.table_version,
-            "desk_archives": len(self.peer_connections.up),
+            "desk_archives": len(self.peer_connections.connected),
             "desk_connections_opened_total": self.connection_pool.opened,
             "desk_connections_reused_total": self.connection_pool.reused,
             "desk_connections_turned_total": self.connection_pool.rejected,
@@ -308,7 +309,11 @@
         """Idle connections that may be kept to a worker of this service."""
         told = self.configuration.services.get(service) if self.configuration is not None else None
         return idle_connection_quota(
-            told.connections if told else 0, self.retry_budget.proxies, self.settings.name, instance_id, now
+            told.max_connections if told else 0,
+            self.retry_budget.proxies,
+            self.settings.name,
+            instance_id,
+            now,
         )
 
     # --- clients
@@ -334,7 +339,7 @@
         configuration = self.configuration
         if configuration is None:
             return own(503, "no configuration yet", 0.5)
-        route = configuration.route(request.headers.get("Host", ""), request.raw_path)
+        route = configuration.find_route(request.headers.get("Host", ""), request.raw_path)
         if route is None:
             return own(404, "no route")
         if sum(len(name) + len(value) + 4 for name, value in request.raw_headers) > self.limit(
@@ -350,9 +355,9 @@
         if request.headers.get("Transfer-Encoding", "chunked").lower() != "chunked":
             return own(400, "Transfer-Encoding: expected chunked", close=True)
         name = name or f"{self.settings.name}-{os.urandom(8).hex()}"
-        service = route.service(name)
+        service = route.choose_service(name)
         key = None
-        if configuration.services[service].keyed:
+        if configuration.services[service].sharded:
             key = whole_number(request.headers.get("X-Shard-Key", ""))
             if key is None or key >= KEY_SPACE_SIZE:
                 return own(400, f"X-Shard-Key: expected a number from 0 to {KEY_SPACE_SIZE - 1}")
@@ -383,7 +388,7 @@
                     size += len(part)
                     if size > most:
                         return own(413, f"at most {most} bytes", close=True)
-                    if self.held + size > self.settings.memory * MEMORY_PART:
+                    if self.held + size > self.settings.memory_limit * MEMORY_PART:
                         return own(503, "too many bodies at once", 0.5, close=True)
                     parts.append(part)
         except TimeoutError:  # also where bytes came that form no chunk: aiohttp does not tell its handler
--- a/features/steps/doors.py
+++ b/features/steps/doors.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 
 from bramblewood.common.listeners import listen_on, open_listeners_early
-from bramblewood.common.peer_connections import PeerConnections, accept
+from bramblewood.common.peer_connections import PeerConnections, accept_connection
 
 
 def free() -> int:
@@ -80,15 +80,17 @@
             "bramblewood.common.peer_connections.asyncio.sleep", side_effect=asyncio.sleep
         ) as waits:
             for ip in ("127.0.0.2", "127.0.0.3"):
-                peer_connections.keep(ip, port)
+                peer_connections.maintain(ip, port)
             while waits.call_count < 2:  # each has failed once, and waits for its next dial
                 await asyncio.wait(peer_connections.tasks.values(), timeout=0.01)
-        serve = web.Server(lambda asked: accept(asked, lambda *_: met.set(), *[lambda *_: None] * 2))
+        serve = web.Server(
+            lambda asked: accept_connection(asked, lambda *_: met.set(), *[lambda *_: None] * 2)
+        )
         listening = await asyncio.get_running_loop().create_server(serve, "127.0.0.2", port)
         async with asyncio.timeout(2):
             await met.wait()
-        found = [*peer_connections.up], [task.done() for task in peer_connections.tasks.values()]
-        await peer_connections.end()
+        found = [*peer_connections.connected], [task.done() for task in peer_connections.tasks.values()]
+        await peer_connections.close()
         listening.close()
         return found
 
--- a/features/steps/settings.py
+++ b/features/steps/settings.py
@@ -13,7 +13,7 @@
 
 from bramblewood.cli.gateway import gateway
 from bramblewood.common import logs
-from bramblewood.common.settings import Bounds, Settings, Tolerance, reread_seeds, settings_of
+from bramblewood.common.settings import Bounds, Settings, Tolerance, parse_settings, reread_seeds
 from bramblewood.controller.consensus.quorum import FailureDomain, first_voters
 from tests.approved import approve
 
@@ -39,22 +39,22 @@
 def shown(told: Settings) -> str:
     bounds = {name: value for name, value in vars(told.bounds).items() if value != getattr(Bounds, name)}
     kept = {"bounds": bounds, "tolerance": vars(told.tolerance), "losses": told.tolerance.losses}
-    kept |= {"counted": told.counted, "seeds": told.seeds, "unread": told.unread}
-    kept |= {"memory": told.memory, "descriptors": told.descriptors}
+    kept |= {"counted": told.counts_for_tolerance, "seeds": told.seed_addresses, "unread": told.unsupported}
+    kept |= {"memory": told.memory_limit, "descriptors": told.descriptor_limit}
     return json.dumps(kept)
 
 
 @then('settings that say so are read as "{name}"')
 def read(context, name):
-    told = [(row["what"], settings_of(text(row["lines"]))) for row in context.table]
+    told = [(row["what"], parse_settings(text(row["lines"]))) for row in context.table]
     approve(name, [f"{what}: {shown(one.ok_value) if one.is_ok() else one.err_value}" for what, one in told])
 
 
 @then("a program tells once, as it starts, which parts are in force and which it does not know")
 def starts(context):
-    told, out = settings_of(text('ContractList = ["base","tides"]')).ok_value, io.StringIO()
+    told, out = parse_settings(text('ContractList = ["base","tides"]')).ok_value, io.StringIO()
     with contextlib.redirect_stdout(out), logs.JsonLineHandler(told.name).applicationbound():
-        logs.started(logbook.Logger(told.name), told.unread, contract=told.contract)
+        logs.log_started(logbook.Logger(told.name), told.unsupported, contract=told.rule_parts)
     first, second = map(json.loads, out.getvalue().splitlines())
     assert (first["event"], first["contract"]) == ("started", ["base", "tides"])
     assert (second["event"], second["what"]) == ("settings not known", ["ContractList: tides"])
@@ -76,7 +76,7 @@
 
 @then('a program that runs dials {ip} once "{good}", and nobody once "{faulty}"')
 def dials(context, ip, good, faulty):
-    told = settings_of(text("")).ok_value
+    told = parse_settings(text("")).ok_value
     with logbook.TestHandler().applicationbound() as book:
         for lines, dialled in ((good, (ip,)), (faulty, ())):
             path = written(context, lines)
--- a/tests/simulation/configuration_change_guards.py
+++ b/tests/simulation/configuration_change_guards.py
@@ -95,7 +95,7 @@
 
 def repeats_by_number(wanted: Configuration, stands: dict | None) -> tuple:
     """Knows an order by its number alone."""
-    known = stands and str(wanted.number) in stands["past"]
+    known = stands and str(wanted.revision) in stands["past"]
     return (None, (200, "")) if known else short_memory(wanted, stands)
 
 
@@ -107,5 +107,5 @@
 
 def parent_ignored(wanted: Configuration, stands: dict | None) -> tuple:
     """Does not look at the parent."""
-    fresh = stands and wanted.number > stands["n"]
-    return short_memory(wanted._replace(parent=stands["n"]) if fresh else wanted, stands)
+    fresh = stands and wanted.revision > stands["n"]
+    return short_memory(wanted._replace(parent_revision=stands["n"]) if fresh else wanted, stands)
--- a/tests/simulation/configuration_changes.py
+++ b/tests/simulation/configuration_changes.py
@@ -219,7 +219,7 @@
             )  # a dead port resets
 
         def told(outcome: tuple[int, str] | None) -> None:
-            record_event("answer", self.now, name, order.wanted.number, outcome)
+            record_event("answer", self.now, name, order.wanted.revision, outcome)
             status = outcome[0] if outcome else 503
             self.answered(order.wanted, status)
             if self.rng.random() >= self.site.answers_lost:
@@ -249,7 +249,7 @@
 
     def read(self, name: str) -> list:
         """Read back at a controller; what was read, once it is there."""
-        found, least = [], max((e.number for e in self.acknowledged.values()), default=0)
+        found, least = [], max((e.revision for e in self.acknowledged.values()), default=0)
         machine = self.machines.get(name)
 
         def told(outcome: list | None) -> None:
@@ -272,15 +272,14 @@
         digest = wanted.digest
         if status == 200:
             self.acknowledged[digest] = wanted
-            if self.on_parent.setdefault(wanted.parent, digest) != digest:
-                raise RuleViolation(
-                    f"{digest} and {self.on_parent[wanted.parent]} acknowledged on r{wanted.parent}"
-                )
-            self.check_in_force(wanted.number, digest)
+            if self.on_parent.setdefault(wanted.parent_revision, digest) != digest:
+                other = self.on_parent[wanted.parent_revision]
+                raise RuleViolation(f"{digest} and {other} acknowledged on r{wanted.parent_revision}")
+            self.check_in_force(wanted.revision, digest)
         elif status != 503:
             self.rejected[digest] = wanted
         if digest in self.rejected and (
-            digest in self.acknowledged or self.chosen.get(wanted.number) == digest
+            digest in self.acknowledged or self.chosen.get(wanted.revision) == digest
         ):
             raise RuleViolation(f"{digest} was refused, and was taken")
 
@@ -299,9 +298,11 @@
         for number, digest in past.items():
             self.check_in_force(int(number), digest)
         for digest, wanted in self.acknowledged.items():
-            if value.get("forgotten", 0) < wanted.number <= value["n"]:
-                if past.get(str(wanted.number)) != digest:
-                    raise RuleViolation(f"{digest} was acknowledged as r{wanted.number}, and is not in force")
+            if value.get("forgotten", 0) < wanted.revision <= value["n"]:
+                if past.get(str(wanted.revision)) != digest:
+                    raise RuleViolation(
+                        f"{digest} was acknowledged as r{wanted.revision}, and is not in force"
+                    )
 
     def newest_version(self) -> int:
         return max(self.chosen, default=0)
@@ -318,7 +319,7 @@
         self.run(self.now + span)
         value = max((m.value(CONFIG) for m in self.machines.values()), key=lambda v: v["n"] if v else 0)
         for order in self.orders:
-            if not order.status and order.wanted.number > value.get("forgotten", 0):
+            if not order.status and order.wanted.revision > value.get("forgotten", 0):
                 raise RuleViolation(f"{order.wanted.digest} has no clear answer: {order.statuses}")
         for name in self.names:
             found = self.read(name)
@@ -350,7 +351,7 @@
     rng = play.rng
     for turn in range(10):
         newest = play.newest_version()
-        early = [order.wanted for order in play.orders if order.wanted.parent == newest]
+        early = [order.wanted for order in play.orders if order.wanted.parent_revision == newest]
         for wanted in early[:1]:  # its parent was not there yet; now it is
             play.order(wanted)
         for k in range(1 + rng.randrange(MAX_CONCURRENT_ORDERS - 1)):
--- a/tests/simulation/consensus.py
+++ b/tests/simulation/consensus.py
@@ -242,12 +242,11 @@
         self.check_invariants()
         past = value["past"] if value else {}
         for digest, wanted in self.acknowledged.items():
-            if past.get(str(wanted.number)) != digest:
-                raise RuleViolation(
-                    f"{digest} was acknowledged as r{wanted.number}, which is {past.get(str(wanted.number))}"
-                )
+            if past.get(str(wanted.revision)) != digest:
+                found = past.get(str(wanted.revision))
+                raise RuleViolation(f"{digest} was acknowledged as r{wanted.revision}, which is {found}")
         for digest, wanted in self.rejected.items():
-            if past.get(str(wanted.number)) == digest:
+            if past.get(str(wanted.revision)) == digest:
                 raise RuleViolation(f"{digest} was refused, and is in force")
 
 
--- a/tests/simulation/majority_contact.py
+++ b/tests/simulation/majority_contact.py
@@ -12,7 +12,7 @@
 
 from multidict import CIMultiDict
 
-from bramblewood.common.configuration import build_configuration
+from bramblewood.common.configuration_parser import build_configuration
 from bramblewood.common.settings import Bounds, Settings
 from bramblewood.common.slice_table import PREVIOUS_OWNER, WORKER
 from bramblewood.common.timeouts import (
@@ -103,11 +103,11 @@
 
 
 class End:
-    """One end of a link, as the shells know it: what `common.peer_connections.Link` is to them."""
+    """One end of a link, as the shells know it: what `common.peer_connections.PeerConnection` is to them."""
 
     def __init__(self, wire, node, peer):
         self.wire, self.node, self.peer = wire, node, peer
-        self.role, self.about, self.sent, self.next_at = "", -1, {}, 0.0
+        self.role, self.details_version, self.sent_versions, self.next_at = "", -1, {}, 0.0
         self.queue = []  # what waits to arrive at the other end: (when, message, when sent, newest heard)
 
     def send(self, message):
@@ -139,8 +139,8 @@
             if target.frozen:  # what has come is read after the thaw
                 self.take(end, target)
         self.stands = False
-        if dialler.peer_connections.up.get(acceptor.name) is self.near:
-            del dialler.peer_connections.up[acceptor.name]
+        if dialler.peer_connections.connected.get(acceptor.name) is self.near:
+            del dialler.peer_connections.connected[acceptor.name]
             dialler.tell(acceptor.name, False)
         if self.met:
             acceptor.loop.call_soon(acceptor.server.left, self.far)
@@ -183,30 +183,30 @@
 
 
 class Wires:
-    """What `common.peer_connections.Links` is to a shell."""
+    """What `common.peer_connections.PeerConnections` is to a shell."""
 
     def __init__(self, node):
-        self.node, self.up, self.again = node, {}, {}
+        self.node, self.connected, self.again = node, {}, {}
 
-    def keep(self, peer, port):
+    def maintain(self, peer, port):
         self.again.setdefault(peer, 0.0)
 
     def send(self, peer, message):
-        if peer in self.up:
-            self.up[peer].send(message)
-        return peer in self.up
+        if peer in self.connected:
+            self.connected[peer].send(message)
+        return peer in self.connected
 
     def dial(self, now):
         play, node = self.node.play, self.node
         for peer, at in self.again.items():
             target = play.nodes.get(peer)
-            if peer in self.up or now < at or target is None or target.server is None:
+            if peer in self.connected or now < at or target is None or target.server is None:
                 continue
             if play.cut(node.name, peer) or play.cut(peer, node.name):
                 continue
             wire = Wire(node, target)
             play.wires.append(wire)
-            self.up[peer] = wire.near
+            self.connected[peer] = wire.near
             wire.near.send(node.server.hello(peer))
             node.tell(peer, True)
 
@@ -232,7 +232,7 @@
         told = Settings(
             self.name, self.name, "z", (1, 2), seeds, first, None, BEAT, ports, 2**28, 100, Bounds()
         )
-        with mock.patch("bramblewood.common.logs.begin", return_value=mock.Mock()):
+        with mock.patch("bramblewood.common.logs.start_logging", return_value=mock.Mock()):
             made = self.kind(told)
         made.loop, made.peer_connections = self.loop, self.peer_connections
         if self.kind is Controller:
@@ -241,7 +241,7 @@
             made.changed = asyncio.Event()
         for peer in controllers:
             if peer != self.name:
-                made.peer_connections.keep(peer, 1)
+                made.peer_connections.maintain(peer, 1)
         self.server = made
         self.loop.begin(self.turns(made))
 
@@ -483,7 +483,7 @@
 
     def taken(self, command, answer):
         if isinstance(command, PutConfiguration):
-            number, digest = command.configuration.number, command.configuration.digest
+            number, digest = command.configuration.revision, command.configuration.digest
             if answer.status == 200:
                 self.acked.setdefault(number, (self.now, digest))
                 self.count("orders taken")
--- a/tests/simulation/membership_epochs.py
+++ b/tests/simulation/membership_epochs.py
@@ -33,27 +33,29 @@
     """The links of one controller, as its shell uses them."""
 
     def __init__(self, world: "ControllerFleet", me: "SimulatedController") -> None:
-        self.world, self.me, self.up, self.kept = world, me, {}, {}
+        self.world, self.me, self.connected, self.kept = world, me, {}, {}
 
-    def keep(self, peer: str, port: int) -> None:
+    def maintain(self, peer: str, port: int) -> None:
         self.kept.setdefault(peer, 0.0)
 
     def send(self, peer: str, message: dict) -> None:
-        if peer in self.up:
+        if peer in self.connected:
             self.world.send(self.me, peer, message)
 
     def drop(self, peer: str) -> None:
-        if self.up.pop(peer, None):
+        if self.connected.pop(peer, None):
             self.kept[peer] = self.world.now + DIAL_INTERVAL
             self.me.link_told(peer, False)
 
     def dial(self) -> None:
         for peer, at in self.kept.items():
-            if peer not in self.up and self.world.now >= at:
+            if peer not in self.connected and self.world.now >= at:
                 self.kept[peer] = self.world.now + DIAL_INTERVAL
                 if self.world.reach(self.me.me, peer) and self.world.reach(peer, self.me.me):
                     there = self.world.machines[peer]
-                    self.up[peer] = SimpleNamespace(close=lambda peer=peer: self.drop(peer), there=there)
+                    self.connected[peer] = SimpleNamespace(
+                        close=lambda peer=peer: self.drop(peer), there=there
+                    )
                     there.know(self.me.me)
                     self.me.link_told(peer, True)
 
@@ -69,7 +71,7 @@
         told = dataclasses.replace(told, tolerance=Tolerance(world.losses))
         with (
             mock.patch.object(server, "os", made),
-            mock.patch.object(server.logs, "begin", lambda _: SILENT_LOG),
+            mock.patch.object(server.logs, "start_logging", lambda _: SILENT_LOG),
         ):
             super().__init__(told)
             self.disk = world.disks[name]
@@ -80,7 +82,7 @@
         self.told_to_leave, self.started = False, world.now
         self.carry(no_effects())
         for peer in sorted(
-            {*told.seed_ips(), *self.consensus.voters, *self.disk["facts"].get("archives", ())}
+            {*told.seed_hosts(), *self.consensus.voters, *self.disk["facts"].get("archives", ())}
         ):
             self.know(peer)
 
@@ -185,7 +187,7 @@
             self.at(when, lambda: self.deliver(sender, peer, message))
 
     def deliver(self, sender: SimulatedController, peer: str, message: dict) -> None:
-        machine, link = self.machines.get(peer), sender.peer_connections.up.get(peer)
+        machine, link = self.machines.get(peer), sender.peer_connections.connected.get(peer)
         if machine is None:
             return
         if link is not None and link.there is not machine and not sender.gone:
@@ -256,13 +258,13 @@
         self.number += 1 + self.rng.randrange(2)
         parent = machine.consensus.version(CONFIG) if parent is None else parent
         wanted = configuration(max(self.number, parent + 1), parent, digest or f"{name}{self.number}")
-        self.number = wanted.number
+        self.number = wanted.revision
         self.put_again(name, wanted)
         return wanted
 
     def put_again(self, name: str, wanted: Any) -> None:
         def told(outcome: Any) -> None:
-            record_event("answer", self.now, name, wanted.number, outcome)
+            record_event("answer", self.now, name, wanted.revision, outcome)
             if outcome is not None:
                 (self.acknowledged if outcome[0] == 200 else self.rejected)[wanted.digest] = wanted
 
@@ -281,9 +283,9 @@
                 return
             past = outcome[0]["past"] if outcome[0] else {}
             for digest, wanted in acknowledged.items():
-                if past.get(str(wanted.number)) != digest:
+                if past.get(str(wanted.revision)) != digest:
                     raise RuleViolation(
-                        f"{digest} was acknowledged as r{wanted.number}, and a reader gets {past}"
+                        f"{digest} was acknowledged as r{wanted.revision}, and a reader gets {past}"
                     )
             found.append(past)
 
--- a/tests/simulation/proxy.py
+++ b/tests/simulation/proxy.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from bramblewood.common.configuration import build_configuration
+from bramblewood.common.configuration_parser import build_configuration
 from bramblewood.common.settings import Bounds, Settings
 from bramblewood.common.worker_registry import WorkerRegistration
 from bramblewood.emulator.operator import configuration
--- a/tests/simulation/worker_connections.py
+++ b/tests/simulation/worker_connections.py
@@ -10,7 +10,7 @@
 from types import SimpleNamespace
 from unittest.mock import patch
 
-from bramblewood.common.configuration import build_configuration
+from bramblewood.common.configuration_parser import build_configuration
 from bramblewood.proxy import request_attempts as request_attempts
 from bramblewood.proxy import response_parser
 from bramblewood.proxy.connection_pool import ConnectionPool
@@ -27,8 +27,8 @@
 CONFIGURATION_UNDER_TEST = build_configuration(CONFIG).ok_value
 TWO_REQUESTS = ("effect", "lookup")
 ROUTES = {
-    "effect": CONFIGURATION_UNDER_TEST.route("h.example", "/pay/1"),
-    "lookup": CONFIGURATION_UNDER_TEST.route("h.example", "/look/1"),
+    "effect": CONFIGURATION_UNDER_TEST.find_route("h.example", "/pay/1"),
+    "lookup": CONFIGURATION_UNDER_TEST.find_route("h.example", "/look/1"),
 }
 MANY_REQUESTS = tuple(f"{kind}{place}" for place in range(4) for kind in TWO_REQUESTS)
 # what a worker may do with a request that is there
