--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -14,6 +14,7 @@
 
 from bramblewood.common.configuration import Service
 from bramblewood.common.configuration_parser import build_configuration
+from bramblewood.common.messages import TableUpdate
 from bramblewood.common.slice_table import KEY_SPACE_SIZE, KEYS_PER_RANGE
 from bramblewood.common.worker_registry import WorkerRegistration, WorkerRegistry
 from bramblewood.controller.placement import PlacementPlanner, apply_slice_changes, worker_report
@@ -110,7 +111,7 @@
             key = int(KEY_SPACE_SIZE * self.random.random() ** 2)
             key_range = str(key // KEYS_PER_RANGE)
             heat[service][key_range] = heat[service].get(key_range, 0) + 1
-            instance_id = self.load_balancer.slice_entry(service, key)[0]
+            instance_id = self.load_balancer.slices.entry(service, key)[0]
             met[instance_id] = [1, 0, 0.2, [2, 0, 4]]
         return json.dumps({"k": "report", "over": CYCLE, "heat": heat, "met": met})
 
@@ -143,13 +144,13 @@
             if update:
                 self.count_bytes(table, update)
             self.table = table
-            self.load_balancer.apply_table({"n": table["n"], "s": table["s"]})
+            self.load_balancer.slices.apply({"n": table["n"], "s": table["s"]})
 
-    def count_bytes(self, table: dict, update: object) -> None:
+    def count_bytes(self, table: dict, update: TableUpdate) -> None:
         """Bytes of a new table to voters and proxies, beside those of the whole."""
         self.costs.accepts += size(difference(self.table, table))
         self.costs.accepts_whole += size(table)
-        self.costs.pushed += size(update) * self.proxies
+        self.costs.pushed += size(update.to_wire()) * self.proxies
         self.costs.pushed_whole += size({"k": "table", **table}) * self.proxies
 
     def time_choices(self, routes: int) -> float:
