--- a/bramblewood/cli/explain.py
+++ b/bramblewood/cli/explain.py
@@ -7,7 +7,8 @@
 
 from ..common.configuration import Configuration
 from ..common.configuration_parser import build_configuration
-from ..common.slice_table import PREVIOUS_OWNER, SECOND, WORKER
+from ..common.messages import TableUpdate
+from ..common.slice_table import SliceEntry
 from ..common.worker_registry import WorkerRegistration
 from ..proxy.load_balancing import LoadBalancer
 from .controller_client import get_configuration, get_view
@@ -23,7 +24,7 @@
 def load_balancer_from(registrations: dict[str, WorkerView], table: TableView) -> LoadBalancer:
     """A proxy's load balancer that has this registry and table."""
     load_balancer = LoadBalancer(NOW)
-    load_balancer.slices.apply(table)
+    load_balancer.slices.apply(TableUpdate.from_wire(table))
     for instance_id, row in registrations.items():
         registration = WorkerRegistration.from_view(row)
         load_balancer.registry.record(NOW, instance_id, registration)
@@ -31,15 +32,16 @@
     return load_balancer
 
 
-def slice_line(service: str, keyed: bool, key: int | None, entry: list | None) -> str:
+def slice_line(service: str, keyed: bool, key: int | None, row: list | None) -> str:
     """Which slice a request falls into, and whose it is."""
     if key is None:
         return f"{service} is divided by key, and no --key was given: 400"
-    if entry is None:
+    if row is None:
         return f"no slice of {service} is placed yet"
-    line = f"slice of {'key' if keyed else 'hash'} {key}: {entry[WORKER] or 'nobody'}"
-    line += f", second {entry[SECOND]}" if entry[SECOND] else ""
-    return line + (f", not yet released by {entry[PREVIOUS_OWNER]}" if entry[PREVIOUS_OWNER] else "")
+    entry = SliceEntry.decode(row)
+    line = f"slice of {'key' if keyed else 'hash'} {key}: {entry.worker or 'nobody'}"
+    line += f", second {entry.second_worker}" if entry.second_worker else ""
+    return line + (f", not yet released by {entry.previous_owner}" if entry.previous_owner else "")
 
 
 @click.command()
