--- a/tests/simulation/fleet/network.py
+++ b/tests/simulation/fleet/network.py
@@ -56,8 +56,8 @@
                 self.read(end, receiver)
         self.is_up = False
         connections = dialler.peer_connections
-        if connections.up.get(acceptor.name) is self.near:
-            del connections.up[acceptor.name]
+        if connections.connected.get(acceptor.name) is self.near:
+            del connections.connected[acceptor.name]
             dialler.report_connection(acceptor.name, False)
         if self.is_greeted:
             acceptor.loop.call_soon(acceptor.handlers.handle_disconnect, self.far)
