--- a/bramblewood/controller/placement/planner.py
+++ b/bramblewood/controller/placement/planner.py
@@ -4,13 +4,13 @@
 
 from ... import interface as events
 from ...common.configuration import Service
-from ...common.slice_table import DRAIN_ANNOUNCED, WORKER
+from ...common.slice_table import DRAIN_ANNOUNCED, WORKER, Row
 from ...common.worker_registry import DRAINING, GONE, READY, WorkerRegistration, WorkerRegistry
 from ..drain_plans import drain_steps_of
 from ..drain_progress import ServiceCapacity
 from ..hot_keys import HotKeyStatus
 from ..outlier_detection import ejected_workers
-from ..table_changes import Entry, TableValue
+from ..table_changes import TableValue
 from .service_placement import ListedWorker, ServicePlacement, ServiceWorkers
 from .slice_changes import SliceChanges, initial_slice_count
 
@@ -111,14 +111,14 @@
 
     def zone_shares(self) -> dict[str, dict[str, float]]:
         """By service and zone, the share of the zone's requests that stay in it (0 to 1)."""
-        shares = {name: placement.zone_affinity.local_shares for name, placement in self._services.items()}
+        shares = {name: placement.zone_affinity.local_fractions for name, placement in self._services.items()}
         return {name: by_zone for name, by_zone in shares.items() if by_zone}
 
     def _may_plan(
         self,
         now: float,
         service: str,
-        entries: Mapping[str, Entry] | None,
+        entries: Mapping[str, Row] | None,
         ready_count: int,
         registry: WorkerRegistry,
     ) -> bool:
@@ -130,9 +130,7 @@
         if now >= self._discovery_ends_at:
             return True
         # this controller has just started: a worker that it hasn't heard of may yet be there
-        return not any(
-            entry[WORKER] and entry[WORKER] not in registry.registrations for entry in entries.values()
-        )
+        return not any(row[WORKER] and row[WORKER] not in registry.registrations for row in entries.values())
 
     def _placement_of(
         self, service: str, keyed: bool, slice_count: int, latency_targets: Mapping[str, float]
--- a/bramblewood/controller/placement/rebalancing.py
+++ b/bramblewood/controller/placement/rebalancing.py
@@ -13,12 +13,11 @@
 from collections.abc import Collection, Mapping
 from typing import NamedTuple
 
-from ...common.slice_table import KEY_SPACE_SIZE, PREVIOUS_OWNER
+from ...common.slice_table import KEY_SPACE_SIZE, PREVIOUS_OWNER, Row
 from ...policy.figures import HELD, LIMIT, LONG_AGO, UNSEEN
 from ...policy.manager import Manager
 from ...policy.slices import Slice
 from ...policy.workers import Worker
-from ..table_changes import Entry
 from .service_load import REPORT_CYCLE, ServiceLoad
 from .slice_changes import Assignment, SliceSplit
 from .worker_loads import WorkerLoads
@@ -42,7 +41,7 @@
         self._cycle_at = LONG_AGO
         self._relieved_at: dict[str, float] = {}  # by worker
 
-    def plan(self, now: float, entries: Mapping[str, Entry], changing: Collection[int]) -> Rebalancing:
+    def plan(self, now: float, entries: Mapping[str, Row], changing: Collection[int]) -> Rebalancing:
         """What to split and to move now; nothing between cycles.
 
         Args:
@@ -62,16 +61,16 @@
         return Rebalancing([], self._relieve_overloaded_workers(now, entries))
 
     def _isolate_hot_keys(
-        self, starts: list[int], entries: Mapping[str, Entry], changing: Collection[int]
+        self, starts: list[int], entries: Mapping[str, Row], changing: Collection[int]
     ) -> list[SliceSplit]:
         """A slice of its own for each hot key, at the worker that it has."""
         splits = []
         for key in self._load.hot_keys.status().hot_keys:
             start, end = _bounds_of(starts, key)
-            entry = entries[str(start)]
-            if start in changing or entry[PREVIOUS_OWNER]:
+            row = entries[str(start)]
+            if start in changing or row[PREVIOUS_OWNER]:
                 continue
-            assignment = Assignment.of_entry(entry)
+            assignment = Assignment.of_row(row)
             splits += [
                 SliceSplit(start, split_start, assignment)
                 for split_start in (key, key + 1)
@@ -80,7 +79,7 @@
         return splits
 
     def _split_hot_slices(
-        self, now: float, starts: list[int], entries: Mapping[str, Entry], changing: Collection[int]
+        self, now: float, starts: list[int], entries: Mapping[str, Row], changing: Collection[int]
     ) -> list[SliceSplit]:
         """Splits of slices that were over their worker's limit in three reports in a row."""
         splits: list[SliceSplit] = []
@@ -118,7 +117,7 @@
             parts.append(SliceSplit(hot_slice.number, start, Assignment(target.name)))
         return parts
 
-    def _relieve_overloaded_workers(self, now: float, entries: Mapping[str, Entry]) -> dict[int, Assignment]:
+    def _relieve_overloaded_workers(self, now: float, entries: Mapping[str, Row]) -> dict[int, Assignment]:
         """Moves of the hottest slices of workers that can't do what comes.
 
         Such a worker states in three reports in a row that all its slots are taken, and has more heat than
@@ -140,7 +139,7 @@
         return now >= self._relieved_at.get(worker.name, LONG_AGO) + UNSEEN
 
     def _relieve(
-        self, now: float, worker: Worker, slices: list[Slice], entries: Mapping[str, Entry]
+        self, now: float, worker: Worker, slices: list[Slice], entries: Mapping[str, Row]
     ) -> dict[int, Assignment]:
         """Moves of the worker's hottest slices to where they fit, until it can do what is left.
 
--- a/bramblewood/controller/placement/service_placement.py
+++ b/bramblewood/controller/placement/service_placement.py
@@ -8,17 +8,17 @@
 from typing import Any, NamedTuple
 
 from ... import interface as events
+from ...common.slice_table import Row
 from ...policy.figures import LONG_AGO, mean
 from ...policy.manager import Manager
 from ...policy.slices import Slice
 from ..drain_progress import ServiceCapacity
 from ..hot_keys import HotKeyStatus
-from ..table_changes import Entry
 from ..zone_affinity import WorkerUtilization, ZoneAffinity
 from .rebalancing import Rebalancer
 from .replica_placement import replica_changes
 from .service_load import REPORT_CYCLE, ServiceLoad
-from .slice_changes import Assignment, SliceChanges, initial_entries
+from .slice_changes import Assignment, SliceChanges, initial_rows
 from .worker_loads import WorkerLoads
 
 # s that a worker back from a doubt counts as new, where no worker told that it was cold
@@ -98,7 +98,7 @@
         self,
         now: float,
         workers: ServiceWorkers,
-        entries: Mapping[str, Entry] | None,
+        entries: Mapping[str, Row] | None,
         slice_count: int,
         worker_reports: Iterable[events.WorkerHeard],
         has_read_replicas: bool,
@@ -112,7 +112,7 @@
             has_read_replicas: whether hot keys may have read replicas.
         """
         self._facts["slices"] = slice_count
-        stored_entries = initial_entries(slice_count) if entries is None else entries
+        stored_entries = initial_rows(slice_count) if entries is None else entries
         assignments = self._decide_assignments(now, workers, stored_entries, worker_reports)
         splits = []
         if self.keyed:
@@ -133,7 +133,7 @@
         self,
         now: float,
         workers: ServiceWorkers,
-        entries: Mapping[str, Entry],
+        entries: Mapping[str, Row],
         worker_reports: Iterable[events.WorkerHeard],
     ) -> dict[int, Assignment]:
         """Bring the manager up to date and let it decide; the assignments that are new."""
@@ -170,9 +170,9 @@
         )
         return [events.WorkersListed(listed, complete=True)]
 
-    def _give_slices(self, entries: Mapping[str, Entry]) -> list[events.SliceGiven | events.LineHeld]:
+    def _give_slices(self, entries: Mapping[str, Row]) -> list[events.SliceGiven | events.LineHeld]:
         """The events that tell the manager of assignments that are others than it knows."""
-        agreed = {int(start): Assignment.of_entry(entry) for start, entry in entries.items()}
+        agreed = {int(start): Assignment.of_row(row) for start, row in entries.items()}
         policy_events: list[events.SliceGiven | events.LineHeld] = []
         for start, assignment in agreed.items():
             if self._known.get(start) == assignment:
--- a/bramblewood/controller/placement/slice_changes.py
+++ b/bramblewood/controller/placement/slice_changes.py
@@ -6,24 +6,21 @@
 with a new fencing token, which is the version of the table that made it one.
 """
 
-from collections.abc import Callable, Iterable, Mapping, Sequence
+from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from ...common.slice_table import (
     FENCING_TOKEN,
-    HANDOVER,
     KEY_SPACE_SIZE,
-    PREVIOUS_OWNER,
     READERS,
-    SECOND,
-    SECOND_SHARE,
     UNASSIGNED,
-    WORKER,
+    Row,
+    SliceEntry,
     active_readers,
     with_readers,
 )
-from ..table_changes import Entry, ProposedTable, TableValue, empty_table
+from ..table_changes import ProposedTable, TableValue, empty_table
 
 MIN_SLICES = 32
 MIN_SLICES_PER_WORKER = 6  # so that one slice is a small step; each keyed slice costs a renewal of its lease
@@ -37,9 +34,9 @@
     second_share: float = 0.0
 
     @classmethod
-    def of_entry(cls, entry: Sequence[Any]) -> "Assignment":
-        """The assignment that an entry of the slice table states."""
-        return cls(*entry[:FENCING_TOKEN])
+    def of_row(cls, row: Row) -> "Assignment":
+        """The assignment that a row of the slice table states."""
+        return cls(*row[:FENCING_TOKEN])
 
 
 class SliceSplit(NamedTuple):
@@ -72,23 +69,23 @@
     return count
 
 
-def initial_entries(count: int) -> dict[str, Entry]:
-    """Entries of `count` equal slices that nobody serves yet, by first key."""
+def initial_rows(count: int) -> dict[str, Row]:
+    """Rows of `count` equal slices that nobody serves yet, by first key."""
     return {str(i * KEY_SPACE_SIZE // count): UNASSIGNED for i in range(count)}
 
 
-def reassigned(entry: Entry, assignment: Assignment, keyed: bool, version: int) -> Entry:
-    """The entry with another assignment. The owner of a keyed slice must first release its keys."""
-    new_entry = list(entry)
+def reassigned(row: Row, assignment: Assignment, keyed: bool, version: int) -> Row:
+    """The row with another assignment. The owner of a keyed slice must first release its keys."""
     worker, second_worker, second_share = assignment
-    if new_entry[WORKER] != worker:
+    entry = SliceEntry.decode(row)
+    if entry.worker != worker:
         if keyed:
-            new_entry[PREVIOUS_OWNER] = new_entry[PREVIOUS_OWNER] or new_entry[WORKER]
-            new_entry[HANDOVER] = ""
-        new_entry[FENCING_TOKEN] = version
-    new_entry[WORKER], new_entry[SECOND], new_entry[SECOND_SHARE] = worker, second_worker, second_share
-    readers = [instance_id for instance_id in active_readers(new_entry) if instance_id != worker]
-    return with_readers(new_entry, readers, version)
+            entry = entry._replace(previous_owner=entry.previous_owner or entry.worker, handover="")
+        entry = entry._replace(fencing_token=version)
+    entry = entry._replace(worker=worker, second_worker=second_worker, second_share=second_share)
+    new_row = entry.encode()
+    readers = [instance_id for instance_id in active_readers(new_row) if instance_id != worker]
+    return with_readers(new_row, readers, version)
 
 
 def apply_slice_changes(
@@ -103,29 +100,29 @@
     value = value or empty_table()
     version, services, any_change = value["n"] + 1, dict(value["s"]), False
     for service, wanted in changes.items():
-        entries = dict(services.get(service) or initial_entries(wanted.slice_count))
-        any_change |= _change_entries(entries, wanted, service in keyed, version)
-        services[service] = entries
+        rows = dict(services.get(service) or initial_rows(wanted.slice_count))
+        any_change |= _change_rows(rows, wanted, service in keyed, version)
+        services[service] = rows
     return ({**value, "n": version, "s": services}, True) if any_change else (None, False)
 
 
-def _change_entries(entries: dict[str, Entry], wanted: SliceChanges, keyed: bool, version: int) -> bool:
-    """Put these changes into one service's entries; whether any did."""
+def _change_rows(rows: dict[str, Row], wanted: SliceChanges, keyed: bool, version: int) -> bool:
+    """Put these changes into one service's rows; whether any did."""
     any_change = False
     for parent, start, assignment in wanted.splits:
-        entry = entries.get(str(parent))
-        if entry is not None and str(start) not in entries:
-            entries[str(start)] = reassigned(entry[:READERS], assignment, keyed, version)
+        row = rows.get(str(parent))
+        if row is not None and str(start) not in rows:
+            rows[str(start)] = reassigned(row[:READERS], assignment, keyed, version)
             any_change = True
     for first_key, assignment in wanted.assignments.items():
-        entry = entries.get(str(first_key))
-        if entry is not None and Assignment.of_entry(entry) != assignment:
-            entries[str(first_key)] = reassigned(entry, assignment, keyed, version)
+        row = rows.get(str(first_key))
+        if row is not None and Assignment.of_row(row) != assignment:
+            rows[str(first_key)] = reassigned(row, assignment, keyed, version)
             any_change = True
     for first_key, readers in wanted.readers.items():
-        entry = entries.get(str(first_key))
-        if entry is not None and active_readers(entry) != readers:
-            entries[str(first_key)] = with_readers(entry, readers, version)
+        row = rows.get(str(first_key))
+        if row is not None and active_readers(row) != readers:
+            rows[str(first_key)] = with_readers(row, readers, version)
             any_change = True
     return any_change
 
@@ -134,25 +131,25 @@
     value: TableValue | None,
     service: str,
     starts: Iterable[int],
-    change: Callable[[Entry, int], Entry | None],
+    change: Callable[[SliceEntry, int], SliceEntry | None],
 ) -> ProposedTable:
     """The table with `change(entry, version)` in place of these slices' entries, where that gives one.
 
     Args:
         starts: first keys of slices; those that are gone are left out.
-        change: gets a copy of the entry, and the version that the table will have.
+        change: gets an entry, and the version that the table will have.
     """
     if not value or service not in value["s"]:
         return None, False
-    entries, version, any_change = dict(value["s"][service]), value["n"] + 1, False
+    rows, version, any_change = dict(value["s"][service]), value["n"] + 1, False
     for start in starts:
-        entry = entries.get(str(start))
-        new_entry = change(list(entry), version) if entry else None
+        row = rows.get(str(start))
+        new_entry = change(SliceEntry.decode(row), version) if row else None
         if new_entry is not None:
-            entries[str(start)], any_change = new_entry, True
+            rows[str(start)], any_change = new_entry.encode(), True
     if not any_change:
         return None, False
-    return {**value, "n": version, "s": {**value["s"], service: entries}}, True
+    return {**value, "n": version, "s": {**value["s"], service: rows}}, True
 
 
 def clear_previous_owner(
@@ -170,11 +167,10 @@
         handover: what the previous owner tells the new one, empty if nothing.
     """
 
-    def release(entry: Entry, _version: int) -> Entry | None:
-        if entry[PREVIOUS_OWNER] != previous_owner or entry[FENCING_TOKEN] != fencing_token:
+    def release(entry: SliceEntry, _version: int) -> SliceEntry | None:
+        if (entry.previous_owner, entry.fencing_token) != (previous_owner, fencing_token):
             return None
-        entry[PREVIOUS_OWNER], entry[HANDOVER] = "", handover
-        return entry
+        return entry._replace(previous_owner="", handover=handover)
 
     return with_changed_entries(value, service, starts, release)
 
@@ -186,10 +182,7 @@
     higher one.
     """
 
-    def raise_token(entry: Entry, version: int) -> Entry | None:
-        if entry[FENCING_TOKEN] != fencing_token:
-            return None
-        entry[FENCING_TOKEN] = version
-        return entry
+    def raise_token(entry: SliceEntry, version: int) -> SliceEntry | None:
+        return entry._replace(fencing_token=version) if entry.fencing_token == fencing_token else None
 
     return with_changed_entries(value, service, starts, raise_token)
--- a/bramblewood/controller/table_changes.py
+++ b/bramblewood/controller/table_changes.py
@@ -10,7 +10,6 @@
 from typing import Any
 
 TableValue = dict[str, Any]  # the register's value; its form: `common/slice_table.py`
-Entry = list[Any]  # a slice's row in it
 ProposedTable = tuple[TableValue | None, bool]
 TableChange = Callable[[TableValue | None], ProposedTable]
 
--- a/features/steps/zone_affinity.py
+++ b/features/steps/zone_affinity.py
@@ -26,14 +26,14 @@
 def all_requests_stay(context, cycles):
     for _ in range(cycles):
         context.zone_affinity.adjust(context.utilizations)
-    assert context.zone_affinity.local_shares["a"] == 1.0
+    assert context.zone_affinity.local_fractions["a"] == 1.0
 
 
 @then("after {cycles:d} cycles {share:g} of a's requests stay, and all of b's")
 def fewer_requests_stay(context, cycles, share):
     for _ in range(cycles):
         context.zone_affinity.adjust(context.utilizations)
-    assert context.zone_affinity.local_shares == {"a": share, "b": 1.0}
+    assert context.zone_affinity.local_fractions == {"a": share, "b": 1.0}
 
 
 @given("a proxy of zone a whose zone keeps {share:g} of its requests, with workers in a and b")
