--- a/features/steps/drain_plans.py
+++ b/features/steps/drain_plans.py
@@ -18,6 +18,7 @@
     worker_drains_of,
 )
 from bramblewood.controller.drain_progress import DrainProgress, ServiceCapacity
+from bramblewood.proxy.load_report import remaining_work
 from tests.approved import approve
 from tests.simulation.drain_plans import OutOfServiceTooSoon, Play
 
@@ -127,35 +128,40 @@
     assert "w1" not in worker_drains_of(context.value)
 
 
-def announce_step(context, step):
-    context.load_balancer.take_table(
-        {"n": context.load_balancer.table_n + 1, "base": 1, "d": {}, "w": {"w1": step}}
-    )
+def apply_step(context, step):
+    """The proxy hears of a table in which w1 has this step."""
+    slices = context.load_balancer.slices
+    slices.apply({"n": slices.version + 1, "base": slices.version, "d": {}, "w": {"w1": step}})
+
+
+def choose_workers(context, count, idempotent):
+    return [
+        context.load_balancer.choose_worker(5.0, "s", None, f"e{i}", set(), idempotent) for i in range(count)
+    ]
 
 
 @when("key 7's client began at w1, and a plan takes w1")
-def began(context):
-    context.load_balancer.pin(0.0, "s", "7", "w1", 2.0)
-    announce_step(context, DRAIN_ANNOUNCED)
+def client_began(context):
+    context.load_balancer.set_affinity(0.0, "s", "7", "w1", 2.0)
+    apply_step(context, DRAIN_ANNOUNCED)
 
 
 @then("its next step goes to w1 at {early:d} s, and elsewhere after {late:d} s")
-def bound(context, early, late):
-    assert context.load_balancer.pinned(early, "s", "7") == "w1"
-    assert context.load_balancer.left(early)["w1"] == [0, 1, 0.0]
-    assert context.load_balancer.pinned(late, "s", "7") is None and context.load_balancer.left(late) == {}
+def affinity_ends(context, early, late):
+    load_balancer = context.load_balancer
+    assert load_balancer.affinity_worker(early, "s", "7") == "w1"
+    assert remaining_work(load_balancer, early)["w1"] == [0, 1, 0.0]
+    assert load_balancer.affinity_worker(late, "s", "7") is None
+    assert remaining_work(load_balancer, late) == {}
 
 
 @then("of {count:d} effects none goes to w1 once it is in the plan, though it still gets lookups")
-def effects(context, count):
-    chosen = [context.load_balancer.choose(5.0, "s", None, f"e{i}", set()) for i in range(count)]
-    assert "w1" not in chosen
-    assert "w1" in [context.load_balancer.choose(5.0, "s", None, f"e{i}", set(), True) for i in range(count)]
+def effects_go_elsewhere(context, count):
+    assert "w1" not in choose_workers(context, count, idempotent=False)
+    assert "w1" in choose_workers(context, count, idempotent=True)
 
 
 @then("once its drain has begun w1 gets nothing new")
-def closes(context):
-    announce_step(context, DRAIN_IN_PROGRESS)
-    assert "w1" not in [
-        context.load_balancer.choose(5.0, "s", None, f"e{i}", set(), True) for i in range(200)
-    ]
+def nothing_new(context):
+    apply_step(context, DRAIN_IN_PROGRESS)
+    assert "w1" not in choose_workers(context, 200, idempotent=True)
