--- a/bramblewood/controller/placement/replica_placement.py
+++ b/bramblewood/controller/placement/replica_placement.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Mapping
 
-from ...common.slice_table import PREVIOUS_OWNER, WORKER, Row, active_readers, all_readers
+from ...common.slice_table import Row, SliceEntry, active_readers
 from ..hot_keys import HotKeys
 from ..read_replicas import reader_count as wanted_reader_count
 from .worker_loads import WorkerLoads
@@ -15,21 +15,21 @@
     changes = {}
     usable = {worker.name for worker in worker_loads.usable_workers()}
     for start, row in entries.items():
-        key, readers = int(start), active_readers(row)
+        key, entry, readers = int(start), SliceEntry.decode(row), active_readers(row)
         kept = [
-            instance_id for instance_id in readers if instance_id in usable and instance_id != row[WORKER]
+            instance_id for instance_id in readers if instance_id in usable and instance_id != entry.worker
         ]
         if not hot_keys.is_hot(key):
             kept = []
-        elif str(key + 1) in entries and not row[PREVIOUS_OWNER]:
-            kept += _additional_readers(key, row, len(kept), hot_keys, worker_loads)
+        elif str(key + 1) in entries and not entry.previous_owner:
+            kept += _additional_readers(key, entry, len(kept), hot_keys, worker_loads)
         if kept != readers:
             changes[key] = kept
     return changes
 
 
 def _additional_readers(
-    key: int, row: Row, reader_count: int, hot_keys: HotKeys, worker_loads: WorkerLoads
+    key: int, entry: SliceEntry, reader_count: int, hot_keys: HotKeys, worker_loads: WorkerLoads
 ) -> list[str]:
     """The least loaded workers that may become readers, as many as the key's rate calls for.
 
@@ -39,7 +39,7 @@
     candidates = [
         worker
         for worker in worker_loads.usable_workers()
-        if worker.name != row[WORKER] and worker.name not in all_readers(row)
+        if worker.name != entry.worker and worker.name not in entry.readers
     ]
     candidates.sort(key=lambda worker: (worker_loads.load_per_slot(worker), worker.name))
     return [worker.name for worker in candidates[: max(wanted_count - reader_count, 0)]]
