--- a/bramblewood/controller/http_listener.py
+++ b/bramblewood/controller/http_listener.py
@@ -3,7 +3,7 @@
 from aiohttp import web
 from result import Err
 
-from ..common.peer_connections import accept
+from ..common.peer_connections import accept_connection
 from .command_decoding import (
     MAX_CALL_BYTES,
     decode,
@@ -40,7 +40,7 @@
 
     async def serve(self, request: web.BaseRequest) -> web.StreamResponse:
         """One HTTP request: of peers and operators' tools on the inner port, of workers and clients else."""
-        if request.transport.get_extra_info("sockname")[1] == self.runtime.settings.inner:
+        if request.transport.get_extra_info("sockname")[1] == self.runtime.settings.peer_port:
             return await self._serve_inner(request)
         method, path, body = request.method, request.raw_path, b""
         limit = max_body_bytes(method, path)
@@ -60,7 +60,7 @@
     async def _serve_inner(self, request: web.BaseRequest) -> web.StreamResponse:
         handlers, path = self.peer_handlers, request.raw_path
         if request.path == CONNECTION_PATH:
-            return await accept(
+            return await accept_connection(
                 request, handlers.handle_greeting, handlers.handle_message, handlers.handle_disconnect
             )
         if request.method != "POST" or path not in (DRAIN_PLAN_PATH, MEMBERS_PATH):
--- a/bramblewood/controller/lease_calls.py
+++ b/bramblewood/controller/lease_calls.py
@@ -138,7 +138,7 @@
             registration is None
             or registration.phase == GONE
             or self.refusals[instance_id] > 1
-            and silent_for > SILENT_HEARTBEATS * self.runtime.settings.beat
+            and silent_for > SILENT_HEARTBEATS * self.runtime.settings.heartbeat_interval
         )
 
     def _log_lease_call(self, call: LeaseCall, status: int) -> None:
--- a/bramblewood/controller/peer_handlers.py
+++ b/bramblewood/controller/peer_handlers.py
@@ -170,7 +170,7 @@
     def handle_update_request(self, connection: PeerConnection, message: dict) -> None:
         """A proxy asks for what it lacks of a register."""
         request = UpdateRequest.from_wire(message)
-        connection.sent[request.register] = request.version
+        connection.sent_versions[request.register] = request.version
         self.proxy_feed.push(connection, request.register)
 
     def handle_load_report(self, connection: PeerConnection, message: dict) -> None:
--- a/bramblewood/controller/registry_exchange.py
+++ b/bramblewood/controller/registry_exchange.py
@@ -55,7 +55,7 @@
     def share(self, rows: dict[str, list], request_id: int | None = None, excluding: str = "") -> None:
         """Send registrations to the other controllers."""
         message = RegistryUpdate(rows, request_id).to_wire()
-        for peer in list(self.runtime.peer_connections.up):
+        for peer in list(self.runtime.peer_connections.connected):
             if peer != excluding:
                 self.runtime.peer_connections.send(peer, message)
 
@@ -65,4 +65,4 @@
 
     def timed_out_workers(self, now: float) -> set[str]:
         """Workers that no controller has heard for too long though they did not deregister."""
-        return self.registry.timed_out(now, MISSED_HEARTBEATS * self.runtime.settings.beat)
+        return self.registry.timed_out(now, MISSED_HEARTBEATS * self.runtime.settings.heartbeat_interval)
--- a/bramblewood/controller/voter_changes.py
+++ b/bramblewood/controller/voter_changes.py
@@ -30,7 +30,7 @@
         settings = runtime.settings
         self.runtime, self.quorum_io, self.quorum_contact = runtime, quorum_io, quorum_contact
         self.sessions, self.controller_peers = sessions, controller_peers
-        self.membership = Membership(settings.tolerance, settings.zones, settings.bounds.CatchUpS)
+        self.membership = Membership(settings.tolerance, settings.region_of_zone, settings.bounds.CatchUpS)
         self.is_changing = False  # a proposal from here is under way
         self.shutdown_began_at: float | None = None
 
@@ -42,7 +42,7 @@
         own = PeerStatus(
             consensus.disk,
             settings.zone,
-            settings.counted,
+            settings.counts_for_tolerance,
             consensus.epoch,
             consensus.is_active_voter,
             self.runtime.shutdown_requested.is_set(),
@@ -61,7 +61,7 @@
         change = None
         if consensus.epoch == 0:
             is_late = now >= self.runtime.started_at + FOUNDING_TIMEOUT
-            seeds = self.runtime.settings.seed_ips()
+            seeds = self.runtime.settings.seed_hosts()
             change = self.membership.founding_change(seeds, self.peer_statuses(now), is_late)
         elif self.quorum_contact.coordinator(now) == self.runtime.own_address:
             change = self.membership.due_change(
--- a/tests/simulation/proxy.py
+++ b/tests/simulation/proxy.py
@@ -3,7 +3,7 @@
 import asyncio
 from typing import Any
 
-from bramblewood.common.configuration import build_configuration
+from bramblewood.common.configuration_parser import build_configuration
 from bramblewood.common.messages import TableUpdate
 from bramblewood.common.settings import Bounds, Settings
 from bramblewood.common.worker_registry import WorkerRegistration
