--- a/features/steps/drain_plans.py
+++ b/features/steps/drain_plans.py
@@ -2,6 +2,7 @@
 
 from behave import given, then, when
 
+from bramblewood.common.messages import TableUpdate
 from bramblewood.common.slice_table import (
     DRAIN_ANNOUNCED,
     DRAIN_IN_PROGRESS,
@@ -131,7 +132,7 @@
 def apply_step(context, step):
     """The proxy hears of a table in which w1 has this step."""
     slices = context.load_balancer.slices
-    slices.apply({"n": slices.version + 1, "base": slices.version, "d": {}, "w": {"w1": step}})
+    slices.apply(TableUpdate(slices.version + 1, {}, base=slices.version, leaving={"w1": step}))
 
 
 def choose_workers(context, count, idempotent):
