--- a/bramblewood/controller/proxy_sessions.py
+++ b/bramblewood/controller/proxy_sessions.py
@@ -31,7 +31,7 @@
 
     def subscribe(self, connection: PeerConnection, versions: Versions) -> None:
         """Push updates to this proxy from now on; versions: what it has."""
-        self.subscribers[connection.peer], connection.sent = connection, dict(versions)
+        self.subscribers[connection.peer], connection.sent_versions = connection, dict(versions)
 
     def unsubscribe(self, connection: PeerConnection) -> None:
         """Push no more updates to this proxy."""
--- a/bramblewood/proxy/forwarding.py
+++ b/bramblewood/proxy/forwarding.py
@@ -117,7 +117,7 @@
         """Idle connections that may be kept to a worker of this service."""
         configuration = self.sessions.configuration
         settings = configuration.services.get(service) if configuration is not None else None
-        max_connections = settings.connections if settings else 0
+        max_connections = settings.max_connections if settings else 0
         proxies = self.retry_budget.proxies
         return idle_connection_quota(max_connections, proxies, self.proxy_name, instance_id, now)
 
--- a/tests/simulation/configuration_change_guards.py
+++ b/tests/simulation/configuration_change_guards.py
@@ -97,7 +97,7 @@
 
 def repeats_by_number(requested: Configuration, current: dict | None) -> tuple:
     """Knows an order by its number alone."""
-    known = current and str(requested.number) in current["past"]
+    known = current and str(requested.revision) in current["past"]
     return (None, (200, "")) if known else short_memory(requested, current)
 
 
@@ -109,5 +109,5 @@
 
 def parent_ignored(requested: Configuration, current: dict | None) -> tuple:
     """Does not look at the parent."""
-    fresh = current and requested.number > current["n"]
-    return short_memory(requested._replace(parent=current["n"]) if fresh else requested, current)
+    fresh = current and requested.revision > current["n"]
+    return short_memory(requested._replace(parent_revision=current["n"]) if fresh else requested, current)
--- a/tests/simulation/fleet/network.py
+++ b/tests/simulation/fleet/network.py
@@ -22,7 +22,7 @@
 
     def __init__(self, connection, machine, peer):
         self.connection, self.machine, self.peer = connection, machine, peer
-        self.role, self.about, self.sent, self.next_read_at = "", -1, {}, 0.0
+        self.role, self.details_version, self.sent_versions, self.next_read_at = "", -1, {}, 0.0
         self.deliveries = []  # on their way to the other end
 
     def send(self, message):
@@ -56,8 +56,8 @@
                 self.read(end, receiver)
         self.is_up = False
         connections = dialler.peer_connections
-        if connections.up.get(acceptor.name) is self.near:
-            del connections.up[acceptor.name]
+        if connections.connected.get(acceptor.name) is self.near:
+            del connections.connected[acceptor.name]
             dialler.report_connection(acceptor.name, False)
         if self.is_greeted:
             acceptor.loop.call_soon(acceptor.handlers.handle_disconnect, self.far)
@@ -104,26 +104,26 @@
     """What `common.peer_connections.PeerConnections` is to a program."""
 
     def __init__(self, machine):
-        self.machine, self.up, self.next_dial_at = machine, {}, {}
+        self.machine, self.connected, self.next_dial_at = machine, {}, {}
 
-    def keep(self, peer, port):
+    def maintain(self, peer, port):
         self.next_dial_at.setdefault(peer, 0.0)
 
     def send(self, peer, message):
-        if peer in self.up:
-            self.up[peer].send(message)
-        return peer in self.up
+        if peer in self.connected:
+            self.connected[peer].send(message)
+        return peer in self.connected
 
     def dial_due(self, now):
         fleet, machine = self.machine.fleet, self.machine
         for peer, dial_at in self.next_dial_at.items():
             acceptor = fleet.machines.get(peer)
-            if peer in self.up or now < dial_at or acceptor is None or acceptor.server is None:
+            if peer in self.connected or now < dial_at or acceptor is None or acceptor.server is None:
                 continue
             if fleet.is_cut(machine.name, peer) or fleet.is_cut(peer, machine.name):
                 continue
             connection = SimulatedConnection(machine, acceptor)
             fleet.connections.append(connection)
-            self.up[peer] = connection.near
+            self.connected[peer] = connection.near
             connection.near.send(machine.handlers.greeting(peer))
             machine.report_connection(peer, True)
--- a/tests/simulation/fleet/rules.py
+++ b/tests/simulation/fleet/rules.py
@@ -138,7 +138,7 @@
     def record_outcome(self, command, response):
         """The caller has the answer."""
         if isinstance(command, PutConfiguration):
-            number, digest = command.configuration.number, command.configuration.digest
+            number, digest = command.configuration.revision, command.configuration.digest
             if response.status == 200:
                 self.acknowledged.setdefault(number, Acknowledgement(self.fleet.now, digest))
                 self.count("configurations taken")
