--- a/tests/simulation/membership_epoch_search.py
+++ b/tests/simulation/membership_epoch_search.py
@@ -30,10 +30,33 @@
 REPLIES = {"promise", "refuse", "state", "fetch", "chosen"}  # "done" goes nowhere: it says when to begin
 
 
+class FaultsLeft(NamedTuple):
+    """What may still happen: how many of each fault, and a bit for each order that was not sent yet."""
+
+    wipes: int
+    powers: int
+    waits: int
+    changes: int
+    orders: int
+
+    def less(self, kind: str) -> "FaultsLeft":
+        return self._replace(**{kind: getattr(self, kind) - 1})
+
+
+class SearchState(NamedTuple):
+    """machines: the number of each one's state, by name; in_flight, facts: a bit for each message, fact."""
+
+    machines: tuple[int, ...]
+    in_flight: int
+    left: FaultsLeft
+    facts: int
+
+
 class Search(MachineSteps):
     """The states of one shape: all machines, messages sent, faults left, facts seen."""
 
-    def initial_state(self) -> tuple:
+    def initial_state(self) -> SearchState:
+        """The state after the moves that the shape begins with."""
         voters = {name: f"{name}0" for name in self.shape.voters}
         members, machines = {"n": 1, "voters": voters, "before": {}}, []
         for name in self.names:
@@ -48,13 +71,13 @@
         in_flight = 0
         for name in self.shape.wipes:
             in_flight |= 1 << self.number(self.messages, ("", name, epoch))
-        starts = (1 << len(self.shape.orders)) - 1
-        state = (tuple(machines), in_flight, (*self.shape.most, starts), 0)
+        left = FaultsLeft(*self.shape.most, orders=(1 << len(self.shape.orders)) - 1)
+        state = SearchState(tuple(machines), in_flight, left, 0)
         for move in self.shape.begin:
             state = self.after_move(state, self.named_move(state, *move.split()))
         return state
 
-    def named_move(self, state: tuple, kind: str, what: str) -> tuple:
+    def named_move(self, state: SearchState, kind: str, what: str) -> tuple:
         """A move as shapes write it: "order x", "change 0", "power a", or "accept a>b": b hears that."""
         if kind == "order":
             return kind, [digest for _, digest in self.shape.orders].index(what)
@@ -77,14 +100,14 @@
         asked = what["k"] in REPLIES or what["k"] == "accepted" and peer == what["b"][2]
         return self.shape.prompt and asked
 
-    def after_step(self, state: tuple, number: int, step: tuple) -> tuple:
+    def after_step(self, state: SearchState, number: int, step: tuple) -> SearchState:
         """The state after one machine's step, with all that arrives at once."""
-        machines, in_flight, faults_left, facts = state
-        machines, todo = list(machines), [(number, step)]
+        machines, in_flight, facts = list(state.machines), state.in_flight, state.facts
+        todo = [(number, step)]
         while todo:
-            number, (machine_after, sends, told) = todo.pop(0)
+            number, (machine_after, sends, new_facts) = todo.pop(0)
             machines[number] = machine_after
-            facts |= told
+            facts |= new_facts
             for message in sends:
                 peer = self.messages[message][1]
                 if peer not in self.names:
@@ -97,96 +120,98 @@
                         todo.append((place, after))
                 elif not self.is_ignored(self.messages[message]):
                     in_flight |= 1 << message
-        return tuple(machines), in_flight, faults_left, facts
+        return SearchState(tuple(machines), in_flight, state.left, facts)
 
     def is_ignored(self, message: tuple) -> bool:
         """An acceptance to others than its proposer, unless each message is a move; sets spread by notice."""
         what = message[2]
         return self.shape.prompt and what["k"] == "accepted" and message[1] != what["b"][2]
 
-    def possible_moves(self, state: tuple) -> list:
-        machines, in_flight, (wipes, powers, waits, changes, starts), _ = state
-        shape, found = self.shape, []
+    def possible_moves(self, state: SearchState) -> list:
+        shape, left, in_flight, found = self.shape, state.left, state.in_flight, []
         while in_flight:
             low = in_flight & -in_flight
             in_flight ^= low
             found.append(("hear", low.bit_length() - 1))
-        for place, here in enumerate(machines):
+        for place, here in enumerate(state.machines):
             if self.machines[here].writes:
                 found.append(("sync", place))
-        found += [("order", place) for place in range(len(shape.orders)) if starts >> place & 1]
-        if changes:
+        found += [("order", place) for place in range(len(shape.orders)) if left.orders >> place & 1]
+        if left.changes:
             found += [("change", place) for place in range(len(shape.changes))]
-        if wipes:
+        if left.wipes:
             found += [("wipe", self.names.index(name)) for name in shape.wipes]
-        if powers:
+        if left.powers:
             found += [("power", self.names.index(name)) for name in shape.powers]
-        if waits:
+        if left.waits:
             found += [("wait", self.names.index(name)) for name in shape.waits]
         return found
 
-    def after_move(self, state: tuple, move: tuple) -> tuple | None:
+    def after_move(self, state: SearchState, move: tuple) -> SearchState | None:
         """The state after this move; None where it changes nothing or can't be."""
         kind, number = move
-        machines, in_flight, (wipes, powers, waits, changes, starts), facts = state
-        if kind == "hear":
-            place = self.names.index(self.messages[number][1])
-            step = self.after_message(machines[place], number)
-            if step[0] == machines[place] and not step[1] and not step[2]:
-                return None
-            return self.after_step(state, place, step)
-        if kind == "order":
-            who, digest = self.shape.orders[number]
-            place, faults_left = (
-                self.names.index(who),
-                (wipes, powers, waits, changes, starts & ~(1 << number)),
-            )
-            step = self.after_proposal(machines[place], CONFIG, ("order", digest))
-        elif kind == "change":
-            who, seat, successor = self.shape.changes[number]
-            place, faults_left = self.names.index(who), (wipes, powers, waits, changes - 1, starts)
-            here = self.machines[machines[place]]
-            members = here.consensus.voter_set
-            new = successor or seat
-            disk = self.machines[machines[self.names.index(new)]].consensus.disk
-            voters = {name: kept for name, kept in members["voters"].items() if name != seat}
-            if (
-                seat not in members["voters"]
-                or {**voters, new: disk} == members["voters"]
-                or not here.consensus.active_epoch > 0
-            ):
-                return None
-            step = self.after_proposal(
-                machines[place], VOTER_SET, ("members", (members, {**voters, new: disk}))
-            )
-        elif kind == "wait":
-            place, faults_left = number, (wipes, powers, waits - 1, changes, starts)
-            step = self.after_wait(machines[place])
-        elif kind == "sync":
-            place, faults_left = number, state[2]
-            here = self.machines[machines[place]]
-            replica, sends, told = restore_replica(here.name, here.consensus), [], []
-            machine_after = self.after_sync(here, replica, sends, told)
-            machine_after = machine_after._replace(
-                consensus=replica_state(replica, here.name in self.proposers)
-            )
-            step = (
-                self.number(self.machines, machine_after),
-                tuple(self.number(self.messages, one) for one in sends),
-                self.mask(told),
-            )
-        else:
-            place, lost = number, kind == "wipe"
-            faults_left = (wipes - lost, powers - (not lost), waits, changes, starts)
-            step = (self.after_restart(machines[place], lost), (), 0)
-        return self.after_step((machines, in_flight, faults_left, facts), place, step)
+        left = state.left
+        match kind:
+            case "hear":
+                return self.after_hearing(state, number)
+            case "order":
+                proposer, digest = self.shape.orders[number]
+                index, left = self.names.index(proposer), left._replace(orders=left.orders & ~(1 << number))
+                step = self.after_proposal(state.machines[index], CONFIG, ("order", digest))
+            case "change":
+                index, left = self.names.index(self.shape.changes[number][0]), left.less("changes")
+                step = self.after_change(state, number)
+            case "wait":
+                index, left = number, left.less("waits")
+                step = self.after_wait(state.machines[index])
+            case "sync":
+                index = number
+                step = self.after_oldest_write(state.machines[index])
+            case "wipe":
+                index, left = number, left.less("wipes")
+                step = (self.after_restart(state.machines[index], True), (), 0)
+            case "power":
+                index, left = number, left.less("powers")
+                step = (self.after_restart(state.machines[index], False), (), 0)
+        return None if step is None else self.after_step(state._replace(left=left), index, step)
+
+    def after_hearing(self, state: SearchState, message: int) -> SearchState | None:
+        index = self.names.index(self.messages[message][1])
+        step = self.after_message(state.machines[index], message)
+        if step[0] == state.machines[index] and not step[1] and not step[2]:
+            return None
+        return self.after_step(state, index, step)
+
+    def after_change(self, state: SearchState, number: int) -> tuple | None:
+        """The proposer's step; None where the seat is not there, is so already, or it was never active."""
+        proposer, seat, successor = self.shape.changes[number]
+        machine = state.machines[self.names.index(proposer)]
+        replica = self.machines[machine].consensus
+        current, new = replica.voter_set["voters"], successor or seat
+        disk = self.machines[state.machines[self.names.index(new)]].consensus.disk
+        voters = {name: kept for name, kept in current.items() if name != seat}
+        voters[new] = disk
+        if seat not in current or voters == current or not replica.active_epoch > 0:
+            return None
+        return self.after_proposal(machine, VOTER_SET, ("members", (replica.voter_set, voters)))
+
+    def after_oldest_write(self, machine: int) -> tuple:
+        here = self.machines[machine]
+        replica, sends, facts = restore_replica(here.name, here.consensus), [], []
+        after = self.after_sync(here, replica, sends, facts)
+        after = after._replace(consensus=replica_state(replica, here.name in self.proposers))
+        return (
+            self.number(self.machines, after),
+            tuple(self.number(self.messages, one) for one in sends),
+            self.mask(facts),
+        )
 
     # --- judges
 
-    def recovers(self, state: tuple) -> bool:
+    def recovers(self, state: SearchState) -> bool:
         """Whether a majority answers once all are up and hear each other; of disks, none is lost any more."""
         machines, now = {}, 0.0
-        for number in state[0]:
+        for number in state.machines:
             here = self.machines[number]
             while here.writes:
                 here = self.after_sync(here, restore_replica(here.name, here.consensus), [], [])
@@ -251,8 +276,8 @@
                         continue
                     seen[after] = (state, move)
                     try:
-                        if after[3] != state[3]:
-                            self.check_facts(state[3], after[3])
+                        if after.facts != state.facts:
+                            self.check_facts(state.facts, after.facts)
                     except RuleViolation as problem:
                         return SearchResult(len(seen), level, str(problem), self.path(seen, after))
                     following.append(after)
