--- a/bramblewood/controller/controller_peers.py
+++ b/bramblewood/controller/controller_peers.py
@@ -78,9 +78,9 @@
         for peer in [only] if only else list(connected):
             if peer not in connected:
                 continue
-            session = self.sessions.heard.get(peer)
-            heard_at = max(session.heard_at if session else 0.0, self.connection_changed_at[peer])
-            if now - heard_at > CONNECTION_TIMEOUT:
+            session = self.sessions.by_peer.get(peer)
+            last_sign_at = max(session.received_at if session else 0.0, self.connection_changed_at[peer])
+            if now - last_sign_at > CONNECTION_TIMEOUT:
                 connected[peer].close()  # its own connection brings nothing any more: likely a partition
                 continue
             message = self._for_peer(now, peer, heartbeat, details)
--- a/bramblewood/controller/deregistration.py
+++ b/bramblewood/controller/deregistration.py
@@ -41,7 +41,7 @@
         self.pending[request_id] = PendingDeregistration(now)
         return request_id
 
-    def record_holder(self, request_id: int, peer: str, epoch: int) -> None:
+    def record_acknowledgement(self, request_id: int, peer: str, epoch: int) -> None:
         """A controller holds the registration; epoch: in which it was an active voter then, -1 for none."""
         if request_id in self.pending:
             self.pending[request_id].holders[peer] = epoch
--- a/bramblewood/controller/introspection.py
+++ b/bramblewood/controller/introspection.py
@@ -135,11 +135,11 @@
             "scribe": self.quorum_contact.coordinator(now),
             "archives": {
                 peer: {
-                    "heard": round(now - session.heard_at, 2),
+                    "heard": round(now - session.received_at, 2),
                     "whole": session.is_current,
                     "votes": session.is_voting,
                 }
-                for peer, session in self.sessions.heard.items()
+                for peer, session in self.sessions.by_peer.items()
             },
             "desks": sorted(self.sessions.all_proxies(now, list(self.proxy_sessions.connected))),
         }
--- a/bramblewood/controller/key_releases.py
+++ b/bramblewood/controller/key_releases.py
@@ -17,7 +17,7 @@
         self.waiting: dict[tuple, ReleasedKeys] = {}
         self.is_proposing = False
         self.on_progress: Callable[[], None] = lambda: None  # a proposal has ended
-        self.on_all_settled: Callable[[], None] = lambda: None  # and nothing waits any more
+        self.on_all_finished: Callable[[], None] = lambda: None  # and nothing waits any more
 
     def add(self, released: ReleasedKeys) -> None:
         """Have this agreed in the table."""
@@ -39,7 +39,7 @@
         if self.waiting:
             self.add(next(iter(self.waiting.values())))
         else:
-            self.on_all_settled()
+            self.on_all_finished()
 
 
 def without_previous_owners(table: Any, batch: list[ReleasedKeys]) -> tuple[Any, bool]:
--- a/bramblewood/controller/lease_calls.py
+++ b/bramblewood/controller/lease_calls.py
@@ -33,7 +33,7 @@
 GRANT_TIMEOUT = 1.0  # s
 KEEPALIVE = 4.0  # s that an idle connection to a worker is kept
 # a worker whose port refuses calls has ended once it was silent for this many of its heartbeat intervals
-SILENT_HEARTBEATS = 1.3
+MISSED_HEARTBEATS = 1.3
 
 
 class LeaseCalls:
@@ -133,12 +133,12 @@
     ) -> bool:
         is_refused = status == CONNECTION_REFUSED
         self.refusals[instance_id] = self.refusals.get(instance_id, 0) + 1 if is_refused else 0
-        silent_for = now - self.registry.last_heard.get(instance_id, 0.0)
+        since_heard = now - self.registry.last_heard.get(instance_id, 0.0)
         return (
             registration is None
             or registration.phase == GONE
             or self.refusals[instance_id] > 1
-            and silent_for > SILENT_HEARTBEATS * self.runtime.settings.beat
+            and since_heard > MISSED_HEARTBEATS * self.runtime.settings.beat
         )
 
     def _log_lease_call(self, call: LeaseCall, status: int) -> None:
--- a/bramblewood/controller/peer_handlers.py
+++ b/bramblewood/controller/peer_handlers.py
@@ -152,7 +152,7 @@
         """A controller holds a registration that we asked it to hold."""
         answer, peer = RegistryAcknowledgement.from_wire(message), connection.peer
         self.registry_exchange.record_all(answer.newer, peer)
-        self.worker_api.deregistrations.record_holder(answer.request_id, peer, answer.epoch)
+        self.worker_api.deregistrations.record_acknowledgement(answer.request_id, peer, answer.epoch)
         self.worker_api.check_confirmations()
 
     def handle_subscription(self, connection: PeerConnection, message: dict) -> None:
--- a/bramblewood/controller/registry_exchange.py
+++ b/bramblewood/controller/registry_exchange.py
@@ -24,11 +24,11 @@
 
         request_id: asks all controllers to acknowledge it by this id, news or not.
         """
-        is_news = self.registry.record(self.runtime.now(), instance_id, registration)
+        has_changed = self.registry.record(self.runtime.now(), instance_id, registration)
         rows = {instance_id: [*self.registry.registrations[instance_id]]}
-        if is_news or request_id is not None:
+        if has_changed or request_id is not None:
             self.share(rows, request_id)
-        if not is_news:
+        if not has_changed:
             return
         self.proxy_sessions.send_registrations(rows)
         if registration.phase != READY:
--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -161,7 +161,7 @@
         self.proxy_feed.on_configuration_announced = lambda: self.proxy_heartbeats.send(runtime.now())
         self.registry_exchange.on_departure = self.coordinator_loop.step
         self.key_releases.on_progress = self.chosen_values.refresh
-        self.key_releases.on_all_settled = lambda: self.coordinator_loop.step(runtime.now())
+        self.key_releases.on_all_finished = lambda: self.coordinator_loop.step(runtime.now())
 
     def set_planner(self, planner: PlacementPlanner) -> None:
         """Hand the planner of placement to those that use it; made once the clock is known."""
--- a/bramblewood/controller/sessions.py
+++ b/bramblewood/controller/sessions.py
@@ -27,7 +27,7 @@
 class PeerSession(NamedTuple):
     """What the newest heartbeat of another controller said."""
 
-    heard_at: float
+    received_at: float
     echo: float  # when we sent the heartbeat that it echoes
     accepted: dict[str, ProposalNumber]  # newest accepted proposal by register, on disk or not yet
     is_voting: bool  # an active voter of its epoch
@@ -57,12 +57,12 @@
 
     def __init__(self, own_address: str) -> None:
         self.own_address = own_address
-        self.heard: dict[str, PeerSession] = {}
+        self.by_peer: dict[str, PeerSession] = {}
         self.sent_details: dict[str, PeerDetails] = {}  # on the connection that stands
         self.echoes: dict[str, float] = {}  # time in each one's last heartbeat, to give back
         self.proxies: dict[str, list[str]] = {}  # those connected to each one, by its last word
         self.zones: dict[str, tuple[str, bool]] = {}  # zone, and whether its loss is to be borne
-        self.heard_since: dict[str, float] = {}  # since when its heartbeats come without a gap
+        self.uninterrupted_since: dict[str, float] = {}  # since when its heartbeats come without a gap
         # by register, when we had last accepted nothing newer than was known to be chosen
         self.up_to_date_at: dict[str, float] = {}
 
@@ -83,10 +83,10 @@
 
     def record_heartbeat(self, now: float, peer: str, heartbeat: ControllerHeartbeat) -> None:
         """Take a heartbeat of another controller."""
-        before = self.heard.get(peer)
-        if before is None or now - before.heard_at > PEER_TIMEOUT or before.disk != heartbeat.disk:
-            self.heard_since[peer] = now
-        self.heard[peer] = PeerSession(
+        before = self.by_peer.get(peer)
+        if before is None or now - before.received_at > PEER_TIMEOUT or before.disk != heartbeat.disk:
+            self.uninterrupted_since[peer] = now
+        self.by_peer[peer] = PeerSession(
             now,
             heartbeat.echo,
             heartbeat.accepted,
@@ -131,7 +131,7 @@
                     default=now,
                 )
             )
-        for peer, session in self.heard.items():
+        for peer, session in self.by_peer.items():
             has_nothing_newer = all(
                 session.accepted.get(register, NO_PROPOSAL) <= proposal_number
                 for register, proposal_number in known.items()
@@ -147,17 +147,17 @@
     def peer_statuses(self, now: float) -> dict[str, PeerStatus]:
         """The other controllers that were heard, as changes of the voter set look at them."""
         statuses = {}
-        for peer, session in self.heard.items():
-            silent_for = now - session.heard_at
-            heard_for = max(now - self.heard_since[peer], HEARTBEAT_INTERVAL)
+        for peer, session in self.by_peer.items():
+            since_last = now - session.received_at
+            uninterrupted_for = max(now - self.uninterrupted_since[peer], HEARTBEAT_INTERVAL)
             statuses[peer] = PeerStatus(
                 session.disk,
                 *self.zones.get(peer, ("", False)),
                 session.epoch,
                 session.is_voting,
                 session.is_leaving,
-                silent_for,
-                heard_for if silent_for <= PEER_TIMEOUT else 0.0,
+                since_last,
+                uninterrupted_for if since_last <= PEER_TIMEOUT else 0.0,
                 session.versions,
             )
         return statuses
@@ -165,7 +165,9 @@
     def current_peers(self, now: float) -> list[str]:
         """The other controllers heard of late that have quorum contact."""
         return [
-            peer for peer, session in self.heard.items() if self._is_heard(now, peer) and session.is_current
+            peer
+            for peer, session in self.by_peer.items()
+            if self._is_present(now, peer) and session.is_current
         ]
 
     def coordinator(self, now: float, is_current: bool) -> str | None:
@@ -179,9 +181,12 @@
     def all_proxies(self, now: float, connected: list[str]) -> set[str]:
         """The proxies connected to any controller heard of late; connected: those connected to this one."""
         elsewhere = [
-            proxy for peer, proxies in self.proxies.items() for proxy in proxies if self._is_heard(now, peer)
+            proxy
+            for peer, proxies in self.proxies.items()
+            for proxy in proxies
+            if self._is_present(now, peer)
         ]
         return {*connected, *elsewhere}
 
-    def _is_heard(self, now: float, peer: str) -> bool:
-        return peer in self.heard and now - self.heard[peer].heard_at <= PEER_TIMEOUT
+    def _is_present(self, now: float, peer: str) -> bool:
+        return peer in self.by_peer and now - self.by_peer[peer].received_at <= PEER_TIMEOUT
--- a/bramblewood/controller/voter_changes.py
+++ b/bramblewood/controller/voter_changes.py
@@ -103,6 +103,6 @@
             consensus.voter_set,
             peers,
             {register: acceptor.accepted for register, acceptor in consensus.acceptors.items()},
-            {peer: session.durable for peer, session in self.sessions.heard.items()},
+            {peer: session.durable for peer, session in self.sessions.by_peer.items()},
             bool(self.membership.successors(consensus.voter_set, peers)),
         )
--- a/features/steps/quorum_contact.py
+++ b/features/steps/quorum_contact.py
@@ -139,33 +139,35 @@
 
 
 @given("a proxy that has all, from a controller that is current")
-def has_all(context):
-    context.contact, context.known_versions = ControllerSelection("d", "z"), {"config": 3, "table": 7}
-    context.contact.connection_changed("a", True, context.known_versions)
+def proxy_has_all(context):
+    context.selection, context.known_versions = ControllerSelection("d", "z"), {"config": 3, "table": 7}
+    context.selection.connection_changed("a", True, context.known_versions)
     heartbeat = ProxyHeartbeat(context.known_versions, True, True, 1)
     assert (
         "a",
         Subscribe(context.known_versions),
-    ) in context.contact.heartbeat_received(9.0, "a", heartbeat, context.known_versions)
-    assert context.contact.registry_received(9.1, "a", context.known_versions) == [
+    ) in context.selection.heartbeat_received(9.0, "a", heartbeat, context.known_versions)
+    assert context.selection.registry_received(9.1, "a", context.known_versions) == [
         ("a", ConfirmationRequest(9.1))
     ]
 
 
 @when("that answers what was asked {ago:g} s ago")
 @when("that answers what was asked {ago:g} s ago, with a newer {register}")
-def answers(context, ago, register=""):
+def answers_question(context, ago, register=""):
     newest = {name: number + (name == register) for name, number in context.known_versions.items()}
-    context.contact.confirmation_received(20.0, "a", Confirmation(20.0 - ago, newest), context.known_versions)
+    context.selection.confirmation_received(
+        20.0, "a", Confirmation(20.0 - ago, newest), context.known_versions
+    )
 
 
 @then("the proxy is {state}")
-def ready(context, state):
-    assert context.contact.is_ready == (state == "ready")
+def proxy_is(context, state):
+    assert context.selection.is_ready == (state == "ready")
 
 
 @given("three controllers with a table")
-def three(context):
+def three_controllers(context):
     context.fleet = quorum_contact.started_fleet(1, 3)
     context.fleet.run(3.0)
     context.server = context.fleet.machines["a"].server
@@ -174,37 +176,37 @@
 
 @when("one proposes a move")
 @when("one proposes a move, and its quorum contact {ends}")
-def proposes(context, ends=""):
+def proposes_move(context, ends=""):
     change = lambda value: ({**value, "n": value["n"] + 1}, True)  # noqa: E731
     with mock.patch.object(context.server.quorum_contact, "is_current", lambda now: not ends):
         context.server.coordinator_loop.change_table(change)
         context.fleet.run(1.0)
 
 
-@then("the table {word}")
-def stands(context, word):
+@then("the table {outcome}")
+def table_is(context, outcome):
     changed = context.server.quorum_io.consensus.version(TABLE) != context.version_before
-    assert changed == (word == "has changed")
+    assert changed == (outcome == "has changed")
 
 
 @given("a registry that has heard only the last call of w1")
-def last(context):
+def registry_with_last_call(context):
     context.registry = WorkerRegistry()
     context.registry.record(1.0, "w1", WorkerRegistration("", "", "", 1, GONE, 1))
 
 
 @when("it hears an older call of w1 with its address")
-def older(context):
+def hears_older_call(context):
     assert not context.registry.record(2.0, "w1", WorkerRegistration("s", "w1:1", "z", 2, "ready", 9))
 
 
 @then("w1 is gone there, with its address")
-def gone(context):
+def is_gone_with_address(context):
     assert context.registry.registrations["w1"] == WorkerRegistration("s", "w1:1", "z", 2, GONE, 1)
 
 
 @then("its keys are not taken to be free")
-def kept(context):
+def keys_are_not_free(context):
     table = {"n": 2, "s": {"s": {"0": ["w2", "", 0.0, 2, "", "w1"]}}}
     only = WorkerRegistry()
     only.record(1.0, "w1", WorkerRegistration("", "", "", 1, GONE, 1))
@@ -216,20 +218,22 @@
 @given("a deregistration that is asked about among three voters of epoch 4")
 def asked_about(context):
     context.deregistrations = Deregistrations("a")
-    context.number = context.deregistrations.begin(10.0)
+    context.request_id = context.deregistrations.begin(10.0)
 
 
 @when("b answers as a voter of epoch 3, and c as none")
 def other_epochs(context):
-    context.deregistrations.record_holder(context.number, "b", 3)
-    context.deregistrations.record_holder(context.number, "c", -1)
+    context.deregistrations.record_acknowledgement(context.request_id, "b", 3)
+    context.deregistrations.record_acknowledgement(context.request_id, "c", -1)
 
 
 @when("c answers as a voter of epoch 4")
 def this_epoch(context):
-    context.deregistrations.record_holder(context.number, "c", 4)
+    context.deregistrations.record_acknowledgement(context.request_id, "c", 4)
 
 
-@then("it is {word} in epoch 4")
-def in_epoch(context, word):
-    assert context.deregistrations.is_confirmed(10.1, context.number, "abc", 4, True) == (word == "confirmed")
+@then("it is {outcome} in epoch 4")
+def in_epoch(context, outcome):
+    assert context.deregistrations.is_confirmed(10.1, context.request_id, "abc", 4, True) == (
+        outcome == "confirmed"
+    )
