--- a/bramblewood/controller/introspection.py
+++ b/bramblewood/controller/introspection.py
@@ -53,7 +53,7 @@
         if path in self.views:
             response = web.json_response(self.views[path](now))
         elif path == "/metrics":
-            response = web.Response(text=metrics.text(self._metrics(now)))
+            response = web.Response(text=metrics.format_metrics(self._metrics(now)))
         else:
             response = make_response(404, "no such view")
         is_current = int(self.quorum_contact.is_current(now))
--- a/bramblewood/controller/operator_api.py
+++ b/bramblewood/controller/operator_api.py
@@ -8,14 +8,7 @@
 from result import Err
 
 from ..common.worker_registry import WorkerRegistry
-from .commands import (
-    AddMember,
-    EndDrainPlan,
-    PutConfiguration,
-    RemoveMember,
-    ReplaceMember,
-    StartDrainPlan,
-)
+from .commands import AddMember, EndDrainPlan, PutConfiguration, RemoveMember, ReplaceMember, StartDrainPlan
 from .configuration_succession import apply_configuration, settled_answer
 from .consensus.registers import CONFIG, TABLE, VOTER_SET
 from .consensus.voter_set import next_voter_set
@@ -52,8 +45,8 @@
         self.runtime.log.info(
             "configuration",
             step="put",
-            number=configuration.number,
-            parent=configuration.parent,
+            number=configuration.revision,
+            parent=configuration.parent_revision,
             answer=answer,
         )
         return make_response(*answer) if answer else make_response(503, NO_QUORUM_IN_TIME)
--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -51,7 +51,7 @@
 
     def __init__(self, settings: Settings) -> None:
         runtime = self.runtime = Runtime(settings)
-        self.quorum_io = QuorumIO(runtime, Storage(settings.data or DEFAULT_FOLDER))
+        self.quorum_io = QuorumIO(runtime, Storage(settings.data_directory or DEFAULT_FOLDER))
         self.sessions = Sessions(runtime.own_address)
         self.quorum_contact = QuorumContact(runtime, self.quorum_io, self.sessions)
         self.registry, self.proxy_sessions = WorkerRegistry(), ProxySessions()
@@ -154,7 +154,7 @@
             handlers.handle_message,
             self.controller_peers.connection_changed,
             None,
-            runtime.settings.bind,
+            runtime.settings.bind_ip,
         )
         self.quorum_io.on_progress = self.chosen_values.refresh
         self.quorum_io.on_epoch_changed = self.handle_epoch_change
@@ -194,11 +194,13 @@
         """Go on from what the disk holds."""
         runtime, settings, loop = self.runtime, self.runtime.settings, self.runtime.loop
         self.quorum_io.restore(facts, registers)
-        self.set_planner(PlacementPlanner(runtime.now(), settings.beat, settings.notice))
+        self.set_planner(
+            PlacementPlanner(runtime.now(), settings.heartbeat_interval, settings.detect_hot_keys)
+        )
         self.quorum_io.storage.start(lambda done, problem: loop.call_soon_threadsafe(done, problem))
         self.quorum_io.execute(no_effects())
         known = facts.get(KNOWN_CONTROLLERS_FACT, ())
-        for peer in {*settings.seed_ips(), *self.quorum_io.consensus.voters, *known}:
+        for peer in {*settings.seed_hosts(), *self.quorum_io.consensus.voters, *known}:
             self.controller_peers.add(peer)
         runtime.started_at = runtime.now()
         self.controller_peers.next_seed_reread_at = runtime.started_at + SEED_REREAD_INTERVAL
@@ -209,19 +211,22 @@
         calls.single_use_session = await resources.enter_async_context(open_single_use_session())
         calls.pooled_session = await resources.enter_async_context(open_pooled_session())
         resources.push_async_callback(calls.cancel_all)
-        resources.push_async_callback(self.runtime.peer_connections.end)
+        resources.push_async_callback(self.runtime.peer_connections.close)
         settings = self.runtime.settings
-        for address in (settings.listen["Control"], (settings.bind or settings.ip, settings.inner)):
+        for address in (
+            settings.listen_addresses["Control"],
+            (settings.bind_ip or settings.ip, settings.peer_port),
+        ):
             protocol = web.Server(self.http_listener.serve, access_log=None)
             server = await self.runtime.loop.create_server(protocol, *address, backlog=LISTEN_BACKLOG)
             resources.callback(server.close)
 
     def _log_start(self) -> None:
         settings, consensus = self.runtime.settings, self.quorum_io.consensus
-        logs.started(
+        logs.log_started(
             self.runtime.log,
-            settings.unread,
-            contract=settings.contract,
+            settings.unsupported,
+            contract=settings.rule_parts,
             epoch=consensus.epoch,
             voters=sorted(consensus.voters),
             voting=consensus.is_active_voter,
--- a/bramblewood/proxy/server.py
+++ b/bramblewood/proxy/server.py
@@ -7,7 +7,7 @@
 from aiohttp import web
 
 from ..common import logs
-from ..common.listeners import BACKLOG, listen_on
+from ..common.listeners import ACCEPT_BACKLOG, listen_on
 from ..common.settings import SEED_REREAD_INTERVAL, Settings
 from ..common.worker_registry import GONE
 from .client_connections import ClientConnections
@@ -37,7 +37,7 @@
     def __init__(self, settings: Settings, open_sockets: dict[str, socket.socket] | None = None) -> None:
         """open_sockets: sockets that listen already, by their names in `BindMap`."""
         self.settings, self.open_sockets = settings, open_sockets or {}
-        self.log = logs.begin(settings.name)
+        self.log = logs.start_logging(settings.name)
         bounds = settings.bounds
         self.load_balancer = LoadBalancer(bounds.DrainS, settings.zone)
         self.retry_budget = RetryBudget(bounds.RetryRatio, bounds.RetryWindowS, bounds.RetrySlack)
@@ -71,7 +71,7 @@
         self.sessions.connect()
         await self._listen(loop)
         self.sessions.reported_at = loop.time()
-        logs.started(self.log, self.settings.unread, contract=self.settings.contract)
+        logs.log_started(self.log, self.settings.unsupported, contract=self.settings.rule_parts)
         await self._work_until(stopping)
         return await self.shut_down()
 
@@ -80,12 +80,16 @@
             self.readiness.handle, access_log=None, keepalive_timeout=READINESS_KEEP_ALIVE
         )
         self.client_listener = await loop.create_server(
-            self.client_connections.create_protocol, sock=self._socket(CLIENT_LISTENER), backlog=BACKLOG
+            self.client_connections.create_protocol,
+            sock=self._socket(CLIENT_LISTENER),
+            backlog=ACCEPT_BACKLOG,
+        )
+        await loop.create_server(
+            readiness_server, sock=self._socket(READINESS_LISTENER), backlog=ACCEPT_BACKLOG
         )
-        await loop.create_server(readiness_server, sock=self._socket(READINESS_LISTENER), backlog=BACKLOG)
 
     def _socket(self, name: str) -> socket.socket:
-        return self.open_sockets.get(name) or listen_on(*self.settings.listen[name])
+        return self.open_sockets.get(name) or listen_on(*self.settings.listen_addresses[name])
 
     async def _work_until(self, stopping: asyncio.Event) -> None:
         """Report, look for controllers and clean up, until `stopping` is set."""
@@ -100,7 +104,7 @@
                 pass
             now = loop.time()
             self.sessions.send_report(now)
-            is_connected = bool(self.sessions.peer_connections.up)
+            is_connected = bool(self.sessions.peer_connections.connected)
             if is_connected or now >= reread_seeds_at:
                 if not is_connected:
                     self.sessions.reread_seeds()
@@ -131,7 +135,7 @@
         loop, handler = asyncio.get_running_loop(), self.request_handler
         started_at = loop.time()
         handler.is_shutting_down = True
-        self.log.info("ending", step="end", flight=handler.in_flight)
+        self.log.info("shutting down", step="end", in_flight=handler.in_flight)
         deadline = started_at + self.settings.bounds.GraceS - SHUTDOWN_RESERVE
         refuse_at = started_at + HEALTH_CHECKS_FAILED_AFTER
         while loop.time() < deadline and (handler.in_flight or loop.time() < refuse_at):
@@ -140,6 +144,6 @@
                 self.client_listener = None
             await asyncio.sleep(SHUTDOWN_POLL_INTERVAL)
             self.sessions.send_report(loop.time())
-        self.log.info("stopped", step="end", flight=handler.in_flight)
+        self.log.info("stopped", step="end", in_flight=handler.in_flight)
         await self.sessions.close()
         return 0
--- a/tests/simulation/configuration_changes.py
+++ b/tests/simulation/configuration_changes.py
@@ -221,7 +221,7 @@
             )  # a dead port resets
 
         def on_outcome(outcome: tuple[int, str] | None) -> None:
-            record_event("answer", self.now, name, order.requested.number, outcome)
+            record_event("answer", self.now, name, order.requested.revision, outcome)
             status = outcome[0] if outcome else 503
             self.answered(order.requested, status)
             if self.rng.random() >= self.site.answers_lost:
@@ -251,7 +251,7 @@
 
     def read(self, name: str) -> list:
         """Read back at a controller; what was read, once it is there."""
-        found, least = [], max((e.number for e in self.acknowledged.values()), default=0)
+        found, least = [], max((e.revision for e in self.acknowledged.values()), default=0)
         machine = self.machines.get(name)
 
         def on_outcome(outcome: list | None) -> None:
@@ -274,15 +274,14 @@
         digest = requested.digest
         if status == 200:
             self.acknowledged[digest] = requested
-            if self.on_parent.setdefault(requested.parent, digest) != digest:
-                raise RuleViolation(
-                    f"{digest} and {self.on_parent[requested.parent]} acknowledged on r{requested.parent}"
-                )
-            self.check_in_force(requested.number, digest)
+            if self.on_parent.setdefault(requested.parent_revision, digest) != digest:
+                other = self.on_parent[requested.parent_revision]
+                raise RuleViolation(f"{digest} and {other} acknowledged on r{requested.parent_revision}")
+            self.check_in_force(requested.revision, digest)
         elif status != 503:
             self.rejected[digest] = requested
         if digest in self.rejected and (
-            digest in self.acknowledged or self.chosen.get(requested.number) == digest
+            digest in self.acknowledged or self.chosen.get(requested.revision) == digest
         ):
             raise RuleViolation(f"{digest} was refused, and was taken")
 
@@ -301,10 +300,10 @@
         for number, digest in past.items():
             self.check_in_force(int(number), digest)
         for digest, requested in self.acknowledged.items():
-            if value.get("forgotten", 0) < requested.number <= value["n"]:
-                if past.get(str(requested.number)) != digest:
+            if value.get("forgotten", 0) < requested.revision <= value["n"]:
+                if past.get(str(requested.revision)) != digest:
                     raise RuleViolation(
-                        f"{digest} was acknowledged as r{requested.number}, and is not in force"
+                        f"{digest} was acknowledged as r{requested.revision}, and is not in force"
                     )
 
     def newest_version(self) -> int:
@@ -322,7 +321,7 @@
         self.run(self.now + span)
         value = max((m.value(CONFIG) for m in self.machines.values()), key=lambda v: v["n"] if v else 0)
         for order in self.orders:
-            if not order.status and order.requested.number > value.get("forgotten", 0):
+            if not order.status and order.requested.revision > value.get("forgotten", 0):
                 raise RuleViolation(f"{order.requested.digest} has no clear answer: {order.statuses}")
         for name in self.names:
             found = self.read(name)
@@ -354,7 +353,7 @@
     rng = play.rng
     for turn in range(10):
         newest = play.newest_version()
-        early = [order.requested for order in play.orders if order.requested.parent == newest]
+        early = [order.requested for order in play.orders if order.requested.parent_revision == newest]
         for requested in early[:1]:  # its parent was not there yet; now it is
             play.order(requested)
         for k in range(1 + rng.randrange(MAX_CONCURRENT_ORDERS - 1)):
--- a/tests/simulation/consensus.py
+++ b/tests/simulation/consensus.py
@@ -242,11 +242,11 @@
         self.check_invariants()
         past = value["past"] if value else {}
         for digest, requested in self.acknowledged.items():
-            if past.get(str(requested.number)) != digest:
-                found = past.get(str(requested.number))
-                raise RuleViolation(f"{digest} was acknowledged as r{requested.number}, which is {found}")
+            if past.get(str(requested.revision)) != digest:
+                found = past.get(str(requested.revision))
+                raise RuleViolation(f"{digest} was acknowledged as r{requested.revision}, which is {found}")
         for digest, requested in self.rejected.items():
-            if past.get(str(requested.number)) == digest:
+            if past.get(str(requested.revision)) == digest:
                 raise RuleViolation(f"{digest} was refused, and is in force")
 
 
--- a/tests/simulation/membership_epochs.py
+++ b/tests/simulation/membership_epochs.py
@@ -34,28 +34,30 @@
     """The connections of one controller, as its parts use them."""
 
     def __init__(self, world: "ControllerFleet", controller: "SimulatedController") -> None:
-        self.world, self.controller, self.up, self.kept = world, controller, {}, {}
+        self.world, self.controller, self.connected, self.kept = world, controller, {}, {}
 
-    def keep(self, peer: str, port: int) -> None:
+    def maintain(self, peer: str, port: int) -> None:
         self.kept.setdefault(peer, 0.0)
 
     def send(self, peer: str, message: dict) -> None:
-        if peer in self.up:
+        if peer in self.connected:
             self.world.send(self.controller, peer, message)
 
     def drop(self, peer: str) -> None:
-        if self.up.pop(peer, None):
+        if self.connected.pop(peer, None):
             self.kept[peer] = self.world.now + DIAL_INTERVAL
             self.controller.controller_peers.connection_changed(peer, False)
 
     def dial(self) -> None:
         here = self.controller.name
         for peer, at in self.kept.items():
-            if peer not in self.up and self.world.now >= at:
+            if peer not in self.connected and self.world.now >= at:
                 self.kept[peer] = self.world.now + DIAL_INTERVAL
                 if self.world.reach(here, peer) and self.world.reach(peer, here):
                     there = self.world.machines[peer]
-                    self.up[peer] = SimpleNamespace(close=lambda peer=peer: self.drop(peer), there=there)
+                    self.connected[peer] = SimpleNamespace(
+                        close=lambda peer=peer: self.drop(peer), there=there
+                    )
                     there.controller_peers.add(here)
                     self.controller.controller_peers.connection_changed(peer, True)
 
@@ -71,7 +73,7 @@
         settings = dataclasses.replace(settings, tolerance=Tolerance(world.losses))
         with (
             mock.patch.object(quorum_io, "os", seeded_os),
-            mock.patch.object(runtime.logs, "begin", lambda _: SILENT_LOG),
+            mock.patch.object(runtime.logs, "start_logging", lambda _: SILENT_LOG),
         ):
             super().__init__(settings)
             self.disk = world.disks[name]
@@ -86,7 +88,7 @@
         self.proxy_heartbeats.send = lambda now: None  # there are no proxies
         self.quorum_io.execute(no_effects())
         for peer in sorted(
-            {*settings.seed_ips(), *self.consensus.voters, *self.disk["facts"].get("archives", ())}
+            {*settings.seed_hosts(), *self.consensus.voters, *self.disk["facts"].get("archives", ())}
         ):
             self.controller_peers.add(peer)
 
@@ -186,7 +188,7 @@
             self.at(when, lambda: self.deliver(sender, peer, message))
 
     def deliver(self, sender: SimulatedController, peer: str, message: dict) -> None:
-        machine, link = self.machines.get(peer), sender.runtime.peer_connections.up.get(peer)
+        machine, link = self.machines.get(peer), sender.runtime.peer_connections.connected.get(peer)
         if machine is None:
             return
         if link is not None and link.there is not machine and not sender.gone:
@@ -259,13 +261,13 @@
         self.number += 1 + self.rng.randrange(2)
         parent = machine.consensus.version(CONFIG) if parent is None else parent
         requested = configuration(max(self.number, parent + 1), parent, digest or f"{name}{self.number}")
-        self.number = requested.number
+        self.number = requested.revision
         self.put_again(name, requested)
         return requested
 
     def put_again(self, name: str, requested: Any) -> None:
         def on_outcome(outcome: Any) -> None:
-            record_event("answer", self.now, name, requested.number, outcome)
+            record_event("answer", self.now, name, requested.revision, outcome)
             if outcome is not None:
                 (self.acknowledged if outcome[0] == 200 else self.rejected)[requested.digest] = requested
 
@@ -284,9 +286,9 @@
                 return
             past = outcome[0]["past"] if outcome[0] else {}
             for digest, requested in acknowledged.items():
-                if past.get(str(requested.number)) != digest:
+                if past.get(str(requested.revision)) != digest:
                     raise RuleViolation(
-                        f"{digest} was acknowledged as r{requested.number}, and a reader gets {past}"
+                        f"{digest} was acknowledged as r{requested.revision}, and a reader gets {past}"
                     )
             found.append(past)
 
