--- a/features/settings.feature
+++ b/features/settings.feature
@@ -1,7 +1,7 @@
 Feature: The settings file is read as the users' pages describe it
 
-  Scenario: Figures, true and false, what may be lost, the parts of the rules
-    Then settings that say so are read as "settings"
+  Scenario: Bounds, limits, tolerance, the parts of the rules
+    Then these settings are parsed as in the approved "settings"
       | what                   | lines                                            |
       | as on the page         |                                                  |
       | fractions, odd names   | Bounds = ["AckS=6","DrainS=2.75","NewS=7","New=true","New=x"] |
@@ -16,16 +16,12 @@
       | fewer than none        | Tolerance = {Regions = -1}                       |
       | not counted, new field | Counted = false; Mood = "calm"                   |
       | limits, no seeds       | Limits = {MemoryMb = 300, CpuShare = 0.86}; SeedNodes = [] |
-    And a program tells once, as it starts, which parts are in force and which it does not know
+    And a program logs once, as it starts, which parts are in force and which it does not know
 
-  Scenario: A program whose address is not named, or whose file is faulty, does not start
-    Then "controller" by "BindMap = {}" ends with "BindMap.Control: expected host:port, found nothing"
-    And "proxy" by "BindMap = {Front = "10.0.0.4:80"}" ends with "BindMap.ReadyProbe: expected host:port, found nothing"
-    And "proxy" by "Ip = 7" ends with "Ip: expected a text, found 7"
+  Scenario: A program does not start without its listeners' addresses, or with a faulty file
+    Then "controller" started with "BindMap = {}" ends with "BindMap.Control: expected host:port, found nothing"
+    And "proxy" started with "BindMap = {Front = "10.0.0.4:80"}" ends with "BindMap.ReadyProbe: expected host:port, found nothing"
+    And "proxy" started with "Ip = 7" ends with "Ip: expected a text, found 7"
 
-  Scenario: A file that names other managers has them dialled; a faulty one has nobody, and is told
-    Then a program that runs dials 10.0.0.7 once "SeedNodes = ["10.0.0.7:8544"]", and nobody once "SeedNodes = ["
-
-  Scenario: Who votes first leaves a majority after whatever may be lost
-    Then in 2000 draws of archives, zones and losses a majority is left wherever that can be
-    And first voters wait for a seed that has said nothing yet, but not for ever
+  Scenario: When the file is read again its new seeds are dialled; a faulty file is logged and names none
+    Then rereading "SeedNodes = ["10.0.0.7:8544"]" gives the seed 10.0.0.7, and rereading "SeedNodes = [" none
--- /dev/null
+++ b/features/steps/listeners.py
@@ -0,0 +1,101 @@
+import asyncio
+import os
+import socket
+import tempfile
+from unittest import mock
+
+from aiohttp import web
+from behave import given, then, when
+
+from bramblewood.common.listeners import listen_on, open_listeners_early
+from bramblewood.common.peer_connections import PeerConnections, accept_connection
+
+LISTENERS = ("Front", "ReadyProbe")
+
+
+def free_port() -> int:
+    with socket.socket() as sock:
+        sock.bind(("127.0.0.1", 0))
+        return sock.getsockname()[1]
+
+
+def write_settings(context, ports):
+    with tempfile.NamedTemporaryFile("w", suffix=".toml", delete=False) as file:
+        lines = [f'{name} = "127.0.0.1:{port}"' for name, port in zip(LISTENERS, ports, strict=True)]
+        file.write("\n".join(["[BindMap]", *lines]))
+    context.add_cleanup(os.unlink, file.name)
+    context.path, context.ports = file.name, ports
+
+
+def open_early(context):
+    with mock.patch.dict(os.environ, {"BRAMBLEWOOD_BOOT": context.path}):
+        return open_listeners_early(LISTENERS)
+
+
+@given("a settings file that names two listeners")
+def two_listeners(context):
+    write_settings(context, (free_port(), free_port()))
+
+
+@given("a settings file whose second listener's address is in use")
+def address_in_use(context):
+    context.other = listen_on("127.0.0.1", 0)
+    context.add_cleanup(context.other.close)
+    write_settings(context, (free_port(), context.other.getsockname()[1]))
+
+
+@when("the listeners are opened early and a client connects to the first")
+def client_connects(context):
+    context.listeners = open_early(context)
+    context.client = socket.create_connection(("127.0.0.1", context.ports[0]), 1)
+    context.add_cleanup(context.client.close)
+
+
+@then("the client is accepted once a server takes over the listener")
+def client_is_accepted(context):
+    async def serve():
+        accepted = asyncio.Event()
+        sock = context.listeners["Front"]
+        server = await asyncio.start_server(lambda reader, writer: accepted.set(), sock=sock)
+        await asyncio.wait_for(accepted.wait(), 1)
+        server.close()
+
+    asyncio.run(serve())
+    context.listeners["ReadyProbe"].close()
+
+
+@then("no listener stays open")
+def no_listener_open(context):
+    assert open_early(context) == {}
+    listen_on("127.0.0.1", context.ports[0]).close()  # fails where the address is still in use
+
+
+def ignore(*_):
+    pass
+
+
+@then("of two peers that were dialled in vain one is connected once it listens, and the other still dialled")
+def peers_are_dialled_again(context):
+    async def dial():
+        greeted, port = asyncio.Event(), free_port()
+        peer_connections = PeerConnections(lambda peer: {"k": "hello"}, ignore, ignore, None)
+        with mock.patch(
+            "bramblewood.common.peer_connections.asyncio.sleep", side_effect=asyncio.sleep
+        ) as sleep:
+            for ip in ("127.0.0.2", "127.0.0.3"):
+                peer_connections.maintain(ip, port)
+            while sleep.call_count < 2:  # each has failed once, and waits for its next dial
+                await asyncio.wait(peer_connections.tasks.values(), timeout=0.01)
+
+        def accept(request):
+            return accept_connection(request, lambda *_: greeted.set(), ignore, ignore)
+
+        listener = await asyncio.get_running_loop().create_server(web.Server(accept), "127.0.0.2", port)
+        async with asyncio.timeout(2):
+            await greeted.wait()
+        found = [*peer_connections.connected], [task.done() for task in peer_connections.tasks.values()]
+        await peer_connections.close()
+        listener.close()
+        return found
+
+    assert asyncio.run(dial()) == (["127.0.0.2"], [False, False])
