--- a/bramblewood/controller/chosen_values.py
+++ b/bramblewood/controller/chosen_values.py
@@ -1,6 +1,7 @@
 """Acts on newly chosen values: tells the log, the parts of this controller that follow them, and proxies."""
 
-from ..common.configuration import Configuration, build_configuration
+from ..common.configuration import Configuration
+from ..common.configuration_parser import build_configuration
 from .consensus.proposal_number import format_proposal_number
 from .consensus.registers import CONFIG, DATA_REGISTERS, TABLE
 from .outlier_detection import OutlierDetection
@@ -44,7 +45,7 @@
         if self.configuration_version != (version := consensus.version(CONFIG)):
             configuration = build_configuration(consensus.value(CONFIG)["config"]).ok()
             self.configuration_version, self.configuration = version, configuration
-            self.latency_targets = configuration.aims() if configuration else {}
+            self.latency_targets = configuration.latency_targets() if configuration else {}
 
     def _learn_table(self, version: int) -> None:
         if version > self.proxy_feed.proxy_updates.version:
--- a/bramblewood/controller/proxy_feed.py
+++ b/bramblewood/controller/proxy_feed.py
@@ -39,11 +39,11 @@
     def push(self, connection: PeerConnection, register: str) -> None:
         """Send a proxy what it lacks of a register, as far as was sent to it before."""
         if register == TABLE:
-            if message := self.proxy_updates.message_since(connection.sent.get(TABLE, 0)):
-                connection.sent[TABLE] = message.version
+            if message := self.proxy_updates.message_since(connection.sent_versions.get(TABLE, 0)):
+                connection.sent_versions[TABLE] = message.version
                 connection.send(message.to_wire())
             return
         value = self.quorum_io.consensus.value(register)
-        if value is not None and value["n"] > connection.sent.get(register, 0):
-            connection.sent[register] = value["n"]
+        if value is not None and value["n"] > connection.sent_versions.get(register, 0):
+            connection.sent_versions[register] = value["n"]
             connection.send(ConfigurationUpdate(value["n"], value["config"]).to_wire())
--- a/bramblewood/controller/quorum_io.py
+++ b/bramblewood/controller/quorum_io.py
@@ -53,8 +53,8 @@
         if voter_set is None and "voters" in facts:  # of form 1, which knew no epochs
             voter_set = {"n": 1, "voters": dict.fromkeys(facts["voters"], ""), "before": {}}
             active_epoch = 1 if "born" in facts else -1
-        elif voter_set is None and settings.first_boot and settings.ip in settings.seed_ips():
-            voter_set, active_epoch = founding_voters(settings.seed_ips()), 0
+        elif voter_set is None and settings.first_boot and settings.ip in settings.seed_hosts():
+            voter_set, active_epoch = founding_voters(settings.seed_hosts()), 0
         disk = facts.get(DISK_FACT) or new_disk_name()
         self.consensus = ConsensusReplica(
             settings.ip, disk, self.incarnation, registers, voter_set, active_epoch
--- a/bramblewood/controller/registry_exchange.py
+++ b/bramblewood/controller/registry_exchange.py
@@ -24,11 +24,11 @@
 
         request_id: asks all controllers to acknowledge it by this id, news or not.
         """
-        is_news = self.registry.record(self.runtime.now(), instance_id, registration)
+        has_changed = self.registry.record(self.runtime.now(), instance_id, registration)
         rows = {instance_id: [*self.registry.registrations[instance_id]]}
-        if is_news or request_id is not None:
+        if has_changed or request_id is not None:
             self.share(rows, request_id)
-        if not is_news:
+        if not has_changed:
             return
         self.proxy_sessions.send_registrations(rows)
         if registration.phase != READY:
@@ -55,7 +55,7 @@
     def share(self, rows: dict[str, list], request_id: int | None = None, excluding: str = "") -> None:
         """Send registrations to the other controllers."""
         message = RegistryUpdate(rows, request_id).to_wire()
-        for peer in list(self.runtime.peer_connections.up):
+        for peer in list(self.runtime.peer_connections.connected):
             if peer != excluding:
                 self.runtime.peer_connections.send(peer, message)
 
@@ -65,4 +65,4 @@
 
     def timed_out_workers(self, now: float) -> set[str]:
         """Workers that no controller has heard for too long though they did not deregister."""
-        return self.registry.timed_out(now, MISSED_HEARTBEATS * self.runtime.settings.beat)
+        return self.registry.timed_out(now, MISSED_HEARTBEATS * self.runtime.settings.heartbeat_interval)
--- a/bramblewood/controller/runtime.py
+++ b/bramblewood/controller/runtime.py
@@ -18,7 +18,7 @@
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.own_address = settings.ip
-        self.log = logs.begin(settings.name)
+        self.log = logs.start_logging(settings.name)
         self.started_at = 0.0  # s, by `now`
         self.shutdown_requested = asyncio.Event()
 
--- a/bramblewood/proxy/readiness.py
+++ b/bramblewood/proxy/readiness.py
@@ -46,7 +46,7 @@
     async def handle(self, request: web.BaseRequest) -> web.Response:
         """200 or 503 to a health check; at `/metrics` the metrics."""
         if request.path == METRICS_PATH:
-            return web.Response(text=metrics.text(self.metrics()))
+            return web.Response(text=metrics.format_metrics(self.metrics()))
         return web.Response(status=200 if self.is_ready else 503)
 
     def metrics(self) -> dict[str, float]:
@@ -57,7 +57,7 @@
             REQUESTS_IN_FLIGHT: self.request_handler.in_flight,
             CONFIGURATION_VERSION: versions[CONFIGURATION_REGISTER],
             TABLE_VERSION: versions[TABLE_REGISTER],
-            CONNECTED_CONTROLLERS: len(self.sessions.peer_connections.up),
+            CONNECTED_CONTROLLERS: len(self.sessions.peer_connections.connected),
             CONNECTIONS_OPENED: pool.opened,
             CONNECTIONS_REUSED: pool.reused,
             CONNECTIONS_REJECTED: pool.rejected,
--- a/tests/simulation/fleet/fleet.py
+++ b/tests/simulation/fleet/fleet.py
@@ -2,7 +2,7 @@
 
 import random
 
-from bramblewood.common.configuration import build_configuration
+from bramblewood.common.configuration_parser import build_configuration
 from bramblewood.common.slice_table import PREVIOUS_OWNER, WORKER
 from bramblewood.controller.commands import GetConfiguration, PutConfiguration
 from bramblewood.controller.consensus.registers import TABLE
