--- a/bramblewood/cli/controller_client.py
+++ b/bramblewood/cli/controller_client.py
@@ -10,6 +10,7 @@
 import urllib.request
 from typing import Any, NamedTuple
 
+from ..common.errors import BramblewoodError
 from .exit_codes import PROBLEM_FOUND
 from .options import load_settings
 from .output import fail
@@ -29,11 +30,13 @@
         return json.loads(self.body or b"{}")
 
 
-class NoClearAnswer(Exception):
+class NoClearAnswer(BramblewoodError):
     """The call has to go elsewhere: to `location` where a 307 names one, else to the next address."""
 
-    def __init__(self, reason: str, location: str = "") -> None:
-        super().__init__(reason)
+    step = "call"
+
+    def __init__(self, reason: str, address: str, location: str = "") -> None:
+        super().__init__(f"{address}: {reason}", peer=address)
         self.location = location
 
 
@@ -63,10 +66,10 @@
         if problem.code not in (307, 408, 429) and problem.code < 500:
             return refused
         location = problem.headers.get("Location", "") if problem.code == 307 else ""
-        reason = f"{address}: {problem.code} {failure_reason(refused.body)}".strip()
-        raise NoClearAnswer(reason, location) from None
+        reason = f"{problem.code} {failure_reason(refused.body)}".strip()
+        raise NoClearAnswer(reason, address, location) from None
     except OSError as problem:
-        raise NoClearAnswer(f"{address}: {getattr(problem, 'reason', problem)}") from None
+        raise NoClearAnswer(str(getattr(problem, "reason", problem)), address) from None
 
 
 def failure_reason(body: bytes) -> str:
--- a/bramblewood/common/errors.py
+++ b/bramblewood/common/errors.py
@@ -16,7 +16,7 @@
 
     step = ""
 
-    def __init__(self, problem: object, *, step: str = "", peer: str = "") -> None:
+    def __init__(self, problem: object = "", *, step: str = "", peer: str = "") -> None:
         super().__init__(problem)
         self.problem, self.peer = problem, peer
         self.step = step or type(self).step
--- a/bramblewood/controller/row_encoding.py
+++ b/bramblewood/controller/row_encoding.py
@@ -12,6 +12,7 @@
 from itertools import islice
 from typing import Any, Literal, NamedTuple
 
+from ..common.errors import BramblewoodError
 from .value_diff import PATCH_KEYS, REMOVE_KEYS, SET
 
 VALUE = "value"
@@ -22,6 +23,12 @@
 PUT, CLEAR, DELETE = "put", "clear", "delete"
 
 
+class StoredRowError(BramblewoodError, ValueError):
+    """Rows on disk that form no value."""
+
+    step = "open"
+
+
 class RowOperation(NamedTuple):
     """PUT a row's text at a path; CLEAR the rows below a path; DELETE: the row at the path too."""
 
@@ -81,7 +88,7 @@
 
 
 def decode_rows(rows: Iterable[tuple[str, str]]) -> Any:
-    """The value of all its rows, in their order. Raises ValueError where a row's map is missing."""
+    """The value of all its rows, in their order. Raises StoredRowError where a row's map is missing."""
     remaining = iter(rows)
     root: dict[str, Any] = {}  # holds the value as its part VALUE, so that the value's row is as any other
     while batch := list(islice(remaining, ROWS_PER_BATCH)):
@@ -89,12 +96,12 @@
         for path, part in zip(paths, parts, strict=True):
             insert_part(root, path, part)
     if VALUE not in root:
-        raise ValueError("no row of the value itself")
+        raise StoredRowError("no row of the value itself")
     return root[VALUE]
 
 
 def insert_part(root: dict[str, Any], path: list[str], part: Any) -> None:
-    """Put a part where its path leads. Raises ValueError where there is no map."""
+    """Put a part where its path leads. Raises StoredRowError where there is no map."""
     parent: Any = root
     last_key = VALUE
     try:
@@ -102,4 +109,4 @@
             parent, last_key = parent[last_key], key
         parent[last_key] = part
     except (KeyError, TypeError, IndexError):
-        raise ValueError(f"row {path} without its map") from None
+        raise StoredRowError(f"row {path} without its map") from None
--- a/bramblewood/proxy/client_disconnects.py
+++ b/bramblewood/proxy/client_disconnects.py
@@ -10,10 +10,14 @@
 
 from aiohttp import web
 
+from ..common.errors import BramblewoodError
 
-class ClientDisconnected(Exception):
+
+class ClientDisconnected(BramblewoodError):
     """The client of a request has closed its connection."""
 
+    step = "request"
+
 
 class ClientServer(web.Server):
     """Serves clients' connections, and announces those that are lost."""
--- a/bramblewood/proxy/connection_pool.py
+++ b/bramblewood/proxy/connection_pool.py
@@ -80,7 +80,7 @@
         self.opened += 1
         if not await connection.survives_round_trip(round_trip):
             self.rejected += 1
-            raise WorkerUnreachable(AttemptOutcome.CONNECTION_REJECTED)
+            raise WorkerUnreachable(AttemptOutcome.CONNECTION_REJECTED, address)
         return connection
 
     def release(self, instance_id: str, connection: WorkerConnection, limit: int) -> None:
--- a/bramblewood/proxy/request_handler.py
+++ b/bramblewood/proxy/request_handler.py
@@ -7,6 +7,7 @@
 from aiohttp import web
 
 from ..common.configuration import Configuration, Route
+from ..common.errors import BramblewoodError
 from ..common.settings import Settings
 from ..common.slice_table import KEY_SPACE_SIZE
 from .client_disconnects import ClientDisconnected, ClientDisconnects
@@ -31,9 +32,11 @@
 RETRY_AFTER = 0.5  # s, of answers given before a request is attempted
 
 
-class RequestRejected(Exception):
+class RequestRejected(BramblewoodError):
     """A request is answered before it is attempted; `response` is the answer."""
 
+    step = "request"
+
     def __init__(
         self, status: int, reason: str, retry_after: float | None = None, close: bool = False
     ) -> None:
--- a/bramblewood/proxy/response_parser.py
+++ b/bramblewood/proxy/response_parser.py
@@ -10,6 +10,8 @@
 
 from multidict import CIMultiDict
 
+from ..common.errors import BramblewoodError
+
 MAX_HEAD_BYTES = 2**16  # of a response's head, or of its trailers
 VERSION_PREFIX = b"HTTP/1."
 STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([1-9]\d\d)(?: ([^\r\n\0]*))?")
@@ -23,9 +25,11 @@
 END_OF_HEAD = b"\r\n\r\n"
 
 
-class MalformedResponse(ValueError):
+class MalformedResponse(BramblewoodError, ValueError):
     """Bytes that form no complete response."""
 
+    step = "response"
+
 
 class WorkerResponse(NamedTuple):
     """A response; raw_headers are (name, value) pairs in bytes, headers_by_name the same in any case."""
--- a/bramblewood/proxy/worker_connection.py
+++ b/bramblewood/proxy/worker_connection.py
@@ -8,6 +8,7 @@
 import itertools
 import socket
 
+from ..common.errors import BramblewoodError
 from ..common.peer_connections import set_connection_timeouts
 from .connection_state import AttemptOutcome, ExchangeResult, WorkerConnectionState
 
@@ -22,11 +23,13 @@
 _numbers = itertools.count(1)
 
 
-class WorkerUnreachable(Exception):
+class WorkerUnreachable(BramblewoodError):
     """No connection could be made; `outcome` says whether the worker rejected it."""
 
-    def __init__(self, outcome: AttemptOutcome) -> None:
-        super().__init__(outcome.value)
+    step = "connect"
+
+    def __init__(self, outcome: AttemptOutcome, address: str) -> None:
+        super().__init__(outcome.value, peer=address)
         self.outcome = outcome
 
 
@@ -141,5 +144,5 @@
         _, connection = await loop.create_connection(lambda: WorkerConnection(loop), sock=sock)
     except (OSError, TimeoutError):
         sock.close()
-        raise WorkerUnreachable(AttemptOutcome.NOT_SENT) from None
+        raise WorkerUnreachable(AttemptOutcome.NOT_SENT, address) from None
     return connection, round_trip
