--- a/features/steps/key_leases.py
+++ b/features/steps/key_leases.py
@@ -16,7 +16,7 @@
 
 
 @then("{count:d} minutes of that never give a key two holders")
-def never(context, count):
+def no_two_holders(context, count):
     plays = [Play(seed).run(60) for seed in range(count)]
     counts = {
         what: sum(getattr(play, what) for play in plays)
@@ -27,11 +27,11 @@
 
 
 @then(
-    "over {one:d} states of {depth:d} events are met, and over {two:d} of {less:d} with two controllers, "
-    "and no key has two holders"
+    "over {states:d} states of {depth:d} events are met, and over {states_of_two:d} of {less:d} "
+    "with two controllers, and no key has two holders"
 )
-def every_order(context, one, depth, two, less):
-    assert all_orders(depth) > one and all_orders(less, acting="ab") > two
+def every_order(context, states, depth, states_of_two, less):
+    assert all_orders(depth) > states and all_orders(less, acting="ab") > states_of_two
 
 
 @then("over {count:d} states of {depth:d} events after a release whose answer is late")
@@ -53,7 +53,7 @@
 
 
 @then("{what} is found out within {count:d} minutes")
-def found(context, what, count):
+def guard_found(context, what, count):
     guard = {
         "a grant without quorum contact": "contact",
         "a wait that is too short": "wait",
@@ -69,7 +69,7 @@
 
 
 @then("its grant is over as its keys are freed, and would not be with a transit that is {more:g} s longer")
-def just(context, more):
+def margin_holds(context, more):
     assert 0 <= margin(MAX_CALL_TRANSIT) <= STEP, margin(MAX_CALL_TRANSIT)
     assert margin(MAX_CALL_TRANSIT + more) < 0
 
@@ -102,7 +102,7 @@
 
 
 @given("a worker that is busy with a key, and answers the grant before twice")
-def busy(context):
+def busy_worker(context):
     async def play(repeats: bool) -> tuple:
         """The status of the release, whether the worker was done by then, and of the next release."""
         done, asked, kinds = asyncio.Event(), asyncio.Event(), []
@@ -138,36 +138,36 @@
             await asyncio.sleep(0)
         early = release.result() if release.done() else None
         asyncio.get_running_loop().call_later(0.05, done.set)
-        told = granted, early, await release, await calls.send("release", address, "w1", {}, until)
+        outcome = granted, early, await release, await calls.send("release", address, "w1", {}, until)
         late = await calls.send("grant", address, "w1", {}, calls.runtime.now())
         await calls.pooled_session.close()
         await calls.single_use_session.close()
         server.close()
-        return *told, late, len(kinds)
+        return *outcome, late, len(kinds)
 
     context.play = play
 
 
 @when("its grant and then its release are called")
 def called(context):
-    context.told = [asyncio.run(context.play(repeats)) for repeats in (True, False)]
+    context.outcomes = [asyncio.run(context.play(repeats)) for repeats in (True, False)]
 
 
 @then("the release counts once the worker's own answer came, where workers repeat ids and where they don't")
-def counts(context):
-    named, unnamed = context.told
+def own_answer_counts(context):
+    named, unnamed = context.outcomes
     assert named == (200, (0, ""), (0, ""), (200, "2"), (0, ""), 3), named
     assert unnamed[:2] == (200, None) and unnamed[2][0] == unnamed[3][0] == 200, unnamed
     assert unnamed[2][1] != "0" and unnamed[4] == (0, ""), unnamed
 
 
 @given("a worker that takes no connection")
-def closed(context):
+def closed_listener(context):
     context.listen_on = socket.create_server(("127.0.0.1", 0), backlog=0)
     context.queued = [socket.socket() for _ in range(4)]
-    for one in context.queued:  # they fill its backlog: further opening packets are dropped
-        one.setblocking(False)
-        one.connect_ex(context.listen_on.getsockname())
+    for connection in context.queued:  # they fill its backlog: further opening packets are dropped
+        connection.setblocking(False)
+        connection.connect_ex(context.listen_on.getsockname())
 
 
 @then("a grant on quorum contact of {more:g} s more is given up with it")
@@ -185,6 +185,6 @@
             await calls.single_use_session.close()
 
     took = asyncio.run(play())
-    for one in (context.listen_on, *context.queued):
-        one.close()
+    for opened in (context.listen_on, *context.queued):
+        opened.close()
     assert more <= took < 10 * more, took
--- a/features/steps/storage.py
+++ b/features/steps/storage.py
@@ -37,7 +37,7 @@
 
 
 @then('with "{fault}" one of {count:d} disks shows it')
-def careless(context, fault, count):
+def fault_found(context, fault, count):
     assert first_seed_found(fault, count) is not None, "no disk lost anything"
 
 
@@ -74,13 +74,13 @@
 def no_json(context):
     play = context.play
     row = ("table", (9,), (9,), {**play.value, "n": 9, "odd": {1, 2}})
-    context.told = play.storage.commit([([row], {"seen": 9}, None)])
+    context.problem = play.storage.commit([([row], {"seen": 9}, None)])
     play.move(1)
 
 
 @then("it is refused, and a start finds the table as it was left")
-def told(context):
-    assert context.told.startswith("TypeError"), context.told
+def not_json_refused(context):
+    assert context.problem.startswith("TypeError"), context.problem
     started(context)
 
 
@@ -108,8 +108,8 @@
 @then("it is refused with one line that names form {version:d}, and no byte of it has changed")
 def refused(context, version):
     disk = context.play.disk
-    told = storage_on(disk).open().err_value
-    assert f"form {version}" in told and "\n" not in told, told
+    reason = storage_on(disk).open().err_value
+    assert f"form {version}" in reason and "\n" not in reason, reason
     assert {name: bytes(inode.contents) for name, inode in disk.names.items()} == context.files
 
 
@@ -139,25 +139,25 @@
 
 @then("check, show and export tell the same of a disk of schema version 1 and of what a start makes of it")
 def commands(context):
-    disk, told = disk_of_schema_1(random.Random(1))
+    disk, history = disk_of_schema_1(random.Random(1))
     with tempfile.TemporaryDirectory() as folder:
         for name, inode in disk.names.items():
             with open(os.path.join(folder, os.path.basename(name)), "wb") as file:
                 file.write(inode.contents)
-        ask = lambda *words: CliRunner().invoke(storage_commands, [*words, folder])  # noqa: E731
-        before = [ask(word) for word in ("check", "show", "export")]
+        run = lambda *words: CliRunner().invoke(storage_commands, [*words, folder])  # noqa: E731
+        before = [run(command) for command in ("check", "show", "export")]
         storage = Storage(folder)
-        assert storage.open().ok_value == told.states[0]
+        assert storage.open().ok_value == history.states[0]
         assert storage.database.execute("pragma auto_vacuum").fetchone() == (1,)
-        after = [ask(word) for word in ("check", "show", "export")]
+        after = [run(command) for command in ("check", "show", "export")]
         facts = {"born": None, "voters": None, "disk": "0a0b0c0d"}  # as a controller goes on to write
         assert storage.commit([([], facts, None)]) is None
-        assert json.loads(ask("export").output)["facts"] == {"disk": "0a0b0c0d"}
-        assert ask("check").output == "sound\n"
-    assert [one.output for one in before] == [one.output for one in after]
-    assert [one.exit_code for one in after] == [0, 0, 0] and after[0].output == "sound\n"
+        assert json.loads(run("export").output)["facts"] == {"disk": "0a0b0c0d"}
+        assert run("check").output == "sound\n"
+    assert [result.output for result in before] == [result.output for result in after]
+    assert [result.exit_code for result in after] == [0, 0, 0] and after[0].output == "sound\n"
     config = json.loads(after[2].output)["registers"]["config"]
-    assert config["value"] == told.states[0]["registers"]["config"][2]
+    assert config["value"] == history.states[0]["registers"]["config"][2]
 
 
 @given("a controller whose disk hangs as it syncs")
--- a/tests/simulation/key_lease_orders.py
+++ b/tests/simulation/key_lease_orders.py
@@ -95,15 +95,16 @@
         leases = [
             [
                 sorted(
-                    (key, lease[:2], round(lease.sent_at - now, 1)) for key, lease in made.granted.items()
+                    (key, lease[:2], round(lease.sent_at - now, 1))
+                    for key, lease in key_leases.granted.items()
                 ),
                 sorted(
                     (key, round(at - now, 1))
-                    for key, at in (made.release_wanted_since | made.retry_at).items()
+                    for key, at in (key_leases.release_wanted_since | key_leases.retry_at).items()
                 ),
-                sorted(made.calls_in_flight),
+                sorted(key_leases.calls_in_flight),
             ]
-            for made in self.controllers.values()
+            for key_leases in self.controllers.values()
         ]
         transit = [(what, name, call, rest) for what, name, call, _, *rest in self.transit]
         registry = sorted(self.registry.registrations.items())
--- a/tests/simulation/read_replicas.py
+++ b/tests/simulation/read_replicas.py
@@ -63,8 +63,8 @@
     def after(self, longest, function, *arguments):
         self.in_transit.append((self.now + STEP + self.dice.random() * longest, function, arguments))
 
-    def reaches(self, one, other):
-        return not self.partitioned[one] and not self.partitioned[other] and self.dice.random() > 0.03
+    def reaches(self, sender, receiver):
+        return not self.partitioned[sender] and not self.partitioned[receiver] and self.dice.random() > 0.03
 
     def propose(self, changed):
         if changed is not None:
@@ -122,9 +122,9 @@
         if dice.random() < 0.03:
             self.value += 1
             proxy.invalidations.append((ReplicaInvalidation(), self.value, self.now + 6.0))
-        for one in list(proxy.invalidations):
-            self.invalidation(name, proxy, *one)
-        proxy.invalidations = [one for one in proxy.invalidations if one[2] > self.now]
+        for pending in list(proxy.invalidations):
+            self.invalidation(name, proxy, *pending)
+        proxy.invalidations = [pending for pending in proxy.invalidations if pending[2] > self.now]
 
     def take_table(self, proxy, table_place):
         table = self.tables[max(table_place, 0)]
--- a/tests/simulation/storage_failures.py
+++ b/tests/simulation/storage_failures.py
@@ -49,7 +49,7 @@
         return dice.choice([None, True, 1, 1.0, "x" * dice.randrange(9000), [1, {"a": 2}], deeper, deeper])
     key = dice.choice(ODD_KEYS)
     if key in value and dice.random() < 0.3:
-        return {one: inner for one, inner in value.items() if one != key}
+        return {name: inner for name, inner in value.items() if name != key}
     return {**value, key: changed_value(dice, value.get(key), depth + 1)}
 
 
