--- a/bramblewood/controller/hot_keys.py
+++ b/bramblewood/controller/hot_keys.py
@@ -18,9 +18,9 @@
 from ..common.slice_table import KEYS_PER_RANGE
 from ..policy.figures import HELD, LIMIT, REPORTS
 
-WATCH_RATE_SHARE = 0.5  # of one worker's throughput, at which a range is counted key by key
+WATCH_RATE_FRACTION = 0.5  # of one worker's throughput, at which a range is counted key by key
 MAX_WATCHED_RANGES = 8  # at once: a proxy then has 64 more counters at the most
-RELEASE_RATE_SHARE = 0.5  # of the threshold, below which a range or key is on its way to being released
+RELEASE_RATE_FRACTION = 0.5  # of the threshold, below which a range or key is on its way to being released
 RELEASE_REPORTS = 2 * REPORTS  # reports below that, after which it is released
 
 
@@ -36,7 +36,7 @@
 
 class SustainedRates:
     """Ranges or keys whose rate reached a threshold in each of `HELD` reports, until it has been under
-    `RELEASE_RATE_SHARE` of it for more than `RELEASE_REPORTS`.
+    `RELEASE_RATE_FRACTION` of it for more than `RELEASE_REPORTS`.
     """
 
     def __init__(self) -> None:
@@ -62,7 +62,7 @@
                 if all(report[name] >= threshold for report in self._recent_rates):
                     self._reports_below[name] = 0
         for name in self.sustained():
-            is_below = rates[name] < RELEASE_RATE_SHARE * threshold
+            is_below = rates[name] < RELEASE_RATE_FRACTION * threshold
             self._reports_below[name] = self._reports_below[name] + 1 if is_below else 0
             if self._reports_below[name] > RELEASE_REPORTS:
                 self.release(name)
@@ -118,7 +118,7 @@
         )
         for key, rate in key_rates.items():
             range_rates[key // KEYS_PER_RANGE] += rate
-        self._watched_ranges.record_rates(range_rates, WATCH_RATE_SHARE * worker_throughput)
+        self._watched_ranges.record_rates(range_rates, WATCH_RATE_FRACTION * worker_throughput)
         self._release_coolest_ranges(range_rates)
         self._hot_keys.record_rates(key_rates, LIMIT * worker_throughput)
 
--- a/bramblewood/controller/outlier_detection.py
+++ b/bramblewood/controller/outlier_detection.py
@@ -26,7 +26,7 @@
 USUAL_RATE_FACTOR = 3.0  # times the failure rate of the service's usual worker
 MIN_ATTEMPTS = 10  # over the reports; fewer say nothing
 MIN_PROXIES = 2  # that observed failures
-MAX_EJECTED_SHARE = 0.2  # of a service's workers at once; more is a fault of the view
+MAX_EJECTED_FRACTION = 0.2  # of a service's workers at once; more is a fault of the view
 FIRST_EJECTION = 4.0  # s, doubled with each further ejection
 MAX_DOUBLINGS = 3  # so 32 s at the most
 EJECTION_MEMORY = 60.0  # s in use after which a worker's ejections are forgotten
@@ -149,7 +149,7 @@
             ejected_count = sum(
                 wanted[instance_id].is_ejected for instance_id in instance_ids if instance_id in wanted
             )
-            allowed = int(MAX_EJECTED_SHARE * len(instance_ids)) - ejected_count
+            allowed = int(MAX_EJECTED_FRACTION * len(instance_ids)) - ejected_count
             for instance_id in sorted(outliers.intersection(instance_ids)):
                 count, is_ejected = wanted.get(instance_id, WantedEjection(0, False))
                 if not is_ejected and allowed > 0:
