--- a/bramblewood/controller/coordinator_loop.py
+++ b/bramblewood/controller/coordinator_loop.py
@@ -63,7 +63,7 @@
             return
         table = self.quorum_io.consensus.value(TABLE)
         services = configuration.services
-        keyed = {name for name, service in services.items() if service.keyed}
+        keyed = {name for name, service in services.items() if service.sharded}
         if table is not None:
             self._renew_leases(now, table, keyed)
             if worker_drains_of(table) and not self.is_proposing:
--- a/bramblewood/controller/introspection.py
+++ b/bramblewood/controller/introspection.py
@@ -53,7 +53,7 @@
         if path in self.views:
             response = web.json_response(self.views[path](now))
         elif path == "/metrics":
-            response = web.Response(text=metrics.text(self._metrics(now)))
+            response = web.Response(text=metrics.format_metrics(self._metrics(now)))
         else:
             response = make_response(404, "no such view")
         is_current = int(self.quorum_contact.is_current(now))
@@ -135,11 +135,11 @@
             "scribe": self.quorum_contact.coordinator(now),
             "archives": {
                 peer: {
-                    "heard": round(now - session.heard_at, 2),
+                    "heard": round(now - session.received_at, 2),
                     "whole": session.is_current,
                     "votes": session.is_voting,
                 }
-                for peer, session in self.sessions.heard.items()
+                for peer, session in self.sessions.by_peer.items()
             },
             "desks": sorted(self.sessions.all_proxies(now, list(self.proxy_sessions.connected))),
         }
--- a/bramblewood/proxy/controller_sessions.py
+++ b/bramblewood/proxy/controller_sessions.py
@@ -9,7 +9,8 @@
 
 import logbook
 
-from ..common.configuration import Configuration, build_configuration
+from ..common.configuration import Configuration
+from ..common.configuration_parser import build_configuration
 from ..common.messages import (
     ROLE_PROXY,
     ConfigurationUpdate,
@@ -64,7 +65,7 @@
         self.client_limits = DEFAULT_LIMITS
         self.selection = ControllerSelection(settings.name, settings.zone)
         self.peer_connections = PeerConnections(
-            self.greeting, self.handle_message, self.connection_changed, CONNECTION_TIMEOUT, settings.bind
+            self.greeting, self.handle_message, self.connection_changed, CONNECTION_TIMEOUT, settings.bind_ip
         )
         self.loop: asyncio.AbstractEventLoop
         self.updated: asyncio.Event
@@ -86,17 +87,17 @@
 
     def connect(self) -> None:
         """Keep a connection to each controller that the settings name."""
-        for peer in self.settings.seed_ips():
-            self.peer_connections.keep(peer, self.settings.inner)
+        for peer in self.settings.seed_hosts():
+            self.peer_connections.maintain(peer, self.settings.peer_port)
 
     def reread_seeds(self) -> None:
         """Read the settings file again and connect to the controllers that it names now."""
         for peer in reread_seeds(self.settings, self.log):
-            self.peer_connections.keep(peer, self.settings.inner)
+            self.peer_connections.maintain(peer, self.settings.peer_port)
 
     async def close(self) -> None:
         """End all connections."""
-        await self.peer_connections.end()
+        await self.peer_connections.close()
 
     # --- what connections report
 
@@ -128,7 +129,7 @@
             self.load_balancer.timed_out = set(heartbeat.silent_workers or ())
             self.retry_budget.proxies = max(heartbeat.proxy_count, 1)
         for controller in heartbeat.controllers or ():
-            self.peer_connections.keep(controller, self.settings.inner)
+            self.peer_connections.maintain(controller, self.settings.peer_port)
         versions = self.known_versions()
         self._send_all(self.selection.heartbeat_received(now, connection.peer, heartbeat, versions))
 
@@ -146,11 +147,11 @@
 
     def _on_configuration(self, now: float, connection: PeerConnection, message: dict) -> None:
         update = ConfigurationUpdate.from_wire(message)
-        if self.configuration is None or update.version > self.configuration.number:
+        if self.configuration is None or update.version > self.configuration.revision:
             configuration = build_configuration(update.configuration)
             if configuration.is_ok():
                 self.apply_configuration(configuration.ok_value)
-                self.log.info("configuration", step="take", number=self.configuration.number)
+                self.log.info("configuration", step="take", number=self.configuration.revision)
                 self._notify_waiting()
         self._send_all(self.selection.confirmation_request(now, self.known_versions()))
 
@@ -166,7 +167,7 @@
             now, connection.peer, Confirmation.from_wire(message), self.known_versions()
         )
         if self.selection.is_ready and not was_ready:
-            self.log.info("ready", step="start", number=self.configuration.number)
+            self.log.info("ready", step="start", number=self.configuration.revision)
         self._notify_waiting()
 
     def _on_readers_removed(self, now: float, connection: PeerConnection, message: dict) -> None:
@@ -183,7 +184,7 @@
     def known_versions(self) -> Versions:
         """The versions that this proxy has, by register; 0 for none."""
         return {
-            CONFIGURATION_REGISTER: self.configuration.number if self.configuration else 0,
+            CONFIGURATION_REGISTER: self.configuration.revision if self.configuration else 0,
             TABLE_REGISTER: self.load_balancer.slices.version,
         }
 
