--- a/tests/simulation/consensus.py
+++ b/tests/simulation/consensus.py
@@ -119,7 +119,7 @@
             self.dispatch(name, effects)
 
     def sync(self, name: str) -> None:
-        """The oldest write of a machine is safe now; what rests on it goes effects."""
+        """The oldest write of a machine is safe now; what rests on it is sent."""
         effects = self.unsynced[name].pop(0)
         disk = self.disks[name]
         for register, promised, accepted, value in effects.writes:
