--- a/bramblewood/proxy/__init__.py
+++ b/bramblewood/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The desk: an edge machine that takes clients' requests and carries them to workers."""
+"""The proxy (data plane): an edge machine that takes clients' requests and forwards them to workers."""
--- a/bramblewood/proxy/connection_pool.py
+++ b/bramblewood/proxy/connection_pool.py
@@ -4,6 +4,8 @@
 may come back. A request whose method is not idempotent goes on no idle connection that may be dead already.
 """
 
+import asyncio
+
 from .connection_state import AttemptOutcome
 from .worker_connection import WorkerConnection, WorkerUnreachable, connect
 
@@ -78,7 +80,12 @@
     async def _open(self, address: str) -> WorkerConnection:
         connection, round_trip = await connect(address)
         self.opened += 1
-        if not await connection.survives_round_trip(round_trip):
+        try:
+            survived = await connection.survives_round_trip(round_trip)
+        except asyncio.CancelledError:  # nobody else knows of it yet
+            connection.close()
+            raise
+        if not survived:
             self.rejected += 1
             raise WorkerUnreachable(AttemptOutcome.CONNECTION_REJECTED)
         return connection
--- a/bramblewood/proxy/forwarding.py
+++ b/bramblewood/proxy/forwarding.py
@@ -167,7 +167,7 @@
         if key is None or not attempts.non_idempotent or result.outcome is not AttemptOutcome.ANSWERED:
             return reply
         replicated = self.sessions.configuration.services[service].read_replicas
-        if replicated and 200 <= result.answer.status < 300:
-            if not await self.invalidator.invalidate(attempts):
-                return INVALIDATION_FAILED
+        succeeded = 200 <= result.answer.status < 300
+        if replicated and succeeded and not await self.invalidator.invalidate(attempts):
+            return INVALIDATION_FAILED
         return reply
--- a/bramblewood/proxy/worker_connection.py
+++ b/bramblewood/proxy/worker_connection.py
@@ -142,4 +142,7 @@
     except (OSError, TimeoutError):
         sock.close()
         raise WorkerUnreachable(AttemptOutcome.NOT_SENT) from None
+    except asyncio.CancelledError:
+        sock.close()
+        raise
     return connection, round_trip
--- a/features/steps/connection_pool.py
+++ b/features/steps/connection_pool.py
@@ -1,8 +1,12 @@
+import asyncio
 import types
+from unittest import mock
 
 from behave import given, then, when
 
+from bramblewood.proxy import worker_connection
 from bramblewood.proxy.connection_pool import ConnectionPool
+from tests.simulation.proxy import ProxySimulation
 
 NOW = 100.0  # s
 
@@ -55,3 +59,29 @@
     # the one that is left with the shortest idle time was idle for 0.3 s
     assert acquired_idle_time(context, non_idempotent=True) is None
     assert abs(context.connection_pool.trusted_idle_time(NOW + after) - second) < 1e-9
+
+
+@when("a request is cancelled once its worker has accepted the connection")
+def cancelled_while_connecting(context):
+    async def run():
+        simulation = ProxySimulation()
+        await simulation.start(context.scripts)
+        worker, pool = simulation.workers["w1"], simulation.proxy.connection_pool
+        acquiring = asyncio.ensure_future(pool.acquire("w1", worker.address, NOW, False))
+        async with asyncio.timeout(2):
+            while not worker.open_connections:
+                await asyncio.sleep(0)
+            acquiring.cancel()
+            await asyncio.wait([acquiring])
+            for _ in range(100):  # for the worker to read the close
+                await asyncio.sleep(0.001)
+        context.result = acquiring.cancelled(), worker.open_connections, dict(pool.idle)
+        await simulation.end()
+
+    with mock.patch.multiple(worker_connection, MIN_RESET_WATCH=1.0, MAX_RESET_WATCH=1.0):
+        asyncio.run(run())
+
+
+@then("the worker's connection is closed, and none is kept")
+def closed_and_not_kept(context):
+    assert context.result == (True, 0, {"w1": []}), context.result
