--- a/bramblewood/proxy/connection_pool.py
+++ b/bramblewood/proxy/connection_pool.py
@@ -87,7 +87,7 @@
             raise
         if not survived:
             self.rejected += 1
-            raise WorkerUnreachable(AttemptOutcome.CONNECTION_REJECTED)
+            raise WorkerUnreachable(AttemptOutcome.CONNECTION_REJECTED, address)
         return connection
 
     def release(self, instance_id: str, connection: WorkerConnection, limit: int) -> None:
