--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -19,11 +19,10 @@
 
 
 def heap_day(steps, standing, waits):
-    heap, live, now, count = [], [], 0.0, 0
+    heap, live, now = [], [], 0.0
     for k in range(steps):
-        count += 1
         timer = Timer(print)
-        heapq.heappush(heap, (now + waits[k % len(waits)], count, timer))
+        heapq.heappush(heap, (now + waits[k % len(waits)], k, timer))
         live.append(timer)
         if len(live) > standing:
             live[k % standing].call = None
--- a/bramblewood/controller/consensus/messages.py
+++ b/bramblewood/controller/consensus/messages.py
@@ -32,7 +32,9 @@
 class Message(Protocol):
     """What every message of this module has."""
 
-    def to_wire(self) -> dict: ...
+    def to_wire(self) -> dict:
+        """The form on the wire."""
+        ...
 
 
 class Prepare(NamedTuple):
@@ -46,9 +48,11 @@
 
     @classmethod
     def from_wire(cls, wire: dict) -> "Prepare":
+        """Read the form on the wire."""
         return cls(wire["r"], number_from(wire["b"]), number_from(wire["have"]))
 
     def to_wire(self) -> dict:
+        """The form on the wire."""
         return {"k": PREPARE, "r": self.register, "b": self.proposal_number, "have": self.held}
 
 
@@ -68,11 +72,13 @@
 
     @classmethod
     def from_wire(cls, wire: dict) -> "Promise":
+        """Read the form on the wire."""
         return cls(
             wire["r"], number_from(wire["b"]), wire["disk"], number_from(wire["a"]), wire.get("v", OMITTED)
         )
 
     def to_wire(self) -> dict:
+        """The form on the wire."""
         wire = {"k": PROMISE, "r": self.register, "b": self.proposal_number, "disk": self.disk}
         wire["a"] = self.accepted
         if self.has_value:
@@ -89,11 +95,13 @@
 
     @classmethod
     def from_wire(cls, wire: dict) -> "Accept | AcceptDifference":
+        """Read the form on the wire."""
         if "base" in wire:
             return AcceptDifference(wire["r"], number_from(wire["b"]), number_from(wire["base"]), wire["d"])
         return cls(wire["r"], number_from(wire["b"]), wire["v"])
 
     def to_wire(self) -> dict:
+        """The form on the wire."""
         return {"k": ACCEPT, "r": self.register, "b": self.proposal_number, "v": self.value}
 
 
@@ -106,6 +114,7 @@
     difference: dict | None
 
     def to_wire(self) -> dict:
+        """The form on the wire."""
         wire = {"k": ACCEPT, "r": self.register, "b": self.proposal_number}
         return {**wire, "base": self.base, "d": self.difference}
 
@@ -119,9 +128,11 @@
 
     @classmethod
     def from_wire(cls, wire: dict) -> "Accepted":
+        """Read the form on the wire."""
         return cls(wire["r"], number_from(wire["b"]), wire["disk"])
 
     def to_wire(self) -> dict:
+        """The form on the wire."""
         return {"k": ACCEPTED, "r": self.register, "b": self.proposal_number, "disk": self.disk}
 
 
@@ -135,9 +146,11 @@
 
     @classmethod
     def from_wire(cls, wire: dict) -> "Rejected":
+        """Read the form on the wire."""
         return cls(wire["r"], number_from(wire["b"]), number_from(wire["p"]), wire["disk"])
 
     def to_wire(self) -> dict:
+        """The form on the wire."""
         wire = {"k": REJECTED, "r": self.register, "b": self.proposal_number}
         return {**wire, "p": self.promised, "disk": self.disk}
 
@@ -150,9 +163,11 @@
 
     @classmethod
     def from_wire(cls, wire: dict) -> "RoundDone":
+        """Read the form on the wire."""
         return cls(wire["r"], number_from(wire["b"]))
 
     def to_wire(self) -> dict:
+        """The form on the wire."""
         return {"k": ROUND_DONE, "r": self.register, "b": self.proposal_number}
 
 
@@ -164,9 +179,11 @@
 
     @classmethod
     def from_wire(cls, wire: dict) -> "FetchChosen":
+        """Read the form on the wire."""
         return cls(wire["r"], number_from(wire["b"]))
 
     def to_wire(self) -> dict:
+        """The form on the wire."""
         return {"k": FETCH_CHOSEN, "r": self.register, "b": self.proposal_number}
 
 
@@ -179,9 +196,11 @@
 
     @classmethod
     def from_wire(cls, wire: dict) -> "Chosen":
+        """Read the form on the wire."""
         return cls(wire["r"], number_from(wire["b"]), wire["v"])
 
     def to_wire(self) -> dict:
+        """The form on the wire."""
         return {"k": CHOSEN, "r": self.register, "b": self.proposal_number, "v": self.value}
 
 
@@ -192,9 +211,11 @@
 
     @classmethod
     def from_wire(cls, wire: dict) -> "EpochNotice":
+        """Read the form on the wire."""
         return cls(wire["m"])
 
     def to_wire(self) -> dict:
+        """The form on the wire."""
         return {"k": EPOCH_NOTICE, "m": self.voter_set}
 
 
@@ -210,10 +231,12 @@
 
     @classmethod
     def from_wire(cls, wire: dict) -> "JoinEpoch":
+        """Read the form on the wire."""
         held = {register: number_from(number) for register, number in wire["have"].items()}
         return cls(wire["m"], held, "again" in wire)
 
     def to_wire(self) -> dict:
+        """The form on the wire."""
         wire = {"k": JOIN_EPOCH, "m": self.voter_set, "have": self.held}
         return {**wire, "again": True} if self.repeated else wire
 
@@ -226,9 +249,11 @@
 
     @classmethod
     def from_wire(cls, wire: dict) -> "AcceptedState":
+        """Read the form on the wire."""
         return cls(number_from(wire["a"]), wire.get("v", OMITTED))
 
     def to_wire(self) -> dict:
+        """The form on the wire."""
         return {"a": self.accepted} if self.value is OMITTED else {"a": self.accepted, "v": self.value}
 
 
@@ -244,10 +269,12 @@
 
     @classmethod
     def from_wire(cls, wire: dict) -> "EpochState":
+        """Read the form on the wire."""
         registers = {register: AcceptedState.from_wire(state) for register, state in wire["regs"].items()}
         return cls(wire["e"], wire["held"], wire["disk"], registers)
 
     def to_wire(self) -> dict:
+        """The form on the wire."""
         registers = {register: state.to_wire() for register, state in self.registers.items()}
         wire = {"k": EPOCH_STATE, "e": self.epoch, "held": self.active_epoch, "disk": self.disk}
         return {**wire, "regs": registers}
--- a/bramblewood/controller/consensus/proposal_number.py
+++ b/bramblewood/controller/consensus/proposal_number.py
@@ -18,6 +18,7 @@
 
     @classmethod
     def from_wire(cls, fields: Sequence) -> "ProposalNumber":
+        """Read the form on the wire, a list of the fields in order."""
         return cls(*fields)
 
 
--- a/bramblewood/controller/consensus/proposer.py
+++ b/bramblewood/controller/consensus/proposer.py
@@ -235,7 +235,7 @@
     def complete_unfinished(self, now: float, register: str, effects: Effects) -> None:
         """End a round whose proposer may be gone, and choose anew in this epoch what was carried into it."""
         highest = self.learner.highest_acceptance(register)
-        carried_over = register != VOTER_SET and NO_PROPOSAL < highest and highest.epoch < self.member.epoch
+        carried_over = register != VOTER_SET and highest > NO_PROPOSAL and highest.epoch < self.member.epoch
         if highest <= self.learner.chosen[register].proposal_number and not carried_over:
             self.unfinished_since.pop(register, None)
             return
--- a/bramblewood/controller/value_diff.py
+++ b/bramblewood/controller/value_diff.py
@@ -72,6 +72,7 @@
 
 
 def map_difference(old: dict, new: dict) -> dict | None:
+    """The change that makes one map the other, in its form on the wire; None where they are equal."""
     changes, added = {}, 0
     for key in changed_keys(old, new):
         if key not in old:
--- a/bramblewood/emulator/processes.py
+++ b/bramblewood/emulator/processes.py
@@ -68,7 +68,7 @@
     arguments: list[str], settings: str, log: str | None = None, checkout: pathlib.Path = CHECKOUT
 ) -> asyncio.subprocess.Process:
     """A `bramblewood` process of a checkout by its settings file; its output goes to a file, or nowhere."""
-    output = open(log, "ab") if log else asyncio.subprocess.DEVNULL
+    output = open(log, "ab") if log else asyncio.subprocess.DEVNULL  # noqa: SIM115 (closed below)
     try:
         return await asyncio.create_subprocess_exec(
             sys.executable,
--- a/tests/simulation/configuration_changes.py
+++ b/tests/simulation/configuration_changes.py
@@ -187,9 +187,7 @@
             at, self.last_arrival.get((name, peer), 0.0)
         )  # links keep their order
         self.call_later(at - self.now, self.deliver, name, peer, message)
-        if rng.random() < site.doubled:
-            self.call_later(at - self.now + rng.random(), self.deliver, name, peer, message)
-        elif rng.random() < site.late:
+        if rng.random() < site.doubled or rng.random() < site.late:
             self.call_later(at - self.now + rng.random(), self.deliver, name, peer, message)
 
     def deliver(self, name: str, peer: str, message: dict) -> None:
