--- a/bramblewood/proxy/request_attempts.py
+++ b/bramblewood/proxy/request_attempts.py
@@ -101,9 +101,10 @@
         if instance_id == self.backed_off_worker and now < self.backoff_until:
             return WaitUntil(self.backoff_until)  # let its queue get shorter, or a lease arrive
         if self.key is not None:
-            if not self.sent_count and load_balancer.is_full(now, instance_id):
-                if now < self.started_at + FULL_WORKER_WAIT_FRACTION * self.route.latency_target:
-                    return WaitUntil(now + FULL_WORKER_POLL_INTERVAL)
+            full_wait_until = self.started_at + FULL_WORKER_WAIT_FRACTION * self.route.latency_target
+            is_full = not self.sent_count and load_balancer.is_full(now, instance_id)
+            if is_full and now < full_wait_until:
+                return WaitUntil(now + FULL_WORKER_POLL_INTERVAL)
             if (wait := self._hot_key_wait(now, load_balancer, instance_id)) is not None:
                 return wait
         if self.sent_count and not retry_budget.try_spend(self.service, now):
