--- a/bramblewood/adapter/wire.py
+++ b/bramblewood/adapter/wire.py
@@ -130,7 +130,10 @@
 
 
 def format_order(order: events.Order) -> tuple[str, Fields] | None:
-    """An order as a message's name and fields; None for a notice that the wire does not know."""
+    """An order as a message's name and fields; None for a notice that the wire does not know.
+
+    Raises TypeError for what is no order.
+    """
     match order:
         case events.SetRoute(table, worker, weight):
             return "set_weight", {"table": table, "worker": worker, "w": weight}
@@ -150,6 +153,12 @@
             return "pull", {"flag": excluded, "worker": worker}
         case events.RequestAcknowledgement(number, everyone):
             return "seal", {"gen": number, "flag": everyone}
+    return format_request(order)
+
+
+def format_request(order: events.Order) -> tuple[str, Fields] | None:
+    """An order that leaves tables alone; None for a notice that the wire does not know."""
+    match order:
         case events.SetTimer(delay, token):
             return "sleep", {"delay": delay * MS, "nonce": token}
         case events.CheckHealth(worker):
--- a/bramblewood/controller/controller_peers.py
+++ b/bramblewood/controller/controller_peers.py
@@ -41,7 +41,7 @@
         if peer != self.runtime.own_address and peer not in self.known:
             self.known.add(peer)
             self.quorum_io.pending_writes.facts[KNOWN_CONTROLLERS_FACT] = sorted(self.known)
-            self.runtime.peer_connections.keep(peer, self.runtime.settings.inner)
+            self.runtime.peer_connections.maintain(peer, self.runtime.settings.peer_port)
 
     def reread_seeds(self) -> None:
         """Look again for controllers in the settings and the seed file."""
@@ -50,7 +50,7 @@
 
     def reread_seeds_if_isolated(self, now: float) -> None:
         """Look for other controllers where none is connected, from time to time."""
-        connected = self.runtime.peer_connections.up
+        connected = self.runtime.peer_connections.connected
         if connected or now >= self.next_seed_reread_at:
             if not connected:
                 self.reread_seeds()
@@ -73,14 +73,14 @@
 
     def send_heartbeats(self, now: float, only: str | None = None) -> None:
         """Send heartbeats to all connected controllers, or to one."""
-        connected = self.runtime.peer_connections.up
+        connected = self.runtime.peer_connections.connected
         heartbeat, details = self._heartbeat(now), self._details()
         for peer in [only] if only else list(connected):
             if peer not in connected:
                 continue
-            session = self.sessions.heard.get(peer)
-            heard_at = max(session.heard_at if session else 0.0, self.connection_changed_at[peer])
-            if now - heard_at > CONNECTION_TIMEOUT:
+            session = self.sessions.by_peer.get(peer)
+            last_sign_at = max(session.received_at if session else 0.0, self.connection_changed_at[peer])
+            if now - last_sign_at > CONNECTION_TIMEOUT:
                 connected[peer].close()  # its own connection brings nothing any more: likely a partition
                 continue
             message = self._for_peer(now, peer, heartbeat, details)
@@ -106,7 +106,7 @@
         return PeerDetails(
             self.quorum_io.consensus.voter_set,
             settings.zone,
-            settings.counted,
+            settings.counts_for_tolerance,
             sorted({self.runtime.own_address, *self.known}),
             sorted(self.proxy_sessions.connected),
         )
--- a/bramblewood/controller/operator_api.py
+++ b/bramblewood/controller/operator_api.py
@@ -45,8 +45,8 @@
         self.runtime.log.info(
             "configuration",
             step="put",
-            number=configuration.number,
-            parent=configuration.parent,
+            number=configuration.revision,
+            parent=configuration.parent_revision,
             answer=answer,
         )
         return make_response(*answer) if answer else make_response(503, NO_QUORUM_IN_TIME)
--- a/bramblewood/controller/placement/service_placement.py
+++ b/bramblewood/controller/placement/service_placement.py
@@ -8,6 +8,7 @@
 from typing import NamedTuple
 
 from ... import events
+from ...common.slice_table import Row
 from ...policy.manager import Manager
 from ...policy.parameters import LONG_AGO
 from ...policy.slices import Slice
@@ -15,12 +16,11 @@
 from ...startup_settings import Operation, StartupSettings
 from ..drain_progress import ServiceCapacity
 from ..hot_keys import HotKeyStatus
-from ..table_changes import Entry
 from ..zone_affinity import WorkerUtilization, ZoneAffinity
 from .rebalancing import Rebalancer
 from .replica_placement import replica_changes
 from .service_load import REPORT_CYCLE, ServiceLoad
-from .slice_changes import Assignment, SliceChanges, initial_entries
+from .slice_changes import Assignment, SliceChanges, initial_rows
 from .worker_loads import WorkerLoads
 
 # s that a worker back from a doubt counts as new, where no worker told that it was cold
@@ -100,7 +100,7 @@
         self,
         now: float,
         workers: ServiceWorkers,
-        entries: Mapping[str, Entry] | None,
+        entries: Mapping[str, Row] | None,
         slice_count: int,
         worker_reports: Iterable[events.WorkerReported],
         has_read_replicas: bool,
@@ -114,7 +114,7 @@
             has_read_replicas: whether hot keys may have read replicas.
         """
         self._settings.slices = slice_count
-        stored_entries = initial_entries(slice_count) if entries is None else entries
+        stored_entries = initial_rows(slice_count) if entries is None else entries
         assignments = self._decide_assignments(now, workers, stored_entries, worker_reports)
         splits = []
         if self.keyed:
@@ -135,7 +135,7 @@
         self,
         now: float,
         workers: ServiceWorkers,
-        entries: Mapping[str, Entry],
+        entries: Mapping[str, Row],
         worker_reports: Iterable[events.WorkerReported],
     ) -> dict[int, Assignment]:
         """Bring the manager up to date and let it decide; the assignments that are new."""
@@ -172,9 +172,9 @@
         )
         return [events.WorkersListed(listed, complete=True)]
 
-    def _give_slices(self, entries: Mapping[str, Entry]) -> list[events.SliceAssigned | events.RouteStored]:
+    def _give_slices(self, entries: Mapping[str, Row]) -> list[events.SliceAssigned | events.RouteStored]:
         """The events that tell the manager of assignments that are others than it knows."""
-        agreed = {int(start): Assignment.of_entry(entry) for start, entry in entries.items()}
+        agreed = {int(start): Assignment.of_row(row) for start, row in entries.items()}
         policy_events: list[events.SliceAssigned | events.RouteStored] = []
         for start, assignment in agreed.items():
             if self._known.get(start) == assignment:
--- a/bramblewood/controller/proxy_heartbeats.py
+++ b/bramblewood/controller/proxy_heartbeats.py
@@ -61,8 +61,8 @@
         if details_text != self.details_text:
             self.details_text, self.details_number = details_text, self.details_number + 1
         for connection in list(self.proxy_sessions.connected.values()):
-            connection.send(short if connection.about == self.details_number else complete)
-            connection.about = self.details_number
+            connection.send(short if connection.details_version == self.details_number else complete)
+            connection.details_version = self.details_number
 
     def _with_details(self, heartbeat: ProxyHeartbeat) -> ProxyHeartbeat:
         own_address, is_coordinator = self.runtime.own_address, heartbeat.is_coordinator
--- a/bramblewood/policy_mechanisms/dispatch.py
+++ b/bramblewood/policy_mechanisms/dispatch.py
@@ -67,12 +67,16 @@
         for event in batch:
             self.complete(self.pass_on, event)
 
-    def pass_on(self, event: events.Event) -> None:
-        """Queue the call that an event leads to, if any."""
+    def named_by(self, event: events.Event) -> tuple[Any, Any]:
+        """The worker and the assigned slice that an event names; None where there is none."""
         worker_name: Any = getattr(event, "worker", None)
         slice_number: Any = getattr(event, "slice", None)
-        worker, slice = self.workers.get(worker_name), self.slices.get(slice_number)
-        own_slice = slice if slice and slice.assigned else None
+        slice = self.slices.get(slice_number)
+        return self.workers.get(worker_name), slice if slice and slice.assigned else None
+
+    def pass_on(self, event: events.Event) -> None:
+        """Queue the call that an event leads to, if any."""
+        worker, own_slice = self.named_by(event)
         match event:
             case events.WorkersListed():
                 self.schedule(self.worker_list.update, event)
@@ -93,6 +97,13 @@
             case events.ProxyLeft():
                 self.proxies.pop(event.proxy, None)
                 self.schedule(self.publisher.sent.remove_proxy, event.proxy)
+            case _:
+                self.restore(event)
+
+    def restore(self, event: events.Event) -> None:
+        """Take in what is stored: assigned slices and their routes, exclusions and ejections."""
+        worker, own_slice = self.named_by(event)
+        match event:
             case events.SliceAssigned():
                 self.schedule(self.slice(event.slice).set_assigned, event.assigned)
             case events.ExclusionRestored():
--- a/bramblewood/proxy/forwarding.py
+++ b/bramblewood/proxy/forwarding.py
@@ -117,7 +117,7 @@
         """Idle connections that may be kept to a worker of this service."""
         configuration = self.sessions.configuration
         settings = configuration.services.get(service) if configuration is not None else None
-        max_connections = settings.connections if settings else 0
+        max_connections = settings.max_connections if settings else 0
         proxies = self.retry_budget.proxies
         return idle_connection_quota(max_connections, proxies, self.proxy_name, instance_id, now)
 
@@ -167,7 +167,7 @@
         if key is None or not attempts.non_idempotent or result.outcome is not AttemptOutcome.ANSWERED:
             return reply
         replicated = self.sessions.configuration.services[service].read_replicas
-        if replicated and 200 <= result.answer.status < 300:
-            if not await self.invalidator.invalidate(attempts):
-                return INVALIDATION_FAILED
+        succeeded = 200 <= result.answer.status < 300
+        if replicated and succeeded and not await self.invalidator.invalidate(attempts):
+            return INVALIDATION_FAILED
         return reply
--- a/bramblewood/proxy/request_attempts.py
+++ b/bramblewood/proxy/request_attempts.py
@@ -73,7 +73,7 @@
         self.started_at = now
         self.affinity_key = ""
         self.deadline = now + min(time_left - DEADLINE_MARGIN, route.timeout)
-        self.no_owner_wait_until = now + NO_OWNER_WAIT_FRACTION * route.aim
+        self.no_owner_wait_until = now + NO_OWNER_WAIT_FRACTION * route.latency_target
         self.tried: set[str] = set()
         self.used_connections: set[int] = set()
         self.sent_count = self.unsent_count = 0
@@ -93,7 +93,7 @@
         """What to do now."""
         if now >= self.deadline:
             return self.fail(now, "no answer in time")
-        if self.sent_count >= self.route.attempts:
+        if self.sent_count >= self.route.max_attempts:
             return self.fail(now, "all attempts used")
         instance_id = self._choose_worker(now, load_balancer)
         if instance_id is None:
@@ -101,9 +101,10 @@
         if instance_id == self.backed_off_worker and now < self.backoff_until:
             return WaitUntil(self.backoff_until)  # let its queue get shorter, or a lease arrive
         if self.key is not None:
-            if not self.sent_count and load_balancer.is_full(now, instance_id):
-                if now < self.started_at + FULL_WORKER_WAIT_FRACTION * self.route.aim:
-                    return WaitUntil(now + FULL_WORKER_POLL_INTERVAL)
+            full_wait_until = self.started_at + FULL_WORKER_WAIT_FRACTION * self.route.latency_target
+            is_full = not self.sent_count and load_balancer.is_full(now, instance_id)
+            if is_full and now < full_wait_until:
+                return WaitUntil(now + FULL_WORKER_POLL_INTERVAL)
             if (wait := self._hot_key_wait(now, load_balancer, instance_id)) is not None:
                 return wait
         if self.sent_count and not retry_budget.try_spend(self.service, now):
@@ -122,7 +123,7 @@
     def _wait_for_worker(self, now: float, load_balancer: LoadBalancer) -> WaitUntil | FinalReply:
         in_handover = self.key is not None and load_balancer.in_handover(self.service, self.key)
         until = (
-            self.started_at + HANDOVER_WAIT_FRACTION * self.route.aim
+            self.started_at + HANDOVER_WAIT_FRACTION * self.route.latency_target
             if in_handover
             else self.no_owner_wait_until
         )
@@ -147,7 +148,7 @@
         if queue is None:
             return None
         if self.route.pure:
-            latest = min(self.started_at + HOT_KEY_WAIT_FRACTION * self.route.aim, self.deadline)
+            latest = min(self.started_at + HOT_KEY_WAIT_FRACTION * self.route.latency_target, self.deadline)
             turn_at = queue.turn_at(now, self.request_id, (self.route.priority, self.started_at), latest)
             if turn_at is None:
                 return self.fail(now, "a crowd at its record", long_retry_after=True)
@@ -229,7 +230,7 @@
         return FinalReply(response.status, response.reason, None, response)
 
     def _back_off(self, now: float, instance_id: str, fraction: float) -> None:
-        self.backed_off_worker, self.backoff_until = instance_id, now + fraction * self.route.aim
+        self.backed_off_worker, self.backoff_until = instance_id, now + fraction * self.route.latency_target
 
 
 def says_not_run(response: WorkerResponse) -> bool:
--- a/bramblewood/proxy/request_handler.py
+++ b/bramblewood/proxy/request_handler.py
@@ -7,6 +7,7 @@
 from aiohttp import web
 
 from ..common.configuration import Configuration, Route
+from ..common.errors import BramblewoodError
 from ..common.settings import Settings
 from ..common.slice_table import KEY_SPACE_SIZE
 from .client_disconnects import ClientDisconnected, ClientDisconnects
@@ -31,9 +32,11 @@
 RETRY_AFTER = 0.5  # s, of answers given before a request is attempted
 
 
-class RequestRejected(Exception):
+class RequestRejected(BramblewoodError):
     """A request is answered before it is attempted; `response` is the answer."""
 
+    step = "request"
+
     def __init__(
         self, status: int, reason: str, retry_after: float | None = None, close: bool = False
     ) -> None:
@@ -124,7 +127,7 @@
     def _route(self, request: web.BaseRequest, configuration: Configuration) -> RoutedRequest:
         """Check a request's head and find its service and key; raises `RequestRejected`."""
         headers = request.headers
-        route = configuration.route(headers.get("Host", ""), request.raw_path)
+        route = configuration.find_route(headers.get("Host", ""), request.raw_path)
         if route is None:
             raise RequestRejected(404, "no route")
         header_bytes = sum(len(name) + len(value) + 4 for name, value in request.raw_headers)
@@ -139,9 +142,9 @@
         if headers.get("Transfer-Encoding", "chunked").lower() != "chunked":
             raise RequestRejected(400, "Transfer-Encoding: expected chunked", close=True)
         request_id = request_id or f"{self.settings.name}-{os.urandom(8).hex()}"
-        service = route.service(request_id)
+        service = route.choose_service(request_id)
         key = None
-        if configuration.services[service].keyed:
+        if configuration.services[service].sharded:
             key = parse_integer(headers.get("X-Shard-Key", ""))
             if key is None or key >= KEY_SPACE_SIZE:
                 expected = f"X-Shard-Key: expected a number from 0 to {KEY_SPACE_SIZE - 1}"
@@ -167,7 +170,7 @@
                     size += len(part)
                     if size > max_bytes:
                         raise RequestRejected(413, f"at most {max_bytes} bytes", close=True)
-                    if self.body_bytes + size > self.settings.memory * BODY_MEMORY_FRACTION:
+                    if self.body_bytes + size > self.settings.memory_limit * BODY_MEMORY_FRACTION:
                         raise RequestRejected(503, "too many bodies at once", RETRY_AFTER, close=True)
                     parts.append(part)
         except TimeoutError:  # also where bytes form no chunk: aiohttp does not tell its handler
--- a/tests/simulation/consensus.py
+++ b/tests/simulation/consensus.py
@@ -119,7 +119,7 @@
             self.dispatch(name, effects)
 
     def sync(self, name: str) -> None:
-        """The oldest write of a machine is safe now; what rests on it goes effects."""
+        """The oldest write of a machine is safe now; what rests on it is sent."""
         effects = self.unsynced[name].pop(0)
         disk = self.disks[name]
         for register, promised, accepted, value in effects.writes:
@@ -242,11 +242,11 @@
         self.check_invariants()
         past = value["past"] if value else {}
         for digest, requested in self.acknowledged.items():
-            if past.get(str(requested.number)) != digest:
-                found = past.get(str(requested.number))
-                raise RuleViolation(f"{digest} was acknowledged as r{requested.number}, which is {found}")
+            if past.get(str(requested.revision)) != digest:
+                found = past.get(str(requested.revision))
+                raise RuleViolation(f"{digest} was acknowledged as r{requested.revision}, which is {found}")
         for digest, requested in self.rejected.items():
-            if past.get(str(requested.number)) == digest:
+            if past.get(str(requested.revision)) == digest:
                 raise RuleViolation(f"{digest} was refused, and is in force")
 
 
--- a/tests/simulation/fleet/machine.py
+++ b/tests/simulation/fleet/machine.py
@@ -64,7 +64,7 @@
         fleet = self.fleet
         self.loop, self.peer_connections = SimulationLoop(fleet), SimulatedConnections(self)
         self.starts, self.heard, self.echoed = self.starts + 1, {}, {}
-        with mock.patch("bramblewood.common.logs.begin", return_value=mock.Mock()):
+        with mock.patch("bramblewood.common.logs.start_logging", return_value=mock.Mock()):
             server = self.program(self.settings(is_first_boot))
         if self.is_controller:
             self.prepare_controller(server)
@@ -75,7 +75,7 @@
             self.handlers = ProxyHandlers(server)
         for peer in fleet.controllers:
             if peer != self.name:
-                self.peer_connections.keep(peer, 1)
+                self.peer_connections.maintain(peer, 1)
         self.server = server
         self.loop.start(self.run_turns(server))
 
