--- a/bramblewood/common/messages/greetings.py
+++ b/bramblewood/common/messages/greetings.py
@@ -29,7 +29,7 @@
 
 
 class RegistryUpdate(NamedTuple):
-    """Worker registrations that are news to the receiver."""
+    """Worker registrations that may be new to the receiver."""
 
     registrations: Registrations
     request_id: int | None = None  # asks for a RegistryAcknowledgement with this id; between controllers
--- a/bramblewood/common/peer_connections.py
+++ b/bramblewood/common/peer_connections.py
@@ -15,7 +15,7 @@
 
 from .errors import PeerMessageError
 
-CONNECT_TIMEOUT = 0.6  # s for a connection to come up; many times the way between zones
+CONNECT_TIMEOUT = 0.6  # s for a connection to come up; many times the transit between zones
 # s without a message after which a connection counts as lost; heartbeats come each quarter of a second
 CONNECTION_TIMEOUT = 1.2
 FIRST_RECONNECT_DELAY = 0.1  # s between dials; doubled after each that failed
--- a/bramblewood/common/slice_table.py
+++ b/bramblewood/common/slice_table.py
@@ -5,8 +5,10 @@
 services use the keys of the requests, others a hash of their ids.
 
 A row is a list, on the wire and on disk: worker, second worker, the second's share, fencing token, handover,
-previous owner, and, only where a hot record has any, its readers: by worker the version that made it one, or
-less the version that made it none. An entry with a previous owner has no owner yet.
+previous owner, and, only where a hot key has any, its readers: by worker the version of the table that made
+it one, or that version negated once it is none. The handover is what the previous owner gave with its
+release, for the new one. An entry with a previous owner has no owner yet: its worker is granted the keys once
+that one has released them.
 
 `SliceEntry` decodes and encodes rows. The proxy's path of each request reads rows by the index constants, as
 decoding a row costs more than the look-up itself.
--- a/bramblewood/common/timeouts.py
+++ b/bramblewood/common/timeouts.py
@@ -11,10 +11,10 @@
 MAX_TRANSIT_TIME = 0.3
 # of a read replica; one that can't be reached holds up a write's answer as long as a call may take
 READ_LEASE_DURATION = 1.0
-# until a new reader's first lease: the age of a quorum's answer, the way of the confirmation, a second for
-# proxies to use it
+# until a new reader's first lease: the age of a quorum's answer, the transit of the confirmation, and the
+# time in which proxies use it
 REPLICA_ANNOUNCEMENT_DELAY = 3.0
 # from asking for a confirmation until it is used no more
 CONFIRMATION_VALIDITY = REPLICA_ANNOUNCEMENT_DELAY - QUORUM_CONTACT_VALIDITY - MAX_TRANSIT_TIME
-# after a reader was removed until no copy that it holds can be read
+# after a reader was removed until no replica that it holds can be read
 READ_LEASE_EXPIRY = QUORUM_CONTACT_VALIDITY + READ_LEASE_DURATION * CLOCK_DRIFT_FACTOR + MAX_TRANSIT_TIME
--- a/bramblewood/common/worker_registry.py
+++ b/bramblewood/common/worker_registry.py
@@ -107,7 +107,7 @@
     ) -> tuple[dict[str, RegistrationRow], dict[str, RegistrationRow]]:
         """Merge what another controller or a proxy sent; ages: s since it heard of each, 0 where not told.
 
-        Gives the rows that were news here, and, of workers that are draining or gone, the rows of which this
+        Gives the rows that were new here, and, of workers that are draining or gone, the rows of which this
         registry knows something newer.
         """
         ages = ages or {}
--- a/bramblewood/controller/__init__.py
+++ b/bramblewood/controller/__init__.py
@@ -1,1 +1,1 @@
-"""The archive: a core machine that keeps what must last and decides which worker serves what."""
+"""The controller (control plane): keeps the agreed state and decides which worker serves what."""
--- a/bramblewood/controller/chosen_values.py
+++ b/bramblewood/controller/chosen_values.py
@@ -1,4 +1,4 @@
-"""Acts on newly chosen values: tells the log, the parts of this controller that follow them, and proxies."""
+"""Acts on newly chosen values: logs them, informs the parts that follow them, and proxies."""
 
 from ..common.configuration import Configuration
 from ..common.configuration_parser import build_configuration
--- a/bramblewood/controller/commands.py
+++ b/bramblewood/controller/commands.py
@@ -1,4 +1,4 @@
-"""Commands of workers and operators, as decoded from their calls, and the rejection of what is none."""
+"""Commands of workers and operators, as decoded from their calls, and the rejection of invalid calls."""
 
 from dataclasses import dataclass
 from typing import Literal
--- a/bramblewood/controller/consensus/membership.py
+++ b/bramblewood/controller/consensus/membership.py
@@ -51,7 +51,7 @@
         }
 
     def is_lost(self, peer: PeerStatus | None) -> bool:
-        """Whether it was silent for so long that its seat may be given away; None: never heard of."""
+        """Whether it was silent for so long that its seat may be given to another; None: never heard of."""
         return peer is None or peer.silent_for > self.lost_after
 
     # --- the change that is due
@@ -140,8 +140,10 @@
     def best_replacement(
         self, voters: dict[str, str], spares: list[str], peers: dict[str, PeerStatus], old: str = ""
     ) -> dict[str, str]:
-        """The voters once one of the spares has the seat of `old`, or one of its own: such that the losses to
-        be tolerated leave a majority, and of a zone with few voters.
+        """The voters once the best spare has the seat of `old`, or a further seat where `old` is empty.
+
+        The best leaves a majority after the losses to be tolerated, then stands in the zone with the fewest
+        voters, then is the first by address.
         """
         domains = self.failure_domains(peers)
         staying = [name for name in voters if name != old]
--- a/bramblewood/controller/consensus/timing.py
+++ b/bramblewood/controller/consensus/timing.py
@@ -1,6 +1,6 @@
 """How long consensus waits. Safety rests on none of these, only how soon a proposal comes through."""
 
-# s that a phase of a round waits for its majority: many times the way between zones and a sync
+# s that a phase of a round waits for its majority: many times the transit between zones and a disk sync
 PHASE_TIMEOUT = 0.25
 RETRY_BACKOFF = 0.04  # s, the unit of waits after a lost round; some times a round's own length
 MAX_RETRY_BACKOFF_UNITS = 6  # to which that wait grows
--- a/bramblewood/controller/drain_progress.py
+++ b/bramblewood/controller/drain_progress.py
@@ -37,7 +37,7 @@
 )
 from .table_changes import TableChange, TableValue
 
-# s after a wave until the next: five reports of half a second that have seen it, and one way
+# s after a wave until the next: five reports of half a second that have seen it, and their transit
 WAVE_INTERVAL = 3.0
 # s that a wave waits for capacity until its plan stops: many intervals, so that a burst may pass
 MAX_CAPACITY_WAIT = 20.0
--- a/bramblewood/controller/key_releases.py
+++ b/bramblewood/controller/key_releases.py
@@ -1,4 +1,6 @@
-"""Slices that are free of their previous owner: agreed in the table, all that wait in one change."""
+"""Has the controllers agree that previous owners have released slices: one change of the slice table for all
+releases that wait. Until then the new owner is granted nothing.
+"""
 
 from collections.abc import Callable
 from typing import Any
@@ -20,7 +22,7 @@
         self.on_all_finished: Callable[[], None] = lambda: None  # and nothing waits any more
 
     def add(self, released: ReleasedKeys) -> None:
-        """Have this agreed in the table."""
+        """Have the controllers agree on a release, with the next proposal."""
         self.waiting[released.service, released.starts, released.fencing_token] = released
         if self.is_proposing:
             return
--- a/bramblewood/controller/load_reports.py
+++ b/bramblewood/controller/load_reports.py
@@ -1,4 +1,4 @@
-"""Proxies' reports of their load, handed to whatever decides by them."""
+"""Hands proxies' load reports to the parts that decide by them: placement, outlier detection, drain plans."""
 
 from ..common.messages import LoadReport
 from .coordinator_loop import CoordinatorLoop
--- a/bramblewood/controller/proxy_feed.py
+++ b/bramblewood/controller/proxy_feed.py
@@ -10,7 +10,7 @@
 from .quorum_io import QuorumIO
 from .runtime import Runtime
 
-# s that a table waits for its grants before proxies follow it: ways to a worker and back
+# s that a table waits for its grants before proxies follow it: a round trip to a worker
 ANNOUNCEMENT_DELAY = 0.025
 
 
--- a/bramblewood/controller/proxy_sessions.py
+++ b/bramblewood/controller/proxy_sessions.py
@@ -38,8 +38,8 @@
         self.subscribers.pop(connection.peer, None)
 
     def send_registrations(self, rows: dict[str, list]) -> None:
-        """Send news of workers to the subscribers; of those that leave to all proxies, as one controller may
-        be lost.
+        """Send changed registrations to the subscribers; those of leaving workers to all proxies, as one
+        controller may be lost.
         """
         message = encode(RegistryUpdate(rows).to_wire())
         for connection in list(self.subscribers.values()):
--- a/bramblewood/controller/registry_exchange.py
+++ b/bramblewood/controller/registry_exchange.py
@@ -1,4 +1,4 @@
-"""Worker registrations on their way: from workers, controllers and proxies into the registry, and on."""
+"""Propagates worker registrations: from workers, controllers and proxies into the registry, and on."""
 
 from collections.abc import Callable
 
@@ -11,7 +11,7 @@
 
 
 class RegistryExchange:
-    """Records registrations and passes on what was news here. Rows are registrations in their wire form."""
+    """Records registrations and passes on what was new here. Rows are registrations in their wire form."""
 
     def __init__(self, runtime: Runtime, registry: WorkerRegistry, proxy_sessions: ProxySessions) -> None:
         self.runtime, self.registry, self.proxy_sessions = runtime, registry, proxy_sessions
@@ -20,9 +20,9 @@
     def record(
         self, instance_id: str, registration: WorkerRegistration, request_id: int | None = None
     ) -> None:
-        """Record a registration; where it is news, send it to all proxies and controllers.
+        """Record a registration; where it is new, send it to all proxies and controllers.
 
-        request_id: asks all controllers to acknowledge it by this id, news or not.
+        request_id: asks all controllers to acknowledge it by this id, new or not.
         """
         has_changed = self.registry.record(self.runtime.now(), instance_id, registration)
         rows = {instance_id: [*self.registry.registrations[instance_id]]}
@@ -42,8 +42,8 @@
     ) -> dict[str, list]:
         """Record what another controller or a proxy sent; ages: s since it heard of each worker.
 
-        Returns registrations of workers that leave where this controller knows more than the sender. News of
-        a departure goes on to the other controllers, as its sender may reach but some of them.
+        Returns registrations of workers that leave where this controller knows more than the sender. A
+        departure is sent on to the other controllers, as its sender may not reach all of them.
         """
         news, newer = self.registry.record_all(self.runtime.now(), rows, ages)
         if news:
--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -1,4 +1,4 @@
-"""The controller's shell: sockets, disk, timers and signals round its parts. It decides nothing itself."""
+"""The controller program: wiring, start, timers, signals and shutdown. Decisions are its parts' own."""
 
 import asyncio
 import signal
--- a/bramblewood/controller/sessions.py
+++ b/bramblewood/controller/sessions.py
@@ -21,7 +21,7 @@
 from .consensus.voter_set import VoterSet, is_voter, majority
 
 HEARTBEAT_INTERVAL = 0.25  # s between heartbeats; three of them fit into QUORUM_CONTACT_VALIDITY
-PEER_TIMEOUT = 0.9  # s without a heartbeat after which a controller counts as away: three and their way
+PEER_TIMEOUT = 0.9  # s without a heartbeat after which a controller counts as away: three and their transit
 
 
 class PeerSession(NamedTuple):
@@ -171,9 +171,9 @@
         ]
 
     def coordinator(self, now: float, is_current: bool) -> str | None:
-        """Whose turn it is to propose moves and to send grants: the first by name of those that are current.
+        """The controller that proposes moves and sends grants: the first by address of the current ones.
 
-        Only to keep out of each other's way: every move is agreed by a quorum, whoever proposes it.
+        This only avoids competing proposals: every move is agreed by a quorum, whoever proposes it.
         is_current: whether this controller itself is.
         """
         return min([*self.current_peers(now), *([self.own_address] if is_current else [])], default=None)
--- a/bramblewood/controller/voter_changes.py
+++ b/bramblewood/controller/voter_changes.py
@@ -1,4 +1,8 @@
-"""Changes of the voter set that come from this controller, and when it may shut down."""
+"""Proposes the changes of the voter set that `consensus/membership.py` finds due, and says when this
+controller may shut down.
+
+A seed proposes the founding set, the coordinator alone a later one. Log: `voter set change`.
+"""
 
 from typing import Any
 
--- a/bramblewood/emulator/events.py
+++ b/bramblewood/emulator/events.py
@@ -1,4 +1,4 @@
-"""What happened in a run, and when: told as it happens, and kept for the report."""
+"""What happened in a run, and when: printed as it happens, and kept for the report."""
 
 import time
 from collections.abc import Callable
--- a/bramblewood/emulator/faults.py
+++ b/bramblewood/emulator/faults.py
@@ -16,7 +16,7 @@
 
 
 class FaultInjector:
-    """Brings a scenario's faults and restarts about; previous: the earlier text that restarts may name."""
+    """Brings a scenario's faults and restarts about; previous: the earlier release that restarts may name."""
 
     def __init__(self, machines: Machines, events: EventLog, previous: Release | None) -> None:
         self.machines, self.events = machines, events
--- a/bramblewood/emulator/machines.py
+++ b/bramblewood/emulator/machines.py
@@ -38,7 +38,7 @@
 class Machines:
     """All machines of a run in one folder.
 
-    net: addresses are 127.net.21.1 and on, so that runs can stand side by side. previous: the earlier text
+    net: addresses are 127.net.21.1 and on, so that runs can stand side by side. previous: the earlier release
     that the scenario's `previous` machines start from.
     """
 
--- a/bramblewood/emulator/processes.py
+++ b/bramblewood/emulator/processes.py
@@ -1,4 +1,4 @@
-"""Settings files and processes of a gateway on loopback, of this text of the repository or of another."""
+"""Settings files and processes of a gateway on loopback, of this checkout or of an earlier release."""
 
 import asyncio
 import json
@@ -11,7 +11,7 @@
 
 
 class Release(NamedTuple):
-    """A text of the repository that programs can be started from, and its names of the two programs."""
+    """A checkout of the repository to start programs from, and its names of the two programs."""
 
     checkout: pathlib.Path
     proxy: str = "proxy"
--- a/bramblewood/emulator/run.py
+++ b/bramblewood/emulator/run.py
@@ -29,7 +29,7 @@
 class Run:
     """One run of a scenario in a folder.
 
-    tell: gets a line for each event. net: see `Machines`. previous: the earlier text for mixed fleets.
+    tell: gets a line for each event. net: see `Machines`. previous: the earlier release for mixed fleets.
     """
 
     def __init__(
--- a/bramblewood/emulator/scenario.py
+++ b/bramblewood/emulator/scenario.py
@@ -68,8 +68,8 @@
 
 
 class RestartSpec(TypedDict):
-    """A machine is told to end, and once it has, started from this text or from the earlier one that the run
-    names.
+    """A machine is stopped by SIGTERM and, once it has ended, started from this release or from the
+    earlier one that the run names.
 
     for_s: between its end and its start.
     """
@@ -114,7 +114,7 @@
     faults: NotRequired[list[FaultSpec]]
     withdrawals: NotRequired[list[DrainSpec]]
     changes: NotRequired[list[ChangesSpec]]
-    previous: NotRequired[list[str]]  # machines that start from the earlier text
+    previous: NotRequired[list[str]]  # machines that start from the earlier release
     restarts: NotRequired[list[RestartSpec]]
 
 
@@ -143,7 +143,7 @@
 
 
 def needs_previous(scenario: Scenario) -> bool:
-    """Whether a machine is started from the earlier text."""
+    """Whether a machine is started from the earlier release."""
     restarts = scenario.get("restarts", [])
     return bool(scenario.get("previous")) or any(one["release"] == "previous" for one in restarts)
 
--- a/bramblewood/proxy/client_connections.py
+++ b/bramblewood/proxy/client_connections.py
@@ -1,4 +1,4 @@
-"""Clients' connections: served by the limits of the newest configuration, closed where no request comes.
+"""Clients' connections: limited by the newest configuration, closed where no first request comes in time.
 
 Invariant: a client that has sent no request within the configured time is disconnected; one whose request
 arrived in time is not, even if this process stood still meanwhile.
--- a/bramblewood/proxy/controller_selection.py
+++ b/bramblewood/proxy/controller_selection.py
@@ -65,7 +65,7 @@
     def _select_upstream(self, known_versions: Versions) -> OutgoingMessages:
         """Have one controller push all updates: of those that are current one of this zone, if there is one.
 
-        Where none is current, the last one goes on pushing: its registrations may be news, and nothing older
+        Where none is current, the last one goes on pushing: its registrations may be new, and nothing older
         is taken in.
         """
         candidates = [
--- a/bramblewood/proxy/controller_sessions.py
+++ b/bramblewood/proxy/controller_sessions.py
@@ -47,7 +47,7 @@
     """The connections to the controllers, and what this proxy knows from them.
 
     configuration: the newest, None before the first. client_limits: its limits. selection: which controller
-    does what. updated: set at the next news; replaced by a new event then.
+    does what. updated: set at the next update; replaced by a new event then.
     """
 
     def __init__(
@@ -189,7 +189,7 @@
         }
 
     async def wait_for_update(self, until: float) -> None:
-        """Wait for news of the controllers, at most until then (s of the loop's clock)."""
+        """Wait for an update from the controllers, at most until then (s of the loop's clock)."""
         try:
             async with asyncio.timeout_at(until):
                 await self.updated.wait()
--- a/bramblewood/proxy/hot_key_queue.py
+++ b/bramblewood/proxy/hot_key_queue.py
@@ -14,7 +14,7 @@
 REJECTED_RATE_FACTOR = 0.7  # and when it rejects a request
 RATE_EFFECT_DELAY = 0.2  # s before a lower rate can show: about a request's work
 RATE_GAIN_PER_SECOND = 0.3  # of its rate that it gains each second
-MIN_RATE = 0.2  # requests a second that are always sent: some news of the worker each five seconds
+MIN_RATE = 0.2  # requests a second that are always sent: its worker states its load every five seconds
 ARRIVAL_RATE_WINDOW = 1.0  # s over which the arrival rate is averaged
 UNLIMITED_RATE_FACTOR = 2.0  # times the arrival rate from which a rate limits nothing: the limit is lifted
 
--- a/bramblewood/proxy/load_report.py
+++ b/bramblewood/proxy/load_report.py
@@ -1,4 +1,4 @@
-"""The load report that a proxy sends to the coordinator: requests counted, workers observed, drains."""
+"""The load report that a proxy sends to the coordinator: requests counted, workers observed, drains. Pure."""
 
 from ..common.messages import LoadReport
 from .load_balancing import LoadBalancer
--- a/bramblewood/proxy/replica_invalidation_calls.py
+++ b/bramblewood/proxy/replica_invalidation_calls.py
@@ -19,7 +19,7 @@
 from .request_attempts import RequestAttempts
 from .worker_connection import WorkerUnreachable
 
-DROP_TIMEOUT = 0.2  # s for a reader to drop a replica: many times the way between zones
+DROP_TIMEOUT = 0.2  # s for a reader to drop a replica: many times the transit between zones
 RELEASE_PATH = "/bramblewood/release"  # at which workers take releases of keys and of replicas
 
 
--- a/bramblewood/proxy/request_attempts.py
+++ b/bramblewood/proxy/request_attempts.py
@@ -34,7 +34,7 @@
 STATUSES_PROMISING_NOT_RUN = (408, 429, 503)
 MAX_UNSENT_ATTEMPTS = 4  # attempts of which nothing was sent; each costs a connection
 FULL_WORKER_POLL_INTERVAL = 0.04  # s between looks at a full worker: a part of a request's work
-DEADLINE_MARGIN = 0.012  # s kept back from a deadline for the way to the client
+DEADLINE_MARGIN = 0.012  # s kept back from a deadline for the transit to the client
 
 
 class SendToWorker(NamedTuple):
@@ -44,7 +44,7 @@
 
 
 class WaitUntil(NamedTuple):
-    """Ask again at this time (s), or as soon as controllers have sent news."""
+    """Ask again at this time (s), or as soon as controllers have sent an update."""
 
     until: float
 
