--- a/tests/simulation/configuration_change_guards.py
+++ b/tests/simulation/configuration_change_guards.py
@@ -15,19 +15,6 @@
 from bramblewood.controller.consensus.proposer import Proposer
 from bramblewood.controller.consensus.replica import ConsensusReplica
 
-CALL_TIMEOUT, TICK_INTERVAL = 0.85, 0.1  # s, the controller's
-CALLER_TIMEOUT = 1.0  # s after which a caller goes to another controller; PROTOCOL, "The operator"
-RETRY_PAUSES = (
-    0.05,
-    0.1,
-    0.2,
-    0.4,
-    0.8,
-    1.6,
-)  # s; the pages say only that they grow
-MAX_CONCURRENT_ORDERS = 8  # orders that may be under way at once
-SYNC_DURATION = (0.001, 0.008)  # s that a write takes to be safe
-
 
 class BelowMajority(ConsensusReplica):
     """Counts one voter less than a majority."""
