--- a/bramblewood/policy/__init__.py
+++ b/bramblewood/policy/__init__.py
@@ -1,1 +1,1 @@
-"""All decisions of placement, by concern: used by the manager in service and by the archive."""
+"""All decisions of placement, by concern: used by the manager in service and by the controller."""
