--- a/bramblewood/events.py
+++ b/bramblewood/events.py
@@ -278,3 +278,6 @@
     WorkerEjected,
     Log,
 ]
+
+# orders that the relay carries out; the others are for the manager's own loop
+RELAY_ORDERS = (SetRoute, ClearTable, BindProxy, SetAdmission, ExcludeWorker, RequestAcknowledgement)
--- a/bramblewood/ledger/stage.py
+++ b/bramblewood/ledger/stage.py
@@ -19,14 +19,6 @@
 ALIVE = 1.0  # s between notes that this life goes on; ages at a restart are no finer
 PACE = 0.005  # s between turns while background work waits, and nothing else does
 MS = 1000.0
-TO_RELAY = (
-    events.SetRoute,
-    events.ClearTable,
-    events.BindProxy,
-    events.SetAdmission,
-    events.ExcludeWorker,
-    events.RequestAcknowledgement,
-)
 
 __all__ = ["Ledger", "Refused"]
 
@@ -125,8 +117,10 @@
         waits = outcome.first or outcome.strict
         if waits or now >= self.committed_at + TRAIL:
             self.commit(now)
-        at_once = [order for order in outcome.free if not isinstance(order, TO_RELAY)]
-        relayed = [(order, strict) for order, strict in outcome.orders if isinstance(order, TO_RELAY)]
+        at_once = [order for order in outcome.free if not isinstance(order, events.RELAY_ORDERS)]
+        relayed = [
+            (order, strict) for order, strict in outcome.orders if isinstance(order, events.RELAY_ORDERS)
+        ]
         if relayed:
             number = self.store.number if waits else 0
             self.queue.append(Held(number, now + self.terms.hold, relayed))
--- a/bramblewood/net/program/service.py
+++ b/bramblewood/net/program/service.py
@@ -37,14 +37,6 @@
 LOGGED_AS = {"settings": "facts"}  # fields that have another name in the log
 
 T = TypeVar("T")
-TO_RELAY = (
-    events.SetRoute,
-    events.ClearTable,
-    events.BindProxy,
-    events.SetAdmission,
-    events.ExcludeWorker,
-    events.RequestAcknowledgement,
-)
 
 
 def at_address(key: str, where: Address, make: Callable[[], T]) -> T:
@@ -324,7 +316,7 @@
 
     def carry_out(self, orders: list[events.Order]) -> None:
         """Hand each order to the party that carries it out."""
-        self.relay_calls.submit([order for order in orders if isinstance(order, TO_RELAY)])
+        self.relay_calls.submit([order for order in orders if isinstance(order, events.RELAY_ORDERS)])
         for order in orders:
             match order:
                 case events.SetTimer(after, token):
