--- a/features/steps/key_leases.py
+++ b/features/steps/key_leases.py
@@ -11,6 +11,8 @@
 from tests.simulation.key_lease_orders import LATE_ANSWER, all_orders
 from tests.simulation.key_leases import STEP, Play, TwoHolders, margin
 
+CONNECTION_END_TIMEOUT = 2.0  # s
+
 
 @then("{count:d} minutes of that never give a key two holders")
 def no_two_holders(context, count):
@@ -101,8 +103,10 @@
     async def play(repeats: bool) -> tuple:
         """The status of the release, whether the worker was done by then, and of the next release."""
         done, asked, kinds = asyncio.Event(), asyncio.Event(), []
+        serving = []  # a task for each connection of the worker
 
         async def serve(reader, writer):
+            serving.append(asyncio.current_task())
             before = b""
             while True:
                 try:
@@ -137,6 +141,8 @@
         late = await calls.send("grant", address, "w1", {}, calls.runtime.now())
         calls.client.close()
         server.close()
+        # each connection ends with the client's end of the stream, and without an error
+        await asyncio.wait_for(asyncio.gather(*serving), CONNECTION_END_TIMEOUT)
         return *outcome, late, len(kinds)
 
     context.play = play
