--- a/bramblewood/events.py
+++ b/bramblewood/events.py
@@ -1,17 +1,17 @@
-"""Events that a placement manager receives and orders that it answers with. Plain data, no logic.
+"""The events that a placement manager receives and the orders that it returns. Plain data without logic.
 
-Times are seconds with fractions, unix time where a point in time is meant. Ids of workers, proxies and
-slices are opaque.
+Durations are in seconds, and points in time are unix times in seconds. The ids of workers, proxies and slices
+are opaque. An operation is identified by its name in events and by its position in the settings in orders.
 """
 
 from collections.abc import Mapping
 from typing import NamedTuple, Union
 
-ALL_SLICES = -1  # in SetAdmission: every slice assigned to this manager, or every proxy without slices
+ALL_SLICES = -1  # in SetAdmission: all slices assigned to this manager; on sites without slices, all proxies
 READY, DRAINING, DEREGISTERED = "ready", "draining", "gone"  # states of a worker
-# what an operation may do to the backend, as far as repeating it is concerned
+# kinds of operations: safe to repeat; safe to repeat with its idempotency key; not safe to repeat
 IDEMPOTENT, FINGERPRINTED, SIDE_EFFECTING = "idempotent", "fingerprinted", "side-effecting"
-# what proxies may retry: nothing; attempts that never started; any attempt, once or twice
+# retry modes of proxies: no retry; only attempts that never started; any attempt, once or twice
 NO_RETRY, RETRY_UNSTARTED, RETRY_ONCE, RETRY_TWICE = 0, 1, 2, 3
 
 
@@ -19,7 +19,7 @@
 
 
 class ListedWorker(NamedTuple):
-    """One entry of a worker list; `started` is None for a worker that started long ago."""
+    """One entry of a worker list; `started` is None if the worker started long ago."""
 
     worker: str
     state: str
@@ -31,7 +31,11 @@
 
 
 class WorkersListed(NamedTuple):
-    """A worker list: complete (all others are deregistered), cached from before a start, or changes only."""
+    """A worker list, or only its changes.
+
+    `complete`: the list names all workers, and all others are deregistered. `cached`: the list was saved
+    before this start and may be outdated.
+    """
 
     workers: tuple[ListedWorker, ...]
     complete: bool = False
@@ -44,9 +48,9 @@
 
 
 class WorkerReported(NamedTuple):
-    """What the proxies of one zone observed at a worker, with the worker's latest load report, if any.
+    """The attempts that proxies of one zone made at a worker, and the worker's latest load report, if any.
 
-    `interval` is the time in s that the counts span, `mean_response_time` that of the answered attempts.
+    The counts span `interval` s. `mean_response_time` covers only the answered attempts, in s.
     """
 
     worker: str
@@ -59,7 +63,7 @@
 
 
 class SliceHeatReported(NamedTuple):
-    """Invocations of one operation that arrived for a slice within an interval of so many seconds."""
+    """The invocations of one operation that arrived for a slice within `interval` s."""
 
     slice: int
     operation: str
@@ -69,7 +73,7 @@
 
 
 class ProxyTrafficReported(NamedTuple):
-    """Invocations of one operation that arrived at a proxy, on sites without slices."""
+    """On sites without slices: the invocations of one operation at a proxy within `interval` s."""
 
     proxy: int
     operation: str
@@ -79,7 +83,10 @@
 
 
 class HealthCheckFinished(NamedTuple):
-    """A health check ended: answered, errored, rate-limited, timed-out, unreachable, broken, unknown."""
+    """The result of a health check, which took `elapsed` s.
+
+    `outcome` is answered, errored, rate-limited, timed-out, unreachable, broken or unknown.
+    """
 
     worker: str
     outcome: str
@@ -88,7 +95,7 @@
 
 
 class MessageAcknowledged(NamedTuple):
-    """A proxy has applied the message with this number, and all before it, `elapsed` s after it was sent."""
+    """A proxy applied the message of this number and all earlier ones, `elapsed` s after it was sent."""
 
     proxy: int
     number: int
@@ -96,7 +103,7 @@
 
 
 class ProxyJoined(NamedTuple):
-    """A proxy's stream is up; `fresh`: it knows only the tables that it started with."""
+    """A proxy's stream opened; `fresh`: the proxy has only the tables that it started with."""
 
     proxy: int
     zone: str
@@ -105,20 +112,20 @@
 
 
 class ProxyLeft(NamedTuple):
-    """A proxy's stream broke; the proxy may be dead, or still follow the tables that it has."""
+    """A proxy's stream broke; the proxy may have ended, or may still route by the tables that it has."""
 
     proxy: int
 
 
 class SliceAssigned(NamedTuple):
-    """The store assigned a slice to this manager, or took it away; the slice's routes follow."""
+    """The store assigned a slice to this manager or withdrew it; events with the slice's routes follow."""
 
     slice: int
     assigned: bool
 
 
 class RouteStored(NamedTuple):
-    """One route of a slice's table as the store has it."""
+    """One stored route of a slice's table."""
 
     slice: int
     worker: str
@@ -126,13 +133,13 @@
 
 
 class ExclusionRestored(NamedTuple):
-    """An earlier start of this manager excluded a worker; some proxies may still keep away from it."""
+    """An earlier run of this manager excluded a worker, and some proxies may still exclude it."""
 
     worker: str
 
 
 class EjectionRestored(NamedTuple):
-    """An earlier start ejected a worker until this time; `ejections`: how often in a row by then."""
+    """An earlier run of this manager ejected a worker until this time; `ejections` are consecutive."""
 
     worker: str
     until: float
@@ -140,14 +147,14 @@
 
 
 class PeerMessageReceived(NamedTuple):
-    """A short message from another manager."""
+    """A message from another manager."""
 
     manager: int
     payload: bytes
 
 
 class TimerFired(NamedTuple):
-    """A timer that SetTimer asked for is due."""
+    """A timer that SetTimer started has expired."""
 
     token: str
 
@@ -175,7 +182,7 @@
 
 
 class SetRoute(NamedTuple):
-    """Set one route of a table: a worker and its weight; weight 0 removes the route."""
+    """Set the weight of a table's route to a worker; weight 0 removes the route."""
 
     table: int
     worker: str
@@ -189,7 +196,7 @@
 
 
 class BindProxy(NamedTuple):
-    """On sites without slices: bind a proxy to a table, for operations at these positions (none: all)."""
+    """On sites without slices, bind a proxy to a table for these operations; an empty tuple means all."""
 
     proxy: int
     table: int
@@ -197,7 +204,10 @@
 
 
 class SetAdmission(NamedTuple):
-    """Set the share of some operations (positions; none: all) that a table admits, and the retry mode."""
+    """Set the share of requests that a table admits, and the retry mode.
+
+    Applies to the operations at these positions; an empty tuple means all.
+    """
 
     table: int
     operations: tuple[int, ...]
@@ -206,21 +216,21 @@
 
 
 class ExcludeWorker(NamedTuple):
-    """Keep joined proxies away from a worker whatever their tables name, or end that."""
+    """Make all joined proxies exclude a worker regardless of their tables, or end the exclusion."""
 
     worker: str
     excluded: bool
 
 
 class RequestAcknowledgement(NamedTuple):
-    """Number the messages of this answer, so that each proxy acknowledges that it has applied its own."""
+    """Request an acknowledgement from each proxy that it has applied its message of this batch of orders."""
 
     number: int
     everyone: bool = False
 
 
 class SetTimer(NamedTuple):
-    """Ask for a TimerFired with this token after a delay in s."""
+    """Request a TimerFired event with this token after a delay in s."""
 
     delay: float
     token: str
@@ -233,24 +243,27 @@
 
 
 class TellPeer(NamedTuple):
-    """Send a short message to one manager, or to all (None)."""
+    """Send a message to one manager, or to all managers if `manager` is None."""
 
     manager: int | None
     payload: bytes
 
 
 class RequestWorkerList(NamedTuple):
-    """Ask once for the complete worker list."""
+    """Request the complete worker list once."""
 
 
 class WatchWorkerList(NamedTuple):
-    """Subscribe to changes of the worker list, or unsubscribe."""
+    """Subscribe to the changes of the worker list, or unsubscribe."""
 
     on: bool = True
 
 
 class WorkerEjected(NamedTuple):
-    """A worker is ejected until this time, for the so manyth time in a row. A notice: nothing is asked."""
+    """Report that a worker is ejected until this time. The receiver has nothing to carry out.
+
+    `ejections` counts the consecutive ejections.
+    """
 
     worker: str
     until: float
@@ -258,7 +271,7 @@
 
 
 class Log(NamedTuple):
-    """Write one line to the log."""
+    """Write a line to the log."""
 
     text: str
 
@@ -279,5 +292,5 @@
     Log,
 ]
 
-# orders that the relay carries out; the others are for the manager's own loop
+# orders that the relay carries out; the manager's own loop carries out the others
 RELAY_ORDERS = (SetRoute, ClearTable, BindProxy, SetAdmission, ExcludeWorker, RequestAcknowledgement)
--- a/bramblewood/policy/__init__.py
+++ b/bramblewood/policy/__init__.py
@@ -1,1 +1,1 @@
-"""All decisions of placement, by concern: used by the manager in service and by the controller."""
+"""The placement policy, one concern per module. The manager in service and the controller both use it."""
--- a/bramblewood/policy/failover.py
+++ b/bramblewood/policy/failover.py
@@ -1,4 +1,4 @@
-"""Urgent moves: slices of draining, dead and ejected workers at once; load that grows is prepared for."""
+"""Urgent moves of slices away from draining, deregistered and ejected workers, and preparation for surges."""
 
 import math
 from collections import Counter
@@ -12,37 +12,37 @@
 
 
 class Failover(LoadAccounting):
-    """What can't wait for the ordinary rule."""
+    """Ejects failing workers and makes the moves that must not wait for the ordinary rule."""
 
     def prepare_for_surge(self) -> None:
-        """Heat that jumps everywhere leaves nowhere to move to: cut ahead, if utilization is known."""
+        """Cut admission early if heat grows at all slices, because no worker is then free to take a slice."""
         slices = [s for s in self.manager.own_slices() if s.estimates and self.manager.utilization_known]
         growth = sum(s.estimates[-1] for s in slices) / (sum(s.estimate() for s in slices) or math.inf)
-        if growth > parameters.SURGE:
+        if growth > parameters.SURGE_FACTOR:
             for worker in dict.fromkeys(s.primary for s in slices if s.primary):
-                self.manager.schedule(worker.cut_ahead, mean(worker.loads) * growth)
+                self.manager.schedule(worker.cut_early, mean(worker.loads) * growth)
 
-    def eject_failing(self) -> None:
-        """Eject workers for unanswered attempts; slow ones only if all is late and others have room."""
+    def eject_failing_workers(self) -> None:
+        """Eject workers that leave attempts unanswered; overloaded ones only while others have capacity."""
         ready = self.manager.ready_workers()
         spare = self.manager.utilization_known and 0 < self.median_load < parameters.SPARE_LOAD
-        tried = [w for w in ready if sum(w.outcomes) >= parameters.MIN_ATTEMPTS]
-        unanswered = {w: w.outcomes[1] / sum(w.outcomes) for w in tried}
-        limit = parameters.FAILING_SHARE + median(unanswered.values())
-        slow = parameters.STRAINED * self.manager.latency_objective
-        suspected = [w for w, share in unanswered.items() if w.usable and share >= limit]
-        jammed = [w for w in suspected if spare and w.retries_cut and w.strain > parameters.SLOW_FACTOR]
-        failing = [w for w in suspected if w in jammed or w.response_time() < slow]
-        if len(failing) > parameters.MOST_EJECTED * len(ready) - sum(not worker.usable for worker in ready):
-            self.manager.log(f"{len(failing)} workers look broken at once: not believed")
+        measured = [w for w in ready if sum(w.outcomes) >= parameters.MIN_ATTEMPTS]
+        unanswered = {w: w.outcomes[1] / sum(w.outcomes) for w in measured}
+        limit = parameters.UNANSWERED_LIMIT + median(unanswered.values())
+        slow_limit = parameters.CUT_LATENCY_RATIO * self.manager.latency_objective
+        suspects = [w for w, share in unanswered.items() if w.usable and share >= limit]
+        slow = [w for w in suspects if spare and w.retries_off and w.latency_ratio > parameters.SLOW_FACTOR]
+        failing = [w for w in suspects if w in slow or w.response_time() < slow_limit]
+        if len(failing) > parameters.MAX_EJECTED_SHARE * len(ready) - sum(not w.usable for w in ready):
+            self.manager.log(f"{len(failing)} workers exceed the ejection limit at once: none is ejected")
             return
         for worker in failing:
             self.manager.schedule(worker.eject, f"{unanswered[worker]:.0%} of its tries unanswered")
 
-    def reassign_unserved(self) -> None:
-        """Slices without a usable primary move at once; tables that name a closed worker are urgent."""
+    def reassign_unserved_slices(self) -> None:
+        """Move slices without a usable primary at once; queue tables with workers to exclude as urgent."""
         slices, publisher = self.manager.own_slices(), self.manager.publisher
-        self.standby_counts = Counter(slice.standby for slice in slices)  # goes on while it hands out
+        self.standby_counts = Counter(slice.standby for slice in slices)  # choose_standby updates it
         old_routes = {w for s in slices for w in s.routes if w not in (s.primary, s.standby)}
         self.blocked = {worker for worker in old_routes if publisher.excluded.get(worker.name)}
         moved, by_primary = Counter(), {}
@@ -55,15 +55,15 @@
                 self.move(slice, target, True)
             elif primary and (standby is None or not standby.usable or standby is primary):
                 self.manager.schedule(slice.assign_workers, primary, self.choose_standby(primary), False)
-            if slice.closed_workers():
+            if slice.workers_to_exclude():
                 self.manager.schedule(publisher.enqueue, slice, True)
         for worker in [w for w in self.manager.usable_workers() if w in by_primary and not w.is_warm]:
-            self.trim_to_budget(worker, by_primary[worker])  # after the rest, so that its word is the last
+            self.trim_to_budget(worker, by_primary[worker])  # last, so that its assignments take precedence
         for worker_and_state, count in moved.items():
             self.manager.log(f"{count} slices of {worker_and_state} moved at once")
 
     def failover_target(self, slice: Slice) -> Worker | None:
-        """The standby, to which proxies turn by themselves, while warm and not full; or the least loaded."""
+        """Return the standby, where proxies retry, if it is warm and below capacity; or another worker."""
         primary, standby = slice.primary, slice.standby
         ready = standby in slice.routes and standby.usable and standby.is_warm
         if ready and not (self.total_heat and self.loads[standby] > self.capacity(standby)):
@@ -71,7 +71,7 @@
         return self.least_loaded(slice.estimate(), primary, not primary or primary.state != READY)
 
     def trim_to_budget(self, worker: Worker, slices: list[Slice]) -> None:
-        """A worker that restarted under its slices keeps only what a warming one may have."""
+        """Move slices away from a restarted worker until the others fit its slow start budget."""
         excess = sum(slice.estimate() for slice in slices) - self.slow_start_budget(worker)
         hottest_first = sorted(slices, key=lambda slice: (-slice.estimate(), slice.number))
         for slice in hottest_first if self.total_heat else ():
--- a/bramblewood/policy_mechanisms/__init__.py
+++ b/bramblewood/policy_mechanisms/__init__.py
@@ -1,1 +1,1 @@
-"""Mechanisms under the policy: state, event dispatch, acknowledgements, averages. Nothing is decided here."""
+"""Mechanisms below the policy: state, event dispatch, acknowledgements and averages. They decide nothing."""
--- a/bramblewood/policy_mechanisms/averages.py
+++ b/bramblewood/policy_mechanisms/averages.py
@@ -1,4 +1,4 @@
-"""Averages over reports, and the check that a reported number can be used in one."""
+"""Averages over reports, and the check that a reported number can be averaged."""
 
 import math
 from collections.abc import Iterable, Sequence
@@ -6,16 +6,16 @@
 
 
 def mean(values: Sequence[float]) -> float:
-    """The arithmetic mean; 0 of no values."""
+    """Return the arithmetic mean, or 0 if there are no values."""
     return sum(values) / len(values) if values else 0.0
 
 
 def median(values: Iterable[float]) -> float:
-    """The median, the upper one of an even count; 0 of no values."""
+    """Return the median, or 0 if there are no values; of an even count, the upper of the middle two."""
     ranked = sorted(values)
     return ranked[len(ranked) // 2] if ranked else 0.0
 
 
 def is_usable(*values: Any) -> bool:
-    """Whether all values are numbers that are finite and not negative."""
+    """Return whether all values are finite numbers of at least 0."""
     return all(isinstance(value, (int, float)) and math.isfinite(value) and value >= 0 for value in values)
--- a/bramblewood/policy_mechanisms/dispatch.py
+++ b/bramblewood/policy_mechanisms/dispatch.py
@@ -1,4 +1,4 @@
-"""Tables of workers and slices, events passed on to a manager's parts, and the queue of calls."""
+"""The tables of workers and slices, the dispatch of events to a manager's parts, and the call queue."""
 
 from collections import deque
 from collections.abc import Callable, Iterable
@@ -9,74 +9,74 @@
 
 
 class Dispatcher:
-    """The tables, the queue of work and the checks of events; a Manager adds the parts that act on them."""
+    """Checks events and dispatches them through a call queue; Manager adds the parts that handle them."""
 
     worker_list: Any
     publisher: Any
 
     def __init__(self, worker_type: type, slice_type: type) -> None:
         self.worker_type, self.slice_type = worker_type, slice_type
-        self.work: deque[tuple[Callable, tuple]] = deque()
+        self.queue: deque[tuple[Callable, tuple]] = deque()
         self.now = 0.0  # unix time in s
-        self.orders: list[events.Order] = []  # of the batch in work
+        self.orders: list[events.Order] = []  # of the current batch
         self.workers: dict[str, Any] = {}
         self.slices: dict[int, Any] = {}
-        self.proxies: dict[int, str] = {}  # joined ones, with their zones
+        self.proxies: dict[int, str] = {}  # zones of the joined proxies
 
     def worker(self, name: str) -> Any:
-        """The worker of this name; one that no list has named, only the store, counts as deregistered."""
+        """Return the worker of this name; one that only the store has named is created as deregistered."""
         return self.workers.get(name) or self.workers.setdefault(name, self.worker_type(self, name))
 
     def slice(self, number: int) -> Any:
-        """The slice of this number, new where it was never assigned."""
+        """Return the slice of this number; one that was never assigned is created."""
         return self.slices.get(number) or self.slices.setdefault(number, self.slice_type(self, number))
 
     def ready_workers(self) -> list[Any]:
-        """Workers that are listed ready, ejected ones too."""
+        """Return the workers that are listed as ready, including ejected ones."""
         return [worker for worker in self.workers.values() if worker.state == events.READY]
 
     def usable_workers(self) -> list[Any]:
-        """Workers that are listed ready and not ejected."""
+        """Return the workers that are listed as ready and not ejected."""
         return [worker for worker in self.workers.values() if worker.usable]
 
     def own_slices(self) -> list[Any]:
-        """Slices that are assigned to this manager."""
+        """Return the slices that are assigned to this manager."""
         return [slice for slice in self.slices.values() if slice.assigned]
 
     def schedule(self, call: Callable, *arguments: Any) -> None:
-        """Queue a call: parts act one after another, never within each other."""
-        self.work.append((call, arguments))
+        """Queue a call. Queued calls run one after another and never nest."""
+        self.queue.append((call, arguments))
 
-    def complete(self, call: Callable, *arguments: Any) -> None:
-        """Make a call, then all that it queues."""
+    def run_to_completion(self, call: Callable, *arguments: Any) -> None:
+        """Run a call and every call that it queues."""
         self.schedule(call, *arguments)
-        self.run()
+        self.run_queue()
 
-    def run(self) -> None:
-        """Make all calls that are queued, and those that they queue."""
-        while self.work:
-            call, arguments = self.work.popleft()
+    def run_queue(self) -> None:
+        """Run all queued calls, and those that they queue."""
+        while self.queue:
+            call, arguments = self.queue.popleft()
             call(*arguments)
 
     def log(self, text: str) -> None:
-        """Order a line of the log."""
+        """Order a log line."""
         self.orders.append(events.Log(text))
 
-    def accept(self, batch: Iterable[events.Event]) -> None:
-        """Pass on events one by one; what is unknown, unusable or no longer assigned is dropped."""
+    def dispatch_batch(self, batch: Iterable[events.Event]) -> None:
+        """Dispatch events one by one; drop unknown and unusable events and those of unassigned slices."""
         for event in batch:
-            self.complete(self.pass_on, event)
+            self.run_to_completion(self.dispatch, event)
 
-    def named_by(self, event: events.Event) -> tuple[Any, Any]:
-        """The worker and the assigned slice that an event names; None where there is none."""
+    def targets_of(self, event: events.Event) -> tuple[Any, Any]:
+        """Return the known worker and the assigned slice that an event names, each None if there is none."""
         worker_name: Any = getattr(event, "worker", None)
         slice_number: Any = getattr(event, "slice", None)
         slice = self.slices.get(slice_number)
         return self.workers.get(worker_name), slice if slice and slice.assigned else None
 
-    def pass_on(self, event: events.Event) -> None:
-        """Queue the call that an event leads to, if any."""
-        worker, own_slice = self.named_by(event)
+    def dispatch(self, event: events.Event) -> None:
+        """Queue the call that handles an event, if any."""
+        worker, own_slice = self.targets_of(event)
         match event:
             case events.WorkersListed():
                 self.schedule(self.worker_list.update, event)
@@ -90,10 +90,10 @@
             case events.MessageAcknowledged():
                 self.schedule(self.publisher.sent.acknowledge, event)
             case events.ProxyJoined():
-                if event.proxy in self.proxies:  # joined anew: nobody listened, and answers may be lost
+                if event.proxy in self.proxies:  # a second join: acknowledgements in between may be lost
                     self.publisher.sent.acknowledgements_lost_at = self.now
                 self.proxies[event.proxy] = event.zone
-                self.schedule(self.publisher.renew)
+                self.schedule(self.publisher.schedule_resend)
             case events.ProxyLeft():
                 self.proxies.pop(event.proxy, None)
                 self.schedule(self.publisher.sent.remove_proxy, event.proxy)
@@ -101,8 +101,8 @@
                 self.restore(event)
 
     def restore(self, event: events.Event) -> None:
-        """Take in what is stored: assigned slices and their routes, exclusions and ejections."""
-        worker, own_slice = self.named_by(event)
+        """Apply stored state: assigned slices and their routes, exclusions and ejections."""
+        worker, own_slice = self.targets_of(event)
         match event:
             case events.SliceAssigned():
                 self.schedule(self.slice(event.slice).set_assigned, event.assigned)
--- a/bramblewood/policy_mechanisms/random_fractions.py
+++ b/bramblewood/policy_mechanisms/random_fractions.py
@@ -1,10 +1,10 @@
-"""A seeded sequence of numbers, equal on all machines and in all versions of Python."""
+"""A seeded sequence of numbers that is equal on all machines and in all versions of Python."""
 
 import zlib
 
 
 class RandomFractions:
-    """The sequence of a seed, from 0 to 1; next(fractions) draws the next number."""
+    """The sequence of a seed: next(fractions) returns the next number from 0 up to 1."""
 
     def __init__(self, seed: int) -> None:
         self.seed, self.count = seed, 0
--- a/bramblewood/policy_mechanisms/sent_messages.py
+++ b/bramblewood/policy_mechanisms/sent_messages.py
@@ -1,4 +1,4 @@
-"""Messages to the proxies: one that is being filled, and those that have not been acknowledged."""
+"""Messages to the proxies: the draft that is being filled, and sent messages until they are acknowledged."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -6,23 +6,23 @@
 from ..events import MessageAcknowledged, Order
 from ..policy.parameters import ACK_TIMEOUT, LONG_AGO, REPORT_LAG
 
-NUMBERS = 65536  # message numbers, used in turn
+NUMBER_COUNT = 65536  # message numbers; they wrap around to 0
 
 
 @dataclass
 class SentMessage:
-    """A message to all proxies of its time: lines that it takes in the channel, times in unix s."""
+    """A message to all proxies that were joined when it was sent. Times are unix times in s."""
 
     number: int
-    lines: float
+    lines: float  # in the channel, for all proxies together
     sent_at: float
     proxies: int
     awaited: set[int]  # proxies that have not acknowledged it
-    pending_until: float  # when one was last awaited
+    pending_until: float  # when an acknowledgement was last awaited
 
 
 class MessageDraft:
-    """A message that is being filled; each order, and a header, takes one line for each proxy."""
+    """A message that is being filled; the header and the orders each take one line per proxy."""
 
     def __init__(self, orders: list[Order], header: float, proxies: int, waiting: float) -> None:
         self.orders, self.proxies = orders, proxies
@@ -30,17 +30,17 @@
         self.waiting = waiting  # lines that wait in the channel already
 
     def fits(self, limit: float, more: int = 0) -> bool:
-        """Whether no more lines than the limit would wait, with so many more orders."""
+        """Return whether at most `limit` lines would wait, if `more` orders were added."""
         return self.lines + more * self.proxies + self.waiting <= limit
 
     def add(self, orders: list[Order]) -> None:
-        """Add orders and their lines."""
+        """Add orders and count their lines."""
         self.orders += orders
         self.lines += len(orders) * self.proxies
 
 
 class SentMessages:
-    """The messages that wait in the channel or count for the number allowed, oldest first."""
+    """The messages that are unacknowledged or still count towards the rate limit, oldest first."""
 
     def __init__(self) -> None:
         self.messages: deque[SentMessage] = deque()
@@ -48,13 +48,13 @@
         self.acknowledgements_lost_at = LONG_AGO  # unix time
 
     def add(self, now: float, lines: float, proxies: set[int]) -> int:
-        """Add a message to these proxies; its number."""
-        self.last_number = (self.last_number + 1) % NUMBERS
+        """Record a message to these proxies and return its number."""
+        self.last_number = (self.last_number + 1) % NUMBER_COUNT
         self.messages.append(SentMessage(self.last_number, lines, now, len(proxies), proxies, now))
         return self.last_number
 
     def acknowledge(self, event: MessageAcknowledged) -> None:
-        """A proxy has a message; messages leave in order, so all earlier ones have left."""
+        """Record an acknowledgement. The channel keeps the order, so all earlier messages have left it."""
         for position, message in enumerate(self.messages):
             if message.number == event.number:
                 message.awaited.discard(event.proxy)
@@ -62,16 +62,16 @@
                     self.messages[earlier].awaited.clear()
 
     def remove_proxy(self, proxy: int) -> None:
-        """A proxy left: no acknowledgement of it is awaited."""
+        """Await no acknowledgement of a proxy that left."""
         for message in self.messages:
             message.awaited.discard(proxy)
 
     def expire(self, now: float, counted_for: float) -> None:
-        """Await no longer what is lost; drop messages that left longer ago than they count for, in s."""
+        """Give up lost acknowledgements; drop messages that left the channel over `counted_for` s ago."""
         lost_at = self.acknowledgements_lost_at
-        void_before = max(min(lost_at, (now + lost_at) / 2 - REPORT_LAG), now - ACK_TIMEOUT)
+        lost_before = max(min(lost_at, (now + lost_at) / 2 - REPORT_LAG), now - ACK_TIMEOUT)
         for message in self.messages:
-            if message.sent_at < void_before:
+            if message.sent_at < lost_before:
                 message.awaited.clear()
             message.pending_until = now if message.awaited else message.pending_until
         while self.messages and not self.messages[0].awaited:
@@ -80,9 +80,9 @@
             self.messages.popleft()
 
     def waiting_lines(self) -> float:
-        """Lines of messages that proxies have not acknowledged, by the share of these proxies."""
+        """Return the lines of unacknowledged messages, by the share of proxies that are still awaited."""
         return sum(m.lines * len(m.awaited) / m.proxies for m in self.messages if m.awaited)
 
     def last_sent_at(self) -> float:
-        """Unix time of the latest message that still counts."""
+        """Return the unix time of the latest message that still counts, or LONG_AGO."""
         return self.messages[-1].sent_at if self.messages else LONG_AGO
--- a/bramblewood/startup_settings.py
+++ b/bramblewood/startup_settings.py
@@ -1,6 +1,7 @@
-"""The start-up settings of a manager, typed, and their translation from what the platform sends.
+"""The startup settings of a manager, and their conversion from the options that the platform sends.
 
-The platform's sections and keys stand in SOURCES; times are in milliseconds there and in seconds here.
+SOURCES maps the platform's sections and keys to settings. The platform's times are in milliseconds; those of
+the settings are in seconds.
 """
 
 import math
@@ -10,13 +11,13 @@
 
 from .events import FINGERPRINTED, IDEMPOTENT, SIDE_EFFECTING
 
-MS = 1000.0  # milliseconds in a second
-EFFECTS = {
+MS = 1000.0  # milliseconds per second
+OPERATION_KINDS = {  # by the platform's name of an operation's effect
     "read_like": IDEMPOTENT,
     "idempotency_key": FINGERPRINTED,
     "non_idempotent": SIDE_EFFECTING,
 }
-# fields of a load report, by the platform's name: our name, and the factor that gives our unit
+# by the platform's name of a field of load reports: the name in events, and the factor to its unit
 LOAD_FIELDS = {
     "cpu": ("utilization", 1.0),
     "waiting": ("queued", 1.0),
@@ -29,7 +30,7 @@
 
 @dataclass
 class Operation:
-    """One operation of the site; times in s."""
+    """An operation of the site. Times are in s."""
 
     name: str = ""
     kind: str = SIDE_EFFECTING
@@ -44,34 +45,34 @@
 
 @dataclass
 class StartupSettings:
-    """What a manager is told at its start, with the values that hold where it is not told; times in s.
+    """The settings that a manager receives at its start, with their defaults. Times are in s.
 
-    Fields that default to None are passed on as told and have no meaning to the policy.
+    A field whose default is None stays None if the options omit it.
     """
 
     zone: str = ""
     zones: list[str] = field(default_factory=list)
     manager: float = 0
     managers: float = 1
-    slices: float = 0  # of the site, those of all managers
+    slices: float = 0  # of the whole site
     proxies: float = 0
     cycle: float = 1.0
     single_owner: bool = False
     operations: list[Operation] = field(default_factory=list)
     # the worker list
     must_request_list: bool = False
-    request_list_within: float = 4.0
+    max_list_request_interval: float = 4.0
     weights: str | None = None
-    # workers: load reports, slow start, and what proxies pick among the routes of a table
+    # workers: load reports, slow start, and how proxies choose among the routes of a table
     load_fields: list[str] = field(default_factory=list)
     slow_start_window: float = 0.0
     slow_start_minimum: float = 1.0
     pick: str | None = None
-    default_retry: float | None = None  # the retry mode that proxies start with
-    # the channel to the proxies, in lines: one order to one proxy
+    default_retry: float | None = None  # initial retry mode of the proxies
+    # the channel to the proxies; a line is one order to one proxy
     lines_per_second: float = 0.0
     max_waiting_lines: float = 1e9
-    message_header: float = 0
+    message_header: float = 0  # lines
     message_delay: float = 0.0
     longest_delay: float = 0.0
     max_messages: float = 0
@@ -96,37 +97,37 @@
     keys_stay_warm: Any = None
 
 
-def number(value: Any) -> float:
-    """The value if it is a finite number; raises TypeError otherwise."""
+def finite_number(value: Any) -> float:
+    """Return the value; raises TypeError unless it is a finite number."""
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not math.isfinite(value):
         raise TypeError("expected a finite number")
     return value
 
 
-def seconds(value: Any) -> float:
-    """Milliseconds as seconds; raises TypeError for what is no finite number."""
-    return number(value) / MS
+def milliseconds_to_seconds(value: Any) -> float:
+    """Convert milliseconds to seconds; raises TypeError unless the value is a finite number."""
+    return finite_number(value) / MS
 
 
-def names(value: Any) -> Any:
-    """The value if it is a list of texts; raises TypeError otherwise."""
+def string_list(value: Any) -> Any:
+    """Return the value; raises TypeError unless it is a list of strings."""
     if not isinstance(value, list) or not all(isinstance(name, str) for name in value):
-        raise TypeError("expected a list of texts")
+        raise TypeError("expected a list of strings")
     return value
 
 
 def unchanged(value: Any) -> Any:
-    """The value as it is."""
+    """Return the value as it is."""
     return value
 
 
-def renamed(**ours: str) -> Callable[[Any], Any]:
-    """A conversion of the platform's words into ours; others stay."""
-    return lambda value: ours.get(value, value)
+def renamed(**new_values: str) -> Callable[[Any], Any]:
+    """Return a conversion that replaces these values of the platform and keeps all others."""
+    return lambda value: new_values.get(value, value)
 
 
 class Source(NamedTuple):
-    """Where a setting comes from: our field, the platform's section and key, and how it is converted."""
+    """The source of a setting: its field, the platform's section and key, and the conversion."""
 
     field: str
     section: str
@@ -136,48 +137,48 @@
 
 SOURCES = [
     Source("zone", "", "az", unchanged),
-    Source("zones", "", "zones", names),
-    Source("manager", "", "me", number),
-    Source("managers", "", "n_instances", number),
+    Source("zones", "", "zones", string_list),
+    Source("manager", "", "me", finite_number),
+    Source("managers", "", "n_instances", finite_number),
     Source("must_request_list", "", "discovery", lambda value: value == "subscribe"),
     Source("weights", "", "weight_kind", renamed(silent="none", nominal="registered")),
     Source("may_probe", "limits", "may_probe", unchanged),
     Source("may_message", "limits", "peers", unchanged),
-    Source("drain_grace", "obligations", "stop_sending_within", seconds),
-    Source("request_list_within", "obligations", "ask_within", seconds),
-    Source("slow_start_window", "obligations", "warm_after", seconds),
-    Source("slow_start_minimum", "obligations", "cold_from", number),
-    Source("overload_factor", "obligations", "overload_factor", number),
-    Source("overload_span", "obligations", "fall", seconds),
+    Source("drain_grace", "obligations", "stop_sending_within", milliseconds_to_seconds),
+    Source("max_list_request_interval", "obligations", "ask_within", milliseconds_to_seconds),
+    Source("slow_start_window", "obligations", "warm_after", milliseconds_to_seconds),
+    Source("slow_start_minimum", "obligations", "cold_from", finite_number),
+    Source("overload_factor", "obligations", "overload_factor", finite_number),
+    Source("overload_span", "obligations", "fall", milliseconds_to_seconds),
     Source("dropped_stay_open", "obligations", "dropped_stay_open", unchanged),
-    Source("bare", "specifics", "bare", seconds),
-    Source("max_waiting_lines", "specifics", "most_waiting", number),
-    Source("lines_per_second", "specifics", "egress_per_s", number),
-    Source("message_header", "specifics", "overhead", number),
-    Source("message_delay", "specifics", "push_delay", seconds),
-    Source("longest_delay", "specifics", "worst_transit", seconds),
-    Source("max_messages", "specifics", "pushes_allowed", number),
-    Source("messages_window", "specifics", "counted_over", seconds),
-    Source("cycle", "specifics", "cycle", seconds),
-    Source("slices", "specifics", "key_ranges", number),
-    Source("proxies", "specifics", "proxy_count", number),
+    Source("bare", "specifics", "bare", milliseconds_to_seconds),
+    Source("max_waiting_lines", "specifics", "most_waiting", finite_number),
+    Source("lines_per_second", "specifics", "egress_per_s", finite_number),
+    Source("message_header", "specifics", "overhead", finite_number),
+    Source("message_delay", "specifics", "push_delay", milliseconds_to_seconds),
+    Source("longest_delay", "specifics", "worst_transit", milliseconds_to_seconds),
+    Source("max_messages", "specifics", "pushes_allowed", finite_number),
+    Source("messages_window", "specifics", "counted_over", milliseconds_to_seconds),
+    Source("cycle", "specifics", "cycle", milliseconds_to_seconds),
+    Source("slices", "specifics", "key_ranges", finite_number),
+    Source("proxies", "specifics", "proxy_count", finite_number),
     Source("single_owner", "specifics", "one_owner", unchanged),
-    Source("write_span", "specifics", "in_flight_max", seconds),
-    Source("lease", "specifics", "lease", seconds),
-    Source("default_retry", "specifics", "usual_how", number),
-    Source("retry_wait", "specifics", "try_aims", number),
-    Source("intake", "specifics", "intake_per_s", number),
+    Source("write_span", "specifics", "in_flight_max", milliseconds_to_seconds),
+    Source("lease", "specifics", "lease", milliseconds_to_seconds),
+    Source("default_retry", "specifics", "usual_how", finite_number),
+    Source("retry_wait", "specifics", "try_aims", finite_number),
+    Source("intake", "specifics", "intake_per_s", finite_number),
     Source("pick", "specifics", "lb_method", renamed(lottery="weighted", wheel="even")),
     Source("levels", "specifics", "throttle_by", renamed(ratio="share", rps="rate", silent="none")),
-    Source("standing_lines", "specifics", "default_size", number),
+    Source("standing_lines", "specifics", "default_size", finite_number),
     Source("home_only", "specifics", "home_only", unchanged),
-    Source("stays_away_after", "specifics", "ejects", number),
+    Source("stays_away_after", "specifics", "ejects", finite_number),
     Source("keys_stay_warm", "specifics", "warm_keys", unchanged),
 ]
 
 
 def section_of(options: dict, key: str, kind: type) -> Any:
-    """A section of the options, empty where it is absent; raises ValueError where it is of another type."""
+    """Return a section of the options, or an empty one; raises ValueError if it is of another type."""
     section = options.get(key, kind())
     if not isinstance(section, kind):
         expected = "an object" if kind is dict else "a list"
@@ -186,9 +187,9 @@
 
 
 def parse_settings(options: dict) -> StartupSettings:
-    """The start-up settings; what is absent keeps its default, what is unknown is left out.
+    """Return the settings of these options; absent keys keep their defaults, and unknown keys are ignored.
 
-    Raises ValueError with the key of a value that can't be used.
+    Raises ValueError, which names the key and its invalid value.
     """
     settings = StartupSettings()
     for source in SOURCES:
@@ -204,26 +205,28 @@
     fields = section_of(section_of(options, "report", dict), "fields", list)
     settings.load_fields = [LOAD_FIELDS[name][0] for name in fields if name in LOAD_FIELDS]
     for position, entry in enumerate(section_of(options, "classes", list)):
-        does_write = position < len(writes) and bool(writes[position])
-        settings.operations.append(parse_operation(position, entry, does_write))
+        is_write = position < len(writes) and bool(writes[position])
+        settings.operations.append(parse_operation(position, entry, is_write))
     return settings
 
 
 def parse_operation(position: int, entry: Any, writes: bool) -> Operation:
-    """One operation; raises ValueError with its position in the list of classes."""
+    """Return one operation; raises ValueError, which names its position in the list of classes."""
     try:
         return Operation(
             name=entry["name"],
-            kind=EFFECTS.get(entry["effect"], SIDE_EFFECTING),
-            latency_objective=seconds(entry["objective"]),
-            integration_timeout=seconds(entry["deadline"]),
-            billed_value=number(entry["importance"]),
+            kind=OPERATION_KINDS.get(entry["effect"], SIDE_EFFECTING),
+            latency_objective=milliseconds_to_seconds(entry["objective"]),
+            integration_timeout=milliseconds_to_seconds(entry["deadline"]),
+            billed_value=finite_number(entry["importance"]),
             late_value=entry.get("late_worth", 0.0),
             group={"cell": "pool"}.get(entry.get("dedup_scope"), entry.get("dedup_scope", "")),
             window=entry.get("window", 0.0) / MS,
             writes=writes,
         )
-    except KeyError as problem:
-        raise ValueError(f"classes.{position}.{problem.args[0]}: it is missing") from None
+    except KeyError as error:
+        raise ValueError(f"classes.{position}.{error.args[0]}: it is missing") from None
     except (TypeError, AttributeError):
-        raise ValueError(f"classes.{position}: found {entry!r:.60}") from None
+        raise ValueError(
+            f"classes.{position}: expected an object with fields of the right types, found {entry!r:.60}"
+        ) from None
--- a/bramblewood/turn_stages.py
+++ b/bramblewood/turn_stages.py
@@ -1,8 +1,8 @@
-"""The stages of a turn, in their order; one that is off is not imported.
+"""The stages of a turn, in the order in which they run. A stage that is switched off is not imported.
 
-Events pass the stages on their way to the policy, and its orders on their way out. A stage that raises is
-logged, now and then, and passed over: events go on as they are, orders by what its `fallback_orders` lets
-through. A stage can't call another.
+Events pass the stages before they reach the policy, and the orders of the policy pass them before they go
+out. If a stage raises, the exception is logged at a limited rate and the stage is skipped: events pass
+unchanged, and orders pass as far as its `fallback_orders` returns them. A stage cannot call another stage.
 """
 
 from collections.abc import Callable
@@ -13,52 +13,55 @@
 
 
 class Stage(Protocol):
-    """What a turn asks of a stage. All times are unix time in s, by the loop's clock."""
+    """The methods that a turn calls on a stage. All times are unix times in s, by the loop's clock."""
 
     def start(self) -> list[events.Event]:
-        """Begin; what the policy is told behind its first worker list."""
+        """Start the stage; return events for the policy that follow its first worker list."""
 
     def policy_restarted(self) -> list[events.Event]:
-        """The policy began anew, knowing nothing; what it is told behind its first worker list."""
+        """Handle a restart of the policy without state; return events that follow its first worker list."""
 
     def filter_events(self, now: float, batch: list[events.Event]) -> list[events.Event]:
-        """The events as the policy is to be told them."""
+        """Return the events that the policy is to receive in place of these."""
 
     def filter_orders(self, now: float, orders: list[events.Order]) -> list[events.Order]:
-        """The orders that may go out now; the stage gives out others in a later turn."""
+        """Return the orders that may go out now; the stage releases the others in a later turn."""
 
     def turn(self, now: float, busy: float) -> tuple[list[events.Event], list[events.Order]]:
-        """Work once a turn, whatever came; events and orders that it leads to.
+        """Do the work of one turn, even if there are no events; return resulting events and orders.
 
-        `busy` is the share of the time since the last turn in which the loop did not wait.
+        `busy` is the share of the time since the last turn during which the loop did not wait.
         """
 
     def order_applied(self, order: events.Order) -> None:
-        """The relay has carried out an order."""
+        """Record that the relay has carried out an order."""
 
     def fallback_orders(self, orders: list[events.Order]) -> list[events.Order]:
-        """The orders that may go out where the stage itself has failed."""
+        """Return those of the orders that may go out although the stage itself has failed."""
 
     def wake_descriptor(self) -> int | None:
-        """A file descriptor that is to wake the loop, if any; it may change."""
+        """Return the file descriptor that wakes the loop, or None; it may differ from turn to turn."""
 
     def longest_wait(self) -> float | None:
-        """How long the loop may wait at most, in s; None: as long as it likes."""
+        """Return the longest time in s that the loop may wait, or None if there is no limit."""
 
     def update_terms(self, terms: Any) -> None:
-        """The operator's file was read anew: what can take effect at once does."""
+        """Apply a reloaded operator's file, as far as its terms can take effect without a restart."""
 
     def close(self) -> None:
-        """Finish what waits and release everything."""
+        """Complete pending work and release all resources."""
 
 
 def start_stages(
     bylaws: Any, settings: StartupSettings, seed: str, clock: Callable[[], float], log: Any
 ) -> list[Stage]:
-    """The stages that the operator's file switches on; raises OSError or a Refused of the store."""
+    """Start and return the stages that the operator's file switches on.
+
+    Raises OSError, or Refused if the store cannot open its folder.
+    """
     stages: list[Stage] = []
     if bylaws is not None and bylaws.store:
-        from .ledger.stage import Ledger  # what must last is on the disk before it goes out
+        from .ledger.stage import Ledger  # records reach the disk before orders go out
 
         stages.append(Ledger(bylaws.store, settings, seed, clock, log))
     return stages
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -68,7 +68,7 @@
     for count in range(1, 5):
         worker.add_report(events.WorkerReported("w0", "a", 1, 0, 0.9, 1.0, {"utilization": 1.0}))
         worker.end_cycle(1.0, 1.0)
-        assert worker.retries_cut == (count >= 4)
+        assert worker.retries_off == (count >= 4)
 
 
 def test_a_level_does_not_rise_in_cycles_without_a_report():
--- a/tests/policy/test_failover.py
+++ b/tests/policy/test_failover.py
@@ -77,7 +77,7 @@
     site.seconds(4, heat)
     slow = {"w2": {"attempts": 20, "unanswered": 5, "mean_response_time": 1.5, "load": {"utilization": 1.0}}}
     site.seconds(2, heat, observed=slow)
-    assert site.manager.workers["w2"].retries_cut and site.manager.workers["w2"].usable  # retries go first
+    assert site.manager.workers["w2"].retries_off and site.manager.workers["w2"].usable  # retries go first
     jam = {
         "w2": {
             "attempts": 20,
--- a/tests/policy/test_publishing.py
+++ b/tests/policy/test_publishing.py
@@ -25,7 +25,7 @@
     site.seconds(4)
     for worker in site.manager.workers.values():
         site.manager.schedule(worker.eject, "a test")
-    site.manager.run()
+    site.manager.run_queue()
     site.step(0.1, site.list_event([entry("w1", events.DEREGISTERED)]))
     site.step(1.0)
     assert "w1" in site.excluded
--- a/tests/policy/test_rebalancing.py
+++ b/tests/policy/test_rebalancing.py
@@ -5,7 +5,7 @@
 import pytest
 
 from bramblewood import events
-from bramblewood.policy.parameters import FLUCTUATION_BOUND, REPORTS_HELD, REST_TIMES
+from bramblewood.policy.parameters import COOLDOWN_BOUNDS, FLUCTUATION_BOUND, REPORTS_HELD
 
 from .simulation import SimulatedSite, entry
 
@@ -82,5 +82,5 @@
         site.check_invariants()
     for times in moved.values():
         for k, (at, then) in enumerate(zip(times, times[1:], strict=False)):
-            assert then - at >= min(REST_TIMES[0] * 2**k, REST_TIMES[1]) - 0.01
+            assert then - at >= min(COOLDOWN_BOUNDS[0] * 2**k, COOLDOWN_BOUNDS[1]) - 0.01
     assert sum(map(len, moved.values())) > 9
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -46,11 +46,11 @@
     site.seconds(8)
     planner, cold = site.manager.planner, site.manager.worker("w9")
     site.step(0.1, site.list_event([entry("w9", started=site.now)]))
-    before = planner.sure_capacity(cold)
+    before = planner.safe_capacity(cold)
     full = {"attempts": 12, "unanswered": 9, "load": {"utilization": 1.0}}
     site.seconds(6, heat=lambda n: 4.0, observed={f"w{k}": full for k in range(4)})
     assert (
-        planner.total_heat > 40 and planner.sure_capacity(cold) < 2 * before
+        planner.total_heat > 40 and planner.safe_capacity(cold) < 2 * before
     )  # older, but not four times as able
 
 
@@ -60,7 +60,7 @@
     site.step(0.1, site.list_event([entry("w9", started=site.now - 2)]))
     cold, planner = site.manager.worker("w9"), site.manager.planner
     assert planner.can_take(cold, 0.1)
-    cold.retries_cut = True
+    cold.retries_off = True
     assert not planner.can_take(cold, 0.1)
 
 
@@ -68,7 +68,7 @@
     site = SimulatedSite(workers=4, slow_start_window=20.0)
     site.seconds(6)
     planner = site.manager.planner
-    before, worker = planner.sure_capacity(site.manager.workers["w0"]), site.manager.workers["w0"]
+    before, worker = planner.safe_capacity(site.manager.workers["w0"]), site.manager.workers["w0"]
     site.step(0.1, site.list_event([entry(f"x{k}", started=site.now) for k in range(8)]))
     site.seconds(2)
-    assert planner.sure_capacity(worker) > 0.6 * before  # with their whole weights it would be a third
+    assert planner.safe_capacity(worker) > 0.6 * before  # with their whole weights it would be a third
