--- a/bramblewood/startup_settings.py
+++ b/bramblewood/startup_settings.py
@@ -198,9 +198,9 @@
             value = section[source.key]
             try:
                 setattr(settings, source.field, source.convert(value))
-            except TypeError:
+            except TypeError as error:
                 path = f"{source.section}.{source.key}" if source.section else source.key
-                raise ValueError(f"{path}: found {value!r:.40}") from None
+                raise ValueError(f"{path}: found {value!r:.40}, {error}") from None
     writes = section_of(section_of(options, "specifics", dict), "mutating", list)
     fields = section_of(section_of(options, "report", dict), "fields", list)
     settings.load_fields = [LOAD_FIELDS[name][0] for name in fields if name in LOAD_FIELDS]
