--- a/bramblewood/adapter/__init__.py
+++ b/bramblewood/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire: its message names, units and ids, and many managers in one process. No decisions."""
+"""Serves many managers over the simulator's protocol, with its message names, units and ids."""
--- a/bramblewood/adapter/__main__.py
+++ b/bramblewood/adapter/__main__.py
@@ -1,20 +1,20 @@
-"""Hosts managers on standard input and output: `python -m bramblewood.adapter`."""
+"""Serves managers on standard input and output: `python -m bramblewood.adapter`."""
 
 import sys
 
 from .host import serve
 from .wire import MalformedInput
 
-MALFORMED = 2  # exit code
+EXIT_MALFORMED_INPUT = 2
 
 
 def main() -> int:
-    """Serve until the input ends; the exit code."""
+    """Serve until the input ends, and return the exit code."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except MalformedInput as problem:
-        print(f"bramblewood.adapter: {problem}", file=sys.stderr)
-        return MALFORMED
+    except MalformedInput as error:
+        print(f"bramblewood.adapter: {error}", file=sys.stderr)
+        return EXIT_MALFORMED_INPUT
     return 0
 
 
--- a/bramblewood/adapter/wire.py
+++ b/bramblewood/adapter/wire.py
@@ -1,7 +1,7 @@
-"""The simulator's wire: JSON lines into events, and orders into JSON lines.
+"""The simulator's protocol: parses JSON lines into events, and formats orders as JSON lines.
 
-Each line is an object with one key, the message's name, whose value holds the message's fields. Times on the
-wire are in milliseconds. Names and fields are the simulator's.
+Each line is an object with one key, the name of the message, whose value holds the fields of the message.
+Times on the wire are in milliseconds. The simulator defines all names and fields.
 """
 
 import json
@@ -10,9 +10,9 @@
 from .. import events
 from ..startup_settings import LOAD_FIELDS, MS
 
-EVERY_TABLE = 65535  # the wire's number for all slices
-STATES = {2: events.READY, 0: events.DRAINING, 1: events.DEREGISTERED}  # of a worker
-OUTCOMES = {  # of a health check
+ALL_SLICES_TABLE = 65535  # the table number on the wire that stands for all slices
+STATES = {2: events.READY, 0: events.DRAINING, 1: events.DEREGISTERED}  # worker states by their number
+OUTCOMES = {  # outcomes of health checks by their number
     100: "answered",
     301: "errored",
     302: "rate-limited",
@@ -24,38 +24,38 @@
 
 
 class MalformedInput(Exception):
-    """Input that is not the wire's; the text says what is wrong and where."""
+    """Input that violates the protocol; the text names the line and the violation."""
 
 
 class Message(NamedTuple):
-    """One line of input: the message's name and fields, and where it stands."""
+    """One line of input; `location` is its line number, for error messages."""
 
     name: str
     fields: Fields
-    where: str
+    location: str
 
 
-def decode(line: bytes, where: str) -> Message:
-    """A line of input as a message; raises MalformedInput."""
+def decode(line: bytes, location: str) -> Message:
+    """Parse a line of input; raises MalformedInput."""
     try:
         found = json.loads(line)
-    except ValueError as problem:
-        raise MalformedInput(f"{where}: not JSON: {problem}") from None
+    except ValueError as error:
+        raise MalformedInput(f"{location}: not JSON: {error}") from None
     if not isinstance(found, dict) or len(found) != 1:
-        raise MalformedInput(f"{where}: expected an object with one key, the message's name")
+        raise MalformedInput(f"{location}: expected an object with one key, the name of the message")
     ((name, fields),) = found.items()
     if not isinstance(fields, dict):
-        raise MalformedInput(f"{where}: fields of {name} are not an object")
-    return Message(name, fields, where)
+        raise MalformedInput(f"{location}: {name}: expected an object with the fields of the message")
+    return Message(name, fields, location)
 
 
 def encode(name: str, fields: Fields) -> bytes:
-    """A message as a line of output."""
+    """Return a message as a line of output."""
     return json.dumps({name: fields}, separators=(",", ":")).encode() + b"\n"
 
 
 def parse_load(fields: Fields) -> dict[str, float]:
-    """The load report of a message by our names and units; values that we do not know are skipped."""
+    """Return the load report of a message in the names and units of events, without unknown fields."""
     report = fields.get("health_info") or {}
     return {
         LOAD_FIELDS[name][0]: value * LOAD_FIELDS[name][1]
@@ -65,7 +65,7 @@
 
 
 def parse_listed_worker(item: Fields) -> events.ListedWorker:
-    """One entry of a worker list."""
+    """Parse an entry of a worker list; raises KeyError for an unknown state or a missing field."""
     started = item.get("boot_time") or None
     return events.ListedWorker(
         worker=item["worker"],
@@ -79,7 +79,7 @@
 
 
 def parse_event(name: str, fields: Fields) -> events.Event:
-    """The event that a message to a manager tells; raises KeyError for an unknown name or a missing field."""
+    """Parse a message to a manager; raises KeyError for an unknown name or a missing field."""
     match name:
         case "installed":
             return events.MessageAcknowledged(fields["edge"], fields["gen"], fields["time_taken"] / MS)
@@ -125,14 +125,14 @@
 
 
 def parse_traffic(fields: Fields) -> tuple[str, int, int, float]:
-    """Operation, invocations, unanswered ones and interval in s of a traffic report."""
+    """Return operation, invocations, unanswered invocations and interval in s of a traffic report."""
     return fields["class"], fields["n"], fields.get("bad", 0), fields["over"] / MS
 
 
 def format_order(order: events.Order) -> tuple[str, Fields] | None:
-    """An order as a message's name and fields; None for a notice that the wire does not know.
+    """Return the name and fields of an order's message, or None if the protocol has no message for it.
 
-    Raises TypeError for what is no order.
+    Raises TypeError if the value is not an order.
     """
     match order:
         case events.SetRoute(table, worker, weight):
@@ -142,7 +142,7 @@
         case events.BindProxy(proxy, table, operations):
             return "hand_table", {"only": bit_mask(operations), "table": table, "edge": proxy}
         case events.SetAdmission(table, operations, level, retry):
-            number = EVERY_TABLE if table == events.ALL_SLICES else table
+            number = ALL_SLICES_TABLE if table == events.ALL_SLICES else table
             return "ration", {
                 "retry_mode": retry,
                 "only": bit_mask(operations),
@@ -157,7 +157,7 @@
 
 
 def format_request(order: events.Order) -> tuple[str, Fields] | None:
-    """An order that leaves tables alone; None for a notice that the wire does not know."""
+    """Format an order that does not change tables, as `format_order` does."""
     match order:
         case events.SetTimer(delay, token):
             return "sleep", {"delay": delay * MS, "nonce": token}
@@ -177,5 +177,5 @@
 
 
 def bit_mask(positions: tuple[int, ...]) -> int:
-    """Positions of operations as bits; none stands for all of them."""
+    """Return the positions of operations as a bit mask; the mask 0 stands for all operations."""
     return sum(1 << position for position in positions)
--- a/tests/test_adapter_days.py
+++ b/tests/test_adapter_days.py
@@ -1,4 +1,4 @@
-"""`python -m bramblewood.adapter` answers recorded days byte for byte as it did when they were recorded."""
+"""`python -m bramblewood.adapter` replies to the recorded runs byte for byte as when they were recorded."""
 
 import lzma
 import subprocess
@@ -8,35 +8,35 @@
 import pytest
 
 from bramblewood.adapter import host
-from tests.adapter_days import SITES, Day, Site, files
+from tests.adapter_days import SITES, AdapterRun, Site, recording_paths
 
 ROOT = Path(__file__).parent.parent
-WITHIN = 120.0  # s for one day; it takes some seconds
+RUN_TIMEOUT = 120.0  # s for one run, which takes a few seconds
 
 
 @pytest.mark.parametrize("name", SITES)
-def test_answers_are_as_recorded(name: str) -> None:
-    given, answered = (lzma.decompress(path.read_bytes()) for path in files(name))
+def test_replies_equal_the_recording(name: str) -> None:
+    recorded_input, recorded_output = (lzma.decompress(path.read_bytes()) for path in recording_paths(name))
     command = [sys.executable, "-m", "bramblewood.adapter"]
-    ended = subprocess.run(command, input=given, capture_output=True, cwd=ROOT, timeout=WITHIN)
-    assert (ended.returncode, ended.stderr) == (0, b"")
-    lines = zip(ended.stdout.splitlines(), answered.splitlines(), strict=False)
-    for number, (now, then) in enumerate(lines, 1):
-        assert now == then, f"line {number} of the output"
-    assert ended.stdout == answered
+    result = subprocess.run(command, input=recorded_input, capture_output=True, cwd=ROOT, timeout=RUN_TIMEOUT)
+    assert (result.returncode, result.stderr) == (0, b"")
+    lines = zip(result.stdout.splitlines(), recorded_output.splitlines(), strict=False)
+    for number, (actual, recorded) in enumerate(lines, 1):
+        assert actual == recorded, f"line {number} of the output"
+    assert result.stdout == recorded_output
 
 
-def test_recorded_days_hold_what_they_are_for() -> None:
-    answered = b"".join(lzma.decompress(files(name)[1].read_bytes()) for name in SITES)
+def test_recordings_contain_each_kind_of_reply_and_no_bug() -> None:
+    output = b"".join(lzma.decompress(recording_paths(name)[1].read_bytes()) for name in SITES)
     for message in (b"set_weight", b"ration", b"pull", b"seal", b"sleep", b"follow", b"trace", b"ack"):
-        assert answered.count(b'{"%s":' % message) > 2, message
-    assert b'{"bug":' not in answered
+        assert output.count(b'{"%s":' % message) > 2, message
+    assert b'{"bug":' not in output
 
 
-def test_a_day_is_the_same_from_the_same_seed() -> None:
-    def day() -> tuple[list[bytes], bytes]:
-        made = Day(5, Site(turns=40))
-        host.serve(made.lines(), made.out)
-        return made.input, made.out.getvalue()
+def test_equal_seeds_give_equal_runs() -> None:
+    def run() -> tuple[list[bytes], bytes]:
+        adapter_run = AdapterRun(5, Site(turns=40))
+        host.serve(adapter_run.input_lines(), adapter_run.output)
+        return adapter_run.input, adapter_run.output.getvalue()
 
-    assert day() == day()
+    assert run() == run()
