--- a/tests/policy/test_dispatch.py
+++ b/tests/policy/test_dispatch.py
@@ -1,4 +1,4 @@
-"""The checks of events before they reach any part."""
+"""The checks of events by the dispatcher."""
 
 import math
 
@@ -7,10 +7,10 @@
 from .simulation import SimulatedSite
 
 
-def test_unusable_and_unknown_events_are_dropped():
+def test_unusable_and_unknown_events_change_nothing():
     site = SimulatedSite()
-    site.seconds(2)
-    state = [list(s.estimates) for s in site.manager.slices.values()]
+    site.run_seconds(2)
+    before = [list(s.estimates) for s in site.manager.slices.values()]
     orders = site.step(
         0.0,
         events.WorkerReported("nobody", "a", 3, 1, 0.1, 1.0),
@@ -30,4 +30,4 @@
         events.WorkerReported("w1", "a", 3, 1, 0.1, 1.0, {"utilization": math.inf}),
     )
     assert not [o for o in orders if isinstance(o, events.SetRoute | events.SetAdmission)]
-    assert [list(s.estimates) for s in site.manager.slices.values()] == state
+    assert [list(s.estimates) for s in site.manager.slices.values()] == before
--- a/tests/policy/test_worker_list.py
+++ b/tests/policy/test_worker_list.py
@@ -5,16 +5,16 @@
 from .simulation import SimulatedSite, entry
 
 
-def test_a_list_is_requested_again_without_flooding():
+def test_failed_list_requests_are_repeated_with_growing_backoff():
     site = SimulatedSite(must_request_list=True, max_list_request_interval=10.0)
     site.manager.worker_list.subscribed = False
     calls = []
-    for _ in range(80):  # each call fails, and failures of no call of ours come as well
+    for _ in range(80):  # each call fails, and failures without a call arrive as well
         if any(isinstance(o, events.WatchWorkerList) for o in site.step(0.5, events.WorkerListFailed())):
             calls.append(site.now)
-    gaps = [later - at for at, later in zip(calls, calls[1:], strict=False)]
+    gaps = [later - earlier for earlier, later in zip(calls, calls[1:], strict=False)]
     assert 5 <= len(calls) <= 20 and max(gaps) < 10.0 and gaps[-1] > gaps[0]
-    silent = [o for _ in range(24) for o in site.step(0.5) if isinstance(o, events.WatchWorkerList)]
-    assert 2 <= len(silent) <= 4  # no answer at all: again after some patience
+    repeated = [o for _ in range(24) for o in site.step(0.5) if isinstance(o, events.WatchWorkerList)]
+    assert 2 <= len(repeated) <= 4  # no response at all: repeated after the timeout
     site.step(0.1, site.list_event([entry("w0")]))
     assert not any(isinstance(o, events.WatchWorkerList) for _ in range(20) for o in site.step(0.5))
