--- a/bramblewood/events.py
+++ b/bramblewood/events.py
@@ -139,7 +139,10 @@
 
 
 class EjectionRestored(NamedTuple):
-    """An earlier run of this manager ejected a worker until this time; `ejections` are consecutive."""
+    """An earlier run of this manager ejected a worker until this time.
+
+    `ejections` counts the consecutive ejections.
+    """
 
     worker: str
     until: float
--- a/bramblewood/policy/failover.py
+++ b/bramblewood/policy/failover.py
@@ -15,7 +15,7 @@
     """Ejects failing workers and makes the moves that must not wait for the ordinary rule."""
 
     def prepare_for_surge(self) -> None:
-        """Cut admission early if heat grows at all slices, because no worker is then free to take a slice."""
+        """Cut admission early if the total heat grows fast, because no worker can then take more slices."""
         slices = [s for s in self.manager.own_slices() if s.estimates and self.manager.utilization_known]
         growth = sum(s.estimates[-1] for s in slices) / (sum(s.estimate() for s in slices) or math.inf)
         if growth > parameters.SURGE_FACTOR:
--- a/bramblewood/policy/load_accounting.py
+++ b/bramblewood/policy/load_accounting.py
@@ -1,4 +1,4 @@
-"""Load accounting: loads in units of heat, capacities, and the choice of the least loaded worker."""
+"""Load accounting: loads in heat (invocations/s), capacities, and the choice of the least loaded worker."""
 
 from collections import Counter, deque
 
@@ -71,7 +71,7 @@
     def slow_start_budget(self, worker: Worker) -> float:
         """Return the heat that this manager may assign to a warming worker; managers share its capacity."""
         known = self.manager.utilization_known and self.total_load
-        spare = self.full_load / self.total_load if known else 1.0
+        spare = self.full_load / self.total_load if known else 1.0  # utilization shows spare capacity
         return self.safe_capacity(worker) * spare * parameters.SLOW_START_SHARE / self.manager.manager_count
 
     def relative_load(self, worker: Worker) -> float:
--- a/bramblewood/policy/parameters.py
+++ b/bramblewood/policy/parameters.py
@@ -12,7 +12,7 @@
 MAX_MOVES_COUNTED = 16  # ordinary moves of one slice; its cooldown has reached the maximum long before
 
 # Reports and the worker list
-REPORT_LAG = 2.0  # until reports show a move: longest delay of an order plus that of a report, roughly
+REPORT_LAG = 2.0  # until reports show a move: about the longest delay of an order and a report together
 STALE_CYCLES = 3  # cycles, or intervals of a report, after which the last report no longer counts
 MIN_ATTEMPTS = 4  # attempts; fewer do not allow a judgment
 MAX_LOAD_FACTOR = 2.0  # maximum of a report, in median loads
@@ -26,20 +26,20 @@
 # Admission control
 CUT_LATENCY_RATIO = 0.35  # response time over latency objective above which admission is cut
 RAISE_LATENCY_RATIO = 0.25  # the same ratio, below which levels rise; the gap prevents oscillation
-CUT_FACTOR_BOUNDS = (0.25, 0.9)  # of the factor by which one cut multiplies a level
-MIN_LEVEL = 0.1  # lowest level, then the next operation is cut; its requests still measure the worker
+CUT_FACTOR_BOUNDS = (0.25, 0.9)  # bounds of the factor by which one cut multiplies a level
+MIN_LEVEL = 0.1  # lowest level; the next operation is cut then. Some requests must still measure the worker
 LEVEL_STEP = 0.2  # minimum rise of a level per cycle; five cycles restore it from 0 to 1
 CUT_LAG = 3.0  # until reports show a cut: order, response and report take about 1 s each
 
 # Ejection, failover and slow start
 EJECTION_TIME = 6.0  # first ejection, doubled at most twice because recovered workers are needed
 MAX_EJECTIONS_COUNTED = 2  # consecutive ejections that double the time
-UNANSWERED_LIMIT = 0.5  # share of attempts; ejects a worker that exceeds the median share by it
+UNANSWERED_LIMIT = 0.5  # share of attempts above the median share at which a worker is ejected
 SPARE_LOAD = 0.5  # median share of capacity in use, below which others can take a saturated worker's slices
 MAX_EJECTED_SHARE = 0.45  # share of ready workers; more failures at once point to a faulty observer
 SURGE_FACTOR = 1.3  # latest heat over average heat; lower values are noise
 SLOW_START_SHARE = 0.8  # usable share of a warming worker's safe capacity; the rest is a safety margin
-SLOW_START_SPACING = 0.9  # cycles between slices for a warming worker: one per cycle, allowing for jitter
+SLOW_START_SPACING = 0.9  # cycles between moves of slices to a warming worker: one per cycle, with jitter
 STANDBY_WEIGHT = 0.01  # weight of a standby route: enough for retries, too low to shift load
 OVERFLOW_WEIGHT = 0.4  # the same while the primary is overloaded; it costs cache hits
 
--- a/bramblewood/policy/planner.py
+++ b/bramblewood/policy/planner.py
@@ -1,4 +1,4 @@
-"""Decisions of one cycle: urgent moves, then at most one ordinary move by the two tests of the design."""
+"""Decisions of one cycle: urgent moves, then ordinary moves by the two averaged tests of the design."""
 
 from collections import Counter
 
--- a/bramblewood/policy/slices.py
+++ b/bramblewood/policy/slices.py
@@ -1,4 +1,4 @@
-"""Slices: heat estimates with the design's trend, and the routes and admission rules of a slice's table."""
+"""Slices: heat (invocations/s) with the design's trend, and the routes and rules of a slice's table."""
 
 from ..events import NO_RETRY, READY, RETRY_UNSTARTED, SetAdmission, SetRoute
 from ..policy_mechanisms.averages import mean
@@ -54,7 +54,7 @@
         return any(worker.usable and not worker.is_warm for worker in losing)
 
     def publishing_priority(self) -> tuple[bool, ...]:
-        """Return the sort key of urgent tables: unserved, with workers to exclude, warming, new primary."""
+        """Return the sort key of urgent tables: unserved first, then exclusions, warming, new primaries."""
         leaving, warming = self.workers_to_exclude(), self.leaves_warming_worker()
         return not self.is_unserved(), not leaving, not warming, self.primary in self.routes
 
@@ -70,7 +70,7 @@
     def table_changes(self, expedited: bool) -> tuple[dict, list | None, list]:
         """Return the table's new routes and admission rules, and the orders to set them, new routes first."""
         primary, standby = self.primary, self.standby
-        if expedited and self.routes and self.is_unserved() and primary and primary.usable:  # just a route
+        if expedited and self.routes and self.is_unserved() and primary and primary.usable:  # one route only
             return {**self.routes, primary: 1.0}, self.admission, [SetRoute(self.number, primary.name, 1.0)]
         routes = ((standby, self.standby_weight()), (primary, 1.0))
         wanted = {worker: weight for worker, weight in routes if worker}
@@ -80,7 +80,7 @@
         wanted = {w: self.routes[w] for w in excluded[-parameters.MAX_EXCLUDED_ROUTES :]} | wanted
         orders += [SetRoute(self.number, w.name, 0) for w in self.routes if w not in wanted]
         default = [(1.0, RETRY_UNSTARTED)] * len(self.manager.operations_by_value)
-        retry = NO_RETRY if primary and primary.retries_off else RETRY_UNSTARTED  # never executes twice
+        retry = NO_RETRY if primary and primary.retries_off else RETRY_UNSTARTED  # no repeated effects
         rules = [(round(level, 3), retry) for level in primary.admitted] if primary else default
         changed = [k for k, rule in enumerate(rules) if rule != (self.admission or default)[k]]
         for rule in dict.fromkeys(rules[k] for k in changed):  # equal rules share an order
--- a/bramblewood/policy/workers.py
+++ b/bramblewood/policy/workers.py
@@ -33,12 +33,12 @@
         return not self.manager.utilization_known or average > parameters.CAPACITY_LIMIT
 
     def update(self, entry: ListedWorker) -> None:
-        """Apply the worker's entry of the worker list; a new start time resets the measurements."""
+        """Apply the worker's entry of a worker list; a new start time resets the measurements."""
         started = entry.started if is_usable(entry.started) else parameters.LONG_AGO
         publisher = self.manager.publisher
         if started != self.started:
             self.reset_measurements()
-            if self.manager.now < self.manager.old_exclusions_until:
+            if self.manager.now < self.manager.old_exclusions_until:  # an earlier run may have excluded it
                 publisher.excluded.setdefault(self.name, False)
             self.warming_since, self.ejected_until, self.ejections = started, parameters.LONG_AGO, 0
         if entry.state != self.state:  # the worker is to be excluded or readmitted
@@ -101,8 +101,8 @@
         loaded = self.load >= parameters.CAPACITY_LIMIT or not known  # a slow idle worker is only distant
         # where reports skip cycles, neither a skipped cycle nor one with few attempts raises admission
         sparse = self.cycles_without_report or known and self.report_gap > 1
-        idle = not fresh and (self.cycles_without_report >= parameters.STALE_CYCLES or not sparse)
-        relaxed = self.latency_ratio < parameters.RAISE_LATENCY_RATIO or not loaded or idle
+        unused = not fresh and (self.cycles_without_report >= parameters.STALE_CYCLES or not sparse)
+        relaxed = self.latency_ratio < parameters.RAISE_LATENCY_RATIO or not loaded or unused
         if fresh and self.latency_ratio > parameters.CUT_LATENCY_RATIO and loaded and now >= self.next_cut_at:
             self.cut_admission(answered, unanswered)
         elif relaxed and now >= self.no_raise_before:
--- a/bramblewood/policy_mechanisms/dispatch.py
+++ b/bramblewood/policy_mechanisms/dispatch.py
@@ -59,7 +59,7 @@
             call(*arguments)
 
     def log(self, text: str) -> None:
-        """Order a log line."""
+        """Add an order that writes a line to the log."""
         self.orders.append(events.Log(text))
 
     def dispatch_batch(self, batch: Iterable[events.Event]) -> None:
--- a/bramblewood/policy_mechanisms/state.py
+++ b/bramblewood/policy_mechanisms/state.py
@@ -37,7 +37,7 @@
         self.cycles_without_report = STALE_CYCLES  # cycles since the last load report
         self.report_gap = 1  # cycles that the last load report spans
         self.admitted = [1.0] * len(self.manager.settings.operations)  # admission level by operation
-        self.retries_off = False
+        self.retries_off = False  # while the worker is overloaded
         self.next_cut_at = LONG_AGO  # unix time before which admission is not cut again
         self.no_raise_before = LONG_AGO  # unix time before which admission is not raised
 
--- a/bramblewood/startup_settings.py
+++ b/bramblewood/startup_settings.py
@@ -56,7 +56,7 @@
     managers: float = 1
     slices: float = 0  # of the whole site
     proxies: float = 0
-    cycle: float = 1.0
+    cycle: float = 1.0  # between evaluations of the reports
     single_owner: bool = False
     operations: list[Operation] = field(default_factory=list)
     # the worker list
--- a/tests/adapter_days.py
+++ b/tests/adapter_days.py
@@ -39,7 +39,7 @@
     options: dict[str, Any] = field(default_factory=dict)  # replace the default startup options
 
 
-SITES = {
+SITES = {  # by the name of the recording
     "plenty": Site(),
     "blind": Site(managers=2, options={"report": {"fields": []}, "discovery": "subscribe"}),
     "crowded": Site(
--- a/tests/policy/simulation.py
+++ b/tests/policy/simulation.py
@@ -178,9 +178,7 @@
                     f"slice {number} has a route to {name}, not ready for {age:.1f} s"
                 )
                 settled = weight == 1.0 and self.states.get(name) == events.READY and age > 9.0
-                assert not (settled and name in self.excluded), (
-                    f"primary {name} of slice {number} is excluded"
-                )
+                assert not (settled and name in self.excluded), f"slice {number}: primary {name} is excluded"
         warm_since = self.now - self.settings.slow_start_window
         for name in ready_workers:
             recent_moves = sum(worker == name and at > self.now - 0.85 for at, worker in self.moves)
--- a/tests/policy/test_failover.py
+++ b/tests/policy/test_failover.py
@@ -77,9 +77,7 @@
     site.run_seconds(4, heat)
     slow = {"w2": {"attempts": 20, "unanswered": 5, "mean_response_time": 1.5, "load": {"utilization": 1.0}}}
     site.run_seconds(2, heat, observed=slow)
-    assert (
-        site.manager.workers["w2"].retries_off and site.manager.workers["w2"].usable
-    )  # retries are cut first
+    assert site.manager.workers["w2"].retries_off and site.manager.workers["w2"].usable  # no ejection
     saturated = {
         "w2": {
             "attempts": 20,
@@ -132,9 +130,7 @@
     site.run_seconds(20)
     standbys = [min(table, key=table.get) for table in site.tables.values()]
     assert all(standbys.count(f"w{k}") == 6 for k in range(4))
-    site.step(
-        0.1, site.list_event([entry("w3", events.DEREGISTERED)])
-    )  # assigns many standbys again at the same time
+    site.step(0.1, site.list_event([entry("w3", events.DEREGISTERED)]))  # replaces standbys
     site.run_seconds(8)
     standbys = [min(table, key=table.get) for table in site.tables.values()]
     assert max(standbys.count(f"w{k}") for k in range(3)) <= 16
