--- a/bramblewood/adapter/host.py
+++ b/bramblewood/adapter/host.py
@@ -103,7 +103,7 @@
         else:
             messages.append(message)
     if header is not None:
-        raise MalformedInput(f"input ends inside batch {header['round']}, before its eof_batch")
+        raise MalformedInput(f"expected eof_batch, but the input ends inside batch {header['round']}")
 
 
 def check_header(message: Message, open_header: Fields | None) -> None:
--- a/bramblewood/startup_settings.py
+++ b/bramblewood/startup_settings.py
@@ -34,12 +34,12 @@
 
     name: str = ""
     kind: str = SIDE_EFFECTING
-    latency_objective: float = 1.0
+    latency_objective: float = 1.0  # of the response time
     integration_timeout: float = 0.0
     billed_value: float = 0.0
     late_value: float = 0.0
-    group: str = ""
-    window: float = 0.0
+    deduplication_scope: str = ""  # within which the backend recognizes a repeated invocation
+    deduplication_window: float = 0.0  # during which it does
     writes: bool = False
 
 
@@ -220,8 +220,8 @@
             integration_timeout=milliseconds_to_seconds(entry["deadline"]),
             billed_value=finite_number(entry["importance"]),
             late_value=entry.get("late_worth", 0.0),
-            group={"cell": "pool"}.get(entry.get("dedup_scope"), entry.get("dedup_scope", "")),
-            window=entry.get("window", 0.0) / MS,
+            deduplication_scope={"cell": "pool"}.get(entry.get("dedup_scope"), entry.get("dedup_scope", "")),
+            deduplication_window=entry.get("window", 0.0) / MS,
             writes=writes,
         )
     except KeyError as error:
--- a/tests/policy/simulation.py
+++ b/tests/policy/simulation.py
@@ -10,7 +10,9 @@
 OPERATIONS = [
     Operation("look", events.IDEMPOTENT, 1.0, 4.0, 1.0),
     Operation("pay", events.SIDE_EFFECTING, 1.0, 3.0, 5.0),
-    Operation("seat", events.FINGERPRINTED, 2.0, 6.0, 4.0, group="pool", window=6.0),
+    Operation(
+        "seat", events.FINGERPRINTED, 2.0, 6.0, 4.0, deduplication_scope="pool", deduplication_window=6.0
+    ),
 ]
 SETTINGS = StartupSettings(
     operations=OPERATIONS,
--- a/tests/policy/test_publishing.py
+++ b/tests/policy/test_publishing.py
@@ -49,9 +49,8 @@
     site = SimulatedSite()
     for count in range(300):
         slice = site.manager.slices[count % 12]
-        slice.admission = [
-            (round(0.1 + count % 9 / 10, 1), events.NO_RETRY)
-        ] * 3  # a level that differs from the policy's
+        # a level that differs from the policy's
+        slice.admission = [(round(0.1 + count % 9 / 10, 1), events.NO_RETRY)] * 3
         site.manager.publisher.enqueue(slice, True)
         site.step(0.1)
         site.check_invariants()
@@ -66,9 +65,8 @@
     assert site.excluded == {"w0", "w1", "w2", "w3"}
     assert any(name in site.excluded for table in site.tables.values() for name in table)
     site.step(0.1, events.ProxyJoined(0, "a", 5.0, True))
-    assert [
-        o for o in site.step(1.0) if isinstance(o, events.ExcludeWorker) and o.excluded
-    ]  # the proxy may lack the exclusions
+    # the proxy may lack the exclusions
+    assert [o for o in site.step(1.0) if isinstance(o, events.ExcludeWorker) and o.excluded]
     site.step(0.1, site.list_event([entry(f"w{k}", started=site.now) for k in range(4)]))
     site.run_seconds(30, after_second=SimulatedSite.check_invariants)
     assert not site.excluded and site.slices_of("w0")
