--- a/bramblewood/policy/publishing.py
+++ b/bramblewood/policy/publishing.py
@@ -9,7 +9,7 @@
 
 
 class Publisher:
-    """Queues tables and sends their changes; it never exceeds the limits on messages and waiting lines."""
+    """Queues tables and sends their changes, within the limits on messages and on waiting lines."""
 
     def __init__(self, manager):
         self.manager = manager
--- a/tests/adapter_days.py
+++ b/tests/adapter_days.py
@@ -104,9 +104,8 @@
         self.heat = {k: self.rng.uniform(2.0, 30.0) for k in range(site.slices)}
         self.owner = {k: k % site.managers for k in range(site.slices)}
         self.running: set[int] = set()
-        self.scheduled: list[
-            tuple[float, int, str, dict]
-        ] = []  # due at in ms, sequence number, message, fields
+        # due at in ms, sequence number, message, fields
+        self.scheduled: list[tuple[float, int, str, dict]] = []
         self.sequence = 0
 
     def add_worker(self, started: float) -> Worker:
@@ -182,7 +181,7 @@
             case "query_all" | "follow":
                 self.schedule(100.0, "complete list", who=manager)
 
-    # --- events
+    # --- the messages of a batch
 
     def batch_messages(self, turn: int) -> Iterator[bytes]:
         if turn == 0:
@@ -313,7 +312,7 @@
         report = {
             "cpu": round(min(utilization, 1.0), 3),
             "waiting": round(max(utilization - 0.8, 0.0) * 50, 1),
-            "odd": 7,
+            "odd": 7,  # an unknown field
         }
         for manager in sorted(self.running):
             for zone in "ab":
