--- a/bramblewood/controller/controller_peers.py
+++ b/bramblewood/controller/controller_peers.py
@@ -1,4 +1,4 @@
-"""The other controllers: which are known, the connections to them, and the heartbeats that they are sent."""
+"""Keeps the list of known controllers, the connections to them, and the heartbeats sent to them."""
 
 from ..common.messages import ControllerHeartbeat
 from ..common.peer_connections import CONNECTION_TIMEOUT
@@ -12,13 +12,16 @@
 from .sessions import HEARTBEAT_INTERVAL, PeerDetails, Sessions
 
 KNOWN_CONTROLLERS_FACT = "archives"  # name of a fact on disk
-NEVER = -1e9  # s; the echo to a peer that was never heard
-WORKER_AGES_EVERY = 4  # heartbeats
-WORKER_AGES_WITHIN = 2.0  # s
+NO_ECHO = -1e9  # s; sent in place of an echo to a peer from which no heartbeat has arrived
+HEARTBEATS_PER_WORKER_AGES = 4  # one heartbeat in so many reports when workers were last heard
+MAX_REPORTED_WORKER_AGE = 2.0  # s; workers last heard longer ago are left out of heartbeats
 
 
 class ControllerPeers:
-    """Known controllers; each is dialled until it answers, and gets heartbeats while connected."""
+    """Keeps a connection to each known controller, and sends heartbeats on it while it is up.
+
+    The addresses of known controllers are stored on disk, and heartbeats pass them on to other controllers.
+    """
 
     def __init__(
         self,
@@ -31,25 +34,25 @@
     ) -> None:
         self.runtime, self.quorum_io, self.quorum_contact = runtime, quorum_io, quorum_contact
         self.sessions, self.registry, self.proxy_sessions = sessions, registry, proxy_sessions
-        self.known: set[str] = set()  # addresses, without our own
-        self.connection_changed_at: dict[str, float] = {}  # by address, own clock
+        self.known: set[str] = set()  # addresses, without the own one
+        self.connection_changed_at: dict[str, float] = {}  # when a connection came up or was lost, by address
         self.next_heartbeat_at = 0.0
         self.next_seed_reread_at = 0.0
 
     def add(self, peer: str) -> None:
-        """Keep a connection to this controller from now on, and remember it on disk."""
+        """Keep a connection to this controller from now on, and store its address with the next write."""
         if peer != self.runtime.own_address and peer not in self.known:
             self.known.add(peer)
             self.quorum_io.pending_writes.facts[KNOWN_CONTROLLERS_FACT] = sorted(self.known)
             self.runtime.peer_connections.maintain(peer, self.runtime.settings.peer_port)
 
     def reread_seeds(self) -> None:
-        """Look again for controllers in the settings and the seed file."""
+        """Add the controllers that the settings and the seed file name now."""
         for peer in reread_seeds(self.runtime.settings, self.runtime.log):
             self.add(peer)
 
     def reread_seeds_if_isolated(self, now: float) -> None:
-        """Look for other controllers where none is connected, from time to time."""
+        """Reread the seeds every SEED_REREAD_INTERVAL s while no controller is connected."""
         connected = self.runtime.peer_connections.connected
         if connected or now >= self.next_seed_reread_at:
             if not connected:
@@ -57,7 +60,10 @@
             self.next_seed_reread_at = now + SEED_REREAD_INTERVAL
 
     def connection_changed(self, peer: str, is_up: bool) -> None:
-        """The connection that we dialled to this controller came up or was lost."""
+        """Record and log that the connection dialled to this controller came up or was lost.
+
+        A new connection gets a heartbeat with all details at once.
+        """
         now = self.connection_changed_at[peer] = self.runtime.now()
         if is_up:
             self.sessions.forget_sent_details(peer)
@@ -66,31 +72,35 @@
         self.runtime.log.info(event, step="connection", peer=peer)
 
     def send_due_heartbeats(self, now: float) -> None:
-        """Send heartbeats to all connected controllers, if it is time."""
+        """Send heartbeats to all connected controllers every HEARTBEAT_INTERVAL s."""
         if now >= self.next_heartbeat_at:
             self.next_heartbeat_at = now + HEARTBEAT_INTERVAL
             self.send_heartbeats(now)
 
-    def send_heartbeats(self, now: float, only: str | None = None) -> None:
-        """Send heartbeats to all connected controllers, or to one."""
+    def send_heartbeats(self, now: float, recipient: str | None = None) -> None:
+        """Send heartbeats to all connected controllers, or to one recipient.
+
+        Closes a connection to a controller that has sent no heartbeat for CONNECTION_TIMEOUT s.
+        """
         connected = self.runtime.peer_connections.connected
-        heartbeat, details = self._heartbeat(now), self._details()
-        for peer in [only] if only else list(connected):
+        heartbeat, details = self._heartbeat(now), self._own_details()
+        for peer in [recipient] if recipient else list(connected):
             if peer not in connected:
                 continue
             session = self.sessions.by_peer.get(peer)
-            last_sign_at = max(session.received_at if session else 0.0, self.connection_changed_at[peer])
-            if now - last_sign_at > CONNECTION_TIMEOUT:
-                connected[peer].close()  # its own connection brings nothing any more: likely a partition
+            last_activity_at = max(session.received_at if session else 0.0, self.connection_changed_at[peer])
+            if now - last_activity_at > CONNECTION_TIMEOUT:
+                connected[peer].close()  # heartbeats arrive on the peer's own connection: likely a partition
                 continue
-            message = self._for_peer(now, peer, heartbeat, details)
+            message = self._heartbeat_for_peer(now, peer, heartbeat, details)
             self.runtime.peer_connections.send(peer, message.to_wire())
 
     def _heartbeat(self, now: float) -> ControllerHeartbeat:
+        """The part of a heartbeat that is the same for all peers."""
         consensus = self.quorum_io.consensus
         return ControllerHeartbeat(
             sent_at=now,
-            is_voting=self.quorum_io.is_durably_voting(),  # others leave and change voter sets on it
+            is_voting=self.quorum_io.is_durably_voting(),  # peers shut down and change voters based on it
             is_current=self.quorum_contact.is_current(now),
             accepted={register: consensus.acceptors[register].accepted for register in ALL_REGISTERS},
             durable=consensus.durable_accepted,
@@ -98,11 +108,11 @@
             disk=consensus.disk,
             versions=self.quorum_io.versions(),
             is_leaving=self.runtime.shutdown_requested.is_set(),
-            echo=NEVER,
+            echo=NO_ECHO,
             disk_failing_for=round(self.quorum_io.disk_failing_for(now), 2) or None,
         )
 
-    def _details(self) -> PeerDetails:
+    def _own_details(self) -> PeerDetails:
         settings = self.runtime.settings
         return PeerDetails(
             self.quorum_io.consensus.voter_set,
@@ -113,23 +123,30 @@
             dict(self.quorum_io.content_agreement.own.newest) or None,
         )
 
-    def _for_peer(
+    def _heartbeat_for_peer(
         self, now: float, peer: str, heartbeat: ControllerHeartbeat, details: PeerDetails
     ) -> ControllerHeartbeat:
-        bound = None
-        if not self.sessions.has_sent_details(peer):  # whoever listens there now may have an older disk
+        """The heartbeat with its echo for this peer and the details not yet sent to it.
+
+        The first heartbeat on a connection also lists what the peer is known to have promised or accepted, so
+        that a peer whose disk was rolled back can detect it.
+        """
+        peer_commitments = None
+        if not self.sessions.has_sent_details(peer):
             commitments = self.quorum_io.consensus.peer_commitments
-            bound = {register: made[peer] for register, made in commitments.items() if peer in made}
+            peer_commitments = {
+                register: by_peer[peer] for register, by_peer in commitments.items() if peer in by_peer
+            }
         unsent = self.sessions.take_unsent_details(peer, details)
         worker_ages = None
-        if int(now / HEARTBEAT_INTERVAL) % WORKER_AGES_EVERY == 0:
-            worker_ages = self.registry.seconds_since_heard(now, WORKER_AGES_WITHIN)
+        if int(now / HEARTBEAT_INTERVAL) % HEARTBEATS_PER_WORKER_AGES == 0:
+            worker_ages = self.registry.seconds_since_heard(now, MAX_REPORTED_WORKER_AGE)
         return heartbeat._replace(
-            echo=self.sessions.echoes.get(peer, NEVER),
-            bound=bound,
-            members=unsent.members,
+            echo=self.sessions.times_to_echo.get(peer, NO_ECHO),
+            bound=peer_commitments,
+            members=unsent.voter_set,
             zone=unsent.zone,
-            counted=unsent.counted,
+            counted=unsent.counts_for_tolerance,
             controllers=unsent.controllers,
             proxies=unsent.proxies,
             worker_ages=worker_ages,
--- a/bramblewood/controller/sessions.py
+++ b/bramblewood/controller/sessions.py
@@ -1,15 +1,18 @@
-"""Sessions between controllers: who was heard, and how fresh the contact with a quorum is.
-
-Each controller sends heartbeats to each other one. A heartbeat says what its sender has accepted and echoes
-the time that the receiver put into its own last heartbeat, on the receiver's clock. So the receiver knows
-that the sender had accepted nothing newer at that time, or later. Quorum contact rests on the echoes of a
-majority and holds for QUORUM_CONTACT_VALIDITY s from the oldest of them: whatever a majority chooses later is
-chosen after that, so whoever moves keys on a chosen change need wait no longer than that for the last renewal
-that rested on older contact.
-
-All times are this controller's own steady clock, in s, and an echo counts only once it came there and back.
-So quorum contact ends by itself after a freeze, and after a partition in either direction, whatever still
-waits in a socket.
+"""Sessions between controllers: the newest heartbeat of each peer, and the quorum contact derived from them.
+
+Each controller sends heartbeats to every other controller. A heartbeat lists the proposals that its sender
+has accepted, and it echoes the send time of the last heartbeat that the sender received from the receiver.
+The send time is on the receiver's clock. The receiver can therefore conclude that the peer had accepted
+nothing newer than listed at the echoed time.
+
+Quorum contact is valid for QUORUM_CONTACT_VALIDITY s after the oldest echoed time among the newest echoes of
+a majority. A value that a majority chooses later is chosen after that time. A controller that moves keys
+because of a chosen change therefore waits at most that long for the last lease renewal that rests on older
+contact.
+
+All times are in s on this controller's own monotonic clock, and an echo proves a complete round trip. Quorum
+contact therefore expires without further action after a freeze of the process and after a partition in either
+direction, whatever data is still buffered in a socket.
 """
 
 from collections.abc import Collection
@@ -21,71 +24,73 @@
 from .consensus.proposal_number import NO_PROPOSAL, ProposalNumber
 from .consensus.voter_set import VoterSet, is_voter, majority
 
-HEARTBEAT_INTERVAL = 0.25  # s between heartbeats; three of them fit into QUORUM_CONTACT_VALIDITY
-PEER_TIMEOUT = 0.9  # s without a heartbeat after which a controller counts as away: three and their transit
+HEARTBEAT_INTERVAL = 0.25  # s between heartbeats; three intervals fit into QUORUM_CONTACT_VALIDITY
+PEER_TIMEOUT = 0.9  # s without a heartbeat until a peer counts as absent: three intervals and their transit
 
 
 class PeerSession(NamedTuple):
-    """What the newest heartbeat of another controller said."""
+    """The contents of the newest heartbeat that a peer sent."""
 
     received_at: float
-    echo: float  # when we sent the heartbeat that it echoes
-    accepted: dict[str, ProposalNumber]  # newest accepted proposal by register, on disk or not yet
-    is_voting: bool  # an active voter of its epoch
-    is_current: bool  # it has quorum contact itself and its disk answers
+    echo: float  # send time of this controller's heartbeat that the peer echoes
+    accepted: dict[str, ProposalNumber]  # newest accepted proposal by register, durable or not
+    is_voting: bool  # whether the peer is an active voter of its epoch
+    is_current: bool  # whether the peer has quorum contact and its disk responds
     epoch: int
     disk: str
     is_leaving: bool
-    versions: dict[str, int]  # what it knows to be chosen, by register
-    durable: dict[str, ProposalNumber]  # newest accepted proposal by register that is safe on its disk
-    disk_failing_for: float = 0.0  # s that its disk has refused every write, or not answered
+    versions: dict[str, int]  # newest version by register that the peer knows to be chosen
+    durable: dict[str, ProposalNumber]  # newest accepted proposal by register that the peer has on disk
+    disk_failing_for: float = (
+        0.0  # s for which the peer's disk has refused each write, or left one unanswered
+    )
 
 
 class PeerDetails(NamedTuple):
-    """What a controller tells others of itself that changes seldom; None for what was sent before."""
+    """The heartbeat fields that rarely change; None marks a field that was already sent."""
 
-    members: VoterSet | None
+    voter_set: VoterSet | None
     zone: str | None
-    counted: bool | None  # whether the loss of its zone is to be borne
+    counts_for_tolerance: bool | None  # whether the loss of this zone is one of those that `Tolerance` bounds
     controllers: list[str] | None
     proxies: list[str] | None
-    digests: dict[str, tuple[tuple, int]] | None = None  # of what is safe on its disk, by register
+    digests: dict[str, tuple[tuple, int]] | None = None  # digests of the durable values, by register
 
 
 NOTHING_SENT = PeerDetails(None, None, None, None, None, None)
 
 
 class Sessions:
-    """The sessions of one controller with all others, by their addresses."""
+    """The sessions of one controller with all peers, by the peers' addresses."""
 
     def __init__(self, own_address: str) -> None:
         self.own_address = own_address
         self.by_peer: dict[str, PeerSession] = {}
-        self.sent_details: dict[str, PeerDetails] = {}  # on the connection that stands
-        self.echoes: dict[str, float] = {}  # time in each one's last heartbeat, to give back
-        self.proxies: dict[str, list[str]] = {}  # those connected to each one, by its last word
-        self.zones: dict[str, tuple[str, bool]] = {}  # zone, and whether its loss is to be borne
-        self.uninterrupted_since: dict[str, float] = {}  # since when its heartbeats come without a gap
-        # by register, when we had last accepted nothing newer than was known to be chosen
+        self.sent_details: dict[str, PeerDetails] = {}  # details sent on the present connection
+        self.times_to_echo: dict[str, float] = {}  # send time of each peer's newest heartbeat, on its clock
+        self.proxies_by_peer: dict[str, list[str]] = {}  # proxies connected to each peer, as last reported
+        self.zones: dict[str, tuple[str, bool]] = {}  # zone, and whether it counts for the tolerance
+        self.uninterrupted_since: dict[str, float] = {}  # start of each peer's heartbeats without a gap
+        # by register: when this controller had last accepted nothing newer than the known chosen proposal
         self.up_to_date_at: dict[str, float] = {}
 
     def forget_sent_details(self, peer: str) -> None:
-        """A new connection to this controller: whoever listens there now may know nothing."""
+        """Send all details to this peer again, as a new connection may lead to another process."""
         self.sent_details.pop(peer, None)
 
     def has_sent_details(self, peer: str) -> bool:
-        """Whether something was sent on the connection that stands."""
+        """Whether any details were sent to this peer on the present connection."""
         return peer in self.sent_details
 
     def take_unsent_details(self, peer: str, details: PeerDetails) -> PeerDetails:
-        """Of these details what was not yet sent on this connection; it counts as sent from now on."""
+        """Return the details that differ from those sent to this peer, and record all of them as sent."""
         sent = self.sent_details.get(peer, NOTHING_SENT)
         self.sent_details[peer] = details
         changed = [None if old == new else new for old, new in zip(sent, details, strict=True)]
         return PeerDetails._make(changed)
 
     def record_heartbeat(self, now: float, peer: str, heartbeat: ControllerHeartbeat) -> None:
-        """Take a heartbeat of another controller."""
+        """Replace the session of this peer with the contents of a heartbeat received from it."""
         before = self.by_peer.get(peer)
         if before is None or now - before.received_at > PEER_TIMEOUT or before.disk != heartbeat.disk:
             self.uninterrupted_since[peer] = now
@@ -102,9 +107,9 @@
             heartbeat.durable,
             heartbeat.disk_failing_for or 0.0,
         )
-        self.echoes[peer] = heartbeat.sent_at
+        self.times_to_echo[peer] = heartbeat.sent_at
         if heartbeat.proxies is not None:
-            self.proxies[peer] = heartbeat.proxies
+            self.proxies_by_peer[peer] = heartbeat.proxies
         if heartbeat.zone is not None:
             self.zones[peer] = (heartbeat.zone, bool(heartbeat.counted))
 
@@ -113,45 +118,49 @@
         now: float,
         voters: dict[str, str],
         epoch: int,
-        known: dict[str, ProposalNumber],
+        chosen: dict[str, ProposalNumber],
         accepted: dict[str, ProposalNumber] | None,
         excluded: Collection[str] = (),
     ) -> float:
-        """Until when it is certain that in these registers nothing newer than `known` is chosen; 0.0 where it
-        is not. With no register it tells of contact alone.
-
-        voters, epoch: the voter set that is known here, with its disks. A majority of it that had not left
-        the epoch as it sent shows that no later epoch had begun.
-        accepted: what this controller has accepted itself, None where it does not vote. It counts as heard
-        when it was last found to have accepted nothing newer: with one more voter that may be the majority.
-        excluded: controllers that count for nothing, as their content differs from ours.
+        """Return the time until which no proposal newer than `chosen` can have been chosen unnoticed.
+
+        Returns 0.0 where a majority does not confirm this. With no register in `chosen`, the result covers
+        contact with a majority alone.
+
+        voters, epoch: the newest voter set known here, by address and disk, and its epoch. A majority of
+        active voters that had not left the epoch when they sent proves that no later epoch had begun.
+        chosen: the newest chosen proposal known here, by register.
+        accepted: the newest proposal that this controller has accepted, by register; None where it does not
+        vote. This controller counts with the last time at which it had accepted nothing newer than `chosen`,
+        because its vote together with one more may complete a majority.
+        excluded: controllers that do not count because their content differs from the content held here.
         """
-        echoes = []
+        contact_times = []
         if accepted is not None and self.own_address in voters:
-            for register, proposal_number in known.items():
+            for register, proposal_number in chosen.items():
                 if accepted[register] <= proposal_number:
                     self.up_to_date_at[register] = now
-            echoes.append(
+            contact_times.append(
                 min(
-                    (self.up_to_date_at.get(register, -QUORUM_CONTACT_VALIDITY) for register in known),
+                    (self.up_to_date_at.get(register, -QUORUM_CONTACT_VALIDITY) for register in chosen),
                     default=now,
                 )
             )
         for peer, session in self.by_peer.items():
             has_nothing_newer = all(
                 session.accepted.get(register, NO_PROPOSAL) <= proposal_number
-                for register, proposal_number in known.items()
+                for register, proposal_number in chosen.items()
             )
             is_active = is_voter(voters, peer, session.disk) and session.is_voting and session.epoch == epoch
             if is_active and has_nothing_newer and peer not in excluded:
-                echoes.append(session.echo)
+                contact_times.append(session.echo)
         needed = majority(voters)
-        if not voters or len(echoes) < needed:
+        if not voters or len(contact_times) < needed:
             return 0.0
-        return sorted(echoes, reverse=True)[needed - 1] + QUORUM_CONTACT_VALIDITY
+        return sorted(contact_times, reverse=True)[needed - 1] + QUORUM_CONTACT_VALIDITY
 
     def peer_statuses(self, now: float) -> dict[str, PeerStatus]:
-        """The other controllers that were heard, as changes of the voter set look at them."""
+        """The status, by address, of each peer that has sent a heartbeat, for the choice of voters."""
         statuses = {}
         for peer, session in self.by_peer.items():
             since_last = now - session.received_at
@@ -170,33 +179,40 @@
         return statuses
 
     def current_peers(self, now: float) -> list[str]:
-        """The other controllers heard of late that have quorum contact."""
+        """The present peers that report themselves as current: with quorum contact and a responsive disk."""
         return [
             peer
             for peer, session in self.by_peer.items()
             if self.is_present(now, peer) and session.is_current
         ]
 
-    def coordinator(self, now: float, is_current: bool, disk_fails: bool = False) -> str | None:
-        """The controller that proposes moves and sends grants: the first by address of the current ones, of
-        those whose disks are well where there are any.
+    def coordinator(self, now: float, is_current: bool, is_disk_failing: bool = False) -> str | None:
+        """The address of the controller that proposes moves and sends grants; None where none is current.
+
+        It is the lowest address among the current controllers whose disks do not fail, or among all current
+        controllers where every disk fails. The choice only avoids competing proposals: a quorum agrees on
+        every move, whichever controller proposes it.
 
-        This only avoids competing proposals: every move is agreed by a quorum, whoever proposes it.
-        is_current, disk_fails: whether this controller itself is current, and its disk fails.
+        is_current, is_disk_failing: the state of this controller itself.
         """
-        current = {peer: self.by_peer[peer].disk_failing_for > 0 for peer in self.current_peers(now)}
+        is_failing_by_address = {
+            peer: self.by_peer[peer].disk_failing_for > 0 for peer in self.current_peers(now)
+        }
         if is_current:
-            current[self.own_address] = disk_fails
-        well = [peer for peer, fails in current.items() if not fails]
-        return min(well or current, default=None)
+            is_failing_by_address[self.own_address] = is_disk_failing
+        healthy = [address for address, is_failing in is_failing_by_address.items() if not is_failing]
+        return min(healthy or is_failing_by_address, default=None)
 
     def all_proxies(self, now: float, connected: list[str]) -> set[str]:
-        """The proxies connected to any controller heard of late; connected: those connected to this one."""
-        elsewhere = [
-            proxy for peer, proxies in self.proxies.items() for proxy in proxies if self.is_present(now, peer)
+        """The proxies connected to this controller, given as `connected`, or to any present peer."""
+        connected_to_peers = [
+            proxy
+            for peer, proxies in self.proxies_by_peer.items()
+            for proxy in proxies
+            if self.is_present(now, peer)
         ]
-        return {*connected, *elsewhere}
+        return {*connected, *connected_to_peers}
 
     def is_present(self, now: float, peer: str) -> bool:
-        """Whether another controller was heard of late."""
+        """Whether a heartbeat of this peer arrived within the last PEER_TIMEOUT s."""
         return peer in self.by_peer and now - self.by_peer[peer].received_at <= PEER_TIMEOUT
--- a/features/sessions.feature
+++ b/features/sessions.feature
@@ -1,29 +1,29 @@
-Feature: Controllers know each other by heartbeats
+Feature: Controllers exchange heartbeats, which give them quorum contact
 
-  Scenario: What changes seldom is sent once on a connection, and again on a new one
+  Scenario: Details that rarely change are sent once on a connection, and again on a new connection
     Given a controller, one of three
     When it has sent b its details
-    Then it sends b nothing again but the proxies
-    When the connection to b stands anew
+    Then after a change of its proxies it sends b only the proxies
+    When a new connection to b is established
     Then it sends b its details again
 
-  Scenario: Quorum contact rests on the echoes of a majority
+  Scenario: Quorum contact depends on the echoes of a majority
     Given a controller, one of three
-    Then at 10 it has no quorum contact on proposal 4
-    When b echoes 9.8 at 10, with proposal 4 accepted
-    Then at 10 its quorum contact on proposal 4 holds until 10.8
-    When c echoes 9.9 at 10, with proposal 5 accepted
-    Then at 10 its quorum contact on proposal 4 holds until 10.8
-    And at 10 its quorum contact on proposal 5 holds until 10.9
-    When b echoes 9.95 at 10.1, with proposal 5 accepted
-    Then at 10.1 it has no quorum contact on proposal 4
+    Then at 10 it has no quorum contact for proposal 4
+    When at 10 a heartbeat of b echoes time 9.8 and reports proposal 4 accepted
+    Then at 10 its quorum contact for proposal 4 is valid until 10.8
+    When at 10 a heartbeat of c echoes time 9.9 and reports proposal 5 accepted
+    Then at 10 its quorum contact for proposal 4 is valid until 10.8
+    And at 10 its quorum contact for proposal 5 is valid until 10.9
+    When at 10.1 a heartbeat of b echoes time 9.95 and reports proposal 5 accepted
+    Then at 10.1 it has no quorum contact for proposal 4
 
-  Scenario: After a freeze there is no quorum contact, so no grant leaves
+  Scenario: Quorum contact has expired after a freeze, so that no grant is sent
     Given a controller, one of three
-    When b echoes 9.8 at 10, with proposal 4 accepted
-    Then at 14 its quorum contact on proposal 4 is over
-    When b echoes 14.1 at 14.2, with proposal 4 accepted
-    Then at 14.2 its quorum contact on proposal 4 holds until 15.1
+    When at 10 a heartbeat of b echoes time 9.8 and reports proposal 4 accepted
+    Then at 14 its quorum contact for proposal 4 has expired
+    When at 14.2 a heartbeat of b echoes time 14.1 and reports proposal 4 accepted
+    Then at 14.2 its quorum contact for proposal 4 is valid until 15.1
 
-  Scenario: Of two instances at one address the one that was heard last stands, whoever is told of it first
-    Then an instance that ended while its controller was partitioned does not end the one that came after it
+  Scenario: Of two instances at one address the one with the later heartbeat is kept, in either order of arrival
+    Then both registries keep the newer instance after controllers exchange registrations
--- a/features/steps/sessions.py
+++ b/features/steps/sessions.py
@@ -10,7 +10,7 @@
 
 
 @given("a controller, one of three")
-def one_of_three(context):
+def controller_among_three(context):
     context.sessions = Sessions("a")
 
 
@@ -20,20 +20,20 @@
     assert context.sessions.take_unsent_details(peer, DETAILS) == DETAILS
 
 
-@when("the connection to {peer} stands anew")
-def new_connection(context, peer):
+@when("a new connection to {peer} is established")
+def establish_new_connection(context, peer):
     context.sessions.forget_sent_details(peer)
 
 
-@then("it sends {peer} nothing again but the proxies")
-def sends_changed_proxies(context, peer):
+@then("after a change of its proxies it sends {peer} only the proxies")
+def sends_only_changed_proxies(context, peer):
     changed = DETAILS._replace(proxies=["d1", "d2"])
     unsent = PeerDetails(None, None, None, None, ["d1", "d2"])
     assert context.sessions.take_unsent_details(peer, changed) == unsent
 
 
-@when("{peer} echoes {echo:g} at {now:g}, with proposal {counter:d} accepted")
-def echoes(context, peer, echo, now, counter):
+@when("at {now:g} a heartbeat of {peer} echoes time {echo:g} and reports proposal {counter:d} accepted")
+def receive_heartbeat(context, peer, echo, now, counter):
     accepted = {TABLE: (1, counter, "b", 1)}
     heartbeat = ControllerHeartbeat(
         sent_at=0.0,
@@ -52,38 +52,38 @@
 
 
 def quorum_contact_until(context, now, counter):
-    voters, known = {name: name for name in "abc"}, {TABLE: (1, counter, "b", 1)}
-    return context.sessions.quorum_contact_until(now, voters, 1, known, {TABLE: NO_PROPOSAL})
+    voters, chosen = {name: name for name in "abc"}, {TABLE: (1, counter, "b", 1)}
+    return context.sessions.quorum_contact_until(now, voters, 1, chosen, {TABLE: NO_PROPOSAL})
 
 
-@then("at {now:g} its quorum contact on proposal {counter:d} holds until {until:g}")
-def holds_until(context, now, counter, until):
+@then("at {now:g} its quorum contact for proposal {counter:d} is valid until {until:g}")
+def contact_is_valid_until(context, now, counter, until):
     assert abs(quorum_contact_until(context, now, counter) - until) < 1e-9
 
 
-@then("at {now:g} it has no quorum contact on proposal {counter:d}")
-def no_contact(context, now, counter):
+@then("at {now:g} it has no quorum contact for proposal {counter:d}")
+def has_no_contact(context, now, counter):
     assert quorum_contact_until(context, now, counter) == 0.0
 
 
-@then("at {now:g} its quorum contact on proposal {counter:d} is over")
-def contact_is_over(context, now, counter):
+@then("at {now:g} its quorum contact for proposal {counter:d} has expired")
+def contact_has_expired(context, now, counter):
     assert quorum_contact_until(context, now, counter) < now
 
 
-@then("an instance that ended while its controller was partitioned does not end the one that came after it")
-def partition_healed(context):
-    apart, others = WorkerRegistry(), WorkerRegistry()  # exchanged at 12, as the partition heals
-    apart.record(1.0, "old", WorkerRegistration("s", "10.0.0.9:1", "z", 1, READY, 3))
-    others.record(11.0, "new", WorkerRegistration("s", "10.0.0.9:1", "z", 1, READY, 1))
+@then("both registries keep the newer instance after controllers exchange registrations")
+def registries_keep_newer_instance(context):
+    partitioned, connected = WorkerRegistry(), WorkerRegistry()  # exchanged at 12, when the partition ends
+    partitioned.record(1.0, "old", WorkerRegistration("s", "10.0.0.9:1", "z", 1, READY, 3))
+    connected.record(11.0, "new", WorkerRegistration("s", "10.0.0.9:1", "z", 1, READY, 1))
     sent = {}
-    for name, registry in (("apart", apart), ("others", others)):
+    for name, registry in (("partitioned", partitioned), ("connected", connected)):
         rows = {instance_id: [*row] for instance_id, row in registry.registrations.items()}
         sent[name] = (rows, registry.seconds_since_heard(12.0, 60.0))
-    news, _ = others.record_all(12.0, *sent["apart"])
-    apart.record_all(12.0, *sent["others"])
-    for registry in (apart, others):
+    changed_rows, _ = connected.record_all(12.0, *sent["partitioned"])
+    partitioned.record_all(12.0, *sent["connected"])
+    for registry in (partitioned, connected):
         phases = {instance_id: row.phase for instance_id, row in registry.registrations.items()}
         assert phases == {"old": GONE, "new": READY}
         assert registry.instance_by_address["10.0.0.9:1"] == "new"
-    assert WorkerRegistration(*news["old"]).phase == GONE  # as it is passed on
+    assert WorkerRegistration(*changed_rows["old"]).phase == GONE  # in the form that is forwarded
