--- a/bramblewood/controller/chosen_values.py
+++ b/bramblewood/controller/chosen_values.py
@@ -1,4 +1,4 @@
-"""Acts on newly chosen values: logs them, informs the parts that follow them, and proxies."""
+"""Processes newly chosen values: logs them, passes them to the parts that use them, and notifies proxies."""
 
 from ..common.configuration import Configuration
 from ..common.configuration_parser import build_configuration
@@ -12,7 +12,10 @@
 
 
 class ChosenValues:
-    """What this controller has done about the newest chosen versions, and the configuration in force."""
+    """Tracks which chosen versions were processed, and holds the configuration in force.
+
+    `configuration` is None until a configuration is chosen, and where the chosen one cannot be built.
+    """
 
     def __init__(
         self,
@@ -30,7 +33,7 @@
         self.latency_targets: dict[str, float] = {}  # s, by service
 
     def refresh(self) -> None:
-        """Act on what was chosen since the last call. Cheap where nothing was."""
+        """Process the values that were chosen since the last call. The call is cheap where there are none."""
         consensus = self.quorum_io.consensus
         for register in DATA_REGISTERS:
             version = consensus.version(register)
--- a/bramblewood/controller/quorum_io.py
+++ b/bramblewood/controller/quorum_io.py
@@ -1,4 +1,4 @@
-"""Carries out what the consensus asks for: writes first, messages and answers once these are safe on disk."""
+"""Applies the effects of consensus steps: writes first, messages and outcomes once the writes are durable."""
 
 import asyncio
 import os
@@ -22,20 +22,20 @@
 from .runtime import TICK_INTERVAL, Runtime
 from .storage import Storage
 
-# s for an operator's or worker's call: callers go elsewhere after a second of silence; PROTOCOL
+# s until an operator's or worker's call fails; callers retry elsewhere after 1 s without a response, PROTOCOL
 AGREEMENT_TIMEOUT = 0.85
-PROPOSAL_TIMEOUT = 1.0  # s for a proposal that no caller waits for
-STALL_TIMEOUT = 0.3  # s that a write may take before this controller leaves the proposing to others
-DISK_PROBE_INTERVAL = 0.5  # s between writes that look whether a disk which refuses them has recovered
+PROPOSAL_TIMEOUT = 1.0  # s until a proposal without a waiting caller fails
+STALL_TIMEOUT = 0.3  # s that a write may take before this controller ceases to be current
+DISK_PROBE_INTERVAL = 0.5  # s between test writes to a disk that refuses writes
 EPOCH_FACTS = {VOTER_SET_FACT, ACTIVE_EPOCH_FACT}
 
 
 class QuorumIO:
-    """The consensus replica of this controller, its writes under way, and proposals to its quorum.
+    """Connects the consensus replica of this controller to its disk, its peers and its proposers.
 
-    Invariant: nothing that rests on a write is sent or answered before the write is durable. Where a write
-    fails, its proposals are answered with None: their outcome is unclear. Nothing is decided together with a
-    controller whose content differs from ours.
+    Invariants: no message or outcome that depends on a write leaves before the write is durable. Where a
+    write fails, the outcome of its proposals is unknown, and their callbacks receive None. Consensus messages
+    from a controller whose content differs from the content held here are dropped.
     """
 
     consensus: ConsensusReplica
@@ -46,24 +46,26 @@
         self.incarnation = int.from_bytes(os.urandom(4), "big")
         self.pending_writes = PendingWrites({})
         self.writes_in_flight = 0
-        self.writing_since: float | None = None  # of the oldest write under way, own clock
-        self.refusing_since: float | None = None  # of the first write that failed since the last safe one
+        # own clock: when a write last finished, or began after none was in flight; None while none is
+        self.writing_since: float | None = None
+        self.writes_failing_since: float | None = None  # first failed write after the last successful one
         self.next_probe_at = 0.0
-        self.announced_epoch = (-1, False)  # epoch, and whether this is an active voter of it
-        self.on_epoch_changed: Callable[[], None] = lambda: None  # once it is on disk
-        self.on_progress: Callable[[], None] = lambda: None  # after each step that may have chosen something
+        self.announced_epoch = (-1, False)  # epoch, and whether this controller is an active voter of it
+        self.on_epoch_changed: Callable[[], None] = lambda: None  # called once the epoch is durable
+        self.on_progress: Callable[[], None] = lambda: None  # called after each step that may choose a value
 
     def restore(
         self, facts: dict[str, Any], registers: dict[str, tuple], replaces_damaged: bool = False
     ) -> None:
-        """Begin from what the disk holds. An empty one is new, whether or not there was another before.
+        """Create the replica from the contents of the disk. An empty disk counts as new and gets a new name.
 
-        replaces_damaged: a damaged database was kept aside. Others may hold what was acknowledged since the
-        first boot, so this controller takes no part in founding the first voter set, whatever `FirstBoot` is.
+        replaces_damaged: whether a damaged database was set aside. Other controllers may hold values that
+        were acknowledged since the first boot, so this controller does not help to found the first voter set,
+        whatever the value of `FirstBoot`.
         """
         settings = self.runtime.settings
         voter_set, active_epoch = facts.get(VOTER_SET_FACT), facts.get(ACTIVE_EPOCH_FACT, -1)
-        if voter_set is None and "voters" in facts:  # of form 1, which knew no epochs
+        if voter_set is None and "voters" in facts:  # schema version 1 has no epochs
             voter_set = {"n": 1, "voters": dict.fromkeys(facts["voters"], ""), "before": {}}
             active_epoch = 1 if "born" in facts else -1
         elif voter_set is None and not replaces_damaged and self._is_founding_seed():
@@ -78,31 +80,31 @@
             self.pending_writes.facts[VOTER_SET_FACT] = voter_set
 
     def _is_founding_seed(self) -> bool:
-        """Whether this controller takes part in the founding of the first voter set."""
+        """Whether this controller is one of the seeds that found the first voter set on a first boot."""
         settings = self.runtime.settings
         return settings.first_boot and settings.ip in settings.seed_hosts()
 
     def versions(self) -> dict[str, int]:
-        """The newest versions known to be chosen, by register."""
+        """The newest version known to be chosen, by data register."""
         return {register: self.consensus.version(register) for register in DATA_REGISTERS}
 
     def is_durably_voting(self) -> bool:
-        """Whether this is an active voter of its epoch, on disk too."""
+        """Whether this controller is an active voter of its epoch, and the epoch is durable on its disk."""
         return self.consensus.is_active_voter and not self.pending_writes.facts.keys() & EPOCH_FACTS
 
     def is_stalled(self, now: float) -> bool:
-        """Whether the disk has not answered a write for too long."""
+        """Whether writes are in flight and none has finished for more than STALL_TIMEOUT s."""
         return self.writing_since is not None and now - self.writing_since > STALL_TIMEOUT
 
     def disk_failing_for(self, now: float) -> float:
-        """For how long (s) the disk has refused each write, or has not answered one; 0.0 where it is well."""
-        begun = [self.writing_since] if self.is_stalled(now) else []
-        begun += [self.refusing_since] if self.refusing_since is not None else []
-        return now - min(begun) if begun else 0.0
+        """The time (s) for which the disk has refused each write, or has stalled; 0.0 for a healthy disk."""
+        failing_since = [self.writing_since] if self.is_stalled(now) else []
+        failing_since += [self.writes_failing_since] if self.writes_failing_since is not None else []
+        return now - min(failing_since) if failing_since else 0.0
 
     def probe_failing_disk(self, now: float) -> None:
-        """Try a write from time to time while the disk refuses them, so that its recovery is noticed."""
-        if self.refusing_since is not None and not self.writes_in_flight and now >= self.next_probe_at:
+        """Send a test write every DISK_PROBE_INTERVAL s while the disk refuses writes, to detect recovery."""
+        if self.writes_failing_since is not None and not self.writes_in_flight and now >= self.next_probe_at:
             self.next_probe_at = now + DISK_PROBE_INTERVAL
             self.write_facts({DISK_FACT: self.consensus.disk}, lambda: None)
 
@@ -111,31 +113,36 @@
     ) -> None:
         """Propose a change of a register's value to the quorum.
 
-        change(value) gives the next value, None for none, and an outcome; on_outcome gets that outcome, or
-        None where it stayed unclear for `timeout` s.
+        change(value) returns the next value, or None to leave it unchanged, and an outcome. on_outcome is
+        called with that outcome, or with None where it is still unknown after `timeout` s.
         """
         self.execute(self.consensus.propose(self.runtime.now(), register, change, on_outcome, timeout))
 
     async def agree(self, register: str, change: Callable) -> Any:
-        """The outcome of a proposal; None where there was none in time, also after a thaw of this machine."""
-        waiting, asked_at = self.runtime.loop.create_future(), self.runtime.now()
+        """Propose a change as `propose` does, and return its outcome.
+
+        Returns None where the outcome is unknown or arrives too late. The clock is checked again after the
+        wait, because an outcome that was available before a freeze of the process may be out of date.
+        """
+        outcome_future, proposed_at = self.runtime.loop.create_future(), self.runtime.now()
         self.propose(
             register,
             change,
-            lambda outcome: waiting.done() or waiting.set_result(outcome),
+            lambda outcome: outcome_future.done() or outcome_future.set_result(outcome),
             AGREEMENT_TIMEOUT,
         )
         try:
             async with asyncio.timeout(AGREEMENT_TIMEOUT + TICK_INTERVAL):
-                outcome = await waiting
+                outcome = await outcome_future
         except TimeoutError:
             return None
-        in_time = self.runtime.now() <= asked_at + AGREEMENT_TIMEOUT + TICK_INTERVAL
-        return outcome if in_time else None
+        is_in_time = self.runtime.now() <= proposed_at + AGREEMENT_TIMEOUT + TICK_INTERVAL
+        return outcome if is_in_time else None
 
     def handle_consensus_message(self, peer: str, message: dict) -> None:
-        """Take a message of the consensus, in its wire form; none of a peer whose content differs. Raises
-        PeerMessageError.
+        """Process a consensus message in its wire form. Messages of a peer whose content differs are dropped.
+
+        Raises PeerMessageError for a malformed message.
         """
         if self.content_agreement.differs_from(peer):
             return
@@ -154,15 +161,17 @@
             )
 
     def write_facts(self, facts: dict[str, Any], on_durable: Callable[[], None]) -> None:
-        """Write facts that consensus knows nothing of, None to remove one, and call on_durable once they are
-        safe on disk. Where the disk refuses them nothing is called, and nothing waits for them.
+        """Write facts that do not belong to consensus, and call on_durable once they are on disk.
+
+        A fact with the value None is removed. Where the write fails, on_durable is never called and the write
+        is not retried.
         """
         effects = no_effects()
         effects.answer(lambda outcome: outcome and on_durable(), True)
         self._write(effects, [], facts)
 
     def execute(self, effects: Effects) -> None:
-        """Write what these effects ask for, then send and answer."""
+        """Write the rows and facts of these effects, then send their messages and report their outcomes."""
         rows, facts = self.pending_writes.prepare_write(effects)
         if not rows and not facts:
             if effects.sends or effects.answers:
@@ -182,13 +191,13 @@
         self.writes_in_flight -= 1
         self.writing_since = self.runtime.now() if self.writes_in_flight else None
         if problem:
-            if self.refusing_since is None:
-                self.refusing_since = self.runtime.now()
+            if self.writes_failing_since is None:
+                self.writes_failing_since = self.runtime.now()
             self.runtime.log.error("write failed", step="write", problem=problem)
-            unclear = [(tag, None) for tag, _ in effects.answers]
-            self._send_and_answer(no_effects()._replace(answers=unclear))
+            unknown_outcomes = [(tag, None) for tag, _ in effects.answers]
+            self._send_and_answer(no_effects()._replace(answers=unknown_outcomes))
             return
-        self.refusing_since = None
+        self.writes_failing_since = None
         self.pending_writes.mark_durable(rows, facts)
         for register, _, accepted, _ in rows:
             self.consensus.mark_durable(register, accepted)
@@ -216,5 +225,5 @@
 
 
 def new_disk_name() -> str:
-    """A name for a disk, or for one that goes on as another."""
+    """A random name for a new disk, or for one that continues under a new identity."""
     return f"{int.from_bytes(os.urandom(4), 'big'):08x}"
--- a/bramblewood/controller/register_values.py
+++ b/bramblewood/controller/register_values.py
@@ -1,4 +1,7 @@
-"""What a register's value must be, whoever sends it. Consensus itself agrees on values of any kind. Pure."""
+"""Validates the values of registers in received messages. Consensus itself accepts values of any type.
+
+The functions are pure.
+"""
 
 from typing import Any
 
@@ -8,7 +11,10 @@
 
 
 def require_register_value(register: str, value: Any) -> None:
-    """None, or a map with its version; a set of voters in its register. Raises PeerMessageError else."""
+    """Check that a value is None, a voter set in the register VOTER_SET, or else a map with a version.
+
+    Raises PeerMessageError for any other value.
+    """
     if value is None:
         return
     if register == VOTER_SET:
@@ -18,7 +24,10 @@
 
 
 def require_values(wire: dict) -> None:
-    """The values that a message of consensus carries, in its wire form. Raises PeerMessageError."""
+    """Check the register values in a consensus message, which is given in its wire form.
+
+    Raises PeerMessageError for an invalid value.
+    """
     if "v" in wire:
         require_register_value(wire.get("r", ""), wire["v"])
     for register, state in Fields(wire).mapping("regs", {}).items():
--- a/bramblewood/controller/voter_changes.py
+++ b/bramblewood/controller/voter_changes.py
@@ -1,7 +1,7 @@
-"""Proposes the changes of the voter set that `consensus/membership.py` finds due, and says when this
-controller may shut down.
+"""Proposes the voter set changes that `consensus/membership.py` finds due, and decides about the shutdown.
 
-A seed proposes the founding set, the coordinator alone a later one. Log: `voter set change`.
+Any seed may propose the founding voter set. Only the coordinator proposes a later one. Each proposal is
+logged as `voter set change`.
 """
 
 from typing import Any
@@ -16,18 +16,24 @@
 from .runtime import Runtime
 from .sessions import Sessions
 
-FOUNDING_TIMEOUT = 3.0  # s of the first boot in which more controllers may show up; all start at once
-UNKNOWN_VOTERS_PATIENCE = 10.0  # s after a start until nobody in reach is taken to know a voter set
-UNKNOWN_VOTERS_LOG_INTERVAL = 30.0  # s
-WAY_OUT = (
-    "bring back a controller whose disk is sound; if there is none left, start the seeds on empty folders"
+FOUNDING_TIMEOUT = (
+    3.0  # s that a first boot waits for more controllers, which all start at about the same time
+)
+UNKNOWN_VOTERS_PATIENCE = 10.0  # s after a start until an unknown voter set is logged as an error
+UNKNOWN_VOTERS_LOG_INTERVAL = 30.0  # s between two such errors
+UNKNOWN_VOTERS_REMEDY = (
+    "start a controller whose disk is intact; if none is left, start the seeds on empty folders"
     " with FirstBoot = true and put the configuration again"
 )
-VOTE_KEPT_FRACTION = 2 / 3  # of GraceS that a vote is kept after SIGTERM, until others hold what it holds
+# share of GraceS for which a voter keeps its vote after SIGTERM, so that others can copy what it holds
+VOTE_RETENTION_FRACTION = 2 / 3
 
 
 class VoterChanges:
-    """Proposes the voter set that is due, one change at a time; after the founding as coordinator only."""
+    """Proposes the voter set change that is due, with at most one proposal in flight.
+
+    After the founding, it proposes only while this controller is the coordinator.
+    """
 
     def __init__(
         self,
@@ -41,15 +47,18 @@
         self.runtime, self.quorum_io, self.quorum_contact = runtime, quorum_io, quorum_contact
         self.sessions, self.controller_peers = sessions, controller_peers
         self.membership = Membership(settings.tolerance, settings.region_of_zone, settings.bounds.CatchUpS)
-        self.is_changing = False  # a proposal from here is under way
+        self.is_changing = False  # whether a proposal of this controller is in flight
         self.shutdown_began_at: float | None = None
         self.next_unknown_voters_log_at = 0.0
 
     def peer_statuses(self, now: float) -> dict[str, PeerStatus]:
-        """All known controllers, by address; one that was never heard counts as silent since our start."""
+        """The status of every known controller, including this one, by address.
+
+        A controller that has never sent a heartbeat counts as silent since the start of this process.
+        """
         consensus, settings = self.quorum_io.consensus, self.runtime.settings
         uptime = now - self.runtime.started_at
-        unheard = PeerStatus("", "", True, 0, False, False, uptime, 0.0, {})
+        never_heard = PeerStatus("", "", True, 0, False, False, uptime, 0.0, {})
         own = PeerStatus(
             consensus.disk,
             settings.zone,
@@ -62,11 +71,11 @@
             self.quorum_io.versions(),
             self.quorum_io.disk_failing_for(now),
         )
-        known = dict.fromkeys({*self.controller_peers.known, *consensus.voters}, unheard)
-        return {**known, **self.sessions.peer_statuses(now), self.runtime.own_address: own}
+        all_known = dict.fromkeys({*self.controller_peers.known, *consensus.voters}, never_heard)
+        return {**all_known, **self.sessions.peer_statuses(now), self.runtime.own_address: own}
 
     def propose_due_change(self, now: float) -> None:
-        """Propose the change of the voter set that is due, if any."""
+        """Propose the voter set change that is due, if any, unless a proposal is in flight."""
         consensus = self.quorum_io.consensus
         if consensus.epoch == 0 and not consensus.is_member:
             self._log_unknown_voters(now)
@@ -75,9 +84,9 @@
             return
         change = None
         if consensus.epoch == 0:
-            is_late = now >= self.runtime.started_at + FOUNDING_TIMEOUT
+            is_overdue = now >= self.runtime.started_at + FOUNDING_TIMEOUT
             seeds = self.runtime.settings.seed_hosts()
-            change = self.membership.founding_change(seeds, self.peer_statuses(now), is_late)
+            change = self.membership.founding_change(seeds, self.peer_statuses(now), is_overdue)
         elif self.quorum_contact.coordinator(now) == self.runtime.own_address:
             change = self.membership.due_change(
                 consensus.voter_set, self.peer_statuses(now), self.quorum_io.versions()
@@ -92,23 +101,28 @@
             reason=change.reason,
             voters=change.voters,
         )
-        following = next_voter_set(consensus.voter_set, change.voters)
-        self.quorum_io.propose(VOTER_SET, following, self.change_finished, PROPOSAL_TIMEOUT)
+        register_change = next_voter_set(consensus.voter_set, change.voters)
+        self.quorum_io.propose(VOTER_SET, register_change, self.change_finished, PROPOSAL_TIMEOUT)
 
     def _log_unknown_voters(self, now: float) -> None:
-        """Neither this disk nor any controller in reach knows who votes: say so, and what helps."""
+        """Log the remedy where neither this disk nor any reachable controller holds a voter set."""
         due_at = max(self.runtime.started_at + UNKNOWN_VOTERS_PATIENCE, self.next_unknown_voters_log_at)
         if now >= due_at:
             self.next_unknown_voters_log_at = now + UNKNOWN_VOTERS_LOG_INTERVAL
-            known = sorted(self.controller_peers.known)
-            self.runtime.log.error("voters unknown", step="epoch", peer=known, way_out=WAY_OUT)
+            peers = sorted(self.controller_peers.known)
+            self.runtime.log.error("voters unknown", step="epoch", peer=peers, way_out=UNKNOWN_VOTERS_REMEDY)
 
     def change_finished(self, outcome: Any) -> None:
-        """A proposed change was agreed, or not; None where that is unclear."""
+        """Allow the next proposal. The outcome is ignored: the next call of `propose_due_change` looks at the
+        voter set that was chosen.
+        """
         self.is_changing = False
 
     def may_shut_down(self, now: float) -> bool:
-        """Whether this controller, asked to shut down, may: its vote is needed no more, or its time is up."""
+        """Whether a shutdown is requested and may proceed: the vote is dispensable, or the grace has passed.
+
+        The first call after the request logs the shutdown and sends heartbeats that announce it.
+        """
         if not self.runtime.shutdown_requested.is_set():
             return False
         consensus = self.quorum_io.consensus
@@ -116,8 +130,8 @@
             self.shutdown_began_at = now
             self.runtime.log.info("shutting down", step="end", voting=consensus.is_active_voter)
             self.controller_peers.send_heartbeats(now)
-        grace = self.runtime.settings.bounds.GraceS * VOTE_KEPT_FRACTION
-        if now >= self.shutdown_began_at + grace or consensus.active_epoch < 0:
+        vote_retention = self.runtime.settings.bounds.GraceS * VOTE_RETENTION_FRACTION
+        if now >= self.shutdown_began_at + vote_retention or consensus.active_epoch < 0:
             return True
         peers = self.peer_statuses(now)
         return may_shut_down(
