--- a/bramblewood/controller/deregistration.py
+++ b/bramblewood/controller/deregistration.py
@@ -1,36 +1,42 @@
 """Deregistrations: a worker's `draining` or last call is confirmed once a majority of the voters holds it.
 
-A state machine without I/O. Each call is a request of its own, also a repeated one: the registration goes to
-all controllers, each answers that its registry and its disk have it, or a newer one (`departures.py`). Who
-answers holds it from then on, over a restart too, and
-tells all proxies connected to it, so a proxy hears of a deregistration by as many ways as there are holders.
-Controllers that don't vote hold registrations too, and are not counted, nor are voters of another epoch: one
-that has left the epoch may have told its successors before it heard of the deregistration, while one that has
-not tells them the registration before it tells what its epoch has chosen. A request is void once
-CONFIRMATION_TIMEOUT has passed by the clock of who asks: what waited in a socket through a freeze confirms
-nothing.
+This is a state machine without I/O. Each call starts a request of its own, even where a worker repeats a
+call. The registration is sent to all controllers, and each of them acknowledges it once its registry and its
+disk hold this registration or a newer one (`departures.py`). A controller that has acknowledged a
+registration holds it from then on, also after a restart, and sends it to all proxies connected to it. A proxy
+therefore receives a deregistration from every holder that it is connected to.
+
+Only voters of the present epoch count. Controllers without a vote also hold registrations but do not count.
+A voter that has left the epoch may have sent its state to its successors before it received the
+deregistration. A voter that is still in the epoch sends its successors the registration before it sends them
+the values that its epoch has chosen.
+
+A request expires CONFIRMATION_TIMEOUT s after its start, on the clock of the controller that started it.
+Acknowledgements that waited in a socket during a freeze therefore confirm nothing.
 """
 
 import itertools
 from collections.abc import Collection
 
-# s that a deregistration waits for its majority: the caller goes elsewhere after a second, PROTOCOL
+# s that a deregistration waits for a majority; callers retry elsewhere after 1 s without a response, PROTOCOL
 CONFIRMATION_TIMEOUT = 0.6
 
 
 class PendingDeregistration:
-    """One request under way."""
+    """The state of one request in flight."""
 
-    __slots__ = ("asked_at", "holders", "is_held_here")
+    __slots__ = ("started_at", "holders", "is_stored_locally")
 
-    def __init__(self, asked_at: float) -> None:
-        self.asked_at = asked_at  # s, own clock
-        self.holders: dict[str, int] = {}  # by controller: the epoch in which it was an active voter
-        self.is_held_here = False  # on this controller's own disk
+    def __init__(self, started_at: float) -> None:
+        self.started_at = started_at  # s, own clock
+        self.holders: dict[
+            str, int
+        ] = {}  # epoch in which each controller that acknowledged is an active voter
+        self.is_stored_locally = False  # whether this controller's own disk has the registration
 
 
 class Deregistrations:
-    """The requests under way at one controller."""
+    """The requests in flight at one controller."""
 
     def __init__(self, own_address: str) -> None:
         self.own_address = own_address
@@ -38,18 +44,21 @@
         self.pending: dict[int, PendingDeregistration] = {}  # by request id
 
     def begin(self, now: float) -> int:
-        """Begin a request; the id by which controllers answer."""
+        """Start a request, and return the id that the other controllers repeat in their acknowledgements."""
         request_id = next(self.request_ids)
         self.pending[request_id] = PendingDeregistration(now)
         return request_id
 
     def record_held_here(self, request_id: int) -> None:
-        """This controller has the registration on its own disk."""
+        """Record that this controller has the registration on its own disk."""
         if request_id in self.pending:
-            self.pending[request_id].is_held_here = True
+            self.pending[request_id].is_stored_locally = True
 
     def record_acknowledgement(self, request_id: int, peer: str, epoch: int) -> None:
-        """A controller holds the registration; epoch: in which it was an active voter then, -1 for none."""
+        """Record that a controller holds the registration. A request that has ended is ignored.
+
+        epoch: the epoch in which the controller was an active voter at that time, -1 for none.
+        """
         if request_id in self.pending:
             self.pending[request_id].holders[peer] = epoch
 
@@ -61,17 +70,17 @@
         epoch: int,
         has_quorum_contact: bool,
     ) -> bool:
-        """Whether a majority of the voters of this epoch holds the registration.
+        """Whether a majority of the voters of this epoch holds the registration, and it is not too late.
 
-        has_quorum_contact also says that these still are the voters.
+        has_quorum_contact: whether a majority has confirmed recently that these are still the voters.
         """
-        pending = self.pending[request_id]
-        active = {peer for peer, held_in in pending.holders.items() if held_in == epoch}
-        own = {self.own_address} if pending.is_held_here else set()
-        holders = (own | active).intersection(voters)
-        is_majority = bool(voters) and 2 * len(holders) > len(voters)
-        return is_majority and has_quorum_contact and now < pending.asked_at + CONFIRMATION_TIMEOUT
+        request = self.pending[request_id]
+        peers = {peer for peer, voter_epoch in request.holders.items() if voter_epoch == epoch}
+        own = {self.own_address} if request.is_stored_locally else set()
+        voting_holders = (own | peers).intersection(voters)
+        is_majority = bool(voters) and 2 * len(voting_holders) > len(voters)
+        return is_majority and has_quorum_contact and now < request.started_at + CONFIRMATION_TIMEOUT
 
     def end(self, request_id: int) -> None:
-        """The request was answered, one way or the other."""
+        """Forget a request, confirmed or not."""
         del self.pending[request_id]
--- a/bramblewood/controller/peer_handlers.py
+++ b/bramblewood/controller/peer_handlers.py
@@ -1,4 +1,4 @@
-"""Messages from other controllers and from proxies: one small handler for each kind."""
+"""Handles messages from other controllers and from proxies, with one handler for each kind of message."""
 
 import math
 from typing import Any
@@ -44,7 +44,10 @@
 
 
 class PeerHandlers:
-    """Takes what connections bring, decodes it, and hands it to the part that it concerns."""
+    """Decodes received messages and passes them to the parts of the controller that process them.
+
+    Each handler raises PeerMessageError for a malformed message.
+    """
 
     def __init__(
         self,
@@ -82,13 +85,17 @@
         }
 
     def greeting(self, peer: str) -> dict[str, Any]:
-        """The first message on each connection that we dial."""
+        """The first message on each connection that this controller dials, in its wire form."""
         ages = self.registry.seconds_since_heard(self.runtime.now(), math.inf)
         rows = self.registry_exchange.all_rows()
         return Hello(ROLE_CONTROLLER, self.runtime.own_address, rows, ages).to_wire()
 
     def handle_greeting(self, connection: PeerConnection, message: dict) -> None:
-        """A controller or a proxy has dialled us and says who it is."""
+        """Process the first message on a connection that a controller or a proxy dialled.
+
+        Registers the sender, merges the registrations that it holds, and sends a proxy the registrations of
+        departing workers and a heartbeat.
+        """
         hello = Hello.from_wire(message)
         connection.peer, connection.role = hello.sender, hello.role
         if hello.role == ROLE_CONTROLLER:
@@ -97,39 +104,42 @@
             return
         self.proxy_sessions.add(connection)
         self.load_reports.drain_progress.forget_report(hello.sender)
-        # what all controllers forgot in a restart, proxies have kept
+        # proxies keep registrations that all controllers lose in a simultaneous restart
         self.registry_exchange.record_all(hello.registrations)
         connection.send(RegistryUpdate(self.registry.departing_registrations()).to_wire())
         self.proxy_heartbeats.send(self.runtime.now())
 
     def handle_disconnect(self, connection: PeerConnection) -> None:
-        """A connection that was dialled to us has ended."""
+        """Remove a connection that was dialled to this controller and has ended."""
         self.proxy_sessions.remove(connection)
 
     def log_malformed(self, error: PeerMessageError) -> None:
-        """A message could not be decoded; its connection is closed, and dialled again."""
+        """Log a message that could not be decoded. The caller closes its connection."""
         self.runtime.log.error("message malformed", **error.log_fields())
 
     def handle_message(self, connection: PeerConnection, message: dict) -> None:
-        """Any message but the first on a connection. Unknown kinds are ignored: newer peers may send them."""
+        """Process any message except the first on a connection.
+
+        Unknown kinds are ignored, because peers with a newer release may send them.
+        """
         handler = self.handlers.get(message["k"])
         if handler is not None:
             handler(connection, message)
 
     def handle_consensus_message(self, connection: PeerConnection, message: dict) -> None:
-        """A message of the consensus."""
+        """Pass a consensus message to the consensus replica."""
         self.quorum_io.handle_consensus_message(connection.peer, message)
 
     def handle_heartbeat(self, connection: PeerConnection, message: dict) -> None:
-        """A controller is there, and says what it has accepted and knows to be chosen."""
+        """Process the heartbeat of another controller, and act on everything that depends on it."""
         now, peer, heartbeat = self.runtime.now(), connection.peer, ControllerHeartbeat.from_wire(message)
         if heartbeat.members is not None:
             voter_set_from(heartbeat.members)
         self.sessions.record_heartbeat(now, peer, heartbeat)
-        if heartbeat.echo < 0:  # it has heard nothing of ours yet: at a start nobody waits for the next turn
+        if heartbeat.echo < 0:  # the peer has no heartbeat to echo: speeds up the first contact at a start
             self.controller_peers.send_heartbeats(now, peer)
         is_first_on_connection = heartbeat.zone is not None
-        if heartbeat.digests is not None or is_first_on_connection:  # before anything of it is believed
+        if heartbeat.digests is not None or is_first_on_connection:  # recorded before the rest is used
             self.content_watch.record(peer, heartbeat.digests or {})
         self.registry.record_last_heard(now, heartbeat.worker_ages or {})
         self._learn_from_heartbeat(now, peer, heartbeat)
@@ -141,6 +151,7 @@
             self.controller_peers.add(controller)
 
     def _learn_from_heartbeat(self, now: float, peer: str, heartbeat: ControllerHeartbeat) -> None:
+        """Pass the consensus state in a heartbeat to the replica, unless the sender's content differs."""
         consensus, effects = self.quorum_io.consensus, no_effects()
         if self.content_watch.agreement.differs_from(peer):
             return
@@ -148,7 +159,7 @@
             consensus.adopt_voter_set(now, heartbeat.members, effects)
         for register, proposal_number in heartbeat.durable.items():
             if register not in ALL_REGISTERS:
-                continue  # of a program that knows more registers
+                continue  # a newer release may have more registers
             if proposal_number != NO_PROPOSAL and heartbeat.is_voting:
                 consensus.record_acceptance(now, peer, heartbeat.disk, register, proposal_number, effects)
         self.quorum_io.execute(effects)
@@ -158,33 +169,39 @@
             self.quorum_io.execute(rolled_back)
 
     def handle_registry_update(self, connection: PeerConnection, message: dict) -> None:
-        """A controller or a proxy passes on registrations."""
+        """Merge the registrations that a controller or a proxy forwards.
+
+        Where the update has a request id, the registrations are stored on disk and then acknowledged.
+        Otherwise the sender only gets the newer registrations that are held here, if any.
+        """
         update, peer = RegistryUpdate.from_wire(message), connection.peer
-        newer = self.registry_exchange.record_all(update.registrations, peer)
+        newer_rows = self.registry_exchange.record_all(update.registrations, peer)
         if update.request_id is not None:
             request_id = update.request_id
             self.departures.keep(
-                update.registrations, lambda: self._acknowledge_registrations(peer, request_id, newer)
+                update.registrations, lambda: self._acknowledge_registrations(peer, request_id, newer_rows)
             )
-        elif newer:
-            self.runtime.peer_connections.send(peer, RegistryUpdate(newer).to_wire())
+        elif newer_rows:
+            self.runtime.peer_connections.send(peer, RegistryUpdate(newer_rows).to_wire())
 
-    def _acknowledge_registrations(self, peer: str, request_id: int, newer: Registrations) -> None:
-        """They are safe on this disk."""
+    def _acknowledge_registrations(self, peer: str, request_id: int, newer_rows: Registrations) -> None:
+        """Confirm to a peer that this controller has the registrations of this request on disk."""
         consensus = self.quorum_io.consensus
         epoch = consensus.epoch if consensus.is_active_voter else -1
-        answer = RegistryAcknowledgement(request_id, newer, epoch)
-        self.runtime.peer_connections.send(peer, answer.to_wire())
+        acknowledgement = RegistryAcknowledgement(request_id, newer_rows, epoch)
+        self.runtime.peer_connections.send(peer, acknowledgement.to_wire())
 
     def handle_registry_acknowledgement(self, connection: PeerConnection, message: dict) -> None:
-        """A controller holds a registration that we asked it to hold."""
-        answer, peer = RegistryAcknowledgement.from_wire(message), connection.peer
-        self.registry_exchange.record_all(answer.newer, peer)
-        self.worker_api.deregistrations.record_acknowledgement(answer.request_id, peer, answer.epoch)
+        """Count a controller that holds the registration of a pending deregistration."""
+        acknowledgement, peer = RegistryAcknowledgement.from_wire(message), connection.peer
+        self.registry_exchange.record_all(acknowledgement.newer, peer)
+        self.worker_api.deregistrations.record_acknowledgement(
+            acknowledgement.request_id, peer, acknowledgement.epoch
+        )
         self.worker_api.check_confirmations()
 
     def handle_subscription(self, connection: PeerConnection, message: dict) -> None:
-        """A proxy wants all updates pushed from here, or no longer."""
+        """Start or stop pushing all updates to a proxy. A new subscriber gets the registry and all values."""
         subscription = subscription_from_wire(message)
         if not isinstance(subscription, Subscribe):
             self.proxy_sessions.unsubscribe(connection)
@@ -196,27 +213,30 @@
             self.proxy_feed.push(connection, register)
 
     def handle_update_request(self, connection: PeerConnection, message: dict) -> None:
-        """A proxy asks for what it lacks of a register."""
+        """Send a proxy what it lacks of a register, given the version that it has."""
         request = UpdateRequest.from_wire(message)
         connection.sent_versions[request.register] = request.version
         self.proxy_feed.push(connection, request.register)
 
     def handle_load_report(self, connection: PeerConnection, message: dict) -> None:
-        """A proxy reports its load."""
+        """Record the load report of a proxy."""
         self.load_reports.record(self.runtime.now(), connection.peer, LoadReport.from_wire(message))
 
     def handle_confirmation_request(self, connection: PeerConnection, message: dict) -> None:
-        """A proxy asks which versions are the newest; only a controller that is current answers."""
+        """Send a proxy the newest chosen versions, if this controller is current; otherwise send nothing."""
         if self.quorum_contact.is_current(self.runtime.now()):
             request = ConfirmationRequest.from_wire(message)
             connection.send(Confirmation(request.asked_at, self.quorum_io.versions()).to_wire())
 
     def handle_remove_readers(self, connection: PeerConnection, message: dict) -> None:
-        """A proxy asks that workers which don't answer are read replicas of a key no longer."""
+        """Propose to remove unresponsive workers from the read replicas of a key, as a proxy requests.
+
+        The proxy gets a response once the change is chosen, and none where it fails.
+        """
         request = RemoveReaders.from_wire(message)
         service, key, instance_ids = request.service, request.key, set(request.instance_ids)
 
-        def answer(outcome: Any) -> None:
+        def send_result(outcome: Any) -> None:
             if outcome:
                 version = self.quorum_io.consensus.version(TABLE)
                 connection.send(ReadersRemoved(request.request_id, version).to_wire())
@@ -225,5 +245,8 @@
             "readers removed", step="read replicas", peer=sorted(instance_ids), keys=(key, key)
         )
         self.quorum_io.propose(
-            TABLE, lambda table: without_readers(table, service, key, instance_ids), answer, PROPOSAL_TIMEOUT
+            TABLE,
+            lambda table: without_readers(table, service, key, instance_ids),
+            send_result,
+            PROPOSAL_TIMEOUT,
         )
--- a/bramblewood/controller/registry_exchange.py
+++ b/bramblewood/controller/registry_exchange.py
@@ -1,4 +1,4 @@
-"""Propagates worker registrations: from workers, controllers and proxies into the registry, and on."""
+"""Merges registrations from workers, controllers and proxies into the registry, and forwards the changes."""
 
 from collections.abc import Callable
 
@@ -10,23 +10,28 @@
 
 
 class RegistryExchange:
-    """Records registrations and passes on what was new here. Rows are registrations in their wire form."""
+    """Records registrations and forwards those that changed the registry.
+
+    Rows are registrations in their wire form, by instance id.
+    """
 
     def __init__(self, runtime: Runtime, registry: WorkerRegistry, proxy_sessions: ProxySessions) -> None:
         self.runtime, self.registry, self.proxy_sessions = runtime, registry, proxy_sessions
+        # called with the time (s) after a worker has reported that it drains or has gone
         self.on_departure: Callable[[float], None] = lambda now: None
 
     def record(
         self, instance_id: str, registration: WorkerRegistration, request_id: int | None = None
     ) -> None:
-        """Record a registration; where it is new, send it to all proxies and controllers.
+        """Record a registration from a worker, and forward it to proxies and controllers where it changed.
 
-        request_id: asks all controllers to acknowledge it by this id, new or not.
+        request_id: requests an acknowledgement with this id from all controllers. The registration is then
+        sent to them even where it did not change.
         """
         has_changed = self.registry.record(self.runtime.now(), instance_id, registration)
         rows = {instance_id: [*self.registry.registrations[instance_id]]}
         if has_changed or request_id is not None:
-            self.share(rows, request_id)
+            self.send_to_controllers(rows, request_id)
         if not has_changed:
             return
         self.proxy_sessions.send_registrations(rows)
@@ -39,29 +44,37 @@
     def record_all(
         self, rows: dict[str, list], sender: str = "", ages: dict[str, float] | None = None
     ) -> dict[str, list]:
-        """Record what another controller or a proxy sent; ages: s since it heard of each worker.
+        """Merge rows from another controller or a proxy, and return the newer rows that are held here.
+
+        The result contains only rows of departing workers. Changed rows are forwarded to proxies. Changed
+        rows of departing workers are also forwarded to the other controllers, because the sender may not
+        reach all of them.
 
-        Returns registrations of workers that leave where this controller knows more than the sender. A
-        departure is sent on to the other controllers, as its sender may not reach all of them.
+        ages: s since the sender's last contact with each worker.
         """
-        news, newer = self.registry.record_all(self.runtime.now(), rows, ages)
-        if news:
-            self.proxy_sessions.send_registrations(news)
-        if leaving := leaving_rows(news):
-            self.share(leaving, excluding=sender)
-        return newer
+        changed_rows, newer_rows = self.registry.record_all(self.runtime.now(), rows, ages)
+        if changed_rows:
+            self.proxy_sessions.send_registrations(changed_rows)
+        if leaving := leaving_rows(changed_rows):
+            self.send_to_controllers(leaving, excluding=sender)
+        return newer_rows
 
-    def share(self, rows: dict[str, list], request_id: int | None = None, excluding: str = "") -> None:
-        """Send registrations to the other controllers."""
+    def send_to_controllers(
+        self, rows: dict[str, list], request_id: int | None = None, excluding: str = ""
+    ) -> None:
+        """Send rows to all connected controllers except `excluding`."""
         message = RegistryUpdate(rows, request_id).to_wire()
         for peer in list(self.runtime.peer_connections.connected):
             if peer != excluding:
                 self.runtime.peer_connections.send(peer, message)
 
     def all_rows(self) -> dict[str, list]:
-        """The whole registry in its wire form."""
+        """The rows of all workers in the registry."""
         return {instance_id: [*row] for instance_id, row in self.registry.registrations.items()}
 
     def timed_out_workers(self, now: float) -> set[str]:
-        """Workers that no controller has heard for too long though they did not deregister."""
+        """The instance ids of workers without a heartbeat for MISSED_HEARTBEATS intervals at any controller.
+
+        Workers that are gone are left out.
+        """
         return self.registry.timed_out(now, MISSED_HEARTBEATS * self.runtime.settings.heartbeat_interval)
