--- a/features/quorum_contact.feature
+++ b/features/quorum_contact.feature
@@ -1,16 +1,12 @@
-Feature: Quorum contact before anything is acknowledged, rejected or granted
+Feature: A controller responds, rejects and grants only with quorum contact
 
-  Whole controllers, with and without a spare, and proxies on a simulated clock. The rules that are checked
-  throughout: nobody answers a call but with 503 who has had no quorum contact, there and back, for the time that
-  contact holds and a call's; a read is not older than what was acknowledged before it; a deregistration that was
-  acknowledged is held by a majority, known to every current controller once contact has run out and to every
-  connected proxy within DrainS; who is current or newly ready misses nothing; no grant leaves on old contact, no
-  two workers hold a key; no proxy goes back.
+  Whole controllers, with and without a spare, and proxies run on a simulated clock. Every run checks the rules that
+  tests/simulation/fleet/rules.py lists at each step and at each response, and it fails at the first violation.
 
-  Scenario Outline: Isolated for twenty seconds, with configurations, reads and deregistrations meanwhile
-    Then 1 runs with <isolated> of <count> isolated, <direction>, keep the rules
+  Scenario Outline: The rules hold while a minority of controllers is isolated for twenty seconds
+    Then the rules hold with <isolated> of <count> controllers isolated (<isolation>) for all seeds below 1
     Examples:
-      | isolated | count | direction |
+      | isolated | count | isolation |
       | a        | 3     | both      |
       | a        | 3     | in        |
       | a        | 3     | out       |
@@ -20,54 +16,54 @@
       | ab       | 5     | out       |
       | ab       | 5     | frozen    |
 
-  Scenario: Fault upon fault
-    Then 1 runs of 10 s of random faults among five controllers and 1 among three keep the rules
+  Scenario: The rules hold under random faults
+    Then the rules hold under 10 s of random faults for all seeds below 1 with five controllers and below 1 with three
 
-  Scenario Outline: Directed runs, and each guard taken out
-    Then 1 runs of "<run>" keep the rules
-    And without <guard> a run of "<run>" breaks a rule within <seeds> seeds
+  Scenario Outline: The rules hold in a directed run, and a rule is broken without the guard
+    Then the rules hold in "<run>" for all seeds below 1
+    And without <guard> a rule is broken in "<run>" for a seed below <seeds>
     Examples:
-      | run                                   | guard                                               | seeds |
-      | minority partition                    | the majority that holds a deregistration            | 4     |
-      | minority partition                    | quorum contact before a worker's call is answered   | 4     |
-      | minority partition                    | quorum contact of a current controller              | 1     |
-      | deregistration across a broken pair   | forwarding of deregistrations between controllers   | 4     |
-      | deregistration of an unknown worker   | the registration of a worker that nobody knew       | 1     |
-      | restart of all after a deregistration | proxies that hand them over again, and the disks    | 1     |
-      | all dark after a deregistration       | deregistrations on the controllers' disks           | 1     |
-      | freeze amid reads                     | the look at the clock after a proposal              | 4     |
-      | freeze before grants                  | the look at quorum contact as a call leaves         | 1     |
-      | freeze before releases                | the look at quorum contact as a call leaves         | 1     |
-      | death unheard amid a restart of all   | the look for workers that no controller knows       | 1     |
-      | unlearned acceptance                  | the look at what the controller itself has accepted | 4     |
-      | missed configuration                  | quorum contact on the configuration                 | 1     |
-      | proxy behind slow connections         | the question before a proxy is ready                | 1     |
+      | run                                               | guard                                             | seeds |
+      | minority partition                                | the majority check for deregistrations            | 4     |
+      | minority partition                                | the quorum contact check for worker calls         | 4     |
+      | minority partition                                | the quorum contact check for current controllers  | 1     |
+      | deregistration with a broken link                 | forwarding of deregistrations between controllers | 4     |
+      | deregistration of an unknown worker               | deregistration of unknown workers                 | 1     |
+      | restart of all controllers after a deregistration | deregistrations on disk and from proxies          | 1     |
+      | power loss after a deregistration                 | deregistrations on disk                           | 1     |
+      | freeze during reads                               | the clock check after a proposal                  | 4     |
+      | freeze before grants                              | the quorum contact check before a lease call      | 1     |
+      | freeze before releases                            | the quorum contact check before a lease call      | 1     |
+      | worker crash during a restart of all controllers  | the check for workers unknown to all controllers  | 1     |
+      | chosen proposal not learned                       | the check of the controller's own acceptances     | 4     |
+      | missed configuration                              | quorum contact for the configuration              | 1     |
+      | proxy behind slow connections                     | the confirmation before a proxy is ready          | 1     |
 
-  Scenario: An answer that took long makes no proxy ready
-    Given a proxy that has all, from a controller that is current
-    When that answers what was asked 1.8 s ago
+  Scenario: Only a recent confirmation without newer versions makes a proxy ready
+    Given a proxy that has received everything from a current controller
+    When the controller confirms a request sent 1.8 s ago
     Then the proxy is not ready
-    When that answers what was asked 0.2 s ago, with a newer table
+    When the controller confirms a request sent 0.2 s ago, with a newer table
     Then the proxy is not ready
-    When that answers what was asked 0.2 s ago
+    When the controller confirms a request sent 0.2 s ago
     Then the proxy is ready
 
-  Scenario: What a coordinator began changes nothing once its quorum contact is over
+  Scenario: A proposed move changes nothing if the quorum contact expires before the change is applied
     Given three controllers with a table
-    When one proposes a move, and its quorum contact ends
-    Then the table stands as it was
-    When one proposes a move
-    Then the table has changed
+    When a controller proposes a move, and its quorum contact expires
+    Then the table is unchanged
+    When a controller proposes a move
+    Then the table is changed
 
-  Scenario: A worker's last call stands against an older one, whatever was known of it
-    Given a registry that has heard only the last call of w1
-    When it hears an older call of w1 with its address
-    Then w1 is gone there, with its address
-    And its keys are not taken to be free
+  Scenario: A worker's last call takes precedence over an older call that arrives later
+    Given a registry that has received only the last call of w1
+    When it receives an older call of w1 with its address
+    Then w1 is registered as gone, with its address
+    And its keys do not become free
 
-  Scenario: An acknowledgement from another epoch holds no deregistration
-    Given a deregistration that is asked about among three voters of epoch 4
-    When b answers as a voter of epoch 3, and c as none
+  Scenario: Acknowledgements from other epochs do not confirm a deregistration
+    Given a deregistration in flight among three voters of epoch 4
+    When b acknowledges it as a voter of epoch 3, and c as a non-voter
     Then it is not confirmed in epoch 4
-    When c answers as a voter of epoch 4
+    When c acknowledges it as a voter of epoch 4
     Then it is confirmed in epoch 4
--- a/tests/simulation/fleet/fleet.py
+++ b/tests/simulation/fleet/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet: machines, network, workers and callers on one clock, from a seed."""
+"""The fleet: machines, network, workers and callers on one simulated clock, from a seed."""
 
 import random
 
@@ -13,25 +13,28 @@
 
 from .machine import Machine
 from .rules import Rules
-from .timing import CONNECTION_PATIENCE, CONNECTION_TIMEOUT, STEP, TRANSIT_TIMES
+from .timing import CONNECTION_TIMEOUT, STEP, TCP_USER_TIMEOUT, TRANSIT_TIMES
 from .worker import SimulatedWorker
 
 OPERATOR = "operator"
 
 
 class Fleet:
-    """count, spares: how many controllers vote, and how many more there are."""
+    """A simulated cluster. A run is determined by the seed and the calls of its methods.
+
+    count: the number of voting controllers, named a to e. spares: the number of controllers without a vote at
+    the start, named x to z. proxies: the number of proxies, named d0, d1 and so on.
+    """
 
     def __init__(self, seed, count=5, proxies=2, spares=0):
         self.rng, self.now = random.Random(seed), 100.0
-        self.connection_patience, self.transit_times = CONNECTION_PATIENCE, TRANSIT_TIMES
+        self.tcp_user_timeout, self.transit_times = TCP_USER_TIMEOUT, TRANSIT_TIMES
         self.voters = tuple("abcde"[:count])
-        self.controllers = self.voters + tuple("xyz"[:spares])  # callers don't tell them apart
-        self.connections, self.cuts, self.scheduled, self.errors = [], {}, [], []
-        self.workers, self.read_delays = (
-            {},
-            {},
-        )  # read_delays: by machine, s for each message that comes there
+        self.controllers = self.voters + tuple("xyz"[:spares])  # callers use voters and spares alike
+        # blocked_until: by (sender, receiver), the end of a partition
+        self.connections, self.blocked_until, self.scheduled, self.errors = [], {}, [], []
+        # read_delays: by machine, s between two messages that it reads from one connection
+        self.workers, self.read_delays = ({}, {})
         self.configurations_put = 0
         self.rules = Rules(self)
         self.machines = {name: Machine(self, name, Controller) for name in self.controllers}
@@ -44,31 +47,36 @@
     def add_worker(self, name):
         self.workers[name] = SimulatedWorker(self, name)
 
-    def at(self, when, call, *arguments):
-        self.scheduled.append((when, call, arguments))
+    def schedule(self, at, callback, *arguments):
+        self.scheduled.append((at, callback, arguments))
 
     # --- faults
 
-    def is_cut(self, sender, receiver):
-        return self.now < self.cuts.get((sender, receiver), 0.0)
+    def is_blocked(self, sender, receiver):
+        """Whether a partition holds back messages from this sender to this receiver."""
+        return self.now < self.blocked_until.get((sender, receiver), 0.0)
 
     def partition(self, names, until, direction="both"):
-        """Cut these from all others; direction: "in", they hear nothing; "out", they are not heard."""
+        """Separate these machines from all others.
+
+        direction: "in" blocks messages to them, "out" blocks messages from them, "both" blocks both.
+        """
         for name in names:
             for other in (*self.machines, *self.workers):
                 if other not in names:
                     if direction != "out":
-                        self.cuts[other, name] = until
+                        self.blocked_until[other, name] = until
                     if direction != "in":
-                        self.cuts[name, other] = until
+                        self.blocked_until[name, other] = until
 
     def freeze(self, name, seconds):
+        """Pause the program on this machine, and thaw it after so many seconds unless it has restarted."""
         machine = self.machines[name]
         machine.is_frozen, machine.loop.should_stop = True, None
-        self.at(self.now + seconds, self.thaw, machine, machine.starts)
+        self.schedule(self.now + seconds, self.thaw, machine, machine.start_count)
 
     def freeze_when(self, name, condition, seconds):
-        """Freeze a machine amid a turn, once this is so."""
+        """Freeze a machine between two callbacks, as soon as condition(program) is true."""
         machine = self.machines[name]
 
         def should_stop():
@@ -78,53 +86,64 @@
 
         machine.loop.should_stop = should_stop
 
-    def thaw(self, machine, starts):
-        if machine.server is not None and machine.starts == starts:
+    def thaw(self, machine, start_count):
+        if machine.server is not None and machine.start_count == start_count:
             machine.is_frozen, machine.thawed_at = False, self.now
 
     def restart(self, name, after=0.3):
+        """Kill the program on this machine, and start it again after so many seconds."""
         machine = self.machines[name]
         if machine.server is not None:
             machine.kill()
-            self.at(self.now + after, machine.start, False)
+            self.schedule(self.now + after, machine.start, False)
 
     def reachable_controllers(self, machine):
-        """The controllers that this machine has a way to and from, itself among them where it is one."""
+        """The running controllers with no partition between them and this machine, including itself."""
         if machine.server is None or machine.is_frozen:
             return set()
-        found = {machine.name} & set(self.controllers)
+        reachable = {machine.name} & set(self.controllers)
         for name in self.controllers:
             other = self.machines[name]
             is_up = other.server is not None and not other.is_frozen
-            if is_up and not self.is_cut(machine.name, name) and not self.is_cut(name, machine.name):
-                found.add(name)
-        return found
+            if is_up and not self.is_blocked(machine.name, name) and not self.is_blocked(name, machine.name):
+                reachable.add(name)
+        return reachable
 
     # --- callers
 
     def call(self, name, command, pending=None, caller=""):
-        """A call to a controller; `pending` gets the status, if the answer comes back."""
+        """Send a command to a controller. `pending.status` is set if the response reaches the caller."""
         machine = self.machines[name]
 
         async def serve(server):
-            began_at = self.now  # a call that waited for a thaw begins then
-            known = max((n for n, one in self.rules.acknowledged.items() if one.at <= began_at), default=0)
+            began_at = self.now  # after the thaw where the machine was frozen
+            newest_before = max(
+                (
+                    n
+                    for n, acknowledgement in self.rules.acknowledged.items()
+                    if acknowledgement.at <= began_at
+                ),
+                default=0,
+            )
             response = await server.http_listener.execute(command)
             record_event("answer", self.now, name, response.status, response.text)
-            self.rules.check_answer(machine, command, response, began_at, known)
-            if not self.is_cut(machine.name, caller):
+            self.rules.check_response(machine, command, response, began_at, newest_before)
+            if not self.is_blocked(machine.name, caller):
                 if pending is not None:
                     pending.status = response.status
                 self.rules.record_outcome(command, response)
 
         def arrive():
-            if machine.server is not None and not self.is_cut(caller, name):
+            if machine.server is not None and not self.is_blocked(caller, name):
                 machine.loop.start(serve(machine.server))
 
-        self.at(self.now + self.rng.uniform(*TRANSIT_TIMES), arrive)
+        self.schedule(self.now + self.rng.uniform(*TRANSIT_TIMES), arrive)
 
     def put_configuration(self, name, newest=False):
-        """A configuration on the one that the operator believes to stand, or on an older one."""
+        """Put a configuration whose parent is the newest acknowledged one.
+
+        Unless `newest` is set, the parent is now and then an older acknowledged configuration or none.
+        """
         acknowledged = self.rules.acknowledged
         parent = max(acknowledged, default=0)
         if not newest and self.rng.random() < 0.2:
@@ -132,15 +151,15 @@
         self.configurations_put += 1
         number = max(parent, max(acknowledged, default=0)) + self.configurations_put % 3 + 1
         routes = [["r", "h.example", f"/p{self.configurations_put}/", "pure", 2, 0.5, 1, 2, "s"]]
-        made = configuration(f"r{number}", routes, [["s", True]])
-        made["ParentVersion"] = f"r{parent}" if parent else 0
-        self.call(name, PutConfiguration(build_configuration(made).ok_value), caller=OPERATOR)
+        raw_configuration = configuration(f"r{number}", routes, [["s", True]])
+        raw_configuration["ParentVersion"] = f"r{parent}" if parent else 0
+        self.call(name, PutConfiguration(build_configuration(raw_configuration).ok_value), caller=OPERATOR)
 
     def get_configuration(self, name):
         self.call(name, GetConfiguration(), caller=OPERATOR)
 
     def move_slice(self, name):
-        """Somebody has a slice pass to another worker, by agreement."""
+        """Propose at this controller to move a random slice to a random worker."""
         machine, new_owner = self.machines[name], self.rng.choice(sorted(self.workers))
         fraction = self.rng.random()
 
@@ -165,42 +184,48 @@
     # --- the run
 
     def step(self):
+        """Advance the clock by STEP, do everything that is due, and check the rules.
+
+        Raises RuleViolation, or the first error in a program.
+        """
         self.now += STEP
         due = [item for item in self.scheduled if item[0] <= self.now]
         self.scheduled = [item for item in self.scheduled if item[0] > self.now]
-        for _, call, arguments in due:
-            call(*arguments)
+        for _, callback, arguments in due:
+            callback(*arguments)
         for connection in self.connections:
             if connection.is_up:
                 connection.deliver_due(self.now)
-                self.give_up_if_silent(connection)
+                self.disconnect_if_silent(connection)
         self.connections = [connection for connection in self.connections if connection.is_up]
         for machine in self.machines.values():
             if machine.server is not None and not machine.is_frozen:
                 machine.peer_connections.dial_due(self.now)
-                machine.loop.run_due()
+                machine.loop.run_due_callbacks()
         for worker in list(self.workers.values()):
             if not worker.has_ended:
-                worker.turn(self.now)
+                worker.step(self.now)
         if self.errors:
             raise self.errors[0]
         self.rules.check_step()
 
-    def give_up_if_silent(self, connection):
-        """A proxy gives up a connection on which it heard nothing for long."""
+    def disconnect_if_silent(self, connection):
+        """Close a proxy's connection on which it has received nothing for CONNECTION_TIMEOUT s."""
         dialler = connection.dialler
-        silent_since = max(connection.heard_at, dialler.thawed_at)
+        silent_since = max(connection.dialler_received_at, dialler.thawed_at)
         if dialler.is_proxy and not dialler.is_frozen and self.now > silent_since + CONNECTION_TIMEOUT:
-            connection.lose()
+            connection.disconnect()
 
     def run(self, seconds):
+        """Advance the simulation by so many seconds."""
         until = self.now + seconds
         while self.now < until:
             self.step()
         return self
 
-    def end(self):
+    def finish(self):
+        """Check the rules for the final state of each machine, and close its event loop."""
         for machine in self.machines.values():
             if machine.server is not None:
                 self.rules.check_end(machine)
-                machine.end()
+                machine.close_loop()
--- a/tests/simulation/fleet/machine.py
+++ b/tests/simulation/fleet/machine.py
@@ -1,4 +1,4 @@
-"""A machine of the fleet: its program of the moment, its disk, whether it is frozen."""
+"""A simulated machine that runs one controller or proxy, with its disk and its connections."""
 
 import asyncio
 from unittest import mock
@@ -21,7 +21,7 @@
 
 
 class ControllerHandlers:
-    """What connections bring to a controller, by the names that both kinds of programs have here."""
+    """The connection handlers of a controller, under the names that the simulated network uses."""
 
     def __init__(self, controller):
         handlers = controller.peer_handlers
@@ -31,7 +31,7 @@
 
 
 class ProxyHandlers:
-    """The same of a proxy, which nobody dials."""
+    """The connection handlers of a proxy, under the same names. Proxies accept no connections."""
 
     def __init__(self, proxy):
         sessions = proxy.sessions
@@ -43,15 +43,16 @@
     """One machine; `server` is None while it is down."""
 
     def __init__(self, fleet, name, program):
-        self.fleet, self.name, self.program, self.starts = fleet, name, program, 0
+        self.fleet, self.name, self.program, self.start_count = fleet, name, program, 0
         voters = {name: f"disk-{name}" for name in fleet.voters}
         self.facts = {"disk": f"disk-{name}", "held": 1 if name in voters else -1}
         self.facts["members"] = {"n": 1, "voters": voters, "before": {}}
         self.registers, self.server, self.is_frozen, self.thawed_at = {}, None, False, -9.0
-        # what it said until then has come to a majority, and an answer from there back
+        # latest time such that a majority has received a message sent then or later, and replied to it
         self.last_contact_at = 0.0
-        # by machine: when what was last heard from it, and what it had last heard from here, was sent
-        self.heard, self.echoed = {}, {}
+        # send times, by peer: of the newest message received from it, and of the newest one that it has
+        # echoed
+        self.received_send_times, self.echoed_send_times = {}, {}
 
     @property
     def is_controller(self):
@@ -62,9 +63,10 @@
         return self.program is Proxy
 
     def start(self, is_first_boot):
+        """Start the program with the present contents of the disk."""
         fleet = self.fleet
         self.loop, self.peer_connections = SimulationLoop(fleet), SimulatedConnections(self)
-        self.starts, self.heard, self.echoed = self.starts + 1, {}, {}
+        self.start_count, self.received_send_times, self.echoed_send_times = self.start_count + 1, {}, {}
         with mock.patch("bramblewood.common.logs.start_logging", return_value=mock.Mock()):
             server = self.program(self.settings(is_first_boot))
         if self.is_controller:
@@ -78,7 +80,7 @@
             if peer != self.name:
                 self.peer_connections.maintain(peer, 1)
         self.server = server
-        self.loop.start(self.run_turns(server))
+        self.loop.start(self.run_ticks(server))
 
     def settings(self, is_first_boot):
         ports = {"Control" if self.is_controller else "Front": (self.name, PORT)}
@@ -99,11 +101,14 @@
         )
 
     def prepare_controller(self, controller):
-        """What a start does, with a first voter set; it changes as the controllers see fit."""
+        """Connect a new controller to the simulation and restore it from the disk, as its own start does.
+
+        The disk initially holds a first voter set, which the controllers change by their own rules.
+        """
         now = self.fleet.now
         controller.runtime.loop, controller.runtime.peer_connections = self.loop, self.peer_connections
         controller.runtime.started_at = now
-        controller.quorum_io.incarnation = 1000 * self.starts + ord(self.name)
+        controller.quorum_io.incarnation = 1000 * self.start_count + ord(self.name)
         controller.quorum_io.storage = self
         controller.quorum_io.restore(dict(self.facts), dict(self.registers))
         controller.departures.restore(self.facts)
@@ -112,17 +117,17 @@
         controller.lease_calls.client = SimulatedWorkerClient(self)
         controller.set_planner(PlacementPlanner(now, WORKER_HEARTBEAT, False))
 
-    def report_connection(self, peer, is_up):
-        """A connection came or went; a machine that is frozen notices when it is thawed."""
+    def notify_connection_change(self, peer, is_up):
+        """Notify the program that a connection came up or was lost, after the thaw where it is frozen."""
         if self.is_frozen:
             self.loop.call_soon(self.handlers.connection_changed, peer, is_up)
         else:
             self.handlers.connection_changed(peer, is_up)
 
     def write(self, rows, facts, on_done):
-        """What `Storage.write` is to a controller."""
+        """Store rows and facts after SYNC_TIME s. This replaces `Storage.write` of a controller."""
 
-        def synced():
+        def finish_write():
             record_event("write", self.fleet.now, self.name, rows, facts)
             for register, promised, accepted, value in rows:
                 self.registers[register] = (promised, accepted, value)
@@ -130,9 +135,10 @@
             self.facts = {name: value for name, value in self.facts.items() if value is not None}
             on_done(None)
 
-        self.loop.call_later(SYNC_TIME, synced)
+        self.loop.call_later(SYNC_TIME, finish_write)
 
-    async def run_turns(self, server):
+    async def run_ticks(self, server):
+        """Run the periodic work of the program until the machine stops."""
         while True:
             if self.is_controller:
                 server.tick(self.fleet.now)
@@ -141,22 +147,23 @@
             await asyncio.sleep(TICK_INTERVAL if self.is_controller else REPORT_INTERVAL)
 
     def kill(self):
-        """Its connections break, what was not synced is gone."""
+        """Stop the program. Its connections break, and writes that are not yet on disk are lost."""
         for connection in self.fleet.connections:
             if self in (connection.dialler, connection.acceptor):
-                connection.lose()
+                connection.disconnect()
         self.server, self.is_frozen = None, False
-        self.end()
+        self.close_loop()
 
-    def end(self):
+    def close_loop(self):
+        """Cancel all tasks of the program and close its event loop."""
         for task in list(self.loop.running_tasks):
             task.cancel()
-        self.loop.run_due()
+        self.loop.run_due_callbacks()
         self.loop.close()
 
 
 class SimulatedWorkerClient:
-    """Calls to workers: what `WorkerClient` is to a controller."""
+    """Sends a controller's calls to simulated workers. It replaces `WorkerClient`."""
 
     def __init__(self, machine):
         self.machine = machine
@@ -168,7 +175,7 @@
 
 
 class WorkerCall:
-    """One call, and its answer."""
+    """One call to a worker, and its response. Raises OSError where the worker cannot be reached."""
 
     def __init__(self, machine, address, kind, body, headers):
         self.machine, self.address, self.kind, self.body = machine, address, kind, body
@@ -176,19 +183,19 @@
 
     async def __aenter__(self):
         machine, fleet = self.machine, self.machine.fleet
-        fleet.rules.check_call_is_sent_in_contact(machine, self.kind)
+        fleet.rules.check_contact_of_call(machine, self.kind)
         await asyncio.sleep(fleet.rng.uniform(*TRANSIT_TIMES))
         worker = fleet.workers.get(self.address.partition(":")[0])
-        if worker is None or worker.has_ended or fleet.is_cut(machine.name, worker.name):
+        if worker is None or worker.has_ended or fleet.is_blocked(machine.name, worker.name):
             raise OSError
         self.status = worker.handle_call(self.kind, self.body, machine)
         record_event("call", fleet.now, machine.name, worker.name, self.kind, self.body, self.status)
         if self.kind == "release":
             self.headers["X-Handover"] = "h"
         await asyncio.sleep(fleet.rng.uniform(*TRANSIT_TIMES))
-        if fleet.is_cut(worker.name, machine.name):
+        if fleet.is_blocked(worker.name, machine.name):
             raise OSError
         return self
 
-    async def __aexit__(self, *problem):
+    async def __aexit__(self, *exception_info):
         pass
--- a/tests/simulation/fleet/worker.py
+++ b/tests/simulation/fleet/worker.py
@@ -1,4 +1,4 @@
-"""A worker of the keyed service."""
+"""A simulated worker of the sharded service `s`."""
 
 from typing import NamedTuple
 
@@ -9,26 +9,26 @@
 from .timing import CALL_TIMEOUT, DRAIN_TIME, WORKER_HEARTBEAT
 
 SLOTS = 2
-RETRY_DELAY = 0.2  # s until it calls another controller
+RETRY_DELAY = 0.2  # s from a failed call to the next call, which goes to another controller
 
 
 class Lease(NamedTuple):
-    """Keys that the worker may serve."""
+    """The right of a worker to serve the keys from a first key to `last_key`."""
 
     last_key: int
     fencing_token: int
-    until: float
+    until: float  # s, simulated clock
 
 
 class PendingCall:
-    """A call to a controller; `status` is None until its answer came."""
+    """A call to a controller in flight; `status` is None until the response arrives."""
 
     def __init__(self, until):
         self.status, self.until = None, until
 
 
 class SimulatedWorker:
-    """Sends heartbeats, deregisters, and keeps leases on a clock that is 2% slow."""
+    """Sends heartbeats, deregisters, and keeps its leases by a clock that is as slow as the rules allow."""
 
     def __init__(self, fleet, name):
         self.fleet, self.name, self.phase, self.call_sequence, self.has_ended = fleet, name, READY, 0, False
@@ -39,13 +39,19 @@
         )
         self.leases = {}  # by first key
         self.fencing_tokens = {}  # by first and last key: the highest seen
-        self.is_acknowledged, self.ends_at = False, 0.0  # its deregistration; when it ends after that
+        # whether its deregistration is acknowledged, and when it ends afterwards
+        self.is_acknowledged, self.ends_at = False, 0.0
 
     def handle_call(self, kind, body, machine):
-        """A grant or release that a controller calls; the status of the answer."""
+        """Process a grant or release that a controller sends, and return the HTTP status of the response.
+
+        A grant with a lower fencing token than one seen for any of its keys is rejected with 409.
+        """
         first, last, token = body["Source"], body["TargetVersion"], body["fence"]
-        seen = [seen for (start, end), seen in self.fencing_tokens.items() if start <= last and first <= end]
-        if kind == "grant" and max(seen, default=0) > token:
+        seen_tokens = [
+            seen for (start, end), seen in self.fencing_tokens.items() if start <= last and first <= end
+        ]
+        if kind == "grant" and max(seen_tokens, default=0) > token:
             return 409
         self.fencing_tokens[first, last] = token
         overlapping = [
@@ -66,10 +72,10 @@
             self.fleet.rules.check_grant_is_exclusive(self, first, last)
         return 200
 
-    def turn(self, now):
-        """Send a heartbeat, and go to another controller where that is not acknowledged."""
+    def step(self, now):
+        """Send the call that is due, or process the response to the call in flight."""
         if self.call is not None:
-            self.look_at_answer(now)
+            self.process_response(now)
             return
         if self.phase == DRAINING and self.is_acknowledged and now >= self.ends_at:
             self.phase, self.next_call_at = GONE, now
@@ -84,7 +90,8 @@
         self.call = PendingCall(now + CALL_TIMEOUT)
         self.fleet.call(self.controller, command, self.call, self.name)
 
-    def look_at_answer(self, now):
+    def process_response(self, now):
+        """End the call in flight after a response or a timeout; a failed call is retried elsewhere."""
         status, until = self.call.status, self.call.until
         if status is None and now < until:
             return
