--- a/bramblewood/controller/controller_peers.py
+++ b/bramblewood/controller/controller_peers.py
@@ -47,7 +47,7 @@
             self.runtime.peer_connections.maintain(peer, self.runtime.settings.peer_port)
 
     def reread_seeds(self) -> None:
-        """Add the controllers that the settings and the seed file name now."""
+        """Read the seeds in the settings and the seed file again, and add the controllers that they name."""
         for peer in reread_seeds(self.runtime.settings, self.runtime.log):
             self.add(peer)
 
--- a/bramblewood/controller/deregistration.py
+++ b/bramblewood/controller/deregistration.py
@@ -29,9 +29,8 @@
 
     def __init__(self, started_at: float) -> None:
         self.started_at = started_at  # s, own clock
-        self.holders: dict[
-            str, int
-        ] = {}  # epoch in which each controller that acknowledged is an active voter
+        # by address of each controller that acknowledged: the epoch of which it is an active voter, or -1
+        self.holders: dict[str, int] = {}
         self.is_stored_locally = False  # whether this controller's own disk has the registration
 
 
@@ -70,9 +69,9 @@
         epoch: int,
         has_quorum_contact: bool,
     ) -> bool:
-        """Whether a majority of the voters of this epoch holds the registration, and it is not too late.
+        """Whether a majority of the voters of this epoch holds the registration, and the request is valid.
 
-        has_quorum_contact: whether a majority has confirmed recently that these are still the voters.
+        has_quorum_contact: whether quorum contact shows that these are still the voters.
         """
         request = self.pending[request_id]
         peers = {peer for peer, voter_epoch in request.holders.items() if voter_epoch == epoch}
--- a/bramblewood/controller/peer_handlers.py
+++ b/bramblewood/controller/peer_handlers.py
@@ -114,7 +114,7 @@
         self.proxy_sessions.remove(connection)
 
     def log_malformed(self, error: PeerMessageError) -> None:
-        """Log a message that could not be decoded. The caller closes its connection."""
+        """Log a message that could not be decoded. Its connection is closed, and the dialler dials again."""
         self.runtime.log.error("message malformed", **error.log_fields())
 
     def handle_message(self, connection: PeerConnection, message: dict) -> None:
@@ -136,10 +136,12 @@
         if heartbeat.members is not None:
             voter_set_from(heartbeat.members)
         self.sessions.record_heartbeat(now, peer, heartbeat)
-        if heartbeat.echo < 0:  # the peer has no heartbeat to echo: speeds up the first contact at a start
+        if (
+            heartbeat.echo < 0
+        ):  # the peer has none to echo yet: at a start, contact does not wait for the interval
             self.controller_peers.send_heartbeats(now, peer)
         is_first_on_connection = heartbeat.zone is not None
-        if heartbeat.digests is not None or is_first_on_connection:  # recorded before the rest is used
+        if heartbeat.digests is not None or is_first_on_connection:  # compared before the rest is used
             self.content_watch.record(peer, heartbeat.digests or {})
         self.registry.record_last_heard(now, heartbeat.worker_ages or {})
         self._learn_from_heartbeat(now, peer, heartbeat)
--- a/bramblewood/controller/quorum_contact.py
+++ b/bramblewood/controller/quorum_contact.py
@@ -9,7 +9,7 @@
 class QuorumContact:
     """Evaluates the quorum contact of this controller before each response, grant and move.
 
-    The sessions and the consensus replica supply the data; this class keeps no state of its own.
+    The data come from the sessions and the consensus replica. This class keeps no state of its own.
     """
 
     def __init__(self, runtime: Runtime, quorum_io: QuorumIO, sessions: Sessions) -> None:
--- a/bramblewood/controller/quorum_io.py
+++ b/bramblewood/controller/quorum_io.py
@@ -35,7 +35,7 @@
 
     Invariants: no message or outcome that depends on a write leaves before the write is durable. Where a
     write fails, the outcome of its proposals is unknown, and their callbacks receive None. Consensus messages
-    from a controller whose content differs from the content held here are dropped.
+    from a controller whose content differs from the content held here are dropped (`content_agreement.py`).
     """
 
     consensus: ConsensusReplica
@@ -46,7 +46,8 @@
         self.incarnation = int.from_bytes(os.urandom(4), "big")
         self.pending_writes = PendingWrites({})
         self.writes_in_flight = 0
-        # own clock: when a write last finished, or began after none was in flight; None while none is
+        # s, own clock: when the first write in flight began, or a later time at which another write finished;
+        # None while no write is in flight
         self.writing_since: float | None = None
         self.writes_failing_since: float | None = None  # first failed write after the last successful one
         self.next_probe_at = 0.0
@@ -57,7 +58,9 @@
     def restore(
         self, facts: dict[str, Any], registers: dict[str, tuple], replaces_damaged: bool = False
     ) -> None:
-        """Create the replica from the contents of the disk. An empty disk counts as new and gets a new name.
+        """Create the replica from the contents of the disk.
+
+        An empty disk counts as new and gets a new name, even where it replaces an earlier disk.
 
         replaces_damaged: whether a damaged database was set aside. Other controllers may hold values that
         were acknowledged since the first boot, so this controller does not help to found the first voter set,
--- a/bramblewood/controller/voter_changes.py
+++ b/bramblewood/controller/voter_changes.py
@@ -16,9 +16,7 @@
 from .runtime import Runtime
 from .sessions import Sessions
 
-FOUNDING_TIMEOUT = (
-    3.0  # s that a first boot waits for more controllers, which all start at about the same time
-)
+FOUNDING_TIMEOUT = 3.0  # s that a first boot waits for controllers that start at about the same time
 UNKNOWN_VOTERS_PATIENCE = 10.0  # s after a start until an unknown voter set is logged as an error
 UNKNOWN_VOTERS_LOG_INTERVAL = 30.0  # s between two such errors
 UNKNOWN_VOTERS_REMEDY = (
@@ -105,7 +103,7 @@
         self.quorum_io.propose(VOTER_SET, register_change, self.change_finished, PROPOSAL_TIMEOUT)
 
     def _log_unknown_voters(self, now: float) -> None:
-        """Log the remedy where neither this disk nor any reachable controller holds a voter set."""
+        """Log an error with its remedy, as neither this disk nor a reachable controller holds a voter set."""
         due_at = max(self.runtime.started_at + UNKNOWN_VOTERS_PATIENCE, self.next_unknown_voters_log_at)
         if now >= due_at:
             self.next_unknown_voters_log_at = now + UNKNOWN_VOTERS_LOG_INTERVAL
@@ -119,9 +117,11 @@
         self.is_changing = False
 
     def may_shut_down(self, now: float) -> bool:
-        """Whether a shutdown is requested and may proceed: the vote is dispensable, or the grace has passed.
+        """Whether a shutdown is requested and may proceed.
 
-        The first call after the request logs the shutdown and sends heartbeats that announce it.
+        It may proceed at once without an active vote, otherwise when `consensus/membership.py` finds that the
+        vote is no longer needed, and in any case after VOTE_RETENTION_FRACTION of GraceS. The first call
+        after the request logs the shutdown and sends heartbeats that announce it.
         """
         if not self.runtime.shutdown_requested.is_set():
             return False
--- a/tests/simulation/fleet/fleet.py
+++ b/tests/simulation/fleet/fleet.py
@@ -116,7 +116,7 @@
         machine = self.machines[name]
 
         async def serve(server):
-            began_at = self.now  # after the thaw where the machine was frozen
+            began_at = self.now  # a call that arrives during a freeze begins after the thaw
             newest_before = max(
                 (
                     n
--- a/tests/simulation/fleet/machine.py
+++ b/tests/simulation/fleet/machine.py
@@ -40,27 +40,26 @@
 
 
 class Machine:
-    """One machine; `server` is None while it is down."""
+    """A machine of the fleet. `server` is the program that runs on it, and None while the machine is down."""
 
-    def __init__(self, fleet, name, program):
-        self.fleet, self.name, self.program, self.start_count = fleet, name, program, 0
+    def __init__(self, fleet, name, server_class):
+        self.fleet, self.name, self.server_class, self.start_count = fleet, name, server_class, 0
         voters = {name: f"disk-{name}" for name in fleet.voters}
         self.facts = {"disk": f"disk-{name}", "held": 1 if name in voters else -1}
         self.facts["members"] = {"n": 1, "voters": voters, "before": {}}
         self.registers, self.server, self.is_frozen, self.thawed_at = {}, None, False, -9.0
         # latest time such that a majority has received a message sent then or later, and replied to it
         self.last_contact_at = 0.0
-        # send times, by peer: of the newest message received from it, and of the newest one that it has
-        # echoed
+        # by peer: send time of the newest message from it, and of the newest message that it has echoed
         self.received_send_times, self.echoed_send_times = {}, {}
 
     @property
     def is_controller(self):
-        return self.program is Controller
+        return self.server_class is Controller
 
     @property
     def is_proxy(self):
-        return self.program is Proxy
+        return self.server_class is Proxy
 
     def start(self, is_first_boot):
         """Start the program with the present contents of the disk."""
@@ -68,7 +67,7 @@
         self.loop, self.peer_connections = SimulationLoop(fleet), SimulatedConnections(self)
         self.start_count, self.received_send_times, self.echoed_send_times = self.start_count + 1, {}, {}
         with mock.patch("bramblewood.common.logs.start_logging", return_value=mock.Mock()):
-            server = self.program(self.settings(is_first_boot))
+            server = self.server_class(self.settings(is_first_boot))
         if self.is_controller:
             self.prepare_controller(server)
             self.handlers = ControllerHandlers(server)
--- a/tests/simulation/fleet/network.py
+++ b/tests/simulation/fleet/network.py
@@ -74,7 +74,11 @@
         return ((self.dialler_end, self.acceptor), (self.acceptor_end, self.dialler))
 
     def deliver_due(self, now):
-        """Deliver the messages that have arrived. Disconnects where a blocked one exceeds the TCP timeout."""
+        """Deliver the messages that have arrived.
+
+        Messages on a blocked direction wait. The connection breaks once one has waited for the fleet's TCP
+        user timeout.
+        """
         fleet = self.dialler.fleet
         for end, receiver in self.directions():
             if not end.deliveries or now < end.deliveries[0].arrives_at:
--- a/tests/simulation/fleet/rules.py
+++ b/tests/simulation/fleet/rules.py
@@ -1,14 +1,12 @@
 """The rules that are checked at every step and at every response. A violation raises RuleViolation.
 
 - A controller without quorum contact responds to every call with 503. Contact is a round trip to a majority.
-It
-  may be as old as its validity and the duration of a call allow.
-- A read returns no configuration older than one that was acknowledged before the read began. - An
-acknowledged deregistration is held by a majority of the voters. Every current controller has it once older
+  It may be as old as its validity and the duration of a call allow.
+- A read returns no configuration older than one that was acknowledged before the read began.
+- A majority of the voters holds each acknowledged deregistration. Every current controller has it once older
   contact has expired, and every connected proxy has it within DrainS.
-- A current controller and a proxy that becomes ready have every configuration and every deregistration that
-was
-  acknowledged before the oldest contact that they may rely on.
+- A current controller, and a proxy that becomes ready, has every configuration and every deregistration that
+  was acknowledged before the oldest contact that it may rely on.
 - Grants and releases are sent only with valid contact, and no two workers hold a lease on one key.
 - The versions of a proxy never decrease while it runs.
 - Every acknowledged configuration becomes part of the history, and no rejected configuration does.
@@ -75,8 +73,8 @@
     def count(self, checked):
         self.counts[checked] = self.counts.get(checked, 0) + 1
 
-    def is_not_ready(self, registry, instance_id):
-        """Whether a registry holds no registration of this worker, or one that is draining or gone."""
+    def is_unavailable(self, registry, instance_id):
+        """Whether a registry holds this worker as draining or gone, or holds no registration of it."""
         registration = registry.registrations.get(instance_id)
         return registration is None or registration.phase != READY
 
@@ -225,7 +223,7 @@
                 f"{machine.name} is current at {now:.2f}, but its configuration is older than r{newest}"
             )
         for instance_id in departed:
-            if not self.is_not_ready(server.registry, instance_id):
+            if not self.is_unavailable(server.registry, instance_id):
                 raise RuleViolation(
                     f"{machine.name} is current at {now:.2f}, but holds deregistered worker {instance_id}"
                     " as ready"
@@ -272,7 +270,7 @@
             )
             if not is_known and self.fleet.workers[instance_id].has_ended:
                 continue  # the controllers have restarted after the worker's end and hold nothing of it
-            if at < confirmed_before and not self.is_not_ready(
+            if at < confirmed_before and not self.is_unavailable(
                 machine.server.load_balancer.registry, instance_id
             ):
                 raise RuleViolation(
@@ -287,7 +285,7 @@
                 and self.disconnected_at.get(name, 0.0) < acknowledged_at - PROXY_CONTACT_WINDOW
             ):
                 self.count("proxies checked")
-                if not self.is_not_ready(machine.server.load_balancer.registry, instance_id):
+                if not self.is_unavailable(machine.server.load_balancer.registry, instance_id):
                     raise RuleViolation(
                         f"{name} still routes to {instance_id}, deregistered at {acknowledged_at:.2f}"
                     )
--- a/tests/simulation/fleet/timing.py
+++ b/tests/simulation/fleet/timing.py
@@ -6,10 +6,9 @@
 STEP = 0.01  # increment of the simulated clock
 TRANSIT_TIMES = (0.002, 0.02)  # minimum and maximum transit time of a message
 SYNC_TIME = 0.004  # until a write is on disk
-WORKER_HEARTBEAT, DRAIN_TIME = 1.5, 2.5  # a worker's heartbeat interval; DrainS
-# for which bytes may stay undelivered until their sender closes the connection
-TCP_USER_TIMEOUT = 1.0
-CONNECTION_TIMEOUT = 1.2  # without a message until a proxy closes a connection
+WORKER_HEARTBEAT, DRAIN_TIME = 1.5, 2.5  # the heartbeat interval of workers, and DrainS
+TCP_USER_TIMEOUT = 1.0  # for which a partition may hold back bytes until the connection breaks
+CONNECTION_TIMEOUT = 1.2  # without a received message until a proxy closes a connection
 REDIAL_DELAY = 0.3
 CALL_TIMEOUT = 1.0  # until a caller ignores the response
 TIMER_SLACK = 0.1  # by which a machine's timers may delay a response
--- a/tests/simulation/fleet/worker.py
+++ b/tests/simulation/fleet/worker.py
@@ -21,10 +21,10 @@
 
 
 class PendingCall:
-    """A call to a controller in flight; `status` is None until the response arrives."""
+    """A call to a controller in flight. `status` is None until the response arrives."""
 
-    def __init__(self, until):
-        self.status, self.until = None, until
+    def __init__(self, deadline):
+        self.status, self.deadline = None, deadline
 
 
 class SimulatedWorker:
@@ -39,8 +39,8 @@
         )
         self.leases = {}  # by first key
         self.fencing_tokens = {}  # by first and last key: the highest seen
-        # whether its deregistration is acknowledged, and when it ends afterwards
-        self.is_acknowledged, self.ends_at = False, 0.0
+        # whether its deregistration is acknowledged, and the time of its last call after that
+        self.is_deregistered, self.ends_at = False, 0.0
 
     def handle_call(self, kind, body, machine):
         """Process a grant or release that a controller sends, and return the HTTP status of the response.
@@ -77,7 +77,7 @@
         if self.call is not None:
             self.process_response(now)
             return
-        if self.phase == DRAINING and self.is_acknowledged and now >= self.ends_at:
+        if self.phase == DRAINING and self.is_deregistered and now >= self.ends_at:
             self.phase, self.next_call_at = GONE, now
         if now < self.next_call_at:
             return
@@ -91,16 +91,16 @@
         self.fleet.call(self.controller, command, self.call, self.name)
 
     def process_response(self, now):
-        """End the call in flight after a response or a timeout; a failed call is retried elsewhere."""
-        status, until = self.call.status, self.call.until
-        if status is None and now < until:
+        """End the call in flight after a response or a timeout. The retry of a failed call goes elsewhere."""
+        status, deadline = self.call.status, self.call.deadline
+        if status is None and now < deadline:
             return
         self.call = None
         if status is None or status >= 500:
             self.controller, self.next_call_at = "", now + RETRY_DELAY
             return
         self.next_call_at = now + WORKER_HEARTBEAT
-        if self.phase == DRAINING and not self.is_acknowledged:
-            self.is_acknowledged, self.ends_at = True, now + DRAIN_TIME + 1.0
+        if self.phase == DRAINING and not self.is_deregistered:
+            self.is_deregistered, self.ends_at = True, now + DRAIN_TIME + 1.0
         if self.phase == GONE:
             self.has_ended = True
--- a/tests/simulation/quorum_contact.py
+++ b/tests/simulation/quorum_contact.py
@@ -103,14 +103,14 @@
             fleet.freeze(name, 20.0)
     if direction != "frozen":
         fleet.partition(isolated, fleet.now + 20.0, direction)
-    ends_at, step = fleet.now + 23.0, 0
+    ends_at, step_count = fleet.now + 23.0, 0
     while fleet.now < ends_at:
-        step += 1
-        if step % 20 == 0:
+        step_count += 1
+        if step_count % 20 == 0:
             name = fleet.rng.choice([*isolated, *fleet.controllers])
             call = fleet.put_configuration if fleet.rng.random() < 0.5 else fleet.get_configuration
             call(name)
-        if step % 300 == 0:
+        if step_count % 300 == 0:
             replace_worker(fleet)
             for worker in fleet.workers.values():
                 worker.controller = fleet.rng.choice(isolated)
@@ -194,7 +194,7 @@
     worker = fleet.workers[name]
     registration = WorkerRegistration("s", f"{name}:1", "z", SLOTS, READY, worker.call_sequence)
     worker.phase, worker.next_call_at = DRAINING, fleet.now
-    while not worker.is_acknowledged:
+    while not worker.is_deregistered:
         fleet.step()
     worker.next_call_at = fleet.now + REST_OF_RUN
     return RegisterWorker(name, registration)
