--- a/bramblewood/controller/sessions.py
+++ b/bramblewood/controller/sessions.py
@@ -41,13 +41,11 @@
     is_leaving: bool
     versions: dict[str, int]  # newest version by register that the peer knows to be chosen
     durable: dict[str, ProposalNumber]  # newest accepted proposal by register that the peer has on disk
-    disk_failing_for: float = (
-        0.0  # s for which the peer's disk has refused each write, or left one unanswered
-    )
+    disk_failing_for: float = 0.0  # s for which the peer's disk has refused each write, or has stalled
 
 
 class PeerDetails(NamedTuple):
-    """The heartbeat fields that rarely change; None marks a field that was already sent."""
+    """The heartbeat fields that rarely change. None marks a field that was already sent."""
 
     voter_set: VoterSet | None
     zone: str | None
--- a/tests/simulation/replica_snapshot.py
+++ b/tests/simulation/replica_snapshot.py
@@ -113,11 +113,11 @@
         learner.acceptances[register] = dict(state.acceptances[index])
         learner.chosen[register] = state.chosen[index]
     for register, queue in proposer.rounds.items():
-        round_states = [round_state for round_state in state.rounds if round_state.register == register]
-        queue.extend(map(restore_round, round_states))
-        for proposal_round, saved_state in zip(queue, round_states, strict=True):
+        saved_rounds = [saved_round for saved_round in state.rounds if saved_round.register == register]
+        queue.extend(map(restore_round, saved_rounds))
+        for proposal_round, saved_round in zip(queue, saved_rounds, strict=True):
             # the batch of a round is the head of the queue at the time when the round began
-            proposal_round.batch = queue[: saved_state.batch_size]
+            proposal_round.batch = queue[: saved_round.batch_size]
     return replica
 
 
