--- a/bramblewood/controller/content_watch.py
+++ b/bramblewood/controller/content_watch.py
@@ -1,32 +1,37 @@
-"""Notices other content under the same version, names it in the log, and has this controller begin anew where
-it is the one whose content changed.
+"""Monitors whether the content of this controller agrees with the content of the other controllers.
+
+A difference is logged. If a majority of the voters agrees on other content, this controller restarts with an
+empty database.
 """
 
 from collections.abc import Callable, Mapping
 
 from .consensus.proposal_number import format_proposal_number
-from .content_agreement import Digest, Divergence, Number
+from .content_agreement import Digest, Divergence, ProposalNumber
 from .quorum_io import QuorumIO
 from .runtime import Runtime
 
 
 class ContentWatch:
-    """Compares content with the other controllers as their heartbeats bring its digests."""
+    """Compares digests of durable content whenever a heartbeat of another controller delivers them.
+
+    logged: the differing registers that were logged last, by peer. on_divergence: called with the reason as
+    long as a majority of the voters holds other content than this controller.
+    """
 
     def __init__(self, runtime: Runtime, quorum_io: QuorumIO) -> None:
         self.runtime, self.quorum_io = runtime, quorum_io
         self.agreement = quorum_io.content_agreement
-        self.logged: dict[str, list[str]] = {}  # the registers that differ, by peer
-        # called with the reason once a majority of the voters holds other content
+        self.logged: dict[str, list[str]] = {}
         self.on_divergence: Callable[[str], None] = lambda reason: None
 
-    def record(self, peer: str, digests: Mapping[str, tuple[Number, Digest]]) -> None:
-        """A peer tells the digests of what is safe on its disk."""
+    def record(self, peer: str, digests: Mapping[str, tuple[ProposalNumber, Digest]]) -> None:
+        """Records the digests of all durable registers of a peer and repeats the comparison."""
         self.agreement.record(peer, digests)
         self.check()
 
     def check(self) -> None:
-        """Log what differs, or differs no more, and act on it."""
+        """Logs each change of the differing registers. Calls `on_divergence` if the content changed here."""
         for peer in self.agreement.by_peer:
             differing = self.agreement.differing_registers(peer)
             if differing != self.logged.get(peer, []):
@@ -35,11 +40,11 @@
                 self.runtime.log.error(event, step="content", peer=peer, registers=differing)
         divergence = self.agreement.divergence(self.quorum_io.consensus.voters)
         if divergence is not None:
-            self.on_divergence(reason_of(divergence))
+            self.on_divergence(format_divergence(divergence))
 
 
-def reason_of(divergence: Divergence) -> str:
-    """One line for the log and the marker of the folder that is kept aside."""
+def format_divergence(divergence: Divergence) -> str:
+    """Returns a divergence as one line, which is logged and stored as the reason in the damage marker."""
     number = format_proposal_number(divergence.accepted)
     peers = ", ".join(divergence.peers)
-    return f"{divergence.register} under proposal {number} has other content than at {peers}"
+    return f"{divergence.register}: content under proposal {number} differs from the content at {peers}"
--- a/bramblewood/controller/damage_response.py
+++ b/bramblewood/controller/damage_response.py
@@ -1,4 +1,4 @@
-"""What a running controller does once its database turns out to be damaged: it votes no more, and ends."""
+"""The reaction of a running controller to a damaged database: it stops voting and ends its process."""
 
 import asyncio
 
@@ -6,27 +6,31 @@
 from .quorum_io import QuorumIO
 from .runtime import Runtime
 
-STORAGE_DAMAGED = 3  # exit code: the next start keeps the database aside
+STORAGE_DAMAGED = 3  # exit code; the next start moves the damaged database aside
 
 
 class DamageResponse:
-    """The first damage that was met, and the end of this process for its sake."""
+    """Ends this process after the database was found damaged.
+
+    reason: a description of the first damage that was found, None as long as there is none. The main loop of
+    the controller ends once it is set.
+    """
 
     def __init__(self, runtime: Runtime, quorum_io: QuorumIO) -> None:
         self.runtime, self.quorum_io = runtime, quorum_io
         self.reason: str | None = None
 
     def begin(self, reason: str) -> None:
-        """Vote no more; the program is to end soon."""
+        """Stops voting and records the reason. Later calls have no effect."""
         if self.reason is None:
             self.reason = reason
             self.quorum_io.consensus.stop_voting()
             self.runtime.log.error("storage damaged", step="run", problem=reason)
 
     async def finish(self) -> int:
-        """Have the next start keep the database aside. Returns the exit code."""
+        """Marks the database as damaged, so that the next start moves it aside. Returns the exit code."""
         try:
             await asyncio.to_thread(mark_damaged, self.quorum_io.storage.folder, self.reason)
-        except OSError as problem:
-            self.runtime.log.error("storage not marked", step="end", problem=str(problem))
+        except OSError as error:
+            self.runtime.log.error("damage marker not written", step="end", problem=str(error))
         return STORAGE_DAMAGED
--- a/bramblewood/controller/damaged_storage.py
+++ b/bramblewood/controller/damaged_storage.py
@@ -1,12 +1,14 @@
-"""What becomes of a controller's database that is damaged: it is kept aside, and the controller goes on with
-an empty one, as after the loss of its disk.
+"""Quarantine of a damaged database.
 
-Safe, since an empty database has another disk name, which makes its controller a new member without a vote
-(`consensus/epochs.py`): what the damaged one had promised binds nobody else. A controller that has ever kept
-a database aside founds no voter set, as its `FirstBoot` may be true while others hold acknowledged values.
+The files of the database are moved to a separate folder, and the controller starts with an empty database.
 
-Invariant: a database that was found damaged is never opened again, whenever the power is cut: a marker file
-is synced before the first file moves, and removed after the last one has.
+An empty database is safe, as after the loss of a disk. It gets a new disk name, so its controller is a new
+member without a vote (`consensus/epochs.py`), and the promises in the damaged database bind no other voter. A
+controller that has ever quarantined a database takes no part in founding a voter set: its setting `FirstBoot`
+may still be true while other controllers hold acknowledged values.
+
+Invariant: a database that was found damaged is never opened again, even if the power is cut at any moment. A
+marker file is synced before the first file is moved, and it is removed after the last file was moved.
 """
 
 import os
@@ -20,26 +22,26 @@
 from .storage_reader import StoredState
 from .storage_schema import DATABASE_FILE
 
-MARKER_FILE = f"{DATABASE_FILE}.damaged"  # holds the reason
-KEPT_FOLDER_PREFIX = "damaged-"
-MAX_KEPT_FOLDERS = 3  # the oldest goes with the next
-FILE_ENDINGS = ("", "-wal", "-journal", "-shm")
+MARKER_FILE = f"{DATABASE_FILE}.damaged"  # holds the reason of the quarantine
+QUARANTINE_FOLDER_PREFIX = "damaged-"  # followed by a number that increases with each quarantine
+MAX_QUARANTINE_FOLDERS = 3  # a further quarantine removes the oldest folder
+FILE_ENDINGS = ("", "-wal", "-journal", "-shm")  # of the files that SQLite creates for a database
 
 
-def kept_folders(folder: str) -> list[Path]:
-    """The folders of databases that were kept aside, oldest first."""
-    found = (one for one in Path(folder).glob(f"{KEPT_FOLDER_PREFIX}*") if one.is_dir())
-    return sorted((one for one in found if number_of(one) > 0), key=number_of)
+def quarantine_folders(folder: str) -> list[Path]:
+    """Returns the quarantine folders in a data folder, oldest first."""
+    candidates = (path for path in Path(folder).glob(f"{QUARANTINE_FOLDER_PREFIX}*") if path.is_dir())
+    return sorted((path for path in candidates if folder_number(path) > 0), key=folder_number)
 
 
-def number_of(kept: Path) -> int:
-    """The number in a kept folder's name; 0 where there is none."""
-    digits = kept.name.removeprefix(KEPT_FOLDER_PREFIX)
+def folder_number(quarantine_folder: Path) -> int:
+    """Returns the number in the name of a quarantine folder, 0 where the name has none."""
+    digits = quarantine_folder.name.removeprefix(QUARANTINE_FOLDER_PREFIX)
     return int(digits) if digits.isdecimal() else 0
 
 
 def mark_damaged(folder: str, reason: str) -> None:
-    """Have the next start keep this folder's database aside. Raises OSError where the disk refuses it."""
+    """Marks the database in a data folder as damaged. The next start quarantines it. Raises OSError."""
     marker = Path(folder) / MARKER_FILE
     with marker.open("w", encoding="utf-8") as file:
         file.write(reason)
@@ -49,59 +51,71 @@
 
 
 def marked_reason(folder: str) -> str | None:
-    """Why this folder's database is to be kept aside; None where it is not."""
+    """Returns why the database in a data folder is marked as damaged, None where it is not marked."""
     marker = Path(folder) / MARKER_FILE
     return marker.read_text(encoding="utf-8", errors="replace") if marker.exists() else None
 
 
-def set_aside(folder: str) -> Path:
-    """Move a marked database into a folder of its own, and remove the marker. Raises OSError."""
-    home, kept = Path(folder), kept_folders(folder)
-    unfinished = kept and not (kept[-1] / DATABASE_FILE).exists()
-    target = kept[-1] if unfinished else home / f"{KEPT_FOLDER_PREFIX}{next_number(kept)}"
+def move_to_quarantine(folder: str) -> Path:
+    """Moves a marked database to a quarantine folder and removes the marker.
+
+    Continues a quarantine that a power cut interrupted. Returns the quarantine folder. Raises OSError.
+    """
+    data_folder, quarantined = Path(folder), quarantine_folders(folder)
+    is_interrupted = quarantined and not (quarantined[-1] / DATABASE_FILE).exists()
+    target = (
+        quarantined[-1]
+        if is_interrupted
+        else data_folder / f"{QUARANTINE_FOLDER_PREFIX}{next_folder_number(quarantined)}"
+    )
     target.mkdir(exist_ok=True)
-    for ending in FILE_ENDINGS[::-1]:  # the database last: a folder that has it is complete
-        if (home / (DATABASE_FILE + ending)).exists():
-            os.replace(home / (DATABASE_FILE + ending), target / (DATABASE_FILE + ending))
+    # The database itself is moved last, so a quarantine folder that contains it is complete.
+    for ending in FILE_ENDINGS[::-1]:
+        if (data_folder / (DATABASE_FILE + ending)).exists():
+            os.replace(data_folder / (DATABASE_FILE + ending), target / (DATABASE_FILE + ending))
     sync_folder(target)
-    sync_folder(home)
-    (home / MARKER_FILE).unlink()
-    sync_folder(home)
-    for old in kept[: max(0, len(kept) + (not unfinished) - MAX_KEPT_FOLDERS)]:
-        remove_kept(old)
+    sync_folder(data_folder)
+    (data_folder / MARKER_FILE).unlink()
+    sync_folder(data_folder)
+    for oldest in quarantined[: max(0, len(quarantined) + (not is_interrupted) - MAX_QUARANTINE_FOLDERS)]:
+        remove_quarantine_folder(oldest)
     return target
 
 
-def next_number(kept: list[Path]) -> int:
-    """The number of the next kept folder."""
-    return number_of(kept[-1]) + 1 if kept else 1
+def next_folder_number(quarantined: list[Path]) -> int:
+    """Returns the number for a new quarantine folder, given the existing folders in their order."""
+    return folder_number(quarantined[-1]) + 1 if quarantined else 1
 
 
-def remove_kept(kept: Path) -> None:
-    """Remove a kept folder and the files that belong there."""
+def remove_quarantine_folder(quarantine_folder: Path) -> None:
+    """Removes a quarantine folder with the files of its database. Raises OSError if it holds other files."""
     for ending in FILE_ENDINGS:
-        (kept / (DATABASE_FILE + ending)).unlink(missing_ok=True)
-    kept.rmdir()
+        (quarantine_folder / (DATABASE_FILE + ending)).unlink(missing_ok=True)
+    quarantine_folder.rmdir()
 
 
 def open_or_replace(storage: Storage, log: logbook.Logger) -> Result[StoredState, StorageError]:
-    """Open a controller's database; where it is damaged keep it aside, and begin an empty one."""
+    """Opens a controller's database and returns its content.
+
+    A database that is marked as damaged, or turns out to be damaged, is quarantined and replaced by an empty
+    one. Returns a StorageError where the database cannot be used, or the quarantine fails.
+    """
     try:
         if (reason := marked_reason(storage.folder)) is not None:
-            keep_aside(storage, reason, log)
-        found = storage.open()
-        if isinstance(found, Err) and isinstance(found.err_value, StorageDamagedError):
-            reason = str(found.err_value)
+            quarantine(storage, reason, log)
+        opened = storage.open()
+        if isinstance(opened, Err) and isinstance(opened.err_value, StorageDamagedError):
+            reason = str(opened.err_value)
             mark_damaged(storage.folder, reason)
-            keep_aside(storage, reason, log)
-            found = storage.open()
-        storage.replaces_damaged = bool(kept_folders(storage.folder))
-    except OSError as problem:
-        return Err(StorageError(storage.path, problem))
-    return found
-
-
-def keep_aside(storage: Storage, reason: str, log: logbook.Logger) -> None:
-    """Set a marked database aside, and say so in one line."""
-    kept = set_aside(storage.folder)
-    log.error("storage damaged", step="open", problem=reason, kept=str(kept))
+            quarantine(storage, reason, log)
+            opened = storage.open()
+        storage.replaces_damaged = bool(quarantine_folders(storage.folder))
+    except OSError as error:
+        return Err(StorageError(storage.path, error))
+    return opened
+
+
+def quarantine(storage: Storage, reason: str, log: logbook.Logger) -> None:
+    """Moves a marked database to a quarantine folder and logs the reason and the folder. Raises OSError."""
+    quarantine_folder = move_to_quarantine(storage.folder)
+    log.error("storage damaged", step="open", problem=reason, kept=str(quarantine_folder))
--- a/bramblewood/controller/departures.py
+++ b/bramblewood/controller/departures.py
@@ -1,15 +1,17 @@
-"""The deregistrations that this controller has on disk.
+"""Durable storage of the deregistrations that this controller has received.
 
-A worker's `ready` may come seconds late. Where all machines lose their power in between, no memory is left to
-tell that the worker has been acknowledged as draining or gone since. So a deregistration is acknowledged only
-once a majority of the voters has it on disk: whoever has contact with a majority later has met one of them.
+A worker's `ready` call may arrive seconds late. If all machines lose power in between, no memory records that
+the same worker has since been acknowledged as draining or gone. A deregistration is therefore acknowledged
+only after a majority of the voters has stored it. A controller that later contacts a majority reaches at
+least one of these voters.
 
-Invariant: what `keep` reported as kept is in the registry of every later process on this disk, for
-DEPARTURE_RETENTION s at least of each process's own time. That is many times what a late call takes, and ends
-the storage of what is over: 2,400 ends a day leave some twenty rows.
+Invariant: a deregistration that `keep` reported as durable is in the registry of every later process on this
+disk, for at least DEPARTURE_RETENTION seconds on that process's own clock. The retention is many times the
+delay of a late call. It also bounds the stored rows: with 2,400 deregistrations a day, about twenty rows are
+stored.
 
-A fact on disk for each worker, so that an end costs one row. What waits goes into one transaction with all
-other writes that wait, so a release of hundreds at once costs few.
+Each worker has a fact of its own, so that a deregistration changes one row. All waiting writes are committed
+in one transaction, so the release of hundreds of workers at once needs few transactions.
 """
 
 from collections.abc import Callable, Iterable
@@ -19,74 +21,96 @@
 from .quorum_io import QuorumIO
 from .runtime import Runtime
 
-DEPARTURE_FACT_PREFIX = "departed/"  # before the instance id, in the name of a fact on disk
+DEPARTURE_FACT_PREFIX = "departed/"  # precedes the instance id in the name of a fact
 DEPARTURE_RETENTION = 120.0  # s
-EXPIRY_INTERVAL = 30.0  # s between looks at what has expired
+EXPIRY_INTERVAL = 30.0  # s between two searches for expired deregistrations
 
 
 class Departures:
-    """Writes deregistrations, and hands them to the registry at a start."""
+    """Stores deregistrations, and restores them to the registry at a start.
+
+    durable_phases: the newest durable phase of each worker, by instance id. stored_at: the time of the last
+    write for each worker, in s on the controller's clock, by instance id.
+    """
 
     def __init__(self, runtime: Runtime, quorum_io: QuorumIO, registry: WorkerRegistry) -> None:
         self.runtime, self.quorum_io, self.registry = runtime, quorum_io, registry
-        self.kept_phases: dict[str, str] = {}  # by instance, of what is safe on disk
-        self.kept_at: dict[str, float] = {}  # s, own clock
+        self.durable_phases: dict[str, str] = {}
+        self.stored_at: dict[str, float] = {}
         self.next_expiry_at = 0.0
 
     def restore(self, facts: dict[str, Any]) -> None:
-        """What an earlier process kept counts from now on."""
+        """Records the stored deregistrations in the registry. Their retention starts again now."""
         now = self.runtime.now()
         for name, row in facts.items():
             if name.startswith(DEPARTURE_FACT_PREFIX):
                 instance_id, registration = name.removeprefix(DEPARTURE_FACT_PREFIX), WorkerRegistration(*row)
                 self.registry.record(now, instance_id, registration)
-                self._mark_kept(instance_id, registration.phase)
+                self._mark_durable(instance_id, registration.phase)
+
+    def keep(self, instance_ids: Iterable[str], on_durable: Callable[[], None]) -> None:
+        """Stores the registry's deregistrations of these workers, and calls on_durable once they are durable.
 
-    def keep(self, instance_ids: Iterable[str], on_kept: Callable[[], None]) -> None:
-        """Have the registry's deregistrations of these workers on disk, then call on_kept. Not called where
-        the disk refuses the write: the worker calls again.
+        If the write fails, on_durable is not called, and the worker repeats its call.
         """
         phases = {instance_id: self.registry.registrations[instance_id].phase for instance_id in instance_ids}
-        missing = {one: phase for one, phase in phases.items() if not self._is_kept(one, phase)}
+        missing = {
+            instance_id: phase
+            for instance_id, phase in phases.items()
+            if not self._is_durable(instance_id, phase)
+        }
         if not missing:
-            on_kept()
+            on_durable()
             return
-        facts = {f"{DEPARTURE_FACT_PREFIX}{one}": [*self.registry.registrations[one]] for one in missing}
+        facts = {
+            f"{DEPARTURE_FACT_PREFIX}{instance_id}": [*self.registry.registrations[instance_id]]
+            for instance_id in missing
+        }
 
-        def written() -> None:
+        def mark_written() -> None:
             for instance_id, phase in missing.items():
-                self._mark_kept(instance_id, phase)
-            on_kept()
+                self._mark_durable(instance_id, phase)
+            on_durable()
 
-        self.quorum_io.write_facts(facts, written)
+        self.quorum_io.write_facts(facts, mark_written)
 
     def remove_expired(self, now: float) -> None:
-        """Forget what was kept for DEPARTURE_RETENTION, in one write."""
+        """Deletes the deregistrations that were stored for DEPARTURE_RETENTION, in one write.
+
+        Does nothing until EXPIRY_INTERVAL has passed since the last search.
+        """
         if now < self.next_expiry_at:
             return
         self.next_expiry_at = now + EXPIRY_INTERVAL
-        expired = [one for one, at in self.kept_at.items() if now - at > DEPARTURE_RETENTION]
+        expired = [
+            instance_id
+            for instance_id, stored_at in self.stored_at.items()
+            if now - stored_at > DEPARTURE_RETENTION
+        ]
         if not expired:
             return
 
-        def removed() -> None:
+        def forget_expired() -> None:
             for instance_id in expired:
-                self.kept_at.pop(instance_id, None)
-                self.kept_phases.pop(instance_id, None)
+                self.stored_at.pop(instance_id, None)
+                self.durable_phases.pop(instance_id, None)
+
+        facts = dict.fromkeys(f"{DEPARTURE_FACT_PREFIX}{instance_id}" for instance_id in expired)
+        self.quorum_io.write_facts(facts, forget_expired)
 
-        facts = dict.fromkeys(f"{DEPARTURE_FACT_PREFIX}{one}" for one in expired)
-        self.quorum_io.write_facts(facts, removed)
+    def _is_durable(self, instance_id: str, phase: str) -> bool:
+        """Returns whether this phase of a worker, or a later one, is durable.
 
-    def _is_kept(self, instance_id: str, phase: str) -> bool:
-        """Whether what is on disk says as much. A worker that drains is never ready again, so its first word
-        stands against every late `ready`, and repeated ones need no write.
+        A worker that drains never becomes ready again. Its first deregistration therefore overrides every
+        late `ready`, and a repeated deregistration needs no write.
         """
-        kept = self.kept_phases.get(instance_id, READY)
-        return kept != READY and PHASE_ORDER[kept] >= PHASE_ORDER[phase]
+        durable_phase = self.durable_phases.get(instance_id, READY)
+        return durable_phase != READY and PHASE_ORDER[durable_phase] >= PHASE_ORDER[phase]
 
-    def _mark_kept(self, instance_id: str, phase: str) -> None:
+    def _mark_durable(self, instance_id: str, phase: str) -> None:
+        """Records that a phase of a worker is durable; an earlier phase does not replace a later one."""
         now = self.runtime.now()
-        kept = self.kept_phases.get(instance_id, READY)
-        if PHASE_ORDER[phase] >= PHASE_ORDER[kept]:
-            self.kept_phases[instance_id] = phase
-        self.kept_at[instance_id] = now
+        durable_phase = self.durable_phases.get(instance_id, READY)
+        if PHASE_ORDER[phase] >= PHASE_ORDER[durable_phase]:
+            self.durable_phases[instance_id] = phase
+        self.stored_at[instance_id] = now
--- a/bramblewood/controller/row_encoding.py
+++ b/bramblewood/controller/row_encoding.py
@@ -1,10 +1,14 @@
-"""A JSON value as rows, so that a change of it is a change of few rows. Pure.
+"""Encodes a JSON value as rows, so that a change of the value is a change of few rows.
 
-A row is a path and a text, both JSON: the keys that lead to a part, and the part. A map that is fewer than
-MAX_DEPTH keys deep is a row {} with a row for each of its keys; all else is one row. So a table's slices, a
-configuration's sections and its past versions have a row each. Rows are kept in the order in which they were
-first made: a map comes before its parts, and the keys of a map in the order that `apply_difference` gives
-them.
+This module does no input or output.
+
+A row is a path and a text, both JSON. The path is the list of keys that lead to a part of the value, and the
+text is that part. A map that is fewer than MAX_DEPTH keys deep has a row with the text `{}`, and a row for
+each of its keys. Every other part is one row. The slices of a slice table, and the sections and past versions
+of a configuration, therefore have a row each.
+
+Invariant: the order of the rows is the order in which they were first written. A map precedes its parts, and
+the keys of a map are in the order that `apply_difference` gives them.
 """
 
 import json
@@ -15,9 +19,13 @@
 from ..common.errors import BramblewoodError
 from .value_diff import MISSING, PATCH_KEYS, REMOVE_KEYS, SET
 
-VALUE = "value"
-ROWS_PER_BATCH = 1000  # decoded in one go: far fewer calls than one by one, far less memory than all
-MAX_DEPTH = 3  # keys to a slice of the table: "s", service, first key; one change is of so much at least
+ROOT_KEY = "value"
+# `decode_rows` parses this number of rows with one call. One call for each row would be slow, and one call
+# for all rows would need far more memory.
+ROWS_PER_BATCH = 1000
+# A slice of a slice table lies three keys deep: "s", the service and the first key of the slice. A part at
+# this depth is the smallest unit that a change rewrites.
+MAX_DEPTH = 3
 ROOT_PATH = "[]"
 ENCODER = json.JSONEncoder(separators=(",", ":"))
 MAP_ROW = "{}"  # text of the row of a map whose keys have rows of their own
@@ -26,15 +34,18 @@
 
 
 class StoredRowError(BramblewoodError, ValueError):
-    """Rows on disk that form no value."""
+    """Stored rows cannot be decoded to a value."""
 
     step = "open"
 
 
 class RowOperation(NamedTuple):
-    """PUT a row's text at a path; CLEAR the rows below a path; DELETE: the row at the path too.
+    """A change of stored rows.
+
+    PUT writes a row with this text at the path. CLEAR deletes the rows below the path. DELETE deletes the row
+    at the path and the rows below it.
 
-    replaced: the text that a PUT takes the place of, None where no row is there.
+    replaced: the text of the row that a PUT overwrites, None where it adds a row.
     """
 
     kind: Literal["put", "clear", "delete"]
@@ -44,59 +55,60 @@
 
 
 def to_json(value: Any) -> str:
-    """The text of a row."""
+    """Returns a value as compact JSON text, the form in which it is stored."""
     return ENCODER.encode(value)
 
 
 def child_path(path: str, key: str) -> str:
-    """The path of a key of the map at this path."""
+    """Returns the path of a key of the map at `path`."""
     return f"{path[:-1]}{',' if path != ROOT_PATH else ''}{json.dumps(key)}]"
 
 
 def descendant_range(path: str) -> tuple[str, str]:
-    """Texts between which lie the paths of all that is below this one, both excluded.
+    """Returns two texts between which the paths of all rows below `path` are sorted. Both texts are excluded.
 
-    A path goes on with a comma, the root's with a quote, and a hyphen and a hash are the next characters
-    after these.
+    The paths below a path continue with a comma, and those below the root path with a quotation mark. The
+    characters that follow these two in code point order are the hyphen and the number sign.
     """
     return ('["', "[#") if path == ROOT_PATH else (f"{path[:-1]},", f"{path[:-1]}-")
 
 
-def has_rows_below(value: Any, depth: int) -> bool:
-    """Whether this value, so many keys deep, has a row for each of its keys."""
+def has_child_rows(value: Any, depth: int) -> bool:
+    """Returns whether a value at this depth, in keys from the root, has a row for each of its keys."""
     return isinstance(value, dict) and depth < MAX_DEPTH
 
 
 def row_text(value: Any, depth: int) -> str:
-    """The text of the row at a value's own path."""
-    return MAP_ROW if has_rows_below(value, depth) else to_json(value)
+    """Returns the text of the row at a value's own path."""
+    return MAP_ROW if has_child_rows(value, depth) else to_json(value)
 
 
 def encode_rows(
     value: Any, path: str = ROOT_PATH, depth: int = 0, old: Any = MISSING
 ) -> Iterator[RowOperation]:
-    """All rows of a value that lies at this path, each to be put. Below the path there is no row; old: what
-    lies at the path itself.
+    """Yields a PUT for each row of a value at this path. No row may exist below the path.
+
+    old: the value whose row is stored at the path, MISSING where no row is stored there.
     """
     replaced = None if old is MISSING else row_text(old, depth)
     yield RowOperation(PUT, path, row_text(value, depth), replaced)
-    if has_rows_below(value, depth):
-        for key, inner in value.items():
-            yield from encode_rows(inner, child_path(path, key), depth + 1)
+    if has_child_rows(value, depth):
+        for key, child in value.items():
+            yield from encode_rows(child, child_path(path, key), depth + 1)
 
 
 def row_operations(
     difference: dict[str, Any] | None, old: Any, value: Any, path: str = ROOT_PATH, depth: int = 0
 ) -> Iterator[RowOperation]:
-    """What a difference (`value_diff.difference`) changes of the rows; old: the value whose rows are there,
-    MISSING for none; value: what the difference makes of it.
+    """Yields the row operations that turn the rows of `old` into the rows of `value`.
 
-    A row that is put again keeps its place.
+    difference: the difference between the two values (`value_diff.difference`). old: the value whose rows are
+    stored, MISSING where none is. A row that is overwritten keeps its position in the order of the rows.
     """
     if difference is None:
         return
     if SET in difference:
-        if has_rows_below(old, depth):
+        if has_child_rows(old, depth):
             yield RowOperation(CLEAR, path)
         yield from encode_rows(value, path, depth, old)
     elif depth == MAX_DEPTH:
@@ -104,31 +116,39 @@
     else:
         for key in difference.get(REMOVE_KEYS, ()):
             yield RowOperation(DELETE, child_path(path, key))
-        for key, inner in difference[PATCH_KEYS].items():
-            inner_path = child_path(path, key)
-            yield from row_operations(inner, old.get(key, MISSING), value[key], inner_path, depth + 1)
+        for key, child_difference in difference[PATCH_KEYS].items():
+            path_of_child = child_path(path, key)
+            yield from row_operations(
+                child_difference, old.get(key, MISSING), value[key], path_of_child, depth + 1
+            )
 
 
 def decode_rows(rows: Iterable[tuple[str, str]]) -> Any:
-    """The value of all its rows, in their order. Raises StoredRowError where a row's map is missing."""
+    """Returns the value that is encoded by rows of path and text, given in their stored order.
+
+    Raises StoredRowError where the row of the root or of a parent map is missing. Raises ValueError where a
+    path or a text is not JSON.
+    """
     remaining = iter(rows)
-    root: dict[str, Any] = {}  # holds the value as its part VALUE, so that the value's row is as any other
+    # The value is stored under ROOT_KEY of this map, so that `insert_part` can treat the root like any other
+    # part.
+    root: dict[str, Any] = {}
     while batch := list(islice(remaining, ROWS_PER_BATCH)):
         paths, parts = (json.loads(f"[{','.join(texts)}]") for texts in zip(*batch, strict=True))
         for path, part in zip(paths, parts, strict=True):
             insert_part(root, path, part)
-    if VALUE not in root:
-        raise StoredRowError("no row of the value itself")
-    return root[VALUE]
+    if ROOT_KEY not in root:
+        raise StoredRowError("the row of the root value is missing")
+    return root[ROOT_KEY]
 
 
 def insert_part(root: dict[str, Any], path: list[str], part: Any) -> None:
-    """Put a part where its path leads. Raises StoredRowError where there is no map."""
+    """Stores a part at its path below `root`. Raises StoredRowError if the parent is missing or not a map."""
     parent: Any = root
-    last_key = VALUE
+    last_key = ROOT_KEY
     try:
         for key in path:
             parent, last_key = parent[last_key], key
         parent[last_key] = part
     except (KeyError, TypeError, IndexError):
-        raise StoredRowError(f"row {path} without its map") from None
+        raise StoredRowError(f"row {path} has no parent map") from None
--- a/bramblewood/controller/storage.py
+++ b/bramblewood/controller/storage.py
@@ -1,17 +1,19 @@
-"""What a controller keeps on disk: one sqlite file, one writer thread, one place that knows what "safe on
-disk" is.
-
-Invariant: what was reported as written outlives a power cut at any moment, and a start finds exactly one
-state that was written. Write-ahead mode: a commit returns once the log is synced, and each frame of the log
-has a checksum, so a torn end is an end. locking_mode=EXCLUSIVE, since the index of the log would else lie in
-shared memory, which these machines don't have. synchronous=EXTRA, and before the switch to the write-ahead
-log: the switch itself is a transaction with a rollback journal, and with FULL the removal of that journal may
-not last; the next start after a power cut then rolls the switch back and takes no look at the log, with all
-that was acknowledged in it.
-
-A register's value lies as rows (`row_encoding.py`), and a commit writes those that differ from what the last
-safe commit left there, with their checksums (`storage_checksums.py`). All that lies there is checked at each
-start (`storage_reader.py`). docs/controller-storage.md tells the form and its bounds.
+"""The storage of a controller: one SQLite database in its data folder, and one thread that writes to it.
+
+Invariant: content that was reported as durable survives a power cut at any moment, and a start finds exactly
+one state that was committed. The following settings of SQLite are needed for it:
+
+- Write-ahead mode: a commit returns after the log is synced. Each frame of the log has a checksum, so SQLite
+  reads the log up to the first torn frame.
+- locking_mode=EXCLUSIVE: SQLite would otherwise keep the index of the log in shared memory, which these
+  machines do not have.
+- synchronous=EXTRA, set before the switch to write-ahead mode: the switch itself is a transaction with a
+  rollback journal. With FULL, the removal of that journal may be lost in a power cut. The next start would
+  then roll the switch back and ignore the log, and with it everything that was acknowledged.
+
+The value of a register is stored as rows (`row_encoding.py`). A commit writes the rows that differ from those
+of the last durable commit, and their checksums (`storage_checksums.py`). Each start verifies the whole
+content (`storage_reader.py`). docs/controller-storage.md describes the schema and its limits.
 """
 
 import contextlib
@@ -27,8 +29,14 @@
 
 from .content_agreement import StoredDigests
 from .row_encoding import row_operations, to_json
-from .storage_checksums import ContentSum, StoredChecksums
-from .storage_errors import READ_ERRORS, StorageDamagedError, StorageError, is_corruption, means_damage
+from .storage_checksums import RowSetSum, StoredChecksums
+from .storage_errors import (
+    READ_ERRORS,
+    StorageDamagedError,
+    StorageError,
+    is_damage_on_read,
+    is_damage_on_write,
+)
 from .storage_reader import (
     ProposalNumber,
     RegisterState,
@@ -43,24 +51,30 @@
 from .value_diff import MISSING, SET, difference
 
 THREAD_NAME = "shelf"
-# bytes that the log keeps once its frames are in the database, which is after 1,000 pages of 4 KiB (sqlite's
-# own wal_autocheckpoint): without it a large transaction's log stays as large for good
+# Bytes to which SQLite truncates the log after a checkpoint. A checkpoint takes place when the log holds
+# 1,000 pages of 4 KiB, the default of wal_autocheckpoint. Without this limit, the log would keep the size
+# that it had after the largest transaction.
 WAL_SIZE_LIMIT = 4 * 2**20
-AUTO_VACUUM = "pragma auto_vacuum=full"  # pages that are free leave the file with the commit that freed them
+# A commit that frees pages returns them to the file system.
+AUTO_VACUUM = "pragma auto_vacuum=full"
 
 RegisterWrite = tuple[str, ProposalNumber, ProposalNumber, Any]  # register, promised, accepted, value
 
 
 class WriteRequest(NamedTuple):
-    """One transaction that waits for the writer."""
+    """Writes that the writer thread has yet to commit together.
+
+    facts: by name; None deletes a fact. on_finished: called with None once the writes are durable, and with
+    the problem if they failed.
+    """
 
     registers: list[RegisterWrite]
-    facts: dict[str, Any]  # by name; None removes one
-    done: Callable[[str | None], None]
+    facts: dict[str, Any]
+    on_finished: Callable[[str | None], None]
 
 
 def sync_folder(folder: Path) -> None:
-    """Have the names in a folder outlive a power cut."""
+    """Makes the names of the files in a folder durable."""
     descriptor = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(descriptor)
@@ -69,92 +83,114 @@
 
 
 def connect_durably(path: str) -> sqlite3.Connection:
-    """A database in a folder that outlives a power cut too: each part of its path that is new is synced into
-    the folder above.
+    """Opens the database at `path` after it has created the missing folders of the path.
+
+    The name of each new folder is synced, so that it survives a power cut as the database does.
     """
     folder = Path(path).absolute().parent
-    for new_folder in [one for one in (folder, *folder.parents) if not one.exists()][::-1]:
+    for new_folder in [parent for parent in (folder, *folder.parents) if not parent.exists()][::-1]:
         new_folder.mkdir(exist_ok=True)
         sync_folder(new_folder.parent)
     return sqlite3.connect(path, isolation_level=None, check_same_thread=False)
 
 
 class Storage:
-    """A controller's database and the thread that writes to it."""
+    """A controller's database and the thread that writes to it.
+
+    notify: see `start`. stored_values: the value of each register in the last durable commit. checksums: the
+    checksums of all rows in the last durable commit. digests: the digests of the registers in the last
+    durable commits. on_damage: called in the writer thread with the problem when a write finds the file
+    damaged. replaces_damaged: whether a damaged database was moved aside in this folder, at this start or an
+    earlier one.
+    """
 
     def __init__(self, folder: str, connect: Callable[[str], Any] | None = None) -> None:
-        """connect(path) opens the database, sqlite3's own way unless a test gives another."""
+        """connect(path) opens the database. The default uses `sqlite3`; tests pass other functions."""
         self.connect = connect or connect_durably
         self.folder, self.path = folder, os.path.join(folder, DATABASE_FILE)
-        self.write_queue: queue.SimpleQueue[WriteRequest | None] = queue.SimpleQueue()  # None: the last
+        self.write_queue: queue.SimpleQueue[WriteRequest | None] = queue.SimpleQueue()  # None ends the thread
         self.writer_thread = threading.Thread(target=self.run_writer, daemon=True, name=THREAD_NAME)
         self.database: sqlite3.Connection | None = None
         self.notify: Callable[[Callable, str | None], None] = print
-        self.stored_values: dict[str, Any] = {}  # each register's, as the newest safe commit left it
-        self.checksums = StoredChecksums({}, {})  # of what the newest safe commit left
-        self.digests = StoredDigests()  # of the registers, by the same commits
-        self.on_damage: Callable[[str], None] = lambda problem: None  # called in the writer's thread
-        self.replaces_damaged = False  # a database was kept aside here, now or at an earlier start
+        self.stored_values: dict[str, Any] = {}
+        self.checksums = StoredChecksums({}, {})
+        self.digests = StoredDigests()
+        self.on_damage: Callable[[str], None] = lambda problem: None
+        self.replaces_damaged = False
 
     def open(self) -> Result[StoredState, StorageError]:
-        """What lies there, or why it can't be used."""
+        """Opens the database, upgrades an older schema version, and returns the stored content.
+
+        Returns a StorageDamagedError where the content differs from what was written, and a StorageError
+        where the database cannot be used for another reason.
+        """
         database = None
         try:
             database = self.connect(self.path)
             database.execute("pragma locking_mode=exclusive")
-            database.execute("pragma synchronous=extra")  # before the log: see above
+            database.execute(
+                "pragma synchronous=extra"
+            )  # before the write-ahead log; see the module docstring
             version = schema_version(database)
             if version > SCHEMA_VERSION:
                 problem = (
-                    f"form {version}, and this program knows {SCHEMA_VERSION}: start the program that"
-                    " wrote it or, to begin as after a lost disk, move the folder away"
+                    f"schema version {version} is newer than {SCHEMA_VERSION}, the newest that this program"
+                    " supports: start the program that wrote the database, or move the data folder away to"
+                    " continue as after the loss of a disk"
                 )
                 return Err(StorageError(self.path, problem))
-            self.require_log_in_use(database, version)
+            self.require_write_ahead_log(database, version)
             database.execute(f"pragma journal_size_limit={WAL_SIZE_LIMIT}")
-            database.execute(AUTO_VACUUM)  # takes hold in a database that is made here
+            database.execute(AUTO_VACUUM)  # has an effect only in a database without tables
             if database.execute("pragma journal_mode=wal").fetchone()[0] != "wal":
-                return Err(StorageError(self.path, "no write-ahead log can be kept here"))
-            found = self.read(database)
+                return Err(StorageError(self.path, "SQLite cannot keep a write-ahead log in this folder"))
+            stored_state = self.read_verified_state(database)
             if version < SCHEMA_VERSION:
-                self.upgrade(database, found)
+                self.upgrade(database, stored_state)
             else:
-                self.checksums = found.checksums
+                self.checksums = stored_state.checksums
             self.enable_auto_vacuum(database)
-        except (*READ_ERRORS, OSError) as problem:
-            if not means_damage(problem):
-                return Err(StorageError(self.path, problem))
+        except (*READ_ERRORS, OSError) as error:
+            if not is_damage_on_read(error):
+                return Err(StorageError(self.path, error))
             if database is not None:
                 with contextlib.suppress(sqlite3.Error):
-                    database.close()  # else its files could not be moved
-            return Err(StorageDamagedError(self.path, problem))
+                    database.close()  # so that the caller can move the files of the database
+            return Err(StorageDamagedError(self.path, error))
         self.database = database
-        self.stored_values = {name: value for name, (_, _, value) in found.registers.items()}
-        self.record_digests(found.registers)
-        return Ok(found)
+        self.stored_values = {name: value for name, (_, _, value) in stored_state.registers.items()}
+        self.record_digests(stored_state.registers)
+        return Ok(stored_state)
 
     def record_digests(self, registers: dict[str, RegisterState]) -> None:
-        """These registers are safe on disk as `checksums` says."""
+        """Records the digests of registers that are durable and whose sums `checksums` holds."""
         for name, (_, accepted, _) in registers.items():
-            self.digests.record(name, tuple(accepted), self.checksums.parts[name].total)
+            self.digests.record(name, tuple(accepted), self.checksums.part_sums[name].checksum_sum)
+
+    def require_write_ahead_log(self, database: Any, version: int) -> None:
+        """Raises RowsDamagedError where a database of the newest schema version is not in write-ahead mode.
 
-    def require_log_in_use(self, database: Any, version: int) -> None:
-        """A database of the newest version was switched to the write-ahead log before its tables were made.
-        One that says otherwise has a damaged header, and sqlite would pass over its log.
+        The mode is set before the tables are created, so in any other mode the header of the file is damaged.
+        SQLite would then ignore the log.
         """
         if version == SCHEMA_VERSION and database.execute("pragma journal_mode").fetchone()[0] != "wal":
-            raise RowsDamagedError("the header names no write-ahead log")
+            raise RowsDamagedError("the header of the database does not name a write-ahead log")
 
-    def read(self, database: Any) -> StoredState:
-        """All that lies there, checked. Raises as `read_database` does."""
+    def read_verified_state(self, database: Any) -> StoredState:
+        """Returns the content of an open database.
+
+        Raises RowsDamagedError where SQLite finds the file faulty, and otherwise raises as `read_database`
+        does.
+        """
         faults = find_file_faults(database)
         if faults:
             raise RowsDamagedError(faults[0])
         return read_database(database)
 
     def enable_auto_vacuum(self, database: Any) -> None:
-        """Have a database of an older version, too, give back its free pages; one that can't now does at a
-        later start.
+        """Switches a database that an older program created to auto vacuum.
+
+        If the switch fails, for example because the disk is full, a later start tries it again.
         """
         if database.execute("pragma auto_vacuum").fetchone()[0] == 0:
             with contextlib.suppress(sqlite3.Error):
@@ -162,37 +198,48 @@
                 database.execute(AUTO_VACUUM)
                 database.execute("vacuum")
 
-    def upgrade(self, database: Any, found: StoredState) -> None:
-        """Make the newest schema of an empty database or an older version, in one transaction."""
+    def upgrade(self, database: Any, stored_state: StoredState) -> None:
+        """Creates the tables of the newest schema version and stores the content there, in one transaction.
+
+        The database is empty or has an older schema version.
+        """
         database.execute("begin immediate")
         for statement in (*DROP_TABLES, *CREATE_TABLES):
             database.execute(statement)
         self.checksums = StoredChecksums({}, {})
-        self.checksums = self.write_rows(database, found.registers, found.facts)
+        self.checksums = self.write_rows(database, stored_state.registers, stored_state.facts)
         write_totals(database, self.checksums)
         database.execute(f"pragma user_version={SCHEMA_VERSION}")
         database.execute("commit")
 
     def start(self, notify: Callable[[Callable, str | None], None]) -> None:
-        """Begin writing; notify(done, problem or None) is called in the writer's thread after each write."""
+        """Starts the writer thread.
+
+        After each write, the writer thread calls notify(on_finished, problem), where on_finished is the
+        callback that was given to `write` and problem is None for success. notify has to run the callback.
+        """
         self.notify = notify
         self.writer_thread.start()
 
     def write(
-        self, registers: list[RegisterWrite], facts: dict[str, Any], done: Callable[[str | None], None]
+        self, registers: list[RegisterWrite], facts: dict[str, Any], on_finished: Callable[[str | None], None]
     ) -> None:
-        """Queue one transaction; done(None) is called once it is safe on disk, done(problem) if it is not.
+        """Queues writes that are committed in one transaction.
 
-        A fact whose value is None is removed. Values must not be changed in place, then or later.
+        on_finished(None) is called once they are durable, on_finished(problem) if they failed. A fact whose
+        value is None is deleted. The caller must never change the values in place, not even afterwards.
         """
-        self.write_queue.put(WriteRequest(registers, facts, done))
+        self.write_queue.put(WriteRequest(registers, facts, on_finished))
 
     def close(self) -> None:
-        """Have the writer end once all that was queued is written; it closes the database."""
+        """Ends the writer thread after it has committed all queued writes and closed the database."""
         self.write_queue.put(None)
 
     def run_writer(self) -> None:
-        """The writer's thread: all that waits goes into one transaction."""
+        """Commits queued writes until `close` is called; runs in the writer thread.
+
+        All requests that are queued at the same time are committed in one transaction.
+        """
         while True:
             queued = [self.write_queue.get()]
             while not self.write_queue.empty():
@@ -200,53 +247,59 @@
             requests = [request for request in queued if request is not None]
             problem = self.commit(requests) if requests else None
             for request in requests:
-                self.notify(request.done, problem)
+                self.notify(request.on_finished, problem)
             if None in queued:
                 self.database.close()
                 return
 
     def commit(self, requests: list[WriteRequest]) -> str | None:
-        """All requests in one transaction, as one sync serves all that wait; the problem, None for none."""
-        latest: dict[str, RegisterState] = {}
+        """Commits all requests in one transaction, so that one sync serves all of them.
+
+        Returns None once they are durable. Returns the problem if the transaction failed; it is rolled back.
+        """
+        latest_states: dict[str, RegisterState] = {}
         facts: dict[str, Any] = {}
-        for registers, some_facts, _ in requests:
-            latest.update(
+        for registers, request_facts, _ in requests:
+            latest_states.update(
                 {name: (promised, accepted, value) for name, promised, accepted, value in registers}
             )
-            facts.update(some_facts)
+            facts.update(request_facts)
         try:
             self.database.execute("begin immediate")
-            checksums = self.write_rows(self.database, latest, facts)
+            checksums = self.write_rows(self.database, latest_states, facts)
             self.database.execute("commit")
-        except Exception as problem:  # the disk's, or a value's that can't be written: the thread goes on
-            with contextlib.suppress(sqlite3.Error):  # the next transaction tells whether the disk is back
+        # The disk can fail, and a value may not be writable as JSON. The writer thread has to survive both.
+        except Exception as error:
+            # A failed rollback is ignored: the next transaction shows whether the disk works again.
+            with contextlib.suppress(sqlite3.Error):
                 if self.database.in_transaction:
                     self.database.execute("rollback")
-            if is_corruption(problem):
-                self.on_damage(str(problem))
-            return f"{type(problem).__name__}: {problem}"
+            if is_damage_on_write(error):
+                self.on_damage(str(error))
+            return f"{type(error).__name__}: {error}"
         self.checksums = checksums
-        self.record_digests(latest)
-        self.stored_values.update({name: value for name, (_, _, value) in latest.items()})
+        self.record_digests(latest_states)
+        self.stored_values.update({name: value for name, (_, _, value) in latest_states.items()})
         return None
 
     def write_rows(
         self, database: Any, registers: dict[str, RegisterState], facts: dict[str, Any]
     ) -> StoredChecksums:
-        """Within a transaction: the rows in which this differs from what is stored. Returns the checksums of
-        what is stored once it is committed.
+        """Writes the rows that differ from the stored ones. The caller has begun the transaction.
+
+        Returns the checksums of all rows as they are once the transaction is committed.
         """
         checksums = self.checksums.copy()
         for name, (promised, accepted, value) in registers.items():
             old = self.stored_values.get(name, MISSING)
             change = {SET: value} if old is MISSING else difference(old, value)
-            stored = checksums.parts.get(name, ContentSum())
-            parts = write_parts(database, name, row_operations(change, old, value), stored)
-            numbers = to_json(promised), to_json(accepted)
-            write_register(database, name, numbers, parts)
-            checksums.parts[name] = parts
+            old_sum = checksums.part_sums.get(name, RowSetSum())
+            part_sum = write_parts(database, name, row_operations(change, old, value), old_sum)
+            proposal_numbers = to_json(promised), to_json(accepted)
+            write_register(database, name, proposal_numbers, part_sum)
+            checksums.part_sums[name] = part_sum
         for name, value in facts.items():
-            write_fact(database, name, value, checksums.facts)
-        if facts or checksums.parts.keys() != self.checksums.parts.keys():
+            write_fact(database, name, value, checksums.fact_checksums)
+        if facts or checksums.part_sums.keys() != self.checksums.part_sums.keys():
             write_totals(database, checksums)
         return checksums
--- a/bramblewood/controller/storage_errors.py
+++ b/bramblewood/controller/storage_errors.py
@@ -1,10 +1,11 @@
-"""Why a controller's database can't be used."""
+"""Errors of a controller's database, and the distinction between a damaged file and a failing disk."""
 
 import sqlite3
 
 from ..common.errors import BramblewoodError
 
-# sqlite's primary result codes that speak of the disk or the process, not of what the file holds
+# Primary result codes of SQLite that report a failure of the disk or of the process. Such an error says
+# nothing about the content of the file.
 NOT_DAMAGE_CODES = frozenset(
     {
         sqlite3.SQLITE_PERM,
@@ -19,14 +20,16 @@
         sqlite3.SQLITE_INTERRUPT,
     }
 )
-# what reading a damaged database may raise
+# Exceptions that reading a damaged database can raise.
 READ_ERRORS = (sqlite3.Error, ValueError, TypeError, LookupError, RecursionError)
+# Primary result codes of SQLite that report a damaged file.
 CORRUPTION_CODES = frozenset({sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB})
-PRIMARY_CODE_MASK = 0xFF  # sqlite's extended result codes hold the primary one in their lowest byte
+# An extended result code of SQLite holds the primary result code in its lowest byte.
+PRIMARY_CODE_MASK = 0xFF
 
 
 class StorageError(BramblewoodError):
-    """A database that can't be opened; the text names the file."""
+    """A database cannot be opened. The text of the error starts with the path of the file."""
 
     step = "open"
 
@@ -39,24 +42,28 @@
 
 
 class StorageDamagedError(StorageError):
-    """A database whose content is not what was written: it must not be gone on from."""
+    """The content of a database differs from what was written, so the controller must not use it."""
 
 
-def primary_code(problem: Exception) -> int | None:
-    """Sqlite's primary result code of an error, None where the error is not of sqlite's own."""
-    code = getattr(problem, "sqlite_errorcode", None)
+def primary_code(error: Exception) -> int | None:
+    """Returns the primary result code of an error of SQLite, and None for every other error."""
+    code = getattr(error, "sqlite_errorcode", None)
     return None if code is None else code & PRIMARY_CODE_MASK
 
 
-def means_damage(problem: Exception) -> bool:
-    """Whether an error while a database is read says that its content is damaged, and not that the disk
-    doesn't answer.
+def is_damage_on_read(error: Exception) -> bool:
+    """Returns whether an error that was raised while a database was read reports damaged content.
+
+    The other case is a failure of the disk or of the process.
     """
-    if isinstance(problem, (OSError, MemoryError)):
+    if isinstance(error, (OSError, MemoryError)):
         return False
-    return primary_code(problem) not in NOT_DAMAGE_CODES
+    return primary_code(error) not in NOT_DAMAGE_CODES
+
 
+def is_damage_on_write(error: Exception) -> bool:
+    """Returns whether an error that was raised while a database was written reports a damaged file.
 
-def is_corruption(problem: Exception) -> bool:
-    """Whether an error while a database is written says that the file is damaged."""
-    return primary_code(problem) in CORRUPTION_CODES
+    Only SQLite's own corruption codes count: any other error may be caused by the disk or by the value.
+    """
+    return primary_code(error) in CORRUPTION_CODES
--- a/bramblewood/controller/storage_reader.py
+++ b/bramblewood/controller/storage_reader.py
@@ -1,7 +1,7 @@
-"""Reads a controller's database of any schema version, and checks all of it.
+"""Reads a controller's database of any schema version, and verifies the content of one of the newest version.
 
-Invariant: what `read_database` returns of a database of the newest version is what some commit left there,
-byte for byte; where anything else lies there it raises RowsDamagedError or an error of sqlite.
+Invariant: for a database of the newest schema version, `read_database` returns exactly the content that one
+commit stored. If the database holds anything else, it raises RowsDamagedError or an error of SQLite.
 """
 
 import functools
@@ -12,7 +12,7 @@
 from ..common.errors import BramblewoodError
 from .row_encoding import decode_rows
 from .storage_checksums import (
-    ContentSum,
+    RowSetSum,
     StoredChecksums,
     fact_checksum,
     part_checksum,
@@ -21,7 +21,9 @@
 )
 from .storage_schema import CREATE_TABLES, NO_SCHEMA, SCHEMA_VERSION, SCHEMA_VERSION_1
 
-ProposalNumber = tuple  # as `consensus` has it; that package is not loaded for commands that only read
+# The package `consensus` defines this type too. It is not imported here because the commands that only read a
+# database do not load that package.
+ProposalNumber = tuple
 RegisterState = tuple[ProposalNumber, ProposalNumber, Any]  # promised, accepted, value
 
 LIST_SCHEMA = "select type, name, tbl_name, sql from sqlite_master"
@@ -29,13 +31,17 @@
 
 
 class RowsDamagedError(BramblewoodError, ValueError):
-    """Rows on disk that are not as they were written."""
+    """The stored rows differ from the rows that were written."""
 
     step = "open"
 
 
 class StoredState(NamedTuple):
-    """All that lies in a database; checksums: None in a version that has none."""
+    """The content of a database.
+
+    facts: JSON values by name. registers: promised number, accepted number and value, by name. checksums:
+    None for a schema version without checksums, and for an empty database.
+    """
 
     facts: dict[str, Any]
     registers: dict[str, RegisterState]
@@ -43,56 +49,65 @@
 
 
 def to_tuples(value: Any) -> Any:
-    """A proposal number as it is compared: JSON knows lists only."""
+    """Returns a proposal number that was read from JSON with each list turned into a tuple.
+
+    Proposal numbers are compared as tuples, and JSON has only lists.
+    """
     return tuple(map(to_tuples, value)) if isinstance(value, list) else value
 
 
 def add_epoch(number: ProposalNumber) -> ProposalNumber:
-    """A proposal number of schema version 1 as one of the first epoch; one that nobody cast (counter 0) is
-    of none.
+    """Returns a proposal number of schema version 1 with the epoch that later versions put first.
+
+    The epoch is 1. It is 0 for a number with the counter 0, which no proposer has ever used.
     """
     return (1 if number[0] else 0, *number)
 
 
 def schema_version(database: Any) -> int:
-    """The schema version of an open database, 0 of an empty one."""
+    """Returns the schema version of an open database, 0 for an empty one."""
     return database.execute("pragma user_version").fetchone()[0]
 
 
 def find_file_faults(database: Any) -> list[str]:
-    """What is wrong with the file itself: its pages, its tables and its indexes; a line each."""
+    """Returns the faults that SQLite finds in the pages, tables and indexes of the file, one line each."""
     lines = [line for row in database.execute("pragma integrity_check") for line in row[0].splitlines()]
     return [line for line in lines if line != "ok" and not line.startswith("***")]
 
 
 def read_database(database: Any) -> StoredState:
-    """What lies there, in any schema version up to SCHEMA_VERSION.
+    """Returns the content of an open database of any schema version up to SCHEMA_VERSION.
 
-    Raises RowsDamagedError or ValueError where rows are not as they were written, sqlite3.Error where the
-    file can't be read.
+    Raises RowsDamagedError or another of `storage_errors.READ_ERRORS` where the rows differ from what was
+    written. Raises sqlite3.Error where SQLite cannot read the file.
     """
     version = schema_version(database)
     if version == NO_SCHEMA:
         require_no_rows(database)
         return StoredState({}, {})
     if version == SCHEMA_VERSION:
-        return read_checked(database)
+        return read_verified(database)
     if not 0 < version < SCHEMA_VERSION:
-        raise RowsDamagedError(f"form {version}, and this program knows 1 to {SCHEMA_VERSION}")
+        raise RowsDamagedError(
+            f"schema version {version} is unknown: this program reads versions 1 to {SCHEMA_VERSION}"
+        )
     facts = {name: json.loads(value) for name, value in database.execute("select name, value from facts")}
-    read = read_registers_1 if version == SCHEMA_VERSION_1 else read_registers_2
-    return StoredState(facts, read(database))
+    read_registers = read_registers_1 if version == SCHEMA_VERSION_1 else read_registers_2
+    return StoredState(facts, read_registers(database))
 
 
 def require_no_rows(database: Any) -> None:
-    """A database without a version holds nothing: an empty file, or one whose making was cut off."""
+    """Raises RowsDamagedError where a database without a schema version has rows.
+
+    Without a schema version, the file is empty, or the creation of its tables was interrupted.
+    """
     for kind, name, *_ in list(database.execute(LIST_SCHEMA)):
         if kind == "table" and database.execute(f'select 1 from "{name}" limit 1').fetchone():
-            raise RowsDamagedError("rows, but no schema version")
+            raise RowsDamagedError("a table has rows, but the database has no schema version")
 
 
 def read_registers_1(database: Any) -> dict[str, RegisterState]:
-    """The registers of schema version 1, their proposal numbers as of the first epoch."""
+    """Returns the registers of schema version 1, with the epoch added to their proposal numbers."""
     registers = {}
     for name, *numbers, value in database.execute("select name, promised, accepted, value from registers"):
         promised, accepted = (add_epoch(to_tuples(json.loads(number))) for number in numbers)
@@ -101,7 +116,7 @@
 
 
 def read_registers_2(database: Any) -> dict[str, RegisterState]:
-    """The registers of schema version 2."""
+    """Returns the registers of schema version 2."""
     registers = {}
     for name, *numbers in database.execute("select name, promised, accepted from registers"):
         promised, accepted = (to_tuples(json.loads(number)) for number in numbers)
@@ -110,92 +125,104 @@
     return registers
 
 
-# --- the newest version
+# --- the newest schema version
 
 
-def read_checked(database: Any) -> StoredState:
-    """What lies in a database of the newest version, each row and the number of rows checked."""
+def read_verified(database: Any) -> StoredState:
+    """Returns the content of a database of the newest schema version.
+
+    Raises RowsDamagedError where the tables, a row or the number of rows differs from what was written.
+    """
     require_schema(database)
-    facts, fact_checksums = read_checked_facts(database)
-    rows = read_checked_parts(database)
-    registers = read_checked_registers(database, rows)
-    checksums = StoredChecksums(fact_checksums, {name: rows[name].content_sum for name in registers})
+    facts, fact_checksums = read_verified_facts(database)
+    parts = read_verified_parts(database)
+    registers = read_verified_registers(database, parts)
+    checksums = StoredChecksums(fact_checksums, {name: parts[name].row_sum for name in registers})
     require_totals(database, checksums.totals())
     return StoredState(facts, registers, checksums)
 
 
 @functools.cache
 def expected_schema() -> frozenset[tuple]:
-    """What sqlite lists of the tables of the newest version."""
+    """Returns the rows of `sqlite_master` for the tables of the newest schema version."""
     database = sqlite3.connect(":memory:")
     for statement in CREATE_TABLES:
         database.execute(statement)
-    listed = frozenset(map(tuple, database.execute(LIST_SCHEMA)))
+    schema = frozenset(map(tuple, database.execute(LIST_SCHEMA)))
     database.close()
-    return listed
+    return schema
 
 
 def require_schema(database: Any) -> None:
-    """The tables and indexes are those of the newest version, and no others."""
-    listed = [tuple(row) for row in database.execute(LIST_SCHEMA)]
-    if len(listed) != len(expected_schema()) or set(listed) != expected_schema():
-        raise RowsDamagedError("the tables are not those of this form")
+    """Raises RowsDamagedError unless the tables and indexes are those of the newest schema version."""
+    schema = [tuple(row) for row in database.execute(LIST_SCHEMA)]
+    if len(schema) != len(expected_schema()) or set(schema) != expected_schema():
+        raise RowsDamagedError("the tables or indexes are not those of the newest schema version")
 
 
-def read_checked_facts(database: Any) -> tuple[dict[str, Any], dict[str, int]]:
-    """The facts and their checksums, by name."""
+def read_verified_facts(database: Any) -> tuple[dict[str, Any], dict[str, int]]:
+    """Returns the facts and their checksums, both by name. Raises RowsDamagedError for a changed row."""
     facts, checksums = {}, {}
     for name, value, checksum in database.execute("select name, value, checksum from facts"):
-        require(checksum == fact_checksum(name, value), "fact", name)
+        require_match(checksum == fact_checksum(name, value), "fact", name)
         facts[name], checksums[name] = json.loads(value), checksum
     return facts, checksums
 
 
-class PartRows:
-    """The rows of one register's parts, in their order, and their sum."""
+class RegisterParts:
+    """The rows of the parts of one register, as path and text in stored order, and the sum over them."""
 
     def __init__(self) -> None:
         self.rows: list[tuple[str, str]] = []
-        self.content_sum = ContentSum()
+        self.row_sum = RowSetSum()
+
 
+def read_verified_parts(database: Any) -> dict[str, RegisterParts]:
+    """Returns the parts of all registers, by register. Raises RowsDamagedError for a changed row.
 
-def read_checked_parts(database: Any) -> dict[str, PartRows]:
-    """The parts of all registers, in one look at the whole table: no index is relied on."""
-    found: dict[str, PartRows] = {}
+    The whole table is read in one pass, so that a damaged index has no effect.
+    """
+    parts_by_register: dict[str, RegisterParts] = {}
     for register, path, value, checksum in database.execute(READ_PARTS):
-        require(checksum == part_checksum(register, path, value), "part", register, path)
-        part_rows = found.setdefault(register, PartRows())
-        part_rows.rows.append((path, value))
-        part_rows.content_sum = part_rows.content_sum.with_row(checksum)
-    return found
+        require_match(checksum == part_checksum(register, path, value), "part", register, path)
+        parts = parts_by_register.setdefault(register, RegisterParts())
+        parts.rows.append((path, value))
+        parts.row_sum = parts.row_sum.with_row(checksum)
+    return parts_by_register
+
 
+def read_verified_registers(
+    database: Any, parts_by_register: dict[str, RegisterParts]
+) -> dict[str, RegisterState]:
+    """Returns the registers by name.
 
-def read_checked_registers(database: Any, parts: dict[str, PartRows]) -> dict[str, RegisterState]:
-    """The registers by name. Raises RowsDamagedError where their parts are not all there."""
+    Raises RowsDamagedError for a changed row, for a register with missing or surplus parts, and for parts of
+    a register that does not exist.
+    """
     registers = {}
     statement = "select name, promised, accepted, part_count, part_sum, checksum from registers"
     for name, *numbers, part_count, part_sum, checksum in database.execute(statement):
-        content_sum = ContentSum(part_count, part_sum)
-        require(checksum == register_checksum(name, *numbers, content_sum), "register", name)
-        found = parts.get(name, PartRows())
-        require(found.content_sum == content_sum, "number or content of the parts of", name)
+        expected_sum = RowSetSum(part_count, part_sum)
+        require_match(checksum == register_checksum(name, *numbers, expected_sum), "register", name)
+        parts = parts_by_register.get(name, RegisterParts())
+        require_match(parts.row_sum == expected_sum, "number or content of the parts of", name)
         promised, accepted = (to_tuples(json.loads(number)) for number in numbers)
-        registers[name] = (promised, accepted, decode_rows(found.rows))
-    for name in parts:
-        require(name in registers, "parts of an unknown register", name)
+        registers[name] = (promised, accepted, decode_rows(parts.rows))
+    for name in parts_by_register:
+        require_match(name in registers, "parts of an unknown register", name)
     return registers
 
 
-def require_totals(database: Any, expected: ContentSum) -> None:
-    """The row of totals is there, and says what was found."""
+def require_totals(database: Any, expected: RowSetSum) -> None:
+    """Raises RowsDamagedError unless `totals` has exactly one row and that row holds the expected sum."""
     rows = list(database.execute("select row_count, row_sum, checksum from totals"))
-    require(len(rows) == 1, "totals")
+    require_match(len(rows) == 1, "totals")
     row_count, row_sum, checksum = rows[0]
-    stored = ContentSum(row_count, row_sum)
-    require(checksum == totals_checksum(stored) and stored == expected, "totals")
+    stored = RowSetSum(row_count, row_sum)
+    require_match(checksum == totals_checksum(stored) and stored == expected, "totals")
 
 
-def require(is_sound: bool, *place: str) -> None:
-    """Raise RowsDamagedError, naming the place, where something is not as it was written."""
-    if not is_sound:
-        raise RowsDamagedError(f"checksum does not fit: {' '.join(map(str, place))}")
+def require_match(is_match: bool, *location: str) -> None:
+    """Raises RowsDamagedError with the location of the rows unless they match their checksum or row count."""
+    if not is_match:
+        raise RowsDamagedError(f"checksum or row count mismatch: {' '.join(map(str, location))}")
--- a/bramblewood/controller/value_diff.py
+++ b/bramblewood/controller/value_diff.py
@@ -1,12 +1,16 @@
-"""Differences between two JSON values, so that a change of a large one travels as a small one. Pure.
+"""Differences between two JSON values, by which a small change of a large value is sent and stored.
 
-A difference is a JSON map of one of two forms, stored and sent as it is:
+This module does no input or output.
 
-    {"=": value}                                    the new value, in place of the old one
-    {"+": {key: difference, ...}, "-": [key, ...]}  of a map: keys that change or are new, and keys that are
-                                                    gone ("-" is left out where none is)
+A difference is a JSON map in one of two forms. It is sent and stored in this form.
 
-Values are never changed in place: what two of them share is the same object, and is passed over unread.
+    {"=": value}                                    The new value replaces the old one.
+    {"+": {key: difference, ...}, "-": [key, ...]}  For a map: "+" holds the keys that change or are new, and
+    "-"
+                                                    the keys that are removed. "-" is omitted if it is empty.
+
+Values are never changed in place. Two versions of a value share the same objects where they are equal, and a
+comparison skips shared objects.
 """
 
 from collections.abc import Iterator
@@ -16,19 +20,21 @@
 from weakref import ref
 
 SET, REMOVE_KEYS, PATCH_KEYS = "=", "-", "+"
-MISSING = object()  # in place of the value of a key that is not there
+MISSING = object()  # stands for the value of a key that does not exist
 NESTED_TYPES = {dict, list, tuple}
 
 
 class PatchedDict(dict):
-    """A map that `apply_difference` made. It knows of which one, as long as that is in use, and by which
-    difference, so that nobody needs to look for it again. Its copies are plain.
+    """A map that `apply_difference` returned, together with the difference that produced it.
+
+    `difference` and `changed_keys` use it to avoid a comparison with the map that was patched. Copies and
+    pickles are plain maps.
 
-    base: a weak reference to the map it was made of; change: the difference to that.
+    base_ref: a weak reference to the map that was patched. change: the difference that was applied to it.
     """
 
-    __slots__ = ("base", "change", "__weakref__")
-    base: Any
+    __slots__ = ("base_ref", "change", "__weakref__")
+    base_ref: Any
     change: dict
 
     def __reduce__(self) -> tuple:
@@ -36,8 +42,10 @@
 
 
 def equal_as_json(old: Any, new: Any) -> bool:
-    """Equal as JSON texts: 1, 1.0 and true are three values though Python calls them equal, and so are two
-    orders of a map's keys (the oldest of a configuration's past versions are forgotten by their order).
+    """Returns whether two values are equal as JSON text.
+
+    Python's `==` is not sufficient. It treats 1, 1.0 and true as equal, and it ignores the order of the keys
+    of a map. The order matters because the oldest past versions of a configuration are removed in that order.
     """
     if old is new:
         return True
@@ -54,21 +62,24 @@
 
 
 def changed_keys(old: dict, new: dict) -> Iterator[str]:
-    """Keys of `new` whose values are other objects than those of `old`; by its change, where it was made of
-    `old` and knows it.
+    """Returns the keys of `new` whose values are not the same objects as in `old`.
+
+    If `new` was produced by patching `old`, these are the keys in its recorded difference, and no value is
+    compared.
     """
-    if isinstance(new, PatchedDict) and new.base() is old:
+    if isinstance(new, PatchedDict) and new.base_ref() is old:
         return iter(new.change[PATCH_KEYS])
     return compress(new, map(is_not, map(old.get, new, repeat(MISSING)), new.values()))
 
 
 def difference(old: Any, new: Any) -> dict | None:
-    """What makes `new` of `old`; None where they are equal as JSON. Maps are compared key by key, all else
-    as a whole.
+    """Returns the difference that turns `old` into `new`, None where they are equal as JSON text.
+
+    Maps are compared key by key. All other values are compared as a whole.
     """
     if old is new:
         return None
-    if isinstance(new, PatchedDict) and new.base() is old:
+    if isinstance(new, PatchedDict) and new.base_ref() is old:
         return new.change
     if isinstance(old, dict) and isinstance(new, dict):
         return map_difference(old, new)
@@ -76,24 +87,28 @@
 
 
 def map_difference(old: dict, new: dict) -> dict | None:
-    """The change that makes one map the other, in its form on the wire; None where they are equal."""
-    changes, added = {}, 0
+    """Returns the difference between two maps, None where they are equal as JSON text.
+
+    If `apply_difference` would give the keys another order than that of `new`, the difference replaces the
+    map.
+    """
+    changes, added_count = {}, 0
     for key in changed_keys(old, new):
         if key not in old:
-            changes[key], added = {SET: new[key]}, added + 1
-        elif (inner := difference(old[key], new[key])) is not None:
-            changes[key] = inner
-    removed = [key for key in old if key not in new] if len(old) + added > len(new) else []
-    order = patched_key_order(old, changes, removed) if added or removed else old
+            changes[key], added_count = {SET: new[key]}, added_count + 1
+        elif (child_difference := difference(old[key], new[key])) is not None:
+            changes[key] = child_difference
+    removed = [key for key in old if key not in new] if len(old) + added_count > len(new) else []
+    order = patched_key_order(old, changes, removed) if added_count or removed else old
     if any(map(ne, order, new)):
-        return {SET: new}  # keys come in another order than `apply_difference` would give them
+        return {SET: new}
     if not changes and not removed:
         return None
     return {PATCH_KEYS: changes, REMOVE_KEYS: removed} if removed else {PATCH_KEYS: changes}
 
 
 def patched_key_order(old: dict, changes: dict, removed: list[str]) -> dict[str, None]:
-    """The keys in the order in which `apply_difference` will have them."""
+    """Returns the keys in the order that `apply_difference` gives them, as the keys of a map."""
     order = dict.fromkeys(old)
     for key in removed:
         del order[key]
@@ -102,16 +117,17 @@
 
 
 def apply_difference(old: Any, change: dict | None) -> Any:
-    """The new value, of the old one and their difference (None: the same). `old` itself is left as it is."""
+    """Returns the value that a difference makes of `old`; None means no change. `old` is not modified."""
     if change is None:
         return old
     if SET in change:
         return change[SET]
     patched = PatchedDict(old)
-    # a plain map can't be referred to without keeping it: `object()` is none that anybody holds
-    patched.change, patched.base = change, ref(old) if isinstance(old, PatchedDict) else object
+    # A plain dict cannot be referenced weakly, and a strong reference would keep it alive. `object` takes the
+    # place of the reference then: each call returns a new object, which is never identical to a map.
+    patched.change, patched.base_ref = change, ref(old) if isinstance(old, PatchedDict) else object
     for key in change.get(REMOVE_KEYS, ()):
         patched.pop(key, None)
-    for key, inner in change[PATCH_KEYS].items():
-        patched[key] = apply_difference(patched.get(key), inner)
+    for key, child_difference in change[PATCH_KEYS].items():
+        patched[key] = apply_difference(patched.get(key), child_difference)
     return patched
--- a/features/steps/storage.py
+++ b/features/steps/storage.py
@@ -105,11 +105,11 @@
     context.files = {name: bytes(inode.contents) for name, inode in context.play.disk.names.items()}
 
 
-@then("it is refused with one line that names form {version:d}, and no byte of it has changed")
+@then("it is refused with one line that names schema version {version:d}, and no byte of it has changed")
 def refused(context, version):
     disk = context.play.disk
     reason = str(storage_on(disk).open().err_value)
-    assert f"form {version}" in reason and "\n" not in reason, reason
+    assert f"schema version {version}" in reason and "\n" not in reason, reason
     assert {name: bytes(inode.contents) for name, inode in disk.names.items()} == context.files
 
 
--- a/features/storage.feature
+++ b/features/storage.feature
@@ -39,7 +39,7 @@
   Scenario: A newer schema version is refused with one line, and left as it is
     Given a database with a table of 10 slices
     When a later program has made schema version 4 of it
-    Then it is refused with one line that names form 4, and no byte of it has changed
+    Then it is refused with one line that names schema version 4, and no byte of it has changed
 
   Scenario: A folder that is new outlives a power cut
     When a database is opened three folders deep in a folder that is there
--- a/tests/simulation/damaged_database.py
+++ b/tests/simulation/damaged_database.py
@@ -170,7 +170,9 @@
     storage = Storage(folder)
     found = storage.open()
     if found.is_err():
-        is_later_form = str(found.err_value.problem).startswith("form ")  # of a program to come, as it seems
+        is_later_form = str(found.err_value.problem).startswith(
+            "schema version "
+        )  # of a program to come, as it seems
         if not isinstance(found.err_value, StorageDamagedError) and not is_later_form:
             raise DamageUnnoticed(f"not called damage: {found.err_value}")
         return DAMAGED
--- a/tests/test_damaged_controllers.py
+++ b/tests/test_damaged_controllers.py
@@ -105,7 +105,7 @@
     fleet.wait_until_read_back()
     for number in changed:
         found, kept = fleet.log_events(number, "storage damaged")
-        assert "has other content than at" in found["problem"]
+        assert "differs from the content at" in found["problem"]
         assert kept["problem"] == found["problem"] and Path(kept["kept"], DATABASE_FILE).exists()
 
 
--- a/tests/test_damaged_storage.py
+++ b/tests/test_damaged_storage.py
@@ -11,16 +11,16 @@
 
 from bramblewood.controller import damaged_storage
 from bramblewood.controller.damaged_storage import (
-    KEPT_FOLDER_PREFIX,
-    MAX_KEPT_FOLDERS,
-    kept_folders,
+    MAX_QUARANTINE_FOLDERS,
+    QUARANTINE_FOLDER_PREFIX,
     mark_damaged,
     marked_reason,
+    move_to_quarantine,
     open_or_replace,
-    set_aside,
+    quarantine_folders,
 )
 from bramblewood.controller.storage import Storage
-from bramblewood.controller.storage_errors import StorageDamagedError, is_corruption, means_damage
+from bramblewood.controller.storage_errors import StorageDamagedError, is_damage_on_read, is_damage_on_write
 from bramblewood.controller.storage_reader import RowsDamagedError
 from bramblewood.controller.storage_schema import DATABASE_FILE
 from tests.simulation.damaged_database import (
@@ -151,7 +151,7 @@
     assert storage.replaces_damaged
     assert storage.commit([([("config", *NUMBERS, config(1))], {"disk": "77a00002"}, None)]) is None
     storage.database.close()
-    [kept] = kept_folders(folder)
+    [kept] = quarantine_folders(folder)
     assert (kept / DATABASE_FILE).read_bytes()[HEADER_SIZE:] == damaged
     [(event, more)] = log.lines
     assert event == "storage damaged" and more["kept"] == str(kept) and "checksum" in more["problem"]
@@ -186,24 +186,24 @@
     with monkeypatch.context() as patched:
         patched.setattr(damaged_storage.os, "replace", replace)
         with pytest.raises(OSError, match="power"):
-            set_aside(folder)
+            move_to_quarantine(folder)
     storage = Storage(folder)
     assert marked_reason(folder) == "for a test"
     assert open_or_replace(storage, Log()).unwrap().registers == {}
     storage.database.close()
     assert marked_reason(folder) is None
-    [kept] = kept_folders(folder)
+    [kept] = quarantine_folders(folder)
     assert {DATABASE_FILE, DATABASE_FILE + "-wal"} <= {path.name for path in kept.iterdir()}
 
 
 def test_few_folders_are_kept(written: Written, tmp_path: Path) -> None:
     folder = str(tmp_path / "again")
-    for number in range(MAX_KEPT_FOLDERS + 2):
+    for number in range(MAX_QUARANTINE_FOLDERS + 2):
         shutil.copytree(written.folder, folder, dirs_exist_ok=True)
         mark_damaged(folder, f"time {number}")
-        set_aside(folder)
-    names = [f"{KEPT_FOLDER_PREFIX}{number}" for number in (3, 4, 5)]
-    assert [path.name for path in kept_folders(folder)] == names
+        move_to_quarantine(folder)
+    names = [f"{QUARANTINE_FOLDER_PREFIX}{number}" for number in (3, 4, 5)]
+    assert [path.name for path in quarantine_folders(folder)] == names
 
 
 def test_a_disk_that_does_not_answer_is_not_damaged(tmp_path: Path) -> None:
@@ -215,8 +215,8 @@
 
     error = Storage(str(tmp_path), connect).open().err_value
     assert not isinstance(error, StorageDamagedError)
-    assert not means_damage(refused) and not means_damage(OSError("no such folder"))
-    assert means_damage(RowsDamagedError("a row")) and means_damage(ValueError("no JSON"))
+    assert not is_damage_on_read(refused) and not is_damage_on_read(OSError("no such folder"))
+    assert is_damage_on_read(RowsDamagedError("a row")) and is_damage_on_read(ValueError("no JSON"))
 
 
 def test_damage_met_by_a_write_is_told(written: Written, tmp_path: Path) -> None:
@@ -242,4 +242,8 @@
 def test_only_corruption_counts_as_damage_amid_a_write() -> None:
     full, corrupt = sqlite3.OperationalError("full"), sqlite3.DatabaseError("malformed")
     full.sqlite_errorcode, corrupt.sqlite_errorcode = sqlite3.SQLITE_FULL, sqlite3.SQLITE_CORRUPT_INDEX
-    assert is_corruption(corrupt) and not is_corruption(full) and not is_corruption(TypeError("no JSON"))
+    assert (
+        is_damage_on_write(corrupt)
+        and not is_damage_on_write(full)
+        and not is_damage_on_write(TypeError("no JSON"))
+    )
