--- a/features/steps/storage.py
+++ b/features/steps/storage.py
@@ -12,146 +12,161 @@
 from bramblewood.controller.storage import Storage
 from tests.simulation.storage_failures import (
     PROMISE,
-    HangingDisk,
+    ControllerOnHangingDisk,
     LongLivedStorage,
-    difference_leads_to_value,
+    difference_reproduces_value,
     disk_of_schema_1,
-    first_seed_found,
-    play,
-    storage_on,
+    first_failing_seed,
+    make_storage,
+    run_lifetimes,
 )
 
 
-@then("{count:d} disks hold exactly one state that was written, none before what was acknowledged")
-def disks(context, count, old=False, each=10):
-    kept = sum(play(seed, old) for seed in range(count))
-    assert kept > each * count, "hardly anything was acknowledged: the cuts prove nothing"
+@then("{count:d} disks hold exactly one written state, none older than the last acknowledged one")
+def disks_hold_one_written_state(context, count, schema_1=False, min_acknowledged=10):
+    acknowledged = sum(run_lifetimes(seed, schema_1) for seed in range(count))
+    assert acknowledged > min_acknowledged * count, (
+        "too few acknowledged batches: the power cuts prove nothing"
+    )
 
 
 @then(
-    "{count:d} disks of schema version 1 hold exactly one state that was written, "
-    "none before what was acknowledged"
+    "{count:d} disks of schema version 1 hold exactly one written state, "
+    "none older than the last acknowledged one"
 )
-def old_disks(context, count):
-    disks(context, count, True, 3)
+def schema_1_disks_hold_one_written_state(context, count):
+    disks_hold_one_written_state(context, count, True, 3)
 
 
-@then('with "{fault}" one of {count:d} disks shows it')
-def fault_found(context, fault, count):
-    assert first_seed_found(fault, count) is not None, "no disk lost anything"
+@then(
+    'with the fault "{fault}" at least one of {count:d} disks loses an acknowledged state '
+    "or holds an unwritten one"
+)
+def fault_is_detected(context, fault, count):
+    assert first_failing_seed(fault, count) is not None, "no disk lost an acknowledged state"
 
 
-@then("{count:d} differences, sent as JSON, lead to the value they were made for")
-def differences(context, count):
-    assert all(difference_leads_to_value(random.Random(seed)) for seed in range(count))
+@then("{count:d} differences, sent as JSON, reproduce the values that they were computed from")
+def differences_reproduce_values(context, count):
+    assert all(difference_reproduces_value(random.Random(seed)) for seed in range(count))
 
 
 @given("a database with a table of {slices:d} slices")
-def growing(context, slices):
-    context.play = LongLivedStorage(slices)
+def database_with_table(context, slices):
+    context.long_lived = LongLivedStorage(slices)
 
 
-@when("{count:d} moves are committed, with a service emptied and filled now and then")
-def moves(context, count):
-    context.play.move(count, 50)
+@when("{count:d} moves are committed, and every 50 moves a service is emptied and refilled")
+def commit_moves(context, count):
+    context.long_lived.commit_moves(count, 50)
 
 
-@then("the database holds at most {times:d} times the table's text and {rest:d} KiB, and the log {log:g} MB")
-def bounded(context, times, rest, log):
-    (database, log_size), text = context.play.sizes(), len(json.dumps(context.play.value))
-    assert database <= times * text + rest * 1024 and log_size <= log * 1e6, (database, log_size)
+@then(
+    "the database has at most {times:d} times the size of the table plus {rest:d} KiB, "
+    "and the log at most {log:g} MB"
+)
+def sizes_are_bounded(context, times, rest, log):
+    (database, log_size), table_size = context.long_lived.sizes(), len(json.dumps(context.long_lived.value))
+    assert database <= times * table_size + rest * 1024 and log_size <= log * 1e6, (database, log_size)
 
 
-@then("a start finds the table as it was left")
-def started(context):
-    value = context.play.value
-    context.play.storage.database.close()
-    context.play.start()
-    assert repr(context.play.storage.stored_values["table"]) == repr(value)
+@then("a start finds the table as it was committed")
+def start_finds_table(context):
+    value = context.long_lived.value
+    context.long_lived.storage.database.close()
+    context.long_lived.start()
+    assert repr(context.long_lived.storage.stored_values["table"]) == repr(value)
 
 
-@when("a value that is no JSON is committed amid others")
-def no_json(context):
-    play = context.play
-    row = ("table", (9,), (9,), {**play.value, "n": 9, "odd": {1, 2}})
-    context.problem = play.storage.commit([([row], {"seen": 9}, None)])
-    play.move(1)
+@when("a value that is not JSON is committed, and then one move")
+def commit_value_that_is_not_json(context):
+    long_lived = context.long_lived
+    row = ("table", (9,), (9,), {**long_lived.value, "n": 9, "odd": {1, 2}})
+    context.problem = long_lived.storage.commit([([row], {"seen": 9}, None)])
+    long_lived.commit_moves(1)
 
 
-@then("it is refused, and a start finds the table as it was left")
-def not_json_refused(context):
+@then("the commit is refused, and a start finds the table as it was committed")
+def commit_is_refused(context):
     assert context.problem.startswith("TypeError"), context.problem
-    started(context)
+    start_finds_table(context)
 
 
-@when("a text of {size:d} MB comes and goes, then all but ten slices, and {count:d} moves are committed")
-def shrunk(context, size, count):
-    play, services = context.play, context.play.value["s"]
+@when(
+    "a text of {size:d} MB is added and removed, all but ten slices are removed, "
+    "and {count:d} moves are committed"
+)
+def shrink_content(context, size, count):
+    long_lived, services = context.long_lived, context.long_lived.value["s"]
     few = {name: dict([*entries.items()][:10]) for name, entries in services.items() if name == "service-0"}
-    play.commit({**play.value, "text": "x" * size * 10**6})
-    play.commit({"n": play.value["n"], "s": few})
-    play.move(count)
+    long_lived.commit({**long_lived.value, "text": "x" * size * 10**6})
+    long_lived.commit({"n": long_lived.value["n"], "s": few})
+    long_lived.commit_moves(count)
 
 
-@then("the database holds at most {rest:d} KiB, and the log {log:g} MB")
-def given_back(context, rest, log):
-    bounded(context, 0, rest, log)
+@then("the database has at most {rest:d} KiB, and the log at most {log:g} MB")
+def files_have_shrunk(context, rest, log):
+    sizes_are_bounded(context, 0, rest, log)
 
 
-@when("a later program has made schema version {version:d} of it")
-def later_version(context, version):
-    context.play.storage.database.execute(f"pragma user_version={version}")
-    context.play.storage.database.close()
-    context.files = {name: bytes(inode.contents) for name, inode in context.play.disk.names.items()}
+@when("a later program upgrades it to schema version {version:d}")
+def set_schema_version(context, version):
+    context.long_lived.storage.database.execute(f"pragma user_version={version}")
+    context.long_lived.storage.database.close()
+    context.files = {name: bytes(file.contents) for name, file in context.long_lived.disk.names.items()}
 
 
-@then("it is refused with one line that names schema version {version:d}, and no byte of it has changed")
-def refused(context, version):
-    disk = context.play.disk
-    reason = str(storage_on(disk).open().err_value)
+@then("a start refuses it with one line that names schema version {version:d}, and its files are unchanged")
+def newer_version_is_refused(context, version):
+    disk = context.long_lived.disk
+    reason = str(make_storage(disk).open().err_value)
     assert f"schema version {version}" in reason and "\n" not in reason, reason
-    assert {name: bytes(inode.contents) for name, inode in disk.names.items()} == context.files
+    assert {name: bytes(file.contents) for name, file in disk.names.items()} == context.files
 
 
-@when("a database is opened three folders deep in a folder that is there")
-def deep(context):
-    place = tempfile.TemporaryDirectory()
-    context.add_cleanup(place.cleanup)
-    context.synced, context.place = [], os.path.realpath(place.name)
-    sync, connect = os.fsync, sqlite3.connect
+@when("a database is opened three missing folders below an existing folder")
+def open_below_missing_folders(context):
+    temporary = tempfile.TemporaryDirectory()
+    context.add_cleanup(temporary.cleanup)
+    context.calls, context.folder = [], os.path.realpath(temporary.name)
+    fsync, connect = os.fsync, sqlite3.connect
 
-    def fsync(port):
-        context.synced.append(os.path.relpath(os.readlink(f"/proc/self/fd/{port}"), context.place))
-        sync(port)
+    def record_fsync(descriptor):
+        context.calls.append(os.path.relpath(os.readlink(f"/proc/self/fd/{descriptor}"), context.folder))
+        fsync(descriptor)
 
-    def connected(path, **words):
-        context.synced.append("the database")
-        return connect(path, **words)
+    def record_connect(path, **options):
+        context.calls.append("the database")
+        return connect(path, **options)
 
-    with mock.patch("os.fsync", fsync), mock.patch("sqlite3.connect", connected):
-        assert Storage(os.path.join(context.place, "a", "b", "c")).open().is_ok()
+    with mock.patch("os.fsync", record_fsync), mock.patch("sqlite3.connect", record_connect):
+        assert Storage(os.path.join(context.folder, "a", "b", "c")).open().is_ok()
 
 
-@then("each new folder was synced into the one above before the database was made")
-def synced(context):
-    assert context.synced == [".", "a", "a/b", "the database"], context.synced
+@then("each new folder was synced into its parent before the database was created")
+def folders_were_synced(context):
+    assert context.calls == [".", "a", "a/b", "the database"], context.calls
 
 
-@then("check, show and export tell the same of a disk of schema version 1 and of what a start makes of it")
-def commands(context):
+@then("check, show and export print the same before and after a start upgrades a disk of schema version 1")
+def commands_print_the_same(context):
     disk, history = disk_of_schema_1(random.Random(1))
     with tempfile.TemporaryDirectory() as folder:
-        for name, inode in disk.names.items():
+        for name, disk_file in disk.names.items():
             with open(os.path.join(folder, os.path.basename(name)), "wb") as file:
-                file.write(inode.contents)
-        run = lambda *words: CliRunner().invoke(storage_commands, [*words, folder])  # noqa: E731
+                file.write(disk_file.contents)
+        run = lambda *arguments: CliRunner().invoke(storage_commands, [*arguments, folder])  # noqa: E731
         before = [run(command) for command in ("check", "show", "export")]
         storage = Storage(folder)
         facts, registers, _ = storage.open().ok_value
         assert {"facts": facts, "registers": registers} == history.states[0]
         assert storage.database.execute("pragma auto_vacuum").fetchone() == (1,)
         after = [run(command) for command in ("check", "show", "export")]
-        facts = {"born": None, "voters": None, "disk": "0a0b0c0d"}  # as a controller goes on to write
+        facts = {
+            "born": None,
+            "voters": None,
+            "disk": "0a0b0c0d",
+        }  # what a controller writes after the upgrade
         assert storage.commit([([], facts, None)]) is None
         assert json.loads(run("export").output)["facts"] == {"disk": "0a0b0c0d"}
         assert run("check").output == "sound\n"
@@ -161,44 +176,47 @@
     assert config["value"] == history.states[0]["registers"]["config"][2]
 
 
-@given("a controller whose disk hangs as it syncs")
-def hangs(context):
-    context.play = HangingDisk()
-    context.add_cleanup(context.play.end)
+@given("a controller whose disk hangs during a sync")
+def controller_on_hanging_disk(context):
+    context.hanging = ControllerOnHangingDisk()
+    context.add_cleanup(context.hanging.close)
 
 
-@when("it is to promise a proposal at {now:g}")
-def promise(context, now):
-    context.play.promise(now)
+@when("it writes a promise at {now:g}")
+def write_promise(context, now):
+    context.hanging.promise(now)
 
 
-@then("nothing of it goes out, and at {soon:g} it may act for the controllers, at {late:g} not")
-def held(context, soon, late):
-    assert not context.play.sent
-    is_current = context.play.controller.quorum_contact.is_current
-    assert is_current(soon) and not is_current(late)
+@then("no message is sent, and the controller is current at {early:g} but not at {late:g}")
+def messages_are_delayed(context, early, late):
+    assert not context.hanging.sent
+    is_current = context.hanging.controller.quorum_contact.is_current
+    assert is_current(early) and not is_current(late)
 
 
-@when("the disk answers again")
-def answers(context):
-    context.play.answer()
+@when("the disk responds again")
+def disk_responds(context):
+    context.hanging.resume()
 
 
-@then("the promise goes out, lies there after a power cut, and the controller may act again")
-def goes(context):
-    assert context.play.sent == [("b", PROMISE)] and context.play.controller.quorum_contact.is_current(20.0)
-    assert context.play.after_power_cut()["config"][0] == (1, 7, "b", 1)
+@then("the promise is sent, survives a power cut, and the controller is current again")
+def promise_is_sent(context):
+    assert context.hanging.sent == [("b", PROMISE)] and context.hanging.controller.quorum_contact.is_current(
+        20.0
+    )
+    assert context.hanging.registers_after_power_cut()["config"][0] == (1, 7, "b", 1)
 
 
 @when("the power is cut")
-def cut(context):
-    context.play.disk.power_cut_at = context.play.disk.calls - 1
+def cut_power(context):
+    context.hanging.disk.power_cut_at = context.hanging.disk.calls - 1
 
 
-@then("nothing of it went out, and what lay there before lies there still")
-def no_effects(context):
-    context.play.answer()
-    assert not context.play.sent
-    promised, accepted, value = context.play.after_power_cut()["config"]
+@then("no message was sent, and the content from before the write is still stored")
+def earlier_content_is_stored(context):
+    context.hanging.resume()
+    assert not context.hanging.sent
+    promised, accepted, value = context.hanging.registers_after_power_cut()["config"]
     assert (accepted, value) == ((1, 3, "a", 1), {"n": 1})
-    assert promised in (accepted, (1, 7, "b", 1))  # a promise that nobody was told of may be there or not
+    # The promise was not sent, so it may be stored or not.
+    assert promised in (accepted, (1, 7, "b", 1))
--- a/tests/simulation/simulated_disk.py
+++ b/tests/simulation/simulated_disk.py
@@ -1,90 +1,104 @@
-"""A disk that fails as disks do, behind the store's port: power cuts, torn or lost writes, errors."""
+"""A simulated disk behind the store's port, with power cuts, torn and lost writes, and I/O errors."""
 
 import errno
 import random
 
-SECTOR = 512
+SECTOR_SIZE = 512
 
 
 class PowerCut(BaseException):
-    """The machine is off: nothing of the program runs on."""
+    """The machine has lost power, so no code of the simulated process may run any further."""
 
 
 class SimulatedFile:
-    """durable: bytes that survive a power cut; contents: as processes see them; writes: those not synced."""
+    """A file on the simulated disk.
+
+    durable: the bytes that survive a power cut. contents: the bytes that processes read.
+    unsynced_writes: the writes since the last sync as (offset, bytes), and truncations as (size, None).
+    """
 
     def __init__(self, data=b""):
-        self.durable, self.contents, self.writes = bytes(data), bytearray(data), []
+        self.durable, self.contents, self.unsynced_writes = bytes(data), bytearray(data), []
 
 
 class SimulatedDisk:
-    """What survives, what is only in the cache, and the faults to come. Handed on from process to process.
-
-    power_cut_at: number of the file call after which the power goes. errors: what gives the error number to
-    raise, 0 for none, by kind of call. syncs_own_name: a file's sync makes its own name last, and only that,
-    for whoever asks (`sqlite_on_simulated_disk.File`). free_bytes: what still fits, None for no bound.
+    """A disk that is passed on from one simulated process to the next.
+
+    names, durable_names: the files by name, as processes see them and as a power cut leaves them.
+    unsynced_names: the name changes since the last sync of the folder, as (old name, new name, file).
+    calls: the file calls so far. power_cut_at: the number of the last file call before a power cut, None
+    for no power cut. errors: for a kind of call, a function that returns the errno to raise, 0 for none.
+    syncs_own_name: whether the sync of a file makes its own name durable, and no other name
+    (`sqlite_on_simulated_disk.SqliteFile`). locked: whether a process holds the lock. free_bytes: the number
+    of bytes that can still be written, None for no limit.
     """
 
     syncs_own_name = False
 
-    def __init__(self, dice=None):
-        self.dice = dice or random.Random(0)
+    def __init__(self, rng=None):
+        self.dice = rng or random.Random(0)
         self.names, self.durable_names, self.unsynced_names = {}, {}, []
         self.calls, self.power_cut_at, self.errors, self.locked, self.free_bytes = 0, None, {}, False, None
 
     # --- faults
 
-    def after_power_cut(self, dice):
-        """The disk as it comes back: of what was not flushed, some is lost, some torn, in any order."""
-        after = SimulatedDisk(dice)
-        after.syncs_own_name = self.syncs_own_name
+    def after_power_cut(self, rng):
+        """Returns the disk after a power cut.
+
+        Of the unsynced writes and name changes, a random subset is applied in the original order. Some of the
+        applied writes are torn.
+        """
+        restored = SimulatedDisk(rng)
+        restored.syncs_own_name = self.syncs_own_name
         names = dict(self.durable_names)
-        for old, new, inode in self.unsynced_names:
-            if dice.random() < 0.5:
+        for old, new, file in self.unsynced_names:
+            if rng.random() < 0.5:
                 if old is not None:
                     names.pop(old, None)
                 if new is not None:
-                    names[new] = inode
-        kept_files = {}
-        for name, inode in names.items():
-            if inode not in kept_files:
-                data = bytearray(inode.durable)
-                for offset, part in inode.writes:
-                    draw = dice.random()
+                    names[new] = file
+        restored_files = {}
+        for name, file in names.items():
+            if file not in restored_files:
+                data = bytearray(file.durable)
+                for offset, written in file.unsynced_writes:
+                    draw = rng.random()
                     if draw < 0.4:
                         continue
-                    if part is None:
+                    if written is None:
                         del data[offset:]
                         continue
-                    if draw < 0.7:  # torn: some of its sectors, or cut at any byte
-                        part = self.torn(dice, data, offset, part)
+                    if draw < 0.7:
+                        written = self.torn_write(rng, data, offset, written)
                     data[len(data) :] = bytes(max(offset - len(data), 0))
-                    data[offset : offset + len(part)] = part
-                kept_files[inode] = SimulatedFile(data)
-            after.names[name] = kept_files[inode]
-        after.durable_names = dict(after.names)
-        return after
+                    data[offset : offset + len(written)] = written
+                restored_files[file] = SimulatedFile(data)
+            restored.names[name] = restored_files[file]
+        restored.durable_names = dict(restored.names)
+        return restored
 
     @staticmethod
-    def torn(dice, data, offset, part):
-        if dice.random() < 0.5:
-            return part[: dice.randrange(len(part) + 1)]
-        old = bytes(data[offset : offset + len(part)]).ljust(len(part), b"\0")
-        torn_data = bytearray()
-        for at in range(0, len(part), SECTOR):
-            torn_data += (part if dice.random() < 0.5 else old)[at : at + SECTOR]
-        return bytes(torn_data)
+    def torn_write(rng, data, offset, written):
+        """Returns what a torn write leaves: either its first bytes, or some of its sectors."""
+        if rng.random() < 0.5:
+            return written[: rng.randrange(len(written) + 1)]
+        old = bytes(data[offset : offset + len(written)]).ljust(len(written), b"\0")
+        torn = bytearray()
+        for start in range(0, len(written), SECTOR_SIZE):
+            torn += (written if rng.random() < 0.5 else old)[start : start + SECTOR_SIZE]
+        return bytes(torn)
 
     def copy(self):
-        """The same files, all of them safe: for damage of the test's own."""
-        after = SimulatedDisk()
-        after.names = {name: SimulatedFile(inode.contents) for name, inode in self.names.items()}
-        after.durable_names = dict(after.names)
-        return after
+        """Returns a disk with copies of the files, all of them durable, which a test can damage."""
+        copied = SimulatedDisk()
+        copied.names = {name: SimulatedFile(file.contents) for name, file in self.names.items()}
+        copied.durable_names = dict(copied.names)
+        return copied
 
     # --- the port
 
     def count_call(self, kind):
+        """Counts a file call. Raises PowerCut after the power cut, and OSError where `errors` gives one."""
         self.calls += 1
         if self.power_cut_at is not None and self.calls > self.power_cut_at:
             raise PowerCut
@@ -96,14 +110,14 @@
         return sorted(self.names)
 
     def port(self):
-        return Driver(self)
+        return SimulatedPort(self)
 
 
-class Driver:
-    """The disk as one process has it open."""
+class SimulatedPort:
+    """The view that one process has of the disk; it implements `bramblewood.store.port.Port`."""
 
     def __init__(self, disk):
-        self.disk, self.handles, self.count, self.holds_lock = disk, {}, 0, False
+        self.disk, self.handles, self.last_handle, self.holds_lock = disk, {}, 0, False
 
     def names(self):
         self.disk.count_call("names")
@@ -113,13 +127,17 @@
         disk = self.disk
         disk.count_call("create" if create else "open")
         if create == (name in disk.names):
-            raise OSError(errno.EEXIST if create else errno.ENOENT, "no or another file of this name", name)
+            raise OSError(
+                errno.EEXIST if create else errno.ENOENT,
+                "create requires a new name, open requires an existing file",
+                name,
+            )
         if create:
             disk.names[name] = SimulatedFile()
             disk.unsynced_names.append((None, name, disk.names[name]))
-        self.count += 1
-        self.handles[self.count] = disk.names[name]
-        return self.count
+        self.last_handle += 1
+        self.handles[self.last_handle] = disk.names[name]
+        return self.last_handle
 
     def size(self, handle):
         self.disk.count_call("size")
@@ -130,31 +148,31 @@
         return bytes(self.handles[handle].contents[offset : offset + size])
 
     def write(self, handle, offset, data):
-        disk, inode = self.disk, self.handles[handle]
+        disk, file = self.disk, self.handles[handle]
         disk.count_call("write")
-        stored = bytes(data)
+        written = bytes(data)
         if disk.free_bytes is not None:
-            stored = stored[: max(disk.free_bytes, 0)]
-            disk.free_bytes -= len(stored)
-        inode.writes.append((offset, stored))
-        inode.contents[len(inode.contents) :] = bytes(max(offset - len(inode.contents), 0))
-        inode.contents[offset : offset + len(stored)] = stored
-        if len(stored) < len(data):
+            written = written[: max(disk.free_bytes, 0)]
+            disk.free_bytes -= len(written)
+        file.unsynced_writes.append((offset, written))
+        file.contents[len(file.contents) :] = bytes(max(offset - len(file.contents), 0))
+        file.contents[offset : offset + len(written)] = written
+        if len(written) < len(data):
             raise OSError(errno.ENOSPC, "No space left on device")
 
     def truncate(self, handle, size):
         self.disk.count_call("truncate")
-        self.handles[handle].writes.append((size, None))
+        self.handles[handle].unsynced_writes.append((size, None))
         del self.handles[handle].contents[size:]
 
     def flush(self, handle):
-        inode = self.handles[handle]
+        file = self.handles[handle]
         try:
             self.disk.count_call("flush")
         except OSError:
-            inode.writes, inode.contents = [], bytearray(inode.durable)  # the pages are gone
+            file.unsynced_writes, file.contents = [], bytearray(file.durable)  # the cached pages are dropped
             raise
-        inode.durable, inode.writes = bytes(inode.contents), []
+        file.durable, file.unsynced_writes = bytes(file.contents), []
 
     def flush_folder(self):
         self.disk.count_call("flush folder")
@@ -165,9 +183,9 @@
 
     def rename(self, old, new):
         self.disk.count_call("rename")
-        inode = self.disk.names.pop(old)
-        self.disk.names[new] = inode
-        self.disk.unsynced_names.append((old, new, inode))
+        file = self.disk.names.pop(old)
+        self.disk.names[new] = file
+        self.disk.unsynced_names.append((old, new, file))
 
     def remove(self, name):
         self.disk.count_call("remove")
--- a/tests/simulation/sqlite_on_simulated_disk.py
+++ b/tests/simulation/sqlite_on_simulated_disk.py
@@ -1,4 +1,4 @@
-"""Sqlite itself, through apsw, whose file calls can be Python's, over a simulated disk."""
+"""SQLite on a simulated disk, through apsw, which can pass SQLite's file calls to Python code."""
 
 import contextlib
 import functools
@@ -10,55 +10,55 @@
 from tests.simulation.simulated_disk import PowerCut
 
 
-def as_sqlite_error(call):
-    """What the disk raises, as sqlite knows it: after a power cut every call fails."""
+def raises_sqlite_error(method):
+    """Decorates a file call of SQLite, so that it raises a failure of the disk as an I/O error of SQLite."""
 
-    @functools.wraps(call)
-    def made(*args):
+    @functools.wraps(method)
+    def wrapper(*args):
         try:
-            return call(*args)
+            return method(*args)
         except (PowerCut, OSError):
             raise apsw.IOError from None
 
-    return made
+    return wrapper
 
 
-class File:
-    """One open file of sqlite's; every call is a call of the disk's."""
+class SqliteFile:
+    """A file that SQLite has open. Each file call of SQLite is a call of the simulated disk."""
 
     def __init__(self, disk, name, create):
         self.disk, self.name, self.port = disk, name, disk.port()
         self.handle = self.port.open(name, create=create)
-        self.inode = self.port.handles[self.handle]
-        # sqlite's way on unix (UNIXFILE_DIRSYNC): the first sync of a new journal or log is its folder's too
-        self.takes_folder = create and name.endswith(("-journal", "-wal"))
+        self.file = self.port.handles[self.handle]
+        # On Unix, SQLite's first sync of a new journal or log syncs the folder too (UNIXFILE_DIRSYNC).
+        self.syncs_folder = create and name.endswith(("-journal", "-wal"))
 
-    @as_sqlite_error
+    @raises_sqlite_error
     def xRead(self, amount, offset):
         return self.port.read(self.handle, offset, amount)
 
-    @as_sqlite_error
+    @raises_sqlite_error
     def xWrite(self, data, offset):
         self.port.write(self.handle, offset, bytes(data))
 
-    @as_sqlite_error
+    @raises_sqlite_error
     def xTruncate(self, size):
         self.port.truncate(self.handle, size)
 
-    @as_sqlite_error
+    @raises_sqlite_error
     def xSync(self, flags):
         self.port.flush(self.handle)
         if self.disk.syncs_own_name:
-            self.disk.durable_names[self.name] = self.inode
+            self.disk.durable_names[self.name] = self.file
             self.disk.unsynced_names = [
                 change for change in self.disk.unsynced_names if self.name not in change[:2]
             ]
-        elif self.takes_folder:
+        elif self.syncs_folder:
             self.port.flush_folder()
-            self.takes_folder = False
+            self.syncs_folder = False
 
     def xFileSize(self):
-        return len(self.inode.contents)
+        return len(self.file.contents)
 
     def xClose(self):
         pass
@@ -79,20 +79,22 @@
         return 512
 
     def xDeviceCharacteristics(self):
-        return apsw.SQLITE_IOCAP_POWERSAFE_OVERWRITE  # as sqlite takes unix files to be
+        return apsw.SQLITE_IOCAP_POWERSAFE_OVERWRITE  # SQLite assumes the same of files on Unix
 
 
-class Folder(apsw.VFS):
+class SimulatedVfs(apsw.VFS):
+    """A file system of SQLite whose files are on a simulated disk."""
+
     def __init__(self, disk):
-        self.disk, self.label = disk, f"disk-{uuid.uuid4().hex}"
-        super().__init__(self.label, "")
+        self.disk, self.vfs_name = disk, f"disk-{uuid.uuid4().hex}"
+        super().__init__(self.vfs_name, "")
 
-    @as_sqlite_error
+    @raises_sqlite_error
     def xOpen(self, name, flags):
         name = name.filename() if isinstance(name, apsw.URIFilename) else name
-        return File(self.disk, name, name not in self.disk.names)
+        return SqliteFile(self.disk, name, name not in self.disk.names)
 
-    @as_sqlite_error
+    @raises_sqlite_error
     def xDelete(self, name, sync):
         self.disk.port().remove(name)
         if sync:
@@ -105,44 +107,51 @@
         return name
 
 
-class Apsw:
-    """An apsw connection in sqlite3's words."""
+class ApswConnection:
+    """An apsw connection with those methods of `sqlite3.Connection` that the storage uses."""
 
     def __init__(self, disk, path, replacements=()):
-        """replacements: pairs of what the storage asks of sqlite and what is asked in its place."""
-        self.disk, self.folder, self.replacements = disk, Folder(disk), replacements
+        """replacements: pairs of a text and its replacement, applied to each SQL statement before it runs."""
+        self.disk, self.vfs, self.replacements = disk, SimulatedVfs(disk), replacements
         flags = apsw.SQLITE_OPEN_READWRITE | apsw.SQLITE_OPEN_CREATE
-        self.database = self.ask(lambda: apsw.Connection(path, vfs=self.folder.label, flags=flags))
+        self.database = self.call_sqlite(lambda: apsw.Connection(path, vfs=self.vfs.vfs_name, flags=flags))
+
+    def call_sqlite(self, call):
+        """Returns the result of a call of apsw.
 
-    def ask(self, what):
+        Raises PowerCut where the power was cut during the call, and sqlite3.OperationalError for other
+        errors.
+        """
         try:
-            found = what()
-        except (apsw.Error, OSError, PowerCut) as problem:
+            result = call()
+        except (apsw.Error, OSError, PowerCut) as error:
             if self.disk.power_cut_at is not None and self.disk.calls > self.disk.power_cut_at:
                 raise PowerCut from None
-            raise sqlite3.OperationalError(str(problem)) from None
+            raise sqlite3.OperationalError(str(error)) from None
         if self.disk.power_cut_at is not None and self.disk.calls > self.disk.power_cut_at:
             raise PowerCut
-        return found
+        return result
 
     def execute(self, sql, values=()):
         for original, replacement in self.replacements:
             sql = sql.replace(original, replacement)
-        return Rows(self.ask(lambda: [*self.database.execute(sql, values)]))
+        return Rows(self.call_sqlite(lambda: [*self.database.execute(sql, values)]))
 
     @property
     def in_transaction(self):
         return self.database.in_transaction
 
     def close(self):
-        self.ask(self.database.close)
+        self.call_sqlite(self.database.close)
 
     def __del__(self):
-        """After a power cut it can't be closed, which apsw would print."""
+        """Closes the connection. After a power cut that fails, and apsw would print the error."""
         with contextlib.suppress(apsw.Error, AttributeError):
             self.database.close(True)
 
 
 class Rows(list):
+    """The rows of a result, with the method of a cursor that the storage uses."""
+
     def fetchone(self):
         return self[0] if self else None
--- a/tests/simulation/storage_failures.py
+++ b/tests/simulation/storage_failures.py
@@ -1,6 +1,6 @@
-"""The controller's storage on a disk that loses, keeps and tears what was not synced, and refuses at times.
+"""Simulations of the controller's storage on a disk that loses and tears unsynced writes and raises errors.
 
-The power is cut at any file call; a start must find exactly one state that was written.
+The power is cut at an arbitrary file call. The next start must find exactly one state that was written.
 """
 
 import errno
@@ -21,68 +21,85 @@
 from bramblewood.controller.storage import Storage
 from bramblewood.controller.value_diff import PatchedDict, apply_difference, difference
 from tests.simulation.simulated_disk import PowerCut, SimulatedDisk
-from tests.simulation.sqlite_on_simulated_disk import Apsw, Rows
+from tests.simulation.sqlite_on_simulated_disk import ApswConnection, Rows
 
 
-class StateLost(AssertionError):
-    """Something acknowledged is lost, or something that nobody wrote is there."""
+class DurabilityViolation(AssertionError):
+    """An acknowledged state is lost, or the disk holds a state that was never written."""
 
 
-PATH = "/d/shelf.db"
-ODD_KEYS = ("0", "a", "b", "", 'a",b', "a,", "a-", "[", "\\", "\n", "\u00e9", "\ud800")
+DATABASE_PATH = "/d/shelf.db"
+SPECIAL_KEYS = ("0", "a", "b", "", 'a",b', "a,", "a-", "[", "\\", "\n", "\u00e9", "\ud800")
 REGISTERS = ("config", "table")
-UPGRADE_CALLS = 150  # file calls within which a start turns schema version 1 into 2
+UPGRADE_CALLS = 150  # upper bound of the file calls that a start needs to upgrade schema version 1
 
 
-def storage_on(disk: SimulatedDisk, replacements=(), storage_class=Storage) -> Storage:
-    storage = storage_class("/d", lambda path: Apsw(disk, path, replacements))
-    storage.path = PATH
+def make_storage(disk: SimulatedDisk, replacements=(), storage_class=Storage) -> Storage:
+    """Returns a storage on a simulated disk; replacements: see `ApswConnection`."""
+    storage = storage_class("/d", lambda path: ApswConnection(disk, path, replacements))
+    storage.path = DATABASE_PATH
     return storage
 
 
-def changed_value(dice, value, depth=0):
-    """Another value: as a rule a map with a key more, less or changed."""
-    if not isinstance(value, dict) or depth > 4 or dice.random() < 0.03:
-        deeper = {
-            key: {"c": {"d": [1, {key: 2}]}, "e": 1} for key in dice.sample(ODD_KEYS, dice.randrange(4))
+def random_change(rng, value, depth=0):
+    """Returns another value: mostly the same map with one key added, removed or changed."""
+    if not isinstance(value, dict) or depth > 4 or rng.random() < 0.03:
+        nested = {
+            key: {"c": {"d": [1, {key: 2}]}, "e": 1} for key in rng.sample(SPECIAL_KEYS, rng.randrange(4))
         }
-        return dice.choice([None, True, 1, 1.0, "x" * dice.randrange(9000), [1, {"a": 2}], deeper, deeper])
-    key = dice.choice(ODD_KEYS)
-    if key in value and dice.random() < 0.3:
-        return {name: inner for name, inner in value.items() if name != key}
-    return {**value, key: changed_value(dice, value.get(key), depth + 1)}
+        return rng.choice([None, True, 1, 1.0, "x" * rng.randrange(9000), [1, {"a": 2}], nested, nested])
+    key = rng.choice(SPECIAL_KEYS)
+    if key in value and rng.random() < 0.3:
+        return {name: child for name, child in value.items() if name != key}
+    return {**value, key: random_change(rng, value.get(key), depth + 1)}
 
 
 def proposal_number(number: int) -> tuple:
+    """Returns a flat tuple for an odd number, and a nested tuple for an even one."""
     return (1, number, "a", 1) if number % 2 else ((1, "d"), number)
 
 
 class WriteHistory:
-    """What may lie on a disk. The first state was acknowledged; each other was begun on it, and was not."""
+    """The states that a disk may hold.
+
+    states: the first was acknowledged; each other was written on top of it and was not acknowledged.
+    write_count: the number of writes so far. acknowledged_count: the number of acknowledged batches.
+    """
 
     def __init__(self, state=None):
-        self.states, self.number, self.acknowledged = [state or {"facts": {}, "registers": {}}], 0, 0
+        self.states, self.write_count, self.acknowledged_count = (
+            [state or {"facts": {}, "registers": {}}],
+            0,
+            0,
+        )
 
-    def accept_found(self, state):
-        """A start has found this state. Types, proposal numbers and the order of keys count too."""
+    def check_stored(self, state):
+        """Raises DurabilityViolation unless a start found one of the possible states.
+
+        Types, proposal numbers and the order of keys must be equal too.
+        """
         if repr(state) not in map(repr, self.states):
-            raise StateLost(f"{state!r:.300} is there, none of {len(self.states)}")
+            raise DurabilityViolation(
+                f"{state!r:.300} was found, number of possible states: {len(self.states)}"
+            )
         self.states = [state]
 
-    def next_batch(self, dice):
-        """A batch of one to three writes, and what lies there once it is done."""
+    def next_batch(self, rng):
+        """Returns a batch of one to three writes, and adds the state after it to the possible states."""
         facts, registers = dict(self.states[0]["facts"]), dict(self.states[0]["registers"])
         batch = []
-        for _ in range(dice.randrange(1, 4)):
-            self.number += 1
-            new_facts, rows = {"seen": self.number, "mark": dice.choice([None, [self.number]])}, []
-            for name in dice.sample(REGISTERS, dice.randrange(1, 3)):
-                value = changed_value(dice, registers[name][2] if name in registers else {})
-                if dice.random() < 0.2:
-                    value = json.loads(json.dumps(value))  # shares nothing
+        for _ in range(rng.randrange(1, 4)):
+            self.write_count += 1
+            new_facts, rows = {"seen": self.write_count, "mark": rng.choice([None, [self.write_count]])}, []
+            for name in rng.sample(REGISTERS, rng.randrange(1, 3)):
+                value = random_change(rng, registers[name][2] if name in registers else {})
+                if rng.random() < 0.2:
+                    value = json.loads(json.dumps(value))  # shares no objects with the stored value
                 elif name in registers:
                     value = apply_difference(registers[name][2], difference(registers[name][2], value))
-                rows.append((name, proposal_number(self.number), proposal_number(self.number - 1), value))
+                rows.append(
+                    (name, proposal_number(self.write_count), proposal_number(self.write_count - 1), value)
+                )
                 registers[name] = rows[-1][1:]
             batch.append((rows, new_facts, None))
             facts |= new_facts
@@ -91,30 +108,30 @@
         return batch
 
 
-def process_lifetime(
-    disk: SimulatedDisk, history: WriteHistory, dice, writes: int, replacements=(), storage_class=Storage
+def run_process_lifetime(
+    disk: SimulatedDisk, history: WriteHistory, rng, batches: int, replacements=(), storage_class=Storage
 ) -> None:
-    """One start and some writes."""
-    storage = storage_on(disk, replacements, storage_class)
-    found = storage.open()
-    if found.is_err():
+    """Opens the storage, checks the state that it finds, and commits batches of writes."""
+    storage = make_storage(disk, replacements, storage_class)
+    opened = storage.open()
+    if opened.is_err():
         if disk.errors:
             return
-        raise StateLost(found.err_value)
-    facts, registers = (dict(sorted(rows.items())) for rows in found.ok_value[:2])
-    history.accept_found({"facts": facts, "registers": registers})
-    for _ in range(writes):
-        if storage.commit(history.next_batch(dice)) is None:
+        raise DurabilityViolation(opened.err_value)
+    facts, registers = (dict(sorted(rows.items())) for rows in opened.ok_value[:2])
+    history.check_stored({"facts": facts, "registers": registers})
+    for _ in range(batches):
+        if storage.commit(history.next_batch(rng)) is None:
             history.states = history.states[-1:]
-            history.acknowledged += 1
+            history.acknowledged_count += 1
 
 
-def disk_of_schema_1(dice) -> tuple[SimulatedDisk, WriteHistory]:
-    """A disk of schema version 1, as an earlier program left it, and what it amounts to."""
-    value = {"n": 3, "config": {"Revision": "r3", "text": "x" * dice.randrange(9000)}, "past": {"3": "f"}}
+def disk_of_schema_1(rng) -> tuple[SimulatedDisk, WriteHistory]:
+    """Returns a disk of schema version 1 after a power cut, and the state that a start has to find there."""
+    value = {"n": 3, "config": {"Revision": "r3", "text": "x" * rng.randrange(9000)}, "past": {"3": "f"}}
     registers = {"config": ((7, "b", 2), (3, "a", 1), value), "table": ((1, "c", 5), (0, "", 0), None)}
-    disk = SimulatedDisk(dice)
-    database = Apsw(disk, PATH)
+    disk = SimulatedDisk(rng)
+    database = ApswConnection(disk, DATABASE_PATH)
     for sql in (
         "pragma locking_mode=exclusive",
         "pragma synchronous=extra",
@@ -128,74 +145,81 @@
         database.execute(sql)
     for name, row in registers.items():
         database.execute("insert into registers values (?, ?, ?, ?)", (name, *map(json.dumps, row)))
-    if dice.random() < 0.5:
+    if rng.random() < 0.5:
         database.close()
     facts = {"born": True, "voters": ["a", "b"]}
     expected = {
         "config": ((1, 7, "b", 2), (1, 3, "a", 1), value),
         "table": ((1, 1, "c", 5), (0, 0, "", 0), None),
     }
-    return disk.after_power_cut(dice), WriteHistory({"facts": facts, "registers": expected})
+    return disk.after_power_cut(rng), WriteHistory({"facts": facts, "registers": expected})
 
 
-def play(
+def run_lifetimes(
     seed: int, schema_1: bool = False, lifetimes: int = 4, replacements=(), storage_class=Storage
 ) -> int:
-    """Some process lifetimes on one disk, each ended by a power cut at any file call; how often something was
-    acknowledged. schema_1: the disk is of schema version 1, and the first lifetimes end early.
+    """Runs processes one after the other on one disk, each ended by a power cut at an arbitrary file call.
+
+    schema_1: the disk has schema version 1, and the power cuts come early enough to interrupt the upgrade.
+    Returns the number of acknowledged batches. Raises DurabilityViolation.
     """
-    dice = random.Random(seed)
-    disk, history = disk_of_schema_1(dice) if schema_1 else (SimulatedDisk(dice), WriteHistory())
+    rng = random.Random(seed)
+    disk, history = disk_of_schema_1(rng) if schema_1 else (SimulatedDisk(rng), WriteHistory())
     disk.syncs_own_name = bool(seed % 2)
     for _ in range(lifetimes):
-        disk.power_cut_at = dice.randrange(1, UPGRADE_CALLS if schema_1 else 500)
-        if dice.random() < 0.3:
-            kind_of_call, code = dice.choice(["write", "flush"]), dice.choice([errno.EIO, errno.ENOSPC])
-            disk.errors = {kind_of_call: lambda code=code: code if dice.random() < 0.05 else 0}
+        disk.power_cut_at = rng.randrange(1, UPGRADE_CALLS if schema_1 else 500)
+        if rng.random() < 0.3:
+            kind_of_call, code = rng.choice(["write", "flush"]), rng.choice([errno.EIO, errno.ENOSPC])
+            disk.errors = {kind_of_call: lambda code=code: code if rng.random() < 0.05 else 0}
         try:
-            process_lifetime(disk, history, dice, 60, replacements, storage_class)
+            run_process_lifetime(disk, history, rng, 60, replacements, storage_class)
         except PowerCut:
             pass
-        disk = disk.after_power_cut(dice)
-    process_lifetime(disk, history, dice, 1, replacements, storage_class)
-    return history.acknowledged
+        disk = disk.after_power_cut(rng)
+    run_process_lifetime(disk, history, rng, 1, replacements, storage_class)
+    return history.acknowledged_count
+
 
+# --- faulty storages, which the simulation has to detect
 
-class TakesRefusedForStored(Storage):
-    """Takes what a refused transaction was to leave for what is stored."""
 
-    def commit(self, batch):
-        problem = super().commit(batch)
-        self.stored_values |= {name: value for rows, _, _ in batch for name, _, _, value in rows}
+class RecordsFailedWrites(Storage):
+    """Records the values of a failed transaction as stored."""
+
+    def commit(self, requests):
+        problem = super().commit(requests)
+        self.stored_values |= {name: value for rows, _, _ in requests for name, _, _, value in rows}
         return problem
 
 
-class UpgradesStepwise(Storage):
-    """Upgrades by a transaction for each step."""
+class UpgradesWithoutTransaction(Storage):
+    """Upgrades an older schema version with a transaction for each statement."""
 
-    def upgrade(self, database, found):
-        bare = types.SimpleNamespace(
+    def upgrade(self, database, stored_state):
+        autocommit_database = types.SimpleNamespace(
             execute=lambda sql, values=(): (
                 Rows() if sql in ("begin immediate", "commit") else database.execute(sql, values)
             )
         )
-        super().upgrade(bare, found)
+        super().upgrade(autocommit_database, stored_state)
 
 
-class EqualInPython(Storage):
-    """Takes what Python calls equal for the same."""
+class ComparesByPythonEquality(Storage):
+    """Does not write a value that Python's `==` finds equal to the stored value."""
 
     def write_rows(self, database, registers, facts):
         with mock.patch("bramblewood.controller.value_diff.equal_as_json", operator.eq):
             return super().write_rows(database, registers, facts)
 
 
-class TrustsAnyDifference(Storage):
-    """Takes the difference that a value was made by for the one to what is stored."""
+class IgnoresDifferenceBase(Storage):
+    """Uses the recorded difference of a patched map even if the patched map is not the stored value."""
 
     def write_rows(self, database, registers, facts):
-        known = lambda old, new: new.change if isinstance(new, PatchedDict) else difference(old, new)  # noqa: E731
-        with mock.patch("bramblewood.controller.storage.difference", known):
+        trusted = lambda old, new: (  # noqa: E731
+            new.change if isinstance(new, PatchedDict) else difference(old, new)
+        )
+        with mock.patch("bramblewood.controller.storage.difference", trusted):
             return super().write_rows(database, registers, facts)
 
 
@@ -203,60 +227,66 @@
 PUT_PART_CONFLICT = (
     "on conflict (register, path) do update set value = excluded.value, checksum = excluded.checksum"
 )
-FAULTS = {  # what is wrong with the storage, as arguments of a play
-    "neither a synced folder nor a first page": {
+FAULTS = {  # arguments of `run_lifetimes` by fault
+    "folder not synced and auto vacuum off": {
         "replacements": (SYNCHRONOUS_FULL, ("auto_vacuum=full", "auto_vacuum=none"))
     },
-    "a refused value taken for stored": {"storage_class": TakesRefusedForStored},
-    "an upgrade step by step": {"storage_class": UpgradesStepwise, "schema_1": True},
-    "a row put again at the end": {
+    "failed write recorded as stored": {"storage_class": RecordsFailedWrites},
+    "upgrade without a transaction": {"storage_class": UpgradesWithoutTransaction, "schema_1": True},
+    "overwritten row moved to the end": {
         "replacements": (("insert into parts", "replace into parts"), (PUT_PART_CONFLICT, ""))
     },
-    "parts left below what took their place": {
+    "rows below a replaced map not deleted": {
         "replacements": (
             ("where register = ? and path > ?", "where register is null and ? is null and path > ?"),
         )
     },
-    "equal in Python taken for the same": {"storage_class": EqualInPython},
-    "a difference to another value taken": {"storage_class": TrustsAnyDifference},
-    "syncs left out": {"replacements": (("synchronous=extra", "synchronous=off"),)},
+    "values compared by Python equality": {"storage_class": ComparesByPythonEquality},
+    "difference from another value used": {"storage_class": IgnoresDifferenceBase},
+    "no syncs": {"replacements": (("synchronous=extra", "synchronous=off"),)},
 }
 
 
-def first_seed_found(fault: str, seeds: int) -> int | None:
-    """The first seed whose play finds this fault out."""
+def first_failing_seed(fault: str, seeds: int) -> int | None:
+    """Returns the first seed for which the simulation detects a fault, None where no seed detects it."""
     for seed in range(seeds):
         try:
-            play(seed, **FAULTS[fault])
-        except StateLost:
+            run_lifetimes(seed, **FAULTS[fault])
+        except DurabilityViolation:
             return seed
     return None
 
 
-def difference_leads_to_value(dice) -> bool:
-    """Between two values, either of which may be made of the other, and as it travels."""
-    old = changed_value(dice, {})
-    for _ in range(dice.randrange(8)):
-        old = changed_value(dice, old)
+def difference_reproduces_value(rng) -> bool:
+    """Returns whether the difference between two random values, sent as JSON, turns one into the other.
+
+    The values may share objects, and the second may be the first with its keys in another order.
+    """
+    old = random_change(rng, {})
+    for _ in range(rng.randrange(8)):
+        old = random_change(rng, old)
     new = old
-    for _ in range(dice.randrange(4)):
-        new = changed_value(dice, new)
-    if isinstance(new, dict) and dice.random() < 0.2:
-        new = dict(dice.sample([*new.items()], len(new)))
-    new = json.loads(json.dumps(new)) if dice.random() < 0.3 else new
+    for _ in range(rng.randrange(4)):
+        new = random_change(rng, new)
+    if isinstance(new, dict) and rng.random() < 0.2:
+        new = dict(rng.sample([*new.items()], len(new)))
+    new = json.loads(json.dumps(new)) if rng.random() < 0.3 else new
     return repr(apply_difference(old, json.loads(json.dumps(difference(old, new))))) == repr(new)
 
 
 class LongLivedStorage:
-    """One database over thousands of commits."""
+    """A storage that commits thousands of changes of one slice table.
+
+    value: the slice table as committed last.
+    """
 
     def __init__(self, slices: int) -> None:
-        self.disk, self.dice, self.value = SimulatedDisk(), random.Random(1), table(slices)
+        self.disk, self.rng, self.value = SimulatedDisk(), random.Random(1), table(slices)
         self.start()
         self.commit(self.value)
 
     def start(self) -> None:
-        self.storage = storage_on(self.disk)
+        self.storage = make_storage(self.disk)
         assert self.storage.open().is_ok()
 
     def commit(self, value) -> None:
@@ -264,31 +294,42 @@
         row = ("table", proposal_number(value["n"]), proposal_number(value["n"]), value)
         assert self.storage.commit([([row], {"seen": value["n"]}, None)]) is None
 
-    def move(self, count: int, emptied: int = 0) -> None:
-        """emptied: a service loses all its slices after so many moves, and gets them back."""
+    def commit_moves(self, count: int, emptying_interval: int = 0) -> None:
+        """Commits moves of single slices.
+
+        emptying_interval: after each such number of moves, a service loses all its slices and gets them back.
+        0: no service is emptied.
+        """
         for number in range(count):
-            self.commit(moved(self.value, self.dice.randrange(10**6)))
-            if emptied and number % emptied == 0:
-                full, name = self.value["s"], self.dice.choice([*self.value["s"]])
-                self.commit({**self.value, "s": {**full, name: {}}})
-                self.commit({**self.value, "s": full})
+            self.commit(moved(self.value, self.rng.randrange(10**6)))
+            if emptying_interval and number % emptying_interval == 0:
+                services, name = self.value["s"], self.rng.choice([*self.value["s"]])
+                self.commit({**self.value, "s": {**services, name: {}}})
+                self.commit({**self.value, "s": services})
 
     def sizes(self) -> tuple[int, int]:
-        """Bytes of the database and of its log."""
-        return len(self.disk.names[PATH].contents), len(self.disk.names[PATH + "-wal"].contents)
+        """Returns the bytes of the database and of its log."""
+        return (
+            len(self.disk.names[DATABASE_PATH].contents),
+            len(self.disk.names[DATABASE_PATH + "-wal"].contents),
+        )
 
 
 PROMISE = {"k": "promise"}
-FIRST_WRITE = ([("config", (1, 3, "a", 1), (1, 3, "a", 1), {"n": 1})], {"disk": "a"}, None)
-ANSWER_TIMEOUT = 5.0  # s that the writer's thread may take once its disk answers
+INITIAL_WRITE = ([("config", (1, 3, "a", 1), (1, 3, "a", 1), {"n": 1})], {"disk": "a"}, None)
+WRITER_TIMEOUT = 5.0  # s that the writer thread may take before and after the sync that hangs
+
 
+class ControllerOnHangingDisk:
+    """A controller whose disk hangs during each sync until `resume` is called.
 
-class HangingDisk:
-    """A controller's writing side on a disk that hangs at the next sync, until it may answer."""
+    sent: the messages that the controller sent, as (peer, message). hangs: set while a sync hangs.
+    may_resume: set once the sync may finish.
+    """
 
     def __init__(self):
         self.disk, self.notifications = SimulatedDisk(), queue.SimpleQueue()
-        self.is_hanging, self.may_answer = threading.Event(), threading.Event()
+        self.hangs, self.may_resume = threading.Event(), threading.Event()
         ports = {"Control": ("127.0.0.1", 1)}
         self.controller = Controller(
             Settings("a", "a", "z", (1, 2), (), False, "/d", 1.5, ports, 2**28, 100, Bounds())
@@ -299,45 +340,50 @@
         self.controller.runtime.loop = types.SimpleNamespace(time=lambda: self.now)
         self.sent = []
         self.controller.runtime.peer_connections = types.SimpleNamespace(
-            send=lambda peer, what: self.sent.append((peer, what))
+            send=lambda peer, message: self.sent.append((peer, message))
         )
-        self.storage = self.controller.quorum_io.storage = storage_on(self.disk)
-        assert self.storage.open().is_ok() and self.storage.commit([FIRST_WRITE]) is None
+        self.storage = self.controller.quorum_io.storage = make_storage(self.disk)
+        assert self.storage.open().is_ok() and self.storage.commit([INITIAL_WRITE]) is None
         self.disk.errors = {"flush": self.hang}
-        self.storage.writer_thread = threading.Thread(target=self.work, daemon=True)
-        self.storage.start(lambda done, problem: self.notifications.put((done, problem)))
+        self.storage.writer_thread = threading.Thread(target=self.run_writer, daemon=True)
+        self.storage.start(lambda on_finished, problem: self.notifications.put((on_finished, problem)))
 
     def hang(self):
-        self.is_hanging.set()
-        self.may_answer.wait(ANSWER_TIMEOUT)
+        """Blocks the sync; the power cut of a test takes place during the sync."""
+        self.hangs.set()
+        self.may_resume.wait(WRITER_TIMEOUT)
         if self.disk.power_cut_at is not None:
-            raise PowerCut  # amid the sync
+            raise PowerCut
 
-    def work(self):
+    def run_writer(self):
+        """Runs the writer thread until the storage is closed or the power is cut."""
         try:
             self.storage.run_writer()
         except PowerCut:
-            pass  # the machine is off
+            pass
 
     def promise(self, now):
+        """Has the controller write and send a promise, and returns once the sync hangs."""
         self.now = now
         row = (CONFIG, (1, 7, "b", 1), (1, 3, "a", 1), {"n": 1})
         self.controller.quorum_io.execute(Effects([row], [("b", PROMISE)], [], {}))
-        # else the moment of what follows would be a matter of luck
-        assert self.is_hanging.wait(ANSWER_TIMEOUT)
+        # Without this wait, the checks that follow might run before the sync.
+        assert self.hangs.wait(WRITER_TIMEOUT)
 
-    def answer(self):
-        self.may_answer.set()
+    def resume(self):
+        """Lets the sync finish, ends the writer thread, and runs the callbacks of the writes."""
+        self.may_resume.set()
         self.storage.close()
-        self.storage.writer_thread.join(ANSWER_TIMEOUT)
+        self.storage.writer_thread.join(WRITER_TIMEOUT)
         while not self.notifications.empty():
-            done, problem = self.notifications.get()
-            done(problem)
+            on_finished, problem = self.notifications.get()
+            on_finished(problem)
 
-    def after_power_cut(self):
-        """What a start finds."""
+    def registers_after_power_cut(self):
+        """Returns the registers that a start finds after a power cut."""
         disk = self.disk.after_power_cut(random.Random(1))
-        return storage_on(disk).open().ok_value.registers
+        return make_storage(disk).open().ok_value.registers
 
-    def end(self):
-        self.may_answer.set()
+    def close(self):
+        """Releases the writer thread."""
+        self.may_resume.set()
