--- a/tests/simulation/damaged_database.py
+++ b/tests/simulation/damaged_database.py
@@ -1,7 +1,7 @@
-"""A controller's database with bytes flipped, cut off and doubled, at pages of every kind.
+"""Damages copies of a controller's database: bits are flipped, bytes are changed, removed or duplicated.
 
-A play damages a copy of a sound folder by its seed; what a start and the commands make of it must be either
-the damage, noticed in one line, or exactly what was written.
+The database has pages of every kind. A start and the storage commands must either report the damage in one
+line or return exactly the content that was written.
 """
 
 import json
@@ -23,175 +23,199 @@
 
 PAGE_SIZE = 4096
 SECTOR_SIZE = 512
-SLICES = 400  # enough for interior pages in the table and in its index
-LONG_TEXT = "x" * 3 * PAGE_SIZE  # a row with pages of its own (overflow)
+SLICE_COUNT = 400  # enough for interior pages in the table `parts` and in its index
+LONG_TEXT = "x" * 3 * PAGE_SIZE  # needs overflow pages
 SOUND, DAMAGED = "sound", "damaged"
-NUMBERS = ((2, 7, "10.0.0.1", 5), (2, 6, "10.0.0.2", 9))  # promised, accepted
+PROPOSAL_NUMBERS = ((2, 7, "10.0.0.1", 5), (2, 6, "10.0.0.2", 9))  # promised, accepted
 
 
-class DamageUnnoticed(AssertionError):
-    """A damaged database was taken for a sound one, with other content than was written."""
+class UndetectedDamage(AssertionError):
+    """Damage was not reported, or it was not reported as specified."""
 
 
-class Written(NamedTuple):
-    """A sound folder and what was written there, as `storage export` shows it."""
+class IntactDatabase(NamedTuple):
+    """A data folder with an intact database, and its content as `storage export` prints it."""
 
     folder: str
-    contents: str
+    exported: str
 
 
-def config(number: int, timeout: int = 2) -> dict:
-    routes = {f"route-{at}": {"TimeoutS": timeout, "note": LONG_TEXT if at == 3 else ""} for at in range(8)}
+def make_config_value(number: int, timeout: int = 2) -> dict:
+    """Returns a value of the register `config`; one of its routes needs overflow pages."""
+    routes = {
+        f"route-{index}": {"TimeoutS": timeout, "note": LONG_TEXT if index == 3 else ""} for index in range(8)
+    }
     return {"n": number, "config": {"Revision": f"r{number}", "Routes": routes}, "past": {"1": "5e21"}}
 
 
-def write_database(folder: str) -> Written:
-    """A folder as a controller leaves it that ended in order: some commits, rows put again and removed."""
+def write_database(folder: str) -> IntactDatabase:
+    """Writes a database as a controller leaves it after a clean shutdown.
+
+    The commits add, overwrite and delete rows.
+    """
     storage = Storage(folder)
     storage.open().unwrap()
-    value = table(SLICES)
+    value = table(SLICE_COUNT)
     facts = {"disk": "5e210001", "held": 2, "members": {"n": 2, "voters": {"10.0.0.1": "5e210001"}}}
-    storage.commit([([("config", *NUMBERS, config(1)), ("table", *NUMBERS, value)], facts, None)])
-    for at in range(40):
-        value = moved(value, 17 * at)
-        storage.commit([([("table", *NUMBERS, value)], {"seen": at}, None)])
-    fewer = {**value["s"], "service-2": {}}
-    storage.commit([([("table", *NUMBERS, {**value, "s": fewer})], {"seen": None}, None)])
+    storage.commit(
+        [
+            (
+                [("config", *PROPOSAL_NUMBERS, make_config_value(1)), ("table", *PROPOSAL_NUMBERS, value)],
+                facts,
+                None,
+            )
+        ]
+    )
+    for index in range(40):
+        value = moved(value, 17 * index)
+        storage.commit([([("table", *PROPOSAL_NUMBERS, value)], {"seen": index}, None)])
+    services = {**value["s"], "service-2": {}}
+    storage.commit([([("table", *PROPOSAL_NUMBERS, {**value, "s": services})], {"seen": None}, None)])
     storage.database.close()
-    return Written(folder, run("export", folder).output)
+    return IntactDatabase(folder, run_command("export", folder).output)
 
 
-def run(command: str, folder: str) -> Result:
+def run_command(command: str, folder: str) -> Result:
     return CliRunner().invoke(storage_commands, [command, folder])
 
 
 # --- kinds of damage
 
 
-def flip_bit(dice: random.Random, data: bytearray) -> None:
-    data[dice.randrange(len(data))] ^= 1 << dice.randrange(8)
+def flip_bit(rng: random.Random, data: bytearray) -> None:
+    data[rng.randrange(len(data))] ^= 1 << rng.randrange(8)
 
 
-def change_byte(dice: random.Random, data: bytearray) -> None:
-    data[dice.randrange(len(data))] = dice.randrange(256)
+def change_byte(rng: random.Random, data: bytearray) -> None:
+    data[rng.randrange(len(data))] = rng.randrange(256)
 
 
-def flip_bit_of_content(dice: random.Random, data: bytearray) -> None:
-    """In a byte that is not zero: most free space is."""
-    at = dice.choice([at for at, byte in enumerate(data) if byte])
-    data[at] ^= 1 << dice.randrange(8)
+def flip_bit_in_nonzero_byte(rng: random.Random, data: bytearray) -> None:
+    """Flips a bit in a byte that is not zero, since most of the free space consists of zeros."""
+    offset = rng.choice([offset for offset, byte in enumerate(data) if byte])
+    data[offset] ^= 1 << rng.randrange(8)
 
 
-def change_header(dice: random.Random, data: bytearray) -> None:
-    data[dice.randrange(100)] = dice.randrange(256)
+def change_header_byte(rng: random.Random, data: bytearray) -> None:
+    data[rng.randrange(100)] = rng.randrange(256)
 
 
-def clear_sector(dice: random.Random, data: bytearray) -> None:
-    start = dice.randrange(len(data) // SECTOR_SIZE) * SECTOR_SIZE
+def clear_sector(rng: random.Random, data: bytearray) -> None:
+    start = rng.randrange(len(data) // SECTOR_SIZE) * SECTOR_SIZE
     data[start : start + SECTOR_SIZE] = bytes(SECTOR_SIZE)
 
 
-def copy_page(dice: random.Random, data: bytearray) -> None:
-    """One page is there twice, in place of another."""
-    source, target = (dice.randrange(len(data) // PAGE_SIZE) * PAGE_SIZE for _ in range(2))
+def copy_page(rng: random.Random, data: bytearray) -> None:
+    """Overwrites one page with another."""
+    source, target = (rng.randrange(len(data) // PAGE_SIZE) * PAGE_SIZE for _ in range(2))
     data[target : target + PAGE_SIZE] = data[source : source + PAGE_SIZE]
 
 
-def cut_off(dice: random.Random, data: bytearray) -> None:
-    del data[dice.randrange(1, len(data)) :]
+def truncate(rng: random.Random, data: bytearray) -> None:
+    del data[rng.randrange(1, len(data)) :]
 
 
-def cut_off_pages(dice: random.Random, data: bytearray) -> None:
-    del data[dice.randrange(1, len(data) // PAGE_SIZE) * PAGE_SIZE :]
+def truncate_pages(rng: random.Random, data: bytearray) -> None:
+    del data[rng.randrange(1, len(data) // PAGE_SIZE) * PAGE_SIZE :]
 
 
-def double_bytes(dice: random.Random, data: bytearray) -> None:
-    """A few bytes are there twice, and all behind them has moved on."""
-    start = dice.randrange(len(data))
-    data[start:start] = data[start : start + dice.randrange(1, 64)]
+def duplicate_bytes(rng: random.Random, data: bytearray) -> None:
+    """Inserts a copy of a few bytes, which shifts all bytes behind them."""
+    start = rng.randrange(len(data))
+    data[start:start] = data[start : start + rng.randrange(1, 64)]
 
 
-def change_number_in_text(dice: random.Random, data: bytearray) -> None:
-    """The users' case: one digit of a value becomes another."""
-    digits = [at for at, byte in enumerate(data) if chr(byte) in "0123456789"]
-    at = dice.choice(digits)
-    data[at] = ord(dice.choice([digit for digit in "0123456789" if ord(digit) != data[at]]))
+def change_digit(rng: random.Random, data: bytearray) -> None:
+    """Replaces a digit by another, which changes a value and leaves valid JSON, as users have reported."""
+    offsets = [offset for offset, byte in enumerate(data) if chr(byte) in "0123456789"]
+    offset = rng.choice(offsets)
+    data[offset] = ord(rng.choice([digit for digit in "0123456789" if ord(digit) != data[offset]]))
 
 
-KINDS: dict[str, Callable[[random.Random, bytearray], None]] = {
+# The names are part of the random seeds.
+DAMAGE_KINDS: dict[str, Callable[[random.Random, bytearray], None]] = {
     "bit flipped": flip_bit,
     "byte changed": change_byte,
-    "bit of content flipped": flip_bit_of_content,
-    "header changed": change_header,
+    "bit of content flipped": flip_bit_in_nonzero_byte,
+    "header changed": change_header_byte,
     "sector cleared": clear_sector,
     "page copied": copy_page,
-    "cut off": cut_off,
-    "pages cut off": cut_off_pages,
-    "bytes doubled": double_bytes,
-    "digit changed": change_number_in_text,
+    "cut off": truncate,
+    "pages cut off": truncate_pages,
+    "bytes doubled": duplicate_bytes,
+    "digit changed": change_digit,
 }
 
 
-def play(written: Written, kind: str, seed: int, place: str) -> str:
-    """Damage a copy of the folder at `place`; SOUND where it had no effect, DAMAGED where it was noticed."""
-    shutil.copytree(written.folder, place)
-    path, dice = Path(place) / DATABASE_FILE, random.Random(f"{kind} {seed}")
+def damage_copy(intact: IntactDatabase, kind: str, seed: int, folder: str) -> str:
+    """Copies an intact database to `folder`, damages the copy, and opens it with the commands and by a start.
+
+    Returns SOUND where the damage has no effect, and DAMAGED where it is reported. Raises UndetectedDamage.
+    """
+    shutil.copytree(intact.folder, folder)
+    path, rng = Path(folder) / DATABASE_FILE, random.Random(f"{kind} {seed}")
     data = bytearray(path.read_bytes())
-    KINDS[kind](dice, data)
+    DAMAGE_KINDS[kind](rng, data)
     path.write_bytes(data)
-    outcome = outcome_of_commands(written, place)
-    at_start = outcome_of_start(written, place)
-    if at_start != outcome:
-        raise DamageUnnoticed(f"{kind}, seed {seed}: {outcome} by the commands, {at_start} by a start")
+    outcome = outcome_of_commands(intact, folder)
+    start_outcome = outcome_of_start(intact, folder)
+    if start_outcome != outcome:
+        raise UndetectedDamage(f"{kind}, seed {seed}: {outcome} by the commands, {start_outcome} by a start")
     return outcome
 
 
-def outcome_of_commands(written: Written, folder: str) -> str:
-    """What check, show and export say; each by itself, and the same."""
-    results = {name: run(name, folder) for name in ("check", "show", "export")}
+def outcome_of_commands(intact: IntactDatabase, folder: str) -> str:
+    """Returns SOUND or DAMAGED, as reported by check, show and export.
+
+    Raises UndetectedDamage where the commands differ, end in an exception, print more than one line about the
+    damage, or show other content than was written.
+    """
+    results = {name: run_command(name, folder) for name in ("check", "show", "export")}
     for name, result in results.items():
         if result.exception is not None and not isinstance(result.exception, SystemExit):
-            raise DamageUnnoticed(f"{name} ended in {result.exception!r}") from result.exception
+            raise UndetectedDamage(f"{name} ended in {result.exception!r}") from result.exception
     codes = {result.exit_code for result in results.values()}
     if codes == {0}:
-        if results["export"].output != written.contents:
-            raise DamageUnnoticed("the commands show other content than was written")
+        if results["export"].output != intact.exported:
+            raise UndetectedDamage("the command export prints other content than was written")
         return SOUND
     if codes != {1}:
-        raise DamageUnnoticed(f"exit codes {codes}")
+        raise UndetectedDamage(f"check, show and export end with different or unexpected exit codes: {codes}")
     for name in ("show", "export"):
         if results[name].output.count("\n") != 1:
-            raise DamageUnnoticed(f"{name}: not one line: {results[name].output!r}")
+            raise UndetectedDamage(f"{name} does not print exactly one line: {results[name].output!r}")
     return DAMAGED
 
 
-def outcome_of_start(written: Written, folder: str) -> str:
-    """What a start finds."""
+def outcome_of_start(intact: IntactDatabase, folder: str) -> str:
+    """Returns SOUND or DAMAGED, as reported by a start.
+
+    Damage in the header may look like a newer schema version. Raises UndetectedDamage where the start reports
+    an error other than these two, or finds other content than was written.
+    """
     storage = Storage(folder)
-    found = storage.open()
-    if found.is_err():
-        is_later_form = str(found.err_value.problem).startswith(
-            "schema version "
-        )  # of a program to come, as it seems
-        if not isinstance(found.err_value, StorageDamagedError) and not is_later_form:
-            raise DamageUnnoticed(f"not called damage: {found.err_value}")
+    opened = storage.open()
+    if opened.is_err():
+        is_newer_version = str(opened.err_value.problem).startswith("schema version ")
+        if not isinstance(opened.err_value, StorageDamagedError) and not is_newer_version:
+            raise UndetectedDamage(f"the start does not report damage: {opened.err_value}")
         return DAMAGED
-    facts, registers, _ = found.ok_value
+    facts, registers, _ = opened.ok_value
     storage.database.close()
     fields = ("promised", "accepted", "value")
-    rows = {name: dict(zip(fields, one, strict=True)) for name, one in registers.items()}
-    if json.dumps({"facts": facts, "registers": rows}) + "\n" != written.contents:
-        raise DamageUnnoticed("a start finds other content than was written")
+    named = {name: dict(zip(fields, register, strict=True)) for name, register in registers.items()}
+    if json.dumps({"facts": facts, "registers": named}) + "\n" != intact.exported:
+        raise UndetectedDamage("a start finds other content than was written")
     return SOUND
 
 
 def page_kinds(folder: str) -> set[str]:
-    """The kinds of pages that a folder's database has."""
+    """Returns the kinds of the pages that a folder's database has."""
     names = {2: "interior index", 5: "interior table", 10: "leaf index", 13: "leaf table"}
     data = Path(folder, DATABASE_FILE).read_bytes()
     pages = [data[start : start + PAGE_SIZE] for start in range(0, len(data), PAGE_SIZE)]
     kinds = {names.get(page[100 if number == 0 else 0], "other") for number, page in enumerate(pages)}
     database = sqlite3.connect(os.path.join(folder, DATABASE_FILE))
-    has_map = database.execute("pragma auto_vacuum").fetchone()[0] != 0
+    has_pointer_map = database.execute("pragma auto_vacuum").fetchone()[0] != 0
     database.close()
-    return kinds | ({"pointer map"} if has_map else set())
+    return kinds | ({"pointer map"} if has_pointer_map else set())
--- a/tests/test_damaged_controllers.py
+++ b/tests/test_damaged_controllers.py
@@ -11,7 +11,7 @@
 from bramblewood.controller.storage import Storage
 from bramblewood.controller.storage_schema import DATABASE_FILE
 from bramblewood.controller.voter_changes import UNKNOWN_VOTERS_PATIENCE
-from tests.simulation.damaged_database import change_number_in_text
+from tests.simulation.damaged_database import change_digit
 from tests.simulation.membership_commands import CONTROL, INNER, WAIT_TIMEOUT, ControllerFleet
 
 WRONG_TIMEOUT = 9  # s; the route's is 2
@@ -64,7 +64,7 @@
     storage.open().unwrap()
     storage.database.close()  # the log is in the database now
     data = bytearray(path.read_bytes())
-    change_number_in_text(random.Random(3), data)
+    change_digit(random.Random(3), data)
     path.write_bytes(data)
 
 
--- a/tests/test_damaged_storage.py
+++ b/tests/test_damaged_storage.py
@@ -1,4 +1,4 @@
-"""A controller's database that is damaged: noticed by the commands and by a start, and kept aside."""
+"""Damage to a controller's database is reported by the commands and by a start, which quarantines it."""
 
 import os
 import random
@@ -24,60 +24,60 @@
 from bramblewood.controller.storage_reader import RowsDamagedError
 from bramblewood.controller.storage_schema import DATABASE_FILE
 from tests.simulation.damaged_database import (
+    DAMAGE_KINDS,
     DAMAGED,
-    KINDS,
-    NUMBERS,
+    PROPOSAL_NUMBERS,
     SOUND,
-    Written,
-    change_number_in_text,
-    config,
+    IntactDatabase,
+    change_digit,
+    damage_copy,
+    make_config_value,
     outcome_of_commands,
     page_kinds,
-    play,
-    run,
+    run_command,
     write_database,
 )
 
-HEADER_SIZE = 100  # bytes at a database's start, in which sqlite counts its transactions
-SEEDS = 40  # of each kind of damage
-# kinds of which no damage can be without effect
-ALWAYS_NOTICED = {"cut off", "pages cut off", "bytes doubled", "digit changed"}
-OLD_FOLDER = Path(__file__).parent / "data" / "disk-4cd356e" / "controller-form-2"
+HEADER_SIZE = 100  # bytes at the start of a database, where SQLite counts transactions
+SEEDS = 40  # for each kind of damage
+# Kinds of damage that always change the content, and so have to be reported for each seed.
+ALWAYS_DETECTED_KINDS = {"cut off", "pages cut off", "bytes doubled", "digit changed"}
+SCHEMA_2_FOLDER = Path(__file__).parent / "data" / "disk-4cd356e" / "controller-form-2"
 
 
-class Log:
-    """Keeps the lines that are written to it."""
+class RecordingLog:
+    """Records the error events that are logged, as (event, fields)."""
 
     def __init__(self) -> None:
-        self.lines: list[tuple[str, dict]] = []
+        self.events: list[tuple[str, dict]] = []
 
     def error(self, event: str, **fields: str) -> None:
-        self.lines.append((event, fields))
+        self.events.append((event, fields))
 
 
 @pytest.fixture(scope="module")
-def written(tmp_path_factory: pytest.TempPathFactory) -> Written:
-    return write_database(str(tmp_path_factory.mktemp("written") / "sound"))
+def intact(tmp_path_factory: pytest.TempPathFactory) -> IntactDatabase:
+    return write_database(str(tmp_path_factory.mktemp("intact") / "sound"))
 
 
-def test_the_plays_have_pages_of_every_kind(written: Written) -> None:
+def test_intact_database_has_pages_of_every_kind(intact: IntactDatabase) -> None:
     kinds = {"interior table", "leaf table", "interior index", "leaf index", "other", "pointer map"}
-    assert page_kinds(written.folder) == kinds
+    assert page_kinds(intact.folder) == kinds
 
 
-@pytest.mark.parametrize("kind", KINDS)
-def test_damage_is_noticed_or_without_effect(kind: str, written: Written, tmp_path: Path) -> None:
-    outcomes = Counter(play(written, kind, seed, str(tmp_path / str(seed))) for seed in range(SEEDS))
-    assert outcomes[DAMAGED] >= (SEEDS if kind in ALWAYS_NOTICED else SEEDS // 4), outcomes
+@pytest.mark.parametrize("kind", DAMAGE_KINDS)
+def test_damage_is_detected_or_has_no_effect(kind: str, intact: IntactDatabase, tmp_path: Path) -> None:
+    outcomes = Counter(damage_copy(intact, kind, seed, str(tmp_path / str(seed))) for seed in range(SEEDS))
+    assert outcomes[DAMAGED] >= (SEEDS if kind in ALWAYS_DETECTED_KINDS else SEEDS // 4), outcomes
     assert outcomes[DAMAGED] + outcomes[SOUND] == SEEDS
 
 
-def test_a_sound_folder_is_called_sound(written: Written) -> None:
-    assert outcome_of_commands(written, written.folder) == SOUND
+def test_commands_report_an_intact_database_as_sound(intact: IntactDatabase) -> None:
+    assert outcome_of_commands(intact, intact.folder) == SOUND
 
 
 @pytest.mark.parametrize(
-    ("statement", "place"),
+    ("statement", "location"),
     [
         ("update parts set value = '9' where path like '%TimeoutS%' or path like '%route-2%'", "part config"),
         (
@@ -94,135 +94,144 @@
         ("create table more (name text)", "tables"),
     ],
 )
-def test_changed_rows_are_named(statement: str, place: str, written: Written, tmp_path: Path) -> None:
-    folder = str(shutil.copytree(written.folder, tmp_path / "changed"))
+def test_error_names_the_location_of_changed_rows(
+    statement: str, location: str, intact: IntactDatabase, tmp_path: Path
+) -> None:
+    folder = str(shutil.copytree(intact.folder, tmp_path / "changed"))
     database = sqlite3.connect(os.path.join(folder, DATABASE_FILE))
     database.execute(statement)
     database.commit()
     database.close()
     error = Storage(folder).open().err_value
-    assert isinstance(error, StorageDamagedError) and place in str(error)
-    assert run("check", folder).exit_code == 1
+    assert isinstance(error, StorageDamagedError) and location in str(error)
+    assert run_command("check", folder).exit_code == 1
 
 
-def test_rows_that_changed_places_are_noticed(written: Written, tmp_path: Path) -> None:
-    folder = str(shutil.copytree(written.folder, tmp_path / "swapped"))
+def test_exchanged_rows_are_detected(intact: IntactDatabase, tmp_path: Path) -> None:
+    folder = str(shutil.copytree(intact.folder, tmp_path / "swapped"))
     database = sqlite3.connect(os.path.join(folder, DATABASE_FILE))
     query = "select id, value, checksum from parts where path like '%service-0%' and value like '[%' limit 2"
-    (first, *one), (second, *other) = database.execute(query).fetchall()
-    for row_id, (value, checksum) in ((first, other), (second, one)):
+    (first_id, *first), (second_id, *second) = database.execute(query).fetchall()
+    for row_id, (value, checksum) in ((first_id, second), (second_id, first)):
         database.execute("update parts set value = ?, checksum = ? where id = ?", (value, checksum, row_id))
     database.commit()
     database.close()
     assert isinstance(Storage(folder).open().err_value, StorageDamagedError)
 
 
-def test_commands_on_a_damaged_folder_of_the_second_form_never_end_in_a_traceback(tmp_path: Path) -> None:
-    sound = Path(OLD_FOLDER, DATABASE_FILE).read_bytes()
+def test_commands_on_a_damaged_database_of_schema_version_2_raise_no_exception(tmp_path: Path) -> None:
+    intact_bytes = Path(SCHEMA_2_FOLDER, DATABASE_FILE).read_bytes()
     for seed in range(60):
-        folder, dice, data = tmp_path / str(seed), random.Random(seed), bytearray(sound)
+        folder, rng, data = tmp_path / str(seed), random.Random(seed), bytearray(intact_bytes)
         folder.mkdir()
-        dice.choice([*KINDS.values()])(dice, data)
+        rng.choice([*DAMAGE_KINDS.values()])(rng, data)
         (folder / DATABASE_FILE).write_bytes(data)
         for name in ("check", "show", "export"):
-            result = run(name, str(folder))
+            result = run_command(name, str(folder))
             assert result.exception is None or isinstance(result.exception, SystemExit), (seed, name)
             assert result.exit_code in (0, 1), (seed, name)
-        Storage(str(folder)).open()  # an answer, and no exception
+        Storage(str(folder)).open()  # must not raise an exception
 
 
-# --- kept aside
+# --- quarantine
 
 
-def damage(folder: str) -> None:
+def damage_database(folder: str) -> None:
     path = Path(folder, DATABASE_FILE)
     data = bytearray(path.read_bytes())
-    change_number_in_text(random.Random(1), data)
+    change_digit(random.Random(1), data)
     path.write_bytes(data)
 
 
-def test_a_damaged_database_is_kept_aside_and_an_empty_one_begun(written: Written, tmp_path: Path) -> None:
-    folder, log = str(shutil.copytree(written.folder, tmp_path / "damaged")), Log()
-    damage(folder)
+def test_damaged_database_is_quarantined_and_replaced_by_an_empty_one(
+    intact: IntactDatabase, tmp_path: Path
+) -> None:
+    folder, log = str(shutil.copytree(intact.folder, tmp_path / "damaged")), RecordingLog()
+    damage_database(folder)
     damaged = Path(folder, DATABASE_FILE).read_bytes()[HEADER_SIZE:]
     storage = Storage(folder)
-    found = open_or_replace(storage, log).unwrap()
-    assert (found.facts, found.registers) == ({}, {})
+    stored_state = open_or_replace(storage, log).unwrap()
+    assert (stored_state.facts, stored_state.registers) == ({}, {})
     assert storage.replaces_damaged
-    assert storage.commit([([("config", *NUMBERS, config(1))], {"disk": "77a00002"}, None)]) is None
+    assert (
+        storage.commit([([("config", *PROPOSAL_NUMBERS, make_config_value(1))], {"disk": "77a00002"}, None)])
+        is None
+    )
     storage.database.close()
-    [kept] = quarantine_folders(folder)
-    assert (kept / DATABASE_FILE).read_bytes()[HEADER_SIZE:] == damaged
-    [(event, more)] = log.lines
-    assert event == "storage damaged" and more["kept"] == str(kept) and "checksum" in more["problem"]
-    again = Storage(folder)
-    assert open_or_replace(again, log).unwrap().facts == {"disk": "77a00002"}
-    assert again.replaces_damaged  # for good: it founds no voter set, whatever its settings say
-    again.database.close()
-
-
-def test_a_sound_database_replaces_nothing(written: Written, tmp_path: Path) -> None:
-    storage = Storage(str(shutil.copytree(written.folder, tmp_path / "sound")))
-    assert open_or_replace(storage, Log()).is_ok() and not storage.replaces_damaged
+    [quarantined] = quarantine_folders(folder)
+    assert (quarantined / DATABASE_FILE).read_bytes()[HEADER_SIZE:] == damaged
+    [(event, fields)] = log.events
+    assert (
+        event == "storage damaged" and fields["kept"] == str(quarantined) and "checksum" in fields["problem"]
+    )
+    reopened = Storage(folder)
+    assert open_or_replace(reopened, log).unwrap().facts == {"disk": "77a00002"}
+    assert reopened.replaces_damaged  # set at every later start, so the controller founds no voter set
+    reopened.database.close()
+
+
+def test_intact_database_is_not_replaced(intact: IntactDatabase, tmp_path: Path) -> None:
+    storage = Storage(str(shutil.copytree(intact.folder, tmp_path / "sound")))
+    assert open_or_replace(storage, RecordingLog()).is_ok() and not storage.replaces_damaged
     storage.database.close()
 
 
-@pytest.mark.parametrize("moves", range(2))
-def test_a_power_cut_amid_keeping_aside_never_brings_the_database_back(
-    moves: int, written: Written, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("moves_before_cut", range(2))
+def test_quarantine_interrupted_by_a_power_cut_is_completed_by_the_next_start(
+    moves_before_cut: int, intact: IntactDatabase, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    folder = str(shutil.copytree(written.folder, tmp_path / "cut"))
-    damage(folder)
+    folder = str(shutil.copytree(intact.folder, tmp_path / "cut"))
+    damage_database(folder)
     Path(folder, DATABASE_FILE + "-wal").write_bytes(b"log")
     mark_damaged(folder, "for a test")
-    made = []
+    moved = []
 
-    def replace(source: Path, target: Path) -> None:
-        if len(made) == moves:
+    def replace_until_cut(source: Path, target: Path) -> None:
+        if len(moved) == moves_before_cut:
             raise OSError("the power is cut")
-        made.append(source)
+        moved.append(source)
         shutil.move(source, target)
 
     with monkeypatch.context() as patched:
-        patched.setattr(damaged_storage.os, "replace", replace)
+        patched.setattr(damaged_storage.os, "replace", replace_until_cut)
         with pytest.raises(OSError, match="power"):
             move_to_quarantine(folder)
     storage = Storage(folder)
     assert marked_reason(folder) == "for a test"
-    assert open_or_replace(storage, Log()).unwrap().registers == {}
+    assert open_or_replace(storage, RecordingLog()).unwrap().registers == {}
     storage.database.close()
     assert marked_reason(folder) is None
-    [kept] = quarantine_folders(folder)
-    assert {DATABASE_FILE, DATABASE_FILE + "-wal"} <= {path.name for path in kept.iterdir()}
+    [quarantined] = quarantine_folders(folder)
+    assert {DATABASE_FILE, DATABASE_FILE + "-wal"} <= {path.name for path in quarantined.iterdir()}
 
 
-def test_few_folders_are_kept(written: Written, tmp_path: Path) -> None:
+def test_oldest_quarantine_folders_are_removed(intact: IntactDatabase, tmp_path: Path) -> None:
     folder = str(tmp_path / "again")
     for number in range(MAX_QUARANTINE_FOLDERS + 2):
-        shutil.copytree(written.folder, folder, dirs_exist_ok=True)
-        mark_damaged(folder, f"time {number}")
+        shutil.copytree(intact.folder, folder, dirs_exist_ok=True)
+        mark_damaged(folder, f"damage {number}")
         move_to_quarantine(folder)
     names = [f"{QUARANTINE_FOLDER_PREFIX}{number}" for number in (3, 4, 5)]
     assert [path.name for path in quarantine_folders(folder)] == names
 
 
-def test_a_disk_that_does_not_answer_is_not_damaged(tmp_path: Path) -> None:
-    refused = sqlite3.OperationalError("disk I/O error")
-    refused.sqlite_errorcode = sqlite3.SQLITE_IOERR_READ
+def test_io_error_is_not_damage(tmp_path: Path) -> None:
+    io_error = sqlite3.OperationalError("disk I/O error")
+    io_error.sqlite_errorcode = sqlite3.SQLITE_IOERR_READ
 
     def connect(path: str) -> sqlite3.Connection:
-        raise refused
+        raise io_error
 
     error = Storage(str(tmp_path), connect).open().err_value
     assert not isinstance(error, StorageDamagedError)
-    assert not is_damage_on_read(refused) and not is_damage_on_read(OSError("no such folder"))
-    assert is_damage_on_read(RowsDamagedError("a row")) and is_damage_on_read(ValueError("no JSON"))
+    assert not is_damage_on_read(io_error) and not is_damage_on_read(OSError("no such folder"))
+    assert is_damage_on_read(RowsDamagedError("a row")) and is_damage_on_read(ValueError("not JSON"))
 
 
-def test_damage_met_by_a_write_is_told(written: Written, tmp_path: Path) -> None:
-    """Pages that are read again as the controller runs: sqlite notices, and the shell hears of it."""
-    storage, told = Storage(str(shutil.copytree(written.folder, tmp_path / "running"))), []
-    storage.on_damage = told.append
+def test_write_that_finds_corruption_reports_damage(intact: IntactDatabase, tmp_path: Path) -> None:
+    """The pages are damaged after the start, and a write reads them again because SQLite's cache is small."""
+    storage, problems = Storage(str(shutil.copytree(intact.folder, tmp_path / "running"))), []
+    storage.on_damage = problems.append
     storage.open().unwrap()
     storage.database.execute("pragma cache_size=1")
     page_count = os.path.getsize(storage.path) // 4096
@@ -234,16 +243,16 @@
     storage.database.execute("pragma shrink_memory")
     value = storage.stored_values["table"]
     changed = {**value, "n": value["n"] + 1, "s": {**value["s"], "service-0": {}}}
-    problem = storage.commit([([("table", *NUMBERS, changed)], {}, None)])
+    problem = storage.commit([([("table", *PROPOSAL_NUMBERS, changed)], {}, None)])
     assert problem is not None and "malformed" in problem
-    assert told == ["database disk image is malformed"]
+    assert problems == ["database disk image is malformed"]
 
 
-def test_only_corruption_counts_as_damage_amid_a_write() -> None:
+def test_write_error_is_damage_only_if_sqlite_reports_corruption() -> None:
     full, corrupt = sqlite3.OperationalError("full"), sqlite3.DatabaseError("malformed")
     full.sqlite_errorcode, corrupt.sqlite_errorcode = sqlite3.SQLITE_FULL, sqlite3.SQLITE_CORRUPT_INDEX
     assert (
         is_damage_on_write(corrupt)
         and not is_damage_on_write(full)
-        and not is_damage_on_write(TypeError("no JSON"))
+        and not is_damage_on_write(TypeError("not JSON"))
     )
