--- a/benchmarks/controller_storage.py
+++ b/benchmarks/controller_storage.py
@@ -1,10 +1,18 @@
-"""What a commit and a start cost by the size of the table: `python -m benchmarks.controller_storage
-[--folder F]`.
+"""Measures the cost of a commit and of a start by the size of the slice table.
 
-One JSON row a size: the middle of RUNS, milliseconds by the clock (`_ms`) and of the processor (`_cpu_ms`):
-`round` a move's difference made and applied, `feed` its place in the updates to proxies, `move` its commit,
-`fresh` the commit of a value that shares nothing with the last, `open` a start. Bytes of the database and
-its log stand beside the value's as one JSON text. `ratio`: a move's processor time over the first size's.
+    python -m benchmarks.controller_storage [--folder F]
+
+Prints one JSON object for each size. Times are the median of RUNS in milliseconds, as wall-clock time (`_ms`)
+and processor time (`_cpu_ms`):
+
+- `round`: compute and apply the difference of a move.
+- `feed`: prepare the updates that proxies get for the move.
+- `move`: commit the move.
+- `fresh`: commit a value that shares no objects with the stored value.
+- `open`: open the database.
+
+`json`, `base` and `log` are the bytes of the value as JSON text, of the database and of its log. `ratio` is
+the processor time of a move, relative to that of the first size.
 """
 
 import argparse
@@ -21,63 +29,77 @@
 from bramblewood.controller.value_diff import apply_difference, difference
 
 SIZES = (1_000, 10_000, 90_000)  # slices of the table
-SERVICES = 3  # that share them
+SERVICES = 3  # services in the table, with equal shares of the slices
 RUNS = 15
 PROPOSAL_NUMBER = (1, "a", 1)
 
 
 def table(slices: int, number: int = 1) -> dict:
-    """A table of so many slices, each 16 keys or fewer wide."""
-    services: dict[str, dict] = {f"service-{k}": {} for k in range(SERVICES)}
-    for at in range(slices):
-        entry = [f"service-{at % SERVICES}-worker-{at % 97}-life-{at % 89}", "", 0.0, at % 500, "", ""]
-        services[f"service-{at % SERVICES}"][str(at // SERVICES)] = entry
+    """Returns a slice table with this number of slices and version `number`.
+
+    The slices of each service start at the keys 0, 1, 2 and so on.
+    """
+    services: dict[str, dict] = {f"service-{index}": {} for index in range(SERVICES)}
+    for index in range(slices):
+        entry = [
+            f"service-{index % SERVICES}-worker-{index % 97}-life-{index % 89}",
+            "",
+            0.0,
+            index % 500,
+            "",
+            "",
+        ]
+        services[f"service-{index % SERVICES}"][str(index // SERVICES)] = entry
     return {"n": number, "s": services}
 
 
-def moved(value: dict, at: int) -> dict:
-    """One slice goes to another worker, as a voter makes it of the difference that it was sent."""
+def moved(value: dict, index: int) -> dict:
+    """Returns the table with one slice moved to another worker, patched as a voter patches it.
+
+    index: selects the slice (modulo the number of slices of the service) and the worker.
+    """
     entries = value["s"]["service-0"]
-    start = list(entries)[at % len(entries)]
-    entry = [f"service-0-worker-{at}-life-{at}", *entries[start][1:]]
-    made = {**value, "n": value["n"] + 1, "s": {**value["s"], "service-0": {**entries, start: entry}}}
-    return apply_difference(value, difference(value, made))
+    start = list(entries)[index % len(entries)]
+    entry = [f"service-0-worker-{index}-life-{index}", *entries[start][1:]]
+    changed = {**value, "n": value["n"] + 1, "s": {**value["s"], "service-0": {**entries, start: entry}}}
+    return apply_difference(value, difference(value, changed))
 
 
 def median_times(call: Callable[[int], None]) -> tuple[float, float]:
-    """Milliseconds of RUNS calls: by the clock and of the processor."""
-    clock, processor = [], []
-    for at in range(RUNS):
+    """Returns the medians of the wall-clock time and the processor time of RUNS calls, in milliseconds."""
+    wall_times, cpu_times = [], []
+    for run in range(RUNS):
         gc.collect()
-        began, used = time.perf_counter(), time.process_time()
-        call(at)
-        processor.append(time.process_time() - used)
-        clock.append(time.perf_counter() - began)
-    return round(1e3 * statistics.median(clock), 3), round(1e3 * statistics.median(processor), 3)
+        wall_start, cpu_start = time.perf_counter(), time.process_time()
+        call(run)
+        cpu_times.append(time.process_time() - cpu_start)
+        wall_times.append(time.perf_counter() - wall_start)
+    return round(1e3 * statistics.median(wall_times), 3), round(1e3 * statistics.median(cpu_times), 3)
 
 
 def measure(slices: int, folder: str) -> dict:
+    """Returns the measured row for one table size, with the database in an empty folder."""
     value = table(slices)
     storage = Storage(folder)
     storage.open().unwrap()
     values: list[dict] = []
 
-    def commit(at: int) -> None:
-        problem = storage.commit([([("table", PROPOSAL_NUMBER, PROPOSAL_NUMBER, values[at])], {}, None)])
+    def commit(index: int) -> None:
+        problem = storage.commit([([("table", PROPOSAL_NUMBER, PROPOSAL_NUMBER, values[index])], {}, None)])
         assert problem is None, problem
 
     values.append(value)
     commit(0)
-    for at in range(RUNS):
-        values.append(moved(values[-1], 7919 * at))
-    found: dict = {"slices": slices, "json": len(json.dumps(value))}
-    found["round_ms"], found["round_cpu_ms"] = median_times(lambda at: moved(value, 7919 * at))
+    for index in range(RUNS):
+        values.append(moved(values[-1], 7919 * index))
+    row: dict = {"slices": slices, "json": len(json.dumps(value))}
+    row["round_ms"], row["round_cpu_ms"] = median_times(lambda index: moved(value, 7919 * index))
     updates = ProxyUpdates()
-    found["feed_ms"], found["feed_cpu_ms"] = median_times(lambda at: updates.learn_table(values[at]))
-    found["move_ms"], found["move_cpu_ms"] = median_times(lambda at: commit(at + 1))
-    values[:] = [json.loads(json.dumps(moved(value, at))) for at in range(RUNS)]
-    found["fresh_ms"], found["fresh_cpu_ms"] = median_times(commit)
-    found["base"], found["log"] = (os.path.getsize(storage.path + end) for end in ("", "-wal"))
+    row["feed_ms"], row["feed_cpu_ms"] = median_times(lambda index: updates.learn_table(values[index]))
+    row["move_ms"], row["move_cpu_ms"] = median_times(lambda index: commit(index + 1))
+    values[:] = [json.loads(json.dumps(moved(value, index))) for index in range(RUNS)]
+    row["fresh_ms"], row["fresh_cpu_ms"] = median_times(commit)
+    row["base"], row["log"] = (os.path.getsize(storage.path + ending) for ending in ("", "-wal"))
     storage.database.close()
 
     def start(_: int) -> None:
@@ -85,21 +107,21 @@
         reopened.open().unwrap()
         reopened.database.close()
 
-    found["open_ms"], found["open_cpu_ms"] = median_times(start)
-    return found
+    row["open_ms"], row["open_cpu_ms"] = median_times(start)
+    return row
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    parser.add_argument("--folder", default=None, help="where the disk to be measured is")
+    parser.add_argument("--folder", default=None, help="a folder on the disk to measure")
     folder_option = parser.parse_args().folder
-    first = 0.0
+    first_move_cpu_ms = 0.0
     for slices in SIZES:
         with tempfile.TemporaryDirectory(dir=folder_option, prefix="shelf-") as folder:
             assert DATABASE_FILE not in os.listdir(folder)
-            found = measure(slices, folder)
-        first = first or found["move_cpu_ms"]
-        print(json.dumps({**found, "ratio": round(found["move_cpu_ms"] / first, 1)}), flush=True)
+            row = measure(slices, folder)
+        first_move_cpu_ms = first_move_cpu_ms or row["move_cpu_ms"]
+        print(json.dumps({**row, "ratio": round(row["move_cpu_ms"] / first_move_cpu_ms, 1)}), flush=True)
 
 
 if __name__ == "__main__":
--- a/tests/test_damaged_controllers.py
+++ b/tests/test_damaged_controllers.py
@@ -1,4 +1,4 @@
-"""Real controllers of which some hold damaged or changed content: none ever answers with it."""
+"""Controllers with damaged or changed content, run as processes, never answer with that content."""
 
 import asyncio
 import random
@@ -14,24 +14,24 @@
 from tests.simulation.damaged_database import change_digit
 from tests.simulation.membership_commands import CONTROL, INNER, WAIT_TIMEOUT, ControllerFleet
 
-WRONG_TIMEOUT = 9  # s; the route's is 2
+CHANGED_TIMEOUT = 9  # s; the timeout of the route is 2 s
 CONFIG_PATH = "/bramblewood/config"
 
 
 @pytest.fixture
 def fleet() -> Iterator[ControllerFleet]:
-    made = ControllerFleet()
-    yield made
-    made.close()
+    controllers = ControllerFleet()
+    yield controllers
+    controllers.close()
 
 
-def start_all(fleet: ControllerFleet, controllers: range) -> None:
-    for number in controllers:
+def start_all(fleet: ControllerFleet, numbers: range) -> None:
+    for number in numbers:
         fleet.start(number)
 
 
-def found_and_stop(fleet: ControllerFleet, count: int) -> None:
-    """So many voters with a configuration, all of them ended."""
+def found_cluster_and_stop(fleet: ControllerFleet, count: int) -> None:
+    """Founds a cluster of `count` voters, stores a configuration there, and ends all controllers."""
     fleet.write_settings(count, count)
     for number in range(1, count + 1):
         with open(fleet.paths[number], "a") as settings:
@@ -46,30 +46,33 @@
 
 
 def change_content(folder: str) -> None:
-    """The same version with another content, as rows that are sound by themselves."""
+    """Replaces the configuration under its proposal number by another one, with correct checksums."""
     storage = Storage(folder)
     promised, accepted, value = storage.open().unwrap().registers["config"]
     routes = value["config"]["RouteList"]
     record = routes["Records"][0]
-    at = routes["ColumnNames"].index("TimeoutS")
-    records = [[*record[:at], WRONG_TIMEOUT, *record[at + 1 :]]]
+    column = routes["ColumnNames"].index("TimeoutS")
+    records = [[*record[:column], CHANGED_TIMEOUT, *record[column + 1 :]]]
     changed = {**value, "config": {**value["config"], "RouteList": {**routes, "Records": records}}}
     assert storage.commit([([("config", promised, accepted, changed)], {}, None)]) is None
     storage.database.close()
 
 
-def flip_digit(folder: str) -> None:
+def damage_database(folder: str) -> None:
     path = Path(folder, DATABASE_FILE)
     storage = Storage(folder)
     storage.open().unwrap()
-    storage.database.close()  # the log is in the database now
+    storage.database.close()  # moves the content of the log to the database file
     data = bytearray(path.read_bytes())
     change_digit(random.Random(3), data)
     path.write_bytes(data)
 
 
-def answers_without_wrong_content(fleet: ControllerFleet, numbers: range) -> dict[int, int]:
-    """What each controller answers, by number; fails where one answers with other content."""
+def statuses_without_changed_content(fleet: ControllerFleet, numbers: range) -> dict[int, int]:
+    """Returns the HTTP status of each controller's answer, by number.
+
+    Fails where a controller answers with another configuration than the one that was stored.
+    """
     expected, statuses = fleet.configuration(fleet.revision), {}
     for number in numbers:
         statuses[number], body = fleet.call(number, CONTROL, CONFIG_PATH)
@@ -77,90 +80,100 @@
     return statuses
 
 
-def restart_ended(fleet: ControllerFleet, codes: dict[int, int]) -> None:
-    """As the machine does: who has ended is started again; codes: filled with the exit codes."""
+def restart_ended_controllers(fleet: ControllerFleet, exit_codes: dict[int, int]) -> None:
+    """Restarts the controllers that have ended, as their machines do, and records their exit codes."""
     for number, process in list(fleet.running.items()):
         fleet.loop.run_until_complete(asyncio.sleep(0.01))
         if process.returncode is not None:
-            codes[number] = process.returncode
+            exit_codes[number] = process.returncode
             fleet.start(number)
 
 
-def play_changed_content(fleet: ControllerFleet, voters: int, changed: set[int]) -> None:
-    found_and_stop(fleet, voters)
-    numbers, codes = range(1, voters + 1), {}
+def assert_changed_controllers_recover(fleet: ControllerFleet, voters: int, changed: set[int]) -> None:
+    """Changes the content of some controllers, and checks that they restart with an empty database."""
+    found_cluster_and_stop(fleet, voters)
+    numbers, exit_codes = range(1, voters + 1), {}
     for number in changed:
         change_content(fleet.data_folder(number))
     start_all(fleet, numbers)
 
     def all_answer() -> bool:
-        restart_ended(fleet, codes)
-        statuses = answers_without_wrong_content(fleet, numbers)
-        return codes.keys() == changed and set(statuses.values()) == {200}
+        restart_ended_controllers(fleet, exit_codes)
+        statuses = statuses_without_changed_content(fleet, numbers)
+        return exit_codes.keys() == changed and set(statuses.values()) == {200}
 
-    fleet.wait_until("all answer", all_answer)
-    assert codes == dict.fromkeys(changed, STORAGE_DAMAGED)
+    fleet.wait_until("all controllers answer", all_answer)
+    assert exit_codes == dict.fromkeys(changed, STORAGE_DAMAGED)
     fleet.wait_until_settled()
     fleet.put_configuration()
     fleet.wait_until_read_back()
     for number in changed:
-        found, kept = fleet.log_events(number, "storage damaged")
-        assert "differs from the content at" in found["problem"]
-        assert kept["problem"] == found["problem"] and Path(kept["kept"], DATABASE_FILE).exists()
+        detected, quarantined = fleet.log_events(number, "storage damaged")
+        assert "differs from the content at" in detected["problem"]
+        assert (
+            quarantined["problem"] == detected["problem"]
+            and Path(quarantined["kept"], DATABASE_FILE).exists()
+        )
 
 
-def test_one_of_three_with_other_content_under_the_same_version(fleet: ControllerFleet) -> None:
-    play_changed_content(fleet, 3, {2})
-    lines = [line for number in (1, 2, 3) for line in fleet.log_events(number, "content differs")]
-    assert lines and all(line["registers"] == ["config"] for line in lines)
+def test_one_of_three_controllers_with_changed_content_recovers(fleet: ControllerFleet) -> None:
+    assert_changed_controllers_recover(fleet, 3, {2})
+    events = [event for number in (1, 2, 3) for event in fleet.log_events(number, "content differs")]
+    assert events and all(event["registers"] == ["config"] for event in events)
 
 
-def test_two_of_five_with_other_content_under_the_same_version(fleet: ControllerFleet) -> None:
-    play_changed_content(fleet, 5, {1, 4})
+def test_two_of_five_controllers_with_changed_content_recover(fleet: ControllerFleet) -> None:
+    assert_changed_controllers_recover(fleet, 5, {1, 4})
 
 
-def test_without_a_majority_that_agrees_nobody_answers(fleet: ControllerFleet) -> None:
-    """One of two in reach has changed, and nothing tells which: both wait for the third."""
-    found_and_stop(fleet, 3)
+def test_no_controller_answers_until_a_majority_agrees(fleet: ControllerFleet) -> None:
+    """Two of three controllers run and differ. Only the third one reveals which of the two changed."""
+    found_cluster_and_stop(fleet, 3)
     change_content(fleet.data_folder(1))
     fleet.start(1)
     fleet.start(2)
-    fleet.wait_until("noticed", lambda: all(fleet.log_events(n, "content differs") for n in (1, 2)))
+    fleet.wait_until(
+        "difference logged", lambda: all(fleet.log_events(number, "content differs") for number in (1, 2))
+    )
     for _ in range(4):
-        assert answers_without_wrong_content(fleet, range(1, 3)) == {1: 503, 2: 503}
+        assert statuses_without_changed_content(fleet, range(1, 3)) == {1: 503, 2: 503}
     fleet.start(3)
-    codes: dict[int, int] = {}
+    exit_codes: dict[int, int] = {}
 
     def all_answer() -> bool:
-        restart_ended(fleet, codes)
-        return set(answers_without_wrong_content(fleet, range(1, 4)).values()) == {200}
+        restart_ended_controllers(fleet, exit_codes)
+        return set(statuses_without_changed_content(fleet, range(1, 4)).values()) == {200}
 
-    fleet.wait_until("all answer", all_answer)
-    assert codes == {1: STORAGE_DAMAGED}
+    fleet.wait_until("all controllers answer", all_answer)
+    assert exit_codes == {1: STORAGE_DAMAGED}
 
 
-def test_a_damaged_disk_counts_as_a_lost_one(fleet: ControllerFleet) -> None:
-    found_and_stop(fleet, 3)
-    flip_digit(fleet.data_folder(3))
+def test_controller_with_a_damaged_database_becomes_a_voter_again(fleet: ControllerFleet) -> None:
+    found_cluster_and_stop(fleet, 3)
+    damage_database(fleet.data_folder(3))
     start_all(fleet, range(1, 4))
     fleet.wait_for_states({1: "voter", 2: "voter", 3: "voter"})
     fleet.wait_until_read_back()
-    [line] = fleet.log_events(3, "storage damaged")
-    assert Path(line["kept"], DATABASE_FILE).exists()
-    fleet.kill(1)  # a further loss is borne: its new disk votes
+    [event] = fleet.log_events(3, "storage damaged")
+    assert Path(event["kept"], DATABASE_FILE).exists()
+    fleet.kill(1)  # the cluster survives a second loss, because the new disk of controller 3 votes
     sessions = lambda: fleet.call(2, INNER, "/view/sessions")[1]["archives"]  # noqa: E731
-    fleet.wait_until("silent", lambda: not sessions()[fleet.address_of(1)]["whole"])  # not its last word
+    # The next change must not rely on the last messages of controller 1.
+    fleet.wait_until("controller 1 is silent", lambda: not sessions()[fleet.address_of(1)]["whole"])
     fleet.put_configuration()
     fleet.wait_until_read_back()
 
 
-def test_all_disks_damaged(fleet: ControllerFleet) -> None:
-    found_and_stop(fleet, 3)
+def test_controllers_refuse_to_answer_if_all_databases_are_damaged(fleet: ControllerFleet) -> None:
+    found_cluster_and_stop(fleet, 3)
     numbers = range(1, 4)
     for number in numbers:
-        flip_digit(fleet.data_folder(number))
+        damage_database(fleet.data_folder(number))
     start_all(fleet, numbers)
     assert UNKNOWN_VOTERS_PATIENCE < WAIT_TIMEOUT
-    fleet.wait_until("said", lambda: all(fleet.log_events(n, "voters unknown") for n in numbers))
-    assert answers_without_wrong_content(fleet, numbers) == dict.fromkeys(numbers, 503)
+    fleet.wait_until(
+        "unknown voters logged",
+        lambda: all(fleet.log_events(number, "voters unknown") for number in numbers),
+    )
+    assert statuses_without_changed_content(fleet, numbers) == dict.fromkeys(numbers, 503)
     assert "FirstBoot = true" in fleet.log_events(1, "voters unknown")[0]["way_out"]
