--- a/bramblewood/controller/storage_reader.py
+++ b/bramblewood/controller/storage_reader.py
@@ -103,7 +103,7 @@
     """
     for kind, name, *_ in list(database.execute(LIST_SCHEMA)):
         if kind == "table" and database.execute(f'select 1 from "{name}" limit 1').fetchone():
-            raise RowsDamagedError("a table has rows, but the database has no schema version")
+            raise RowsDamagedError(f"the table {name} has rows, but the database has no schema version")
 
 
 def read_registers_1(database: Any) -> dict[str, RegisterState]:
@@ -157,7 +157,7 @@
     """Raises RowsDamagedError unless the tables and indexes are those of the newest schema version."""
     schema = [tuple(row) for row in database.execute(LIST_SCHEMA)]
     if len(schema) != len(expected_schema()) or set(schema) != expected_schema():
-        raise RowsDamagedError("the tables or indexes are not those of the newest schema version")
+        raise RowsDamagedError(f"the tables or indexes are not those of schema version {SCHEMA_VERSION}")
 
 
 def read_verified_facts(database: Any) -> tuple[dict[str, Any], dict[str, int]]:
