--- a/tests/simulation/damaged_database.py
+++ b/tests/simulation/damaged_database.py
@@ -23,6 +23,7 @@
 
 PAGE_SIZE = 4096
 SECTOR_SIZE = 512
+HEADER_SIZE = 100  # bytes of the header at the start of a database
 SLICE_COUNT = 400  # enough for interior pages in the table `parts` and in its index
 LONG_TEXT = "x" * 3 * PAGE_SIZE  # needs overflow pages
 SOUND, DAMAGED = "sound", "damaged"
@@ -97,7 +98,7 @@
 
 
 def change_header_byte(rng: random.Random, data: bytearray) -> None:
-    data[rng.randrange(100)] = rng.randrange(256)
+    data[rng.randrange(HEADER_SIZE)] = rng.randrange(256)
 
 
 def clear_sector(rng: random.Random, data: bytearray) -> None:
@@ -214,7 +215,7 @@
     names = {2: "interior index", 5: "interior table", 10: "leaf index", 13: "leaf table"}
     data = Path(folder, DATABASE_FILE).read_bytes()
     pages = [data[start : start + PAGE_SIZE] for start in range(0, len(data), PAGE_SIZE)]
-    kinds = {names.get(page[100 if number == 0 else 0], "other") for number, page in enumerate(pages)}
+    kinds = {names.get(page[HEADER_SIZE if number == 0 else 0], "other") for number, page in enumerate(pages)}
     database = sqlite3.connect(os.path.join(folder, DATABASE_FILE))
     has_pointer_map = database.execute("pragma auto_vacuum").fetchone()[0] != 0
     database.close()
--- a/tests/simulation/sqlite_on_simulated_disk.py
+++ b/tests/simulation/sqlite_on_simulated_disk.py
@@ -7,7 +7,7 @@
 
 import apsw
 
-from tests.simulation.simulated_disk import PowerCut
+from tests.simulation.simulated_disk import SECTOR_SIZE, PowerCut
 
 
 def raises_sqlite_error(method):
@@ -76,7 +76,7 @@
         return False
 
     def xSectorSize(self):
-        return 512
+        return SECTOR_SIZE
 
     def xDeviceCharacteristics(self):
         return apsw.SQLITE_IOCAP_POWERSAFE_OVERWRITE  # SQLite assumes the same of files on Unix
--- a/tests/simulation/storage_failures.py
+++ b/tests/simulation/storage_failures.py
@@ -31,6 +31,7 @@
 DATABASE_PATH = "/d/shelf.db"
 SPECIAL_KEYS = ("0", "a", "b", "", 'a",b', "a,", "a-", "[", "\\", "\n", "\u00e9", "\ud800")
 REGISTERS = ("config", "table")
+MAX_CALLS = 500  # upper bound of the file calls before a power cut
 UPGRADE_CALLS = 150  # upper bound of the file calls that a start needs to upgrade schema version 1
 
 
@@ -167,7 +168,7 @@
     disk, history = disk_of_schema_1(rng) if schema_1 else (SimulatedDisk(rng), WriteHistory())
     disk.syncs_own_name = bool(seed % 2)
     for _ in range(lifetimes):
-        disk.power_cut_at = rng.randrange(1, UPGRADE_CALLS if schema_1 else 500)
+        disk.power_cut_at = rng.randrange(1, UPGRADE_CALLS if schema_1 else MAX_CALLS)
         if rng.random() < 0.3:
             kind_of_call, code = rng.choice(["write", "flush"]), rng.choice([errno.EIO, errno.ENOSPC])
             disk.errors = {kind_of_call: lambda code=code: code if rng.random() < 0.05 else 0}
--- a/tests/test_damaged_storage.py
+++ b/tests/test_damaged_storage.py
@@ -26,6 +26,8 @@
 from tests.simulation.damaged_database import (
     DAMAGE_KINDS,
     DAMAGED,
+    HEADER_SIZE,
+    PAGE_SIZE,
     PROPOSAL_NUMBERS,
     SOUND,
     IntactDatabase,
@@ -38,7 +40,6 @@
     write_database,
 )
 
-HEADER_SIZE = 100  # bytes at the start of a database, where SQLite counts transactions
 SEEDS = 40  # for each kind of damage
 # Kinds of damage that always change the content, and so have to be reported for each seed.
 ALWAYS_DETECTED_KINDS = {"cut off", "pages cut off", "bytes doubled", "digit changed"}
@@ -148,6 +149,7 @@
 ) -> None:
     folder, log = str(shutil.copytree(intact.folder, tmp_path / "damaged")), RecordingLog()
     damage_database(folder)
+    # The header is not compared, because SQLite counts transactions there.
     damaged = Path(folder, DATABASE_FILE).read_bytes()[HEADER_SIZE:]
     storage = Storage(folder)
     stored_state = open_or_replace(storage, log).unwrap()
@@ -234,11 +236,11 @@
     storage.on_damage = problems.append
     storage.open().unwrap()
     storage.database.execute("pragma cache_size=1")
-    page_count = os.path.getsize(storage.path) // 4096
+    page_count = os.path.getsize(storage.path) // PAGE_SIZE
     storage.database.execute("pragma wal_checkpoint(truncate)")
     with open(storage.path, "r+b") as file:
         for page in range(1, page_count):
-            file.seek(page * 4096)
+            file.seek(page * PAGE_SIZE)
             file.write(b"\xff" * 64)
     storage.database.execute("pragma shrink_memory")
     value = storage.stored_values["table"]
