--- a/bramblewood/controller/content_agreement.py
+++ b/bramblewood/controller/content_agreement.py
@@ -20,7 +20,7 @@
 
 from .consensus.voter_set import majority
 
-# The package `consensus` defines this type too.
+# A proposal number (`consensus/proposal_number.py`) as a plain tuple.
 ProposalNumber = tuple
 Digest = int
 # Digests of this number of durable values are retained for each register. A peer is at most a few versions
--- a/bramblewood/controller/damage_response.py
+++ b/bramblewood/controller/damage_response.py
@@ -6,7 +6,7 @@
 from .quorum_io import QuorumIO
 from .runtime import Runtime
 
-STORAGE_DAMAGED = 3  # exit code; the next start moves the damaged database aside
+STORAGE_DAMAGED = 3  # exit code; the next start quarantines the damaged database
 
 
 class DamageResponse:
@@ -28,7 +28,7 @@
             self.runtime.log.error("storage damaged", step="run", problem=reason)
 
     async def finish(self) -> int:
-        """Marks the database as damaged, so that the next start moves it aside. Returns the exit code."""
+        """Marks the database as damaged, so that the next start quarantines it. Returns the exit code."""
         try:
             await asyncio.to_thread(mark_damaged, self.quorum_io.storage.folder, self.reason)
         except OSError as error:
--- a/bramblewood/controller/damaged_storage.py
+++ b/bramblewood/controller/damaged_storage.py
@@ -3,9 +3,9 @@
 The files of the database are moved to a separate folder, and the controller starts with an empty database.
 
 An empty database is safe, as after the loss of a disk. It gets a new disk name, so its controller is a new
-member without a vote (`consensus/epochs.py`), and the promises in the damaged database bind no other voter. A
-controller that has ever quarantined a database takes no part in founding a voter set: its setting `FirstBoot`
-may still be true while other controllers hold acknowledged values.
+member without a vote (`consensus/epochs.py`). The promises in the damaged database bind only the old member.
+A controller that has ever quarantined a database takes no part in founding a voter set, because its setting
+`FirstBoot` may still be true while other controllers hold acknowledged values.
 
 Invariant: a database that was found damaged is never opened again, even if the power is cut at any moment. A
 marker file is synced before the first file is moved, and it is removed after the last file was moved.
@@ -35,7 +35,7 @@
 
 
 def folder_number(quarantine_folder: Path) -> int:
-    """Returns the number in the name of a quarantine folder, 0 where the name has none."""
+    """Returns the number in the name of a quarantine folder, 0 if the name has none."""
     digits = quarantine_folder.name.removeprefix(QUARANTINE_FOLDER_PREFIX)
     return int(digits) if digits.isdecimal() else 0
 
@@ -98,7 +98,7 @@
     """Opens a controller's database and returns its content.
 
     A database that is marked as damaged, or turns out to be damaged, is quarantined and replaced by an empty
-    one. Returns a StorageError where the database cannot be used, or the quarantine fails.
+    one. Returns a StorageError if the database cannot be used or the quarantine fails.
     """
     try:
         if (reason := marked_reason(storage.folder)) is not None:
--- a/bramblewood/controller/departures.py
+++ b/bramblewood/controller/departures.py
@@ -40,7 +40,7 @@
         self.next_expiry_at = 0.0
 
     def restore(self, facts: dict[str, Any]) -> None:
-        """Records the stored deregistrations in the registry. Their retention starts again now."""
+        """Records the stored deregistrations in the registry. Their retention restarts now."""
         now = self.runtime.now()
         for name, row in facts.items():
             if name.startswith(DEPARTURE_FACT_PREFIX):
--- a/bramblewood/controller/row_encoding.py
+++ b/bramblewood/controller/row_encoding.py
@@ -55,7 +55,7 @@
 
 
 def to_json(value: Any) -> str:
-    """Returns a value as compact JSON text, the form in which it is stored."""
+    """Returns a value as compact JSON text, which is how the database stores it."""
     return ENCODER.encode(value)
 
 
@@ -65,7 +65,7 @@
 
 
 def descendant_range(path: str) -> tuple[str, str]:
-    """Returns two texts between which the paths of all rows below `path` are sorted. Both texts are excluded.
+    """Returns the lower and the upper bound, both exclusive, of the paths of all rows below `path`.
 
     The paths below a path continue with a comma, and those below the root path with a quotation mark. The
     characters that follow these two in code point order are the hyphen and the number sign.
--- a/bramblewood/controller/storage.py
+++ b/bramblewood/controller/storage.py
@@ -11,6 +11,10 @@
   rollback journal. With FULL, the removal of that journal may be lost in a power cut. The next start would
   then roll the switch back and ignore the log, and with it everything that was acknowledged.
 
+The database holds registers and facts. A register holds a value that the controllers agree on by consensus,
+and the proposal numbers that this controller has promised and accepted for it. A fact is a named JSON value
+that belongs to this controller alone.
+
 The value of a register is stored as rows (`row_encoding.py`). A commit writes the rows that differ from those
 of the last durable commit, and their checksums (`storage_checksums.py`). Each start verifies the whole
 content (`storage_reader.py`). docs/controller-storage.md describes the schema and its limits.
@@ -83,9 +87,9 @@
 
 
 def connect_durably(path: str) -> sqlite3.Connection:
-    """Opens the database at `path` after it has created the missing folders of the path.
+    """Creates the missing folders of `path`, and returns an open database at `path`.
 
-    The name of each new folder is synced, so that it survives a power cut as the database does.
+    The name of each new folder is synced, so that the folder survives a power cut as the database does.
     """
     folder = Path(path).absolute().parent
     for new_folder in [parent for parent in (folder, *folder.parents) if not parent.exists()][::-1]:
@@ -100,8 +104,8 @@
     notify: see `start`. stored_values: the value of each register in the last durable commit. checksums: the
     checksums of all rows in the last durable commit. digests: the digests of the registers in the last
     durable commits. on_damage: called in the writer thread with the problem when a write finds the file
-    damaged. replaces_damaged: whether a damaged database was moved aside in this folder, at this start or an
-    earlier one.
+    damaged. replaces_damaged: whether a damaged database was quarantined in this folder, at this start or at
+    an earlier one.
     """
 
     def __init__(self, folder: str, connect: Callable[[str], Any] | None = None) -> None:
@@ -128,9 +132,8 @@
         try:
             database = self.connect(self.path)
             database.execute("pragma locking_mode=exclusive")
-            database.execute(
-                "pragma synchronous=extra"
-            )  # before the write-ahead log; see the module docstring
+            # Must precede the switch to write-ahead mode; see the module docstring.
+            database.execute("pragma synchronous=extra")
             version = schema_version(database)
             if version > SCHEMA_VERSION:
                 problem = (
@@ -144,7 +147,7 @@
             database.execute(AUTO_VACUUM)  # has an effect only in a database without tables
             if database.execute("pragma journal_mode=wal").fetchone()[0] != "wal":
                 return Err(StorageError(self.path, "SQLite cannot keep a write-ahead log in this folder"))
-            stored_state = self.read_verified_state(database)
+            stored_state = self.check_and_read(database)
             if version < SCHEMA_VERSION:
                 self.upgrade(database, stored_state)
             else:
@@ -176,11 +179,10 @@
         if version == SCHEMA_VERSION and database.execute("pragma journal_mode").fetchone()[0] != "wal":
             raise RowsDamagedError("the header of the database does not name a write-ahead log")
 
-    def read_verified_state(self, database: Any) -> StoredState:
+    def check_and_read(self, database: Any) -> StoredState:
         """Returns the content of an open database.
 
-        Raises RowsDamagedError where SQLite finds the file faulty, and otherwise raises as `read_database`
-        does.
+        Raises RowsDamagedError where SQLite finds a fault in the file. Raises the errors of `read_database`.
         """
         faults = find_file_faults(database)
         if faults:
@@ -227,7 +229,8 @@
         """Queues writes that are committed in one transaction.
 
         on_finished(None) is called once they are durable, on_finished(problem) if they failed. A fact whose
-        value is None is deleted. The caller must never change the values in place, not even afterwards.
+        value is None is deleted. The caller must never change the values in place, because later writes are
+        compared with them.
         """
         self.write_queue.put(WriteRequest(registers, facts, on_finished))
 
@@ -255,7 +258,8 @@
     def commit(self, requests: list[WriteRequest]) -> str | None:
         """Commits all requests in one transaction, so that one sync serves all of them.
 
-        Returns None once they are durable. Returns the problem if the transaction failed; it is rolled back.
+        Returns None once they are durable. If the transaction fails, it is rolled back, and the problem is
+        returned.
         """
         latest_states: dict[str, RegisterState] = {}
         facts: dict[str, Any] = {}
--- a/bramblewood/controller/storage_reader.py
+++ b/bramblewood/controller/storage_reader.py
@@ -21,8 +21,8 @@
 )
 from .storage_schema import CREATE_TABLES, NO_SCHEMA, SCHEMA_VERSION, SCHEMA_VERSION_1
 
-# The package `consensus` defines this type too. It is not imported here because the commands that only read a
-# database do not load that package.
+# A proposal number (`consensus/proposal_number.py`) as a plain tuple. The package `consensus` is not imported
+# here, because the commands that only read a database do not load it.
 ProposalNumber = tuple
 RegisterState = tuple[ProposalNumber, ProposalNumber, Any]  # promised, accepted, value
 
--- a/bramblewood/controller/value_diff.py
+++ b/bramblewood/controller/value_diff.py
@@ -1,13 +1,14 @@
-"""Differences between two JSON values, by which a small change of a large value is sent and stored.
+"""Differences between two JSON values, by which a small change of a large value is sent or stored.
 
 This module does no input or output.
 
-A difference is a JSON map in one of two forms. It is sent and stored in this form.
+A difference is a JSON map. It is stored and sent in one of two forms.
 
-    {"=": value}                                    The new value replaces the old one.
-    {"+": {key: difference, ...}, "-": [key, ...]}  For a map: "+" holds the keys that change or are new, and
-    "-"
-                                                    the keys that are removed. "-" is omitted if it is empty.
+    {"=": value}
+    {"+": {key: difference, ...}, "-": [key, ...]}
+
+In the first form, the new value replaces the old one. The second form describes a change of a map: "+" holds
+the keys that change or are new, and "-" holds the keys that are removed. "-" is omitted if no key is removed.
 
 Values are never changed in place. Two versions of a value share the same objects where they are equal, and a
 comparison skips shared objects.
--- a/features/steps/storage.py
+++ b/features/steps/storage.py
@@ -162,11 +162,12 @@
         assert {"facts": facts, "registers": registers} == history.states[0]
         assert storage.database.execute("pragma auto_vacuum").fetchone() == (1,)
         after = [run(command) for command in ("check", "show", "export")]
+        # A controller writes these facts after the upgrade.
         facts = {
             "born": None,
             "voters": None,
             "disk": "0a0b0c0d",
-        }  # what a controller writes after the upgrade
+        }
         assert storage.commit([([], facts, None)]) is None
         assert json.loads(run("export").output)["facts"] == {"disk": "0a0b0c0d"}
         assert run("check").output == "sound\n"
--- a/tests/simulation/damaged_database.py
+++ b/tests/simulation/damaged_database.py
@@ -204,8 +204,8 @@
     facts, registers, _ = opened.ok_value
     storage.database.close()
     fields = ("promised", "accepted", "value")
-    named = {name: dict(zip(fields, register, strict=True)) for name, register in registers.items()}
-    if json.dumps({"facts": facts, "registers": named}) + "\n" != intact.exported:
+    named_registers = {name: dict(zip(fields, register, strict=True)) for name, register in registers.items()}
+    if json.dumps({"facts": facts, "registers": named_registers}) + "\n" != intact.exported:
         raise UndetectedDamage("a start finds other content than was written")
     return SOUND
 
--- a/tests/simulation/storage_failures.py
+++ b/tests/simulation/storage_failures.py
@@ -29,6 +29,7 @@
 
 
 DATABASE_PATH = "/d/shelf.db"
+# Keys that JSON escapes, and keys whose paths sort next to the bounds of `row_encoding.descendant_range`.
 SPECIAL_KEYS = ("0", "a", "b", "", 'a",b', "a,", "a-", "[", "\\", "\n", "\u00e9", "\ud800")
 REGISTERS = ("config", "table")
 MAX_CALLS = 500  # upper bound of the file calls before a power cut
@@ -324,13 +325,13 @@
 class ControllerOnHangingDisk:
     """A controller whose disk hangs during each sync until `resume` is called.
 
-    sent: the messages that the controller sent, as (peer, message). hangs: set while a sync hangs.
+    sent: the messages that the controller sent, as (peer, message). sync_started: set once a sync hangs.
     may_resume: set once the sync may finish.
     """
 
     def __init__(self):
         self.disk, self.notifications = SimulatedDisk(), queue.SimpleQueue()
-        self.hangs, self.may_resume = threading.Event(), threading.Event()
+        self.sync_started, self.may_resume = threading.Event(), threading.Event()
         ports = {"Control": ("127.0.0.1", 1)}
         self.controller = Controller(
             Settings("a", "a", "z", (1, 2), (), False, "/d", 1.5, ports, 2**28, 100, Bounds())
@@ -351,7 +352,7 @@
 
     def hang(self):
         """Blocks the sync; the power cut of a test takes place during the sync."""
-        self.hangs.set()
+        self.sync_started.set()
         self.may_resume.wait(WRITER_TIMEOUT)
         if self.disk.power_cut_at is not None:
             raise PowerCut
@@ -369,7 +370,7 @@
         row = (CONFIG, (1, 7, "b", 1), (1, 3, "a", 1), {"n": 1})
         self.controller.quorum_io.execute(Effects([row], [("b", PROMISE)], [], {}))
         # Without this wait, the checks that follow might run before the sync.
-        assert self.hangs.wait(WRITER_TIMEOUT)
+        assert self.sync_started.wait(WRITER_TIMEOUT)
 
     def resume(self):
         """Lets the sync finish, ends the writer thread, and runs the callbacks of the writes."""
--- a/tests/test_damaged_storage.py
+++ b/tests/test_damaged_storage.py
@@ -208,7 +208,7 @@
 
 
 def test_oldest_quarantine_folders_are_removed(intact: IntactDatabase, tmp_path: Path) -> None:
-    folder = str(tmp_path / "again")
+    folder = str(tmp_path / "repeated")
     for number in range(MAX_QUARANTINE_FOLDERS + 2):
         shutil.copytree(intact.folder, folder, dirs_exist_ok=True)
         mark_damaged(folder, f"damage {number}")
--- a/tests/test_old_disks.py
+++ b/tests/test_old_disks.py
@@ -30,18 +30,21 @@
 STARTED_AT = 1_760_000_051.0  # Unix time in s of the manager's next start, 2 s after it ended
 TERMS = StoreTerms("", "in-loop", False, 0.002, 0.25, 3.2e9)
 COMMAND_TIMEOUT = 30.0  # s
+# Keys of the printed ledger that a short stop of the manager does not change.
 UNCHANGED_LEDGER_KEYS = (
     "closed",
     "withdrawn",
     "slices",
     "admitted",
-)  # keys of the printed ledger that a short stop of the manager does not change
+)
 
 
 def run_command(*arguments: str, exit_code: int = 0) -> str:
     """Runs a command of the program and returns its output. Fails unless it ends with this exit code."""
-    line = [sys.executable, "-m", "bramblewood", *arguments]
-    completed = subprocess.run(line, capture_output=True, cwd=ROOT, timeout=COMMAND_TIMEOUT, text=True)
+    command_line = [sys.executable, "-m", "bramblewood", *arguments]
+    completed = subprocess.run(
+        command_line, capture_output=True, cwd=ROOT, timeout=COMMAND_TIMEOUT, text=True
+    )
     assert completed.returncode == exit_code, completed.stderr
     return completed.stdout
 
