--- a/bramblewood/policy/failover.py
+++ b/bramblewood/policy/failover.py
@@ -12,7 +12,7 @@
 
 
 class Failover(LoadAccounting):
-    """Ejects failing workers and makes the moves that must not wait for the ordinary rule."""
+    """Ejects failing workers and makes the urgent moves, which must not wait for the end of a cycle."""
 
     def prepare_for_surge(self) -> None:
         """Cut admission early if the total heat grows fast, because no worker can then take more slices."""
@@ -23,7 +23,7 @@
                 self.manager.schedule(worker.cut_early, mean(worker.loads) * growth)
 
     def eject_failing_workers(self) -> None:
-        """Eject workers that leave attempts unanswered; overloaded ones only while others have capacity."""
+        """Eject workers that leave attempts unanswered; if they are slow, only while others have capacity."""
         ready = self.manager.ready_workers()
         spare = self.manager.utilization_known and 0 < self.median_load < parameters.SPARE_LOAD
         measured = [w for w in ready if sum(w.outcomes) >= parameters.MIN_ATTEMPTS]
@@ -43,8 +43,8 @@
         """Move slices without a usable primary at once; queue tables with workers to exclude as urgent."""
         slices, publisher = self.manager.own_slices(), self.manager.publisher
         self.standby_counts = Counter(slice.standby for slice in slices)  # choose_standby updates it
-        old_routes = {w for s in slices for w in s.routes if w not in (s.primary, s.standby)}
-        self.blocked = {worker for worker in old_routes if publisher.excluded.get(worker.name)}
+        workers_on_old_routes = {w for s in slices for w in s.routes if w not in (s.primary, s.standby)}
+        self.blocked = {worker for worker in workers_on_old_routes if publisher.excluded.get(worker.name)}
         moved, by_primary = Counter(), {}
         for slice in slices:
             primary, standby = slice.primary, slice.standby
@@ -63,7 +63,7 @@
             self.manager.log(f"{count} slices of {worker_and_state} moved at once")
 
     def failover_target(self, slice: Slice) -> Worker | None:
-        """Return the standby, where proxies retry, if it is warm and below capacity; or another worker."""
+        """Return the standby, where proxies retry, if warm and below capacity; else the least loaded."""
         primary, standby = slice.primary, slice.standby
         ready = standby in slice.routes and standby.usable and standby.is_warm
         if ready and not (self.total_heat and self.loads[standby] > self.capacity(standby)):
--- a/bramblewood/policy/load_accounting.py
+++ b/bramblewood/policy/load_accounting.py
@@ -13,11 +13,11 @@
 
     def __init__(self, manager):
         self.manager = manager
-        self.loads, self.own_loads = Counter(), Counter()  # heat by worker: of all managers, of this one
+        self.loads, self.own_loads = Counter(), Counter()  # heat by worker: from all managers, from this one
         self.standby_counts, self.over_limit_cycles, self.by_primary = Counter(), Counter(), {}
         self.recent_moves, self.answered_rates = deque(), deque(maxlen=parameters.REPORTS_AVERAGED)
         self.own_heat = self.total_heat = self.total_load = self.median_load = self.throttled_count = 0.0
-        self.total_weight, self.full_load, self.typical_heat = 1.0, 1.0, 1.0
+        self.total_weight, self.usual_total_load, self.typical_heat = 1.0, 1.0, 1.0
         self.blocked = set()  # workers that stay excluded until no table has an old route to them
 
     def update_loads(self) -> None:
@@ -33,7 +33,7 @@
         self.total_heat = self.own_heat * max(manager.settings.slices, len(slices)) / max(len(slices), 1)
         self.total_weight = sum(worker.weight for worker in ready) or 1.0
         usual_load = min(max(self.median_load, parameters.WORKING_POINT), parameters.MAX_LOAD_FACTOR)
-        self.full_load = usual_load * sum(worker.weight * worker.warmth() for worker in ready) or 1.0
+        self.usual_total_load = usual_load * sum(worker.weight * worker.warmth() for worker in ready) or 1.0
         self.total_load = sum(mean(worker.loads) * worker.weight for worker in ready)
         scale = self.total_heat / (self.total_load or 1.0)
         self.loads = Counter({w: scale * w.weight * mean(w.loads) for w in manager.workers.values()})
@@ -63,15 +63,15 @@
         return not worker.retries_off and waited and fits
 
     def safe_capacity(self, worker: Worker) -> float:
-        """Return the heat that a worker can surely serve: its share, by warmth, of the answered requests."""
+        """Return the heat that a worker can surely serve: its share, by warmth, of the rate of answers."""
         answered = mean([rate for rate in self.answered_rates if rate])
         answered = answered * self.total_heat / (self.own_heat or 1.0)  # extrapolated to all managers
-        return worker.warmth() * worker.weight * min(answered, self.total_heat) / self.full_load
+        return worker.warmth() * worker.weight * min(answered, self.total_heat) / self.usual_total_load
 
     def slow_start_budget(self, worker: Worker) -> float:
         """Return the heat that this manager may assign to a warming worker; managers share its capacity."""
         known = self.manager.utilization_known and self.total_load
-        spare = self.full_load / self.total_load if known else 1.0  # utilization shows spare capacity
+        spare = self.usual_total_load / self.total_load if known else 1.0  # utilization shows spare capacity
         return self.safe_capacity(worker) * spare * parameters.SLOW_START_SHARE / self.manager.manager_count
 
     def relative_load(self, worker: Worker) -> float:
@@ -79,7 +79,7 @@
         return self.loads[worker] / worker.weight
 
     def least_loaded(self, heat: float, excluded: Worker | None, force: bool = False) -> Worker | None:
-        """Return the least loaded worker that can take this heat; if forced, at least some ready worker."""
+        """Return the least loaded worker that can take this heat; `force` allows any ready one otherwise."""
         ready = [w for w in self.manager.ready_workers() if w is not excluded and w not in self.blocked]
         able = [w for w in ready if w.usable and self.can_take(w, heat)]
         if force and not able:  # an ejected warm worker is preferred to a warming one
@@ -89,7 +89,7 @@
         return min(able, key=lambda w: (self.relative_load(w) + heat / w.weight, w.name), default=None)
 
     def move(self, slice: Slice, target: Worker, urgent: bool) -> None:
-        """Make another worker the primary of a slice, and shift the heat between the accounts."""
+        """Make another worker the primary of a slice, and update the loads of both workers."""
         heat, source = slice.estimate(), slice.primary
         self.own_loads[source] -= heat
         self.own_loads[target] += heat
--- a/bramblewood/policy/manager.py
+++ b/bramblewood/policy/manager.py
@@ -23,7 +23,7 @@
         self.publisher = Publisher(self)
         self.manager_count = max(settings.managers, 1)
         self.next_turn_at, self.next_cycle_at = None, parameters.LONG_AGO
-        self.old_exclusions_until = parameters.LONG_AGO  # unix time; exclusions of an earlier run may hold
+        self.old_exclusions_until = parameters.LONG_AGO  # unix time; an earlier run's may hold until then
         operations = settings.operations
         self.latency_objective = min((o.latency_objective for o in operations), default=1.0)
         self.utilization_known = "utilization" in settings.load_fields
--- a/bramblewood/policy/planner.py
+++ b/bramblewood/policy/planner.py
@@ -1,4 +1,4 @@
-"""Decisions of one cycle: urgent moves, then ordinary moves by the two averaged tests of the design."""
+"""Decisions of one cycle: ejections, preparation for a surge, and ordinary moves of slices."""
 
 from collections import Counter
 
@@ -10,10 +10,10 @@
 
 
 class Planner(Failover):
-    """Runs the ordinary rule of the design and the urgent moves around it."""
+    """Ends cycles and makes the ordinary moves; the urgent ones are inherited."""
 
     def cycle(self) -> None:
-        """End the cycle of slices and workers, then eject failing workers, prepare for surges, rebalance."""
+        """End a cycle: update the estimates, eject failing workers, prepare for a surge and rebalance."""
         manager = self.manager
         self.forget_workers()
         for slice in manager.own_slices():
@@ -46,7 +46,7 @@
         ranked = sorted(self.manager.usable_workers(), key=lambda w: (self.relative_load(w), w.name))
         sources, new_workers = self.overloaded_workers(ranked), self.underused_new_workers(ranked)
         for source in sources[::-1][: 1 + len(new_workers)]:  # one more move per underused new worker
-            over_limit = source.is_over_limit()  # a move costs cache hits and a route at every proxy
+            over_limit = source.is_over_limit()  # else a cooldown saves cache hits and routes at all proxies
             movable = [
                 s for s in self.by_primary[source] if over_limit or s.cooldown_until <= self.manager.now
             ]
@@ -63,7 +63,7 @@
                 self.over_limit_cycles[source] = 0  # the next move waits for reports that show this one
 
     def overloaded_workers(self, ranked: list[Worker]) -> list[Worker]:
-        """Return the workers for which both tests held for REPORTS_HELD cycles, least loaded first."""
+        """Return the workers that were overloaded for REPORTS_HELD consecutive cycles, least loaded first."""
         median_time = median(mean(w.response_times) for w in ranked if w.response_times)
         lowest = self.relative_load(ranked[0]) if ranked else 0.0
         over = [w for w in ranked if self.relative_load(w) > parameters.FLUCTUATION_BOUND * lowest]
@@ -72,7 +72,7 @@
         return [worker for worker in over if self.over_limit_cycles[worker] >= parameters.REPORTS_HELD]
 
     def is_overloaded(self, worker: Worker, median_time: float) -> bool:
-        """Return whether a worker exceeds its limit, or SLOW_FACTOR times the median response time in s."""
+        """Return whether the load exceeds the limit, or the response time SLOW_FACTOR times the median."""
         times = worker.response_times
         slow = len(times) >= parameters.REPORTS_HELD and mean(times) > parameters.SLOW_FACTOR * median_time
         return self.loads[worker] > parameters.CAPACITY_LIMIT * self.capacity(worker) or slow
--- a/bramblewood/policy/publishing.py
+++ b/bramblewood/policy/publishing.py
@@ -57,7 +57,7 @@
         in_flight = settings.lines_per_second * settings.message_delay
         waiting, limit = max(self.sent.waiting_lines() - in_flight, 0.0), self.line_limit()
         urgent_limit = limit + (settings.max_waiting_lines - limit) / 3
-        relieves_warming = any(s.leaves_warming_worker() for s in self.urgent)  # they overload in seconds
+        relieves_warming = any(s.leaves_warming_worker() for s in self.urgent)  # warming ones fail in seconds
         quota = math.ceil(len(self.ordinary) / parameters.TURNS_TO_PUBLISH) if turn else 0
         slices = sorted(self.urgent, key=Slice.publishing_priority) + list(self.ordinary)[:quota]
         expedite = any(s.workers_to_exclude() or s.routes.get(s.primary) != 1.0 for s in self.urgent)
@@ -66,7 +66,7 @@
         orders: list = [*defaults, *(ExcludeWorker(worker.name, True) for worker in leaving)]
         draft = MessageDraft(orders, header, proxies, waiting)
         too_soon = now < self.sent.last_sent_at() + parameters.TURN_INTERVAL * (1 + (waiting > 0))
-        if too_soon and not leaving and not relieves_warming:  # the headers of many messages fill a channel
+        if too_soon and not leaving and not relieves_warming:  # many headers would fill the channel
             return
         if not draft.fits(urgent_limit if leaving else limit):
             return
@@ -85,7 +85,7 @@
             wanted, admission, changes = slice.table_changes(urgent) if slice.assigned else ({}, None, [])
             returning = [worker for worker in wanted if worker.usable and worker.name in self.excluded]
             readmitted = [worker for worker in returning if worker not in self.manager.planner.blocked]
-            changes += [ExcludeWorker(w.name, False) for w in readmitted]  # with a first route: fewer orders
+            changes += [ExcludeWorker(w.name, False) for w in readmitted]  # only if routed, to save orders
             if not draft.fits(limit, len(changes)):
                 return
             for worker in readmitted:
--- a/bramblewood/policy/slices.py
+++ b/bramblewood/policy/slices.py
@@ -1,4 +1,4 @@
-"""Slices: heat (invocations/s) with the design's trend, and the routes and rules of a slice's table."""
+"""Slices: estimates of heat (invocations/s), and the routes and admission levels of their tables."""
 
 from ..events import NO_RETRY, READY, RETRY_UNSTARTED, SetAdmission, SetRoute
 from ..policy_mechanisms.averages import mean
@@ -50,16 +50,16 @@
 
     def leaves_warming_worker(self) -> bool:
         """Return whether traffic still goes to a worker in slow start that is no longer the primary."""
-        losing = [w for w, weight in self.routes.items() if weight == 1.0 and w is not self.primary]
-        return any(worker.usable and not worker.is_warm for worker in losing)
+        former = [w for w, weight in self.routes.items() if weight == 1.0 and w is not self.primary]
+        return any(worker.usable and not worker.is_warm for worker in former)
 
     def publishing_priority(self) -> tuple[bool, ...]:
-        """Return the sort key of urgent tables: unserved first, then exclusions, warming, new primaries."""
-        leaving, warming = self.workers_to_exclude(), self.leaves_warming_worker()
-        return not self.is_unserved(), not leaving, not warming, self.primary in self.routes
+        """Return the sort key: unserved slices, then exclusions, relief of warming workers, new routes."""
+        leaving, relieves = self.workers_to_exclude(), self.leaves_warming_worker()
+        return not self.is_unserved(), not leaving, not relieves, self.primary in self.routes
 
     def standby_weight(self) -> float:
-        """Return the standby's weight, which is higher if proxies can relieve an overloaded primary by it."""
+        """Return the standby's weight, which is higher if it lets proxies relieve an overloaded primary."""
         primary, standby = self.primary, self.standby
         spare = standby and standby.usable and not standby.retries_off and standby.is_warm
         if not (spare and primary and primary.retries_off and self.manager.settings.pick == "pair"):
@@ -80,7 +80,7 @@
         wanted = {w: self.routes[w] for w in excluded[-parameters.MAX_EXCLUDED_ROUTES :]} | wanted
         orders += [SetRoute(self.number, w.name, 0) for w in self.routes if w not in wanted]
         default = [(1.0, RETRY_UNSTARTED)] * len(self.manager.operations_by_value)
-        retry = NO_RETRY if primary and primary.retries_off else RETRY_UNSTARTED  # no repeated effects
+        retry = NO_RETRY if primary and primary.retries_off else RETRY_UNSTARTED  # never repeats effects
         rules = [(round(level, 3), retry) for level in primary.admitted] if primary else default
         changed = [k for k, rule in enumerate(rules) if rule != (self.admission or default)[k]]
         for rule in dict.fromkeys(rules[k] for k in changed):  # equal rules share an order
--- a/bramblewood/policy/workers.py
+++ b/bramblewood/policy/workers.py
@@ -1,9 +1,9 @@
-"""Workers: list entries, reports, ejection and admission control, which cuts the least billed first."""
+"""Workers: list entries, reports, ejection and admission control, which cuts low billed values first."""
 
 import math
 
 from ..events import READY, ListedWorker, WorkerEjected, WorkerReported
-from ..policy_mechanisms.averages import is_usable, mean
+from ..policy_mechanisms.averages import is_nonnegative, mean
 from ..policy_mechanisms.state import WorkerState
 from . import parameters
 
@@ -34,7 +34,7 @@
 
     def update(self, entry: ListedWorker) -> None:
         """Apply the worker's entry of a worker list; a new start time resets the measurements."""
-        started = entry.started if is_usable(entry.started) else parameters.LONG_AGO
+        started = entry.started if is_nonnegative(entry.started) else parameters.LONG_AGO
         publisher = self.manager.publisher
         if started != self.started:
             self.reset_measurements()
@@ -45,18 +45,18 @@
             for slice in [slice for slice in self.manager.own_slices() if self in slice.routes]:
                 self.manager.schedule(publisher.enqueue, slice, True)
         self.started, self.state, self.zone = started, entry.state, entry.zone
-        self.weight = entry.weight if is_usable(entry.weight) and entry.weight > 0 else 1.0
+        self.weight = entry.weight if is_nonnegative(entry.weight) and entry.weight > 0 else 1.0
 
     def add_report(self, report: WorkerReported) -> None:
         """Add what the proxies of a zone observed, and the load report of the worker."""
         answered = max(report.attempts - report.unanswered, 0)
         self.answered += answered
-        if self.manager.now - report.interval >= self.ejected_until:  # counts from an ejection do not apply
+        if self.manager.now - report.interval >= self.ejected_until:  # not during an ejection
             self.outcomes[0] += answered
             self.outcomes[1] += report.unanswered
             if answered > 0 < report.mean_response_time:
                 self.response_samples.append((report.mean_response_time, answered))
-        load = {name: value for name, value in report.load.items() if is_usable(value)}
+        load = {name: value for name, value in report.load.items() if is_nonnegative(value)}
         if "utilization" in load:
             self.new_loads.append(load["utilization"] + parameters.QUEUE_WEIGHT * load.get("queued", 0.0))
         elif "in_flight" in load:
@@ -82,7 +82,7 @@
             self.loads.append(min(self.load, parameters.MAX_LOAD_FACTOR * median_load or math.inf))
         else:
             self.cycles_without_report += 1
-            if self.cycles_without_report >= parameters.STALE_CYCLES:  # little traffic, not overload
+            if self.cycles_without_report >= parameters.STALE_CYCLES:  # assumes little traffic, not overload
                 self.loads.append(expected_load)
         self.new_loads, self.answered = [], 0.0
         self.adjust_admission()
@@ -91,21 +91,21 @@
         """Cut admission while the worker is overloaded for whatever reason, and raise it afterwards."""
         before = self.retries_off, list(self.admitted)
         answered, unanswered = (new - old for new, old in zip(self.outcomes, self.old_outcomes, strict=True))
-        fresh = answered + unanswered >= parameters.MIN_ATTEMPTS  # fewer attempts wait for more
+        fresh = answered + unanswered >= parameters.MIN_ATTEMPTS  # fewer are kept for the next cycle
         if fresh:
             self.response_times.append(self.response_time())
             self.latency_ratio = self.response_times[-1] / self.manager.latency_objective
             self.response_samples, self.outcomes = [], [count / 2 for count in self.outcomes]
             self.old_outcomes = list(self.outcomes)
         known, now = self.manager.utilization_known, self.manager.now
-        loaded = self.load >= parameters.CAPACITY_LIMIT or not known  # a slow idle worker is only distant
-        # where reports skip cycles, neither a skipped cycle nor one with few attempts raises admission
+        loaded = self.load >= parameters.CAPACITY_LIMIT or not known  # a slow idle worker is only far away
+        # where reports skip cycles, a cycle without a report or with few attempts does not raise admission
         sparse = self.cycles_without_report or known and self.report_gap > 1
-        unused = not fresh and (self.cycles_without_report >= parameters.STALE_CYCLES or not sparse)
-        relaxed = self.latency_ratio < parameters.RAISE_LATENCY_RATIO or not loaded or unused
+        little_used = not fresh and (self.cycles_without_report >= parameters.STALE_CYCLES or not sparse)
+        may_raise = self.latency_ratio < parameters.RAISE_LATENCY_RATIO or not loaded or little_used
         if fresh and self.latency_ratio > parameters.CUT_LATENCY_RATIO and loaded and now >= self.next_cut_at:
             self.cut_admission(answered, unanswered)
-        elif relaxed and now >= self.no_raise_before:
+        elif may_raise and now >= self.no_raise_before:
             self.raise_admission()
         if (self.retries_off, self.admitted) != before:
             self.publish_admission()
--- a/bramblewood/policy_mechanisms/averages.py
+++ b/bramblewood/policy_mechanisms/averages.py
@@ -1,4 +1,4 @@
-"""Averages over reports, and the check that a reported number can be averaged."""
+"""Averages over reports, and the check of reported numbers."""
 
 import math
 from collections.abc import Iterable, Sequence
@@ -11,11 +11,11 @@
 
 
 def median(values: Iterable[float]) -> float:
-    """Return the median, or 0 if there are no values; of an even count, the upper of the middle two."""
+    """Return the median, or 0 if there are no values; for an even count, the upper of the middle two."""
     ranked = sorted(values)
     return ranked[len(ranked) // 2] if ranked else 0.0
 
 
-def is_usable(*values: Any) -> bool:
+def is_nonnegative(*values: Any) -> bool:
     """Return whether all values are finite numbers of at least 0."""
     return all(isinstance(value, (int, float)) and math.isfinite(value) and value >= 0 for value in values)
--- a/bramblewood/policy_mechanisms/dispatch.py
+++ b/bramblewood/policy_mechanisms/dispatch.py
@@ -1,15 +1,15 @@
-"""The tables of workers and slices, the dispatch of events to a manager's parts, and the call queue."""
+"""The tables of workers and slices, the dispatch of events to their handlers, and the call queue."""
 
 from collections import deque
 from collections.abc import Callable, Iterable
 from typing import Any
 
 from .. import events
-from .averages import is_usable
+from .averages import is_nonnegative
 
 
 class Dispatcher:
-    """Checks events and dispatches them through a call queue; Manager adds the parts that handle them."""
+    """Checks events and dispatches them through a call queue; Manager adds the objects that handle them."""
 
     worker_list: Any
     publisher: Any
@@ -21,14 +21,14 @@
         self.orders: list[events.Order] = []  # of the current batch
         self.workers: dict[str, Any] = {}
         self.slices: dict[int, Any] = {}
-        self.proxies: dict[int, str] = {}  # zones of the joined proxies
+        self.proxies: dict[int, str] = {}  # zones of the joined proxies, by proxy
 
     def worker(self, name: str) -> Any:
-        """Return the worker of this name; one that only the store has named is created as deregistered."""
+        """Return the worker of this name; an unknown one is created as deregistered."""
         return self.workers.get(name) or self.workers.setdefault(name, self.worker_type(self, name))
 
     def slice(self, number: int) -> Any:
-        """Return the slice of this number; one that was never assigned is created."""
+        """Return the slice of this number; an unknown one is created as not assigned."""
         return self.slices.get(number) or self.slices.setdefault(number, self.slice_type(self, number))
 
     def ready_workers(self) -> list[Any]:
@@ -63,7 +63,7 @@
         self.orders.append(events.Log(text))
 
     def dispatch_batch(self, batch: Iterable[events.Event]) -> None:
-        """Dispatch events one by one; drop unknown and unusable events and those of unassigned slices."""
+        """Dispatch events one by one; drop unknown and invalid events and those of unassigned slices."""
         for event in batch:
             self.run_to_completion(self.dispatch, event)
 
@@ -83,14 +83,16 @@
             case events.WorkerListFailed():
                 self.schedule(self.worker_list.fail)
             case events.WorkerReported(_, _, attempts, unanswered, time, interval) if worker:
-                if is_usable(attempts, unanswered, time, interval):
+                if is_nonnegative(attempts, unanswered, time, interval):
                     self.schedule(worker.add_report, event)
-            case events.SliceHeatReported() if own_slice and is_usable(event.invocations, event.interval):
+            case events.SliceHeatReported() if own_slice and is_nonnegative(
+                event.invocations, event.interval
+            ):
                 self.schedule(own_slice.add_heat, event)
             case events.MessageAcknowledged():
                 self.schedule(self.publisher.sent.acknowledge, event)
             case events.ProxyJoined():
-                if event.proxy in self.proxies:  # a second join: acknowledgements in between may be lost
+                if event.proxy in self.proxies:  # a second join: earlier acknowledgements may be lost
                     self.publisher.sent.acknowledgements_lost_at = self.now
                 self.proxies[event.proxy] = event.zone
                 self.schedule(self.publisher.schedule_resend)
@@ -108,8 +110,8 @@
                 self.schedule(self.slice(event.slice).set_assigned, event.assigned)
             case events.ExclusionRestored():
                 self.publisher.excluded.setdefault(event.worker, False)
-            case events.EjectionRestored() if worker and is_usable(event.until, event.ejections):
+            case events.EjectionRestored() if worker and is_nonnegative(event.until, event.ejections):
                 worker.ejected_until = worker.warming_since = event.until
                 worker.ejections = event.ejections
-            case events.RouteStored() if own_slice and is_usable(event.weight) and event.weight > 0:
+            case events.RouteStored() if own_slice and is_nonnegative(event.weight) and event.weight > 0:
                 self.schedule(own_slice.add_route, self.worker(event.worker), event.weight)
--- a/bramblewood/policy_mechanisms/sent_messages.py
+++ b/bramblewood/policy_mechanisms/sent_messages.py
@@ -22,7 +22,7 @@
 
 
 class MessageDraft:
-    """A message that is being filled; the header and the orders each take one line per proxy."""
+    """A message that is being filled. Each proxy receives `header` lines, and one line for each order."""
 
     def __init__(self, orders: list[Order], header: float, proxies: int, waiting: float) -> None:
         self.orders, self.proxies = orders, proxies
@@ -45,7 +45,7 @@
     def __init__(self) -> None:
         self.messages: deque[SentMessage] = deque()
         self.last_number = 0
-        self.acknowledgements_lost_at = LONG_AGO  # unix time
+        self.acknowledgements_lost_at = LONG_AGO  # unix time of the last join that may have lost some
 
     def add(self, now: float, lines: float, proxies: set[int]) -> int:
         """Record a message to these proxies and return its number."""
@@ -69,6 +69,7 @@
     def expire(self, now: float, counted_for: float) -> None:
         """Give up lost acknowledgements; drop messages that left the channel over `counted_for` s ago."""
         lost_at = self.acknowledgements_lost_at
+        # a message sent shortly before the loss may still be in the channel: it is awaited a little longer
         lost_before = max(min(lost_at, (now + lost_at) / 2 - REPORT_LAG), now - ACK_TIMEOUT)
         for message in self.messages:
             if message.sent_at < lost_before:
@@ -80,7 +81,7 @@
             self.messages.popleft()
 
     def waiting_lines(self) -> float:
-        """Return the lines of unacknowledged messages, by the share of proxies that are still awaited."""
+        """Return the lines of unacknowledged messages, weighted by the share of proxies still awaited."""
         return sum(m.lines * len(m.awaited) / m.proxies for m in self.messages if m.awaited)
 
     def last_sent_at(self) -> float:
--- a/bramblewood/policy_mechanisms/state.py
+++ b/bramblewood/policy_mechanisms/state.py
@@ -25,17 +25,17 @@
 
     def reset_measurements(self) -> None:
         """Discard all measurements, and admit all operations in full."""
-        self.loads: deque[float] = deque(maxlen=REPORTS_AVERAGED)  # load over capacity, one a cycle
-        self.response_times: deque[float] = deque(maxlen=REPORTS_AVERAGED)  # s, one an evaluation
+        self.loads: deque[float] = deque(maxlen=REPORTS_AVERAGED)  # load over capacity, one per cycle
+        self.response_times: deque[float] = deque(maxlen=REPORTS_AVERAGED)  # s, one per evaluation
         self.new_loads: list[float] = []  # reported since the last cycle
-        self.response_samples: list[tuple[float, float]] = []  # s, responses; not yet evaluated
+        self.response_samples: list[tuple[float, float]] = []  # not yet evaluated: (mean in s, responses)
         self.outcomes = [0.0, 0.0]  # attempts answered and unanswered, halved at each evaluation
         self.old_outcomes = [0.0, 0.0]  # the part of `outcomes` that the last evaluation has covered
         self.answered = 0.0  # attempts answered since the last cycle
         self.load = 0.0  # the mean of the last reports, load over capacity
         self.latency_ratio = 0.0  # last response time over the latency objective
         self.cycles_without_report = STALE_CYCLES  # cycles since the last load report
-        self.report_gap = 1  # cycles that the last load report spans
+        self.report_gap = 1  # cycles that the last load report covers
         self.admitted = [1.0] * len(self.manager.settings.operations)  # admission level by operation
         self.retries_off = False  # while the worker is overloaded
         self.next_cut_at = LONG_AGO  # unix time before which admission is not cut again
@@ -50,20 +50,22 @@
 
 
 class SliceState:
-    """A slice: its heat, the workers that are to serve it, and its table as stored."""
+    """A slice: its heat, the workers that are to serve it, and its table as last published."""
 
     def __init__(self, manager: Any, number: int) -> None:
         self.manager, self.number = manager, number
         self.assigned = False  # to this manager
         self.primary: Any = None  # the worker that is to serve the slice, with a route of weight 1
         self.standby: Any = None  # the worker that proxies retry at, with a route of far less weight
-        self.routes: dict[Any, float] = {}  # weights by worker, as stored
-        self.admission: list[tuple[float, int]] | None = None  # (level, retry mode); None: default
-        self.latest_rates: dict[str, tuple[float, float]] = {}  # by operation: invocations/s, valid until
-        self.has_new_heat = False  # since the last estimate
+        self.routes: dict[Any, float] = {}  # weights by worker, as last published or stored
+        # (level, retry mode) by operation, as last published; None if these are the defaults
+        self.admission: list[tuple[float, int]] | None = None
+        self.latest_rates: dict[str, tuple[float, float]] = {}  # by operation: (invocations/s, valid until)
+        self.has_new_heat = False  # whether heat was reported since the last estimate
         self.previous_heat: float | None = None  # invocations/s
         self.estimates: deque[float] = deque(maxlen=REPORTS_AVERAGED)  # invocations/s
-        self.cooldown_until, self.move_count = LONG_AGO, 0  # unix time; of ordinary moves
+        # unix time before which no ordinary move follows, and the number of ordinary moves
+        self.cooldown_until, self.move_count = LONG_AGO, 0
 
     def add_heat(self, report: SliceHeatReported) -> None:
         """Record the invocation rate of one operation."""
