--- a/bramblewood/events.py
+++ b/bramblewood/events.py
@@ -10,7 +10,7 @@
 ALL_SLICES = -1  # in SetAdmission: all slices assigned to this manager; on sites without slices, all proxies
 READY, DRAINING, DEREGISTERED = "ready", "draining", "gone"  # states of a worker
 # kinds of operations: safe to repeat; safe to repeat with its idempotency key; not safe to repeat
-IDEMPOTENT, FINGERPRINTED, SIDE_EFFECTING = "idempotent", "fingerprinted", "side-effecting"
+IDEMPOTENT, IDEMPOTENT_WITH_KEY, SIDE_EFFECTING = "idempotent", "fingerprinted", "side-effecting"
 # retry modes of proxies: no retry; only attempts that never started; any attempt, once or twice
 NO_RETRY, RETRY_UNSTARTED, RETRY_ONCE, RETRY_TWICE = 0, 1, 2, 3
 
@@ -19,7 +19,7 @@
 
 
 class ListedWorker(NamedTuple):
-    """One entry of a worker list; `started` is None if the worker started long ago."""
+    """One entry of a worker list; `started` is None if the worker started long ago or the list omits it."""
 
     worker: str
     state: str
@@ -63,7 +63,7 @@
 
 
 class SliceHeatReported(NamedTuple):
-    """The invocations of one operation that arrived for a slice within `interval` s."""
+    """The invocations of one operation that arrived for a slice within `interval` s; their rate is heat."""
 
     slice: int
     operation: str
@@ -118,14 +118,14 @@
 
 
 class SliceAssigned(NamedTuple):
-    """The store assigned a slice to this manager or withdrew it; events with the slice's routes follow."""
+    """The store assigned a slice to this manager or withdrew it; its stored routes follow as events."""
 
     slice: int
     assigned: bool
 
 
 class RouteStored(NamedTuple):
-    """One stored route of a slice's table."""
+    """One route of a slice's table, as the store holds it."""
 
     slice: int
     worker: str
@@ -295,5 +295,5 @@
     Log,
 ]
 
-# orders that the relay carries out; the manager's own loop carries out the others
+# orders that the relay passes on to proxies; the manager's own loop carries out the others
 RELAY_ORDERS = (SetRoute, ClearTable, BindProxy, SetAdmission, ExcludeWorker, RequestAcknowledgement)
--- a/bramblewood/startup_settings.py
+++ b/bramblewood/startup_settings.py
@@ -9,15 +9,15 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from .events import FINGERPRINTED, IDEMPOTENT, SIDE_EFFECTING
+from .events import IDEMPOTENT, IDEMPOTENT_WITH_KEY, SIDE_EFFECTING
 
 MS = 1000.0  # milliseconds per second
 OPERATION_KINDS = {  # by the platform's name of an operation's effect
     "read_like": IDEMPOTENT,
-    "idempotency_key": FINGERPRINTED,
+    "idempotency_key": IDEMPOTENT_WITH_KEY,
     "non_idempotent": SIDE_EFFECTING,
 }
-# by the platform's name of a field of load reports: the name in events, and the factor to its unit
+# by the platform's name of a field of load reports: the name in events, and the factor to the unit there
 LOAD_FIELDS = {
     "cpu": ("utilization", 1.0),
     "waiting": ("queued", 1.0),
@@ -34,12 +34,12 @@
 
     name: str = ""
     kind: str = SIDE_EFFECTING
-    latency_objective: float = 1.0  # of the response time
+    latency_objective: float = 1.0  # objective of the response time
     integration_timeout: float = 0.0
-    billed_value: float = 0.0
+    billed_value: float = 0.0  # admission is cut first for the operation with the lowest value
     late_value: float = 0.0
-    deduplication_scope: str = ""  # within which the backend recognizes a repeated invocation
-    deduplication_window: float = 0.0  # during which it does
+    deduplication_scope: str = ""  # scope within which the backend recognizes a repeated invocation
+    deduplication_window: float = 0.0  # time for which it does
     writes: bool = False
 
 
@@ -52,34 +52,34 @@
 
     zone: str = ""
     zones: list[str] = field(default_factory=list)
-    manager: float = 0
-    managers: float = 1
-    slices: float = 0  # of the whole site
-    proxies: float = 0
-    cycle: float = 1.0  # between evaluations of the reports
-    single_owner: bool = False
+    manager: float = 0  # number of this manager
+    managers: float = 1  # number of managers of the site
+    slices: float = 0  # number of slices of the whole site
+    proxies: float = 0  # number of proxies
+    cycle: float = 1.0  # time between evaluations of the reports
+    single_owner: bool = False  # whether only one worker may serve a slice, so that it has no standby
     operations: list[Operation] = field(default_factory=list)
     # the worker list
-    must_request_list: bool = False
+    must_request_list: bool = False  # whether the list is sent only on request
     max_list_request_interval: float = 4.0
-    weights: str | None = None
+    weights: str | None = None  # the kind of the listed weights
     # workers: load reports, slow start, and how proxies choose among the routes of a table
     load_fields: list[str] = field(default_factory=list)
-    slow_start_window: float = 0.0
-    slow_start_minimum: float = 1.0
-    pick: str | None = None
+    slow_start_window: float = 0.0  # duration of slow start
+    slow_start_minimum: float = 1.0  # share of its capacity that a worker has at its start
+    pick: str | None = None  # how proxies choose among routes: weighted, even, pair and others
     default_retry: float | None = None  # initial retry mode of the proxies
     # the channel to the proxies; a line is one order to one proxy
     lines_per_second: float = 0.0
     max_waiting_lines: float = 1e9
     message_header: float = 0  # lines
-    message_delay: float = 0.0
-    longest_delay: float = 0.0
-    max_messages: float = 0
+    message_delay: float = 0.0  # delay of a message to the proxies
+    longest_delay: float = 0.0  # the longest that it may be
+    max_messages: float = 0  # messages allowed per window; 0 if they are not limited
     messages_window: float = 120.0
-    drain_grace: float = math.inf
+    drain_grace: float = math.inf  # time within which a draining worker must receive no more requests
     # the ledger
-    lease: float | None = None
+    lease: float | None = None  # downtime after which another manager may hold this one's slices
     # not used by the policy
     may_probe: Any = None
     may_message: Any = None
--- a/bramblewood/turn_stages.py
+++ b/bramblewood/turn_stages.py
@@ -2,7 +2,8 @@
 
 Events pass the stages before they reach the policy, and the orders of the policy pass them before they go
 out. If a stage raises, the exception is logged at a limited rate and the stage is skipped: events pass
-unchanged, and orders pass as far as its `fallback_orders` returns them. A stage cannot call another stage.
+unchanged, and of the orders only those pass that its `fallback_orders` returns. A stage cannot call another
+stage.
 """
 
 from collections.abc import Callable
@@ -46,22 +47,22 @@
         """Return the longest time in s that the loop may wait, or None if there is no limit."""
 
     def update_terms(self, terms: Any) -> None:
-        """Apply a reloaded operator's file, as far as its terms can take effect without a restart."""
+        """Apply those terms of a reloaded operator's file that take effect without a restart."""
 
     def close(self) -> None:
         """Complete pending work and release all resources."""
 
 
 def start_stages(
-    bylaws: Any, settings: StartupSettings, seed: str, clock: Callable[[], float], log: Any
+    operator_file: Any, settings: StartupSettings, seed: str, clock: Callable[[], float], log: Any
 ) -> list[Stage]:
     """Start and return the stages that the operator's file switches on.
 
     Raises OSError, or Refused if the store cannot open its folder.
     """
     stages: list[Stage] = []
-    if bylaws is not None and bylaws.store:
+    if operator_file is not None and operator_file.store:
         from .ledger.stage import Ledger  # records reach the disk before orders go out
 
-        stages.append(Ledger(bylaws.store, settings, seed, clock, log))
+        stages.append(Ledger(operator_file.store, settings, seed, clock, log))
     return stages
--- a/tests/policy/simulation.py
+++ b/tests/policy/simulation.py
@@ -11,7 +11,13 @@
     Operation("look", events.IDEMPOTENT, 1.0, 4.0, 1.0),
     Operation("pay", events.SIDE_EFFECTING, 1.0, 3.0, 5.0),
     Operation(
-        "seat", events.FINGERPRINTED, 2.0, 6.0, 4.0, deduplication_scope="pool", deduplication_window=6.0
+        "seat",
+        events.IDEMPOTENT_WITH_KEY,
+        2.0,
+        6.0,
+        4.0,
+        deduplication_scope="pool",
+        deduplication_window=6.0,
     ),
 ]
 SETTINGS = StartupSettings(
