--- a/bramblewood/policy/failover.py
+++ b/bramblewood/policy/failover.py
@@ -34,10 +34,10 @@
         slow = [w for w in suspects if spare and w.retries_off and w.latency_ratio > parameters.SLOW_FACTOR]
         failing = [w for w in suspects if w in slow or w.response_time() < slow_limit]
         if len(failing) > parameters.MAX_EJECTED_SHARE * len(ready) - sum(not w.usable for w in ready):
-            self.manager.log(f"{len(failing)} workers exceed the ejection limit at once: none is ejected")
+            self.manager.log(f"{len(failing)} failing workers are more than may be ejected: none is ejected")
             return
         for worker in failing:
-            self.manager.schedule(worker.eject, f"{unanswered[worker]:.0%} of its tries unanswered")
+            self.manager.schedule(worker.eject, f"{unanswered[worker]:.0%} of its attempts unanswered")
 
     def reassign_unserved_slices(self) -> None:
         """Move slices without a usable primary at once; queue tables with workers to exclude as urgent."""
@@ -60,7 +60,7 @@
         for worker in [w for w in self.manager.usable_workers() if w in by_primary and not w.is_warm]:
             self.trim_to_budget(worker, by_primary[worker])  # last, so that its assignments take precedence
         for worker_and_state, count in moved.items():
-            self.manager.log(f"{count} slices of {worker_and_state} moved at once")
+            self.manager.log(f"{count} slices whose primary was {worker_and_state} moved urgently")
 
     def failover_target(self, slice: Slice) -> Worker | None:
         """Return the standby, where proxies retry, if warm and below capacity; else the least loaded."""
--- a/bramblewood/policy/planner.py
+++ b/bramblewood/policy/planner.py
@@ -28,7 +28,7 @@
         before = self.throttled_count
         self.throttled_count = len([worker for worker in manager.usable_workers() if worker.retries_off])
         if self.throttled_count != before:
-            manager.log(f"{self.throttled_count} workers strained: tries, then levels cut")
+            manager.log(f"{self.throttled_count} workers overloaded: no retries, and admission may be cut")
         self.update_loads()
         self.prepare_for_surge()
         self.rebalance()
@@ -55,7 +55,7 @@
             if not slice or not target or source is not sources[-1] and target not in new_workers:
                 continue
             if self.loads[target] + slice.estimate() <= parameters.CAPACITY_LIMIT * self.capacity(target):
-                self.manager.log(f"slice {slice.number} from {source.name} (over) to {target.name}")
+                self.manager.log(f"slice {slice.number} moves from overloaded {source.name} to {target.name}")
                 self.move(slice, target, False)
                 first, longest = parameters.COOLDOWN_BOUNDS
                 slice.cooldown_until = self.manager.now + min(first * 2**slice.move_count, longest)
--- a/bramblewood/policy/worker_list.py
+++ b/bramblewood/policy/worker_list.py
@@ -29,7 +29,7 @@
             self.failures += 1
             backoff = min(parameters.LIST_BACKOFF * 2**self.failures, settings.max_list_request_interval / 2)
             self.next_call_at = self.manager.now + backoff * (0.5 + next(self.manager.random_fractions))
-            self.manager.log(f"a call for the list failed, the {self.failures}. time: asked again soon")
+            self.manager.log(f"worker list call failed ({self.failures} in a row): repeated after a backoff")
 
     def turn(self) -> None:
         """Order a new subscription if it is due."""
--- a/bramblewood/policy/workers.py
+++ b/bramblewood/policy/workers.py
@@ -72,7 +72,7 @@
         self.ejected_until = self.warming_since = self.manager.now + duration
         self.outcomes, self.old_outcomes = [0.0, 0.0], [0.0, 0.0]
         self.manager.orders.append(WorkerEjected(self.name, self.ejected_until, self.ejections))
-        self.manager.log(f"worker {self.name} out of use for {duration:.0f} s: {reason}")
+        self.manager.log(f"worker {self.name} ejected for {duration:.0f} s: {reason}")
 
     def end_cycle(self, median_load: float, expected_load: float) -> None:
         """Append the bounded mean of the cycle's reports, or the expected load, and adjust admission."""
--- a/tests/policy/test_rebalancing.py
+++ b/tests/policy/test_rebalancing.py
@@ -41,7 +41,7 @@
         site.run_seconds(4, heat=heat.get)
         moved = [
             sum(
-                "(over)" in o.text
+                "from overloaded" in o.text
                 for o in site.step(0.5, *site.reports(heat.get, {}))
                 if isinstance(o, events.Log)
             )
@@ -58,7 +58,7 @@
     heat = {n: 3.0 if n % 6 < 3 else 0.5 for n in range(60)}
     moved = [
         sum(
-            "(over)" in o.text
+            "from overloaded" in o.text
             for o in site.step(0.5, *site.reports(heat.get, {}))
             if isinstance(o, events.Log)
         )
@@ -77,7 +77,7 @@
         before = len(site.orders)
         site.run_seconds(1, heat=heat.get)
         for order in site.orders[before:]:
-            if isinstance(order, events.Log) and "(over)" in order.text:
+            if isinstance(order, events.Log) and "from overloaded" in order.text:
                 moved.setdefault(int(order.text.split()[1]), []).append(site.now)
         site.check_invariants()
     for times in moved.values():
