--- a/tests/adapter_days.py
+++ b/tests/adapter_days.py
@@ -40,13 +40,16 @@
 
 
 SITES = {  # by the name of the recording
-    "plenty": Site(),
+    "plenty": Site(),  # the default sizes
+    # the options name no load fields, and the worker list is sent only on request
     "blind": Site(managers=2, options={"report": {"fields": []}, "discovery": "subscribe"}),
+    # fewer workers, more slices and few messages
     "crowded": Site(
         workers=5,
         slices=24,
         options={"specifics": {"lb_method": "pair", "pushes_allowed": 40, "counted_over": 10000.0}},
     ),
+    # one manager for all slices
     "single": Site(managers=1, proxies=9, slices=40, options={"n_instances": 1, "weight_kind": "nominal"}),
 }
 
@@ -91,7 +94,7 @@
 
 
 class AdapterRun:
-    """One run: `input_lines` generates the adapter's input and carries out its output after each batch."""
+    """One run: `input_lines` generates the adapter's input, and carries out its output after each batch."""
 
     def __init__(self, seed: int, site: Site) -> None:
         self.rng, self.site, self.now, self.round = random.Random(seed), site, START_MS, 0
@@ -104,7 +107,7 @@
         self.heat = {k: self.rng.uniform(2.0, 30.0) for k in range(site.slices)}
         self.owner = {k: k % site.managers for k in range(site.slices)}
         self.running: set[int] = set()
-        # due at in ms, sequence number, message, fields
+        # (time in ms at which it is due, sequence number, message, fields)
         self.scheduled: list[tuple[float, int, str, dict]] = []
         self.sequence = 0
 
@@ -312,7 +315,7 @@
         report = {
             "cpu": round(min(utilization, 1.0), 3),
             "waiting": round(max(utilization - 0.8, 0.0) * 50, 1),
-            "odd": 7,  # an unknown field
+            "odd": 7,  # an unknown field, which the adapter ignores
         }
         for manager in sorted(self.running):
             for zone in "ab":
--- a/tests/policy/simulation.py
+++ b/tests/policy/simulation.py
@@ -51,18 +51,21 @@
     def __init__(self, workers=4, seed=1, lines_per_second=1000.0, **settings):
         self.settings = replace(SETTINGS, **settings)
         self.manager, self.now = Manager(seed, self.settings), 100.0
-        self.orders = []  # all since the start
-        self.timers = []  # (due at, token)
+        self.orders = []  # all orders since the start
+        self.timers = []  # (time at which it fires, token)
         self.tables = {number: {f"w{number % workers}": 1.0} for number in range(self.settings.slices)}
         self.admission = {}  # (level, retry mode) by (table, operation)
         self.excluded = set()  # workers that the proxies exclude
         self.joined_proxies = set(range(self.settings.proxies))
-        self.states, self.started, self.listed_at = {}, {}, {}  # by worker, as listed
+        # by worker: the listed state, the listed start, and the time at which the state last changed
+        self.states, self.started, self.state_since = {}, {}, {}
         self.moves = []  # (time, worker) of each slice that moved to a worker
         self.message_times = []  # when each message was sent
         self.lines_per_second, self.channel_free_at = lines_per_second, 0.0
-        self.waiting, self.peak_waiting_lines = [], 0  # messages in the channel: (leaves at, lines)
-        self.acknowledgements = []  # in flight: (arrives at, sent at, message number)
+        # messages in the channel: (time at which the message leaves it, lines)
+        self.waiting, self.peak_waiting_lines = [], 0
+        # in flight: (time of arrival, time at which the message was sent, message number)
+        self.acknowledgements = []
         stored_events = [
             event
             for number, table in self.tables.items()
@@ -82,7 +85,7 @@
         """Record the states and start times of these entries, and return the event of a list with them."""
         for listed in entries:
             if listed.state != self.states.get(listed.worker):
-                self.listed_at[listed.worker] = self.now
+                self.state_since[listed.worker] = self.now
             self.states[listed.worker] = listed.state
             self.started[listed.worker] = listed.started or 0.0
         return events.WorkersListed(tuple(entries), complete)
@@ -136,7 +139,7 @@
         self.peak_waiting_lines = max(self.peak_waiting_lines, sum(n for _, n in self.waiting))
 
     def run_seconds(self, count, heat=1.0, observed=None, after_second=None):
-        """Advance by whole seconds with reports at the end of each; arguments as for `reports`."""
+        """Advance by whole seconds, each of which ends with `reports(heat, observed)`."""
         for _ in range(count):
             self.step(0.5)
             self.step(0.5, *self.reports(heat, observed or {}))
@@ -165,7 +168,7 @@
         return batch
 
     def primary(self, number):
-        """Return the worker of a slice's heaviest route."""
+        """Return the worker of the route with the highest weight."""
         table = self.tables[number]
         return max(table, key=table.get) if table else None
 
@@ -179,7 +182,7 @@
         for number, table in self.tables.items():
             assert table or not ready_workers, f"slice {number} has no route"
             for name, weight in table.items():
-                age = self.now - self.listed_at.get(name, self.now)  # of the worker's state
+                age = self.now - self.state_since.get(name, self.now)  # time since the worker's state changed
                 allowed = self.states.get(name) == events.READY or age < self.settings.drain_grace
                 allowed = allowed or name in self.excluded
                 assert allowed or not ready_workers, (
@@ -189,11 +192,11 @@
                 assert not (settled and name in self.excluded), f"slice {number}: primary {name} is excluded"
         warm_since = self.now - self.settings.slow_start_window
         for name in ready_workers:
-            recent_moves = sum(worker == name and at > self.now - 0.85 for at, worker in self.moves)
+            slices_taken = sum(worker == name and at > self.now - 0.85 for at, worker in self.moves)
             others = any(self.started[other] <= warm_since for other in ready_workers if other != name)
             warming = self.started[name] > warm_since
-            assert recent_moves <= 2 or not warming or not others, (
-                f"warming {name} took {recent_moves} slices at once"
+            assert slices_taken <= 2 or not warming or not others, (
+                f"warming {name} took {slices_taken} slices at once"
             )
         for (_, k), (level, retry) in self.admission.items():
             kind = self.settings.operations[k].kind
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -35,7 +35,7 @@
     moved = {number for number in site.tables if number % 3 == 1}
     site.run_seconds(1)
     levels = [site.admission.get((number, 0), (1.0,))[0] for number in moved]
-    assert min(levels) == 1.0  # two workers have the capacity
+    assert min(levels) == 1.0  # two workers have enough capacity
     site.step(0.1, site.list_event([entry("w2", events.DEREGISTERED)]))
     site.run_seconds(1)
     assert all(site.admission[number, 0][0] < 1.0 for number in site.slices_of("w0"))  # one worker does not
@@ -55,11 +55,12 @@
     site = SimulatedSite()
     site.run_seconds(4)
     unanswered = {"attempts": 20, "unanswered": 9, "mean_response_time": 0.2, "load": {"utilization": 0.9}}
+    # a worker that is far away, but not busy
     slow = {
         "attempts": 20,
         "mean_response_time": 0.9,
         "load": {"utilization": 0.4},
-    }  # a distant worker that is not busy
+    }
     for report in (unanswered, slow):
         site.run_seconds(8, observed={f"w{k}": report for k in range(4)})
     assert all(level == 1.0 for level, _ in site.admission.values())
@@ -74,7 +75,7 @@
 
 
 def test_level_does_not_rise_in_cycles_without_a_report():
-    """Guards large sites, where reports arrive every third cycle: levels rose again in the two between."""
+    """Guards large sites, where reports arrive every third cycle: levels rose in the cycles between them."""
     site = SimulatedSite(slices=8)
     slow = {"w0": {"load": {"utilization": 1.2}, "mean_response_time": 0.8, "attempts": 20}}
     site.run_seconds(9, observed=slow)
@@ -87,7 +88,7 @@
         site.step(0.5, *(e for e in batch if reported or getattr(e, "worker", "") != "w0"))
         assert worker.admitted[0] <= level
         level = worker.admitted[0]
-    site.states["w0"] = events.DEREGISTERED  # its reports end; after three cycles levels rise
+    site.states["w0"] = events.DEREGISTERED  # its reports end, and after three cycles levels rise
     site.run_seconds(8)
     assert worker.admitted[0] > level
 
--- a/tests/policy/test_dispatch.py
+++ b/tests/policy/test_dispatch.py
@@ -1,4 +1,4 @@
-"""The checks of events by the dispatcher."""
+"""The dispatcher's checks of events."""
 
 import math
 
@@ -7,7 +7,7 @@
 from .simulation import SimulatedSite
 
 
-def test_unusable_and_unknown_events_change_nothing():
+def test_invalid_and_unknown_events_change_nothing():
     site = SimulatedSite()
     site.run_seconds(2)
     before = [list(s.estimates) for s in site.manager.slices.values()]
--- a/tests/policy/test_failover.py
+++ b/tests/policy/test_failover.py
@@ -28,7 +28,8 @@
     assert {min(site.tables[n], key=site.tables[n].get) for n in slices} == {"w4"}
     site.step(0.1, site.list_event([entry("w5", events.DRAINING)]))
     primaries = [site.manager.slices[n].primary.name for n in slices]
-    assert primaries[0] == "w4" and 1 <= primaries.count("w4") < len(slices)  # the others: least loaded
+    # the slices beyond its capacity go to the least loaded workers
+    assert primaries[0] == "w4" and 1 <= primaries.count("w4") < len(slices)
     site.run_seconds(2, heat=0.3)
     site.check_invariants()
 
@@ -40,11 +41,11 @@
         site.step(0.1, site.list_event([entry("w1", state, started=site.now)]))
         site.step(1.0)
     worker, planner = site.manager.workers["w1"], site.manager.planner
-    old_routes = [
+    slices_with_old_route = [
         s for s in site.manager.own_slices() if worker in s.routes and worker not in (s.primary, s.standby)
     ]
     planner.loads.clear()
-    assert old_routes and "w1" in site.excluded and planner.least_loaded(0.0, None) is not worker
+    assert slices_with_old_route and "w1" in site.excluded and planner.least_loaded(0.0, None) is not worker
     assert worker is not planner.least_loaded(0.0, None, True)
     site.run_seconds(60)
     assert "w1" not in site.excluded and not planner.blocked
@@ -130,7 +131,8 @@
     site.run_seconds(20)
     standbys = [min(table, key=table.get) for table in site.tables.values()]
     assert all(standbys.count(f"w{k}") == 6 for k in range(4))
-    site.step(0.1, site.list_event([entry("w3", events.DEREGISTERED)]))  # replaces standbys
+    # slices whose standby was w3 get another
+    site.step(0.1, site.list_event([entry("w3", events.DEREGISTERED)]))
     site.run_seconds(8)
     standbys = [min(table, key=table.get) for table in site.tables.values()]
     assert max(standbys.count(f"w{k}") for k in range(3)) <= 16
--- a/tests/policy/test_publishing.py
+++ b/tests/policy/test_publishing.py
@@ -33,7 +33,7 @@
     assert all(set(table) == {"w0"} for table in site.tables.values())
 
 
-def test_tables_of_a_deregistered_worker_go_before_changes_of_levels():
+def test_tables_of_a_deregistered_worker_are_sent_before_changes_of_levels():
     site = SimulatedSite(workers=3, slices=30, max_waiting_lines=600, max_messages=0)
     site.run_seconds(12)
     routed = {n for n, table in site.tables.items() if "w1" in table}
@@ -72,7 +72,7 @@
     assert not site.excluded and site.slices_of("w0")
 
 
-def test_tables_without_a_usable_route_go_first():
+def test_tables_without_a_usable_route_are_sent_first():
     site = SimulatedSite(workers=6, slices=90, max_waiting_lines=400, lines_per_second=120.0, bare=30.0)
     site.run_seconds(30)
     routed = {number: set(table) for number, table in site.tables.items()}
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_tables_that_leave_a_worker_in_slow_start_go_first_and_without_delay(seed):
+def test_tables_that_relieve_a_worker_in_slow_start_are_sent_first_and_without_delay(seed):
     """Guards restarted workers: tables that relieve them waited behind other urgent tables."""
     site = SimulatedSite(workers=8, slices=64, seed=seed, lines_per_second=1500.0)
     site.run_seconds(20)
@@ -143,7 +143,7 @@
 
 @pytest.mark.parametrize("delay, awaited", [(0.5, True), (5.0, False)])
 def test_acknowledgement_lost_before_a_rejoin_is_awaited_only_for_some_seconds(delay, awaited):
-    """Guards the channel, where the message may still wait, and later messages, which it would delay."""
+    """Guards the channel, in which the message may still wait, and later messages, which it would delay."""
     site = SimulatedSite(workers=4, slices=40, max_waiting_lines=400, lines_per_second=400.0)
     site.run_seconds(6)
     for slice in site.manager.own_slices():
@@ -171,8 +171,8 @@
 
 
 @pytest.mark.parametrize("uptime, readmitted", [(5, True), (90, False)])
-def test_worker_that_an_earlier_run_may_have_excluded_is_readmitted(uptime, readmitted):
-    """Guards restarts: proxies keep the exclusions of the earlier run; later new workers need no order."""
+def test_new_worker_is_readmitted_only_soon_after_the_start_of_the_manager(uptime, readmitted):
+    """Guards restarts: proxies keep an earlier run's exclusions. Workers that appear later need no order."""
     site = SimulatedSite(workers=3)
     site.run_seconds(uptime)
     site.step(0.0, site.list_event([entry("w9", started=site.now - 1)]))
--- a/tests/policy/test_rebalancing.py
+++ b/tests/policy/test_rebalancing.py
@@ -1,4 +1,4 @@
-"""The ordinary rule of the design: moves between workers under different load."""
+"""Ordinary moves: slices move from overloaded workers to less loaded ones."""
 
 import random
 
@@ -51,7 +51,7 @@
 
 
 def test_worker_stops_counting_as_new_once_its_reports_are_averaged():
-    """Guards the cost of moves: replaced workers counted as new for ever."""
+    """Guards against needless moves: replaced workers counted as new for ever."""
     site = SimulatedSite(workers=6, slices=60, slow_start_window=4.0)
     site.step(0.1, site.list_event([entry(f"x{k}", started=site.now) for k in range(6)]))
     site.run_seconds(20, heat=0.01)
@@ -69,7 +69,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_cooldown_of_a_slice_doubles_with_each_ordinary_move(seed):
-    """Guards the cost of moves: the smallest slices of an underused fleet moved continuously."""
+    """Guards against needless moves: the smallest slices of lightly loaded workers moved continuously."""
     rng, site, moved = random.Random(seed), SimulatedSite(workers=6, slices=30, seed=seed), {}
     for second in range(400):
         if not second % 8:
--- a/tests/policy/test_slices.py
+++ b/tests/policy/test_slices.py
@@ -40,7 +40,7 @@
 def test_standby_weight_rises_only_if_the_mean_of_the_reports_is_over_the_limit(
     utilization, overloaded_reports, gap, overflows
 ):
-    """Guards the cost of moves: one overloaded second switched the overflow weight on and off.
+    """Guards against needless changes: one overloaded second switched the overflow weight on and off.
 
     The mean covers five reports, but three if each spans several cycles, because five would react too late.
     """
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -49,12 +49,11 @@
     before = planner.safe_capacity(warming)
     overloaded = {"attempts": 12, "unanswered": 9, "load": {"utilization": 1.0}}
     site.run_seconds(6, heat=lambda n: 4.0, observed={f"w{k}": overloaded for k in range(4)})
-    assert (
-        planner.total_heat > 40 and planner.safe_capacity(warming) < 2 * before
-    )  # warmth has grown, but not with the heat
+    # the capacity grows as slow start goes on, but not with the heat of the retries
+    assert planner.total_heat > 40 and planner.safe_capacity(warming) < 2 * before
 
 
-def test_worker_in_slow_start_without_retries_receives_no_slice():
+def test_overloaded_worker_in_slow_start_receives_no_slice():
     site = SimulatedSite()
     site.run_seconds(6)
     site.step(0.1, site.list_event([entry("w9", started=site.now - 2)]))
@@ -71,4 +70,4 @@
     before, worker = planner.safe_capacity(site.manager.workers["w0"]), site.manager.workers["w0"]
     site.step(0.1, site.list_event([entry(f"x{k}", started=site.now) for k in range(8)]))
     site.run_seconds(2)
-    assert planner.safe_capacity(worker) > 0.6 * before  # their full weights would reduce it to a third
+    assert planner.safe_capacity(worker) > 0.6 * before  # with their full weights, it would be a third
