--- a/bramblewood/policy/failover.py
+++ b/bramblewood/policy/failover.py
@@ -28,9 +28,9 @@
         spare = self.manager.utilization_known and 0 < self.median_load < parameters.SPARE_LOAD
         measured = [w for w in ready if sum(w.outcomes) >= parameters.MIN_ATTEMPTS]
         unanswered = {w: w.outcomes[1] / sum(w.outcomes) for w in measured}
-        limit = parameters.UNANSWERED_LIMIT + median(unanswered.values())
+        unanswered_limit = parameters.UNANSWERED_LIMIT + median(unanswered.values())
         slow_limit = parameters.CUT_LATENCY_RATIO * self.manager.latency_objective
-        suspects = [w for w, share in unanswered.items() if w.usable and share >= limit]
+        suspects = [w for w, share in unanswered.items() if w.usable and share >= unanswered_limit]
         slow = [w for w in suspects if spare and w.retries_off and w.latency_ratio > parameters.SLOW_FACTOR]
         failing = [w for w in suspects if w in slow or w.response_time() < slow_limit]
         if len(failing) > parameters.MAX_EJECTED_SHARE * len(ready) - sum(not w.usable for w in ready):
--- a/bramblewood/policy/parameters.py
+++ b/bramblewood/policy/parameters.py
@@ -46,7 +46,7 @@
 # Publishing
 TURN_INTERVAL = 0.5  # between publishing turns; ten turns take as long as five reports
 TURNS_TO_PUBLISH = 10  # turns within which all ordinary tables are sent; source: docs/design.md
-WAITING_SHARE = 0.6  # usable share of the lines that may wait; acknowledgements may not show the rest
+WAITING_SHARE = 0.6  # usable share of max_waiting_lines; the rest is for lines that no acknowledgement shows
 MESSAGES_SHARE = 0.8  # usable share of the allowed messages; the rest covers messages in flight
 ACK_TIMEOUT = 120.0  # after which an acknowledgement is given up; channels can lag by 40 s
 MAX_EXCLUDED_ROUTES = 2  # routes to excluded workers that an urgent table keeps; new proxies receive them too
--- a/bramblewood/policy/publishing.py
+++ b/bramblewood/policy/publishing.py
@@ -57,7 +57,7 @@
         in_flight = settings.lines_per_second * settings.message_delay
         waiting, limit = max(self.sent.waiting_lines() - in_flight, 0.0), self.line_limit()
         urgent_limit = limit + (settings.max_waiting_lines - limit) / 3
-        relieves_warming = any(s.leaves_warming_worker() for s in self.urgent)  # warming ones fail in seconds
+        relieves_warming_worker = any(s.leaves_warming_worker() for s in self.urgent)  # which overloads soon
         quota = math.ceil(len(self.ordinary) / parameters.TURNS_TO_PUBLISH) if turn else 0
         slices = sorted(self.urgent, key=Slice.publishing_priority) + list(self.ordinary)[:quota]
         expedite = any(s.workers_to_exclude() or s.routes.get(s.primary) != 1.0 for s in self.urgent)
@@ -66,7 +66,7 @@
         orders: list = [*defaults, *(ExcludeWorker(worker.name, True) for worker in leaving)]
         draft = MessageDraft(orders, header, proxies, waiting)
         too_soon = now < self.sent.last_sent_at() + parameters.TURN_INTERVAL * (1 + (waiting > 0))
-        if too_soon and not leaving and not relieves_warming:  # many headers would fill the channel
+        if too_soon and not leaving and not relieves_warming_worker:  # many headers would fill the channel
             return
         if not draft.fits(urgent_limit if leaving else limit):
             return
--- a/bramblewood/policy/workers.py
+++ b/bramblewood/policy/workers.py
@@ -1,4 +1,4 @@
-"""Workers: list entries, reports, ejection and admission control, which cuts low billed values first."""
+"""Workers: list entries, reports, ejection and admission control, which cuts low-value operations first."""
 
 import math
 
