--- a/bramblewood/events.py
+++ b/bramblewood/events.py
@@ -19,7 +19,11 @@
 
 
 class ListedWorker(NamedTuple):
-    """One entry of a worker list; `started` is None if the worker started long ago or the list omits it."""
+    """One entry of a worker list.
+
+    `pool` is the cluster of the worker, and `kind` the class of its host. `started` is None if the worker
+    started long ago or the list omits it.
+    """
 
     worker: str
     state: str
