--- a/bramblewood/policy/planner.py
+++ b/bramblewood/policy/planner.py
@@ -1,4 +1,4 @@
-"""Decisions of one cycle: urgent moves, then ordinary moves by the two averaged tests of the design."""
+"""Decisions of one cycle: ejections, preparation for a surge, and ordinary moves of slices."""
 
 from collections import Counter
 
@@ -10,10 +10,10 @@
 
 
 class Planner(Failover):
-    """Runs the ordinary rule of the design and the urgent moves around it."""
+    """Ends cycles and makes the ordinary moves; the urgent ones are inherited."""
 
     def cycle(self) -> None:
-        """End the cycle of slices and workers, then eject failing workers, prepare for surges, rebalance."""
+        """End a cycle: update the estimates, eject failing workers, prepare for a surge and rebalance."""
         manager = self.manager
         self.forget_workers()
         for slice in manager.own_slices():
@@ -28,7 +28,7 @@
         before = self.throttled_count
         self.throttled_count = len([worker for worker in manager.usable_workers() if worker.retries_off])
         if self.throttled_count != before:
-            manager.log(f"{self.throttled_count} workers strained: tries, then levels cut")
+            manager.log(f"{self.throttled_count} workers overloaded: no retries, and admission may be cut")
         self.update_loads()
         self.prepare_for_surge()
         self.rebalance()
@@ -46,7 +46,7 @@
         ranked = sorted(self.manager.usable_workers(), key=lambda w: (self.relative_load(w), w.name))
         sources, new_workers = self.overloaded_workers(ranked), self.underused_new_workers(ranked)
         for source in sources[::-1][: 1 + len(new_workers)]:  # one more move per underused new worker
-            over_limit = source.is_over_limit()  # a move costs cache hits and a route at every proxy
+            over_limit = source.is_over_limit()  # else a cooldown saves cache hits and routes at all proxies
             movable = [
                 s for s in self.by_primary[source] if over_limit or s.cooldown_until <= self.manager.now
             ]
@@ -55,7 +55,7 @@
             if not slice or not target or source is not sources[-1] and target not in new_workers:
                 continue
             if self.loads[target] + slice.estimate() <= parameters.CAPACITY_LIMIT * self.capacity(target):
-                self.manager.log(f"slice {slice.number} from {source.name} (over) to {target.name}")
+                self.manager.log(f"slice {slice.number} moves from overloaded {source.name} to {target.name}")
                 self.move(slice, target, False)
                 first, longest = parameters.COOLDOWN_BOUNDS
                 slice.cooldown_until = self.manager.now + min(first * 2**slice.move_count, longest)
@@ -63,7 +63,7 @@
                 self.over_limit_cycles[source] = 0  # the next move waits for reports that show this one
 
     def overloaded_workers(self, ranked: list[Worker]) -> list[Worker]:
-        """Return the workers for which both tests held for REPORTS_HELD cycles, least loaded first."""
+        """Return the workers that were overloaded for REPORTS_HELD consecutive cycles, least loaded first."""
         median_time = median(mean(w.response_times) for w in ranked if w.response_times)
         lowest = self.relative_load(ranked[0]) if ranked else 0.0
         over = [w for w in ranked if self.relative_load(w) > parameters.FLUCTUATION_BOUND * lowest]
@@ -72,7 +72,7 @@
         return [worker for worker in over if self.over_limit_cycles[worker] >= parameters.REPORTS_HELD]
 
     def is_overloaded(self, worker: Worker, median_time: float) -> bool:
-        """Return whether a worker exceeds its limit, or SLOW_FACTOR times the median response time in s."""
+        """Return whether the load exceeds the limit, or the response time SLOW_FACTOR times the median."""
         times = worker.response_times
         slow = len(times) >= parameters.REPORTS_HELD and mean(times) > parameters.SLOW_FACTOR * median_time
         return self.loads[worker] > parameters.CAPACITY_LIMIT * self.capacity(worker) or slow
--- a/tests/policy/test_rebalancing.py
+++ b/tests/policy/test_rebalancing.py
@@ -1,4 +1,4 @@
-"""The ordinary rule of the design: moves between workers under different load."""
+"""Ordinary moves: slices move from overloaded workers to less loaded ones."""
 
 import random
 
@@ -41,7 +41,7 @@
         site.run_seconds(4, heat=heat.get)
         moved = [
             sum(
-                "(over)" in o.text
+                "from overloaded" in o.text
                 for o in site.step(0.5, *site.reports(heat.get, {}))
                 if isinstance(o, events.Log)
             )
@@ -51,14 +51,14 @@
 
 
 def test_worker_stops_counting_as_new_once_its_reports_are_averaged():
-    """Guards the cost of moves: replaced workers counted as new for ever."""
+    """Guards against needless moves: replaced workers counted as new for ever."""
     site = SimulatedSite(workers=6, slices=60, slow_start_window=4.0)
     site.step(0.1, site.list_event([entry(f"x{k}", started=site.now) for k in range(6)]))
     site.run_seconds(20, heat=0.01)
     heat = {n: 3.0 if n % 6 < 3 else 0.5 for n in range(60)}
     moved = [
         sum(
-            "(over)" in o.text
+            "from overloaded" in o.text
             for o in site.step(0.5, *site.reports(heat.get, {}))
             if isinstance(o, events.Log)
         )
@@ -69,7 +69,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_cooldown_of_a_slice_doubles_with_each_ordinary_move(seed):
-    """Guards the cost of moves: the smallest slices of an underused fleet moved continuously."""
+    """Guards against needless moves: the smallest slices of lightly loaded workers moved continuously."""
     rng, site, moved = random.Random(seed), SimulatedSite(workers=6, slices=30, seed=seed), {}
     for second in range(400):
         if not second % 8:
@@ -77,7 +77,7 @@
         before = len(site.orders)
         site.run_seconds(1, heat=heat.get)
         for order in site.orders[before:]:
-            if isinstance(order, events.Log) and "(over)" in order.text:
+            if isinstance(order, events.Log) and "from overloaded" in order.text:
                 moved.setdefault(int(order.text.split()[1]), []).append(site.now)
         site.check_invariants()
     for times in moved.values():
