--- a/bramblewood/controller/placement/__init__.py
+++ b/bramblewood/controller/placement/__init__.py
@@ -1,16 +1,23 @@
-"""Placement: which worker serves which slice of a service's keys.
+"""Placement decides which worker serves which slice of a service's keys.
 
-The coordinator runs one `PlacementPlanner`. It feeds proxies' reports and the worker registry to one
-`ServicePlacement` a service, and turns what these decide into `SliceChanges` of the agreed slice table.
-Everything here is pure: no clock, no sockets; times are handed in (s, monotonic clock).
+The coordinator runs one `PlacementPlanner`. The planner passes the proxies' reports and the worker registry
+to one `ServicePlacement` per service, and turns the decisions of these into `SliceChanges` of the agreed
+slice table.
 
-    planner             all services: reports in, changes out
-    service_placement   one service: the policy's manager, kept in step with the agreed table
-    service_load        one service's requests by slice and key, as proxies report them
-    worker_loads        what each worker of a service carries, and who can take more
-    rebalancing         splits of hot slices and relief of overloaded workers, beside the policy's own moves
-    replica_placement   which workers hold read replicas of hot keys
-    slice_changes       what a move, a split or a release does to the agreed slice table
+A slice is a range of keys and is identified by its first key. The heat of a slice is the policy's estimate
+of the requests per second that it receives. A keyed service (`Service.sharded`) is sliced by the keys of its
+requests, and each of its slices has one owner at a time. Other services are sliced by a hash of the request
+id.
+
+No module of this package does I/O or reads a clock. Callers pass the time, in s of the monotonic clock.
+
+    planner             converts reports into changes of the slice table, for all services
+    service_placement   runs the policy's manager for one service, in step with the agreed slice table
+    service_load        holds one service's request counts by slice and by key, as proxies report them
+    worker_loads        holds the load of each worker of a service, and finds workers with spare capacity
+    rebalancing         splits hot slices and offloads overloaded workers, in addition to the policy's moves
+    replica_placement   chooses the workers that hold read replicas of hot keys
+    slice_changes       applies moves, splits and releases to the agreed slice table
 """
 
 from .planner import PlacementPlanner
--- a/bramblewood/controller/placement/planner.py
+++ b/bramblewood/controller/placement/planner.py
@@ -1,4 +1,6 @@
-"""Placement of all services: reports and the registry in, changes of the slice table out. Pure."""
+"""Plans the placement of all services: converts reports and the worker registry into changes of the slice
+table. The module does no I/O and reads no clock.
+"""
 
 from collections.abc import Mapping
 
@@ -11,29 +13,35 @@
 from ..hot_keys import HotKeyStatus
 from ..outlier_detection import ejected_workers
 from ..table_changes import TableValue
-from .service_placement import ListedWorker, ServicePlacement, ServiceWorkers
+from .service_placement import ServicePlacement, ServiceWorkers, WorkerStatus
 from .slice_changes import SliceChanges, initial_slice_count
 
-DEFAULT_LATENCY_TARGET = 1.0  # s, of a service to which no route leads
-# heartbeats of the workers before a service's first table: every worker that is up has called once
-FIRST_TABLE_HEARTBEATS = 2.2
-POLICY_STATES = {READY: events.READY, DRAINING: events.DRAINING, GONE: events.DEREGISTERED}  # by phase
+DEFAULT_LATENCY_TARGET = 1.0  # s, for a service that no route refers to
+# heartbeat intervals before a service's first table, so that each running worker has registered by then
+DISCOVERY_HEARTBEATS = 2.2
+POLICY_STATE_BY_PHASE = {READY: events.READY, DRAINING: events.DRAINING, GONE: events.DEREGISTERED}
 
 
 class PlacementPlanner:
-    """Turns the worker registry, the proxies' reports and the agreed table into changes to propose."""
+    """Plans changes of the agreed slice table, based on the worker registry and the proxies' reports."""
 
-    def __init__(self, start: float, heartbeat: float, detects_hot_keys: bool = True) -> None:
-        """Args: start: when this controller began (s); heartbeat: s between the calls of a worker."""
-        self._discovery_time = FIRST_TABLE_HEARTBEATS * heartbeat
-        self._discovery_ends_at = start + self._discovery_time
+    def __init__(self, started_at: float, heartbeat_interval: float, detects_hot_keys: bool = True) -> None:
+        """Create a planner that has received no reports.
+
+        Args:
+            started_at: when this controller started (s).
+            heartbeat_interval: s between two heartbeats of a worker.
+            detects_hot_keys: whether keyed services have hot keys detected.
+        """
+        self._discovery_duration = DISCOVERY_HEARTBEATS * heartbeat_interval
+        self._discovery_ends_at = started_at + self._discovery_duration
         self._detects_hot_keys = detects_hot_keys
         self._services: dict[str, ServicePlacement] = {}
         self._worker_reports: dict[str, list[events.WorkerReported]] = {}  # by service, since its last plan
-        self._first_table_at: dict[str, float] = {}  # by service, when it may have one
+        self._first_table_due_at: dict[str, float] = {}  # by service
 
     def reset(self) -> None:
-        """Forget what was asked for: begin again from the table that stands."""
+        """Discard the state of all services, so that the next plan starts from the agreed table alone."""
         self._services.clear()
 
     def record_report(
@@ -46,13 +54,13 @@
         interval: float,
         worker_reports: list[events.WorkerReported],
     ) -> None:
-        """Take in a proxy's report of one service; a service that isn't placed yet needs none.
+        """Record a proxy's report of one service. A report of a service without a placement is ignored.
 
         Args:
-            range_counts: requests by range of keys.
-            key_counts: requests by key, of the ranges that are watched.
+            range_counts: requests by index of the key range.
+            key_counts: requests by key, for watched ranges.
             interval: s that the counts span.
-            worker_reports: what the proxy observed at the service's workers.
+            worker_reports: the proxy's observations of the service's workers.
         """
         placement = self._services.get(service)
         if placement is not None:
@@ -68,30 +76,32 @@
         timed_out: set[str],
         table: TableValue | None,
     ) -> dict[str, SliceChanges]:
-        """The changes to propose now, by service; empty where the table is as it should be.
+        """Return the changes to propose now, by service. Services that need no change are left out.
 
         Args:
             latency_targets: s, by service.
-            timed_out: workers that no controller has heard of late.
-            table: the agreed slice table; None before the first.
+            timed_out: workers that have missed too many heartbeats.
+            table: the agreed slice table; None before the first one.
         """
         changes = {}
         agreed, out_of_use = table["s"] if table else {}, _workers_out_of_use(table)
         unusable = timed_out | out_of_use
         for name, service in services.items():
             registrations = {
-                instance_id: row for instance_id, row in registry.registrations.items() if row.service == name
+                instance_id: registration
+                for instance_id, registration in registry.registrations.items()
+                if registration.service == name
             }
             ready_count = sum(
-                row.phase == READY and instance_id not in unusable
-                for instance_id, row in registrations.items()
+                registration.phase == READY and instance_id not in unusable
+                for instance_id, registration in registrations.items()
             )
             entries = agreed.get(name)
-            if not self._may_plan(now, name, entries, ready_count, registry):
+            if not self._can_plan(now, name, entries, ready_count, registry):
                 continue
             slice_count = len(entries) if entries else initial_slice_count(ready_count)
-            placement = self._placement_of(name, service.sharded, slice_count, latency_targets)
-            workers = _list_workers(registrations, timed_out, out_of_use, registry.warm_at)
+            placement = self._get_or_create_placement(name, service.sharded, slice_count, latency_targets)
+            workers = _service_workers(registrations, timed_out, out_of_use, registry.warm_at)
             worker_reports = self._worker_reports.pop(name, [])
             service_changes = placement.plan_changes(
                 now, workers, entries, slice_count, worker_reports, service.read_replicas
@@ -101,20 +111,25 @@
         return changes
 
     def hot_keys(self) -> dict[str, HotKeyStatus]:
-        """What proxies are to know of hot keys, by service; services without any are left out."""
+        """Return the status to send to proxies, by service. Services without watched ranges are left out."""
         statuses = {name: placement.hot_key_status() for name, placement in self._services.items()}
         return {name: status for name, status in statuses.items() if status.watched_ranges}
 
     def service_capacities(self) -> dict[str, ServiceCapacity]:
-        """How busy each service is, and how much its workers can do."""
+        """Return the busy slots and the slots of usable workers, by service."""
         return {name: placement.capacity() for name, placement in self._services.items()}
 
     def zone_shares(self) -> dict[str, dict[str, float]]:
-        """By service and zone, the share of the zone's requests that stay in it (0 to 1)."""
-        shares = {name: placement.zone_affinity.local_fractions for name, placement in self._services.items()}
-        return {name: by_zone for name, by_zone in shares.items() if by_zone}
+        """Return the fraction (0 to 1) of a zone's requests that stays in the zone, by service and zone.
+
+        Services without such a fraction are left out.
+        """
+        fractions = {
+            name: placement.zone_affinity.local_fractions for name, placement in self._services.items()
+        }
+        return {name: by_zone for name, by_zone in fractions.items() if by_zone}
 
-    def _may_plan(
+    def _can_plan(
         self,
         now: float,
         service: str,
@@ -122,17 +137,17 @@
         ready_count: int,
         registry: WorkerRegistry,
     ) -> bool:
-        """Whether enough workers have been heard to plan this service."""
-        if entries is None:  # its first table waits for a worker, and until all that are up have called
+        """Whether enough workers are known to plan the slices of this service."""
+        if entries is None:  # the first table waits for a ready worker and for the end of discovery
             if not ready_count:
                 return False
-            return now >= self._first_table_at.setdefault(service, now + self._discovery_time)
+            return now >= self._first_table_due_at.setdefault(service, now + self._discovery_duration)
         if now >= self._discovery_ends_at:
             return True
-        # this controller has just started: a worker that it hasn't heard of may yet be there
+        # this controller has just started, so a worker that its registry lacks may still be running
         return not any(row[WORKER] and row[WORKER] not in registry.registrations for row in entries.values())
 
-    def _placement_of(
+    def _get_or_create_placement(
         self, service: str, keyed: bool, slice_count: int, latency_targets: Mapping[str, float]
     ) -> ServicePlacement:
         placement = self._services.get(service)
@@ -144,32 +159,32 @@
 
 
 def _workers_out_of_use(table: TableValue | None) -> set[str]:
-    """Workers that a drain plan takes out of service or that are ejected."""
+    """Return the workers that a drain plan is taking out of service, and those that are ejected."""
     draining = {instance_id for instance_id, step in drain_steps_of(table).items() if step != DRAIN_ANNOUNCED}
     return draining | set(ejected_workers(table))
 
 
-def _list_workers(
+def _service_workers(
     registrations: Mapping[str, WorkerRegistration],
     timed_out: set[str],
     out_of_use: set[str],
     warm_at: Mapping[str, float],
 ) -> ServiceWorkers:
-    """The workers of a service as its manager is to know them."""
-    listed, longest_warm_up = {}, 0.0
-    for instance_id, row in registrations.items():
+    """Return the workers of a service in the form that its policy manager needs."""
+    statuses, longest_warm_up = {}, 0.0
+    for instance_id, registration in registrations.items():
         state = (
             events.DEREGISTERED
             if instance_id in timed_out
-            else POLICY_STATES.get(row.phase, events.DEREGISTERED)
+            else POLICY_STATE_BY_PHASE.get(registration.phase, events.DEREGISTERED)
         )
         if state == events.READY and instance_id in out_of_use:
-            state = events.DRAINING  # its slices move at once, and it serves what it has
-        longest_warm_up = max(longest_warm_up, row.warm_up_left)
-        listed[instance_id] = ListedWorker(
+            state = events.DRAINING  # its slices move at once, and it finishes the requests that it has
+        longest_warm_up = max(longest_warm_up, registration.warm_up_left)
+        statuses[instance_id] = WorkerStatus(
             state,
-            float(max(row.slots, 1)),
-            row.zone,
-            warm_at.get(instance_id, 0.0) if row.warm_up_left else None,
+            float(max(registration.slots, 1)),
+            registration.zone,
+            warm_at.get(instance_id, 0.0) if registration.warm_up_left else None,
         )
-    return ServiceWorkers(listed, longest_warm_up)
+    return ServiceWorkers(statuses, longest_warm_up)
--- a/bramblewood/controller/placement/rebalancing.py
+++ b/bramblewood/controller/placement/rebalancing.py
@@ -1,12 +1,15 @@
-"""Splits of hot slices and relief of overloaded workers, beside the moves that the policy makes itself. Pure.
+"""Rebalancing splits hot slices and offloads overloaded workers, in addition to the policy's own moves.
 
-The policy moves whole slices, one small step a cycle. It leaves open what becomes of a slice that is hotter
-than any worker's limit, and its steps would take minutes for a worker that is overloaded at once. So, once a
-cycle, the first of these that finds anything to do:
+The policy moves whole slices, one small step per cycle. It has no remedy for a slice whose heat exceeds the
+limit of every worker, and it needs minutes to bring down a worker that becomes overloaded suddenly. Once per
+cycle, the first of these steps that finds anything to do is taken:
 
-1. each hot key gets a slice of its own, at the worker that it has;
-2. slices over a worker's limit are split where their heat lies, and the parts go to the least loaded workers;
-3. workers that can't do what comes hand their hottest slices to workers that can.
+1. Each hot key gets a slice of its own, at its present worker.
+2. Slices whose heat exceeds their worker's limit are split so that the parts have about equal heat. The parts
+   go to the least loaded workers.
+3. Workers whose load exceeds their capacity hand their hottest slices to workers with spare capacity.
+
+The module does no I/O and reads no clock.
 """
 
 from bisect import bisect_right
@@ -22,51 +25,52 @@
 from .slice_changes import Assignment, SliceSplit
 from .worker_loads import WorkerLoads
 
-MAX_SPLIT_PARTS = 16  # parts that a hot slice is split into at most at one time
-FULL_UTILIZATION = 1.0  # stated by a worker all of whose slots are taken
+MAX_SPLIT_PARTS = 16  # parts that one split of a hot slice yields at most
+FULL_UTILIZATION = 1.0  # utilization that a worker reports while all its slots are busy
 
 
 class Rebalancing(NamedTuple):
-    """Slices to split off, and slices to assign anew, by first key."""
+    """The slices to split off, and the new assignments of existing slices by first key."""
 
     splits: list[SliceSplit]
     assignments: dict[int, Assignment]
 
 
 class Rebalancer:
-    """Rebalances one keyed service."""
+    """Plans the rebalancing of one keyed service."""
 
-    def __init__(self, manager: Manager, load: ServiceLoad, worker_loads: WorkerLoads) -> None:
-        self._manager, self._load, self._worker_loads = manager, load, worker_loads
-        self._cycle_at = LONG_AGO
-        self._relieved_at: dict[str, float] = {}  # by worker
+    def __init__(self, manager: Manager, service_load: ServiceLoad, worker_loads: WorkerLoads) -> None:
+        self._manager, self._service_load, self._worker_loads = manager, service_load, worker_loads
+        self._last_cycle_at = LONG_AGO
+        self._last_offload_at: dict[str, float] = {}  # by worker
 
     def plan(self, now: float, entries: Mapping[str, Row], changing: Collection[int]) -> Rebalancing:
-        """What to split and to move now; nothing between cycles.
+        """Return the splits and assignments to make now. Between two cycles there are none.
 
         Args:
-            entries: the service's part of the agreed table.
-            changing: first keys of slices that the policy changes in the same turn; these wait for the next.
+            entries: the service's rows of the agreed table, by first key.
+            changing: first keys of the slices that the policy reassigns in the same turn. Rebalancing leaves
+                these slices to a later cycle.
         """
-        if now < self._cycle_at + REPORT_CYCLE:
+        if now < self._last_cycle_at + REPORT_CYCLE:
             return Rebalancing([], {})
-        self._cycle_at = now
-        self._load.fade()
+        self._last_cycle_at = now
+        self._service_load.decay_recent_counts()
         starts = sorted(map(int, entries))
         if splits := self._isolate_hot_keys(starts, entries, changing):
             return Rebalancing(splits, {})
         splits = self._split_hot_slices(now, starts, entries, changing)
         if splits or changing:
             return Rebalancing(splits, {})
-        return Rebalancing([], self._relieve_overloaded_workers(now, entries))
+        return Rebalancing([], self._offload_overloaded_workers(now, entries))
 
     def _isolate_hot_keys(
         self, starts: list[int], entries: Mapping[str, Row], changing: Collection[int]
     ) -> list[SliceSplit]:
-        """A slice of its own for each hot key, at the worker that it has."""
+        """Return splits that give each hot key a slice of its own, at its present worker."""
         splits = []
-        for key in self._load.hot_keys.status().hot_keys:
-            start, end = _bounds_of(starts, key)
+        for key in self._service_load.hot_keys.status().hot_keys:
+            start, end = _slice_bounds(starts, key)
             row = entries[str(start)]
             if start in changing or row[PREVIOUS_OWNER]:
                 continue
@@ -81,7 +85,7 @@
     def _split_hot_slices(
         self, now: float, starts: list[int], entries: Mapping[str, Row], changing: Collection[int]
     ) -> list[SliceSplit]:
-        """Splits of slices that were over their worker's limit in three reports in a row."""
+        """Return splits of the slices whose last `REPORTS_HELD` estimates exceed their worker's limit."""
         splits: list[SliceSplit] = []
         candidates = [
             hot_slice
@@ -96,63 +100,68 @@
             recent_heat = [*hot_slice.estimates][-REPORTS_HELD:]
             if not limit or len(recent_heat) < REPORTS_HELD or min(recent_heat) <= limit:
                 continue
-            start, end = _bounds_of(starts, hot_slice.number)
+            start, end = _slice_bounds(starts, hot_slice.number)
             part_count = min(int(2 * hot_slice.estimate() / limit) + 1, MAX_SPLIT_PARTS)
-            points = self._load.split_points(start, end, part_count)
-            splits += self._assign_parts(now, hot_slice, points)
-            if points:
+            split_points = self._service_load.split_points(start, end, part_count)
+            splits += self._assign_parts(now, hot_slice, split_points)
+            if split_points:
                 hot_slice.estimates.clear()
         return splits
 
-    def _assign_parts(self, now: float, hot_slice: Slice, points: list[int]) -> list[SliceSplit]:
-        """The parts that begin at these keys, each at the least loaded worker that can take it."""
-        parts, owner, loads = [], hot_slice.primary, self._worker_loads
-        heat = hot_slice.estimate() / (len(points) + 1)
-        for start in points:
+    def _assign_parts(self, now: float, hot_slice: Slice, split_points: list[int]) -> list[SliceSplit]:
+        """Return the parts that begin at these keys, each with the least loaded worker that can take it.
+
+        A part stays with the slice's owner if its move would make that worker more loaded than the owner.
+        """
+        splits, owner, loads = [], hot_slice.primary, self._worker_loads
+        heat = hot_slice.estimate() / (len(split_points) + 1)
+        for start in split_points:
             target = loads.least_loaded(heat, excluding=owner)
             if target is None or loads.load_of(target) + heat > loads.load_of(owner):
                 target = owner
             else:
                 loads.record_move(now, owner, target, heat)
-            parts.append(SliceSplit(hot_slice.number, start, Assignment(target.name)))
-        return parts
+            splits.append(SliceSplit(hot_slice.number, start, Assignment(target.name)))
+        return splits
 
-    def _relieve_overloaded_workers(self, now: float, entries: Mapping[str, Row]) -> dict[int, Assignment]:
-        """Moves of the hottest slices of workers that can't do what comes.
+    def _offload_overloaded_workers(self, now: float, entries: Mapping[str, Row]) -> dict[int, Assignment]:
+        """Return moves of the hottest slices away from overloaded workers.
 
-        Such a worker states in three reports in a row that all its slots are taken, and has more heat than
-        its capacity; the policy's step, its smallest slice each cycle, would take minutes.
+        A worker is overloaded if its last `REPORTS_HELD` reports state that all its slots are busy, and its
+        load exceeds its capacity. The policy would move only its smallest slice each cycle, and so would need
+        minutes.
         """
         assignments: dict[int, Assignment] = {}
         planner = self._manager.planner
         for worker, slices in planner.by_primary.items():
-            if worker is not None and self._is_overloaded(now, worker):
-                assignments |= self._relieve(now, worker, slices, entries)
+            if worker is not None and self._is_fully_utilized(now, worker):
+                assignments |= self._offload_worker(now, worker, slices, entries)
         return assignments
 
-    def _is_overloaded(self, now: float, worker: Worker) -> bool:
-        levels = [*worker.loads][-REPORTS_HELD:]
-        if len(levels) < REPORTS_HELD or min(levels) < FULL_UTILIZATION or not worker.usable:
+    def _is_fully_utilized(self, now: float, worker: Worker) -> bool:
+        """Whether a usable worker reports full utilization, and its reports can show its last offload."""
+        utilizations = [*worker.loads][-REPORTS_HELD:]
+        if len(utilizations) < REPORTS_HELD or min(utilizations) < FULL_UTILIZATION or not worker.usable:
             return False
-        # until then no report can show the last relief
-        return now >= self._relieved_at.get(worker.name, LONG_AGO) + REPORT_LAG
+        # before then, no report can show the effect of the last offload
+        return now >= self._last_offload_at.get(worker.name, LONG_AGO) + REPORT_LAG
 
-    def _relieve(
+    def _offload_worker(
         self, now: float, worker: Worker, slices: list[Slice], entries: Mapping[str, Row]
     ) -> dict[int, Assignment]:
-        """Moves of the worker's hottest slices to where they fit, until it can do what is left.
+        """Return moves of the worker's hottest slices to workers with room, until its load fits its capacity.
 
-        The owner of a hot key loses all its other slices that are worth a move.
+        The owner of a hot key hands over all its other slices that are hot enough to be worth a move.
         """
         assignments: dict[int, Assignment] = {}
-        loads, hot_keys = self._worker_loads, self._load.hot_keys
+        loads, hot_keys = self._worker_loads, self._service_load.hot_keys
         capacity = loads.capacity(worker)
-        owns_hot_key = any(hot_keys.is_hot(one.number) for one in slices)
-        for candidate in sorted(slices, key=lambda one: (-one.estimate(), one.number)):
+        owns_hot_key = any(hot_keys.is_hot(owned_slice.number) for owned_slice in slices)
+        for candidate in sorted(slices, key=lambda owned: (-owned.estimate(), owned.number)):
             heat = candidate.estimate()
-            is_relieved = loads.load_of(worker) <= capacity and not owns_hot_key
-            if is_relieved or heat < capacity / MAX_SPLIT_PARTS:
-                break  # what is left costs more to move than it brings
+            is_offloaded = loads.load_of(worker) <= capacity and not owns_hot_key
+            if is_offloaded or heat < capacity / MAX_SPLIT_PARTS:
+                break  # moving a slice as cool as the remaining ones costs more than it gains
             if heat > capacity or hot_keys.is_hot(candidate.number):
                 continue
             if entries[str(candidate.number)][PREVIOUS_OWNER]:
@@ -161,12 +170,16 @@
             if target is None or loads.load_of(target) + heat > CAPACITY_LIMIT * loads.capacity(target):
                 continue
             loads.record_move(now, worker, target, heat)
-            self._relieved_at[worker.name] = now
+            self._last_offload_at[worker.name] = now
             assignments[candidate.number] = Assignment(target.name)
         return assignments
 
 
-def _bounds_of(starts: list[int], key: int) -> tuple[int, int]:
-    """First key of the slice that has this key, and of the next one."""
+def _slice_bounds(starts: list[int], key: int) -> tuple[int, int]:
+    """Return the first key of the slice that contains `key`, and the first key after that slice.
+
+    Args:
+        starts: the first keys of all slices, ascending.
+    """
     index = bisect_right(starts, key) - 1
     return starts[index], starts[index + 1] if index + 1 < len(starts) else KEY_SPACE_SIZE
--- a/bramblewood/controller/placement/service_placement.py
+++ b/bramblewood/controller/placement/service_placement.py
@@ -1,7 +1,8 @@
-"""Placement of one service: the policy's manager, kept in step with the agreed table and the registry. Pure.
+"""Placement of one service: the policy's manager, kept in step with the agreed table and the registry.
 
-The manager decides as if the table were its own. So before each decision it is told how the agreed table
-differs from what it last knew, and what it decides is handed out as changes to be agreed.
+The manager decides as if its own table were in force. Before each decision it therefore receives, as events,
+the differences between the agreed table and the assignments that it holds. Its decisions are returned as
+changes to be agreed. The module does no I/O and reads no clock.
 """
 
 from collections.abc import Iterable, Mapping
@@ -23,14 +24,20 @@
 from .slice_changes import Assignment, SliceChanges, initial_rows
 from .worker_loads import WorkerLoads
 
-# s that a worker back from a doubt counts as new, where no worker told that it was cold
+# s of slow start after an ejection by the policy, while no worker has reported a longer warm-up
 DEFAULT_WARM_UP = 1.0
-SLOW_START_SPEED = 0.5  # part of its speed that a new worker is taken to have; the protocol says "slow" only
-MANAGER_SEED = "office:{service}"  # of the manager's random draws; seeded plays rest on it
+# fraction of its capacity that a new worker is assumed to have; workers report only how long they are slow
+SLOW_START_CAPACITY = 0.5
+# seed of the manager's random draws; the recorded simulation runs depend on this text
+MANAGER_SEED = "office:{service}"
 
 
-class ListedWorker(NamedTuple):
-    """A worker as the manager is to know it. `warm_at`: when it is or was warm (s), None if never cold."""
+class WorkerStatus(NamedTuple):
+    """The status of a worker as the manager receives it.
+
+    `state` is one of the worker states of `events`. `warm_at` is when its slow start ends or ended, None for
+    a worker that had none.
+    """
 
     state: str
     slots: float
@@ -39,14 +46,14 @@
 
 
 class ServiceWorkers(NamedTuple):
-    """All workers of a service by instance id, and the longest time that any of them is or was cold (s)."""
+    """The status of all workers of a service by instance id, and the longest remaining warm-up of any (s)."""
 
-    listed: dict[str, ListedWorker]
+    statuses: dict[str, WorkerStatus]
     longest_warm_up: float
 
 
 class ServicePlacement:
-    """One service's manager and what it was told."""
+    """The manager of one service, and the workers and assignments that the manager holds."""
 
     def __init__(
         self, service: str, keyed: bool, slice_count: int, latency_target: float, detects_hot_keys: bool
@@ -62,17 +69,17 @@
             cycle=REPORT_CYCLE,
             load_fields=["utilization", "queued"],
             slow_start_window=DEFAULT_WARM_UP,
-            slow_start_minimum=SLOW_START_SPEED,
+            slow_start_minimum=SLOW_START_CAPACITY,
             default_retry=events.RETRY_UNSTARTED,
             operations=[Operation(latency_objective=latency_target, billed_value=1.0)],
         )
         self._manager = Manager(MANAGER_SEED.format(service=service), self._settings)
-        self._load = ServiceLoad(keyed and detects_hot_keys)
+        self._service_load = ServiceLoad(keyed and detects_hot_keys)
         self._worker_loads = WorkerLoads(self._manager)
-        self._rebalancer = Rebalancer(self._manager, self._load, self._worker_loads)
-        self._listed: dict[str, ListedWorker] = {}
-        self._known: dict[int, Assignment] = {}  # what the manager was last told, or asked for itself
-        self._zone_affinity_at = LONG_AGO
+        self._rebalancer = Rebalancer(self._manager, self._service_load, self._worker_loads)
+        self._manager_workers: dict[str, WorkerStatus] = {}  # by instance id
+        self._manager_assignments: dict[int, Assignment] = {}  # by first key, its own new ones included
+        self._zone_affinity_adjusted_at = LONG_AGO
 
     def record_request_counts(
         self,
@@ -82,15 +89,15 @@
         key_counts: Mapping[str, int],
         interval: float,
     ) -> None:
-        """As `ServiceLoad.record_request_counts`."""
-        self._load.record_request_counts(now, proxy, range_counts, key_counts, interval)
+        """Record a proxy's request counts, as `ServiceLoad.record_request_counts` does."""
+        self._service_load.record_request_counts(now, proxy, range_counts, key_counts, interval)
 
     def hot_key_status(self) -> HotKeyStatus:
-        """What proxies are to know of the service's hot keys."""
-        return self._load.hot_keys.status()
+        """Return the service's watched ranges and hot keys, to be sent to proxies."""
+        return self._service_load.hot_keys.status()
 
     def capacity(self) -> ServiceCapacity:
-        """How busy the service is now, and how much its workers can do."""
+        """Return the busy slots of the service, and the slots that each usable worker has at its warmth."""
         ready = self._manager.ready_workers()
         busy_slots = sum(mean(worker.loads) * worker.weight for worker in ready)
         slots = {worker.name: worker.weight * worker.warmth() for worker in ready if worker.usable}
@@ -105,28 +112,28 @@
         worker_reports: Iterable[events.WorkerReported],
         has_read_replicas: bool,
     ) -> SliceChanges | None:
-        """What to change in the service's part of the table, if anything.
+        """Return the changes of the service's rows of the slice table; None if there are none.
 
         Args:
-            entries: that part as it is agreed; None before the first table.
-            slice_count: slices that it has, or is to have at first.
-            worker_reports: what proxies observed at the service's workers since the last call.
+            entries: the agreed rows by first key; None before the first table.
+            slice_count: the number of slices that the service has, or gets with its first table.
+            worker_reports: the proxies' observations of the service's workers since the last call.
             has_read_replicas: whether hot keys may have read replicas.
         """
         self._settings.slices = slice_count
-        stored_entries = initial_rows(slice_count) if entries is None else entries
-        assignments = self._decide_assignments(now, workers, stored_entries, worker_reports)
+        current_entries = initial_rows(slice_count) if entries is None else entries
+        assignments = self._decide_assignments(now, workers, current_entries, worker_reports)
         splits = []
         if self.keyed:
-            rebalancing = self._rebalancer.plan(now, stored_entries, assignments)
+            rebalancing = self._rebalancer.plan(now, current_entries, assignments)
             splits = rebalancing.splits
             assignments |= rebalancing.assignments
-            self._known |= rebalancing.assignments
+            self._manager_assignments |= rebalancing.assignments
         else:
             self._adjust_zone_affinity(now)
         readers = {}
         if has_read_replicas and entries:
-            readers = replica_changes(entries, self._load.hot_keys, self._worker_loads)
+            readers = replica_changes(entries, self._service_load.hot_keys, self._worker_loads)
         if assignments or splits or readers:
             return SliceChanges(assignments, splits, slice_count, readers)
         return None
@@ -138,28 +145,28 @@
         entries: Mapping[str, Row],
         worker_reports: Iterable[events.WorkerReported],
     ) -> dict[int, Assignment]:
-        """Bring the manager up to date and let it decide; the assignments that are new."""
+        """Bring the manager up to date, let it decide, and return the new assignments by first key."""
         policy_events = [
-            *self._list_workers(workers),
+            *self._update_workers(workers),
             *worker_reports,
-            *self._give_slices(entries),
-            *self._load.end_cycle(now, self._known, self._worker_loads.throughput),
+            *self._update_assignments(entries),
+            *self._service_load.end_cycle(now, self._manager_assignments, self._worker_loads.throughput),
         ]
         orders = self._manager.handle(now, policy_events)
         assignments = {}
         for start in {order.table for order in orders if isinstance(order, events.SetRoute)}:
             assignment = _assignment_of(self._manager.slices[start])
-            if assignment and assignment != self._known[start]:
-                assignments[start] = self._known[start] = assignment
+            if assignment and assignment != self._manager_assignments[start]:
+                assignments[start] = self._manager_assignments[start] = assignment
         return assignments
 
-    def _list_workers(self, workers: ServiceWorkers) -> list[events.WorkersListed]:
-        """The event that tells the manager of the workers, if they have changed."""
+    def _update_workers(self, workers: ServiceWorkers) -> list[events.WorkersListed]:
+        """Return the event that gives the manager the workers, if these differ from those that it holds."""
         warm_up = max(self._settings.slow_start_window, workers.longest_warm_up)
         self._settings.slow_start_window = warm_up
-        if workers.listed == self._listed:
+        if workers.statuses == self._manager_workers:
             return []
-        self._listed = workers.listed
+        self._manager_workers = workers.statuses
         listed = tuple(
             events.ListedWorker(
                 instance_id,
@@ -168,16 +175,18 @@
                 worker.zone,
                 started=worker.warm_at - warm_up if worker.warm_at else None,
             )
-            for instance_id, worker in workers.listed.items()
+            for instance_id, worker in workers.statuses.items()
         )
         return [events.WorkersListed(listed, complete=True)]
 
-    def _give_slices(self, entries: Mapping[str, Row]) -> list[events.SliceAssigned | events.RouteStored]:
-        """The events that tell the manager of assignments that are others than it knows."""
+    def _update_assignments(
+        self, entries: Mapping[str, Row]
+    ) -> list[events.SliceAssigned | events.RouteStored]:
+        """Return the events that give the manager the assignments that differ from those that it holds."""
         agreed = {int(start): Assignment.of_row(row) for start, row in entries.items()}
         policy_events: list[events.SliceAssigned | events.RouteStored] = []
         for start, assignment in agreed.items():
-            if self._known.get(start) == assignment:
+            if self._manager_assignments.get(start) == assignment:
                 continue
             worker, second_worker, second_share = assignment
             policy_events.append(events.SliceAssigned(start, True))
@@ -185,13 +194,13 @@
                 policy_events.append(events.RouteStored(start, worker, 1.0))
             if second_worker:
                 policy_events.append(events.RouteStored(start, second_worker, second_share))
-        self._known = agreed
+        self._manager_assignments = agreed
         return policy_events
 
     def _adjust_zone_affinity(self, now: float) -> None:
-        if now < self._zone_affinity_at + REPORT_CYCLE:
+        if now < self._zone_affinity_adjusted_at + REPORT_CYCLE:
             return
-        self._zone_affinity_at = now
+        self._zone_affinity_adjusted_at = now
         self.zone_affinity.adjust(
             WorkerUtilization(worker.zone, worker.weight, mean(worker.loads))
             for worker in self._manager.usable_workers()
@@ -200,7 +209,7 @@
 
 
 def _assignment_of(policy_slice: Slice) -> Assignment | None:
-    """The assignment that the manager has sent for this slice, if any."""
+    """Return the assignment that the manager's orders give this slice; None if the slice has no route."""
     weights = policy_slice.routes
     ranked = sorted(weights, key=lambda worker: (worker is not policy_slice.primary, -weights[worker]))
     if not ranked:
--- a/bramblewood/controller/placement/slice_changes.py
+++ b/bramblewood/controller/placement/slice_changes.py
@@ -1,9 +1,11 @@
-"""What a move, a split or a release does to the agreed slice table. Pure.
+"""Changes of the agreed slice table: moves, splits, and releases by previous owners.
 
-Functions that change the table are changes as `controller/table_changes.py` states them; what they tell is
-whether anything changes. Of a keyed service no slice has
-two owners: its entry names the previous owner until that one has released its keys, and a new owner comes
-with a new fencing token, which is the version of the table that made it one.
+The functions that return a `ProposedTable` are changes as `controller/table_changes.py` defines them. Their
+outcome is whether the table changes. The module does no I/O and reads no clock.
+
+Invariant: a slice of a keyed service never has two owners. After a move, its entry names the previous owner
+until that worker has released its keys. Each new owner gets a new fencing token, which is the version of the
+table that made it the owner.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -23,11 +25,12 @@
 from ..table_changes import ProposedTable, TableValue, empty_table
 
 MIN_SLICES = 32
-MIN_SLICES_PER_WORKER = 6  # so that one slice is a small step; each keyed slice costs a renewal of its lease
+# enough that moving one slice is a small step, but few, as the lease of each keyed slice must be renewed
+MIN_SLICES_PER_WORKER = 6
 
 
 class Assignment(NamedTuple):
-    """Who serves a slice: its worker, a second one if any, and the share (0 to 1) that the second gets."""
+    """The worker of a slice, a second worker ("" for none), and the fraction (0 to 1) sent to the second."""
 
     worker: str
     second_worker: str = ""
@@ -35,12 +38,12 @@
 
     @classmethod
     def of_row(cls, row: Row) -> "Assignment":
-        """The assignment that a row of the slice table states."""
+        """Return the assignment that a row of the slice table contains."""
         return cls(*row[:FENCING_TOKEN])
 
 
 class SliceSplit(NamedTuple):
-    """A slice to be split off: the first key of the slice that it comes from, its own, and who serves it."""
+    """A slice to split off: the first key of the slice that it is part of, its own, and its assignment."""
 
     parent: int
     start: int
@@ -49,10 +52,10 @@
 
 @dataclass
 class SliceChanges:
-    """What is to change in one service's part of the table; slices are named by their first keys.
+    """The changes of one service's rows. Slices are identified by their first keys.
 
-    `slice_count` is how many slices a service's first table gets; `readers` are the workers with read
-    replicas that a hot key's slice is to have.
+    `slice_count` is the number of slices that the service's first table gets. `readers` holds the new readers
+    of hot keys, by key.
     """
 
     assignments: dict[int, Assignment]
@@ -62,7 +65,7 @@
 
 
 def initial_slice_count(workers: int) -> int:
-    """How many slices a service's first table gets: a power of two."""
+    """Return the number of slices in the first table of a service with so many workers: a power of two."""
     count = MIN_SLICES
     while count < MIN_SLICES_PER_WORKER * workers:
         count *= 2
@@ -70,12 +73,15 @@
 
 
 def initial_rows(count: int) -> dict[str, Row]:
-    """Rows of `count` equal slices that nobody serves yet, by first key."""
+    """Return the rows of `count` equal slices without a worker, by first key."""
     return {str(i * KEY_SPACE_SIZE // count): UNASSIGNED for i in range(count)}
 
 
-def reassigned(row: Row, assignment: Assignment, keyed: bool, version: int) -> Row:
-    """The row with another assignment. The owner of a keyed slice must first release its keys."""
+def with_assignment(row: Row, assignment: Assignment, keyed: bool, version: int) -> Row:
+    """Return the row with this assignment in the table of this version.
+
+    In a keyed service, the old owner becomes the previous owner, which must release the keys first.
+    """
     worker, second_worker, second_share = assignment
     entry = SliceEntry.decode(row)
     if entry.worker != worker:
@@ -89,59 +95,62 @@
 
 
 def apply_slice_changes(
-    value: TableValue | None, changes: Mapping[str, SliceChanges], keyed: set[str]
+    table: TableValue | None, changes: Mapping[str, SliceChanges], keyed_services: set[str]
 ) -> ProposedTable:
-    """The table with these changes by service. What another controller has changed meanwhile is left out:
-    a split of a slice that is gone, or an assignment that stands already.
+    """Return the table with these changes by service.
+
+    A change that another controller has made unnecessary or impossible is left out: a split of a slice that
+    no longer exists, or an assignment that the table already contains.
 
     Args:
-        keyed: the services whose slices have one owner at a time.
+        keyed_services: the services whose slices have one owner at a time.
     """
-    value = value or empty_table()
-    version, services, any_change = value["n"] + 1, dict(value["s"]), False
-    for service, wanted in changes.items():
-        rows = dict(services.get(service) or initial_rows(wanted.slice_count))
-        any_change |= _change_rows(rows, wanted, service in keyed, version)
+    table = table or empty_table()
+    version, services, any_change = table["n"] + 1, dict(table["s"]), False
+    for service, service_changes in changes.items():
+        rows = dict(services.get(service) or initial_rows(service_changes.slice_count))
+        any_change |= _change_rows(rows, service_changes, service in keyed_services, version)
         services[service] = rows
-    return ({**value, "n": version, "s": services}, True) if any_change else (None, False)
+    return ({**table, "n": version, "s": services}, True) if any_change else (None, False)
 
 
-def _change_rows(rows: dict[str, Row], wanted: SliceChanges, keyed: bool, version: int) -> bool:
-    """Put these changes into one service's rows; whether any did."""
+def _change_rows(rows: dict[str, Row], changes: SliceChanges, keyed: bool, version: int) -> bool:
+    """Apply the changes to one service's rows in place, and return whether any row changed."""
     any_change = False
-    for parent, start, assignment in wanted.splits:
+    for parent, start, assignment in changes.splits:
         row = rows.get(str(parent))
         if row is not None and str(start) not in rows:
-            rows[str(start)] = reassigned(row[:READERS], assignment, keyed, version)
+            rows[str(start)] = with_assignment(row[:READERS], assignment, keyed, version)
             any_change = True
-    for first_key, assignment in wanted.assignments.items():
-        row = rows.get(str(first_key))
+    for start, assignment in changes.assignments.items():
+        row = rows.get(str(start))
         if row is not None and Assignment.of_row(row) != assignment:
-            rows[str(first_key)] = reassigned(row, assignment, keyed, version)
+            rows[str(start)] = with_assignment(row, assignment, keyed, version)
             any_change = True
-    for first_key, readers in wanted.readers.items():
-        row = rows.get(str(first_key))
+    for start, readers in changes.readers.items():
+        row = rows.get(str(start))
         if row is not None and active_readers(row) != readers:
-            rows[str(first_key)] = with_readers(row, readers, version)
+            rows[str(start)] = with_readers(row, readers, version)
             any_change = True
     return any_change
 
 
 def with_changed_entries(
-    value: TableValue | None,
+    table: TableValue | None,
     service: str,
     starts: Iterable[int],
     change: Callable[[SliceEntry, int], SliceEntry | None],
 ) -> ProposedTable:
-    """The table with `change(entry, version)` in place of these slices' entries, where that gives one.
+    """Return the table in which `change` has replaced the entries of these slices.
 
     Args:
-        starts: first keys of slices; those that are gone are left out.
-        change: gets an entry, and the version that the table will have.
+        starts: first keys of the slices. Slices that no longer exist are left out.
+        change: called with an entry and the version of the new table. It returns the new entry, or None to
+            keep the entry.
     """
-    if not value or service not in value["s"]:
+    if not table or service not in table["s"]:
         return None, False
-    rows, version, any_change = dict(value["s"][service]), value["n"] + 1, False
+    rows, version, any_change = dict(table["s"][service]), table["n"] + 1, False
     for start in starts:
         row = rows.get(str(start))
         new_entry = change(SliceEntry.decode(row), version) if row else None
@@ -149,22 +158,24 @@
             rows[str(start)], any_change = new_entry.encode(), True
     if not any_change:
         return None, False
-    return {**value, "n": version, "s": {**value["s"], service: rows}}, True
+    return {**table, "n": version, "s": {**table["s"], service: rows}}, True
 
 
 def clear_previous_owner(
-    value: TableValue | None,
+    table: TableValue | None,
     service: str,
     starts: Iterable[int],
     fencing_token: int,
     previous_owner: str,
     handover: str,
 ) -> ProposedTable:
-    """The table once the previous owner has released these slices.
+    """Return the table after the previous owner has released these slices.
 
     Args:
-        fencing_token: the token under which the release was asked for; another one stands for a later move.
-        handover: what the previous owner tells the new one, empty if nothing.
+        starts: first keys of the slices.
+        fencing_token: the token of the release. A slice with another token has moved again since, and keeps
+            its previous owner.
+        handover: what the previous owner passes on to the new owner, "" for nothing.
     """
 
     def release(entry: SliceEntry, _version: int) -> SliceEntry | None:
@@ -172,17 +183,18 @@
             return None
         return entry._replace(previous_owner="", handover=handover)
 
-    return with_changed_entries(value, service, starts, release)
+    return with_changed_entries(table, service, starts, release)
 
 
 def raise_fencing_tokens(
-    value: TableValue | None, service: str, starts: Iterable[int], fencing_token: int
+    table: TableValue | None, service: str, starts: Iterable[int], fencing_token: int
 ) -> ProposedTable:
-    """The table with a new fencing token for those slices that still have this one: their worker has seen a
-    higher one.
+    """Return the table with a new fencing token for those of these slices that still have `fencing_token`.
+
+    The coordinator proposes this after a slice's worker has rejected the token because it knows a higher one.
     """
 
     def raise_token(entry: SliceEntry, version: int) -> SliceEntry | None:
         return entry._replace(fencing_token=version) if entry.fencing_token == fencing_token else None
 
-    return with_changed_entries(value, service, starts, raise_token)
+    return with_changed_entries(table, service, starts, raise_token)
