--- a/bramblewood/controller/coordinator_loop.py
+++ b/bramblewood/controller/coordinator_loop.py
@@ -1,7 +1,7 @@
-"""What the coordinator of the moment does: moves, grants, steps of drain plans, ejections of outliers.
+"""The work of the current coordinator: slice moves, lease grants, steps of drain plans, and ejections.
 
-Two coordinators at once do no harm: every change is agreed by a quorum, and each grant rests on its sender's
-own quorum contact. The other controllers stand by.
+Two coordinators at the same time do no harm: every change is agreed by a quorum, and each grant depends on
+the quorum contact of the controller that sends it. The other controllers do none of this work.
 """
 
 from collections.abc import Callable
@@ -23,11 +23,11 @@
 from .registry_exchange import RegistryExchange
 from .runtime import Runtime
 
-OUTLIER_CHECK_INTERVAL = 0.5  # s, the policy's own turn
+OUTLIER_CHECK_INTERVAL = 0.5  # s, the same as the policy's turn interval
 
 
 class CoordinatorLoop:
-    """The coordinator's part of this controller. One change of the table is under way at a time."""
+    """The coordinator's work at this controller. At most one change of the table is proposed at a time."""
 
     placement: PlacementPlanner
 
@@ -56,37 +56,41 @@
         self.next_outlier_check_at = 0.0
 
     def step(self, now: float) -> None:
-        """Do what is due, if this controller is the coordinator."""
+        """Do the work that is due, if this controller is the coordinator."""
         self._update_role(now)
         configuration = self.chosen_values.configuration
         if not self.is_coordinator or configuration is None:
             return
         table = self.quorum_io.consensus.value(TABLE)
         services = configuration.services
-        keyed = {name for name, service in services.items() if service.sharded}
+        keyed_services = {name for name, service in services.items() if service.sharded}
         if table is not None:
-            self._renew_leases(now, table, keyed)
+            self._renew_leases(now, table, keyed_services)
             if worker_drains_of(table) and not self.is_proposing:
                 self._advance_drain_plans(now, table)
             if now >= self.next_outlier_check_at:
                 self.next_outlier_check_at = now + OUTLIER_CHECK_INTERVAL
                 self._eject_outliers(now, table)
         if not self.is_proposing:
-            self._move_slices(now, services, keyed, table)
+            self._move_slices(now, services, keyed_services, table)
 
     def change_table(self, change: Callable[[Any], tuple[Any, Any]]) -> None:
-        """Propose a change of the table; void if this controller is not current when its turn comes."""
+        """Propose a change of the table.
+
+        Nothing changes if this controller is not current at the time at which the change is applied.
+        """
         self.is_proposing = True
 
         def change_if_current(table: Any) -> tuple[Any, Any]:
             return change(table) if self.quorum_contact.is_current(self.runtime.now()) else (None, None)
 
-        self.quorum_io.propose(TABLE, change_if_current, self._change_finished, PROPOSAL_TIMEOUT)
+        self.quorum_io.propose(TABLE, change_if_current, self._proposal_finished, PROPOSAL_TIMEOUT)
 
-    def _change_finished(self, outcome: Any) -> None:
+    def _proposal_finished(self, outcome: Any) -> None:
+        """Handle the outcome of a proposal; None if it is unknown or this controller was not current."""
         self.is_proposing = False
         if outcome is None:
-            self.placement.reset()  # unclear: begin again from what stands
+            self.placement.reset()  # the next plan starts from the agreed table
         self.chosen_values.refresh()
 
     def _update_role(self, now: float) -> None:
@@ -97,24 +101,25 @@
         if is_coordinator == self.is_coordinator:
             return
         self.is_coordinator = is_coordinator
-        event = "coordinating" if is_coordinator else "not coordinating"
+        event = "became coordinator" if is_coordinator else "no longer coordinator"
         self.runtime.log.info(event, step="coordinator")
         if is_coordinator:
-            self.placement.reset()  # others have moved things since
+            self.placement.reset()  # other coordinators may have moved slices since the last plan
             self.key_leases.calls_in_flight.clear()
 
-    def _renew_leases(self, now: float, table: Any, keyed: set[str]) -> None:
-        calls, released = self.key_leases.next_calls(now, table, keyed, self.registry)
-        until = self.quorum_contact.quorum_contact_until(now)
+    def _renew_leases(self, now: float, table: Any, keyed_services: set[str]) -> None:
+        """Send the lease calls that are due, and propose the removal of expired readers."""
+        calls, released = self.key_leases.next_calls(now, table, keyed_services, self.registry)
+        contact_until = self.quorum_contact.quorum_contact_until(now)
         for call in calls:
-            self.lease_calls.start(self.lease_calls.grant_or_release(call, until))
-        for keys in released:
-            self.key_releases.add(keys)
+            self.lease_calls.start(self.lease_calls.grant_or_release(call, contact_until))
+        for released_keys in released:
+            self.key_releases.add(released_keys)
         leases, expired_readers = self.read_replicas.due_leases(now, table, self.registry)
         for lease in leases:
-            self.lease_calls.start(self.lease_calls.lease_replica(lease, until))
+            self.lease_calls.start(self.lease_calls.lease_replica(lease, contact_until))
         if expired_readers and not self.is_proposing:
-            self.change_table(lambda value: without_expired_readers(value, expired_readers))
+            self.change_table(lambda latest: without_expired_readers(latest, expired_readers))
 
     def _advance_drain_plans(self, now: float, table: Any) -> None:
         capacities = self.placement.service_capacities()
@@ -123,20 +128,21 @@
             self.change_table(change)
 
     def _eject_outliers(self, now: float, table: Any) -> None:
-        """Take workers out of use that look unhealthy to the proxies, and back after a while."""
+        """Propose to eject the outliers, and to end the ejections whose duration is over."""
         out_of_use = self.registry_exchange.timed_out_workers(now) | drain_steps_of(table).keys()
         in_use: dict[str, list[str]] = {}  # by service
         for instance_id, registration in self.registry.registrations.items():
             if registration.phase == READY and instance_id not in out_of_use:
                 in_use.setdefault(registration.service, []).append(instance_id)
         outliers = self.outlier_detection.find_outliers(in_use)
-        ejections = self.outlier_detection.plan_ejections(now, table, outliers, in_use)
-        seen = ejections_of(table)
-        if with_ejections(table, ejections, seen)[0] is not None and not self.is_proposing:
-            self.runtime.log.info("ejections", step="outlier detection", ejections=ejections)
-            self.change_table(lambda value: with_ejections(value, ejections, seen))
-
-    def _move_slices(self, now: float, services: Any, keyed: set[str], table: Any) -> None:
+        planned = self.outlier_detection.plan_ejections(now, table, outliers, in_use)
+        expected = ejections_of(table)
+        if with_ejections(table, planned, expected)[0] is not None and not self.is_proposing:
+            self.runtime.log.info("proposing ejections", step="outlier detection", ejections=planned)
+            self.change_table(lambda latest: with_ejections(latest, planned, expected))
+
+    def _move_slices(self, now: float, services: Any, keyed_services: set[str], table: Any) -> None:
+        """Propose the moves, splits and readers that the placement plans."""
         changes = self.placement.plan_changes(
             now,
             services,
@@ -146,7 +152,10 @@
             table,
         )
         if changes:
-            moves = {service: (len(c.assignments), len(c.splits)) for service, c in changes.items()}
+            moves = {
+                service: (len(planned.assignments), len(planned.splits))
+                for service, planned in changes.items()
+            }
             version = self.quorum_io.consensus.version(TABLE)
-            self.runtime.log.info("moves", step="placement", moves=moves, table=version)
-            self.change_table(lambda value: apply_slice_changes(value, changes, keyed))
+            self.runtime.log.info("proposing slice moves", step="placement", moves=moves, table=version)
+            self.change_table(lambda latest: apply_slice_changes(latest, changes, keyed_services))
--- a/bramblewood/controller/hot_keys.py
+++ b/bramblewood/controller/hot_keys.py
@@ -1,14 +1,19 @@
-"""Detection of hot keys: single keys that are asked for more than one worker can do. Pure.
+"""Detection of hot keys, which are single keys with more requests than one worker can serve.
 
-One `HotKeys` a service, at the coordinator. Proxies count requests by ranges of `KEYS_PER_RANGE` keys. A
-range that gets half of what one worker can do, in three reports in a row, is watched: proxies then count its
-keys one by one, exactly. So a proxy's counters are bounded by what it carried since its last report, nothing
-is counted by key while no range is busy, and the error of a watched key is what came before the proxies had
-heard of the watch. A key is hot once it gets `CAPACITY_LIMIT` of what one worker can do, in three reports in
-a row, and no longer once it got less than half of that in more than ten.
+The coordinator keeps one `HotKeys` per service. Proxies count requests by ranges of `KEYS_PER_RANGE` keys. A
+range is watched once its rate reaches half of one worker's throughput in three reports in a row. Proxies
+count the requests of a watched range by single key. A key is hot once its rate reaches `CAPACITY_LIMIT` of
+one worker's throughput in three reports in a row. It stays hot until its rate has been below half of that
+threshold in more than ten reports in a row.
 
-A proxy that reports too much makes no key hot: of a key's requests none may have more than all others
-together, where several proxies report it.
+Counts by key are exact, but they leave out the requests that arrive before the proxies have received the
+watch. No key is counted while no range is busy. The number of a proxy's counters is limited by the number of
+requests since its last report.
+
+A single proxy that reports too many requests cannot make a key hot. If several proxies report a key, no
+proxy's count is taken as larger than the counts of all other proxies together.
+
+The module does no I/O and reads no clock.
 """
 
 from collections import Counter, deque
@@ -18,16 +23,17 @@
 from ..common.slice_table import KEYS_PER_RANGE
 from ..policy.parameters import CAPACITY_LIMIT, REPORTS_AVERAGED, REPORTS_HELD
 
-WATCH_RATE_FRACTION = 0.5  # of one worker's throughput, at which a range is counted key by key
-MAX_WATCHED_RANGES = 8  # at once: a proxy then has 64 more counters at the most
-RELEASE_RATE_FRACTION = 0.5  # of the threshold, below which a range or key is on its way to being released
-RELEASE_REPORTS = 2 * REPORTS_AVERAGED  # reports below that, after which it is released
+WATCH_RATE_FRACTION = 0.5  # of one worker's throughput, at which a range is watched
+MAX_WATCHED_RANGES = 8  # at once, which adds at most 64 counters at a proxy
+REMOVAL_RATE_FRACTION = 0.5  # of the threshold; reports below this count towards removal
+REMOVAL_REPORTS = 2 * REPORTS_AVERAGED  # a range or key is removed after more such reports in a row
 
 
 class HotKeyStatus(NamedTuple):
-    """What proxies are told of a service: ranges to count key by key, and keys that are hot.
+    """The ranges that proxies are to count by key, and the hot keys of a service.
 
-    Travels as a list of two lists; a range is named by its first key over `KEYS_PER_RANGE`.
+    It is sent as a list of two lists. A range is identified by its index, which is its first key divided by
+    `KEYS_PER_RANGE`.
     """
 
     watched_ranges: tuple[int, ...]
@@ -35,66 +41,74 @@
 
 
 class SustainedRates:
-    """Ranges or keys whose rate reached a threshold in each of `REPORTS_HELD` reports, until it has been
-    under `RELEASE_RATE_FRACTION` of it for more than `RELEASE_REPORTS`.
+    """The items, ranges or keys, whose rate is sustained.
+
+    An item is added once its rate has reached the threshold in each of `REPORTS_HELD` reports. It is removed
+    once its rate has been below `REMOVAL_RATE_FRACTION` of the threshold in more than `REMOVAL_REPORTS`
+    reports in a row.
     """
 
     def __init__(self) -> None:
         self._recent_rates: deque[Counter] = deque(maxlen=REPORTS_HELD)
-        self._reports_below: dict[int, int] = {}  # in a row, by sustained range or key
+        self._low_reports: dict[int, int] = {}  # by sustained item: reports below the fraction, in a row
 
-    def __contains__(self, name: int) -> bool:
-        return name in self._reports_below
+    def __contains__(self, item: int) -> bool:
+        return item in self._low_reports
 
     def sustained(self) -> list[int]:
-        """The ranges or keys themselves."""
-        return list(self._reports_below)
+        """Return the sustained items."""
+        return list(self._low_reports)
 
-    def latest_rate(self, name: int) -> float:
-        """Requests a second in the newest report."""
-        return self._recent_rates[-1][name]
+    def latest_rate(self, item: int) -> float:
+        """Return the item's requests per second in the newest report."""
+        return self._recent_rates[-1][item]
 
     def record_rates(self, rates: Counter, threshold: float) -> None:
-        """One report: requests a second by range or key, and the rate that counts as reached."""
+        """Record one report.
+
+        Args:
+            rates: requests per second, by item.
+            threshold: requests per second at which a rate counts as reached. No item is added while it is 0.
+        """
         self._recent_rates.append(rates)
         if len(self._recent_rates) == REPORTS_HELD and threshold > 0:
-            for name in rates:
-                if all(report[name] >= threshold for report in self._recent_rates):
-                    self._reports_below[name] = 0
-        for name in self.sustained():
-            is_below = rates[name] < RELEASE_RATE_FRACTION * threshold
-            self._reports_below[name] = self._reports_below[name] + 1 if is_below else 0
-            if self._reports_below[name] > RELEASE_REPORTS:
-                self.release(name)
+            for item in rates:
+                if all(report[item] >= threshold for report in self._recent_rates):
+                    self._low_reports[item] = 0
+        for item in self.sustained():
+            is_low = rates[item] < REMOVAL_RATE_FRACTION * threshold
+            self._low_reports[item] = self._low_reports[item] + 1 if is_low else 0
+            if self._low_reports[item] > REMOVAL_REPORTS:
+                self.remove(item)
 
-    def release(self, name: int) -> None:
-        """Drop a range or key; it comes back once it has reached the threshold anew."""
-        del self._reports_below[name]
+    def remove(self, item: int) -> None:
+        """Remove an item. It is added again once its rate has reached the threshold in enough reports."""
+        del self._low_reports[item]
 
 
 class HotKeys:
-    """The watched ranges and hot keys of one service."""
+    """The watched ranges and the hot keys of one service."""
 
     def __init__(self) -> None:
         self._watched_ranges = SustainedRates()
         self._hot_keys = SustainedRates()
 
     def status(self) -> HotKeyStatus:
-        """What proxies are to know."""
+        """Return the watched ranges and the hot keys, both sorted."""
         return HotKeyStatus(
             tuple(sorted(self._watched_ranges.sustained())), tuple(sorted(self._hot_keys.sustained()))
         )
 
     def is_watched(self, key: int) -> bool:
-        """Whether the range of this key is counted key by key."""
+        """Whether proxies count the requests of this key's range by single key."""
         return key // KEYS_PER_RANGE in self._watched_ranges
 
     def is_hot(self, key: int) -> bool:
-        """Whether this key is asked for more than one worker can do."""
+        """Whether this key has more requests than one worker can serve."""
         return key in self._hot_keys
 
     def latest_rate(self, key: int) -> float:
-        """Requests a second for this key in the newest report."""
+        """Return the requests per second for this key in the newest report."""
         return self._hot_keys.latest_rate(key)
 
     def record_cycle(
@@ -104,31 +118,35 @@
         interval: float,
         worker_throughput: float,
     ) -> None:
-        """Take in what came at all proxies in one cycle.
+        """Record the requests at all proxies in one cycle.
 
         Args:
-            range_counts: requests by range, of ranges that were not watched.
-            key_counts: requests by key and proxy, of watched ranges.
+            range_counts: requests by index of the key range, for ranges that were not watched.
+            key_counts: requests by key and proxy, for watched ranges.
             interval: s that the counts span.
-            worker_throughput: requests a second that one worker can do.
+            worker_throughput: requests per second that one worker can serve.
         """
         range_rates = Counter({index: count / interval for index, count in range_counts.items()})
         key_rates = Counter(
-            {key: plausible_count(by_proxy) / interval for key, by_proxy in key_counts.items()}
+            {key: plausible_count(counts_by_proxy) / interval for key, counts_by_proxy in key_counts.items()}
         )
         for key, rate in key_rates.items():
             range_rates[key // KEYS_PER_RANGE] += rate
         self._watched_ranges.record_rates(range_rates, WATCH_RATE_FRACTION * worker_throughput)
-        self._release_coolest_ranges(range_rates)
+        self._limit_watched_ranges(range_rates)
         self._hot_keys.record_rates(key_rates, CAPACITY_LIMIT * worker_throughput)
 
-    def _release_coolest_ranges(self, range_rates: Counter) -> None:
-        hottest_first = sorted(self._watched_ranges.sustained(), key=lambda index: -range_rates[index])
-        for index in hottest_first[MAX_WATCHED_RANGES:]:
-            self._watched_ranges.release(index)
+    def _limit_watched_ranges(self, range_rates: Counter) -> None:
+        """Stop watching all but the `MAX_WATCHED_RANGES` ranges with the highest rates."""
+        highest_first = sorted(self._watched_ranges.sustained(), key=lambda index: -range_rates[index])
+        for index in highest_first[MAX_WATCHED_RANGES:]:
+            self._watched_ranges.remove(index)
 
 
-def plausible_count(by_proxy: Mapping[str, int]) -> int:
-    """Requests for a key, none of the proxies' counts taken as more than all others' together."""
-    largest, total = max(by_proxy.values()), sum(by_proxy.values())
-    return total if len(by_proxy) == 1 else min(total, 2 * (total - largest))
+def plausible_count(counts_by_proxy: Mapping[str, int]) -> int:
+    """Return the requests for a key, with no proxy's count larger than all other counts together.
+
+    If only one proxy reports the key, its count is returned unchanged.
+    """
+    largest, total = max(counts_by_proxy.values()), sum(counts_by_proxy.values())
+    return total if len(counts_by_proxy) == 1 else min(total, 2 * (total - largest))
--- a/bramblewood/controller/load_reports.py
+++ b/bramblewood/controller/load_reports.py
@@ -1,4 +1,4 @@
-"""Hands proxies' load reports to the parts that decide by them: placement, outlier detection, drain plans."""
+"""Distributes the load reports of proxies to placement, outlier detection and drain plans."""
 
 from ..common.messages import LoadReport
 from .coordinator_loop import CoordinatorLoop
@@ -8,7 +8,7 @@
 
 
 class LoadReports:
-    """Takes reports twice a second from each proxy; only the coordinator gets them."""
+    """Receives the load reports that each proxy sends to the coordinator, twice per second."""
 
     def __init__(
         self,
@@ -20,27 +20,33 @@
         self.drain_progress, self.outlier_detection = drain_progress, outlier_detection
 
     def record(self, now: float, proxy: str, report: LoadReport) -> None:
-        """Take one report of this proxy."""
-        seconds, heat, keys = report.seconds, report.heat, report.keys or {}
+        """Record one report of this proxy. The rows of unregistered workers are ignored."""
+        interval, range_counts, key_counts = report.seconds, report.heat, report.keys or {}
         if report.table_version is not None:
             self.drain_progress.record_report(proxy, report.table_version, report.in_flight or {})
-        # called hundreds of times a second with as many workers each: names looked up once
+        # attributes are looked up once: hundreds of reports per second have rows of hundreds of workers each
         last_heard, registrations = self.registry.last_heard, self.registry.registrations
-        record_attempts, heard_at = self.outlier_detection.record_attempts, now - seconds
-        by_service: dict[str, list] = {service: [] for service in {**heat, **keys}}
-        for instance_id, (attempts, unanswered, mean_time, load, *failed) in report.workers.items():
+        record_attempts, interval_start = self.outlier_detection.record_attempts, now - interval
+        by_service: dict[str, list] = {service: [] for service in {**range_counts, **key_counts}}
+        for instance_id, (attempts, unanswered, mean_time, load, *failures) in report.workers.items():
             registration = registrations.get(instance_id)
             if registration is None:
                 continue
-            record_attempts(proxy, instance_id, attempts, sum(failed))
+            record_attempts(proxy, instance_id, attempts, sum(failures))
             if attempts > unanswered:
-                last_heard[instance_id] = max(last_heard.get(instance_id, 0.0), heard_at)
+                last_heard[instance_id] = max(last_heard.get(instance_id, 0.0), interval_start)
             by_service.setdefault(registration.service, []).append(
-                worker_report(instance_id, attempts, unanswered, mean_time, seconds, load)
+                worker_report(instance_id, attempts, unanswered, mean_time, interval, load)
             )
         if self.coordinator_loop.is_coordinator:
             placement = self.coordinator_loop.placement
-            for service, workers in by_service.items():
+            for service, worker_reports in by_service.items():
                 placement.record_report(
-                    now, service, proxy, heat.get(service, {}), keys.get(service, {}), seconds, workers
+                    now,
+                    service,
+                    proxy,
+                    range_counts.get(service, {}),
+                    key_counts.get(service, {}),
+                    interval,
+                    worker_reports,
                 )
--- a/bramblewood/controller/outlier_detection.py
+++ b/bramblewood/controller/outlier_detection.py
@@ -1,15 +1,22 @@
-"""Outlier detection: which workers are unhealthy, by what proxies observed on their own requests. Pure.
-
-What a worker says of its own health is never asked for here: a false answer ejects nobody and brings nobody
-back. A worker is unhealthy where a quarter of its attempts, over five reports and in three turns in a row,
-ended with a failure of its own, at two proxies at least, and three times as many as at its service's usual
-worker. What one proxy alone observes is its own connection. Time-outs and broken connections don't count: a
-full worker resets what it has no slot for, and ejecting it loads the others; those are left to the proxies'
-backoff and to the policy.
-
-Ejections are agreed. They stand in the table's value under `EJECTIONS_KEY`, {instance id: [count, version]},
-so that a new coordinator and a new proxy know them. An ejected worker comes back by itself, after a time that
-doubles with each ejection; of a service at most a fifth is ejected at once.
+"""Outlier detection finds unhealthy workers by what proxies observe on their own requests.
+
+A worker's reports of its own health are not used, so a false report neither ejects a worker nor ends an
+ejection. A worker is unhealthy in a cycle if all of the following hold over the last five cycles:
+
+- At least a quarter of its attempts ended with a failure of the worker itself.
+- At least two proxies observed such failures. What a single proxy observes may be a fault of its connection.
+- Its failure rate is at least three times the median rate of its service's workers.
+
+A worker that is unhealthy in three cycles in a row is an outlier. Time-outs and broken connections do not
+count as failures: a full worker resets connections that it has no slot for, and its ejection would overload
+the other workers. The proxies' backoff and the policy handle these cases.
+
+Controllers agree on ejections. The table's value holds them under `EJECTIONS_KEY` as
+{instance id: [count, version]}, so that a new coordinator and a new proxy receive them. The duration of an
+ejection doubles with each further ejection of the worker. At most a fifth of a service's workers are ejected
+at once.
+
+The module does no I/O and reads no clock.
 """
 
 from collections import Counter, deque
@@ -22,20 +29,22 @@
 from .table_changes import ProposedTable, TableValue
 
 EJECTIONS_KEY = "h"  # in the table's value
-# of a worker's attempts that fail; lost and garbled answers stay below a tenth on the days played
+# failed fraction of a worker's attempts; lost and garbled answers stay below a tenth in the simulated runs
 MIN_FAILURE_RATE = 0.25
-USUAL_RATE_FACTOR = 3.0  # times the failure rate of the service's usual worker
-MIN_ATTEMPTS = 10  # over the reports; fewer say nothing
-MIN_PROXIES = 2  # that observed failures
-MAX_EJECTED_FRACTION = 0.2  # of a service's workers at once; more is a fault of the view
-FIRST_EJECTION = 4.0  # s, doubled with each further ejection
-MAX_DOUBLINGS = 3  # so 32 s at the most
-EJECTION_MEMORY = 60.0  # s in use after which a worker's ejections are forgotten
-
-
-class Ejection(NamedTuple):
-    """A worker's ejections as stored: how many there were, and the version of the table that made the last
-    one, or less the version that ended it.
+MEDIAN_RATE_FACTOR = 3.0  # multiple of the median failure rate of the service's workers
+MIN_ATTEMPTS = 10  # over the averaged cycles; a rate of fewer attempts is not significant
+MIN_FAILING_PROXIES = 2  # proxies that observed failures
+MAX_EJECTED_FRACTION = 0.2  # of a service's workers; more failures at once point to a fault of the observers
+FIRST_EJECTION_DURATION = 4.0  # s, doubled with each further ejection
+MAX_DOUBLINGS = 3  # limits the duration to 32 s
+EJECTION_RETENTION = 60.0  # s in use after which the count of a worker's ejections starts again from 0
+
+
+class EjectionRecord(NamedTuple):
+    """The stored record of a worker's ejections.
+
+    `ejection_count` is the number of ejections so far. `version` is the version of the table that started the
+    last ejection, or, negated, the version that ended it.
     """
 
     ejection_count: int
@@ -43,12 +52,12 @@
 
     @property
     def is_ejected(self) -> bool:
-        """Whether the worker is ejected now, not back."""
+        """Whether the last ejection has not ended."""
         return self.version > 0
 
 
-class WantedEjection(NamedTuple):
-    """What should stand for a worker: how many ejections there were, and whether it is ejected now."""
+class PlannedEjection(NamedTuple):
+    """The planned state of a worker: the number of its ejections, and whether it is ejected."""
 
     ejection_count: int
     is_ejected: bool
@@ -56,7 +65,7 @@
 
 @dataclass
 class AttemptCounts:
-    """Attempts at a worker, and how many of them ended with a failure of its own."""
+    """The attempts at a worker, and those of them that ended with a failure of the worker itself."""
 
     attempts: int = 0
     failures: int = 0
@@ -65,42 +74,43 @@
 CycleCounts = dict[str, dict[str, AttemptCounts]]  # by worker and proxy
 
 
-def ejections_of(value: TableValue | None) -> dict[str, Ejection]:
-    """The agreed ejections by instance id, of workers that are back too."""
-    stored = value.get(EJECTIONS_KEY, {}) if value else {}
-    return {instance_id: Ejection(*ejection) for instance_id, ejection in stored.items()}
+def ejections_of(table: TableValue | None) -> dict[str, EjectionRecord]:
+    """Return the agreed ejections by instance id, with those that have ended."""
+    stored = table.get(EJECTIONS_KEY, {}) if table else {}
+    return {instance_id: EjectionRecord(*fields) for instance_id, fields in stored.items()}
 
 
-def ejected_workers(value: TableValue | None) -> list[str]:
-    """The workers that are ejected, sorted."""
-    return sorted(instance_id for instance_id, ejection in ejections_of(value).items() if ejection.is_ejected)
+def ejected_workers(table: TableValue | None) -> list[str]:
+    """Return the instance ids of the workers that are ejected, sorted."""
+    return sorted(instance_id for instance_id, ejection in ejections_of(table).items() if ejection.is_ejected)
 
 
 class OutlierDetection:
-    """One controller's observations of all workers, and the ejections that follow from them."""
+    """One controller's observations of all workers, and the ejections that it plans from them."""
 
     def __init__(self) -> None:
         self._current_cycle: CycleCounts = {}
         self._past_cycles: deque[CycleCounts] = deque(maxlen=REPORTS_AVERAGED)
         self._unhealthy_cycles: Counter[str] = Counter()  # in a row, by worker
-        self._known_since: dict[tuple[str, Ejection], float] = {}  # by worker: when known to this controller
+        # by worker and record: when this controller first received the record
+        self._first_seen_at: dict[tuple[str, EjectionRecord], float] = {}
 
     def record_attempts(self, proxy: str, instance_id: str, attempts: int, failures: int) -> None:
-        """Take in what a proxy reports of a worker."""
-        by_proxy = self._current_cycle.setdefault(instance_id, {})
-        counts = by_proxy.get(proxy)
+        """Record the attempts at a worker that a proxy reports."""
+        counts_by_proxy = self._current_cycle.setdefault(instance_id, {})
+        counts = counts_by_proxy.get(proxy)
         if counts is None:
-            counts = by_proxy[proxy] = AttemptCounts()
+            counts = counts_by_proxy[proxy] = AttemptCounts()
         counts.attempts += attempts
         counts.failures += failures
 
-    def record_table(self, now: float, value: TableValue) -> None:
-        """Called with each newer table: the times of ejections begin as they become known."""
-        standing = ejections_of(value).items()
-        self._known_since = {one: self._known_since.get(one, now) for one in standing}
+    def record_table(self, now: float, table: TableValue) -> None:
+        """Record when the ejections of a newer table become known here; called with each newer table."""
+        agreed = ejections_of(table).items()
+        self._first_seen_at = {ejection: self._first_seen_at.get(ejection, now) for ejection in agreed}
 
     def find_outliers(self, services: Mapping[str, list[str]]) -> set[str]:
-        """End a cycle: the workers that have been unhealthy for `REPORTS_HELD` cycles.
+        """End a cycle, and return the workers that have been unhealthy for `REPORTS_HELD` cycles in a row.
 
         Args:
             services: the workers in use, by service.
@@ -118,83 +128,88 @@
         }
 
     def _unhealthy_workers(self, instance_ids: Iterable[str]) -> set[str]:
-        """The workers of one service that look unhealthy over the last cycles."""
+        """Return those of one service's workers that are unhealthy over the past cycles."""
         failure_rates: dict[str, float] = {}
         failing_proxies: dict[str, int] = {}
         for instance_id in instance_ids:
-            counts = [one for cycle in self._past_cycles for one in cycle.get(instance_id, {}).items()]
-            attempts = sum(one.attempts for _, one in counts)
+            counts = [item for cycle in self._past_cycles for item in cycle.get(instance_id, {}).items()]
+            attempts = sum(observed.attempts for _, observed in counts)
             if attempts >= MIN_ATTEMPTS:
-                failure_rates[instance_id] = sum(one.failures for _, one in counts) / attempts
-                failing_proxies[instance_id] = len({proxy for proxy, one in counts if one.failures})
-        threshold = max(MIN_FAILURE_RATE, USUAL_RATE_FACTOR * median(failure_rates.values()))
+                failure_rates[instance_id] = sum(observed.failures for _, observed in counts) / attempts
+                failing_proxies[instance_id] = len({proxy for proxy, observed in counts if observed.failures})
+        threshold = max(MIN_FAILURE_RATE, MEDIAN_RATE_FACTOR * median(failure_rates.values()))
         return {
             instance_id
             for instance_id, rate in failure_rates.items()
-            if rate >= threshold and failing_proxies[instance_id] >= MIN_PROXIES
+            if rate >= threshold and failing_proxies[instance_id] >= MIN_FAILING_PROXIES
         }
 
     def plan_ejections(
         self,
         now: float,
-        value: TableValue,
+        table: TableValue,
         outliers: set[str],
         services: Mapping[str, list[str]],
-    ) -> dict[str, WantedEjection]:
-        """The ejections that should stand now, by worker.
+    ) -> dict[str, PlannedEjection]:
+        """Return the ejections that the table should contain now, by worker.
 
         Args:
-            outliers: from `find_outliers`.
-            services: the workers in use, by service; ejections of others are dropped.
+            outliers: the workers that `find_outliers` has returned.
+            services: the workers in use, by service. The ejections of other workers are dropped.
         """
-        wanted = self._remaining_ejections(now, value)
+        planned = self._remaining_ejections(now, table)
         for instance_ids in services.values():
             ejected_count = sum(
-                wanted[instance_id].is_ejected for instance_id in instance_ids if instance_id in wanted
+                planned[instance_id].is_ejected for instance_id in instance_ids if instance_id in planned
             )
             allowed = int(MAX_EJECTED_FRACTION * len(instance_ids)) - ejected_count
             for instance_id in sorted(outliers.intersection(instance_ids)):
-                count, is_ejected = wanted.get(instance_id, WantedEjection(0, False))
+                count, is_ejected = planned.get(instance_id, PlannedEjection(0, False))
                 if not is_ejected and allowed > 0:
-                    wanted[instance_id] = WantedEjection(count + 1, True)
+                    planned[instance_id] = PlannedEjection(count + 1, True)
                     allowed -= 1
         in_use = {instance_id for instance_ids in services.values() for instance_id in instance_ids}
-        return {instance_id: one for instance_id, one in wanted.items() if instance_id in in_use}
+        return {instance_id: ejection for instance_id, ejection in planned.items() if instance_id in in_use}
+
+    def _remaining_ejections(self, now: float, table: TableValue) -> dict[str, PlannedEjection]:
+        """Return the agreed ejections after the passage of time, by worker.
 
-    def _remaining_ejections(self, now: float, value: TableValue) -> dict[str, WantedEjection]:
-        """What is left of the agreed ejections: those whose time is over end, old ones are forgotten."""
+        An ejection ends after its duration. A worker's record is dropped `EJECTION_RETENTION` s after that.
+        """
         remaining = {}
-        for instance_id, ejection in ejections_of(value).items():
-            age = now - self._known_since.get((instance_id, ejection), now)
+        for instance_id, ejection in ejections_of(table).items():
+            age = now - self._first_seen_at.get((instance_id, ejection), now)
             if ejection.is_ejected:
-                duration = FIRST_EJECTION * 2 ** min(ejection.ejection_count - 1, MAX_DOUBLINGS)
-                remaining[instance_id] = WantedEjection(ejection.ejection_count, age < duration)
-            elif age < EJECTION_MEMORY:
-                remaining[instance_id] = WantedEjection(ejection.ejection_count, False)
+                duration = FIRST_EJECTION_DURATION * 2 ** min(ejection.ejection_count - 1, MAX_DOUBLINGS)
+                remaining[instance_id] = PlannedEjection(ejection.ejection_count, age < duration)
+            elif age < EJECTION_RETENTION:
+                remaining[instance_id] = PlannedEjection(ejection.ejection_count, False)
         return remaining
 
 
 def with_ejections(
-    value: TableValue | None,
-    wanted: Mapping[str, WantedEjection],
-    seen: Mapping[str, Ejection],
+    table: TableValue | None,
+    planned: Mapping[str, PlannedEjection],
+    expected: Mapping[str, EjectionRecord],
 ) -> ProposedTable:
-    """The table with these ejections; None where nothing changes. What changes gets the new version.
+    """Return the table with the planned ejections, or None as the table if nothing changes.
+
+    Records that change get the version of the new table.
 
     Args:
-        seen: the ejections that stood as these were planned. Where another controller has changed them
-            since, nothing changes.
+        expected: the agreed ejections from which `planned` was made. If the table contains others by now,
+            another controller has changed them, and nothing changes.
     """
-    standing, version = ejections_of(value), (value["n"] if value else 0) + 1
-    if standing != seen:
+    agreed, version = ejections_of(table), (table["n"] if table else 0) + 1
+    if agreed != expected:
         return None, True
-    new = {}
-    for instance_id, (count, is_ejected) in wanted.items():
-        ejection = standing.get(instance_id)
+    updated = {}
+    for instance_id, (count, is_ejected) in planned.items():
+        ejection = agreed.get(instance_id)
         if ejection is None or (ejection.ejection_count, ejection.is_ejected) != (count, is_ejected):
-            ejection = Ejection(count, version if is_ejected else -version)
-        new[instance_id] = ejection
-    if value is None or new == standing:
+            ejection = EjectionRecord(count, version if is_ejected else -version)
+        updated[instance_id] = ejection
+    if table is None or updated == agreed:
         return None, True
-    stored = {instance_id: [*ejection] for instance_id, ejection in new.items()}
-    return {**value, "n": version, EJECTIONS_KEY: stored}, True
+    stored = {instance_id: [*ejection] for instance_id, ejection in updated.items()}
+    return {**table, "n": version, EJECTIONS_KEY: stored}, True
--- a/bramblewood/controller/table_changes.py
+++ b/bramblewood/controller/table_changes.py
@@ -1,19 +1,19 @@
-"""Types of changes of the agreed slice table, which placement, drain plans and ejections propose.
+"""Types of the changes of the agreed slice table that placement, drain plans and ejections propose.
 
-A change is a function from the value that stands to the value to propose, as other controllers may have
-changed it since this one last looked. It never alters the value that it gets. It gives None where nothing is
-to be proposed, and beside it what the proposer is told once the outcome is known: for changes that nobody
-waits for, a truth value.
+A change is a function from the present table to the table to propose. It runs when its turn to be proposed
+comes, because other controllers may have changed the table by then. It never modifies the table that it gets.
+It returns the new table, or None if there is nothing to propose, together with the outcome that the proposer
+receives when the proposal has finished. This outcome is a truth value for the changes that nobody waits for.
 """
 
 from collections.abc import Callable
 from typing import Any
 
-TableValue = dict[str, Any]  # the register's value; its form: `common/slice_table.py`
+TableValue = dict[str, Any]  # the value of the table's register; `common/slice_table.py` describes it
 ProposedTable = tuple[TableValue | None, bool]
 TableChange = Callable[[TableValue | None], ProposedTable]
 
 
 def empty_table() -> TableValue:
-    """What stands before the first change."""
+    """Return the table before the first change: version 0, without services."""
     return {"n": 0, "s": {}}
--- a/bramblewood/controller/zone_affinity.py
+++ b/bramblewood/controller/zone_affinity.py
@@ -1,22 +1,25 @@
-"""Zone affinity: what fraction of a zone's requests stays in the zone, for services without keys. Pure.
+"""Zone affinity: which fraction of a zone's requests stays in the zone, for services without keys.
 
-A request of such a service may go to any worker: its slice is a hash of its id, so a proxy may as well choose
-among the slices whose workers stand in its own zone. That saves traffic between zones, which is paid for, but
-overloads a zone with more requests than its part of the workers. So each zone's fraction starts at 0, grows
-while its workers are no busier than the others or half idle, and shrinks at twice the pace otherwise.
+The slice of such a request is a hash of its id, so any worker may serve it. A proxy may therefore choose
+among the slices whose workers are in its own zone. This saves paid traffic between zones, but it overloads a
+zone whose share of the requests exceeds its share of the workers. Each zone's fraction therefore starts at 0.
+It increases while the zone's workers are not much busier than the average or are at most half busy. Otherwise
+it decreases, twice as fast.
+
+The module does no I/O and reads no clock.
 """
 
 from collections.abc import Iterable
 from typing import NamedTuple
 
-# a cycle, of all the zone's requests: from 0 to all of them in twice the time that five reports take
+# change of a fraction per cycle; the increase from 0 to 1 takes twice as long as five reports
 FRACTION_INCREASE, FRACTION_DECREASE = 0.1, 0.2
-EVEN_UTILIZATION_FACTOR = 1.1  # times the mean of all zones that a zone's utilization may be
-IDLE_UTILIZATION = 0.5  # below it nothing waits, whatever the others have
+MAX_UTILIZATION_RATIO = 1.1  # of a zone's utilization to the mean utilization of all zones
+LOW_UTILIZATION = 0.5  # no request waits below this, whatever the utilization of the other zones
 
 
 class WorkerUtilization(NamedTuple):
-    """A worker in use: the part of its slots that was taken, averaged over five reports."""
+    """A worker in use: its zone, its slots, and the busy fraction of these, averaged over five reports."""
 
     zone: str
     slots: float
@@ -24,25 +27,25 @@
 
 
 class ZoneAffinity:
-    """The local fractions of one service's zones, 0 to 1."""
+    """The local fractions (0 to 1) of one service's zones."""
 
     def __init__(self) -> None:
         self.local_fractions: dict[str, float] = {}  # by zone
 
     def adjust(self, workers: Iterable[WorkerUtilization]) -> None:
-        """Move each zone's fraction one step; called once a cycle with all workers in use."""
+        """Change each zone's fraction by one step; called once per cycle with all workers in use."""
         slots: dict[str, float] = {}
         busy_slots: dict[str, float] = {}
         for zone, worker_slots, utilization in workers:
             slots[zone] = slots.get(zone, 0.0) + worker_slots
             busy_slots[zone] = busy_slots.get(zone, 0.0) + worker_slots * utilization
         mean_utilization = sum(busy_slots.values()) / (sum(slots.values()) or 1.0)
-        highest_utilization = max(EVEN_UTILIZATION_FACTOR * mean_utilization, IDLE_UTILIZATION)
+        max_utilization = max(MAX_UTILIZATION_RATIO * mean_utilization, LOW_UTILIZATION)
         local_fractions = {}
         for zone in slots:
-            may_grow = busy_slots[zone] / slots[zone] <= highest_utilization
+            may_increase = busy_slots[zone] / slots[zone] <= max_utilization
             fraction = self.local_fractions.get(zone, 0.0) + (
-                FRACTION_INCREASE if may_grow else -FRACTION_DECREASE
+                FRACTION_INCREASE if may_increase else -FRACTION_DECREASE
             )
             local_fractions[zone] = round(min(max(fraction, 0.0), 1.0), 2)
         self.local_fractions = local_fractions
--- a/features/steps/outlier_detection.py
+++ b/features/steps/outlier_detection.py
@@ -2,7 +2,7 @@
 
 from bramblewood.controller.outlier_detection import (
     OutlierDetection,
-    WantedEjection,
+    PlannedEjection,
     ejected_workers,
     ejections_of,
     with_ejections,
@@ -68,13 +68,13 @@
 
 @given("a table in which w0 is ejected")
 def one_worker_is_ejected(context):
-    context.value = with_ejections({"n": 1, "s": {}}, {"w0": WantedEjection(1, True)}, {})[0]
+    context.value = with_ejections({"n": 1, "s": {}}, {"w0": PlannedEjection(1, True)}, {})[0]
 
 
 @when("one controller ejects w1 too, and another, which missed that, takes w0 back")
 def two_controllers_decide(context):
     seen = ejections_of(context.value)
-    ejected, back = WantedEjection(1, True), WantedEjection(1, False)
+    ejected, back = PlannedEjection(1, True), PlannedEjection(1, False)
     for wanted in ({"w0": ejected, "w1": ejected}, {"w0": back}):
         context.value = with_ejections(context.value, wanted, seen)[0] or context.value
 
