--- a/features/hot_keys.feature
+++ b/features/hot_keys.feature
@@ -1,43 +1,43 @@
-Feature: A hot key is detected, and does not keep other keys waiting
+Feature: A hot key is detected and isolated, so that requests for other keys do not wait
 
-  Scenario: A key that becomes hot within a second
-    Given proxies d1 to d4 and workers that can do 10 requests a second
-    When 3 reports state 12 requests a second for key 4001
-    Then its range is watched, and no key is hot
-    When 3 reports state 12 requests a second for key 4001
+  Scenario: A key is hot after a sustained high rate, and no longer after a sustained low rate
+    Given proxies d1 to d4, and workers that each serve 10 requests per second
+    When 3 reports contain 12 requests per second for key 4001
+    Then the range of key 4001 is watched, and no key is hot
+    When 3 reports contain 12 requests per second for key 4001
     Then key 4001 is hot
-    When 4 reports state 3 requests a second for key 4001
+    When 4 reports contain 3 requests per second for key 4001
     Then key 4001 is hot
-    When 9 reports state 3 requests a second for key 4001
+    When 9 reports contain 3 requests per second for key 4001
     Then no key is hot
 
-  Scenario: Load that wanders over neighbouring keys, and a hundred warm ones
-    Given proxies d1 to d4 and workers that can do 10 requests a second
-    When 12 reports state 12 requests a second for one key of 4000 to 4007 after the other
-    Then its range is watched, and no key is hot
-    When 12 reports state 2 requests a second for each of 100 keys
+  Scenario: No key is hot if the load moves across adjacent keys, or is moderate on many keys
+    Given proxies d1 to d4, and workers that each serve 10 requests per second
+    When 12 reports contain 12 requests per second for one of the keys 4000 to 4007 in turn
+    Then the range of key 4001 is watched, and no key is hot
+    When 12 reports contain 2 requests per second for each of 100 keys
     Then no key is hot, and at most 8 ranges are watched
 
-  Scenario: A proxy that reports too much
-    Given proxies d1 to d4 and workers that can do 10 requests a second
-    When 12 reports of d1 alone state 500 requests a second for key 4001, and those of the others 1
+  Scenario: No key is hot if only one proxy reports a high rate
+    Given proxies d1 to d4, and workers that each serve 10 requests per second
+    When 12 reports contain 500 requests per second for key 4001 from d1, and 1 from the other proxies together
     Then no key is hot
 
-  Scenario: No range is watched while no key is hot
-    Given proxies d1 to d4 and workers that can do 10 requests a second
-    When 12 reports state 2 requests a second for key 4001
+  Scenario: No range is watched while all rates are low
+    Given proxies d1 to d4, and workers that each serve 10 requests per second
+    When 12 reports contain 2 requests per second for key 4001
     Then no range is watched
 
   Scenario: A hot key gets a slice and a worker of its own
-    Given 18 workers with their first table
-    When 14 reports state 30 requests a second for key 8193, 2 on each other slice of its worker, which is full
-    Then key 8193 is a slice of its own, and its worker has no other slice that gets requests
+    Given a service with 18 workers and its first slice table
+    When 14 reports contain 30 requests per second for key 8193 and 2 for each other slice of its worker, which is full
+    Then key 8193 has a slice of its own, and its worker has no other slice that receives requests
 
-  Scenario: Lookups take what a worker has left, effects pass
-    Given a gate that 20 lookups a second come to, whose worker turned one away
-    Then it lets 14 a second through
-    And an effect passes at once, and the next lookup goes so much later
-    And of two that wait the one of the higher rank goes first
-    And one whose turn would come too late is told so at once
+  Scenario: A rate limit delays idempotent requests only, and is lifted once the worker has free slots
+    Given a rate limit for a worker that receives 20 requests per second and has rejected one
+    Then 14 idempotent requests per second are sent
+    And a non-idempotent request is sent at once, and delays the next idempotent request
+    And of two waiting requests, the one with the higher priority is sent first
+    And a request whose turn would come too late is refused at once
     When the worker has answered for 3 s with free slots
-    Then it is open
+    Then the rate limit is lifted
--- a/features/steps/hot_keys.py
+++ b/features/steps/hot_keys.py
@@ -6,17 +6,18 @@
 from bramblewood.controller.hot_keys import HotKeys
 from bramblewood.proxy.hot_key_queue import REJECTED_RATE_FACTOR, HotKeyQueue
 
-REPORT_INTERVAL = 0.5  # s
+REPORT_INTERVAL = 0.5  # s between two reports of a proxy
 
 
-@given("proxies d1 to d4 and workers that can do {throughput:g} requests a second")
-def proxies(context, throughput):
+@given("proxies d1 to d4, and workers that each serve {throughput:g} requests per second")
+def proxies_and_workers(context, throughput):
     context.hot_keys, context.worker_throughput = HotKeys(), throughput
 
 
 def report(context, rates):
-    """One cycle of reports of requests a second by (key, proxy), as proxies count them: by key only where the
-    range is watched.
+    """Record one cycle of reports as proxies count them: by key in watched ranges, by range elsewhere.
+
+    rates: requests per second, by (key, proxy).
     """
     range_counts, key_counts = Counter(), {}
     for (key, proxy), rate in rates.items():
@@ -31,37 +32,41 @@
     return {(key, f"d{i}"): rate / 4 for i in range(1, 5)}
 
 
-@when("{count:d} reports state {rate:g} requests a second for key {key:d}")
+@when("{count:d} reports contain {rate:g} requests per second for key {key:d}")
 def report_key(context, count, rate, key):
     for _ in range(count):
         report(context, spread_evenly(key, rate))
 
 
 @when(
-    "{count:d} reports state {rate:g} requests a second for one key of {first:d} to {last:d} after the other"
+    "{count:d} reports contain {rate:g} requests per second for one of the keys {first:d} to {last:d} in turn"
 )
-def report_wandering_load(context, count, rate, first, last):
+def report_moving_load(context, count, rate, first, last):
     for i in range(count):
         report(context, spread_evenly(first + i % (last - first + 1), rate))
 
 
-@when("{count:d} reports state {rate:g} requests a second for each of {keys:d} keys")
-def report_warm_keys(context, count, rate, keys):
-    rates = {one: share for i in range(keys) for one, share in spread_evenly(i * 97, rate).items()}
+@when("{count:d} reports contain {rate:g} requests per second for each of {keys:d} keys")
+def report_many_keys(context, count, rate, keys):
+    rates = {
+        key_and_proxy: proxy_rate
+        for i in range(keys)
+        for key_and_proxy, proxy_rate in spread_evenly(i * 97, rate).items()
+    }
     for _ in range(count):
         report(context, rates)
 
 
 @when(
-    "{count:d} reports of d1 alone state {rate:g} requests a second for key {key:d}, "
-    "and those of the others {rest:g}"
+    "{count:d} reports contain {rate:g} requests per second for key {key:d} from d1, "
+    "and {rest:g} from the other proxies together"
 )
-def report_too_much(context, count, rate, key, rest):
+def report_high_rate_from_one_proxy(context, count, rate, key, rest):
     for _ in range(count):
         report(context, {(key, "d1"): rate} | {(key, f"d{i}"): rest / 3 for i in (2, 3, 4)})
 
 
-@then("its range is watched, and no key is hot")
+@then("the range of key 4001 is watched, and no key is hot")
 def range_is_watched(context):
     assert context.hot_keys.status() == ((4001 // KEYS_PER_RANGE,), ())
 
@@ -76,10 +81,10 @@
     assert context.hot_keys.status().hot_keys == ()
 
 
-@then("no key is hot, and at most {most:d} ranges are watched")
-def few_ranges_are_watched(context, most):
+@then("no key is hot, and at most {limit:d} ranges are watched")
+def few_ranges_are_watched(context, limit):
     status = context.hot_keys.status()
-    assert status.hot_keys == () and len(status.watched_ranges) <= most
+    assert status.hot_keys == () and len(status.watched_ranges) <= limit
 
 
 @then("no range is watched")
@@ -88,29 +93,29 @@
 
 
 @when(
-    "{reports:d} reports state {hot:g} requests a second for key {key:d}, "
-    "{rest:g} on each other slice of its worker, which is full"
+    "{reports:d} reports contain {hot:g} requests per second for key {key:d} "
+    "and {rest:g} for each other slice of its worker, which is full"
 )
-def report_full_worker(context, reports, hot, key, rest):
-    play = context.play
-    entries, worker = play.table["s"]["s"], play.owner(key)
-    rates = {int(start) + 256: rest for start, entry in entries.items() if entry[WORKER] == worker}
+def report_full_worker_with_hot_key(context, reports, hot, key, rest):
+    simulation = context.simulation
+    rows, worker = simulation.table["s"]["s"], simulation.owner(key)
+    rates = {int(start) + 256: rest for start, row in rows.items() if row[WORKER] == worker}
     rates[key] = hot
     for _ in range(reports):
-        play.run_cycle(rates, {play.owner(key)})
+        simulation.run_cycle(rates, {simulation.owner(key)})
     context.rates = rates
 
 
-@then("key {key:d} is a slice of its own, and its worker has no other slice that gets requests")
-def key_is_alone(context, key):
-    play, worker = context.play, context.play.owner(key)
-    assert {key, key + 1} <= set(sorted_starts(play.table["s"]["s"]))
-    others = [one for one in context.rates if one != key and play.owner(one) == worker]
-    assert not others, others
+@then("key {key:d} has a slice of its own, and its worker has no other slice that receives requests")
+def key_is_isolated(context, key):
+    simulation, worker = context.simulation, context.simulation.owner(key)
+    assert {key, key + 1} <= set(sorted_starts(simulation.table["s"]["s"]))
+    other_keys = [other for other in context.rates if other != key and simulation.owner(other) == worker]
+    assert not other_keys, other_keys
 
 
-@given("a gate that {rate:d} lookups a second come to, whose worker turned one away")
-def hot_key_queue(context, rate):
+@given("a rate limit for a worker that receives {rate:d} requests per second and has rejected one")
+def rate_limit(context, rate):
     context.hot_key_queue, context.now, context.rate = HotKeyQueue(), 10.0, rate
     for i in range(3 * rate):
         context.hot_key_queue.record_arrival(context.now + i / rate)
@@ -118,45 +123,45 @@
     context.hot_key_queue.reduce_rate(context.now, REJECTED_RATE_FACTOR)
 
 
-@then("it lets {rate:d} a second through")
-def lets(context, rate):
-    through = 0
-    for i in range(2000):  # somebody looks each millisecond
+@then("{rate:d} idempotent requests per second are sent")
+def idempotent_requests_are_sent(context, rate):
+    sent_count = 0
+    for i in range(2000):  # the queue is polled once per millisecond
         now = context.now + i / 1000
         if context.hot_key_queue.turn_at(now, f"r{i}", (1, now), now) == now:
-            through += 1
+            sent_count += 1
             context.hot_key_queue.record_passage(now)
     context.now += 2.0
-    assert abs(through - 2 * rate) <= 2, through
+    assert abs(sent_count - 2 * rate) <= 2, sent_count
 
 
-@then("an effect passes at once, and the next lookup goes so much later")
-def effect(context):
+@then("a non-idempotent request is sent at once, and delays the next idempotent request")
+def non_idempotent_request_is_sent(context):
     before = context.hot_key_queue.next_slot_at
     context.hot_key_queue.record_passage(context.now)
     assert context.hot_key_queue.next_slot_at > max(before, context.now)
 
 
-@then("of two that wait the one of the higher rank goes first")
-def ranks(context):
+@then("of two waiting requests, the one with the higher priority is sent first")
+def higher_priority_is_first(context):
     low = context.hot_key_queue.turn_at(context.now, "low", (2, 1.0), context.now + 1)
     high = context.hot_key_queue.turn_at(context.now, "high", (0, 2.0), context.now + 1)
     again = context.hot_key_queue.turn_at(context.now, "low", (2, 1.0), context.now + 1)
     assert high <= low < again
 
 
-@then("one whose turn would come too late is told so at once")
-def late(context):
+@then("a request whose turn would come too late is refused at once")
+def late_request_is_refused(context):
     assert context.hot_key_queue.turn_at(context.now, "late", (3, 3.0), context.now + 0.01) is None
     assert "late" not in context.hot_key_queue.waiting
 
 
-@when("the worker has answered for {span:g} s with free slots")
-def answered(context, span):
-    for i in range(int(span * 10)):
+@when("the worker has answered for {duration:g} s with free slots")
+def worker_answers(context, duration):
+    for i in range(int(duration * 10)):
         context.hot_key_queue.raise_rate(context.now + i / 10)
 
 
-@then("it is open")
-def is_open(context):
+@then("the rate limit is lifted")
+def rate_limit_is_lifted(context):
     assert not context.hot_key_queue.is_limiting
--- a/features/steps/placement.py
+++ b/features/steps/placement.py
@@ -1,34 +1,34 @@
 from behave import given, then, when
 
 from bramblewood.common.slice_table import KEYS_PER_RANGE, WORKER
-from tests.simulation.placement import CYCLE, Play
+from tests.simulation.placement import CYCLE, PlacementSimulation
 
 
-@given("{workers:d} workers with their first table")
+@given("a service with {workers:d} workers and its first slice table")
 def first_table(context, workers):
-    context.play = Play(3, workers)
-    while context.play.table is None:
-        context.play.run_cycle({})
-    for _ in range(16):  # until no move of the first table counts as unseen
-        context.play.run_cycle({})
+    context.simulation = PlacementSimulation(3, workers)
+    while context.simulation.table is None:
+        context.simulation.run_cycle({})
+    for _ in range(16):  # until the reports cover all moves of the first table
+        context.simulation.run_cycle({})
 
 
 @when(
-    "{reports:d} reports state of a worker that is full {hot:d} requests a second on {keys:d} keys in a row, "
-    "{rest:d} on each other slice of it"
+    "a full worker receives {hot:d} requests per second on {keys:d} adjacent keys of a slice "
+    "and {rest:d} on each of its other slices, in {reports:d} reports"
 )
-def report_full_worker(context, reports, hot, keys, rest):
-    play = context.play
-    entries, worker = play.table["s"]["s"], play.owner(8192)
-    rates = {int(start) + 256: 0.0 for start, entry in entries.items() if entry[WORKER] != worker}
-    rates |= {int(start) + 256: rest for start, entry in entries.items() if entry[WORKER] == worker}
+def report_full_worker_with_hot_slice(context, reports, hot, keys, rest):
+    simulation = context.simulation
+    rows, worker = simulation.table["s"]["s"], simulation.owner(8192)
+    rates = {int(start) + 256: 0.0 for start, row in rows.items() if row[WORKER] != worker}
+    rates |= {int(start) + 256: rest for start, row in rows.items() if row[WORKER] == worker}
     rates |= {8192 + i * KEYS_PER_RANGE: hot * KEYS_PER_RANGE / keys for i in range(keys // KEYS_PER_RANGE)}
-    context.reported_from = play.now
+    context.reported_from = simulation.now
     for _ in range(reports):
-        play.run_cycle(rates, {worker})
+        simulation.run_cycle(rates, {worker})
 
 
-@then("that slice was split by the third report")
-def slice_was_split(context):
-    delays = [at - context.reported_from for at in context.play.split_times]
+@then("the slice is split by the third report")
+def slice_is_split(context):
+    delays = [at - context.reported_from for at in context.simulation.split_times]
     assert delays and delays[0] <= 3 * CYCLE + 0.01, delays
--- a/features/steps/zone_affinity.py
+++ b/features/steps/zone_affinity.py
@@ -8,13 +8,13 @@
 SLOTS = 2  # of each worker
 
 
-@given("workers in zones a and b, with utilization {a:g} and {b:g}")
-def zones(context, a, b):
+@given("two workers in zone a and one in zone b, with utilization {a:g} in a and {b:g} in b")
+def workers_in_zones(context, a, b):
     context.zone_affinity = ZoneAffinity()
     set_utilization(context, a, b)
 
 
-@when("their utilization is {a:g} and {b:g}")
+@when("the utilization is {a:g} in a and {b:g} in b")
 def set_utilization(context, a, b):
     context.utilizations = [
         WorkerUtilization("a", SLOTS, a),
@@ -23,24 +23,27 @@
     ]
 
 
-@then("after {cycles:d} cycles all of a's requests stay")
+@then("after {cycles:d} cycles, all requests of zone a stay in it")
 def all_requests_stay(context, cycles):
     for _ in range(cycles):
         context.zone_affinity.adjust(context.utilizations)
     assert context.zone_affinity.local_fractions["a"] == 1.0
 
 
-@then("after {cycles:d} cycles {share:g} of a's requests stay, and all of b's")
-def fewer_requests_stay(context, cycles, share):
+@then("after {cycles:d} cycles, the fraction of requests that stay is {fraction:g} in a and 1 in b")
+def some_requests_stay(context, cycles, fraction):
     for _ in range(cycles):
         context.zone_affinity.adjust(context.utilizations)
-    assert context.zone_affinity.local_fractions == {"a": share, "b": 1.0}
+    assert context.zone_affinity.local_fractions == {"a": fraction, "b": 1.0}
 
 
-@given("a proxy of zone a whose zone keeps {share:g} of its requests, with workers in a and b")
-def proxy_of_zone(context, share):
+@given(
+    "a proxy in zone a that keeps {fraction:g} of its requests local, "
+    "and two workers in each of the zones a and b"
+)
+def proxy_in_zone(context, fraction):
     context.load_balancer = LoadBalancer(2.5, "a")
-    context.load_balancer.local_fractions = {"s": share}
+    context.load_balancer.local_fractions = {"s": fraction}
     for name, zone in (("w1", "a"), ("w2", "a"), ("w3", "b"), ("w4", "b")):
         context.load_balancer.registry.record(
             0.0, name, WorkerRegistration("s", f"{name}:1", zone, 2, "ready", 1)
@@ -51,7 +54,7 @@
     context.now = 10.0
 
 
-@when("the workers of a drain")
+@when("the workers in zone a drain")
 def workers_drain(context):
     context.now += 1.0
     for name in ("w1", "w2"):
@@ -60,14 +63,14 @@
         )
 
 
-@then("of {count:d} requests {share} to workers of a")
-def requests_go(context, count, share):
+@then("of {count:d} requests, {expected} to workers in zone a")
+def requests_go_to_zone(context, count, expected):
     chosen = [
         context.load_balancer.choose_worker(context.now, "s", None, f"request {i}", set())
         for i in range(count)
     ]
     local = sum(instance_id in ("w1", "w2") for instance_id in chosen)
-    if share.startswith("none"):
+    if expected.startswith("none"):
         assert local == 0, local
     else:
         assert abs(local / count - 0.75) < 0.06, local
--- a/features/zone_affinity.feature
+++ b/features/zone_affinity.feature
@@ -1,13 +1,13 @@
-Feature: Requests without keys stay in their zone as far as its workers can serve them
+Feature: Requests without keys stay in their zone while the zone's workers have capacity
 
-  Scenario: They stay while the zone's workers are no busier than the others
-    Given workers in zones a and b, with utilization 0.4 and 0.4
-    Then after 10 cycles all of a's requests stay
-    When their utilization is 0.9 and 0.5
-    Then after 3 cycles 0.4 of a's requests stay, and all of b's
+  Scenario: The fraction of requests that stay in a zone grows while its workers are no busier than the others, and shrinks otherwise
+    Given two workers in zone a and one in zone b, with utilization 0.4 in a and 0.4 in b
+    Then after 10 cycles, all requests of zone a stay in it
+    When the utilization is 0.9 in a and 0.5 in b
+    Then after 3 cycles, the fraction of requests that stay is 0.4 in a and 1 in b
 
-  Scenario: What stays goes to the zone's own workers only, as far as they are open
-    Given a proxy of zone a whose zone keeps 0.5 of its requests, with workers in a and b
-    Then of 400 requests about three quarters go to workers of a
-    When the workers of a drain
-    Then of 400 requests none goes to workers of a
+  Scenario: Requests that stay in a zone go only to the zone's ready workers
+    Given a proxy in zone a that keeps 0.5 of its requests local, and two workers in each of the zones a and b
+    Then of 400 requests, about three quarters go to workers in zone a
+    When the workers in zone a drain
+    Then of 400 requests, none goes to workers in zone a
--- a/tests/simulation/placement.py
+++ b/tests/simulation/placement.py
@@ -1,4 +1,4 @@
-"""Placement of one keyed service, fed with reports of given request rates, without sockets."""
+"""A simulation of the placement of one keyed service, without sockets, driven by reports of given rates."""
 
 import random
 
@@ -18,28 +18,33 @@
     worker_report,
 )
 
-CYCLE = 0.5  # s, between reports of a proxy
-HEARTBEAT = 1.5  # s, between calls of a worker
+CYCLE = 0.5  # s between two reports of the proxy
+HEARTBEAT = 1.5  # s between two heartbeats of a worker
 SLOTS = 2  # of each worker
-PLANS_PER_CYCLE = 3  # a controller plans more often than reports come
-FULL_LOAD, IDLE_LOAD = [SLOTS, 1, SLOTS], [0, 0, SLOTS]  # running, waiting, slots
+PLANS_PER_CYCLE = 3  # a controller plans more often than proxies report
+FULL_LOAD, IDLE_LOAD = [SLOTS, 1, SLOTS], [0, 0, SLOTS]  # running requests, queued requests, slots
 
 
-class Play:
-    """Workers, one proxy that reports each half second, and a table that takes every change."""
+class PlacementSimulation:
+    """Workers, one proxy that reports every `CYCLE` s, and a table that takes every planned change."""
 
     def __init__(self, seed: int, workers: int) -> None:
         self.random, self.now, self.registry, self.table = random.Random(seed), 100.0, WorkerRegistry(), None
         for i in range(workers):
-            row = WorkerRegistration("s", f"10.0.0.{i}:80", "z", SLOTS, "ready", 1)
-            self.registry.record(self.now, f"w{i}", row)
+            registration = WorkerRegistration("s", f"10.0.0.{i}:80", "z", SLOTS, "ready", 1)
+            self.registry.record(self.now, f"w{i}", registration)
         self.services = {"s": Service("s", "/", 100, True, 0.0)}
         self.planner = PlacementPlanner(self.now, HEARTBEAT)
         self.split_times: list[float] = []
         self.moves = 0
 
     def run_cycle(self, rates: dict[int, float], full_workers: set[str] = frozenset()) -> None:
-        """One cycle: requests a second by key; the workers named state that they are full, others idle."""
+        """Run one cycle.
+
+        Args:
+            rates: requests per second, by key.
+            full_workers: the workers that report full load. All others report that they are idle.
+        """
         self.now += CYCLE
         self.report(rates, full_workers)
         for _ in range(PLANS_PER_CYCLE):
@@ -51,16 +56,16 @@
             self.release_moved_slices()
 
     def report(self, rates: dict[int, float], full_workers: set[str]) -> None:
-        """What the proxy reports of one cycle."""
+        """Give the planner the proxy's report of one cycle; the arguments are those of `run_cycle`."""
         range_counts: dict[str, int] = {}
         key_counts: dict[str, int] = {}
         status = self.planner.hot_keys().get("s")
         for key, rate in rates.items():
             if status and key // KEYS_PER_RANGE in status.watched_ranges:
-                counts, name = key_counts, str(key)
+                counts, item = key_counts, str(key)
             else:
-                counts, name = range_counts, str(key // KEYS_PER_RANGE)
-            counts[name] = counts.get(name, 0) + int(rate * CYCLE + 0.5)
+                counts, item = range_counts, str(key // KEYS_PER_RANGE)
+            counts[item] = counts.get(item, 0) + int(rate * CYCLE + 0.5)
         worker_reports = [
             worker_report(
                 instance_id, 8, 0, 0.2, CYCLE, FULL_LOAD if instance_id in full_workers else IDLE_LOAD
@@ -70,16 +75,16 @@
         self.planner.record_report(self.now, "s", "d1", range_counts, key_counts, CYCLE, worker_reports)
 
     def release_moved_slices(self) -> None:
-        """Every previous owner releases at once."""
-        for start, entry in (self.table or {"s": {"s": {}}})["s"]["s"].items():
-            if previous_owner := entry[PREVIOUS_OWNER]:
+        """Let every previous owner release its slices at once."""
+        for start, row in (self.table or {"s": {"s": {}}})["s"]["s"].items():
+            if previous_owner := row[PREVIOUS_OWNER]:
                 changed, _ = clear_previous_owner(
-                    self.table, "s", (int(start),), entry[FENCING_TOKEN], previous_owner, ""
+                    self.table, "s", (int(start),), row[FENCING_TOKEN], previous_owner, ""
                 )
                 self.table = changed or self.table
 
     def owner(self, key: int) -> str:
-        """The worker whose slice has this key."""
-        entries = self.table["s"]["s"]
-        start = max(s for s in sorted_starts(entries) if s <= key)
-        return entries[str(start)][WORKER]
+        """Return the worker of the slice that contains this key."""
+        rows = self.table["s"]["s"]
+        start = max(s for s in sorted_starts(rows) if s <= key)
+        return rows[str(start)][WORKER]
--- a/tests/test_table_costs.py
+++ b/tests/test_table_costs.py
@@ -1,4 +1,6 @@
-"""What follows the slice table looks at what changed, and comes to what a look at all of it would."""
+"""`ReadReplicas` and `ProxyUpdates` process only the changed rows of a new slice table, with the result of
+processing the whole table.
+"""
 
 import random
 
@@ -13,18 +15,22 @@
 SERVICES = ("service-0", "service-1", "service-2")
 
 
-def changed_table(dice: random.Random, value: dict) -> dict:
-    """A few rows moved, with and without readers; at times a service is emptied, or the whole is copied."""
-    service, services = dice.choice(SERVICES), dict(value["s"])
+def changed_table(rng: random.Random, value: dict) -> dict:
+    """Return a table with a few rows replaced, with and without readers.
+
+    With low probability, a service loses all its rows. With low probability, the result is a plain map, which
+    does not hold its difference to `value`.
+    """
+    service, services = rng.choice(SERVICES), dict(value["s"])
     entries = dict(services.get(service, {}))
-    for _ in range(dice.randrange(1, 4)):
-        start, worker = str(dice.randrange(40)), f"w{dice.randrange(9)}"
-        readers = [{worker: dice.choice([-1, 1]) * value["n"]}] if dice.random() < 0.5 else []
+    for _ in range(rng.randrange(1, 4)):
+        start, worker = str(rng.randrange(40)), f"w{rng.randrange(9)}"
+        readers = [{worker: rng.choice([-1, 1]) * value["n"]}] if rng.random() < 0.5 else []
         entries[start] = [worker, "", 0.0, value["n"], "", "", *readers]
-    if dice.random() < 0.1:
+    if rng.random() < 0.1:
         entries = {}
-    made = {**value, "n": value["n"] + 1, "s": {**services, service: entries}}
-    return made if dice.random() < 0.2 else apply_difference(value, difference(value, made))
+    changed = {**value, "n": value["n"] + 1, "s": {**services, service: entries}}
+    return changed if rng.random() < 0.2 else apply_difference(value, difference(value, changed))
 
 
 def readers_in(value: dict) -> set[Reader]:
@@ -36,20 +42,20 @@
     }
 
 
-def test_readers_are_those_of_the_whole_table() -> None:
-    dice, replicas, value, since = random.Random(7), ReadReplicas(), {"n": 1, "s": {}}, {}
+def test_known_readers_equal_the_readers_in_the_whole_table() -> None:
+    rng, replicas, value, known_since = random.Random(7), ReadReplicas(), {"n": 1, "s": {}}, {}
     for now in range(ROUNDS):
-        value = changed_table(dice, value)
+        value = changed_table(rng, value)
         replicas.learn_table(float(now), value)
-        since = {reader: since.get(reader, float(now)) for reader in readers_in(value)}
-        assert replicas.known_since == since
-    assert len(since) > 5
+        known_since = {reader: known_since.get(reader, float(now)) for reader in readers_in(value)}
+        assert replicas.known_since == known_since
+    assert len(known_since) > 5
 
 
-def test_an_update_brings_a_proxy_to_the_table_that_stands() -> None:
-    dice, updates, value = random.Random(8), ProxyUpdates(), {"n": 1, "s": {}}
+def test_proxy_update_contains_exactly_the_changed_rows() -> None:
+    rng, updates, value = random.Random(8), ProxyUpdates(), {"n": 1, "s": {}}
     for _ in range(ROUNDS):
-        before, value = value, changed_table(dice, value)
+        before, value = value, changed_table(rng, value)
         updates.learn_table(value)
         changed = updates.changes[-1].changed_starts
         expected = {
@@ -63,23 +69,23 @@
         }
 
 
-def test_one_move_is_one_look(monkeypatch) -> None:
-    looked: list[str] = []
+def test_change_of_one_row_is_processed_as_one_row(monkeypatch) -> None:
+    processed: list[str] = []
 
-    def counting(old: dict, new: dict) -> list[str]:
-        found = [*changed_keys(old, new)]
-        looked.extend(found)
-        return found
+    def recording_changed_keys(old: dict, new: dict) -> list[str]:
+        keys = [*changed_keys(old, new)]
+        processed.extend(keys)
+        return keys
 
     value, replicas, updates = table(3000), ReadReplicas(), ProxyUpdates()
     replicas.learn_table(0.0, value)
     updates.learn_table(value)
-    monkeypatch.setattr(read_replicas, "changed_keys", counting)
-    monkeypatch.setattr(proxy_updates, "changed_keys", counting)
+    monkeypatch.setattr(read_replicas, "changed_keys", recording_changed_keys)
+    monkeypatch.setattr(proxy_updates, "changed_keys", recording_changed_keys)
     entries = {**value["s"]["service-0"], "3": ["w", "", 0.0, 9, "", "", {"r": 9}]}
-    made = {**value, "n": 2, "s": {**value["s"], "service-0": entries}}
-    moved = apply_difference(value, difference(value, made))
-    replicas.learn_table(1.0, moved)
-    updates.learn_table(moved)
-    assert looked == ["3", "3"]
+    changed = {**value, "n": 2, "s": {**value["s"], "service-0": entries}}
+    patched = apply_difference(value, difference(value, changed))
+    replicas.learn_table(1.0, patched)
+    updates.learn_table(patched)
+    assert processed == ["3", "3"]
     assert replicas.known_since == {Reader("service-0", 3, "r", 9): 1.0}
