--- a/features/steps/hot_keys.py
+++ b/features/steps/hot_keys.py
@@ -7,6 +7,7 @@
 from bramblewood.proxy.hot_key_queue import REJECTED_RATE_FACTOR, HotKeyQueue
 
 REPORT_INTERVAL = 0.5  # s between two reports of a proxy
+KEY_OFFSET = 256  # of a key in the middle of its slice of 512 keys
 
 
 @given("proxies d1 to d4, and workers that each serve {throughput:g} requests per second")
@@ -99,7 +100,7 @@
 def report_full_worker_with_hot_key(context, reports, hot, key, rest):
     simulation = context.simulation
     rows, worker = simulation.table["s"]["s"], simulation.owner(key)
-    rates = {int(start) + 256: rest for start, row in rows.items() if row[WORKER] == worker}
+    rates = {int(start) + KEY_OFFSET: rest for start, row in rows.items() if row[WORKER] == worker}
     rates[key] = hot
     for _ in range(reports):
         simulation.run_cycle(rates, {simulation.owner(key)})
--- a/features/steps/placement.py
+++ b/features/steps/placement.py
@@ -3,13 +3,17 @@
 from bramblewood.common.slice_table import KEYS_PER_RANGE, WORKER
 from tests.simulation.placement import CYCLE, PlacementSimulation
 
+HOT_SLICE_START = 8192  # with 18 workers, the table has 128 slices of 512 keys
+KEY_OFFSET = 256  # of a key in the middle of its slice
+SETTLING_CYCLES = 16  # until the reports cover all moves of the first table
+
 
 @given("a service with {workers:d} workers and its first slice table")
 def first_table(context, workers):
     context.simulation = PlacementSimulation(3, workers)
     while context.simulation.table is None:
         context.simulation.run_cycle({})
-    for _ in range(16):  # until the reports cover all moves of the first table
+    for _ in range(SETTLING_CYCLES):
         context.simulation.run_cycle({})
 
 
@@ -19,10 +23,13 @@
 )
 def report_full_worker_with_hot_slice(context, reports, hot, keys, rest):
     simulation = context.simulation
-    rows, worker = simulation.table["s"]["s"], simulation.owner(8192)
-    rates = {int(start) + 256: 0.0 for start, row in rows.items() if row[WORKER] != worker}
-    rates |= {int(start) + 256: rest for start, row in rows.items() if row[WORKER] == worker}
-    rates |= {8192 + i * KEYS_PER_RANGE: hot * KEYS_PER_RANGE / keys for i in range(keys // KEYS_PER_RANGE)}
+    rows, worker = simulation.table["s"]["s"], simulation.owner(HOT_SLICE_START)
+    rates = {int(start) + KEY_OFFSET: 0.0 for start, row in rows.items() if row[WORKER] != worker}
+    rates |= {int(start) + KEY_OFFSET: rest for start, row in rows.items() if row[WORKER] == worker}
+    rates |= {
+        HOT_SLICE_START + i * KEYS_PER_RANGE: hot * KEYS_PER_RANGE / keys
+        for i in range(keys // KEYS_PER_RANGE)
+    }
     context.reported_from = simulation.now
     for _ in range(reports):
         simulation.run_cycle(rates, {worker})
