--- a/bramblewood/controller/coordinator_loop.py
+++ b/bramblewood/controller/coordinator_loop.py
@@ -152,7 +152,7 @@
             table,
         )
         if changes:
-            moves = {
+            moves = {  # by service: the numbers of assignments and splits
                 service: (len(planned.assignments), len(planned.splits))
                 for service, planned in changes.items()
             }
--- a/bramblewood/controller/hot_keys.py
+++ b/bramblewood/controller/hot_keys.py
@@ -7,8 +7,8 @@
 threshold in more than ten reports in a row.
 
 Counts by key are exact, but they leave out the requests that arrive before the proxies have received the
-watch. No key is counted while no range is busy. The number of a proxy's counters is limited by the number of
-requests since its last report.
+watched range. No key is counted while no range is busy. A proxy has at most as many counters as it has
+handled requests since its last report.
 
 A single proxy that reports too many requests cannot make a key hot. If several proxies report a key, no
 proxy's count is taken as larger than the counts of all other proxies together.
--- a/bramblewood/controller/placement/planner.py
+++ b/bramblewood/controller/placement/planner.py
@@ -41,7 +41,7 @@
         self._first_table_due_at: dict[str, float] = {}  # by service
 
     def reset(self) -> None:
-        """Discard the state of all services, so that the next plan starts from the agreed table alone."""
+        """Discard the placement of every service, so that the next plan starts from the agreed table."""
         self._services.clear()
 
     def record_report(
@@ -84,7 +84,7 @@
             table: the agreed slice table; None before the first one.
         """
         changes = {}
-        agreed, out_of_use = table["s"] if table else {}, _workers_out_of_use(table)
+        rows_by_service, out_of_use = table["s"] if table else {}, _workers_out_of_use(table)
         unusable = timed_out | out_of_use
         for name, service in services.items():
             registrations = {
@@ -96,15 +96,15 @@
                 registration.phase == READY and instance_id not in unusable
                 for instance_id, registration in registrations.items()
             )
-            entries = agreed.get(name)
-            if not self._can_plan(now, name, entries, ready_count, registry):
+            rows = rows_by_service.get(name)
+            if not self._can_plan(now, name, rows, ready_count, registry):
                 continue
-            slice_count = len(entries) if entries else initial_slice_count(ready_count)
+            slice_count = len(rows) if rows else initial_slice_count(ready_count)
             placement = self._get_or_create_placement(name, service.sharded, slice_count, latency_targets)
             workers = _service_workers(registrations, timed_out, out_of_use, registry.warm_at)
             worker_reports = self._worker_reports.pop(name, [])
             service_changes = placement.plan_changes(
-                now, workers, entries, slice_count, worker_reports, service.read_replicas
+                now, workers, rows, slice_count, worker_reports, service.read_replicas
             )
             if service_changes:
                 changes[name] = service_changes
@@ -133,19 +133,19 @@
         self,
         now: float,
         service: str,
-        entries: Mapping[str, Row] | None,
+        rows: Mapping[str, Row] | None,
         ready_count: int,
         registry: WorkerRegistry,
     ) -> bool:
         """Whether enough workers are known to plan the slices of this service."""
-        if entries is None:  # the first table waits for a ready worker and for the end of discovery
+        if rows is None:  # the first table waits for a ready worker and for the end of discovery
             if not ready_count:
                 return False
             return now >= self._first_table_due_at.setdefault(service, now + self._discovery_duration)
         if now >= self._discovery_ends_at:
             return True
         # this controller has just started, so a worker that its registry lacks may still be running
-        return not any(row[WORKER] and row[WORKER] not in registry.registrations for row in entries.values())
+        return not any(row[WORKER] and row[WORKER] not in registry.registrations for row in rows.values())
 
     def _get_or_create_placement(
         self, service: str, keyed: bool, slice_count: int, latency_targets: Mapping[str, float]
--- a/bramblewood/controller/placement/rebalancing.py
+++ b/bramblewood/controller/placement/rebalancing.py
@@ -44,35 +44,35 @@
         self._last_cycle_at = LONG_AGO
         self._last_offload_at: dict[str, float] = {}  # by worker
 
-    def plan(self, now: float, entries: Mapping[str, Row], changing: Collection[int]) -> Rebalancing:
+    def plan(self, now: float, rows: Mapping[str, Row], reassigned: Collection[int]) -> Rebalancing:
         """Return the splits and assignments to make now. Between two cycles there are none.
 
         Args:
-            entries: the service's rows of the agreed table, by first key.
-            changing: first keys of the slices that the policy reassigns in the same turn. Rebalancing leaves
-                these slices to a later cycle.
+            rows: the service's rows of the agreed table, by first key.
+            reassigned: first keys of the slices that the policy reassigns in the same turn. Rebalancing
+                leaves these slices to a later cycle.
         """
         if now < self._last_cycle_at + REPORT_CYCLE:
             return Rebalancing([], {})
         self._last_cycle_at = now
         self._service_load.decay_recent_counts()
-        starts = sorted(map(int, entries))
-        if splits := self._isolate_hot_keys(starts, entries, changing):
+        starts = sorted(map(int, rows))
+        if splits := self._isolate_hot_keys(starts, rows, reassigned):
             return Rebalancing(splits, {})
-        splits = self._split_hot_slices(now, starts, entries, changing)
-        if splits or changing:
+        splits = self._split_hot_slices(now, starts, rows, reassigned)
+        if splits or reassigned:
             return Rebalancing(splits, {})
-        return Rebalancing([], self._offload_overloaded_workers(now, entries))
+        return Rebalancing([], self._offload_overloaded_workers(now, rows))
 
     def _isolate_hot_keys(
-        self, starts: list[int], entries: Mapping[str, Row], changing: Collection[int]
+        self, starts: list[int], rows: Mapping[str, Row], reassigned: Collection[int]
     ) -> list[SliceSplit]:
         """Return splits that give each hot key a slice of its own, at its present worker."""
         splits = []
         for key in self._service_load.hot_keys.status().hot_keys:
             start, end = _slice_bounds(starts, key)
-            row = entries[str(start)]
-            if start in changing or row[PREVIOUS_OWNER]:
+            row = rows[str(start)]
+            if start in reassigned or row[PREVIOUS_OWNER]:
                 continue
             assignment = Assignment.of_row(row)
             splits += [
@@ -83,7 +83,7 @@
         return splits
 
     def _split_hot_slices(
-        self, now: float, starts: list[int], entries: Mapping[str, Row], changing: Collection[int]
+        self, now: float, starts: list[int], rows: Mapping[str, Row], reassigned: Collection[int]
     ) -> list[SliceSplit]:
         """Return splits of the slices whose last `REPORTS_HELD` estimates exceed their worker's limit."""
         splits: list[SliceSplit] = []
@@ -92,8 +92,8 @@
             for hot_slice in self._manager.own_slices()
             if hot_slice.primary
             and hot_slice.primary.usable
-            and hot_slice.number not in changing
-            and not entries[str(hot_slice.number)][PREVIOUS_OWNER]
+            and hot_slice.number not in reassigned
+            and not rows[str(hot_slice.number)][PREVIOUS_OWNER]
         ]
         for hot_slice in candidates:
             limit = CAPACITY_LIMIT * self._worker_loads.capacity(hot_slice.primary)
@@ -124,7 +124,7 @@
             splits.append(SliceSplit(hot_slice.number, start, Assignment(target.name)))
         return splits
 
-    def _offload_overloaded_workers(self, now: float, entries: Mapping[str, Row]) -> dict[int, Assignment]:
+    def _offload_overloaded_workers(self, now: float, rows: Mapping[str, Row]) -> dict[int, Assignment]:
         """Return moves of the hottest slices away from overloaded workers.
 
         A worker is overloaded if its last `REPORTS_HELD` reports state that all its slots are busy, and its
@@ -135,11 +135,11 @@
         planner = self._manager.planner
         for worker, slices in planner.by_primary.items():
             if worker is not None and self._is_fully_utilized(now, worker):
-                assignments |= self._offload_worker(now, worker, slices, entries)
+                assignments |= self._offload_worker(now, worker, slices, rows)
         return assignments
 
     def _is_fully_utilized(self, now: float, worker: Worker) -> bool:
-        """Whether a usable worker reports full utilization, and its reports can show its last offload."""
+        """Whether a usable worker reports full utilization, in reports that reflect its last offload."""
         utilizations = [*worker.loads][-REPORTS_HELD:]
         if len(utilizations) < REPORTS_HELD or min(utilizations) < FULL_UTILIZATION or not worker.usable:
             return False
@@ -147,7 +147,7 @@
         return now >= self._last_offload_at.get(worker.name, LONG_AGO) + REPORT_LAG
 
     def _offload_worker(
-        self, now: float, worker: Worker, slices: list[Slice], entries: Mapping[str, Row]
+        self, now: float, worker: Worker, slices: list[Slice], rows: Mapping[str, Row]
     ) -> dict[int, Assignment]:
         """Return moves of the worker's hottest slices to workers with room, until its load fits its capacity.
 
@@ -164,7 +164,7 @@
                 break  # moving a slice as cool as the remaining ones costs more than it gains
             if heat > capacity or hot_keys.is_hot(candidate.number):
                 continue
-            if entries[str(candidate.number)][PREVIOUS_OWNER]:
+            if rows[str(candidate.number)][PREVIOUS_OWNER]:
                 continue
             target = loads.least_loaded(heat, excluding=worker)
             if target is None or loads.load_of(target) + heat > CAPACITY_LIMIT * loads.capacity(target):
--- a/bramblewood/controller/placement/replica_placement.py
+++ b/bramblewood/controller/placement/replica_placement.py
@@ -12,7 +12,7 @@
 
 
 def replica_changes(
-    entries: Mapping[str, Row], hot_keys: HotKeys, worker_loads: WorkerLoads
+    rows: Mapping[str, Row], hot_keys: HotKeys, worker_loads: WorkerLoads
 ) -> dict[int, list[str]]:
     """Return the new readers of each key whose readers change, by key.
 
@@ -20,14 +20,14 @@
     """
     changes = {}
     usable = {worker.name for worker in worker_loads.usable_workers()}
-    for start, row in entries.items():
+    for start, row in rows.items():
         key, entry, readers = int(start), SliceEntry.decode(row), active_readers(row)
         new_readers = [
             instance_id for instance_id in readers if instance_id in usable and instance_id != entry.worker
         ]
         if not hot_keys.is_hot(key):
             new_readers = []
-        elif str(key + 1) in entries and not entry.previous_owner:
+        elif str(key + 1) in rows and not entry.previous_owner:
             new_readers += _additional_readers(key, entry, len(new_readers), hot_keys, worker_loads)
         if new_readers != readers:
             changes[key] = new_readers
--- a/bramblewood/controller/placement/service_load.py
+++ b/bramblewood/controller/placement/service_load.py
@@ -11,8 +11,8 @@
 from ...policy.parameters import LONG_AGO
 from ..hot_keys import HotKeys
 
-# s between two reports of a proxy, and between two cycles of the policy; short, so that hot keys are spread
-# within seconds
+# s between two reports of a proxy, and between two cycles of the policy; short, so that the load of a hot key
+# is spread within seconds
 REPORT_CYCLE = 0.5
 # factor applied to recent counts each cycle; they then span about five reports, as the policy's averages do
 RECENT_COUNT_DECAY = 0.8
--- a/bramblewood/controller/placement/service_placement.py
+++ b/bramblewood/controller/placement/service_placement.py
@@ -107,7 +107,7 @@
         self,
         now: float,
         workers: ServiceWorkers,
-        entries: Mapping[str, Row] | None,
+        rows: Mapping[str, Row] | None,
         slice_count: int,
         worker_reports: Iterable[events.WorkerReported],
         has_read_replicas: bool,
@@ -115,25 +115,25 @@
         """Return the changes of the service's rows of the slice table; None if there are none.
 
         Args:
-            entries: the agreed rows by first key; None before the first table.
+            rows: the agreed rows by first key; None before the first table.
             slice_count: the number of slices that the service has, or gets with its first table.
             worker_reports: the proxies' observations of the service's workers since the last call.
             has_read_replicas: whether hot keys may have read replicas.
         """
         self._settings.slices = slice_count
-        current_entries = initial_rows(slice_count) if entries is None else entries
-        assignments = self._decide_assignments(now, workers, current_entries, worker_reports)
+        current_rows = initial_rows(slice_count) if rows is None else rows
+        assignments = self._decide_assignments(now, workers, current_rows, worker_reports)
         splits = []
         if self.keyed:
-            rebalancing = self._rebalancer.plan(now, current_entries, assignments)
+            rebalancing = self._rebalancer.plan(now, current_rows, assignments)
             splits = rebalancing.splits
             assignments |= rebalancing.assignments
             self._manager_assignments |= rebalancing.assignments
         else:
             self._adjust_zone_affinity(now)
         readers = {}
-        if has_read_replicas and entries:
-            readers = replica_changes(entries, self._service_load.hot_keys, self._worker_loads)
+        if has_read_replicas and rows:
+            readers = replica_changes(rows, self._service_load.hot_keys, self._worker_loads)
         if assignments or splits or readers:
             return SliceChanges(assignments, splits, slice_count, readers)
         return None
@@ -142,14 +142,14 @@
         self,
         now: float,
         workers: ServiceWorkers,
-        entries: Mapping[str, Row],
+        rows: Mapping[str, Row],
         worker_reports: Iterable[events.WorkerReported],
     ) -> dict[int, Assignment]:
         """Bring the manager up to date, let it decide, and return the new assignments by first key."""
         policy_events = [
             *self._update_workers(workers),
             *worker_reports,
-            *self._update_assignments(entries),
+            *self._update_assignments(rows),
             *self._service_load.end_cycle(now, self._manager_assignments, self._worker_loads.throughput),
         ]
         orders = self._manager.handle(now, policy_events)
@@ -179,11 +179,9 @@
         )
         return [events.WorkersListed(listed, complete=True)]
 
-    def _update_assignments(
-        self, entries: Mapping[str, Row]
-    ) -> list[events.SliceAssigned | events.RouteStored]:
+    def _update_assignments(self, rows: Mapping[str, Row]) -> list[events.SliceAssigned | events.RouteStored]:
         """Return the events that give the manager the assignments that differ from those that it holds."""
-        agreed = {int(start): Assignment.of_row(row) for start, row in entries.items()}
+        agreed = {int(start): Assignment.of_row(row) for start, row in rows.items()}
         policy_events: list[events.SliceAssigned | events.RouteStored] = []
         for start, assignment in agreed.items():
             if self._manager_assignments.get(start) == assignment:
--- a/bramblewood/controller/placement/slice_changes.py
+++ b/bramblewood/controller/placement/slice_changes.py
@@ -191,7 +191,7 @@
 ) -> ProposedTable:
     """Return the table with a new fencing token for those of these slices that still have `fencing_token`.
 
-    The coordinator proposes this after a slice's worker has rejected the token because it knows a higher one.
+    This is proposed after the slices' worker has rejected the token because it has received a higher one.
     """
 
     def raise_token(entry: SliceEntry, version: int) -> SliceEntry | None:
--- a/features/steps/hot_keys.py
+++ b/features/steps/hot_keys.py
@@ -60,11 +60,11 @@
 
 @when(
     "{count:d} reports contain {rate:g} requests per second for key {key:d} from d1, "
-    "and {rest:g} from the other proxies together"
+    "and {others_rate:g} from the other proxies together"
 )
-def report_high_rate_from_one_proxy(context, count, rate, key, rest):
+def report_high_rate_from_one_proxy(context, count, rate, key, others_rate):
     for _ in range(count):
-        report(context, {(key, "d1"): rate} | {(key, f"d{i}"): rest / 3 for i in (2, 3, 4)})
+        report(context, {(key, "d1"): rate} | {(key, f"d{i}"): others_rate / 3 for i in (2, 3, 4)})
 
 
 @then("the range of key 4001 is watched, and no key is hot")
@@ -94,15 +94,15 @@
 
 
 @when(
-    "{reports:d} reports contain {hot:g} requests per second for key {key:d} "
-    "and {rest:g} for each other slice of its worker, which is full"
+    "{count:d} reports contain {hot_rate:g} requests per second for key {key:d} "
+    "and {other_rate:g} for each other slice of its worker, which is full"
 )
-def report_full_worker_with_hot_key(context, reports, hot, key, rest):
+def report_full_worker_with_hot_key(context, count, hot_rate, key, other_rate):
     simulation = context.simulation
     rows, worker = simulation.table["s"]["s"], simulation.owner(key)
-    rates = {int(start) + KEY_OFFSET: rest for start, row in rows.items() if row[WORKER] == worker}
-    rates[key] = hot
-    for _ in range(reports):
+    rates = {int(start) + KEY_OFFSET: other_rate for start, row in rows.items() if row[WORKER] == worker}
+    rates[key] = hot_rate
+    for _ in range(count):
         simulation.run_cycle(rates, {simulation.owner(key)})
     context.rates = rates
 
@@ -147,8 +147,8 @@
 def higher_priority_is_first(context):
     low = context.hot_key_queue.turn_at(context.now, "low", (2, 1.0), context.now + 1)
     high = context.hot_key_queue.turn_at(context.now, "high", (0, 2.0), context.now + 1)
-    again = context.hot_key_queue.turn_at(context.now, "low", (2, 1.0), context.now + 1)
-    assert high <= low < again
+    low_again = context.hot_key_queue.turn_at(context.now, "low", (2, 1.0), context.now + 1)
+    assert high <= low < low_again
 
 
 @then("a request whose turn would come too late is refused at once")
--- a/features/steps/placement.py
+++ b/features/steps/placement.py
@@ -18,20 +18,20 @@
 
 
 @when(
-    "a full worker receives {hot:d} requests per second on {keys:d} adjacent keys of a slice "
-    "and {rest:d} on each of its other slices, in {reports:d} reports"
+    "a full worker receives {hot_rate:d} requests per second on {key_count:d} adjacent keys of a slice "
+    "and {other_rate:d} on each of its other slices, in {count:d} reports"
 )
-def report_full_worker_with_hot_slice(context, reports, hot, keys, rest):
+def report_full_worker_with_hot_slice(context, count, hot_rate, key_count, other_rate):
     simulation = context.simulation
     rows, worker = simulation.table["s"]["s"], simulation.owner(HOT_SLICE_START)
     rates = {int(start) + KEY_OFFSET: 0.0 for start, row in rows.items() if row[WORKER] != worker}
-    rates |= {int(start) + KEY_OFFSET: rest for start, row in rows.items() if row[WORKER] == worker}
+    rates |= {int(start) + KEY_OFFSET: other_rate for start, row in rows.items() if row[WORKER] == worker}
     rates |= {
-        HOT_SLICE_START + i * KEYS_PER_RANGE: hot * KEYS_PER_RANGE / keys
-        for i in range(keys // KEYS_PER_RANGE)
+        HOT_SLICE_START + i * KEYS_PER_RANGE: hot_rate * KEYS_PER_RANGE / key_count
+        for i in range(key_count // KEYS_PER_RANGE)
     }
     context.reported_from = simulation.now
-    for _ in range(reports):
+    for _ in range(count):
         simulation.run_cycle(rates, {worker})
 
 
--- a/features/steps/zone_affinity.py
+++ b/features/steps/zone_affinity.py
@@ -49,8 +49,8 @@
             0.0, name, WorkerRegistration("s", f"{name}:1", zone, 2, "ready", 1)
         )
     names = ("w1", "w2", "w3", "w4")
-    entries = {str(i * 8192): [names[i % 4], "", 0.01, 1, "", ""] for i in range(8)}
-    context.load_balancer.slices.apply(TableUpdate(1, {"s": entries}))
+    rows = {str(i * 8192): [names[i % 4], "", 0.01, 1, "", ""] for i in range(8)}
+    context.load_balancer.slices.apply(TableUpdate(1, {"s": rows}))
     context.now = 10.0
 
 
--- a/tests/test_table_costs.py
+++ b/tests/test_table_costs.py
@@ -22,22 +22,22 @@
     does not hold its difference to `value`.
     """
     service, services = rng.choice(SERVICES), dict(value["s"])
-    entries = dict(services.get(service, {}))
+    rows = dict(services.get(service, {}))
     for _ in range(rng.randrange(1, 4)):
         start, worker = str(rng.randrange(40)), f"w{rng.randrange(9)}"
         readers = [{worker: rng.choice([-1, 1]) * value["n"]}] if rng.random() < 0.5 else []
-        entries[start] = [worker, "", 0.0, value["n"], "", "", *readers]
+        rows[start] = [worker, "", 0.0, value["n"], "", "", *readers]
     if rng.random() < 0.1:
-        entries = {}
-    changed = {**value, "n": value["n"] + 1, "s": {**services, service: entries}}
+        rows = {}
+    changed = {**value, "n": value["n"] + 1, "s": {**services, service: rows}}
     return changed if rng.random() < 0.2 else apply_difference(value, difference(value, changed))
 
 
 def readers_in(value: dict) -> set[Reader]:
     return {
         Reader(service, int(start), instance_id, version)
-        for service, entries in value["s"].items()
-        for start, row in entries.items()
+        for service, rows in value["s"].items()
+        for start, row in rows.items()
         for instance_id, version in all_readers(row).items()
     }
 
@@ -59,10 +59,8 @@
         updates.learn_table(value)
         changed = updates.changes[-1].changed_starts
         expected = {
-            service: {
-                start for start, row in entries.items() if before["s"].get(service, {}).get(start) != row
-            }
-            for service, entries in value["s"].items()
+            service: {start for start, row in rows.items() if before["s"].get(service, {}).get(start) != row}
+            for service, rows in value["s"].items()
         }
         assert {service: {*starts} for service, starts in changed.items()} == {
             service: starts for service, starts in expected.items() if starts
@@ -82,8 +80,8 @@
     updates.learn_table(value)
     monkeypatch.setattr(read_replicas, "changed_keys", recording_changed_keys)
     monkeypatch.setattr(proxy_updates, "changed_keys", recording_changed_keys)
-    entries = {**value["s"]["service-0"], "3": ["w", "", 0.0, 9, "", "", {"r": 9}]}
-    changed = {**value, "n": 2, "s": {**value["s"], "service-0": entries}}
+    rows = {**value["s"]["service-0"], "3": ["w", "", 0.0, 9, "", "", {"r": 9}]}
+    changed = {**value, "n": 2, "s": {**value["s"], "service-0": rows}}
     patched = apply_difference(value, difference(value, changed))
     replicas.learn_table(1.0, patched)
     updates.learn_table(patched)
