--- a/bramblewood/controller/hot_keys.py
+++ b/bramblewood/controller/hot_keys.py
@@ -10,8 +10,8 @@
 watched range. No key is counted while no range is busy. A proxy has at most as many counters as it has
 handled requests since its last report.
 
-A single proxy that reports too many requests cannot make a key hot. If several proxies report a key, no
-proxy's count is taken as larger than the counts of all other proxies together.
+If several proxies report a key, no proxy's count is taken as larger than the counts of all other proxies
+together. A single proxy that reports too many requests therefore cannot make the key hot.
 
 The module does no I/O and reads no clock.
 """
