--- a/features/hot_keys.feature
+++ b/features/hot_keys.feature
@@ -29,8 +29,8 @@
     Then no range is watched
 
   Scenario: A hot key gets a slice and a worker of its own
-    Given a service with 18 workers and its first slice table
-    When 14 reports contain 30 requests per second for key 8193 and 2 for each other slice of its worker, which is full
+    Given 18 workers with their first table
+    When 14 reports state 30 requests a second for key 8193, 2 on each other slice of its worker, which is full
     Then key 8193 has a slice of its own, and its worker has no other slice that receives requests
 
   Scenario: A rate limit delays idempotent requests only, and is lifted once the worker has free slots
--- a/features/steps/hot_keys.py
+++ b/features/steps/hot_keys.py
@@ -94,11 +94,11 @@
 
 
 @when(
-    "{count:d} reports contain {hot_rate:g} requests per second for key {key:d} "
-    "and {other_rate:g} for each other slice of its worker, which is full"
+    "{count:d} reports state {hot_rate:g} requests a second for key {key:d}, "
+    "{other_rate:g} on each other slice of its worker, which is full"
 )
 def report_full_worker_with_hot_key(context, count, hot_rate, key, other_rate):
-    simulation = context.simulation
+    simulation = context.play
     rows, worker = simulation.table["s"]["s"], simulation.owner(key)
     rates = {int(start) + KEY_OFFSET: other_rate for start, row in rows.items() if row[WORKER] == worker}
     rates[key] = hot_rate
@@ -109,7 +109,7 @@
 
 @then("key {key:d} has a slice of its own, and its worker has no other slice that receives requests")
 def key_is_isolated(context, key):
-    simulation, worker = context.simulation, context.simulation.owner(key)
+    simulation, worker = context.play, context.play.owner(key)
     assert {key, key + 1} <= set(sorted_starts(simulation.table["s"]["s"]))
     other_keys = [other for other in context.rates if other != key and simulation.owner(other) == worker]
     assert not other_keys, other_keys
--- a/features/steps/placement.py
+++ b/features/steps/placement.py
@@ -8,13 +8,13 @@
 SETTLING_CYCLES = 16  # until the reports cover all moves of the first table
 
 
-@given("a service with {workers:d} workers and its first slice table")
+@given("{workers:d} workers with their first table")
 def first_table(context, workers):
-    context.simulation = PlacementSimulation(3, workers)
-    while context.simulation.table is None:
-        context.simulation.run_cycle({})
+    context.play = PlacementSimulation(3, workers)
+    while context.play.table is None:
+        context.play.run_cycle({})
     for _ in range(SETTLING_CYCLES):
-        context.simulation.run_cycle({})
+        context.play.run_cycle({})
 
 
 @when(
@@ -22,7 +22,7 @@
     "and {other_rate:d} on each of its other slices, in {count:d} reports"
 )
 def report_full_worker_with_hot_slice(context, count, hot_rate, key_count, other_rate):
-    simulation = context.simulation
+    simulation = context.play
     rows, worker = simulation.table["s"]["s"], simulation.owner(HOT_SLICE_START)
     rates = {int(start) + KEY_OFFSET: 0.0 for start, row in rows.items() if row[WORKER] != worker}
     rates |= {int(start) + KEY_OFFSET: other_rate for start, row in rows.items() if row[WORKER] == worker}
@@ -37,5 +37,5 @@
 
 @then("the slice is split by the third report")
 def slice_is_split(context):
-    delays = [at - context.reported_from for at in context.simulation.split_times]
+    delays = [at - context.reported_from for at in context.play.split_times]
     assert delays and delays[0] <= 3 * CYCLE + 0.01, delays
