--- a/bramblewood/controller/zone_affinity.py
+++ b/bramblewood/controller/zone_affinity.py
@@ -1,10 +1,10 @@
 """Zone affinity: which fraction of a zone's requests stays in the zone, for services without keys.
 
-The slice of such a request is a hash of its id, so any worker may serve it. A proxy may therefore choose
-among the slices whose workers are in its own zone. This saves paid traffic between zones, but it overloads a
-zone whose share of the requests exceeds its share of the workers. Each zone's fraction therefore starts at 0.
-It increases while the zone's workers are not much busier than the average or are at most half busy. Otherwise
-it decreases, twice as fast.
+Such a request is assigned to a slice by a hash of its id, so any worker may serve it. A proxy may therefore
+choose among the slices whose workers are in its own zone. This saves paid traffic between zones, but it
+overloads a zone whose share of the requests exceeds its share of the workers. Each zone's fraction therefore
+starts at 0. It increases while the zone's workers are not much busier than the average or are at most half
+busy. Otherwise it decreases, twice as fast.
 
 The module does no I/O and reads no clock.
 """
