--- a/bramblewood/controller/outlier_detection.py
+++ b/bramblewood/controller/outlier_detection.py
@@ -75,7 +75,7 @@
 
 
 def ejections_of(table: TableValue | None) -> dict[str, EjectionRecord]:
-    """Return the agreed ejections by instance id, with those that have ended."""
+    """Return the agreed ejections by instance id, including those that have ended."""
     stored = table.get(EJECTIONS_KEY, {}) if table else {}
     return {instance_id: EjectionRecord(*fields) for instance_id, fields in stored.items()}
 
--- a/bramblewood/controller/placement/service_placement.py
+++ b/bramblewood/controller/placement/service_placement.py
@@ -97,7 +97,7 @@
         return self._service_load.hot_keys.status()
 
     def capacity(self) -> ServiceCapacity:
-        """Return the busy slots of the service, and the slots that each usable worker has at its warmth."""
+        """Return the busy slots, and the slots of each usable worker, fewer while it is in slow start."""
         ready = self._manager.ready_workers()
         busy_slots = sum(mean(worker.loads) * worker.weight for worker in ready)
         slots = {worker.name: worker.weight * worker.warmth() for worker in ready if worker.usable}
--- a/bramblewood/controller/placement/slice_changes.py
+++ b/bramblewood/controller/placement/slice_changes.py
@@ -78,9 +78,10 @@
 
 
 def with_assignment(row: Row, assignment: Assignment, keyed: bool, version: int) -> Row:
-    """Return the row with this assignment in the table of this version.
+    """Return the row with this assignment.
 
-    In a keyed service, the old owner becomes the previous owner, which must release the keys first.
+    If the worker changes, `version`, the version of the new table, becomes the fencing token. In a keyed
+    service, the old owner then becomes the previous owner, which must release the keys first.
     """
     worker, second_worker, second_share = assignment
     entry = SliceEntry.decode(row)
