--- a/bramblewood/controller/key_leases.py
+++ b/bramblewood/controller/key_leases.py
@@ -1,20 +1,28 @@
-"""Key leases: which worker may hold which keys, until when. Pure; the caller makes the calls to workers and
-reports their answers.
-
-A keyed slice whose entry has no previous owner is granted to its worker, and the grant renewed. One with a
-previous owner is first released there. It is free once that release is answered; or once nobody listens any
-more at the previous owner's address, or another instance does; or once the longest grant that any controller
-may have sent has expired (`KeyLeases.expiry_wait`).
-
-Invariant: two workers never hold a lease on the same key. It rests on three bounds: a controller grants only
-while its contact with a quorum is fresh, so QUORUM_CONTACT_VALIDITY after a change was chosen no grant of an
-older table leaves any more; a call arrives within MAX_CALL_TRANSIT or not at all; a worker's clock runs at
-most CLOCK_DRIFT_FACTOR slow.
-
-The worker registry alone proves no end: a late message of an older instance at an address makes the younger
-one look gone. A call's answer, however late, says something of that call alone: an answered release frees
-just the slices that still stand under its fencing token with the same previous owner. Tokens rise with each
-move, and a worker refuses grants below one that it has seen.
+"""Key leases: which worker may serve which keys, and until when. Pure: the caller sends the calls to the
+workers and passes their results in.
+
+A keyed slice whose entry in the agreed table has no previous owner is granted to its worker, and the grant is
+renewed. For a slice with a previous owner, that owner is first called to release the keys. The previous owner
+is removed from the entry once one of these conditions holds:
+
+- The previous owner has acknowledged the release.
+- Another instance answers at the address of the previous owner.
+- The port of the previous owner refuses connections, and its deregistration or missing heartbeats confirm
+  that it has ended.
+- The longest grant that any controller can have sent has expired (`KeyLeases.expiry_wait`).
+
+Invariant: two workers never hold a lease on the same key. Three bounds ensure it:
+
+- A controller sends grants only while its quorum contact is valid. QUORUM_CONTACT_VALIDITY s after a change
+  of the table is chosen, no controller sends a grant that is based on an older table any more.
+- A call arrives within MAX_CALL_TRANSIT s, or it never arrives.
+- The clock of a worker is slow by a factor of at most CLOCK_DRIFT_FACTOR.
+
+The worker registry alone does not prove that an instance has ended: a delayed registration of an older
+instance at the same address marks the newer instance as gone. An answer, however late, concerns its own call
+only: an acknowledged release frees only those slices whose entries still have the fencing token and the
+previous owner of the call. Fencing tokens rise with each move, and a worker rejects a grant whose token is
+lower than one that it has received before.
 """
 
 from collections.abc import Iterator
@@ -25,24 +33,26 @@
 from ..common.timeouts import lease_expiry
 from ..common.worker_registry import GONE, WorkerRegistry
 
-# part of HoldMaxS that a grant lasts: some seconds without a quorum cost nothing, a dead worker's keys wait
-# as long
+# duration of a grant as a fraction of HoldMaxS. A longer grant survives a longer loss of the quorum, but the
+# keys of a dead worker wait as long for their next owner.
 LEASE_FRACTION = 0.6
-RENEWAL_FRACTION = 1 / 3  # of a lease after which it is renewed: two further attempts fit
-RETRY_DELAY = 0.3  # s between attempts of a call that failed
+# fraction of a lease after which it is renewed; time for two further attempts remains
+RENEWAL_FRACTION = 1 / 3
+RETRY_DELAY = 0.3  # s between the attempts of a failed call
 
-GRANT: Literal["grant"] = "grant"  # kinds of calls, as in their paths
+# kinds of calls; each is also the last segment of the path of its calls
+GRANT: Literal["grant"] = "grant"
 RELEASE: Literal["release"] = "release"
 
-# statuses of a call beside those of HTTP
+# results of a call, in addition to the HTTP statuses
 NO_ANSWER = 0
 CONNECTION_REFUSED = -1
-# another instance listens at the address, so the one that was called has ended
+# another instance listens at the address, so the instance that was called has ended
 OTHER_INSTANCE = HTTPStatus.MISDIRECTED_REQUEST
 
 
 class LeaseCall(NamedTuple):
-    """One call to a worker: grant or release of adjacent slices."""
+    """One call to a worker that grants or releases adjacent slices."""
 
     kind: Literal["grant", "release"]
     service: str
@@ -50,14 +60,14 @@
     address: str
     starts: tuple[int, ...]  # first keys of the slices
     first_key: int
-    last_key: int
+    last_key: int  # inclusive
     fencing_token: int
-    duration: float  # s that a grant lasts
-    handover: str  # what the previous owner passed on with its release
+    duration: float  # s, of a grant
+    handover: str  # data that the previous owner sent with its release, for the new owner
 
 
 class ReleasedKeys(NamedTuple):
-    """These slices are free of their previous owner: to be agreed on in the table."""
+    """Slices that their previous owner no longer holds. The agreed table does not show it yet."""
 
     service: str
     starts: tuple[int, ...]
@@ -78,7 +88,7 @@
 
 
 class CallKey(NamedTuple):
-    """What tells one call from another; attempts of the same call are alike in it."""
+    """Identifies a call. All attempts of the same call have equal keys."""
 
     kind: str
     service: str
@@ -88,7 +98,7 @@
 
 
 class PendingRelease(NamedTuple):
-    """A run of slices that waits for its previous owner."""
+    """Identifies a run of slices whose previous owner has not released them yet."""
 
     service: str
     first_key: int
@@ -97,7 +107,10 @@
 
 
 class SliceRun(NamedTuple):
-    """Adjacent slices of a service that are alike in all that a call says; entry: that of the first."""
+    """Adjacent slices of a service with equal lease terms, so that one call covers them.
+
+    `last_key` is inclusive. `entry` is the entry of the first slice.
+    """
 
     service: str
     starts: tuple[int, ...]
@@ -106,31 +119,37 @@
 
 
 class KeyLeases:
-    """The lease calls of one controller: what was granted, what is in flight, what waits for a release."""
+    """The lease state of one controller: acknowledged grants, calls in flight and pending releases.
+
+    All times are in s of this controller's steady clock.
+    """
 
     def __init__(self, max_lease: float) -> None:
-        """max_lease: s that a worker may hold keys without a renewal (HoldMaxS)."""
+        """max_lease: s for which a worker may hold keys without a renewal (HoldMaxS)."""
         self.lease_duration = max_lease * LEASE_FRACTION
         self.granted: dict[tuple[str, int], GrantedLease] = {}  # by service and first key
-        self.release_wanted_since: dict[PendingRelease, float] = {}  # when its change was known here
-        self.retry_at: dict[CallKey, float] = {}  # not before
+        # when the table with the pending release was first seen here
+        self.release_pending_since: dict[PendingRelease, float] = {}
+        self.retry_at: dict[CallKey, float] = {}  # earliest time of the next attempt, by failed call
         self.calls_in_flight: set[CallKey] = set()
 
     @property
     def expiry_wait(self) -> float:
-        """s after a change is known in which every grant that rests on an older table expires."""
+        """Time (s) after a change is known here until all grants based on an older table have expired."""
         return lease_expiry(self.lease_duration)
 
     def next_calls(
         self, now: float, table: dict[str, Any], keyed: set[str], registry: WorkerRegistry
     ) -> tuple[list[LeaseCall], list[ReleasedKeys]]:
-        """The calls to make now, and the slices that are free as their previous owner's lease has expired.
+        """Return the calls to send now, and the slices whose previous owner's lease has expired.
+
+        The returned calls are recorded as in flight until `call_finished` receives their results.
 
-        table: the agreed value (`common/slice_table.py`); keyed: the services whose slices are leased.
+        table: the agreed value (`common/slice_table.py`). keyed: the services whose slices are leased.
         """
         calls: list[LeaseCall] = []
         released: list[ReleasedKeys] = []
-        waiting: set[PendingRelease] = set()
+        pending_releases: set[PendingRelease] = set()
         for service in keyed & table["s"].keys():
             for run in slice_runs(service, table["s"][service]):
                 call = None
@@ -139,9 +158,9 @@
                         call = self._start_call(now, GRANT, run, run.entry.worker, registry)
                 else:
                     pending = pending_release(run)
-                    waiting.add(pending)
-                    wanted_since = self.release_wanted_since.setdefault(pending, now)
-                    if now >= wanted_since + self.expiry_wait:
+                    pending_releases.add(pending)
+                    pending_since = self.release_pending_since.setdefault(pending, now)
+                    if now >= pending_since + self.expiry_wait:
                         released.append(
                             ReleasedKeys(
                                 service, run.starts, pending.fencing_token, pending.previous_owner, ""
@@ -151,13 +170,15 @@
                         call = self._start_call(now, RELEASE, run, run.entry.previous_owner, registry)
                 if call is not None:
                     calls.append(call)
-        self.release_wanted_since = {
-            pending: since for pending, since in self.release_wanted_since.items() if pending in waiting
+        self.release_pending_since = {
+            pending: since
+            for pending, since in self.release_pending_since.items()
+            if pending in pending_releases
         }
         return calls, released
 
     def _needs_grant(self, now: float, run: SliceRun) -> bool:
-        """Whether a slice of the run is not granted as its entry says, or its renewal is due."""
+        """Whether a slice of the run lacks a grant with the present terms, or its renewal is due."""
         for start in run.starts:
             lease = self.granted.get((run.service, start), NEVER_GRANTED)
             if lease[:2] != (run.entry.worker, run.entry.fencing_token):
@@ -174,7 +195,11 @@
         instance_id: str,
         registry: WorkerRegistry,
     ) -> LeaseCall | None:
-        """The call, noted as in flight; None where the worker can't be called, or not yet."""
+        """Record a call to this instance as in flight, and return it.
+
+        Returns None if the address of the instance is unknown, if a grant is meant for an instance that is
+        gone, if the same call is in flight, or if its retry delay has not passed.
+        """
         registration = registry.registrations.get(instance_id)
         if registration is None or not registration.address:
             return None
@@ -198,43 +223,51 @@
         )
 
     def is_first_grant(self, call: LeaseCall) -> bool:
-        """Whether this grant renews nothing."""
+        """Whether this grant is not the renewal of an acknowledged grant."""
         lease = self.granted.get((call.service, call.first_key), NEVER_GRANTED)
         return lease[:2] != (call.instance_id, call.fencing_token)
 
     def call_finished(
-        self, now: float, call: LeaseCall, sent: float, status: int, handover: str, ended: bool
+        self, now: float, call: LeaseCall, sent_at: float, status: int, handover: str, has_ended: bool
     ) -> ReleasedKeys | None:
-        """Take the end of a call; the slices that it frees, if any.
+        """Record the result of a call, and return the slices that it frees, or None.
 
-        sent: when the call was sent; status: of HTTP, NO_ANSWER or CONNECTION_REFUSED; handover: what the
-        answer of a release passed on; ended: the worker has deregistered, or nobody hears it any more.
+        sent_at: when the call was sent. status: an HTTP status, NO_ANSWER or CONNECTION_REFUSED. handover:
+        the data in the answer to a release. has_ended: the worker has deregistered, or its heartbeats are
+        missing.
         """
         key = CallKey(call.kind, call.service, call.first_key, call.last_key, call.fencing_token)
         self.calls_in_flight.discard(key)
         self.retry_at = {other: at for other, at in self.retry_at.items() if at > now}
         if call.kind == GRANT:
             if status == HTTPStatus.OK:
-                self._note_granted(call, sent)
+                self._record_grant(call, sent_at)
             else:
                 self.retry_at[key] = now + RETRY_DELAY
             return None
-        if status in (HTTPStatus.OK, OTHER_INSTANCE) or status == CONNECTION_REFUSED and ended:
-            passed_on = handover if status == HTTPStatus.OK else ""
-            return ReleasedKeys(call.service, call.starts, call.fencing_token, call.instance_id, passed_on)
+        if status in (HTTPStatus.OK, OTHER_INSTANCE) or status == CONNECTION_REFUSED and has_ended:
+            valid_handover = handover if status == HTTPStatus.OK else ""
+            return ReleasedKeys(
+                call.service, call.starts, call.fencing_token, call.instance_id, valid_handover
+            )
         self.retry_at[key] = now + RETRY_DELAY
         return None
 
-    def _note_granted(self, call: LeaseCall, sent: float) -> None:
-        """Note an acknowledged grant; a late answer says nothing of a newer grant."""
+    def _record_grant(self, call: LeaseCall, sent_at: float) -> None:
+        """Record an acknowledged grant, unless a newer grant of the slice is already recorded."""
         for start in call.starts:
-            known = self.granted.get((call.service, start), NEVER_GRANTED)
-            if (known.fencing_token, known.sent_at) < (call.fencing_token, sent):
-                self.granted[call.service, start] = GrantedLease(call.instance_id, call.fencing_token, sent)
+            newest = self.granted.get((call.service, start), NEVER_GRANTED)
+            if (newest.fencing_token, newest.sent_at) < (call.fencing_token, sent_at):
+                self.granted[call.service, start] = GrantedLease(
+                    call.instance_id, call.fencing_token, sent_at
+                )
 
 
 def slice_runs(service: str, entries: dict[str, Row]) -> Iterator[SliceRun]:
-    """The slices that have a worker, adjacent ones that are alike in one run."""
+    """Yield the slices that have a worker, in the order of their keys, grouped by equal lease terms.
+
+    entries: the rows of the service, by first key.
+    """
     starts: list[int] = []
     first: SliceEntry | None = None
     for start in sorted_starts(entries):
@@ -250,11 +283,11 @@
 
 
 def lease_terms(entry: SliceEntry) -> tuple[str, int, str, str]:
-    """What slices of one call have in common."""
+    """The fields of an entry that must be equal for all slices of one call."""
     return entry.worker, entry.fencing_token, entry.handover, entry.previous_owner
 
 
 def pending_release(run: SliceRun) -> PendingRelease:
-    """The key under which a run's wait for its release is kept."""
+    """The identification of a run whose entry has a previous owner."""
     entry = run.entry
     return PendingRelease(run.service, run.starts[0], entry.fencing_token, entry.previous_owner)
--- a/bramblewood/controller/key_releases.py
+++ b/bramblewood/controller/key_releases.py
@@ -1,5 +1,7 @@
-"""Has the controllers agree that previous owners have released slices: one change of the slice table for all
-releases that wait. Until then the new owner is granted nothing.
+"""Proposes to remove previous owners that have released their slices from the agreed slice table.
+
+One proposal covers all pending releases. The new owner of a slice receives no grant until the change is
+agreed.
 """
 
 from collections.abc import Callable
@@ -12,22 +14,24 @@
 
 
 class KeyReleases:
-    """Released keys that are not in the table yet. One proposal is under way at a time."""
+    """The released slices that the agreed table does not show yet. At most one proposal is in flight."""
 
     def __init__(self, quorum_io: QuorumIO) -> None:
         self.quorum_io = quorum_io
-        self.waiting: dict[tuple, ReleasedKeys] = {}
+        # not in a proposal yet, by service, first keys and fencing token
+        self.pending: dict[tuple, ReleasedKeys] = {}
         self.is_proposing = False
-        self.on_progress: Callable[[], None] = lambda: None  # a proposal has ended
-        self.on_all_finished: Callable[[], None] = lambda: None  # and nothing waits any more
+        self.on_progress: Callable[[], None] = lambda: None  # called when a proposal has ended
+        # called after on_progress when no release is pending any more
+        self.on_all_finished: Callable[[], None] = lambda: None
 
     def add(self, released: ReleasedKeys) -> None:
-        """Have the controllers agree on a release, with the next proposal."""
-        self.waiting[released.service, released.starts, released.fencing_token] = released
+        """Propose a release together with all pending ones, now or after the proposal in flight has ended."""
+        self.pending[released.service, released.starts, released.fencing_token] = released
         if self.is_proposing:
             return
-        self.is_proposing, batch = True, list(self.waiting.values())
-        self.waiting.clear()
+        self.is_proposing, batch = True, list(self.pending.values())
+        self.pending.clear()
         self.quorum_io.propose(
             TABLE,
             lambda table: without_previous_owners(table, batch),
@@ -38,20 +42,21 @@
     def _proposal_finished(self, outcome: Any) -> None:
         self.is_proposing = False
         self.on_progress()
-        if self.waiting:
-            self.add(next(iter(self.waiting.values())))
+        if self.pending:
+            self.add(next(iter(self.pending.values())))
         else:
             self.on_all_finished()
 
 
 def without_previous_owners(table: Any, batch: list[ReleasedKeys]) -> tuple[Any, bool]:
-    """The table in which these slices are free of their previous owners, None where that changes nothing;
-    whether it does.
+    """Return the table without the previous owners of these slices, and True.
+
+    Returns None and False if no slice has the previous owner and the fencing token of its release any more.
     """
-    made, has_changed = table, False
+    changed_table, has_changed = table, False
     for released in batch:
-        after, was_found = clear_previous_owner(
-            made,
+        candidate, was_found = clear_previous_owner(
+            changed_table,
             released.service,
             released.starts,
             released.fencing_token,
@@ -59,5 +64,5 @@
             released.handover,
         )
         if was_found:
-            made, has_changed = after, True
-    return ({**made, "n": table["n"] + 1}, True) if has_changed else (None, False)
+            changed_table, has_changed = candidate, True
+    return ({**changed_table, "n": table["n"] + 1}, True) if has_changed else (None, False)
--- a/bramblewood/controller/lease_calls.py
+++ b/bramblewood/controller/lease_calls.py
@@ -1,4 +1,4 @@
-"""Calls to workers that grant or release keys, or lease a read replica, and what their answers mean."""
+"""Sends workers the calls that grant or release keys or lease read replicas, and handles their answers."""
 
 import asyncio
 import os
@@ -30,14 +30,15 @@
 from .worker_client import WorkerClient
 
 GRANT_TIMEOUT = 1.0  # s
-# a worker whose port refuses calls has ended once it was silent for this many of its heartbeat intervals
-MISSED_HEARTBEATS = 1.3
+# heartbeat intervals without a heartbeat after which a worker whose port refuses calls counts as ended
+MISSED_HEARTBEATS_WHEN_REFUSED = 1.3
 
 
 class LeaseCalls:
-    """Calls under way, their counts, and the connections that they use.
+    """The calls in flight, their counts, and the connections that they use.
 
-    Invariant: no call leaves after the quorum contact that it rests on has run out.
+    Invariant: a grant or replica lease is sent, and a release is started, only while the quorum contact on
+    which it is based is valid.
     """
 
     def __init__(
@@ -55,29 +56,33 @@
         self.key_leases, self.read_replicas, self.key_releases = key_leases, read_replicas, key_releases
         self.client = WorkerClient()
         self.tasks: set[asyncio.Task] = set()
-        self.refusals: dict[str, int] = {}  # by worker: calls in a row whose connection was refused
-        # names of metrics
+        self.consecutive_refusals: dict[str, int] = {}  # by instance id: refused connections in a row
+        # number of calls, by the name of their metric
         self.counts = dict.fromkeys(
             ("archive_grants", "archive_releases", "archive_leases", "archive_calls_failed"), 0
         )
 
     def start(self, call: Coroutine) -> None:
-        """Run a call as a task of its own."""
+        """Run a call as a task, which this object keeps until it ends."""
         task = asyncio.ensure_future(call)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def cancel_all(self) -> None:
-        """End the calls under way; their answers count no more."""
+        """Cancel the calls in flight, and wait until their tasks have ended. Their answers are ignored."""
         tasks = list(self.tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def grant_or_release(self, call: LeaseCall, until: float) -> None:
-        """One grant or release. until: when the quorum contact ends that it rests on, own clock in s."""
+    async def grant_or_release(self, call: LeaseCall, quorum_contact_until: float) -> None:
+        """Send one grant or release, and handle its result.
+
+        quorum_contact_until: end of the validity of the quorum contact on which the call is based, in s of
+        this controller's clock.
+        """
         sent_at = self.runtime.now()
-        status, handover = await self._send_lease_call(call, sent_at, until)
+        status, handover = await self._send_lease_call(call, sent_at, quorum_contact_until)
         self.counts[f"archive_{call.kind}s"] += 1
         self.counts["archive_calls_failed"] += status != HTTPStatus.OK
         now = self.runtime.now()
@@ -104,13 +109,14 @@
         ):
             self.registry_exchange.record(call.instance_id, registration._replace(phase=GONE))
 
-    async def _send_lease_call(self, call: LeaseCall, sent_at: float, until: float) -> tuple[int, str]:
-        """The call's status and handover; NO_ANSWER, CONNECTION_REFUSED where there was none.
+    async def _send_lease_call(self, call: LeaseCall, sent_at: float, send_by: float) -> tuple[int, str]:
+        """Send a call, and return its status and the handover in its answer.
 
-        A grant's connection must be up by `until`. A release needs contact as it starts, so that a freeze
-        doesn't lie before it; its connection may take longer, as whatever it frees stands in the table.
+        The status is NO_ANSWER or CONNECTION_REFUSED if no answer arrived. A grant is sent by `send_by` or
+        not at all. A release is only started by then, which excludes a freeze of this process since the call
+        was planned. Its connection may open later, because its effect is agreed in the table.
         """
-        if sent_at >= until:
+        if sent_at >= send_by:
             return NO_ANSWER, ""
         body = {"Source": call.first_key, "TargetVersion": call.last_key, "fence": call.fencing_token}
         timeout = self.key_leases.expiry_wait
@@ -120,12 +126,12 @@
                 body["Handover"] = call.handover
             timeout = GRANT_TIMEOUT
         else:
-            until = sent_at + timeout
+            send_by = sent_at + timeout
         try:
             async with asyncio.timeout(timeout):
-                return await self.send(call.kind, call.address, call.instance_id, body, until)
-        except WorkerUnreachable as problem:
-            return (CONNECTION_REFUSED if problem.is_refused else NO_ANSWER), ""
+                return await self.send(call.kind, call.address, call.instance_id, body, send_by)
+        except WorkerUnreachable as error:
+            return (CONNECTION_REFUSED if error.is_refused else NO_ANSWER), ""
         except (OSError, TimeoutError):
             return NO_ANSWER, ""
 
@@ -133,13 +139,15 @@
         self, now: float, instance_id: str, registration: WorkerRegistration | None, status: int
     ) -> bool:
         is_refused = status == CONNECTION_REFUSED
-        self.refusals[instance_id] = self.refusals.get(instance_id, 0) + 1 if is_refused else 0
-        since_heard = now - self.registry.last_heard.get(instance_id, 0.0)
+        self.consecutive_refusals[instance_id] = (
+            self.consecutive_refusals.get(instance_id, 0) + 1 if is_refused else 0
+        )
+        heartbeat_age = now - self.registry.last_heard.get(instance_id, 0.0)
         return (
             registration is None
             or registration.phase == GONE
-            or self.refusals[instance_id] > 1
-            and since_heard > MISSED_HEARTBEATS * self.runtime.settings.heartbeat_interval
+            or self.consecutive_refusals[instance_id] > 1
+            and heartbeat_age > MISSED_HEARTBEATS_WHEN_REFUSED * self.runtime.settings.heartbeat_interval
         )
 
     def _log_lease_call(self, call: LeaseCall, status: int) -> None:
@@ -150,12 +158,12 @@
             "fencing_token": call.fencing_token,
         }
         if status != HTTPStatus.OK:
-            self.runtime.log.info("call failed", status=status, **fields)
+            self.runtime.log.info("lease call failed", status=status, **fields)
         elif call.kind == RELEASE or self.key_leases.is_first_grant(call):
-            self.runtime.log.info("keys passed", **fields)
+            self.runtime.log.info("lease call acknowledged", **fields)
 
-    async def lease_replica(self, lease: ReplicaLease, until: float) -> None:
-        """One lease of a read replica. until: as of a grant."""
+    async def lease_replica(self, lease: ReplicaLease, quorum_contact_until: float) -> None:
+        """Send one lease of a read replica. quorum_contact_until: as for `grant_or_release`."""
         status, (_, key, instance_id, _) = NO_ANSWER, lease.reader
         body = {
             "Source": key,
@@ -166,7 +174,7 @@
         }
         try:
             async with asyncio.timeout(READ_LEASE_DURATION * RENEWAL_FRACTION):
-                status, _ = await self.send(GRANT, lease.address, instance_id, body, until)
+                status, _ = await self.send(GRANT, lease.address, instance_id, body, quorum_contact_until)
         except (WorkerUnreachable, OSError, TimeoutError):
             pass
         self.counts["archive_leases"] += 1
@@ -178,25 +186,29 @@
         address: str,
         instance_id: str,
         body: dict[str, Any],
-        until: float,
+        send_by: float,
         on_new_connection: bool = False,
     ) -> tuple[int, str]:
-        """A call about a worker's keys, not sent after `until` however long its connection takes to come up;
-        its status and handover. Raises WorkerUnreachable.
+        """Send a call to a worker, and return the status of its answer and the handover in it.
+
+        The call is not sent after `send_by` (s of this controller's clock), even if its connection opens
+        later. The status is NO_ANSWER if no answer to this call arrived. Raises WorkerUnreachable, and
+        TimeoutError if the connection does not open in time.
 
-        The status is NO_ANSWER where the worker's own answer did not come. One without an id proves no
-        release, but on a connection that carried nothing before: it may be a surplus one of an older call.
+        The answer to a release counts only if it has the attempt id of the call, or if the connection carried
+        no call before. Otherwise it may be a second answer to an earlier call, and the release is sent again
+        on a new connection.
         """
         attempt_id = f"{self.runtime.settings.name}-{os.urandom(8).hex()}"
         headers = {"X-Target-Instance": instance_id, "X-Attempt-Id": attempt_id}
-        if until <= self.runtime.now():
+        if send_by <= self.runtime.now():
             return NO_ANSWER, ""
         answer = await self.client.post(
-            address, f"/bramblewood/{kind}", headers, body, until, on_new_connection
+            address, f"/bramblewood/{kind}", headers, body, send_by, on_new_connection
         )
         if answer is None:
             return NO_ANSWER, ""
-        is_proven = "X-Attempt-Id" in answer.headers or answer.is_first_on_connection
-        if kind == RELEASE and not is_proven:
-            return await self.send(kind, address, instance_id, body, until, True)
+        is_own_answer = "X-Attempt-Id" in answer.headers or answer.is_first_on_connection
+        if kind == RELEASE and not is_own_answer:
+            return await self.send(kind, address, instance_id, body, send_by, True)
         return answer.status, answer.headers.get("X-Handover", "")
--- a/tests/simulation/key_lease_orders.py
+++ b/tests/simulation/key_lease_orders.py
@@ -100,7 +100,7 @@
                 ),
                 sorted(
                     (key, round(at - now, 1))
-                    for key, at in (key_leases.release_wanted_since | key_leases.retry_at).items()
+                    for key, at in (key_leases.release_pending_since | key_leases.retry_at).items()
                 ),
                 sorted(key_leases.calls_in_flight),
             ]
