--- a/bramblewood/controller/read_replicas.py
+++ b/bramblewood/controller/read_replicas.py
@@ -1,15 +1,19 @@
-"""Read replicas: which workers may answer lookups of a hot record beside its owner, until when. Pure.
-
-Only for services whose operator lets records be copied (`ReadCopies`). Readers stand in the record's entry of
-the agreed table, like its owner. A lease is granted on fresh contact with a quorum, under the fencing token,
-and short; a reader fetches the record from the owner as each lease without a replica arrives. Effects run at
-the owner alone.
-
-Invariant: no lookup gives an older record than an effect that was answered. A proxy answers an effect to its
-client only once every reader has dropped its replica, or the reader's last lease has expired
-(`proxy/replica_invalidation.py`). So the proxy must know the readers: between the choice of a reader and its
-first lease lie REPLICA_ANNOUNCEMENT_DELAY s, and a proxy answers only on a confirmation of its table, from a
-controller in contact with a quorum, that is younger than that delay less QUORUM_CONTACT_VALIDITY.
+"""Read replicas: which workers may answer idempotent requests for a hot key beside its owner, and until when.
+Pure.
+
+Replicas exist only for services whose configuration allows them (`ReadCopies`). The agreed table lists the
+readers of a key in the entry of its slice, as it lists the owner. Non-idempotent requests run at the owner
+only. A controller sends read leases only while its quorum contact is valid, and with the fencing token of the
+entry. A read lease is short. A reader that receives a lease and has no replica fetches it from the owner.
+
+Invariant: no answer to an idempotent request is older than the effect of a non-idempotent request that was
+answered before. A proxy answers a non-idempotent request only after every reader has dropped its replica, or
+after the last lease of that reader has expired (`proxy/replica_invalidation.py`). The proxy must therefore
+know all readers. Two rules ensure it:
+
+- At least REPLICA_ANNOUNCEMENT_DELAY s pass between the choice of a reader and its first lease.
+- Before it answers, a proxy has its table confirmed by a controller with quorum contact, less than
+  REPLICA_ANNOUNCEMENT_DELAY - QUORUM_CONTACT_VALIDITY s ago.
 """
 
 import math
@@ -25,78 +29,93 @@
 from .table_changes import ProposedTable, TableValue
 from .value_diff import changed_keys
 
-MAX_READERS = 8  # of one record; each costs a call each third of a lease and one for each effect
-NEVER = -1e9  # s on the steady clock, before any lease
+# readers of one key; each costs a call per third of a lease, and one call per non-idempotent request
+MAX_READERS = 8
+NO_LEASE_SENT_AT = -1e9  # s on the steady clock; stands for the send time of a reader without a lease
 
 
 class Reader(NamedTuple):
-    """A worker as reader of a record, as the table says it."""
+    """A worker that the agreed table lists as a reader, or a former reader, of a key."""
 
     service: str
     key: int
     instance_id: str
-    version: int  # of the table that made it one; negative: of the one that made it none
+    # version of the table that made it a reader; for a former reader, the negated version of the table that
+    # made it a former reader
+    version: int
 
 
 class ReplicaLease(NamedTuple):
-    """One call to a reader."""
+    """One call that grants a read lease to a reader."""
 
     reader: Reader
     address: str
     fencing_token: int
-    owner_address: str  # to fetch the record from
+    owner_address: str  # from which the reader fetches its replica
 
 
-def reader_count(rate: float, ability: float) -> int:
-    """Readers of a record that is asked for at this rate (requests a second), where one worker can do so
-    much (requests a second); 0 where that is not known.
+def reader_count(request_rate: float, worker_throughput: float) -> int:
+    """Return how many readers a key needs in addition to its owner.
+
+    request_rate: requests per second for the key. worker_throughput: requests per second that one worker can
+    serve; the result is 0 if it is not known (0 or less).
     """
-    if ability <= 0:
+    if worker_throughput <= 0:
         return 0
-    return min(max(math.ceil(rate / (CAPACITY_LIMIT * ability)) - 1, 0), MAX_READERS)
+    return min(max(math.ceil(request_rate / (CAPACITY_LIMIT * worker_throughput)) - 1, 0), MAX_READERS)
 
 
 class ReadReplicas:
-    """The read leases of one controller. All times in s of its steady clock."""
+    """The read leases of one controller. All times are in s of its steady clock."""
 
     def __init__(self) -> None:
-        self.services: dict[str, dict[str, Row]] = {}  # of the newest table known here
-        self.readers_of: dict[tuple[str, str], set[Reader]] = {}  # by service and first key; most have none
-        self.known_since: dict[Reader, float] = {}
-        self.last_lease_at: dict[Reader, float] = {}  # when it was sent
+        # rows of the newest known table, by service and first key
+        self.services: dict[str, dict[str, Row]] = {}
+        # by service and first key, without the slices that have no readers
+        self.readers_by_slice: dict[tuple[str, str], set[Reader]] = {}
+        self.known_since: dict[Reader, float] = {}  # when the table that lists the reader became known here
+        self.last_lease_at: dict[Reader, float] = {}  # send time of the last lease
         self.calls_in_flight: set[Reader] = set()
 
     def learn_table(self, now: float, table: dict[str, Any]) -> None:
-        """Take a newer table; called at every controller, also at those that send no leases now."""
+        """Update the readers from a newer table.
+
+        Every controller calls this, even one that is not the coordinator and sends no leases.
+        """
         services = table["s"]
         for service in {*self.services, *services}:
             known, entries = self.services.get(service, {}), services.get(service, {})
             if entries is known:
                 continue
             changed = [*changed_keys(known, entries)]
-            if len(known) + len(changed) > len(entries):  # else no slice can have gone
+            if len(known) + len(changed) > len(entries):  # otherwise no slice was removed
                 changed += known.keys() - entries.keys()
             for start in changed:
-                self._learn_row(now, service, start, entries.get(start))
+                self._update_readers(now, service, start, entries.get(start))
         self.services = services
 
-    def _learn_row(self, now: float, service: str, start: str, row: Row | None) -> None:
-        """Take a slice's new row, None where the slice is gone."""
+    def _update_readers(self, now: float, service: str, start: str, row: Row | None) -> None:
+        """Update the readers of a slice from its new row, which is None if the slice was removed."""
         versions = all_readers(row) if row is not None else {}
-        readers = {Reader(service, int(start), one, version) for one, version in versions.items()}
-        before = self.readers_of.pop((service, start), set())
+        readers = {
+            Reader(service, int(start), instance_id, version) for instance_id, version in versions.items()
+        }
+        previous_readers = self.readers_by_slice.pop((service, start), set())
         if readers:
-            self.readers_of[service, start] = readers
-        for reader in before - readers:
+            self.readers_by_slice[service, start] = readers
+        for reader in previous_readers - readers:
             del self.known_since[reader]
             self.last_lease_at.pop(reader, None)
-        for reader in readers - before:
+        for reader in readers - previous_readers:
             self.known_since[reader] = now
 
     def due_leases(
         self, now: float, table: dict[str, Any], registry: WorkerRegistry
     ) -> tuple[list[ReplicaLease], list[Reader]]:
-        """The leases to send now, and the former readers whose last lease has expired."""
+        """Return the leases to send now, and the former readers whose last lease has expired.
+
+        The returned leases are recorded as in flight until `lease_finished` receives their results.
+        """
         leases, expired = [], []
         for reader, since in self.known_since.items():
             row = table["s"].get(reader.service, {}).get(str(reader.key))
@@ -114,7 +133,11 @@
         return leases, expired
 
     def _lease_for(self, reader: Reader, entry: SliceEntry, registry: WorkerRegistry) -> ReplicaLease | None:
-        """The lease that this reader may get; None where it or the owner can't be called, or not now."""
+        """Return the lease for a reader.
+
+        Returns None if the reader is not ready, if the owner is not registered, if the previous owner has not
+        released the slice, or if a lease for the reader is in flight.
+        """
         registration = registry.registrations.get(reader.instance_id)
         owner = registry.registrations.get(entry.worker)
         if registration is None or owner is None or registration.phase != READY:
@@ -124,12 +147,15 @@
         return ReplicaLease(reader, registration.address, entry.fencing_token, owner.address)
 
     def _is_due(self, now: float, reader: Reader, since: float) -> bool:
-        """Whether all proxies know the reader by now, and its lease is to be renewed."""
-        renewal_at = self.last_lease_at.get(reader, NEVER) + READ_LEASE_DURATION * RENEWAL_FRACTION
+        """Whether the announcement delay of the reader has passed, and its lease must be sent or renewed."""
+        renewal_at = self.last_lease_at.get(reader, NO_LEASE_SENT_AT) + READ_LEASE_DURATION * RENEWAL_FRACTION
         return now >= since + REPLICA_ANNOUNCEMENT_DELAY and now >= renewal_at
 
     def lease_finished(self, now: float, lease: ReplicaLease, status: int) -> None:
-        """Take the end of a call; status: of HTTP, or NO_ANSWER. One that failed is tried again soon."""
+        """Record the result of a call. A failed call is due again after RETRY_DELAY s.
+
+        status: an HTTP status, or NO_ANSWER.
+        """
         self.calls_in_flight.discard(lease.reader)
         if status != HTTPStatus.OK and lease.reader in self.last_lease_at:
             self.last_lease_at[lease.reader] = now + RETRY_DELAY - READ_LEASE_DURATION * RENEWAL_FRACTION
@@ -138,7 +164,10 @@
 def with_changed_row(
     value: TableValue | None, service: str, key: int, change: Callable[[Row, int], Row]
 ) -> ProposedTable:
-    """The table with change(row, new version) for a record's row; None where that changes nothing."""
+    """Return the table with change(row, new version) in place of the row of a key.
+
+    The proposed value is None if the row does not exist or does not change.
+    """
     row = value["s"].get(service, {}).get(str(key)) if value else None
     changed = change(row, value["n"] + 1) if row else row
     if changed == row:
@@ -150,27 +179,27 @@
 def without_readers(
     value: TableValue | None, service: str, key: int, instance_ids: set[str]
 ) -> ProposedTable:
-    """The table with these workers readers of a record no more."""
+    """Return the table in which these workers are former readers of a key."""
 
     def change(row: Row, version: int) -> Row:
-        staying = [instance_id for instance_id in active_readers(row) if instance_id not in instance_ids]
-        return with_readers(row, staying, version)
+        remaining = [instance_id for instance_id in active_readers(row) if instance_id not in instance_ids]
+        return with_readers(row, remaining, version)
 
     return with_changed_row(value, service, key, change)
 
 
 def without_expired_readers(value: TableValue | None, expired: list[Reader]) -> ProposedTable:
-    """The table without former readers whose last lease has expired."""
+    """Return the table without these former readers, whose last leases have expired."""
     changed = value
     for reader in expired:
 
         def change(row: Row, _version: int, reader: Reader = reader) -> Row:
-            left = {
+            remaining = {
                 instance_id: version
                 for instance_id, version in all_readers(row).items()
                 if (instance_id, version) != (reader.instance_id, reader.version)
             }
-            return [*row[:READERS], *([left] if left else [])]
+            return [*row[:READERS], *([remaining] if remaining else [])]
 
         changed = with_changed_row(changed, reader.service, reader.key, change)[0] or changed
     if changed is value:
--- a/bramblewood/controller/worker_client.py
+++ b/bramblewood/controller/worker_client.py
@@ -1,8 +1,10 @@
-"""HTTP calls of a controller to workers, over the connections and the strict reader that proxies use too.
+"""HTTP calls of a controller to workers, with the connections and the strict response parser of the proxies.
 
-Invariant: a call is sent once. Its answer is read whole, and another call's answer is never taken for it
-(`common/connection_state.py`). Idle connections are kept for a while, a few to a worker: grants of its
-several runs of slices are renewed at the same moment.
+Invariant: a call is sent at most once. Its answer is read completely, and the answer to another call is never
+returned for it (`common/connection_state.py`).
+
+A few idle connections per worker are kept for a short time, because the grants of a worker's runs of slices
+are renewed at the same moment.
 """
 
 import asyncio
@@ -14,9 +16,9 @@
 from ..common.timeouts import UNACKNOWLEDGED_TIMEOUT_MS
 from ..common.worker_connection import WorkerConnection, connect
 
-KEEP_ALIVE = 4.0  # s that an idle connection to a worker is kept
+KEEP_ALIVE = 4.0  # s for which an idle connection to a worker is kept
 MAX_IDLE_PER_WORKER = 8
-ANSWER_TIMEOUT = 60.0  # s; callers bound their calls themselves, by less
+ANSWER_TIMEOUT = 60.0  # s; an upper limit, as callers set shorter timeouts of their own
 
 
 class WorkerAnswer(NamedTuple):
@@ -24,14 +26,16 @@
 
     status: int
     headers: CIMultiDict[str]
-    is_first_on_connection: bool  # nothing was sent there before, so no answer of another call can come
+    # the connection carried no call before, so it cannot deliver the answer to another call
+    is_first_on_connection: bool
 
 
 class WorkerClient:
-    """The idle connections to workers, by address; the one used last at the end."""
+    """Sends calls to workers, and keeps the idle connections."""
 
     def __init__(self) -> None:
-        self.idle: dict[str, list[WorkerConnection]] = {}
+        # by address, in the order of their last use
+        self.idle_connections: dict[str, list[WorkerConnection]] = {}
 
     async def post(
         self,
@@ -42,11 +46,13 @@
         connect_by: float,
         on_new_connection: bool,
     ) -> WorkerAnswer | None:
-        """One call, not sent after `connect_by` (s of the loop's clock); None where no answer to it came.
+        """Send one POST request and return its answer, or None if it is not sent or no answer arrives.
+
+        Nothing is sent after `connect_by` (s of the loop's clock). `headers` must contain `X-Attempt-Id`. An
+        answer without this header is accepted too. The caller decides by `is_first_on_connection` whether
+        such an answer belongs to this call.
 
-        headers: `X-Attempt-Id` among them. An answer without that field is taken too; the caller looks at
-        what the connection carried before. Raises WorkerUnreachable, and TimeoutError where no connection
-        was made in time.
+        Raises WorkerUnreachable if the connection fails, and TimeoutError if it is not open by `connect_by`.
         """
         loop = asyncio.get_running_loop()
         connection = None if on_new_connection else self._take_idle(address, loop.time())
@@ -63,47 +69,47 @@
             loop.time() + ANSWER_TIMEOUT,
             accepts_unnamed=True,
         )
-        self._keep(address, connection)
+        self._keep_or_close(address, connection)
         if result.answer is None:
             return None
         return WorkerAnswer(result.answer.status, result.answer.headers_by_name, is_first)
 
     def _take_idle(self, address: str, now: float) -> WorkerConnection | None:
-        idle = self.idle.get(address, [])
-        while idle:
-            connection = idle.pop()
+        connections = self.idle_connections.get(address, [])
+        while connections:
+            connection = connections.pop()
             if connection.is_reusable and now - connection.idle_since < KEEP_ALIVE:
                 return connection
             connection.close()
         return None
 
-    def _keep(self, address: str, connection: WorkerConnection) -> None:
-        idle = self.idle.setdefault(address, [])
-        if not connection.is_reusable or len(idle) >= MAX_IDLE_PER_WORKER:
+    def _keep_or_close(self, address: str, connection: WorkerConnection) -> None:
+        connections = self.idle_connections.setdefault(address, [])
+        if not connection.is_reusable or len(connections) >= MAX_IDLE_PER_WORKER:
             connection.close()
             return
-        idle.append(connection)
+        connections.append(connection)
         connection.loop.call_later(KEEP_ALIVE, self._close_idle, address, connection, connection.idle_since)
 
     def _close_idle(self, address: str, connection: WorkerConnection, idle_since: float) -> None:
-        """Close a connection that nobody has used since."""
-        idle = self.idle.get(address, [])
-        if connection in idle and connection.idle_since == idle_since:
-            idle.remove(connection)
+        """Close a connection that was not used after `idle_since`."""
+        connections = self.idle_connections.get(address, [])
+        if connection in connections and connection.idle_since == idle_since:
+            connections.remove(connection)
             connection.close()
-        if not idle:
-            self.idle.pop(address, None)
+        if not connections:
+            self.idle_connections.pop(address, None)
 
     def close(self) -> None:
         """Close all idle connections."""
-        for connections in self.idle.values():
+        for connections in self.idle_connections.values():
             for connection in connections:
                 connection.close()
-        self.idle.clear()
+        self.idle_connections.clear()
 
 
 def encode_request(address: str, path: str, headers: dict[str, str], body: dict[str, Any]) -> bytes:
-    """The bytes of a POST with a JSON body."""
+    """Return the bytes of a POST request with `body` as JSON."""
     content = json.dumps(body).encode()
     fields = {
         "Host": address,
