--- a/bramblewood/controller/drain_plans.py
+++ b/bramblewood/controller/drain_plans.py
@@ -1,21 +1,21 @@
-"""Drain plans: which workers are taken out of service, as controllers agree on it. Pure.
+"""Drain plans: which workers the controllers agree to take out of service. Pure.
 
-Plans and the steps of their workers stand in the slice table's value, under `PLANS_KEY`:
+The value of the slice table contains the plans, and the drain steps of their workers, under `PLANS_KEY`:
 
     {"plans": {name: {"service", "lives", "wave", "state", "why"}},
      "out": {instance id: [plan, step, version]}}
 
-A worker's steps, each known to all before the next begins:
+The drain of a worker has these steps:
 
-    DRAIN_ANNOUNCED     it is in a plan, and serves as before
-    DRAIN_IN_PROGRESS   proxies start nothing there, its keys move to other workers
-    DRAINED             each proxy has confirmed that it starts nothing there
-    OUT_OF_SERVICE      it owns no keys, and no proxy has work in flight there: it may be stopped
+    DRAIN_ANNOUNCED     The worker is in a plan. It still serves requests.
+    DRAIN_IN_PROGRESS   Proxies send it no new work. Its keys move to other workers.
+    DRAINED             Each proxy has confirmed that it sends the worker no new work.
+    OUT_OF_SERVICE      The worker owns no keys and no proxy has work in flight there. It may be stopped.
 
-Steps only rise within a plan; cancelling a plan takes its workers into use again, at whatever step they are.
-When the next step is due: `drain_progress.py`.
+Invariant: within a plan, a worker only moves to later steps. A cancelled plan returns all its workers to use,
+whatever their steps are. `drain_progress.py` decides when the next step is due.
 
-Functions that change plans are changes as `table_changes.py` states them.
+The functions that change plans return proposals for the table in the form that `table_changes.py` defines.
 """
 
 from collections.abc import Mapping
@@ -25,14 +25,17 @@
 from ..common.worker_registry import READY, WorkerRegistry
 from .table_changes import ProposedTable, TableValue, empty_table
 
-PLANS_KEY = "w"  # in the table's value
+PLANS_KEY = "w"  # key of the plans in the value of the table
 RUNNING, STOPPED, CANCELLED, DONE = "running", "stopped", "back", "done"  # states of a plan, as stored
-ENDED_PLANS_KEPT = 20  # to be shown
-STOPPED_BY_OPERATOR = "asked for"  # why a plan ended, as stored
+ENDED_PLANS_KEPT = 20  # cancelled and finished plans that remain in the table for the operators' views
+STOPPED_BY_OPERATOR = "asked for"  # reason of a plan that an operator stopped or cancelled, as stored
 
 
 class DrainPlan(NamedTuple):
-    """A plan. `wave_size` workers are drained at a time; `reason` says why the plan ended, if it has."""
+    """A plan to drain workers of one service, `wave_size` of them at a time, in the order of their ids.
+
+    `reason` is why the plan was stopped or cancelled. It is empty for a plan that is running or done.
+    """
 
     service: str
     instance_ids: list[str]
@@ -42,11 +45,11 @@
 
     @classmethod
     def from_stored(cls, stored: Mapping[str, Any]) -> "DrainPlan":
-        """A plan from its form in the table's value."""
+        """Return the plan that `stored` encoded."""
         return cls(stored["service"], stored["lives"], stored["wave"], stored["state"], stored["why"])
 
     def stored(self) -> dict[str, Any]:
-        """The form in the table's value, and in operators' views."""
+        """Return the plan as it is stored in the table and shown in the operators' views."""
         return {
             "service": self.service,
             "lives": self.instance_ids,
@@ -57,7 +60,7 @@
 
 
 class WorkerDrain(NamedTuple):
-    """How far a worker's drain is: its plan, its step, and the version of the table that made that step."""
+    """A worker's drain: its plan, its step, and the version of the table in which that step began."""
 
     plan: str
     step: str
@@ -65,9 +68,10 @@
 
 
 class StepChange(NamedTuple):
-    """A worker's next step, and the version of the step that it follows.
+    """A worker's next step, and the `WorkerDrain.version` of the step that it follows.
 
-    That version fences it: that all proxies follow that version of the table says nothing of a later plan's.
+    The change is void if the version differs by the time of its proposal. The confirmations of the proxies
+    are for that version, and do not hold for the step of a later plan.
     """
 
     step: str
@@ -75,53 +79,53 @@
 
 
 class PlanEnd(NamedTuple):
-    """The state in which a plan ends, and why."""
+    """The state in which a plan ends, and the reason."""
 
     state: str
     reason: str
 
 
-class Answer(NamedTuple):
-    """What the operator who changes a plan is told: an HTTP status, and the plan's state or what is wrong."""
+class PlanAnswer(NamedTuple):
+    """The answer to the operator who changes a plan: an HTTP status, and the plan's state or the error."""
 
     status: int
-    reason: str
+    text: str
 
 
 def plans_of(value: TableValue | None) -> dict[str, DrainPlan]:
-    """The agreed plans by name, those that have ended of late too."""
+    """Return the agreed plans by name, including the last ones that have ended."""
     stored = value.get(PLANS_KEY, {}).get("plans", {}) if value else {}
     return {name: DrainPlan.from_stored(plan) for name, plan in stored.items()}
 
 
 def worker_drains_of(value: TableValue | None) -> dict[str, WorkerDrain]:
-    """The drains of all workers in plans, by instance id."""
+    """Return the drains of all workers in plans, by instance id."""
     stored = value.get(PLANS_KEY, {}).get("out", {}) if value else {}
     return {instance_id: WorkerDrain(*drain) for instance_id, drain in stored.items()}
 
 
 def drain_steps_of(value: TableValue | None) -> dict[str, str]:
-    """The steps of all workers in plans, by instance id, as proxies and the placement need them."""
+    """Return the drain steps of all workers in plans, by instance id."""
     return {instance_id: drain.step for instance_id, drain in worker_drains_of(value).items()}
 
 
 def workers_in_use(registry: WorkerRegistry, service: str, drains: Mapping[str, WorkerDrain]) -> list[str]:
-    """Workers of a service that are ready and in no plan, sorted."""
+    """Return the instance ids of a service's workers that are ready and in no plan, sorted."""
     return [
         instance_id
-        for instance_id, row in sorted(registry.registrations.items())
-        if row.service == service and row.phase == READY and instance_id not in drains
+        for instance_id, registration in sorted(registry.registrations.items())
+        if registration.service == service and registration.phase == READY and instance_id not in drains
     ]
 
 
 def _with_plans(
     value: TableValue, plans: Mapping[str, DrainPlan], drains: Mapping[str, WorkerDrain]
 ) -> TableValue:
-    """The value with these plans and drains. Of plans that are over only the newest are kept."""
-    over = [name for name, plan in plans.items() if plan.state in (CANCELLED, DONE)]
-    forgotten = over[:-ENDED_PLANS_KEPT]
+    """Return the value with these plans and drains, without the oldest plans that are cancelled or done."""
+    ended = [name for name, plan in plans.items() if plan.state in (CANCELLED, DONE)]
+    expired = ended[:-ENDED_PLANS_KEPT]
     stored = {
-        "plans": {name: plan.stored() for name, plan in plans.items() if name not in forgotten},
+        "plans": {name: plan.stored() for name, plan in plans.items() if name not in expired},
         "out": {instance_id: [*drain] for instance_id, drain in drains.items()},
     }
     return {**value, "n": value["n"] + 1, PLANS_KEY: stored}
@@ -134,54 +138,60 @@
     instance_ids: list[str],
     wave_size: int,
     remaining: int,
-) -> tuple[TableValue | None, Answer]:
-    """The table with a new plan. Safe to repeat: the same plan again is answered with its state.
+) -> tuple[TableValue | None, PlanAnswer]:
+    """Return the table with a new plan, or None, and the answer to the operator.
+
+    The call may be repeated: the answer to a plan that already exists is its state.
 
     Args:
         instance_ids: the workers to drain, in the order of the waves.
-        remaining: how many workers in use the plan leaves the service.
+        remaining: number of the service's workers in use that are not in the plan.
     """
     value = value or empty_table()
     plans, drains = plans_of(value), worker_drains_of(value)
     plan = DrainPlan(service, instance_ids, wave_size)
     if name in plans:
         if plans[name]._replace(state=RUNNING, reason="") == plan:
-            return None, Answer(200, plans[name].state)
-        return None, Answer(409, f"another plan is called {name}")
+            return None, PlanAnswer(200, plans[name].state)
+        return None, PlanAnswer(409, f"another plan is called {name}")
     if not instance_ids:
-        return None, Answer(404, "no such worker in use")
+        return None, PlanAnswer(404, "no such worker in use")
     if remaining <= 0:
-        return None, Answer(409, f"{service} would have no worker left")
-    if taken := [instance_id for instance_id in instance_ids if instance_id in drains]:
-        return None, Answer(409, f"{taken[0]} is in plan {drains[taken[0]].plan}")
+        return None, PlanAnswer(409, f"{service} would have no worker left")
+    if already_planned := [instance_id for instance_id in instance_ids if instance_id in drains]:
+        return None, PlanAnswer(409, f"{already_planned[0]} is in plan {drains[already_planned[0]].plan}")
     announced = WorkerDrain(name, DRAIN_ANNOUNCED, value["n"] + 1)
     drains |= dict.fromkeys(instance_ids, announced)
-    return _with_plans(value, {**plans, name: plan}, drains), Answer(200, RUNNING)
+    return _with_plans(value, {**plans, name: plan}, drains), PlanAnswer(200, RUNNING)
 
 
-def end_plan(value: TableValue | None, name: str, state: str) -> tuple[TableValue | None, Answer]:
-    """The table with a plan stopped or cancelled by the operator.
+def end_plan(value: TableValue | None, name: str, state: str) -> tuple[TableValue | None, PlanAnswer]:
+    """Return the table after an operator stops or cancels a plan, or None, and the answer to the operator.
 
-    A stopped plan begins no further wave: workers that were only announced stay in use. A cancelled one
-    takes all its workers into use again.
+    A stopped plan begins no further wave, and its workers in the step DRAIN_ANNOUNCED stay in use. A
+    cancelled plan returns all its workers to use.
 
     Args:
         state: STOPPED or CANCELLED.
     """
     plans, drains = plans_of(value), worker_drains_of(value)
     if value is None or name not in plans:
-        return None, Answer(404, f"no plan {name}")
+        return None, PlanAnswer(404, f"no plan {name}")
     if plans[name].state in (state, CANCELLED):
-        return None, Answer(200, plans[name].state)
+        return None, PlanAnswer(200, plans[name].state)
     plans[name] = plans[name]._replace(state=state, reason=STOPPED_BY_OPERATOR)
     drains = _without_drains_of(name, drains, keep_started=state == STOPPED)
-    return _with_plans(value, plans, drains), Answer(200, state)
+    return _with_plans(value, plans, drains), PlanAnswer(200, state)
 
 
 def advance_plans(
     value: TableValue | None, step_changes: Mapping[str, StepChange], plan_ends: Mapping[str, PlanEnd]
 ) -> ProposedTable:
-    """The table with workers a step further and plans ended, as far as what these rest on still stands."""
+    """Return the table after these steps and ends of plans.
+
+    A step is left out if the worker's drain has changed since the step was planned. The end of a plan is left
+    out if the plan is not running any more.
+    """
     if value is None:
         return None, True
     plans, drains, any_change = plans_of(value), worker_drains_of(value), False
@@ -202,7 +212,10 @@
 def _without_drains_of(
     plan: str, drains: Mapping[str, WorkerDrain], keep_started: bool
 ) -> dict[str, WorkerDrain]:
-    """The drains without those of a plan; `keep_started`: only without those that are merely announced."""
+    """Return the drains without those of a plan.
+
+    With `keep_started`, only those of its drains are removed that are in the step DRAIN_ANNOUNCED.
+    """
     return {
         instance_id: drain
         for instance_id, drain in drains.items()
--- a/bramblewood/controller/drain_progress.py
+++ b/bramblewood/controller/drain_progress.py
@@ -1,13 +1,15 @@
 """Progress of drain plans: when a worker's next step and a plan's next wave are due. Pure.
 
-Each controller has one `DrainProgress`, so that any of them can carry the plans on; the coordinator proposes
-the changes. A step rests on what every proxy has confirmed. A proxy that is cut off counts as still sending
-until the longest key lease behind it has run out: it follows its last table for as long as that lasts, and
-from then on workers reject what it sends. A controller that has just started may not have met all proxies,
-and waits as long before any step but that of a worker that has ended.
-
-A plan goes in waves. Each begins once the workers that remain can carry the load, by the placement's own
-figures, and the proxies have reported since the last one was over.
+Each controller has one `DrainProgress`, so that every controller can continue the plans. The coordinator
+proposes the changes. A step requires the confirmations of all proxies, with two special cases:
+
+- A disconnected proxy counts as sending work until the longest key lease that it relies on has expired. The
+  proxy follows its last table until then. Afterwards the workers reject its requests.
+- A controller that has just started may not know all proxies. It waits for the same time before it plans any
+  step, except the last step of a worker that has ended.
+
+A plan drains its workers in waves. The next wave begins when the remaining workers have enough capacity for
+the load, by the figures of the placement, and when the proxies have reported since the end of the last wave.
 """
 
 from collections.abc import Collection, Mapping
@@ -37,32 +39,37 @@
 )
 from .table_changes import TableChange, TableValue
 
-# s after a wave until the next: five reports of half a second that have seen it, and their transit
+# s between two waves: time for five reports of each proxy, one every 0.5 s, and for their transit
 WAVE_INTERVAL = 3.0
-# s that a wave waits for capacity until its plan stops: many intervals, so that a burst may pass
+# s for which a wave waits for capacity before its plan is stopped; long enough for a burst of load to pass
 MAX_CAPACITY_WAIT = 20.0
-UNKNOWN_PROXIES = "?"  # stands for proxies that a controller which has just started may not have met
-NOT_ENOUGH_CAPACITY = "what stays would not carry the load"  # why a plan stopped, as stored
+UNKNOWN_PROXIES = "?"  # stands for the proxies that a recently started controller may not know
+NOT_ENOUGH_CAPACITY = "what stays would not carry the load"  # reason of a stopped plan, as stored
 
 
 class WorkInFlight(NamedTuple):
-    """What a proxy has in flight at a worker: lookups, effects, and the age of the oldest (s)."""
+    """The work that a proxy has in flight at a worker.
+
+    `idempotent` and `non_idempotent` are numbers of requests. Keys that are bound to the worker count as
+    non-idempotent requests. `oldest_age` is in s.
+    """
 
-    lookups: int
-    effects: int
-    oldest: float
+    idempotent: int
+    non_idempotent: int
+    oldest_age: float
 
 
 class ProxyReport(NamedTuple):
-    """What a proxy last said: the version of the table that it follows, and its work in flight by worker."""
+    """The last report of a proxy: the version of the table that it follows, and its work by instance id."""
 
     table_version: int
-    work: dict[str, WorkInFlight]
+    work_in_flight: dict[str, WorkInFlight]
 
 
 class ServiceCapacity(NamedTuple):
-    """How many slots of a service's workers are busy, and the slots of each usable worker. A worker that
-    warms up counts with the slots that it surely has.
+    """The number of busy slots of a service, and the slots of each usable worker by instance id.
+
+    A worker that is warming up has only the slots that it can already use.
     """
 
     busy_slots: float
@@ -70,61 +77,63 @@
 
 
 class DrainProgress:
-    """What proxies reported to this controller, and the next change of the drain plans."""
+    """Collects the reports of the proxies, and plans the next change of the drain plans."""
 
     def __init__(self, disconnect_timeout: float) -> None:
-        """Args: disconnect_timeout: s that a proxy which is cut off counts as still sending."""
+        """disconnect_timeout: s for which a disconnected proxy counts as sending work."""
         self._disconnect_timeout = disconnect_timeout
         self._observing_since: float | None = None
-        self._connected_at: dict[str, float] = {}  # when each proxy's session last stood
+        self._last_connected_at: dict[str, float] = {}  # last time at which each proxy had a session
         self._reports: dict[str, ProxyReport] = {}
         self._idle_since: dict[str, float] = {}  # by plan: since when none of its workers is being drained
         self._waiting_since: dict[str, float] = {}  # by plan: since when its next wave lacks capacity
 
     def record_connected_proxies(self, now: float, proxies: Collection[str]) -> None:
-        """Called each turn, at every controller, with the proxies whose sessions stand."""
+        """Record that these proxies have sessions now. Every controller calls this regularly."""
         self._observing_since = now if self._observing_since is None else self._observing_since
-        self._connected_at.update(dict.fromkeys(proxies, now))
+        self._last_connected_at.update(dict.fromkeys(proxies, now))
 
     def forget_report(self, proxy: str) -> None:
-        """Called as a proxy connects: it may have been restarted, so what it said before counts no more."""
+        """Drop the report of a proxy that connects, because it may have been restarted since."""
         self._reports.pop(proxy, None)
 
     def record_report(self, proxy: str, table_version: int, work_in_flight: Mapping[str, list[Any]]) -> None:
-        """Take in a proxy's report. work_in_flight: by worker in a plan, the fields of `WorkInFlight`."""
+        """Record a report. work_in_flight: fields of `WorkInFlight`, by instance id of workers in plans."""
         work = {instance_id: WorkInFlight(*fields) for instance_id, fields in work_in_flight.items()}
         self._reports[proxy] = ProxyReport(table_version, work)
 
     def unconfirmed_proxies(self, now: float, table_version: int) -> list[str]:
-        """Proxies that have not confirmed that they follow this version of the table, and so may still start
-        work that it forbids; `UNKNOWN_PROXIES` where this controller may not have met all.
+        """Return the proxies that may follow an older table, and may send work that this version forbids.
+
+        The result contains `UNKNOWN_PROXIES` if this controller may not know all proxies.
         """
-        never_reported = ProxyReport(0, {})
+        no_report = ProxyReport(0, {})
         unconfirmed = sorted(
             proxy
-            for proxy, connected_at in self._connected_at.items()
-            if now < connected_at + self._disconnect_timeout
-            and self._reports.get(proxy, never_reported).table_version < table_version
+            for proxy, last_connected_at in self._last_connected_at.items()
+            if now < last_connected_at + self._disconnect_timeout
+            and self._reports.get(proxy, no_report).table_version < table_version
         )
-        may_know_all = (
+        knows_all_proxies = (
             self._observing_since is not None and now >= self._observing_since + self._disconnect_timeout
         )
-        return unconfirmed if may_know_all else [*unconfirmed, UNKNOWN_PROXIES]
+        return unconfirmed if knows_all_proxies else [*unconfirmed, UNKNOWN_PROXIES]
 
     def work_in_flight(self, now: float, instance_id: str) -> dict[str, WorkInFlight]:
-        """What proxies have in flight at a worker, by proxy. Of one that is cut off its last report counts
-        until `disconnect_timeout`.
+        """Return the work in flight at a worker, by proxy.
+
+        The last report of a disconnected proxy counts for `disconnect_timeout` s.
         """
         return {
-            proxy: report.work[instance_id]
+            proxy: report.work_in_flight[instance_id]
             for proxy, report in self._reports.items()
-            if instance_id in report.work
-            and now < self._connected_at.get(proxy, now) + self._disconnect_timeout
+            if instance_id in report.work_in_flight
+            and now < self._last_connected_at.get(proxy, now) + self._disconnect_timeout
         }
 
     @staticmethod
     def owns_keys(value: TableValue, instance_id: str) -> bool:
-        """Whether a slice names this worker as its owner, or as the one that has yet to release it."""
+        """Whether a slice has this worker as its owner, or as the previous owner that must release it."""
         return any(
             instance_id in (entry[WORKER], entry[PREVIOUS_OWNER])
             for entries in value["s"].values()
@@ -138,10 +147,10 @@
         registry: WorkerRegistry,
         capacities: Mapping[str, ServiceCapacity],
     ) -> TableChange | None:
-        """The next change of the plans, if one is due.
+        """Return the next change of the plans, or None if none is due.
 
         Args:
-            value: the agreed table's value as this controller knows it.
+            value: the newest value of the agreed table that this controller knows.
             capacities: by service, from the placement.
         """
         if value is None:
@@ -165,15 +174,15 @@
             instance_id: StepChange(step, drains[instance_id].version)
             for instance_id, step in next_steps.items()
         }
-        return lambda standing: advance_plans(standing, step_changes, plan_ends)
+        return lambda current_value: advance_plans(current_value, step_changes, plan_ends)
 
     def _next_step(
         self, now: float, value: TableValue, instance_id: str, drain: WorkerDrain, registry: WorkerRegistry
     ) -> str | None:
-        """The step that a worker's drain can take now, if any."""
-        row = registry.registrations.get(instance_id)
-        if drain.step != OUT_OF_SERVICE and (row is None or row.phase == GONE):
-            return OUT_OF_SERVICE  # it ended early
+        """Return the step that a worker's drain can take now, or None."""
+        registration = registry.registrations.get(instance_id)
+        if drain.step != OUT_OF_SERVICE and (registration is None or registration.phase == GONE):
+            return OUT_OF_SERVICE  # the worker ended before its drain
         if drain.step not in (DRAIN_IN_PROGRESS, DRAINED) or self.unconfirmed_proxies(now, drain.version):
             return None
         if drain.step == DRAIN_IN_PROGRESS:
@@ -191,7 +200,7 @@
         next_steps: Mapping[str, str],
         capacities: Mapping[str, ServiceCapacity],
     ) -> tuple[list[str], PlanEnd | None]:
-        """The workers of a plan whose drain can begin now, and how the plan ends if it does."""
+        """Return the workers whose drain can begin now, and the end of the plan if it ends now."""
         steps = {
             instance_id: next_steps.get(instance_id, drain.step)
             for instance_id, drain in drains.items()
@@ -222,9 +231,10 @@
 def dispensable_workers(
     capacity: ServiceCapacity | None, candidates: list[str], drains: Mapping[str, WorkerDrain]
 ) -> list[str]:
-    """As many of the candidates, in turn, as the service can spare: what is busy now stays within
-    `CAPACITY_LIMIT` of the remaining slots. Workers whose drain has begun count as away; nothing is known
-    without `capacity`.
+    """Return the first candidates, as many as can be drained while the service keeps enough capacity.
+
+    The busy slots must not exceed `CAPACITY_LIMIT` of the remaining slots. Workers whose drain has begun do
+    not count as remaining. The result is empty if the capacity is not known (None).
     """
     if capacity is None:
         return []
