--- a/bramblewood/controller/drain_plans.py
+++ b/bramblewood/controller/drain_plans.py
@@ -153,13 +153,17 @@
     if name in plans:
         if plans[name]._replace(state=RUNNING, reason="") == plan:
             return None, PlanAnswer(200, plans[name].state)
-        return None, PlanAnswer(409, f"another plan is called {name}")
+        return None, PlanAnswer(
+            409, f"plan {name} exists already, with another service, other workers or another wave size"
+        )
     if not instance_ids:
-        return None, PlanAnswer(404, "no such worker in use")
+        return None, PlanAnswer(404, f"service {service} has no worker in use that the plan selects")
     if remaining <= 0:
-        return None, PlanAnswer(409, f"{service} would have no worker left")
+        return None, PlanAnswer(409, f"service {service} would have no worker in use left")
     if already_planned := [instance_id for instance_id in instance_ids if instance_id in drains]:
-        return None, PlanAnswer(409, f"{already_planned[0]} is in plan {drains[already_planned[0]].plan}")
+        return None, PlanAnswer(
+            409, f"worker {already_planned[0]} is already in plan {drains[already_planned[0]].plan}"
+        )
     announced = WorkerDrain(name, DRAIN_ANNOUNCED, value["n"] + 1)
     drains |= dict.fromkeys(instance_ids, announced)
     return _with_plans(value, {**plans, name: plan}, drains), PlanAnswer(200, RUNNING)
