--- a/features/key_leases.feature
+++ b/features/key_leases.feature
@@ -1,35 +1,35 @@
-Feature: Two workers never hold leases on the same keys
+Feature: Two workers never hold leases on the same key
 
-  Scenario: Either controller moves and renews; calls and answers are lost, late and doubled; workers restart
-    Then 60 minutes of that never give a key two holders
+  Scenario: Controllers move and renew leases; calls and answers are lost, late or doubled; workers restart
+    Then no key is leased to two workers in 60 simulations of one minute
 
-  Scenario: One slice, two workers, each call's steps in every order
-    Then over 3500 states of 6 events are met, and over 2500 of 5 with two controllers, and no key has two holders
-    And over 1000 states of 4 events after a release whose answer is late
-    But another call's answer taken for one's own breaks it within 7, a late one that frees more within 4
+  Scenario: All orders of the events of calls about one slice and two workers
+    Then over 3500 states are reached with 6 events of one controller, and over 2500 with 5 events of two, and no key is leased to two workers
+    And over 1000 states are reached with 4 events after a release whose answer is late
+    But without the check of attempt ids a key is leased to two workers within 7 events, and without the check of a late release's fencing token within 4
 
-  Scenario: The last grant on old quorum contact takes as long as it may, and its worker is never heard again
-    Then its grant is over as its keys are freed, and would not be with a transit that is 0.1 s longer
+  Scenario: The last grant on old quorum contact has the longest transit, and its worker answers no call
+    Then the grant expires before its keys are freed, but not with a transit that is 0.1 s longer
 
-  Scenario Outline: The guards are needed
-    Then <what> is found out within <minutes> minutes
+  Scenario Outline: Each guard is needed
+    Then <fault> leases a key to two workers within <count> simulations of one minute
 
     Examples:
-      | what                                           | minutes |
-      | a grant without quorum contact                 | 40      |
-      | a wait that is too short                       | 40      |
-      | another call's answer taken for a release's    | 20      |
-      | a late release that frees what it did not name | 20      |
-
-  Scenario: A late call of an older instance makes the younger one at its address look gone
-    Given a registry that hears of an instance, and then of the one before it at the same address
-    Then the younger one's keys are freed only as another instance answers there
-
-  Scenario: What a kept connection brings first is not taken for a release's answer
-    Given a worker that is busy with a key, and answers the grant before twice
-    When its grant and then its release are called
-    Then the release counts once the worker's own answer came, where workers repeat ids and where they don't
-
-  Scenario: A grant whose connection comes up too late does not leave
-    Given a worker that takes no connection
-    Then a grant on quorum contact of 0.05 s more is given up with it
+      | fault                                                | count |
+      | a grant without quorum contact                       | 40    |
+      | an expiry wait that is too short                     | 40    |
+      | the answer to another call, counted for a release    | 20    |
+      | a late release that frees a slice after a later move | 20    |
+
+  Scenario: A delayed registration of an older instance marks the newer instance at its address as gone
+    Given a registry that receives the registration of an instance before that of its predecessor
+    Then the keys of the newer instance are freed only after another instance answers at its address
+
+  Scenario: A second answer to an earlier call on a reused connection does not count for a release
+    Given a worker that answers a grant twice, and answers the release only after its work on the key
+    When a grant and then two releases are sent to it
+    Then each release has the worker's answer to it, whether the worker repeats attempt ids or not
+
+  Scenario: A grant is not sent if its connection opens after the quorum contact has expired
+    Given a worker whose listener accepts no connection
+    Then a grant whose quorum contact is valid for 0.05 s is abandoned when that time ends
--- a/features/steps/key_leases.py
+++ b/features/steps/key_leases.py
@@ -8,106 +8,108 @@
 from bramblewood.common.worker_registry import GONE, WorkerRegistration, WorkerRegistry
 from bramblewood.controller.key_leases import KeyLeases
 from bramblewood.controller.lease_calls import LeaseCalls
-from tests.simulation.key_lease_orders import LATE_ANSWER, all_orders
-from tests.simulation.key_leases import STEP, Play, TwoHolders, margin
+from tests.simulation.key_lease_orders import LATE_RELEASE_ANSWER, count_states
+from tests.simulation.key_leases import STEP, ConflictingLeases, Play, expiry_margin
 
 CONNECTION_END_TIMEOUT = 2.0  # s
 
 
-@then("{count:d} minutes of that never give a key two holders")
-def no_two_holders(context, count):
-    plays = [Play(seed).run(60) for seed in range(count)]
+@then("no key is leased to two workers in {count:d} simulations of one minute")
+def no_conflicting_leases(context, count):
+    simulations = [Play(seed).run(60) for seed in range(count)]
     counts = {
-        what: sum(getattr(play, what) for play in plays)
-        for what in ("moves", "grants", "restarts", "late_answers", "surplus_read")
+        event: sum(getattr(simulation, event) for simulation in simulations)
+        for event in ("moves", "grants", "restarts", "late_answers", "surplus_answers_read")
     }
     assert counts["moves"] > 10 * count and counts["grants"] > 10 * count, counts
     assert min(counts.values()) > count, counts
 
 
 @then(
-    "over {states:d} states of {depth:d} events are met, and over {states_of_two:d} of {less:d} "
-    "with two controllers, and no key has two holders"
+    "over {states:d} states are reached with {depth:d} events of one controller, and over {states_of_two:d} "
+    "with {depth_of_two:d} events of two, and no key is leased to two workers"
 )
-def every_order(context, states, depth, states_of_two, less):
-    assert all_orders(depth) > states and all_orders(less, acting="ab") > states_of_two
+def all_orders_keep_leases_apart(context, states, depth, states_of_two, depth_of_two):
+    assert count_states(depth) > states and count_states(depth_of_two, sending="ab") > states_of_two
 
 
-@then("over {count:d} states of {depth:d} events after a release whose answer is late")
-def every_order_after_late_answer(context, count, depth):
-    assert all_orders(depth, "", "ab", LATE_ANSWER) > count
+@then("over {count:d} states are reached with {depth:d} events after a release whose answer is late")
+def all_orders_after_late_answer(context, count, depth):
+    assert count_states(depth, "", "ab", LATE_RELEASE_ANSWER) > count
 
 
 @then(
-    "another call's answer taken for one's own breaks it within {depth:d}, "
-    "a late one that frees more within {late:d}"
+    "without the check of attempt ids a key is leased to two workers within {depth:d} events, "
+    "and without the check of a late release's fencing token within {late_depth:d}"
 )
-def orders_find(context, depth, late):
-    for arguments in ((depth, "call id"), (late, "fencing token", "ab", LATE_ANSWER)):
+def missing_guard_is_detected_in_orders(context, depth, late_depth):
+    for arguments in ((depth, "attempt id"), (late_depth, "fencing token", "ab", LATE_RELEASE_ANSWER)):
         try:
-            all_orders(*arguments)
-        except TwoHolders:
+            count_states(*arguments)
+        except ConflictingLeases:
             continue
         raise AssertionError(arguments)
 
 
-@then("{what} is found out within {count:d} minutes")
-def guard_found(context, what, count):
+@then("{fault} leases a key to two workers within {count:d} simulations of one minute")
+def missing_guard_is_detected(context, fault, count):
     guard = {
-        "a grant without quorum contact": "contact",
-        "a wait that is too short": "wait",
-        "another call's answer taken for a release's": "call id",
-        "a late release that frees what it did not name": "fencing token",
-    }[what]
+        "a grant without quorum contact": "quorum contact",
+        "an expiry wait that is too short": "expiry wait",
+        "the answer to another call, counted for a release": "attempt id",
+        "a late release that frees a slice after a later move": "fencing token",
+    }[fault]
     for seed in range(count):
         try:
             Play(seed, guard).run(60)
-        except TwoHolders:
+        except ConflictingLeases:
             return
-    raise AssertionError("no minute found it")
+    raise AssertionError("no simulation leased a key to two workers")
 
 
-@then("its grant is over as its keys are freed, and would not be with a transit that is {more:g} s longer")
-def margin_holds(context, more):
-    assert 0 <= margin(MAX_CALL_TRANSIT) <= STEP, margin(MAX_CALL_TRANSIT)
-    assert margin(MAX_CALL_TRANSIT + more) < 0
+@then("the grant expires before its keys are freed, but not with a transit that is {excess:g} s longer")
+def grant_expires_before_release(context, excess):
+    assert 0 <= expiry_margin(MAX_CALL_TRANSIT) <= STEP, expiry_margin(MAX_CALL_TRANSIT)
+    assert expiry_margin(MAX_CALL_TRANSIT + excess) < 0
 
 
-@given("a registry that hears of an instance, and then of the one before it at the same address")
+@given("a registry that receives the registration of an instance before that of its predecessor")
 def late_registration(context):
     context.registry = WorkerRegistry()
-    for instance_id in ("young", "old"):
+    for instance_id in ("newer", "older"):
         context.registry.record(0.0, instance_id, WorkerRegistration("s", "w:1", "z", 2, "ready", 1))
     context.registry.record(0.0, "next", WorkerRegistration("s", "w:2", "z", 2, "ready", 1))
-    assert context.registry.registrations["young"].phase == GONE
+    assert context.registry.registrations["newer"].phase == GONE
 
 
-@then("the younger one's keys are freed only as another instance answers there")
-def asked_there(context):
-    key_leases, table = KeyLeases(10.0), {"n": 2, "s": {"s": {"0": ["next", "", 0.0, 2, "", "young"]}}}
+@then("the keys of the newer instance are freed only after another instance answers at its address")
+def keys_are_freed_by_other_instance(context):
+    key_leases, table = KeyLeases(10.0), {"n": 2, "s": {"s": {"0": ["next", "", 0.0, 2, "", "newer"]}}}
     (call,), released = key_leases.next_calls(0.0, table, {"s"}, context.registry)
-    assert (call.kind, call.instance_id, released) == ("release", "young", [])
+    assert (call.kind, call.instance_id, released) == ("release", "newer", [])
     assert key_leases.call_finished(0.0, call, 0.0, 0, "", False) is None
-    assert key_leases.call_finished(0.0, call, 0.0, 421, "", False).previous_owner == "young"
+    assert key_leases.call_finished(0.0, call, 0.0, 421, "", False).previous_owner == "newer"
 
 
 def lease_calls() -> LeaseCalls:
-    """The calls of a controller that has nothing else."""
+    """Return the lease calls of a controller without its other parts."""
     clock = asyncio.get_running_loop().time
     runtime = SimpleNamespace(now=clock, settings=SimpleNamespace(name="a"))
     return LeaseCalls(runtime, None, None, SimpleNamespace(registry=None), None, None, None)
 
 
-@given("a worker that is busy with a key, and answers the grant before twice")
+@given("a worker that answers a grant twice, and answers the release only after its work on the key")
 def busy_worker(context):
-    async def play(repeats: bool) -> tuple:
-        """The status of the release, whether the worker was done by then, and of the next release."""
-        done, asked, kinds = asyncio.Event(), asyncio.Event(), []
+    async def simulate(repeats_ids: bool) -> tuple:
+        """Return the status of the grant, the result of the release before the work on the key is finished
+        (None if there is none), the results of two releases and of a late grant, and the number of calls.
+        """
+        work_finished, release_received, kinds = asyncio.Event(), asyncio.Event(), []
         serving = []  # a task for each connection of the worker
 
         async def serve(reader, writer):
             serving.append(asyncio.current_task())
-            before = b""
+            previous_answer = b""
             while True:
                 try:
                     head = (await reader.readuntil(b"\r\n\r\n")).decode()
@@ -115,75 +117,80 @@
                     return writer.close()
                 fields = {k.lower(): v for k, _, v in (x.partition(": ") for x in head.split("\r\n"))}
                 await reader.readexactly(int(fields["content-length"]))
-                named = f"X-Attempt-Id: {fields['x-attempt-id']}\r\n" * repeats
-                named += f"X-Handover: {len(kinds)}\r\nContent-Length: 0\r\n\r\n"
-                own = f"HTTP/1.1 200 OK\r\n{named}".encode()
+                headers = f"X-Attempt-Id: {fields['x-attempt-id']}\r\n" * repeats_ids
+                headers += f"X-Handover: {len(kinds)}\r\nContent-Length: 0\r\n\r\n"
+                own_answer = f"HTTP/1.1 200 OK\r\n{headers}".encode()
                 kinds.append(head.split(" ")[1].rpartition("/")[2])
-                writer.write(before)
+                writer.write(previous_answer)
                 if kinds[-1] == "release":
-                    asked.set()
-                    await done.wait()
-                writer.write(own)
-                before = own
+                    release_received.set()
+                    await work_finished.wait()
+                writer.write(own_answer)
+                previous_answer = own_answer
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         calls = lease_calls()
-        until = calls.runtime.now() + 9
-        granted, _ = await calls.send("grant", address, "w1", {}, until)
-        release = asyncio.ensure_future(calls.send("release", address, "w1", {}, until))
-        await asked.wait()
+        send_by = calls.runtime.now() + 9
+        grant_status, _ = await calls.send("grant", address, "w1", {}, send_by)
+        release = asyncio.ensure_future(calls.send("release", address, "w1", {}, send_by))
+        await release_received.wait()
         for _ in range(50):
             await asyncio.sleep(0)
-        early = release.result() if release.done() else None
-        asyncio.get_running_loop().call_later(0.05, done.set)
-        outcome = granted, early, await release, await calls.send("release", address, "w1", {}, until)
-        late = await calls.send("grant", address, "w1", {}, calls.runtime.now())
+        early_result = release.result() if release.done() else None
+        asyncio.get_running_loop().call_later(0.05, work_finished.set)
+        results = (
+            grant_status,
+            early_result,
+            await release,
+            await calls.send("release", address, "w1", {}, send_by),
+        )
+        late_grant = await calls.send("grant", address, "w1", {}, calls.runtime.now())
         calls.client.close()
         server.close()
         # each connection ends with the client's end of the stream, and without an error
         await asyncio.wait_for(asyncio.gather(*serving), CONNECTION_END_TIMEOUT)
-        return *outcome, late, len(kinds)
+        return *results, late_grant, len(kinds)
 
-    context.play = play
+    context.simulate = simulate
 
 
-@when("its grant and then its release are called")
-def called(context):
-    context.outcomes = [asyncio.run(context.play(repeats)) for repeats in (True, False)]
+@when("a grant and then two releases are sent to it")
+def grant_and_releases(context):
+    context.results = [asyncio.run(context.simulate(repeats_ids)) for repeats_ids in (True, False)]
 
 
-@then("the release counts once the worker's own answer came, where workers repeat ids and where they don't")
-def own_answer_counts(context):
-    named, unnamed = context.outcomes
-    assert named[:2] == (200, None) and named[2:] == ((200, "1"), (200, "2"), (0, ""), 3), named
-    assert unnamed[:2] == (200, None) and unnamed[2][0] == unnamed[3][0] == 200, unnamed
-    assert unnamed[2][1] != "0" and unnamed[4] == (0, ""), unnamed
+@then("each release has the worker's answer to it, whether the worker repeats attempt ids or not")
+def releases_have_their_own_answers(context):
+    with_ids, without_ids = context.results
+    assert with_ids[:2] == (200, None) and with_ids[2:] == ((200, "1"), (200, "2"), (0, ""), 3), with_ids
+    assert without_ids[:2] == (200, None) and without_ids[2][0] == without_ids[3][0] == 200, without_ids
+    assert without_ids[2][1] != "0" and without_ids[4] == (0, ""), without_ids
 
 
-@given("a worker that takes no connection")
-def closed_listener(context):
-    context.listen_on = socket.create_server(("127.0.0.1", 0), backlog=0)
+@given("a worker whose listener accepts no connection")
+def listener_with_full_backlog(context):
+    context.listener = socket.create_server(("127.0.0.1", 0), backlog=0)
     context.queued = [socket.socket() for _ in range(4)]
-    for connection in context.queued:  # they fill its backlog: further opening packets are dropped
+    for connection in context.queued:  # these fill the backlog, so further SYN packets are dropped
         connection.setblocking(False)
-        connection.connect_ex(context.listen_on.getsockname())
+        connection.connect_ex(context.listener.getsockname())
 
 
-@then("a grant on quorum contact of {more:g} s more is given up with it")
-def given_up(context, more):
-    async def play() -> float:
-        calls, (host, port) = lease_calls(), context.listen_on.getsockname()
-        began = calls.runtime.now()
+@then("a grant whose quorum contact is valid for {validity:g} s is abandoned when that time ends")
+def grant_is_abandoned(context, validity):
+    async def simulate() -> float:
+        calls, (host, port) = lease_calls(), context.listener.getsockname()
+        started_at = calls.runtime.now()
         try:
-            async with asyncio.timeout(20 * more):
-                await calls.send("grant", f"{host}:{port}", "w1", {}, began + more)
+            async with asyncio.timeout(20 * validity):
+                await calls.send("grant", f"{host}:{port}", "w1", {}, started_at + validity)
         except TimeoutError:
-            return calls.runtime.now() - began
+            return calls.runtime.now() - started_at
         finally:
             calls.client.close()
 
-    took = asyncio.run(play())
-    for opened in (context.listen_on, *context.queued):
+    elapsed = asyncio.run(simulate())
+    for opened in (context.listener, *context.queued):
         opened.close()
-    assert more <= took < 10 * more, took
+    assert validity <= elapsed < 10 * validity, elapsed
--- a/tests/simulation/key_lease_orders.py
+++ b/tests/simulation/key_lease_orders.py
@@ -1,4 +1,4 @@
-"""Key leases of one slice and two workers: the steps of each call in every order, so many events deep."""
+"""All orders of events up to a depth, for the key leases of one slice and two workers."""
 
 from collections.abc import Callable
 from typing import Any
@@ -9,83 +9,87 @@
 
 Event = tuple[str, Any]
 
-# what may happen next to a call or an answer in transit
-TRANSIT_EVENTS = {"call": ("arrive", "lose"), "answer": ("answer", "answer twice", "lose")}
-MOVED_BY_B: list[Event] = [("act", "b"), ("arrive", 1), ("answer", 1)] * 2
-# w1 has released, its answer is late; meanwhile the slice went to w2, back to w1, and is to leave it again
-LATE_ANSWER: list[Event] = [
-    ("act", "a"),
-    ("arrive", 0),
-    ("answer", 0),
+# events that can follow for a call or an answer in transit
+TRANSIT_EVENTS = {
+    "call": ("deliver call", "lose"),
+    "answer": ("deliver answer", "deliver answer twice", "lose"),
+}
+MOVE_BY_B: list[Event] = [("send calls", "b"), ("deliver call", 1), ("deliver answer", 1)] * 2
+# The answer to the release of w1 is late. Meanwhile the slice moves to w2 and back to w1, and its next move
+# to w2 begins.
+LATE_RELEASE_ANSWER: list[Event] = [
+    ("send calls", "a"),
+    ("deliver call", 0),
+    ("deliver answer", 0),
     ("move", ""),
-    ("act", "a"),
-    ("arrive", 0),
+    ("send calls", "a"),
+    ("deliver call", 0),
 ]
-LATE_ANSWER += [*MOVED_BY_B, ("move", ""), *MOVED_BY_B, ("move", "")]
+LATE_RELEASE_ANSWER += [*MOVE_BY_B, ("move", ""), *MOVE_BY_B, ("move", "")]
 
 
 class OneSlice(Play):
-    """Each step of a call by itself; what happens next is chosen, not thrown."""
-
-    def __init__(self, without: str = "", acting: str = "a") -> None:
-        """acting: names of the controllers that act."""
-        super().__init__(0, without)
-        self.acting = acting
-        self.transit: list[tuple] = []  # ("call" or "answer", arguments ...)
-        self.unheard: list[Callable] = []  # registrations that the controllers have not heard
+    """The simulation with one slice, in which the caller chooses each event instead of the seed."""
+
+    def __init__(self, missing_guard: str = "", sending: str = "a") -> None:
+        """missing_guard: as for `Play`. sending: the names of the controllers that send calls."""
+        super().__init__(0, missing_guard)
+        self.sending = sending
+        self.messages: list[tuple] = []  # calls and answers in transit: ("call" or "answer", arguments ...)
+        self.pending_registrations: list[Callable] = []  # these have not reached the controllers
         self.tables = [{"n": 1, "s": {SERVICE: {"0": ["w1", "", 0.0, 1, "", ""]}}}]
         del self.workers["w3"]
 
-    def events(self) -> list[Event]:
-        found: list[Event] = [("act", name) for name in self.acting]
+    def possible_events(self) -> list[Event]:
+        found: list[Event] = [("send calls", name) for name in self.sending]
         found += [("move", ""), ("retry delay", ""), ("expiry wait", "")]
-        for place, (what, *_) in enumerate(self.transit):
-            found += [(event, place) for event in TRANSIT_EVENTS[what]]
+        for index, (kind, *_) in enumerate(self.messages):
+            found += [(event, index) for event in TRANSIT_EVENTS[kind]]
         found += [("restart", address) for address in self.workers]
-        return found + [("hear", "")] * bool(self.unheard)
+        return found + [("register", "")] * bool(self.pending_registrations)
 
-    def play(self, event: Event) -> None:
+    def apply_event(self, event: Event) -> None:
         match event:
-            case "act", name:
-                self.learn(name)
-                self.act(name, self.controllers[name])
+            case "send calls", name:
+                self.refresh_contact(name)
+                self.send_calls(name, self.controllers[name])
             case "move", _:
                 worker = self.tables[-1]["s"][SERVICE]["0"][0]
                 other = {"w1": "w2", "w2": "w1"}[worker.partition(".")[0]]
-                self.move(0, self.workers[other].instance_id, 1)
+                self.move_slice(0, self.workers[other].instance_id, 1)
             case "retry delay", _:
                 self.now += RETRY_DELAY
-            case "expiry wait", _:  # all that is in transit is lost by then
+            case "expiry wait", _:  # longer than any transit, so everything in transit is lost
                 self.now += self.controllers["a"].expiry_wait
-                for _, name, call, sent, *_ in self.transit:
-                    self.answer(name, call, sent, NO_ANSWER)
-                self.transit = []
+                for _, name, call, sent_at, *_ in self.messages:
+                    self.deliver_answer(name, call, sent_at, NO_ANSWER)
+                self.messages = []
             case "restart", address:
                 self.restart(address)
-            case "hear", _:
-                self.unheard.pop(0)()
-            case "arrive", place:
-                self.arrive(*self.transit.pop(place)[1:])
-            case what, place:
-                _, name, call, sent, *status = self.transit.pop(place)
-                self.answer(name, call, sent, NO_ANSWER if what == "lose" else status[0])
-                if what == "answer twice":
+            case "register", _:
+                self.pending_registrations.pop(0)()
+            case "deliver call", index:
+                self.deliver_call(*self.messages.pop(index)[1:])
+            case kind, index:
+                _, name, call, sent_at, *status = self.messages.pop(index)
+                self.deliver_answer(name, call, sent_at, NO_ANSWER if kind == "lose" else status[0])
+                if kind == "deliver answer twice":
                     self.surplus_answers[name, call.address] = status[0]
-        self.judge()
+        self.check_leases()
 
-    def after(self, longest: float, function: Callable, *arguments: Any) -> None:
-        if function == self.arrive:
-            self.transit.append(("call", *arguments))
-        elif function == self.answer:
-            self.transit.append(("answer", *arguments))
+    def schedule(self, max_delay: float, function: Callable, *arguments: Any) -> None:
+        if function == self.deliver_call:
+            self.messages.append(("call", *arguments))
+        elif function == self.deliver_answer:
+            self.messages.append(("answer", *arguments))
         else:
-            self.unheard.append(function)
+            self.pending_registrations.append(function)
 
-    def happens(self, part: float) -> bool:
+    def occurs(self, probability: float) -> bool:
         return False
 
     def state(self) -> str:
-        """All that what may happen next rests on; times as spans from now."""
+        """Return all values that affect later events as a text, with times relative to the present time."""
         row = self.tables[-1]["s"][SERVICE]["0"]
         now = self.now
         workers = [
@@ -106,19 +110,31 @@
             ]
             for key_leases in self.controllers.values()
         ]
-        transit = [(what, name, call, rest) for what, name, call, _, *rest in self.transit]
+        messages = [(kind, name, call, rest) for kind, name, call, _, *rest in self.messages]
         registry = sorted(self.registry.registrations.items())
-        return repr((row, workers, leases, transit, self.surplus_answers, len(self.unheard), registry))
-
-
-def all_orders(depth: int, without: str = "", acting: str = "a", begun: tuple | list = ()) -> int:
-    """Play all orders of so many events after those that have begun; how many states are met."""
-    seen, level = set(), [list(begun)]
+        return repr(
+            (
+                row,
+                workers,
+                leases,
+                messages,
+                self.surplus_answers,
+                len(self.pending_registrations),
+                registry,
+            )
+        )
+
+
+def count_states(
+    depth: int, missing_guard: str = "", sending: str = "a", first_events: tuple | list = ()
+) -> int:
+    """Apply all orders of `depth` events after `first_events`, and return the number of different states."""
+    seen, level = set(), [list(first_events)]
     for _ in range(depth):
         next_level = []
         for events in level:
-            for event in play_after(events, without, acting).events():
-                state = play_after([*events, event], without, acting).state()
+            for event in simulate(events, missing_guard, sending).possible_events():
+                state = simulate([*events, event], missing_guard, sending).state()
                 if state not in seen:
                     seen.add(state)
                     next_level.append([*events, event])
@@ -126,9 +142,9 @@
     return len(seen)
 
 
-def play_after(events: list[Event], without: str, acting: str) -> OneSlice:
-    """The play in which these events have happened."""
-    play = OneSlice(without, acting)
+def simulate(events: list[Event], missing_guard: str, sending: str) -> OneSlice:
+    """Return a new simulation after these events."""
+    simulation = OneSlice(missing_guard, sending)
     for event in events:
-        play.play(event)
-    return play
+        simulation.apply_event(event)
+    return simulation
--- a/tests/simulation/key_leases.py
+++ b/tests/simulation/key_leases.py
@@ -1,11 +1,12 @@
-"""Two controllers that move and renew key leases, workers that keep what they were granted, partitions and
-lost calls, from a seed.
-
-Either controller may act at any time; one that is cut off from the majority sees an old table until its
-quorum contact expires. Calls take as long as they may; their answers are lost, come late, or twice: the
-second then lies on the connection, where the next call finds it. Workers are busy with what they began before
-they answer a release, and restart at their address. The judge looks at every step whether two workers hold
-the same keys and both may begin work on them.
+"""Simulation of key leases in one process, with faults drawn from a seed.
+
+Two controllers move and renew leases, and workers keep the leases that they are granted. Either controller
+may act at any time. A controller that is partitioned from the majority uses an old table until its quorum
+contact expires. Calls take up to their longest transit time. Their answers are lost, delayed, or sent twice:
+the second answer then stays on the connection, where the next call reads it. Workers answer some releases
+late, because they first finish the work in progress, and restart at their address.
+
+After each step, the simulation checks that no two workers hold a valid lease on the same slice.
 """
 
 import random
@@ -33,14 +34,15 @@
 SERVICE = "s"
 ADDRESSES = ("w1", "w2", "w3")
 MAX_LEASE = 10.0  # s, HoldMaxS
-SLOW_CLOCK = 1.02
-# a lease that is longer than the controllers' wait allows for
-LEASE_BEYOND_WAIT = 6.0
-SHORTER_WAIT = 0.5 - 1 / 6.12
+SLOW_CLOCK = 1.02  # factor by which the clocks of workers are slow
+# Without the guard "expiry wait", leases last UNSHORTENED_LEASE s, but the wait of the controllers is shorter
+# by QUORUM_CONTACT_VALIDITY and by half of such a lease on a slow clock.
+UNSHORTENED_LEASE = 6.0
+SHORTENING_FACTOR = 0.5 - 1 / 6.12
 
 
-class TwoHolders(AssertionError):
-    """Two workers hold the same keys."""
+class ConflictingLeases(AssertionError):
+    """Two workers hold a valid lease on the same slice."""
 
 
 def registration_at(address: str) -> WorkerRegistration:
@@ -48,130 +50,136 @@
 
 
 class Worker:
-    """Leases as the protocol says, on a clock that is 2% slow."""
+    """A worker that keeps leases as the protocol requires, on a clock that is 2% slow."""
 
     def __init__(self, instance_id: str) -> None:
         self.instance_id = instance_id
-        self.fencing_tokens, self.lease_until = [0] * SLICES, [0.0] * SLICES
+        self.fencing_tokens, self.lease_until = [0] * SLICES, [0.0] * SLICES  # by index of the slice
         self.reachable = {"a": True, "b": True}  # by controller
 
     def grant(self, now: float, slices: list[int], fencing_token: int, duration: float) -> int:
-        if any(self.fencing_tokens[place] > fencing_token for place in slices):
+        if any(self.fencing_tokens[index] > fencing_token for index in slices):
             return 409
-        for place in slices:
-            self.fencing_tokens[place] = fencing_token
-            self.lease_until[place] = now + duration * SLOW_CLOCK
+        for index in slices:
+            self.fencing_tokens[index] = fencing_token
+            self.lease_until[index] = now + duration * SLOW_CLOCK
         return 200
 
     def release(self, now: float, slices: list[int], fencing_token: int) -> int:
-        for place in slices:
-            self.fencing_tokens[place] = max(fencing_token, self.fencing_tokens[place])
-            self.lease_until[place] = now
+        for index in slices:
+            self.fencing_tokens[index] = max(fencing_token, self.fencing_tokens[index])
+            self.lease_until[index] = now
         return 200
 
 
 class Play:
-    def __init__(self, seed: int, without: str = "") -> None:
-        """without: the guard that is taken out. "contact": grants leave without quorum contact; "wait":
-        nobody waits for the quorum contact of others to expire; "call id": the next answer on a connection
-        counts as a call's own; "fencing token": a release that is answered late frees whatever previous owner
-        stands there now.
+    def __init__(self, seed: int, missing_guard: str = "") -> None:
+        """missing_guard: the guard that is removed, or "" for none.
+
+        "quorum contact": grants are sent without quorum contact. "expiry wait": the wait for the expiry of
+        leases is too short. "attempt id": the next answer on a connection counts as the answer to a call,
+        whatever its id is. "fencing token": a late answer to a release removes the present previous owner,
+        whatever the release was for.
         """
-        self.dice, self.without, self.now = random.Random(seed), without, 100.0
+        self.rng, self.missing_guard, self.now = random.Random(seed), missing_guard, 100.0
         rows = {str(i * KEY_SPACE_SIZE // SLICES): ["w1", "", 0.0, 1, "", ""] for i in range(SLICES)}
         self.tables: list[dict[str, Any]] = [{"n": 1, "s": {SERVICE: rows}}]
         self.workers = {address: Worker(address) for address in ADDRESSES}
         self.controllers = {name: KeyLeases(MAX_LEASE) for name in "ab"}
         for key_leases in self.controllers.values():
-            key_leases.lease_duration *= SHORTER_WAIT if without == "wait" else 1.0
-        self.known_table = dict.fromkeys(self.controllers, 0)  # place in `tables`
+            key_leases.lease_duration *= SHORTENING_FACTOR if missing_guard == "expiry wait" else 1.0
+        self.known_table = dict.fromkeys(self.controllers, 0)  # index in `tables`
         self.contact_at = dict.fromkeys(self.controllers, self.now)
         self.partitioned = dict.fromkeys(self.controllers, False)
         self.registry = WorkerRegistry()
         for address in ADDRESSES:
             self.registry.record(self.now, address, registration_at(address))
-        self.in_transit: list[tuple] = []  # calls and answers: (when, function, arguments ...)
+        self.in_transit: list[tuple] = []  # calls and answers: (time, function, arguments ...)
         self.surplus_answers: dict[tuple[str, str], int] = {}  # status, by controller and address
-        self.moves = self.grants = self.restarts = self.late_answers = self.surplus_read = 0
+        self.moves = self.grants = self.restarts = self.late_answers = self.surplus_answers_read = 0
 
-    def propose(self, proposed: tuple) -> None:
-        """A change of the table is chosen at once."""
+    def apply_proposal(self, proposed: tuple) -> None:
+        """Choose a proposed change of the table at once."""
         if proposed[0] is not None:
             record_event("table", self.now, proposed[0])
             self.tables.append(proposed[0])
 
     def step(self) -> None:
         self.now += STEP
-        dice = self.dice
+        rng = self.rng
         for name in self.controllers:
-            if dice.random() < 0.006:
+            if rng.random() < 0.006:
                 self.partitioned[name] = not self.partitioned[name]
-            if not self.partitioned[name] and dice.random() < 0.5:
-                self.learn(name)
-            if dice.random() < 0.01:
-                self.controllers[name].calls_in_flight.clear()  # it is coordinator again
+            if not self.partitioned[name] and rng.random() < 0.5:
+                self.refresh_contact(name)
+            if rng.random() < 0.01:
+                self.controllers[name].calls_in_flight.clear()  # the controller becomes coordinator again
         for address, worker in self.workers.items():
             for name in self.controllers:
-                if dice.random() < 0.006:
+                if rng.random() < 0.006:
                     worker.reachable[name] = not worker.reachable[name]
-            if dice.random() < 0.0005:
+            if rng.random() < 0.0005:
                 self.restart(address)
-        if dice.random() < 0.08 and not all(self.partitioned.values()):
-            start = dice.randrange(SLICES) * KEY_SPACE_SIZE // SLICES
-            worker = dice.choice([worker.instance_id for worker in self.workers.values()])
-            self.move(start, worker, SLICES)
+        if rng.random() < 0.08 and not all(self.partitioned.values()):
+            start = rng.randrange(SLICES) * KEY_SPACE_SIZE // SLICES
+            worker = rng.choice([worker.instance_id for worker in self.workers.values()])
+            self.move_slice(start, worker, SLICES)
             self.moves += 1
         for name, key_leases in self.controllers.items():
-            self.act(name, key_leases)
+            self.send_calls(name, key_leases)
         for item in [item for item in self.in_transit if item[0] <= self.now]:
             self.in_transit.remove(item)
             item[1](*item[2:])
-        self.judge()
+        self.check_leases()
 
-    def happens(self, part: float) -> bool:
-        return self.dice.random() < part
+    def occurs(self, probability: float) -> bool:
+        return self.rng.random() < probability
 
-    def learn(self, name: str) -> None:
-        """A controller hears the majority."""
+    def refresh_contact(self, name: str) -> None:
+        """A controller has contact with the majority, and receives the newest table."""
         self.known_table[name], self.contact_at[name] = len(self.tables) - 1, self.now
 
-    def move(self, start: int, instance_id: str, slices: int) -> None:
-        """The slice that begins with this key gets another worker."""
+    def move_slice(self, start: int, instance_id: str, slices: int) -> None:
+        """Assign the slice with this first key to another worker."""
         changes = {SERVICE: SliceChanges({start: Assignment(instance_id)}, [], slices)}
-        self.propose(apply_slice_changes(self.tables[-1], changes, {SERVICE}))
+        self.apply_proposal(apply_slice_changes(self.tables[-1], changes, {SERVICE}))
 
     def restart(self, address: str) -> None:
-        """A new instance at the same address; calls find it before the controllers hear of it."""
+        """Start a new instance at the same address. Calls may reach it before it is registered."""
         self.restarts += 1
         worker = self.workers[address] = Worker(f"{address}.{self.restarts}")
         registration = registration_at(address)
-        self.after(2.0, lambda: self.registry.record(self.now, worker.instance_id, registration))
+        self.schedule(2.0, lambda: self.registry.record(self.now, worker.instance_id, registration))
 
-    def after(self, longest: float, function: Callable, *arguments: Any) -> None:
-        part = self.dice.choice((0.0, self.dice.random(), 1.0))  # the ends are where faults show
-        self.in_transit.append((self.now + part * (longest - STEP), function, *arguments))
+    def schedule(self, max_delay: float, function: Callable, *arguments: Any) -> None:
+        fraction = self.rng.choice(
+            (0.0, self.rng.random(), 1.0)
+        )  # the shortest and the longest delay reveal most faults
+        self.in_transit.append((self.now + fraction * (max_delay - STEP), function, *arguments))
 
-    def act(self, name: str, key_leases: KeyLeases) -> None:
-        """A controller makes its calls."""
+    def send_calls(self, name: str, key_leases: KeyLeases) -> None:
+        """A controller sends its calls."""
         table = self.tables[self.known_table[name]]
         calls, released = key_leases.next_calls(self.now, table, {SERVICE}, self.registry)
         contact_until = self.contact_at[name] + QUORUM_CONTACT_VALIDITY
         for call in calls:
-            if call.kind == GRANT and self.now >= contact_until and self.without != "contact":
+            if call.kind == GRANT and self.now >= contact_until and self.missing_guard != "quorum contact":
                 key_leases.call_finished(self.now, call, self.now, NO_ANSWER, "", False)
                 continue
-            duration = LEASE_BEYOND_WAIT if self.without == "wait" else call.duration
+            duration = UNSHORTENED_LEASE if self.missing_guard == "expiry wait" else call.duration
             surplus = self.surplus_answers.pop((name, call.address), None)
-            if surplus is not None:  # it names another call's id: to the controller that is no answer
-                self.surplus_read += 1
-                self.answer(name, call, self.now, surplus if self.without == "call id" else NO_ANSWER)
+            if surplus is not None:  # it has the id of another call, so it is not an answer to this one
+                self.surplus_answers_read += 1
+                self.deliver_answer(
+                    name, call, self.now, surplus if self.missing_guard == "attempt id" else NO_ANSWER
+                )
             sent_call = call._replace(duration=duration)
-            self.after(MAX_CALL_TRANSIT, self.arrive, name, sent_call, self.now, surplus is not None)
+            self.schedule(MAX_CALL_TRANSIT, self.deliver_call, name, sent_call, self.now, surplus is not None)
         for keys in released if not self.partitioned[name] else ():
-            self.free(keys)
+            self.free_slices(keys)
 
-    def arrive(self, name: str, call: LeaseCall, sent: float, already_answered: bool) -> None:
-        """A call comes to whoever listens at its address."""
+    def deliver_call(self, name: str, call: LeaseCall, sent_at: float, already_answered: bool) -> None:
+        """A call arrives at the worker that listens at its address."""
         worker, status = self.workers[call.address.partition(":")[0]], NO_ANSWER
         slices = [start * SLICES // KEY_SPACE_SIZE for start in call.starts]
         if worker.reachable[name] and worker.instance_id != call.instance_id:
@@ -181,10 +189,10 @@
             self.grants += status == 200
         elif worker.reachable[name]:
             status = worker.release(self.now, slices, call.fencing_token)
-        if status and self.happens(0.1):
-            self.surplus_answers[name, call.address] = status  # it answers twice
-        if self.happens(0.1):
-            status = NO_ANSWER  # it arrived, and its answer is lost
+        if status and self.occurs(0.1):
+            self.surplus_answers[name, call.address] = status  # the worker answers twice
+        if self.occurs(0.1):
+            status = NO_ANSWER  # the call arrived, and its answer is lost
         request = (
             call.kind,
             call.address,
@@ -196,29 +204,29 @@
         record_event("call", self.now, name, request, status)
         if already_answered:
             return
-        busy = call.kind == RELEASE and self.happens(0.2)
-        self.late_answers += busy
-        longest = self.controllers[name].expiry_wait if busy else 2 * STEP
-        self.after(longest, self.answer, name, call, sent, status)
-
-    def answer(self, name: str, call: LeaseCall, sent: float, status: int) -> None:
-        """An answer comes back to its controller."""
-        keys = self.controllers[name].call_finished(self.now, call, sent, status, "h", False)
+        is_late = call.kind == RELEASE and self.occurs(0.2)
+        self.late_answers += is_late
+        max_delay = self.controllers[name].expiry_wait if is_late else 2 * STEP
+        self.schedule(max_delay, self.deliver_answer, name, call, sent_at, status)
+
+    def deliver_answer(self, name: str, call: LeaseCall, sent_at: float, status: int) -> None:
+        """An answer arrives at its controller."""
+        keys = self.controllers[name].call_finished(self.now, call, sent_at, status, "h", False)
         if keys is not None and not self.partitioned[name]:
-            if self.without == "fencing token":
+            if self.missing_guard == "fencing token":
                 entry = SliceEntry.decode(self.tables[-1]["s"][SERVICE][str(keys.starts[0])])
                 keys = keys._replace(fencing_token=entry.fencing_token, previous_owner=entry.previous_owner)
-            self.free(keys)
+            self.free_slices(keys)
 
-    def free(self, keys: ReleasedKeys) -> None:
+    def free_slices(self, keys: ReleasedKeys) -> None:
         record_event("freed", self.now, *keys)
-        self.propose(clear_previous_owner(self.tables[-1], *keys))
+        self.apply_proposal(clear_previous_owner(self.tables[-1], *keys))
 
-    def judge(self) -> None:
-        for place in range(SLICES):
-            holders = [name for name, worker in self.workers.items() if worker.lease_until[place] > self.now]
+    def check_leases(self) -> None:
+        for index in range(SLICES):
+            holders = [name for name, worker in self.workers.items() if worker.lease_until[index] > self.now]
             if len(holders) > 1:
-                raise TwoHolders(f"slice {place} is held by {' and '.join(holders)}")
+                raise ConflictingLeases(f"slice {index} is leased to {' and '.join(holders)}")
 
     def run(self, seconds: float) -> "Play":
         for _ in range(int(seconds / STEP)):
@@ -226,14 +234,16 @@
         return self
 
 
-def margin(transit: float) -> float:
-    """s between the end of the last grant that may leave, with a transit that long and the slowest clock, and
-    its keys' being freed while their previous owner answers nobody.
+def expiry_margin(transit: float) -> float:
+    """Return the time (s) between the expiry of the last possible grant and the release of its keys.
+
+    The grant is sent at the last moment at which an older table allows it, takes `transit` s, and goes to a
+    worker with the slowest clock. The previous owner answers no call.
     """
     key_leases, registry, worker = KeyLeases(MAX_LEASE), WorkerRegistry(), Worker("w1")
     registry.record(0.0, "w1", registration_at("w1"))
     table = {"n": 2, "s": {SERVICE: {"0": ["w2", "", 0.0, 2, "", "w1"]}}}
-    # another controller's, on quorum contact from just before the change
+    # sent by another controller, whose quorum contact is from just before the change of the table
     worker.grant(QUORUM_CONTACT_VALIDITY + transit, [0], 1, key_leases.lease_duration)
     steps = 0
     while not key_leases.next_calls(steps * STEP, table, {SERVICE}, registry)[1]:
