--- a/features/drain_plans.feature
+++ b/features/drain_plans.feature
@@ -1,28 +1,28 @@
-Feature: A worker that a drain plan takes out of service has no work in flight when it is out
+Feature: No proxy has work in flight at a worker that a drain plan has taken out of service
 
-  Scenario: Plans, waves, partitions, restarts and cancellations in any order
-    Then in 40 plays of 120 s no connected proxy has work at a worker that is out of service
+  Scenario: Plans and waves with partitions, restarts, stopped and cancelled plans
+    Then no connected proxy has work at a worker that is out of service in 40 simulations of 120 s
 
   Scenario: Each guard is needed
-    Then without each proxy's confirmation a worker is out of service too soon within 40 plays
-    And without the check for work in flight a worker is out of service too soon within 40 plays
-    And without the version that a step rests on a worker is out of service too soon within 10 plays
+    Then without the confirmations of the proxies a worker is out of service too soon within 40 simulations
+    And without the check for work in flight a worker is out of service too soon within 40 simulations
+    And without the check of a step's version a worker is out of service too soon within 10 simulations
 
-  Scenario: What can't be planned is refused with the reason
+  Scenario: A plan that cannot start is rejected with the reason
     Given a service of w1, w2 and w3
-    When plan a takes w1 and w2, and plan b takes w2
-    And plan c takes w3, plan a is asked for again, and another plan is called a
-    Then the plans are answered "plans"
+    When plan a drains w1 and w2, and plan b drains w2
+    And plan c drains w3, plan a is started again, another plan a drains w1, and plan d drains no worker
+    Then the answers to the plans are those of "plans"
 
-  Scenario: A wave waits until the remaining workers can carry the load, and its plan stops if that lasts
+  Scenario: A wave waits until the remaining workers have enough capacity, and its plan stops after a time
     Given a service of w1, w2 and w3
-    When plan a takes w1 and w2 while 5 of 6 slots are busy
+    When plan a drains w1 and w2 while 5 of 6 slots are busy
     Then after 19 s no drain has begun, and after 24 s the plan is stopped: what stays would not carry the load
-    And w1 is in use
+    And w1 stays in use
 
-  Scenario: What began stays at its worker, and what is to last goes to one that remains
+  Scenario: Bound keys stay at a worker in a plan, and new non-idempotent requests go to other workers
     Given a service of w1 and w2, without keys
-    When key 7's client began at w1, and a plan takes w1
-    Then its next step goes to w1 at 1 s, and elsewhere after 3 s
-    And of 200 effects none goes to w1 once it is in the plan, though it still gets lookups
-    And once its drain has begun w1 gets nothing new
+    When key 7 is bound to w1, and a plan drains w1
+    Then key 7 is bound to w1 at 1 s, and no longer after 3 s
+    And w1 is chosen for none of 200 non-idempotent requests, but for idempotent ones
+    And w1 is chosen for no request once its drain is in progress
--- a/features/read_replicas.feature
+++ b/features/read_replicas.feature
@@ -1,20 +1,20 @@
-Feature: No lookup gives an older record than an effect that was answered
+Feature: No answer to an idempotent request is older than the effect of an answered request
 
-  Scenario: Leases, invalidations, partitions, freezes and lost calls in any order
-    Then in 60 plays of 60 s no replica is older than what was answered
+  Scenario: Leases and invalidations with partitions, freezes and lost calls
+    Then no replica that is older than an answered request is read in 60 simulations of 60 s
 
   Scenario: Each guard is needed
-    Then without the wait before a new reader's first lease a stale replica is read within 60 plays
-    And without the wait until an unresponsive reader's lease has expired a stale replica is read within 60 plays
-    And without a confirmation of the table a stale replica is read within 60 plays
-    And with a replica that was fetched across a release a stale replica is read within 60 plays
+    Then without the delay before a reader's first lease a stale replica is read within 60 simulations
+    And without the wait until an unresponsive reader's lease has expired a stale replica is read within 60 simulations
+    And without the confirmation of the table a stale replica is read within 60 simulations
+    And with a replica that is kept after a drop during its fetch a stale replica is read within 60 simulations
 
-  Scenario: Off unless the operator says so
+  Scenario: Hot keys have readers only while the configuration allows read replicas
     Given 18 workers with their first table
     When 14 reports state 30 requests a second for key 8193, 2 on each other slice of its worker, which is full
-    Then no record has readers
-    When the operator allows read replicas
+    Then no key has readers
+    When the configuration allows read replicas
     And 14 reports state 30 requests a second for key 8193, 2 on each other slice of its worker, which is full
-    Then key 8193 has readers beside its worker
+    Then key 8193 has readers in addition to its owner
     When 14 reports state 1 requests a second for key 8193, 0 on each other slice of its worker, which is full
-    Then no record has readers
+    Then no key has readers
--- a/features/steps/drain_plans.py
+++ b/features/steps/drain_plans.py
@@ -25,86 +25,99 @@
 
 STEPS = [DRAIN_ANNOUNCED, DRAIN_IN_PROGRESS, DRAINED, OUT_OF_SERVICE]
 DISCONNECT_TIMEOUT = 7.4  # s
-SECONDS = 120  # of a play in which a guard is taken out
+SIMULATED_SECONDS = 120  # of a simulation with a missing guard
 
 
-@then("in {count:d} plays of {seconds:d} s no connected proxy has work at a worker that is out of service")
+@then(
+    "no connected proxy has work at a worker that is out of service in {count:d} simulations of {seconds:d} s"
+)
 def no_worker_is_out_too_soon(context, count, seconds):
-    plays = [Play(seed).run(seconds) for seed in range(count)]
-    assert min(sum(play.out_of_service for play in plays), sum(play.requests for play in plays)) > 100 * count
-
-
-def is_found_out(count, missing_guard=""):
-    """Whether one of so many plays finds a worker out of service too soon."""
+    finished = [Play(seed).run(seconds) for seed in range(count)]
+    assert (
+        min(
+            sum(simulation.out_of_service_count for simulation in finished),
+            sum(simulation.request_count for simulation in finished),
+        )
+        > 100 * count
+    )
+
+
+def is_out_too_soon(count, missing_guard=""):
+    """Whether a worker is out of service too soon in one of `count` simulations."""
     for seed in range(count):
         try:
-            Play(seed, missing_guard).run(SECONDS)
+            Play(seed, missing_guard).run(SIMULATED_SECONDS)
         except OutOfServiceTooSoon:
             return True
     return False
 
 
-@then("without each proxy's confirmation a worker is out of service too soon within {count:d} plays")
+@then(
+    "without the confirmations of the proxies a worker is out of service too soon "
+    "within {count:d} simulations"
+)
 def confirmation_is_needed(context, count):
-    assert is_found_out(count, "confirmation")
+    assert is_out_too_soon(count, "confirmation")
 
 
-@then("without the check for work in flight a worker is out of service too soon within {count:d} plays")
+@then("without the check for work in flight a worker is out of service too soon within {count:d} simulations")
 def check_for_work_is_needed(context, count):
-    assert is_found_out(count, "work in flight")
+    assert is_out_too_soon(count, "work in flight")
 
 
-@then("without the version that a step rests on a worker is out of service too soon within {count:d} plays")
-def version_is_needed(context, count):
+@then(
+    "without the check of a step's version a worker is out of service too soon within {count:d} simulations"
+)
+def version_check_is_needed(context, count):
     advance_plans = drain_progress.advance_plans
 
     def advance_unfenced(value, step_changes, plan_ends):
-        """Every step to a later one is made, whatever version it rests on."""
-        later = {
+        """Apply every change to a later step, whatever version it follows."""
+        later_steps = {
             instance_id: StepChange(step_changes[instance_id].step, drain.version)
             for instance_id, drain in worker_drains_of(value).items()
             if instance_id in step_changes
             and STEPS.index(drain.step) < STEPS.index(step_changes[instance_id].step)
         }
-        return advance_plans(value, later, plan_ends)
+        return advance_plans(value, later_steps, plan_ends)
 
     with mock.patch.object(drain_progress, "advance_plans", advance_unfenced):
-        assert is_found_out(count)
+        assert is_out_too_soon(count)
 
 
 @given("a service of w1, w2 and w3")
-def service(context):
+def service_of_three_workers(context):
     context.value, context.answers = {"n": 1, "s": {"s": {"0": ["w3", "", 0.0, 1, "", ""]}}}, []
 
 
-def start(context, name, instance_ids, remaining):
+def start_drain(context, name, instance_ids, remaining):
     changed, (status, reason) = start_plan(context.value, name, "s", instance_ids, 1, remaining)
     context.value = changed or context.value
-    context.answers.append(f"{name} takes {', '.join(instance_ids)}: {status} {reason}")
+    context.answers.append(f"{name} drains {', '.join(instance_ids)}: {status} {reason}")
 
 
-@when("plan a takes w1 and w2, and plan b takes w2")
+@when("plan a drains w1 and w2, and plan b drains w2")
 def start_overlapping_plans(context):
-    start(context, "a", ["w1", "w2"], 1)
-    start(context, "b", ["w2"], 1)
+    start_drain(context, "a", ["w1", "w2"], 1)
+    start_drain(context, "b", ["w2"], 1)
 
 
-@when("plan c takes w3, plan a is asked for again, and another plan is called a")
-def start_impossible_plans(context):
-    start(context, "c", ["w3"], 0)
-    start(context, "a", ["w1", "w2"], 1)
-    start(context, "a", ["w1"], 2)
-    start(context, "d", [], 1)
+@when("plan c drains w3, plan a is started again, another plan a drains w1, and plan d drains no worker")
+def start_invalid_plans(context):
+    start_drain(context, "c", ["w3"], 0)
+    start_drain(context, "a", ["w1", "w2"], 1)
+    start_drain(context, "a", ["w1"], 2)
+    start_drain(context, "d", [], 1)
 
 
-@then('the plans are answered "{name}"')
-def plans_are_answered(context, name):
+@then('the answers to the plans are those of "{name}"')
+def answers_are_approved(context, name):
     approve(name, context.answers)
 
 
-@when("plan a takes w1 and w2 while 5 of 6 slots are busy")
+@when("plan a drains w1 and w2 while 5 of 6 slots are busy")
 def start_plan_under_load(context):
-    start(context, "a", ["w1", "w2"], 1)
+    start_drain(context, "a", ["w1", "w2"], 1)
 
 
 @then("after {first:d} s no drain has begun, and after {last:d} s the plan is stopped: {reason}")
@@ -124,13 +137,13 @@
     assert (plan.state, plan.reason) == ("stopped", reason)
 
 
-@then("w1 is in use")
-def worker_is_in_use(context):
+@then("w1 stays in use")
+def worker_stays_in_use(context):
     assert "w1" not in worker_drains_of(context.value)
 
 
 def apply_step(context, step):
-    """The proxy hears of a table in which w1 has this step."""
+    """The proxy receives a table in which w1 has this step."""
     slices = context.load_balancer.slices
     slices.apply(TableUpdate(slices.version + 1, {}, base=slices.version, leaving={"w1": step}))
 
@@ -141,14 +154,14 @@
     ]
 
 
-@when("key 7's client began at w1, and a plan takes w1")
-def client_began(context):
+@when("key 7 is bound to w1, and a plan drains w1")
+def key_is_bound(context):
     context.load_balancer.set_affinity(0.0, "s", "7", "w1", 2.0)
     apply_step(context, DRAIN_ANNOUNCED)
 
 
-@then("its next step goes to w1 at {early:d} s, and elsewhere after {late:d} s")
-def affinity_ends(context, early, late):
+@then("key 7 is bound to w1 at {early:d} s, and no longer after {late:d} s")
+def binding_expires(context, early, late):
     load_balancer = context.load_balancer
     assert load_balancer.affinity_worker(early, "s", "7") == "w1"
     assert remaining_work(load_balancer, early)["w1"] == [0, 1, 0.0]
@@ -156,13 +169,13 @@
     assert remaining_work(load_balancer, late) == {}
 
 
-@then("of {count:d} effects none goes to w1 once it is in the plan, though it still gets lookups")
-def effects_go_elsewhere(context, count):
+@then("w1 is chosen for none of {count:d} non-idempotent requests, but for idempotent ones")
+def w1_is_chosen_for_idempotent_requests(context, count):
     assert "w1" not in choose_workers(context, count, idempotent=False)
     assert "w1" in choose_workers(context, count, idempotent=True)
 
 
-@then("once its drain has begun w1 gets nothing new")
-def nothing_new(context):
+@then("w1 is chosen for no request once its drain is in progress")
+def w1_is_not_chosen(context):
     apply_step(context, DRAIN_IN_PROGRESS)
     assert "w1" not in choose_workers(context, 200, idempotent=True)
