--- a/tests/test_lease_calls.py
+++ b/tests/test_lease_calls.py
@@ -1,4 +1,4 @@
-"""Calls to workers are owned: none goes on after the controller has stopped."""
+"""Guards against lease calls that continue after the controller has stopped."""
 
 import asyncio
 from types import SimpleNamespace
@@ -10,7 +10,7 @@
     return LeaseCalls(None, None, None, SimpleNamespace(registry=None), None, None, None)
 
 
-def test_cancel_all_waits_until_the_calls_have_ended():
+def test_cancel_all_returns_after_all_calls_have_ended():
     events = []
 
     async def call():
@@ -33,7 +33,7 @@
     assert events == ["ended", "ended", "cancelled"]
 
 
-def test_finished_call_is_owned_no_more():
+def test_finished_call_is_not_kept():
     async def call():
         return None
 
