--- a/bramblewood/controller/drain_plans.py
+++ b/bramblewood/controller/drain_plans.py
@@ -45,7 +45,7 @@
 
     @classmethod
     def from_stored(cls, stored: Mapping[str, Any]) -> "DrainPlan":
-        """Return the plan that `stored` encoded."""
+        """Return the plan with this stored form, which `stored()` produced."""
         return cls(stored["service"], stored["lives"], stored["wave"], stored["state"], stored["why"])
 
     def stored(self) -> dict[str, Any]:
@@ -70,8 +70,8 @@
 class StepChange(NamedTuple):
     """A worker's next step, and the `WorkerDrain.version` of the step that it follows.
 
-    The change is void if the version differs by the time of its proposal. The confirmations of the proxies
-    are for that version, and do not hold for the step of a later plan.
+    The change has no effect if the version of the worker's drain is another one when the change is applied.
+    The confirmations of the proxies are for that version, and do not hold for the step of a later plan.
     """
 
     step: str
@@ -139,9 +139,9 @@
     wave_size: int,
     remaining: int,
 ) -> tuple[TableValue | None, PlanAnswer]:
-    """Return the table with a new plan, or None, and the answer to the operator.
+    """Return the table with a new plan, and the answer to the operator. The table is None if it is unchanged.
 
-    The call may be repeated: the answer to a plan that already exists is its state.
+    The call may be repeated: the answer to an equal plan that already exists is its state.
 
     Args:
         instance_ids: the workers to drain, in the order of the waves.
@@ -170,7 +170,9 @@
 
 
 def end_plan(value: TableValue | None, name: str, state: str) -> tuple[TableValue | None, PlanAnswer]:
-    """Return the table after an operator stops or cancels a plan, or None, and the answer to the operator.
+    """Stop or cancel a plan, and return the table and the answer to the operator.
+
+    The table is None if it is unchanged.
 
     A stopped plan begins no further wave, and its workers in the step DRAIN_ANNOUNCED stay in use. A
     cancelled plan returns all its workers to use.
@@ -191,7 +193,7 @@
 def advance_plans(
     value: TableValue | None, step_changes: Mapping[str, StepChange], plan_ends: Mapping[str, PlanEnd]
 ) -> ProposedTable:
-    """Return the table after these steps and ends of plans.
+    """Return the table after these steps and ends of plans, or None if nothing changes.
 
     A step is left out if the worker's drain has changed since the step was planned. The end of a plan is left
     out if the plan is not running any more.
@@ -218,7 +220,7 @@
 ) -> dict[str, WorkerDrain]:
     """Return the drains without those of a plan.
 
-    With `keep_started`, only those of its drains are removed that are in the step DRAIN_ANNOUNCED.
+    With `keep_started`, drains of this plan that are beyond the step DRAIN_ANNOUNCED are kept.
     """
     return {
         instance_id: drain
--- a/bramblewood/controller/key_leases.py
+++ b/bramblewood/controller/key_leases.py
@@ -33,8 +33,8 @@
 from ..common.timeouts import lease_expiry
 from ..common.worker_registry import GONE, WorkerRegistry
 
-# duration of a grant as a fraction of HoldMaxS. A longer grant survives a longer loss of the quorum, but the
-# keys of a dead worker wait as long for their next owner.
+# Duration of a grant as a fraction of HoldMaxS. Grants survive a loss of quorum contact for some seconds. The
+# keys of a worker that has crashed wait as long for their next owner.
 LEASE_FRACTION = 0.6
 # fraction of a lease after which it is renewed; time for two further attempts remains
 RENEWAL_FRACTION = 1 / 3
--- a/bramblewood/controller/key_releases.py
+++ b/bramblewood/controller/key_releases.py
@@ -1,4 +1,4 @@
-"""Proposes to remove previous owners that have released their slices from the agreed slice table.
+"""Proposes the removal of previous owners from the agreed slice table after they have released their slices.
 
 One proposal covers all pending releases. The new owner of a slice receives no grant until the change is
 agreed.
--- a/bramblewood/controller/read_replicas.py
+++ b/bramblewood/controller/read_replicas.py
@@ -1,6 +1,6 @@
-"""Read replicas: which workers may answer idempotent requests for a hot key beside its owner, and until when.
-Pure.
+"""Read replicas: which workers may answer idempotent requests for a hot key, and until when. Pure.
 
+A reader is a worker that holds a replica of a key under a read lease, in addition to the key's owner.
 Replicas exist only for services whose configuration allows them (`ReadCopies`). The agreed table lists the
 readers of a key in the entry of its slice, as it lists the owner. Non-idempotent requests run at the owner
 only. A controller sends read leases only while its quorum contact is valid, and with the fencing token of the
--- a/features/key_leases.feature
+++ b/features/key_leases.feature
@@ -18,7 +18,7 @@
       | fault                                                | count |
       | a grant without quorum contact                       | 40    |
       | an expiry wait that is too short                     | 40    |
-      | the answer to another call, counted for a release    | 20    |
+      | an answer to another call that counts for a release  | 20    |
       | a late release that frees a slice after a later move | 20    |
 
   Scenario: A delayed registration of an older instance marks the newer instance at its address as gone
--- a/features/read_replicas.feature
+++ b/features/read_replicas.feature
@@ -1,7 +1,7 @@
 Feature: No answer to an idempotent request is older than the effect of an answered request
 
   Scenario: Leases and invalidations with partitions, freezes and lost calls
-    Then no replica that is older than an answered request is read in 60 simulations of 60 s
+    Then no readable replica is older than an answered request in 60 simulations of 60 s
 
   Scenario: Each guard is needed
     Then without the delay before a reader's first lease a stale replica is read within 60 simulations
--- a/features/steps/drain_plans.py
+++ b/features/steps/drain_plans.py
@@ -91,9 +91,9 @@
 
 
 def start_drain(context, name, instance_ids, remaining):
-    changed, (status, reason) = start_plan(context.value, name, "s", instance_ids, 1, remaining)
+    changed, (status, text) = start_plan(context.value, name, "s", instance_ids, 1, remaining)
     context.value = changed or context.value
-    context.answers.append(f"{name} drains {', '.join(instance_ids)}: {status} {reason}")
+    context.answers.append(f"{name} drains {', '.join(instance_ids)}: {status} {text}")
 
 
 @when("plan a drains w1 and w2, and plan b drains w2")
--- a/features/steps/key_leases.py
+++ b/features/steps/key_leases.py
@@ -56,7 +56,7 @@
     guard = {
         "a grant without quorum contact": "quorum contact",
         "an expiry wait that is too short": "expiry wait",
-        "the answer to another call, counted for a release": "attempt id",
+        "an answer to another call that counts for a release": "attempt id",
         "a late release that frees a slice after a later move": "fencing token",
     }[fault]
     for seed in range(count):
@@ -115,7 +115,10 @@
                     head = (await reader.readuntil(b"\r\n\r\n")).decode()
                 except (asyncio.IncompleteReadError, ConnectionError):
                     return writer.close()
-                fields = {k.lower(): v for k, _, v in (x.partition(": ") for x in head.split("\r\n"))}
+                fields = {
+                    name.lower(): value
+                    for name, _, value in (line.partition(": ") for line in head.split("\r\n"))
+                }
                 await reader.readexactly(int(fields["content-length"]))
                 headers = f"X-Attempt-Id: {fields['x-attempt-id']}\r\n" * repeats_ids
                 headers += f"X-Handover: {len(kinds)}\r\nContent-Length: 0\r\n\r\n"
@@ -148,7 +151,7 @@
         late_grant = await calls.send("grant", address, "w1", {}, calls.runtime.now())
         calls.client.close()
         server.close()
-        # each connection ends with the client's end of the stream, and without an error
+        # each connection ends when the client closes it, and without an error
         await asyncio.wait_for(asyncio.gather(*serving), CONNECTION_END_TIMEOUT)
         return *results, late_grant, len(kinds)
 
--- a/features/steps/read_replicas.py
+++ b/features/steps/read_replicas.py
@@ -8,7 +8,7 @@
 from tests.simulation.read_replicas import Play, StaleRead
 
 
-@then("no replica that is older than an answered request is read in {count:d} simulations of {seconds:d} s")
+@then("no readable replica is older than an answered request in {count:d} simulations of {seconds:d} s")
 def no_stale_read(context, count, seconds):
     finished = [Play(seed).run(seconds) for seed in range(count)]
     assert (
--- a/tests/simulation/drain_plans.py
+++ b/tests/simulation/drain_plans.py
@@ -106,7 +106,7 @@
 
     def run_proxy(self, name, proxy):
         rng = self.rng
-        if rng.random() < 0.004:  # it is restarted: its requests end, and it has the newest table
+        if rng.random() < 0.004:  # the proxy restarts: its requests end, and it has the newest table
             proxy.requests, proxy.table_version = [], self.value["n"]
             proxy.drain_steps = drain_steps_of(self.value)
         if rng.random() < 0.008 and proxy.is_connected(self.now):
@@ -143,7 +143,7 @@
 
     def run_controller(self, name):
         rng = self.rng
-        if rng.random() < 0.002:  # it is restarted
+        if rng.random() < 0.002:  # the controller restarts
             self.controllers[name] = self.start_controller()
         progress = self.controllers[name]
         connected = {proxy_name for proxy_name, proxy in self.proxies.items() if proxy.is_connected(self.now)}
