--- a/bramblewood/controller/lease_calls.py
+++ b/bramblewood/controller/lease_calls.py
@@ -153,6 +153,7 @@
     def _log_lease_call(self, call: LeaseCall, status: int) -> None:
         fields = {
             "step": call.kind,
+            "service": call.service,
             "peer": call.instance_id,
             "keys": (call.first_key, call.last_key),
             "fencing_token": call.fencing_token,
