--- a/bramblewood/controller/consensus/__init__.py
+++ b/bramblewood/controller/consensus/__init__.py
@@ -1,12 +1,17 @@
-"""Agreement among controllers: registers whose versions a majority of the voters chooses, and who votes.
+"""Agreement among controllers: a majority of the voters chooses each version of a register's value.
 
-replica           the registers at one controller; what the server talks to
-acceptor          what this disk has promised and accepted, per register
-proposer          rounds that carry the changes proposed here (`proposal_round`, `proposer_backoff`)
-learner           which values are chosen
-epochs            from one set of voters to the next
-local_member      this controller's place among the voters (`voter_set`)
-messages          the messages between controllers and their form on the wire (`proposal_number`, `registers`)
-effects           what a step asks of the server: writes, then messages and answers
-membership        which change of the voters is due (`peer_status`, `quorum`, `membership_view`)
+The same protocol changes the set of voters itself. The package performs no I/O: `controller/quorum_io.py`
+passes messages in, and carries out the effects that come back.
+
+replica           the registers at one controller; the interface of this package
+acceptor          what this disk has promised and accepted, by register
+proposer          the rounds that carry the changes proposed here (`proposal_round`, `proposer_backoff`)
+learner           the values that are chosen
+epochs            the transition from one voter set to the next
+local_member      this controller's address, disk and epoch (`voter_set`)
+messages          the messages between controllers and their wire forms (`epoch_messages`, `proposal_number`)
+registers         the names of the registers
+effects           what the caller writes, sends and answers after a step
+membership        the change of the voter set that is due (`peer_status`, `quorum`, `membership_view`)
+timing            timeouts and retry intervals
 """
--- a/bramblewood/controller/consensus/acceptor.py
+++ b/bramblewood/controller/consensus/acceptor.py
@@ -13,10 +13,12 @@
 
 
 class Acceptor:
-    """The state of one register at one voter. Invariant: accepted <= promised, and neither ever falls.
+    """The state of one register at one voter.
 
-    promised: the highest proposal whose prepare was answered; no lower one is answered any more.
-    accepted, value: the proposal accepted last, and its value.
+    promised: the highest proposal number that was promised; the acceptor rejects every lower proposal.
+    accepted, value: the number of the proposal that was accepted last, and its value.
+
+    Invariant: accepted <= promised, and neither of them ever decreases.
     """
 
     def __init__(
@@ -30,21 +32,26 @@
         self.value = value
 
     def prepare(self, number: ProposalNumber) -> bool:
-        """Promise to answer no lower proposal; False where that is promised already."""
+        """Promises to reject every proposal below `number`.
+
+        Returns False, and changes nothing, where this number or a higher one is promised already.
+        """
         if number <= self.promised:
             return False
         self.promised = number
         return True
 
     def accept(self, number: ProposalNumber, value: Any) -> bool:
-        """Accept this value; False where a higher proposal was promised."""
+        """Accepts a proposal. Returns False, and changes nothing, where a higher number is promised."""
         if number < self.promised:
             return False
-        self.keep(number, value)
+        self.store(number, value)
         return True
 
-    def keep(self, number: ProposalNumber, value: Any) -> None:
-        """Hold a value that is chosen. No promise forbids it: whoever got a higher promise has met this value
-        at a majority.
+    def store(self, number: ProposalNumber, value: Any) -> None:
+        """Stores a value, whatever was promised.
+
+        This is safe for a chosen value even below a promised number: the majority that promised the higher
+        number includes a voter that has accepted the chosen value, so the higher proposal carries it on.
         """
         self.promised, self.accepted, self.value = max(self.promised, number), number, value
--- a/bramblewood/controller/consensus/effects.py
+++ b/bramblewood/controller/consensus/effects.py
@@ -1,4 +1,4 @@
-"""What a step of consensus asks of the shell: rows and facts to write, then messages to send and answers."""
+"""What a step of consensus asks of the caller: writes first, then messages and answers."""
 
 from collections.abc import Iterable
 from typing import TYPE_CHECKING, Any, NamedTuple
@@ -9,14 +9,14 @@
 if TYPE_CHECKING:
     from .messages import Message
 
-# names of facts on disk
+# names of the facts, which are values stored on disk beside the registers
 DISK_FACT = "disk"
 VOTER_SET_FACT = "members"
 ACTIVE_EPOCH_FACT = "held"
 
 
 class RegisterRow(NamedTuple):
-    """One register as it is written to disk."""
+    """One register in the form that is written to disk."""
 
     register: str
     promised: ProposalNumber
@@ -25,42 +25,42 @@
 
 
 class Effects(NamedTuple):
-    """The effects of one step. The shell sends and answers only once all of its writes are safe on disk."""
+    """The effects of one step. The caller sends and answers only once all writes of the step are durable."""
 
     writes: list[RegisterRow]
     sends: list[tuple[str, dict]]  # (address, message in its wire form)
-    answers: list[tuple[Any, Any]]  # (tag of a proposal, outcome; None where that is unclear)
-    facts: dict[str, Any]  # what else must be on disk first, by name
+    answers: list[tuple[Any, Any]]  # (tag of a proposal, outcome; None where the outcome is unclear)
+    facts: dict[str, Any]  # further values to write, by name
 
     def write(self, register: str, acceptor: Acceptor) -> None:
-        """Write this acceptor's state as the row of this register."""
+        """Adds a write of this acceptor's state as the row of this register."""
         self.writes.append(RegisterRow(register, acceptor.promised, acceptor.accepted, acceptor.value))
 
     def send(self, peer: str, message: "Message") -> None:
-        """Send a message to this controller."""
+        """Adds a message to this controller."""
         self.sends.append((peer, message.to_wire()))
 
     def broadcast(self, peers: Iterable[str], message: "Message") -> None:
-        """Send one message to all of these controllers."""
+        """Adds the same message to each of these controllers."""
         wire = message.to_wire()
         self.sends.extend((peer, wire) for peer in peers)
 
     def answer(self, tag: Any, outcome: Any) -> None:
-        """Answer the proposal of this tag; outcome: None where it is unclear."""
+        """Adds the answer to the proposal with this tag. An outcome of None means that it is unclear."""
         self.answers.append((tag, outcome))
 
 
 def no_effects() -> Effects:
-    """Effects to be filled."""
+    """Returns empty effects, to which a step adds its own."""
     return Effects([], [], [], {})
 
 
 class PendingWrites:
-    """What every write brings along until it is safe on disk: facts, and the rows that a fact speaks of.
+    """The facts, and the rows written together with a fact, that are not yet known to be durable.
 
-    A disk may refuse one write and take the next. A row of a single proposal may then be missing, as nobody
-    was told of it; but a disk that says it was active in an epoch must hold every row that this epoch began
-    with.
+    Every write repeats them, because a disk may refuse one write and accept the next. The row of a single
+    proposal need not be repeated, as no message was sent on the strength of a refused write. A disk that
+    records an epoch as active, however, must hold every row with which that epoch began.
     """
 
     def __init__(self, facts: dict[str, Any]) -> None:
@@ -68,7 +68,7 @@
         self.rows: dict[str, RegisterRow] = {}  # by register
 
     def prepare_write(self, effects: Effects) -> tuple[list, dict]:
-        """The rows and facts to write for these effects; none at all where they need no write."""
+        """Returns the rows and facts to write for these effects. Both are empty where no write is needed."""
         rows = {row[0]: row for row in effects.writes}
         self.facts.update(effects.facts)
         for register, row in rows.items():
@@ -77,8 +77,10 @@
         return list((rows | self.rows).values()), dict(self.facts)
 
     def mark_durable(self, rows: list, facts: dict) -> None:
-        """These have been written: they need not come again, unless newer ones took their place."""
+        """Stops repeating these rows and facts, except where a newer row or fact has replaced them."""
         self.facts = {name: fact for name, fact in self.facts.items() if facts.get(name) != fact}
         self.rows = {
-            register: row for register, row in self.rows.items() if not any(row is one for one in rows)
+            register: row
+            for register, row in self.rows.items()
+            if not any(row is written for written in rows)
         }
--- a/bramblewood/controller/consensus/epoch_messages.py
+++ b/bramblewood/controller/consensus/epoch_messages.py
@@ -13,7 +13,7 @@
 
 OMITTED: Any = object()  # in place of a value that the receiver is expected to hold already
 
-number_from = ProposalNumber.from_wire
+parse_proposal_number = ProposalNumber.from_wire
 
 
 class EpochNotice(NamedTuple):
@@ -44,7 +44,10 @@
     @classmethod
     def from_wire(cls, wire: dict) -> "JoinEpoch":
         """Read the form on the wire."""
-        held = {register: number_from(number) for register, number in Fields(wire).mapping("have").items()}
+        held = {
+            register: parse_proposal_number(number)
+            for register, number in Fields(wire).mapping("have").items()
+        }
         return cls(voter_set_from(wire["m"]), held, "again" in wire)
 
     def to_wire(self) -> dict:
@@ -62,7 +65,7 @@
     @classmethod
     def from_wire(cls, wire: dict) -> "AcceptedState":
         """Read the form on the wire."""
-        return cls(number_from(wire["a"]), wire.get("v", OMITTED))
+        return cls(parse_proposal_number(wire["a"]), wire.get("v", OMITTED))
 
     def to_wire(self) -> dict:
         """The form on the wire."""
--- a/bramblewood/controller/consensus/epochs.py
+++ b/bramblewood/controller/consensus/epochs.py
@@ -19,7 +19,7 @@
 from .proposal_number import NO_PROPOSAL, ProposalNumber
 from .proposer import Proposer
 from .registers import ALL_REGISTERS
-from .timing import MAX_JOIN_INTERVAL, PHASE_TIMEOUT
+from .timing import MAX_JOIN_REQUEST_INTERVAL, PHASE_TIMEOUT
 from .voter_set import VoterSet, is_voter, majority
 
 
@@ -39,7 +39,7 @@
         self.interval = PHASE_TIMEOUT / 2  # s between requests, doubled with each
 
 
-class SeatKind(Enum):
+class SeatState(Enum):
     """What this disk is to an epoch that others ask it about."""
 
     ACTIVE = "active"  # a voter of it, and active
@@ -63,7 +63,7 @@
             return
         self.member.voter_set, self.join = voter_set, EpochJoin()
         effects.facts[VOTER_SET_FACT] = voter_set
-        self.learner.forget_voters()
+        self.learner.clear_voter_records()
         self.proposer.restart_rounds(now)
         if self.member.holds_seat:
             self.request_state(now, effects)
@@ -78,12 +78,12 @@
     def request_state(self, now: float, effects: Effects) -> None:
         """Ask for what this epoch is to hold: the voters of the one before, and those who are active."""
         join = self.join = self.join or EpochJoin()
-        self.report_own_state(join)
+        self.add_own_report(join)
         if join.reports and self.try_activate(now, effects):
             return
         if now < join.next_request_at:
             return
-        join.interval = min(2 * join.interval, MAX_JOIN_INTERVAL)
+        join.interval = min(2 * join.interval, MAX_JOIN_REQUEST_INTERVAL)
         join.next_request_at = now + join.interval
         held = {
             register: max(acceptor.accepted, self.learner.chosen[register].proposal_number)
@@ -94,28 +94,28 @@
         for peer in sorted(peers):  # who reported as sealed may be active by now
             effects.send(peer, request._replace(repeated=peer in join.reports))
 
-    def report_own_state(self, join: EpochJoin) -> None:
+    def add_own_report(self, join: EpochJoin) -> None:
         """This disk's own report, where it had a seat in the epoch before."""
         member = self.member
-        match self.seat_in(member.voter_set):
-            case SeatKind.SEALED:
+        match self.seat_state(member.voter_set):
+            case SeatState.SEALED:
                 registers = {
                     register: NumberedValue(acceptor.accepted, acceptor.value)
                     for register, acceptor in self.acceptors.items()
                 }
                 join.reports[member.address] = StateReport(member.active_epoch, registers)
-            case SeatKind.UNUSED:
+            case SeatState.UNUSED:
                 join.reports[member.address] = StateReport(member.active_epoch, {})
 
-    def seat_in(self, voter_set: VoterSet) -> SeatKind | None:
+    def seat_state(self, voter_set: VoterSet) -> SeatState | None:
         """What this disk is to the epoch of this set of voters; None: nothing that helps to begin it."""
         member, epoch, before = self.member, voter_set["n"], voter_set["before"]
         if member.active_epoch == epoch and is_voter(voter_set["voters"], member.address, member.disk):
-            return SeatKind.ACTIVE
+            return SeatState.ACTIVE
         if member.active_epoch == epoch - 1 and is_voter(before, member.address, member.disk):
-            return SeatKind.SEALED
+            return SeatState.SEALED
         if member.active_epoch < epoch - 1 and before.get(member.address) == member.disk:
-            return SeatKind.UNUSED
+            return SeatState.UNUSED
         return None
 
     def on_epoch_state(self, now: float, peer: str, state: EpochState, effects: Effects) -> None:
@@ -128,12 +128,12 @@
         voters = member.voters if state.active_epoch == member.epoch else member.voter_set["before"]
         if not is_voter(voters, peer, state.disk):
             return
-        registers = self.with_held_values(state)
+        registers = self.fill_omitted_values(state)
         if registers is not None:
             self.join.reports[peer] = StateReport(state.active_epoch, registers)
             self.try_activate(now, effects)
 
-    def with_held_values(self, state: EpochState) -> dict[str, NumberedValue] | None:
+    def fill_omitted_values(self, state: EpochState) -> dict[str, NumberedValue] | None:
         """The registers of a report, with the values that it left out; None where one of these is no longer
         held here: the next request says so.
         """
@@ -177,14 +177,14 @@
         self.adopt_voter_set(now, request.voter_set, effects)
         if member.epoch > epoch:
             effects.send(peer, EpochNotice(member.voter_set))
-        seat = self.seat_in(request.voter_set)
-        if seat is None or member.epoch < epoch or request.repeated and seat is not SeatKind.ACTIVE:
+        seat = self.seat_state(request.voter_set)
+        if seat is None or member.epoch < epoch or request.repeated and seat is not SeatState.ACTIVE:
             return
-        registers = {} if seat is SeatKind.UNUSED else self.own_state(request.held)
+        registers = {} if seat is SeatState.UNUSED else self.accepted_states(request.held)
         effects.facts[VOTER_SET_FACT] = member.voter_set  # the seal may still be on its way to the disk
         effects.send(peer, EpochState(epoch, member.active_epoch, member.disk, registers))
 
-    def own_state(self, held: dict[str, ProposalNumber]) -> dict[str, AcceptedState]:
+    def accepted_states(self, held: dict[str, ProposalNumber]) -> dict[str, AcceptedState]:
         """What this disk has accepted, without the values that the asking voter holds."""
         registers = {}
         for register, acceptor in self.acceptors.items():
--- a/bramblewood/controller/consensus/learner.py
+++ b/bramblewood/controller/consensus/learner.py
@@ -43,13 +43,13 @@
         a set of voters that is not known here yet.
         """
         acceptances = self.acceptances[register]
-        if not self.member.knows_voter(peer, disk) or number < acceptances.get(peer, NO_PROPOSAL):
+        if not self.member.is_current_voter(peer, disk) or number < acceptances.get(peer, NO_PROPOSAL):
             return False
         acceptances[peer] = number
         self.record_commitment(peer, register, number)
         return number.epoch == self.member.epoch
 
-    def learn_if_accepted(
+    def learn_if_majority_accepted(
         self, now: float, peer: str, register: str, number: ProposalNumber, effects: Effects
     ) -> bool:
         """Learn this proposal's value once a majority has accepted it; ask `peer` for a value not held here.
@@ -76,17 +76,17 @@
             return
         self.chosen[register] = NumberedValue(number, value)
         self.backoff.round_finished(register, number)
-        self.keep_chosen(register, number, value, effects)
+        self.store_chosen(register, number, value, effects)
         if register == VOTER_SET:
             self.adopt_voter_set(now, value, effects)
 
-    def keep_chosen(self, register: str, number: ProposalNumber, value: Any, effects: Effects) -> None:
+    def store_chosen(self, register: str, number: ProposalNumber, value: Any, effects: Effects) -> None:
         """Accept a chosen value that this voter missed: it was away as it was chosen, was asked too late, or
         by a difference from what it doesn't hold, and nobody would send it again.
         """
         acceptor = self.acceptors[register]
         if self.member.is_active_voter and number.epoch == self.member.epoch and acceptor.accepted < number:
-            acceptor.keep(number, value)
+            acceptor.store(number, value)
             effects.write(register, acceptor)
 
     def on_fetch(self, peer: str, request: FetchChosen, effects: Effects) -> None:
@@ -99,7 +99,7 @@
         """The highest proposal that any voter is known to have accepted."""
         return max(self.acceptances[register].values(), default=NO_PROPOSAL)
 
-    def forget_voters(self) -> None:
+    def clear_voter_records(self) -> None:
         """Other voters count from now on."""
         for by_voter in (*self.acceptances.values(), *self.commitments.values()):
             by_voter.clear()
--- a/bramblewood/controller/consensus/local_member.py
+++ b/bramblewood/controller/consensus/local_member.py
@@ -38,14 +38,14 @@
         """How many voters are more than half of them."""
         return majority(self.voters)
 
-    def knows_voter(self, address: str, disk: str) -> bool:
+    def is_current_voter(self, address: str, disk: str) -> bool:
         """Whether this address with this disk votes in the epoch known here."""
         return is_voter(self.voters, address, disk)
 
     @property
     def is_member(self) -> bool:
         """Whether this controller, on this disk, may have a seat in that epoch; see `holds_seat`."""
-        return self.knows_voter(self.address, self.disk)
+        return self.is_current_voter(self.address, self.disk)
 
     @property
     def holds_seat(self) -> bool:
--- a/bramblewood/controller/consensus/membership.py
+++ b/bramblewood/controller/consensus/membership.py
@@ -14,8 +14,8 @@
 
 from ...common.settings import Tolerance
 from .membership_view import MembershipView, membership_view
-from .peer_status import PeerStatus, active_voters, heard_peers
-from .quorum import FailureDomain, first_voters, keeps_majority, voters_needed
+from .peer_status import PeerStatus, active_voters, reachable_peers
+from .quorum import FailureDomain, keeps_majority, select_first_voters, voters_needed
 from .voter_set import VoterSet, is_voter, majority
 
 LOST_AFTER_FRACTION = 1 / 2  # of CatchUpS without a heartbeat, after which a voter's seat is given away
@@ -54,13 +54,13 @@
         """Whether it was silent for so long that its seat may be given to another; None: never heard of."""
         return peer is None or peer.silent_for > self.lost_after
 
-    def has_lost_disk(self, peer: PeerStatus | None) -> bool:
+    def has_failed_disk(self, peer: PeerStatus | None) -> bool:
         """Whether its disk has failed for as long: it can promise and accept nothing, like a silent one."""
         return peer is not None and peer.disk_failing_for > self.lost_after
 
     def is_lost(self, peer: PeerStatus | None) -> bool:
         """Whether its seat may be given to another, and no change waits for it."""
-        return self.is_silent(peer) or self.has_lost_disk(peer)
+        return self.is_silent(peer) or self.has_failed_disk(peer)
 
     # --- the change that is due
 
@@ -68,8 +68,8 @@
         self, seeds: tuple[str, ...], peers: dict[str, PeerStatus], late: bool
     ) -> VoterSetChange | None:
         """The voters of epoch 1, of those who have shown themselves; None while it is better to wait."""
-        heard = heard_peers(peers)
-        chosen = first_voters(self.failure_domains(heard), seeds, self.tolerance, late)
+        heard = reachable_peers(peers)
+        chosen = select_first_voters(self.failure_domains(heard), seeds, self.tolerance, late)
         return VoterSetChange({name: heard[name].disk for name in chosen}, "first boot") if chosen else None
 
     def due_change(
@@ -78,26 +78,28 @@
         """The change that is due. peers: all controllers known, this one too; versions: what is chosen."""
         if self.has_joining_voter(voter_set, peers):
             return None
-        return self.disk_change(voter_set, peers, versions) or self.seat_change(voter_set, peers, versions)
+        return self.due_disk_change(voter_set, peers, versions) or self.due_replacement(
+            voter_set, peers, versions
+        )
 
     def has_joining_voter(self, voter_set: VoterSet, peers: dict[str, PeerStatus]) -> bool:
         """Whether a voter that is heard on its disk is about to be active: one change at a time. One whose
         disk fails won't be; the majority that a change needs is counted without it anyway.
         """
-        heard = heard_peers(peers)
+        heard = reachable_peers(peers)
         return any(
             name in heard
             and heard[name].disk == disk
             and not heard[name].is_active_in(voter_set, name)
-            and not self.has_lost_disk(heard[name])
+            and not self.has_failed_disk(heard[name])
             for name, disk in voter_set["voters"].items()
         )
 
-    def disk_change(
+    def due_disk_change(
         self, voter_set: VoterSet, peers: dict[str, PeerStatus], versions: dict[str, int]
     ) -> VoterSetChange | None:
         """The seat of a voter that is heard on another disk than its seat names, given to that disk."""
-        voters, heard = voter_set["voters"], heard_peers(peers)
+        voters, heard = voter_set["voters"], reachable_peers(peers)
         for name, disk in voters.items():
             peer = heard.get(name)
             if peer is None or peer.disk == disk or peer.epoch != voter_set["n"] or peer.leaving:
@@ -107,32 +109,32 @@
                 return VoterSetChange(replace_voter(voters, name, name, peer.disk), reason)
         return None
 
-    def seat_change(
+    def due_replacement(
         self, voter_set: VoterSet, peers: dict[str, PeerStatus], versions: dict[str, int]
     ) -> VoterSetChange | None:
         """The seat of a voter that leaves or is lost, or a free one, given to a spare."""
         voters = voter_set["voters"]
-        spares = self.spares(voter_set, peers, versions)
+        spares = self.eligible_spares(voter_set, peers, versions)
         if not spares:
             return None
         for reason, is_due in (
             ("leaves", self.is_leaving),
             ("silent", self.is_silent),
-            ("disk fails", self.has_lost_disk),
+            ("disk fails", self.has_failed_disk),
         ):
             for name in voters:
                 if is_due(peers.get(name)):
-                    following = self.best_replacement(voters, spares, peers, name)
+                    following = self.assign_to_best_spare(voters, spares, peers, name)
                     return VoterSetChange(following, f"{name} {reason}")
         if len(voters) < voters_needed(self.tolerance):
-            return VoterSetChange(self.best_replacement(voters, spares, peers), "a seat is free")
+            return VoterSetChange(self.assign_to_best_spare(voters, spares, peers), "a seat is free")
         return None
 
     def is_leaving(self, peer: PeerStatus | None) -> bool:
         """Whether it is heard, and was told to end."""
-        return peer is not None and peer.is_heard and peer.leaving
+        return peer is not None and peer.is_reachable and peer.leaving
 
-    def spares(
+    def eligible_spares(
         self, voter_set: VoterSet, peers: dict[str, PeerStatus], versions: dict[str, int]
     ) -> list[str]:
         """Controllers that may take a seat now."""
@@ -153,9 +155,11 @@
     def successors(self, voter_set: VoterSet, peers: dict[str, PeerStatus]) -> list[str]:
         """Controllers that may take a seat now or soon: a voter that leaves waits for them."""
         voters = voter_set["voters"]
-        return [name for name, peer in heard_peers(peers).items() if name not in voters and not peer.leaving]
+        return [
+            name for name, peer in reachable_peers(peers).items() if name not in voters and not peer.leaving
+        ]
 
-    def best_replacement(
+    def assign_to_best_spare(
         self, voters: dict[str, str], spares: list[str], peers: dict[str, PeerStatus], old: str = ""
     ) -> dict[str, str]:
         """The voters once the best spare has the seat of `old`, or a further seat where `old` is empty.
@@ -192,7 +196,7 @@
             return Ok(VoterSetChange(voters, "stands"))
         if old and old not in voters:
             return Err(f"{old} is no voter of epoch {voter_set['n']}")
-        if new and (problem := self.unfit(new, voters, peers, versions)):
+        if new and (problem := self.rejection_reason(new, voters, peers, versions)):
             return Err(problem)
         following = {name: disk for name, disk in voters.items() if name != old}
         if new:
@@ -204,13 +208,13 @@
             return Err("no majority of that set can be heard")
         return Ok(VoterSetChange(following, "by hand"))
 
-    def unfit(
+    def rejection_reason(
         self, new: str, voters: dict[str, str], peers: dict[str, PeerStatus], versions: dict[str, int]
     ) -> str:
         """Why an operator may not give a seat to this controller now, "" if nothing forbids it."""
         if new in voters:
             return f"{new} votes already"
-        if new not in heard_peers(peers):
+        if new not in reachable_peers(peers):
             return f"{new} is not heard"
         if peers[new].disk_failing_for:
             return f"the disk of {new} refuses writes, or does not answer"
--- a/bramblewood/controller/consensus/membership_view.py
+++ b/bramblewood/controller/consensus/membership_view.py
@@ -63,16 +63,16 @@
     is_lost: Callable[[PeerStatus], bool],
 ) -> MemberView:
     """One controller as it is seen here."""
-    ever_heard = bool(peer.disk)
+    has_reported = bool(peer.disk)
     lag = {
         register: max(version - peer.versions.get(register, 0), 0) for register, version in versions.items()
     }
     return {
         "disk": peer.disk or voter_set["voters"].get(address) or "",
         "state": member_state(address, voter_set, peer, is_lost),
-        "heard": round(peer.silent_for, 2) if ever_heard or peer.is_heard else None,
-        "epoch": peer.epoch if ever_heard else None,
-        "lag": lag if ever_heard else None,
+        "heard": round(peer.silent_for, 2) if has_reported or peer.is_reachable else None,
+        "epoch": peer.epoch if has_reported else None,
+        "lag": lag if has_reported else None,
     }
 
 
@@ -81,7 +81,7 @@
 ) -> str:
     """One of the states of `MemberView`."""
     voters, has_seat = voter_set["voters"], address in voter_set["voters"]
-    if not peer.is_heard:
+    if not peer.is_reachable:
         return "lost" if has_seat and is_lost(peer) else "silent"
     if peer.leaving:
         return "leaving"
--- a/bramblewood/controller/consensus/messages.py
+++ b/bramblewood/controller/consensus/messages.py
@@ -23,7 +23,7 @@
 FETCH_CHOSEN = "fetch"
 CHOSEN = "chosen"
 
-number_from = ProposalNumber.from_wire
+parse_proposal_number = ProposalNumber.from_wire
 
 
 class Message(Protocol):
@@ -46,7 +46,7 @@
     @classmethod
     def from_wire(cls, wire: dict) -> "Prepare":
         """Read the form on the wire."""
-        return cls(wire["r"], number_from(wire["b"]), number_from(wire["have"]))
+        return cls(wire["r"], parse_proposal_number(wire["b"]), parse_proposal_number(wire["have"]))
 
     def to_wire(self) -> dict:
         """The form on the wire."""
@@ -71,8 +71,8 @@
     def from_wire(cls, wire: dict) -> "Promise":
         """Read the form on the wire."""
         register, disk = wire["r"], Fields(wire).text("disk")
-        accepted, value = number_from(wire["a"]), wire.get("v", OMITTED)
-        return cls(register, number_from(wire["b"]), disk, accepted, value)
+        accepted, value = parse_proposal_number(wire["a"]), wire.get("v", OMITTED)
+        return cls(register, parse_proposal_number(wire["b"]), disk, accepted, value)
 
     def to_wire(self) -> dict:
         """The form on the wire."""
@@ -94,8 +94,10 @@
     def from_wire(cls, wire: dict) -> "Accept | AcceptDifference":
         """Read the form on the wire."""
         if "base" in wire:
-            return AcceptDifference(wire["r"], number_from(wire["b"]), number_from(wire["base"]), wire["d"])
-        return cls(wire["r"], number_from(wire["b"]), wire["v"])
+            return AcceptDifference(
+                wire["r"], parse_proposal_number(wire["b"]), parse_proposal_number(wire["base"]), wire["d"]
+            )
+        return cls(wire["r"], parse_proposal_number(wire["b"]), wire["v"])
 
     def to_wire(self) -> dict:
         """The form on the wire."""
@@ -126,7 +128,7 @@
     @classmethod
     def from_wire(cls, wire: dict) -> "Accepted":
         """Read the form on the wire."""
-        return cls(wire["r"], number_from(wire["b"]), Fields(wire).text("disk"))
+        return cls(wire["r"], parse_proposal_number(wire["b"]), Fields(wire).text("disk"))
 
     def to_wire(self) -> dict:
         """The form on the wire."""
@@ -144,7 +146,12 @@
     @classmethod
     def from_wire(cls, wire: dict) -> "Rejected":
         """Read the form on the wire."""
-        return cls(wire["r"], number_from(wire["b"]), number_from(wire["p"]), Fields(wire).text("disk"))
+        return cls(
+            wire["r"],
+            parse_proposal_number(wire["b"]),
+            parse_proposal_number(wire["p"]),
+            Fields(wire).text("disk"),
+        )
 
     def to_wire(self) -> dict:
         """The form on the wire."""
@@ -161,7 +168,7 @@
     @classmethod
     def from_wire(cls, wire: dict) -> "RoundDone":
         """Read the form on the wire."""
-        return cls(wire["r"], number_from(wire["b"]))
+        return cls(wire["r"], parse_proposal_number(wire["b"]))
 
     def to_wire(self) -> dict:
         """The form on the wire."""
@@ -177,7 +184,7 @@
     @classmethod
     def from_wire(cls, wire: dict) -> "FetchChosen":
         """Read the form on the wire."""
-        return cls(wire["r"], number_from(wire["b"]))
+        return cls(wire["r"], parse_proposal_number(wire["b"]))
 
     def to_wire(self) -> dict:
         """The form on the wire."""
@@ -194,7 +201,7 @@
     @classmethod
     def from_wire(cls, wire: dict) -> "Chosen":
         """Read the form on the wire."""
-        return cls(wire["r"], number_from(wire["b"]), wire["v"])
+        return cls(wire["r"], parse_proposal_number(wire["b"]), wire["v"])
 
     def to_wire(self) -> dict:
         """The form on the wire."""
--- a/bramblewood/controller/consensus/peer_status.py
+++ b/bramblewood/controller/consensus/peer_status.py
@@ -21,7 +21,7 @@
     disk_failing_for: float = 0.0  # that its disk has refused every write, or not answered one
 
     @property
-    def is_heard(self) -> bool:
+    def is_reachable(self) -> bool:
         """Whether its heartbeats come."""
         return self.steady_for > 0
 
@@ -38,12 +38,12 @@
         return all(self.versions.get(name, 0) > 0 or not versions.get(name, 0) for name in (CONFIG, TABLE))
 
 
-def heard_peers(peers: dict[str, PeerStatus]) -> dict[str, PeerStatus]:
+def reachable_peers(peers: dict[str, PeerStatus]) -> dict[str, PeerStatus]:
     """Those of these controllers whose heartbeats come."""
-    return {name: peer for name, peer in peers.items() if peer.is_heard}
+    return {name: peer for name, peer in peers.items() if peer.is_reachable}
 
 
 def active_voters(voters: dict[str, str], voter_set: VoterSet, peers: dict[str, PeerStatus]) -> list[str]:
     """Of these voters, those heard that are active in the epoch of `voter_set`."""
-    heard = heard_peers(peers)
+    heard = reachable_peers(peers)
     return [name for name in voters if name in heard and heard[name].is_active_in(voter_set, name)]
--- a/bramblewood/controller/consensus/proposal_number.py
+++ b/bramblewood/controller/consensus/proposal_number.py
@@ -1,4 +1,4 @@
-"""Proposal numbers: which attempt to choose a value came later, the same order at every controller."""
+"""Proposal numbers, which give all proposals of a register the same order at every controller."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -8,22 +8,24 @@
 
 
 class ProposalNumber(NamedTuple):
-    """The number of one proposal; later proposals compare greater, field by field.
+    """The number of one proposal. Numbers compare field by field, and later proposals compare greater.
 
-    It compares equal to the plain tuple of its fields, and JSON encodes it as the list of them: its form on
-    the wire and on disk.
+    A number equals the plain tuple of its fields. JSON encodes it as the list of its fields, which is the
+    form on the wire and on disk.
     """
 
     epoch: int
-    counter: int  # of proposals in this register, above every one that the proposer knew of
+    counter: int  # of proposals in the register; higher than every counter that the proposer has seen there
     proposer: str  # address of the controller that proposes
-    incarnation: int  # of that controller's process, so that no two of them share a number
+    incarnation: int  # of that controller's process, so that no two processes use the same number
 
     @classmethod
     def from_wire(cls, fields: Sequence) -> "ProposalNumber":
-        """Read the form on the wire, a list of the fields in order. Raises PeerMessageError."""
+        """Decodes the wire form, a list of the fields in order. Raises PeerMessageError."""
         if not is_proposal_number(fields):
-            raise PeerMessageError(f"expected a proposal number, found {fields!r:.60}")
+            raise PeerMessageError(
+                f"expected a proposal number [epoch, counter, proposer, incarnation], found {fields!r:.60}"
+            )
         return cls(*fields)
 
 
@@ -31,6 +33,6 @@
 
 
 def format_proposal_number(number: ProposalNumber) -> str:
-    """The form that logs use, alike at every controller: epoch.counter@proposer/incarnation in hex."""
+    """Returns the form for logs: epoch.counter@proposer/incarnation, with the incarnation in hexadecimal."""
     epoch, counter, proposer, incarnation = number
     return f"{epoch}.{counter}@{proposer}/{incarnation:x}"
--- a/bramblewood/controller/consensus/proposal_round.py
+++ b/bramblewood/controller/consensus/proposal_round.py
@@ -54,11 +54,11 @@
         self.accept_value = Accept(self.register, self.proposal_number, value)
         self.accept_difference = AcceptDifference(self.register, self.proposal_number, base, difference)
 
-    def wait(self, next_attempt_at: float) -> None:
+    def wait_until(self, next_attempt_at: float) -> None:
         """Begin anew at this time (s)."""
         self.phase, self.next_attempt_at = Phase.WAITING, next_attempt_at
 
-    def newest_promised(self) -> NumberedValue:
+    def newest_accepted(self) -> NumberedValue:
         """The newest value that any voter which promised had accepted."""
         newest = max(promise.proposal_number for promise in self.promises.values())
         return next(promise for promise in self.promises.values() if promise.proposal_number == newest)
--- a/bramblewood/controller/consensus/proposer.py
+++ b/bramblewood/controller/consensus/proposer.py
@@ -13,7 +13,7 @@
 from .proposal_round import Change, Phase, ProposalRound
 from .proposer_backoff import ProposerBackoff
 from .registers import ALL_REGISTERS, VOTER_SET
-from .timing import MAX_RETRY_BACKOFF_UNITS, PHASE_TIMEOUT, RETRY_BACKOFF, UNFINISHED_TIMEOUT
+from .timing import MAX_RETRY_BACKOFF_UNITS, PHASE_TIMEOUT, RETRY_BACKOFF_UNIT, UNFINISHED_TIMEOUT
 
 
 class Rejection(NamedTuple):
@@ -91,7 +91,7 @@
     def schedule_retry(self, now: float, proposal_round: ProposalRound) -> None:
         """The round failed; again after a wait that grows and differs between controllers."""
         units = min(proposal_round.attempts, MAX_RETRY_BACKOFF_UNITS)
-        proposal_round.wait(now + RETRY_BACKOFF * (0.5 + self.jitter()) * units)
+        proposal_round.wait_until(now + RETRY_BACKOFF_UNIT * (0.5 + self.jitter()) * units)
 
     def restart_rounds(self, now: float) -> None:
         """Another epoch has begun: rounds of the one before are answered no more. They begin anew after a
@@ -100,7 +100,7 @@
         for queue in self.rounds.values():
             for proposal_round in queue[:1]:
                 if proposal_round.phase is not Phase.WAITING:
-                    proposal_round.wait(now + PHASE_TIMEOUT / 2)
+                    proposal_round.wait_until(now + PHASE_TIMEOUT / 2)
 
     # --- answers of voters
 
@@ -146,10 +146,12 @@
 
     def on_majority_promised(self, now: float, proposal_round: ProposalRound, effects: Effects) -> None:
         """Make the value from the newest one that the majority holds, and ask to accept it."""
-        base = proposal_round.newest_promised()
+        base = proposal_round.newest_accepted()
         changed, value = self.apply_changes(proposal_round, base.value)
-        nothing_there = base.proposal_number == NO_PROPOSAL
-        if not changed and (nothing_there or self.is_already_chosen(base.proposal_number, proposal_round)):
+        register_is_empty = base.proposal_number == NO_PROPOSAL
+        if not changed and (
+            register_is_empty or self.is_already_chosen(base.proposal_number, proposal_round)
+        ):
             self.finish_without_write(now, proposal_round, base, effects)
             return
         proposal_round.begin_accept(
@@ -157,10 +159,10 @@
         )
         for peer in self.member.voters:
             promised = proposal_round.promises.get(peer)
-            knows_base = promised is None or promised.proposal_number == base.proposal_number
-            by_difference = knows_base and not nothing_there
+            holds_base = promised is None or promised.proposal_number == base.proposal_number
+            send_difference = holds_base and not register_is_empty
             effects.send(
-                peer, proposal_round.accept_difference if by_difference else proposal_round.accept_value
+                peer, proposal_round.accept_difference if send_difference else proposal_round.accept_value
             )
 
     def apply_changes(self, proposal_round: ProposalRound, value: Any) -> tuple[bool, Any]:
@@ -244,12 +246,12 @@
             return
         self.unfinished_since[register] = now
         if not self.rounds[register] and self.member.is_active_voter:
-            self.propose(now, register, keep_as_it_is, COMPLETION_TAG, 1.0, effects)
+            self.propose(now, register, keep_current_value, COMPLETION_TAG, 1.0, effects)
 
 
 COMPLETION_TAG = "settle"  # of rounds that no caller waits for
 
 
-def keep_as_it_is(value: Any) -> tuple[None, bool]:
+def keep_current_value(value: Any) -> tuple[None, bool]:
     """A change that makes no other value, so that its round only completes what is there."""
     return None, True
--- a/bramblewood/controller/consensus/quorum.py
+++ b/bramblewood/controller/consensus/quorum.py
@@ -22,13 +22,13 @@
     """How many of these voters are left after the worst loss that is to be tolerated."""
     voters = list(voters)
     worst_loss = 0
-    for lost_groups, group_of_voter in (
+    for lost_group_count, voter_groups in (
         (tolerance.machines, voters),
         (tolerance.zones, [domains[name].zone for name in voters]),
         (tolerance.regions, [domains[name].region for name in voters]),
     ):
-        largest = Counter(group_of_voter).most_common(lost_groups)
-        worst_loss = max(worst_loss, sum(size for _, size in largest))
+        largest_groups = Counter(voter_groups).most_common(lost_group_count)
+        worst_loss = max(worst_loss, sum(size for _, size in largest_groups))
     return len(voters) - worst_loss
 
 
@@ -43,7 +43,7 @@
     return 2 * tolerance.losses + 1
 
 
-def first_voters(
+def select_first_voters(
     domains: dict[str, FailureDomain], seeds: Iterable[str], tolerance: Tolerance, late: bool
 ) -> tuple[str, ...] | None:
     """The first voters by name, or None where it is better to wait for more to show themselves.
@@ -55,7 +55,7 @@
     seeds = set(seeds)
     if not late and not seeds <= domains.keys():
         return None
-    candidates = spread_candidates(domains, seeds, tolerance)
+    candidates = candidates_in_order(domains, seeds, tolerance)
     needed = voters_needed(tolerance)
     for count in range(min(needed, len(candidates)), 0, -1):
         if keeps_majority(candidates[:count], domains, tolerance):
@@ -63,7 +63,9 @@
     return tuple(sorted(candidates[:needed])) if late else None
 
 
-def spread_candidates(domains: dict[str, FailureDomain], seeds: set[str], tolerance: Tolerance) -> list[str]:
+def candidates_in_order(
+    domains: dict[str, FailureDomain], seeds: set[str], tolerance: Tolerance
+) -> list[str]:
     """Those that may vote, one of each zone or region in turn where these may be lost as a whole."""
     eligible = {name: domain for name, domain in domains.items() if domain.counts_for_tolerance} or domains
     groups: dict[str, list[str]] = {}
--- a/bramblewood/controller/consensus/replica.py
+++ b/bramblewood/controller/consensus/replica.py
@@ -200,7 +200,7 @@
         if not self.learner.record_acceptance(peer, disk, register, number):
             return
         self.proposer.on_acceptance(now, peer, register, number, effects)
-        if self.learner.learn_if_accepted(now, peer, register, number, effects):
+        if self.learner.learn_if_majority_accepted(now, peer, register, number, effects):
             self.proposer.start_next_round(now, register, effects)
 
     def receive(self, now: float, peer: str, wire: dict) -> Effects:
@@ -218,17 +218,17 @@
                 self.epochs.on_epoch_state(now, peer, message, effects)
             case _:
                 self.proposer.observe_counter(message.register, message.proposal_number)
-                self._receive_about_register(now, peer, message, effects)
+                self._handle_register_message(now, peer, message, effects)
         return effects
 
-    def _receive_about_register(
+    def _handle_register_message(
         self, now: float, peer: str, message: RegisterMessage, effects: Effects
     ) -> None:
         match message:
             case Prepare() | Accept() | AcceptDifference():
                 self._on_voter_request(now, peer, message, effects)
             case Promise() | Accepted() | Rejected():
-                if self.member.knows_voter(peer, message.disk):
+                if self.member.is_current_voter(peer, message.disk):
                     self._on_voter_reply(now, peer, message, effects)
             case FetchChosen():
                 self.learner.on_fetch(peer, message, effects)
--- a/bramblewood/controller/consensus/voter_set.py
+++ b/bramblewood/controller/consensus/voter_set.py
@@ -1,4 +1,7 @@
-"""Sets of voters: who votes in an epoch, each by address and disk."""
+"""Voter sets: which addresses vote in an epoch, each with one disk.
+
+A seat is one entry of a voter set. It gives the vote to an address together with the name of a disk.
+"""
 
 from collections.abc import Callable
 from typing import Any, TypedDict
@@ -7,15 +10,15 @@
 
 
 class VoterSet(TypedDict):
-    """The voters of one epoch, in the form that is stored, sent, and chosen in the register VOTER_SET."""
+    """The voters of one epoch. This form is stored, sent, and chosen in the register VOTER_SET."""
 
     n: int  # the epoch
-    voters: dict[str, str]  # the name of each voter's disk, by its address
-    before: dict[str, str]  # the voters of the epoch before, likewise
+    voters: dict[str, str]  # the name of each voter's disk, by the voter's address
+    before: dict[str, str]  # the voters of the previous epoch, in the same form
 
 
 def voter_set_from(wire: Any) -> VoterSet:
-    """Read the form on the wire. Raises PeerMessageError."""
+    """Validates the wire form of a voter set and returns it. Raises PeerMessageError."""
     fields = Fields(wire)
     fields.integer("n")
     for key in ("voters", "before"):
@@ -24,36 +27,40 @@
 
 
 NO_VOTERS: VoterSet = {"n": 0, "voters": {}, "before": {}}
-ANY_DISK = ""  # stands for a disk's name where a seat belongs to whatever disk is at the address
+ANY_DISK = ""  # in place of a disk's name: the seat belongs to any disk at the address
 
 
 def founding_voters(seeds: tuple[str, ...]) -> VoterSet:
-    """Epoch 0, which agrees on epoch 1 and on nothing else: the seeds of the first boot, on any disk."""
+    """Returns the voter set of epoch 0: the seeds of the first boot, each on any disk.
+
+    Epoch 0 chooses the voter set of epoch 1 and nothing else.
+    """
     return {"n": 0, "voters": dict.fromkeys(seeds, ANY_DISK), "before": {}}
 
 
 def majority(voters: dict[str, str]) -> int:
-    """How many of these voters are more than half of them."""
+    """Returns the smallest number of these voters that is more than half of them."""
     return len(voters) // 2 + 1
 
 
 def is_voter(voters: dict[str, str], address: str, disk: str) -> bool:
-    """Whether this address with this disk has one of these seats."""
+    """Returns whether one of these seats belongs to this address with this disk."""
     return voters.get(address) in (ANY_DISK, disk)
 
 
 def next_voter_set(
     current: VoterSet, voters: dict[str, str]
 ) -> Callable[[VoterSet | None], tuple[VoterSet | None, bool]]:
-    """The change that makes these voters the epoch after `current`, unless another set has been agreed.
+    """Returns a change that makes `voters` the voters of the epoch after `current`.
 
-    Returns a change as `ConsensusReplica.propose` takes it; its outcome is whether this set was chosen.
+    The change has the form that `ConsensusReplica.propose` takes. It writes nothing where another voter set
+    was chosen after `current`. Its outcome is whether the voter set with `voters` is the chosen one.
     """
-    following: VoterSet = {"n": current["n"] + 1, "voters": voters, "before": current["voters"]}
+    proposed: VoterSet = {"n": current["n"] + 1, "voters": voters, "before": current["voters"]}
 
     def change(chosen: VoterSet | None) -> tuple[VoterSet | None, bool]:
-        if chosen is None or chosen["n"] == current["n"]:  # none: nothing was agreed since the founding
-            return following, True
-        return None, chosen["n"] == following["n"] and chosen["voters"] == voters
+        if chosen is None or chosen["n"] == current["n"]:  # None: no voter set has been chosen so far
+            return proposed, True
+        return None, chosen["n"] == proposed["n"] and chosen["voters"] == voters
 
     return change
--- a/features/steps/founding_voters.py
+++ b/features/steps/founding_voters.py
@@ -4,7 +4,7 @@
 from behave import then
 
 from bramblewood.common.settings import Tolerance
-from bramblewood.controller.consensus.quorum import FailureDomain, first_voters
+from bramblewood.controller.consensus.quorum import FailureDomain, select_first_voters
 
 
 def random_fleet(seed: int) -> tuple[dict[str, FailureDomain], tuple[str, ...], Tolerance]:
@@ -37,15 +37,15 @@
     able = 0
     for seed in range(count):
         domains, seeds, tolerance = random_fleet(seed)
-        voters = first_voters(domains, seeds, tolerance, True)
-        assert voters == first_voters(dict(reversed(domains.items())), seeds, tolerance, True)
+        voters = select_first_voters(domains, seeds, tolerance, True)
+        assert voters == select_first_voters(dict(reversed(domains.items())), seeds, tolerance, True)
         counted = [name for name, domain in domains.items() if domain.counts_for_tolerance] or list(domains)
         assert set(voters) <= set(counted)
         sets = (some for n in range(1, len(counted) + 1) for some in combinations(counted, n))
         if any(keeps_majority(some, domains, tolerance) for some in sets):
             able += 1
             assert keeps_majority(voters, domains, tolerance), (seed, domains, tolerance, voters)
-        early = first_voters(domains, seeds, tolerance, False)
+        early = select_first_voters(domains, seeds, tolerance, False)
         assert early is None or keeps_majority(early, domains, tolerance), (seed, early)
     assert able > count // 10, able
 
@@ -53,5 +53,5 @@
 @then("founding waits for a seed that has not been heard yet, but not for ever")
 def founding_waits(context):
     domains = {name: FailureDomain(f"z{name}", "r", True) for name in "abde"}
-    assert first_voters(domains, "cde", Tolerance(), False) is None
-    assert first_voters(domains, "cde", Tolerance(), True) == ("a", "d", "e")
+    assert select_first_voters(domains, "cde", Tolerance(), False) is None
+    assert select_first_voters(domains, "cde", Tolerance(), True) == ("a", "d", "e")
