--- a/bramblewood/controller/consensus/epoch_messages.py
+++ b/bramblewood/controller/consensus/epoch_messages.py
@@ -1,4 +1,12 @@
-"""The messages about epochs between controllers; their form on the wire: `messages.py`."""
+"""The messages between controllers about the transition to another epoch, and their wire forms.
+
+The wire forms have these keys beside those of `messages`:
+
+again   true where only an active voter shall answer
+e       the epoch that the receiver joins
+held    the newest epoch in which the sender's disk was active
+regs    by register, what the sender has accepted
+"""
 
 from typing import Any, NamedTuple
 
@@ -6,75 +14,79 @@
 from .proposal_number import ProposalNumber
 from .voter_set import VoterSet, voter_set_from
 
-# kinds, as `k` on the wire
+# kinds, the values of the wire key `k`
 EPOCH_NOTICE = "epoch"
 JOIN_EPOCH = "join"
 EPOCH_STATE = "state"
 
-OMITTED: Any = object()  # in place of a value that the receiver is expected to hold already
+OMITTED: Any = object()  # in place of a value that the receiver is expected to hold
 
 parse_proposal_number = ProposalNumber.from_wire
 
 
 class EpochNotice(NamedTuple):
-    """The newest set of voters that the sender knows to be chosen."""
+    """A controller reports the newest voter set that it has learned as chosen."""
 
     voter_set: VoterSet
 
     @classmethod
     def from_wire(cls, wire: dict) -> "EpochNotice":
-        """Read the form on the wire."""
+        """Decodes the wire form."""
         return cls(voter_set_from(wire["m"]))
 
     def to_wire(self) -> dict:
-        """The form on the wire."""
+        """Returns the wire form."""
         return {"k": EPOCH_NOTICE, "m": self.voter_set}
 
 
 class JoinEpoch(NamedTuple):
-    """A voter of this set asks for what its epoch begins with. held: by register, the newest number of which
-    it has the value. repeated: the receiver has answered as a sealed voter, and is to answer again only as an
-    active one.
+    """A voter of this voter set asks for the state with which its epoch begins.
+
+    held_numbers: by register, the newest proposal number whose value the sender holds.
+    active_only: the receiver shall answer only if it is active in the epoch, because the sender has its
+    answer as a sealed voter already.
     """
 
     voter_set: VoterSet
-    held: dict[str, ProposalNumber]
-    repeated: bool = False
+    held_numbers: dict[str, ProposalNumber]
+    active_only: bool = False
 
     @classmethod
     def from_wire(cls, wire: dict) -> "JoinEpoch":
-        """Read the form on the wire."""
-        held = {
+        """Decodes the wire form."""
+        held_numbers = {
             register: parse_proposal_number(number)
             for register, number in Fields(wire).mapping("have").items()
         }
-        return cls(voter_set_from(wire["m"]), held, "again" in wire)
+        return cls(voter_set_from(wire["m"]), held_numbers, "again" in wire)
 
     def to_wire(self) -> dict:
-        """The form on the wire."""
-        wire = {"k": JOIN_EPOCH, "m": self.voter_set, "have": self.held}
-        return {**wire, "again": True} if self.repeated else wire
+        """Returns the wire form."""
+        wire = {"k": JOIN_EPOCH, "m": self.voter_set, "have": self.held_numbers}
+        return {**wire, "again": True} if self.active_only else wire
 
 
 class AcceptedState(NamedTuple):
-    """What a disk has accepted in one register."""
+    """The proposal that a disk accepted last in one register, and its value."""
 
     accepted: ProposalNumber
     value: Any = OMITTED
 
     @classmethod
     def from_wire(cls, wire: dict) -> "AcceptedState":
-        """Read the form on the wire."""
+        """Decodes the wire form."""
         return cls(parse_proposal_number(wire["a"]), wire.get("v", OMITTED))
 
     def to_wire(self) -> dict:
-        """The form on the wire."""
+        """Returns the wire form."""
         return {"a": self.accepted} if self.value is OMITTED else {"a": self.accepted, "v": self.value}
 
 
 class EpochState(NamedTuple):
-    """Answers JoinEpoch: what the sender's disk holds. active_epoch: the newest epoch in which that disk was
-    active, -1 for none.
+    """A voter reports what its disk has accepted, in answer to JoinEpoch.
+
+    epoch: the epoch of the request.
+    active_epoch: the newest epoch in which the sender's disk was active, -1 for none.
     """
 
     epoch: int
@@ -84,7 +96,7 @@
 
     @classmethod
     def from_wire(cls, wire: dict) -> "EpochState":
-        """Read the form on the wire."""
+        """Decodes the wire form."""
         fields = Fields(wire)
         registers = {
             register: AcceptedState.from_wire(state) for register, state in fields.mapping("regs").items()
@@ -92,7 +104,7 @@
         return cls(fields.integer("e"), fields.integer("held"), fields.text("disk"), registers)
 
     def to_wire(self) -> dict:
-        """The form on the wire."""
+        """Returns the wire form."""
         registers = {register: state.to_wire() for register, state in self.registers.items()}
         wire = {"k": EPOCH_STATE, "e": self.epoch, "held": self.active_epoch, "disk": self.disk}
         return {**wire, "regs": registers}
--- a/bramblewood/controller/consensus/epochs.py
+++ b/bramblewood/controller/consensus/epochs.py
@@ -1,11 +1,16 @@
-"""From one set of voters to the next: following a set that is chosen, sealing the epoch before, and becoming
-active in the new one.
-
-A voter of epoch e that knows of e + 1 is sealed: it answers no proposal of e any more. A voter of e + 1
-becomes active once it holds what a majority of sealed voters of e held, or what one active voter of e + 1
-holds; both include all that e has chosen. A voter that was never active in e holds nothing of it, and its
-seal counts, as it will accept nothing there. So nothing is chosen in e + 1 before e is sealed by a majority,
-and nothing that e chose is missing there.
+"""The transition from one voter set to the next.
+
+Three things happen when the voters of epoch e have chosen a voter set for epoch e + 1:
+
+- A voter of e that learns of e + 1 is sealed. It answers no proposal of e any more.
+- A voter of e + 1 joins. It asks the voters of both epochs for the state that they have accepted.
+- It becomes active, and votes in e + 1, once it has the state of a majority of sealed voters of e, or of one
+  active voter of e + 1. Either includes every value that e has chosen.
+
+The seal of a voter that was never active in e counts for the majority. Such a voter holds no state of e and
+accepts none later.
+
+Invariant: nothing is chosen in e + 1 before a majority has sealed e, and no value that e chose is lost.
 """
 
 from enum import Enum
@@ -24,41 +29,44 @@
 
 
 class StateReport(NamedTuple):
-    """What a voter of the epoch before, or of this one, holds. active_epoch: the newest it was active in."""
+    """The state that a voter of the previous or the current epoch reports.
+
+    active_epoch: the newest epoch in which its disk was active.
+    """
 
     active_epoch: int
     registers: dict[str, NumberedValue]
 
 
 class EpochJoin:
-    """On the way into an epoch: what voters have reported, and when to ask again."""
+    """The progress of joining an epoch: the reports received, and the time of the next request."""
 
     def __init__(self) -> None:
         self.reports: dict[str, StateReport] = {}  # by voter
         self.next_request_at = 0.0
-        self.interval = PHASE_TIMEOUT / 2  # s between requests, doubled with each
+        self.interval = PHASE_TIMEOUT / 2  # s between requests; each request doubles it
 
 
 class SeatState(Enum):
-    """What this disk is to an epoch that others ask it about."""
+    """The state of this disk's seat, from the point of view of a given epoch."""
 
-    ACTIVE = "active"  # a voter of it, and active
-    SEALED = "sealed"  # was active in the one before
-    UNUSED = "unused"  # had a seat in the one before, and was never active there
+    ACTIVE = "active"  # the disk is an active voter of the epoch
+    SEALED = "sealed"  # the disk was active in the previous epoch
+    UNUSED = "unused"  # the disk had a seat in the previous epoch, and was never active there
 
 
 class EpochTransition:
-    """This controller's way into the epoch that it knows of."""
+    """Follows chosen voter sets, joins their epochs, and reports this disk's state to others that join."""
 
     def __init__(
         self, member: LocalMember, acceptors: dict[str, Acceptor], learner: Learner, proposer: Proposer
     ) -> None:
         self.member, self.acceptors = member, acceptors
         self.learner, self.proposer = learner, proposer
-        self.join: EpochJoin | None = None  # while not active
+        self.join: EpochJoin | None = None  # while this controller joins an epoch
 
     def adopt_voter_set(self, now: float, voter_set: VoterSet, effects: Effects) -> None:
-        """Follow a set of voters that is known to be chosen; no earlier epoch is voted in any more."""
+        """Follows a newer voter set that is chosen. This controller then votes in no earlier epoch."""
         if voter_set["n"] <= self.member.epoch:
             return
         self.member.voter_set, self.join = voter_set, EpochJoin()
@@ -69,14 +77,17 @@
             self.request_state(now, effects)
 
     def tick(self, now: float, effects: Effects) -> None:
-        """Ask again for what the epoch begins with, while this voter is not active in it."""
+        """Requests the state of the epoch again while this voter is not active in it."""
         if self.member.holds_seat and not self.member.is_active_voter:
             self.request_state(now, effects)
 
     # --- becoming active
 
     def request_state(self, now: float, effects: Effects) -> None:
-        """Ask for what this epoch is to hold: the voters of the one before, and those who are active."""
+        """Requests the state with which this epoch begins from the voters of the previous and this epoch.
+
+        Becomes active instead if the reports suffice already. Sends nothing before the next request is due.
+        """
         join = self.join = self.join or EpochJoin()
         self.add_own_report(join)
         if join.reports and self.try_activate(now, effects):
@@ -85,17 +96,17 @@
             return
         join.interval = min(2 * join.interval, MAX_JOIN_REQUEST_INTERVAL)
         join.next_request_at = now + join.interval
-        held = {
+        held_numbers = {
             register: max(acceptor.accepted, self.learner.chosen[register].proposal_number)
             for register, acceptor in self.acceptors.items()
         }
-        request = JoinEpoch(self.member.voter_set, held)
+        request = JoinEpoch(self.member.voter_set, held_numbers)
         peers = {*self.member.voter_set["before"], *self.member.voters} - {self.member.address}
-        for peer in sorted(peers):  # who reported as sealed may be active by now
-            effects.send(peer, request._replace(repeated=peer in join.reports))
+        for peer in sorted(peers):  # a voter that has reported as sealed may be active by now
+            effects.send(peer, request._replace(active_only=peer in join.reports))
 
     def add_own_report(self, join: EpochJoin) -> None:
-        """This disk's own report, where it had a seat in the epoch before."""
+        """Adds the report of this disk itself, if it had a seat in the previous epoch."""
         member = self.member
         match self.seat_state(member.voter_set):
             case SeatState.SEALED:
@@ -108,7 +119,10 @@
                 join.reports[member.address] = StateReport(member.active_epoch, {})
 
     def seat_state(self, voter_set: VoterSet) -> SeatState | None:
-        """What this disk is to the epoch of this set of voters; None: nothing that helps to begin it."""
+        """Returns the state of this disk's seat for the epoch of `voter_set`.
+
+        Returns None where the state of this disk does not help to begin that epoch.
+        """
         member, epoch, before = self.member, voter_set["n"], voter_set["before"]
         if member.active_epoch == epoch and is_voter(voter_set["voters"], member.address, member.disk):
             return SeatState.ACTIVE
@@ -119,7 +133,7 @@
         return None
 
     def on_epoch_state(self, now: float, peer: str, state: EpochState, effects: Effects) -> None:
-        """A voter reports what its disk holds; be active once enough of them have."""
+        """Handles a report. Becomes active once the reports suffice."""
         member = self.member
         if self.join is None or state.epoch != member.epoch:
             return
@@ -134,13 +148,15 @@
             self.try_activate(now, effects)
 
     def fill_omitted_values(self, state: EpochState) -> dict[str, NumberedValue] | None:
-        """The registers of a report, with the values that it left out; None where one of these is no longer
-        held here: the next request says so.
+        """Returns the registers of a report, with the values that it omits filled in.
+
+        Returns None where this controller no longer holds an omitted value. The next request states the
+        numbers that it holds then, so the next report has the value.
         """
         registers = {}
         for register, (accepted, value) in state.registers.items():
             if register not in self.acceptors:
-                continue  # of a program that knows more registers
+                continue  # a later release has further registers
             if value is not OMITTED:
                 registers[register] = NumberedValue(accepted, value)
             elif accepted == self.acceptors[register].accepted:
@@ -152,56 +168,77 @@
         return registers
 
     def try_activate(self, now: float, effects: Effects) -> bool:
-        """Become active if what was reported holds all that the epoch before has chosen. Returns whether."""
+        """Becomes active if the reports include every value that the previous epoch has chosen.
+
+        The newest value of each register becomes the accepted one. Returns whether this voter is active now.
+        """
         member, reports = self.member, self.join.reports.values()
-        from_active = any(report.active_epoch == member.epoch for report in reports)
-        if not from_active and len(reports) < majority(member.voter_set["before"]):
+        has_active_report = any(report.active_epoch == member.epoch for report in reports)
+        if not has_active_report and len(reports) < majority(member.voter_set["before"]):
             return False
-        registers = [report.registers for report in reports if report.active_epoch >= member.epoch - 1]
-        if not registers:
-            return False  # those who chose this epoch were active in the one before: one is missing
+        reported_registers = [
+            report.registers for report in reports if report.active_epoch >= member.epoch - 1
+        ]
+        if not reported_registers:
+            return False  # no voter that was active in the previous epoch, and chose this one, has reported
         for register, acceptor in self.acceptors.items():
-            known = [*(held[register] for held in registers), self.learner.chosen[register]]
-            newest, value = max(known, key=lambda held: held.proposal_number)
+            candidates = [
+                *(registers[register] for registers in reported_registers),
+                self.learner.chosen[register],
+            ]
+            newest, value = max(candidates, key=lambda candidate: candidate.proposal_number)
             acceptor.promised, acceptor.accepted, acceptor.value = newest, newest, value
             effects.write(register, acceptor)
         member.active_epoch, self.join = member.epoch, None
         effects.facts.update({VOTER_SET_FACT: member.voter_set, ACTIVE_EPOCH_FACT: member.active_epoch})
         return True
 
-    # --- answering others
+    # --- answering joining voters
 
     def on_join_epoch(self, now: float, peer: str, request: JoinEpoch, effects: Effects) -> None:
-        """A voter joins an epoch: tell what this disk holds of it, or of the one before, which that seals."""
+        """Handles the request of a voter that joins an epoch.
+
+        Follows the voter set of the request if it is newer, which seals the previous epoch here. Sends the
+        newest voter set if the request has an older one. Reports the state of this disk where it helps to
+        begin the epoch.
+        """
         member, epoch = self.member, request.voter_set["n"]
         self.adopt_voter_set(now, request.voter_set, effects)
         if member.epoch > epoch:
             effects.send(peer, EpochNotice(member.voter_set))
         seat = self.seat_state(request.voter_set)
-        if seat is None or member.epoch < epoch or request.repeated and seat is not SeatState.ACTIVE:
+        if seat is None or member.epoch < epoch or request.active_only and seat is not SeatState.ACTIVE:
             return
-        registers = {} if seat is SeatState.UNUSED else self.accepted_states(request.held)
-        effects.facts[VOTER_SET_FACT] = member.voter_set  # the seal may still be on its way to the disk
+        registers = {} if seat is SeatState.UNUSED else self.accepted_states(request.held_numbers)
+        effects.facts[VOTER_SET_FACT] = member.voter_set  # the write of the seal may be in flight still
         effects.send(peer, EpochState(epoch, member.active_epoch, member.disk, registers))
 
-    def accepted_states(self, held: dict[str, ProposalNumber]) -> dict[str, AcceptedState]:
-        """What this disk has accepted, without the values that the asking voter holds."""
+    def accepted_states(self, held_numbers: dict[str, ProposalNumber]) -> dict[str, AcceptedState]:
+        """Returns what this disk has accepted, by register.
+
+        held_numbers: by register, the number whose value the requesting voter holds. That value is omitted.
+        """
         registers = {}
         for register, acceptor in self.acceptors.items():
-            is_held = held.get(register, NO_PROPOSAL) == acceptor.accepted
+            is_held = held_numbers.get(register, NO_PROPOSAL) == acceptor.accepted
             registers[register] = AcceptedState(acceptor.accepted, OMITTED if is_held else acceptor.value)
         return registers
 
-    # --- an older state of the disk
+    # --- detecting an older state of the disk
 
     def check_disk_rollback(
         self, epoch: int, commitments: dict[str, ProposalNumber], new_disk: str
     ) -> Effects:
-        """Another controller tells what it has heard this voter promise or accept in its epoch.
+        """Checks whether this disk has been rolled back to an older state, and if so gives up its seat.
+
+        epoch: the epoch of the controller that reports the commitments.
+        commitments: by register, the highest proposal that this voter has promised or accepted in that epoch,
+        according to that controller.
 
-        Where that is more than is known here, an older state of the disk has come back: what it forgot may
-        bind it, so it goes on as a new member without a seat, by the name of `new_disk`. Nothing else can
-        look like it, as nothing is told before it is on disk. Returns effects with facts in that case.
+        A commitment above what this disk has promised proves a rollback, because a voter sends nothing before
+        it is on disk. The disk may be bound by promises that it has lost. It therefore continues empty under
+        the name `new_disk`, for which no seat exists. The effects have facts in that case, and are empty
+        otherwise.
         """
         effects = no_effects()
         if epoch != self.member.epoch or not self.member.holds_seat:
--- a/bramblewood/controller/consensus/learner.py
+++ b/bramblewood/controller/consensus/learner.py
@@ -1,4 +1,4 @@
-"""The learner: which values are chosen, from what voters say that they have accepted."""
+"""The learner: finds out which values are chosen from the acceptances that voters report."""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,33 +14,34 @@
 
 
 class Learner:
-    """By register, the newest value known to be chosen, and what each voter has accepted.
+    """The newest value known to be chosen in each register, and what each voter has accepted there.
 
     Invariant: a value counts as chosen once a majority of an epoch's voters has accepted one proposal of that
-    very epoch. `adopt_voter_set` is called as a set of voters is found to be chosen.
+    same epoch. The learner calls `adopt_voter_set` when it learns a chosen voter set.
     """
 
     def __init__(self, member: LocalMember, acceptors: dict[str, Acceptor], backoff: ProposerBackoff) -> None:
         self.member, self.acceptors, self.backoff = member, acceptors, backoff
         self.chosen: dict[str, NumberedValue] = dict.fromkeys(ALL_REGISTERS, NumberedValue(NO_PROPOSAL, None))
-        # by register, what each voter has accepted and has safe on its disk
+        # by register and voter, the newest proposal that the voter has accepted and holds on its disk
         self.acceptances: dict[str, dict[str, ProposalNumber]] = {name: {} for name in ALL_REGISTERS}
-        # by register, the highest proposal of this epoch that each voter promised or accepted, as heard here
+        # by register and voter, the highest proposal of this epoch that the voter reported to this controller
+        # as promised or accepted
         self.commitments: dict[str, dict[str, ProposalNumber]] = {name: {} for name in ALL_REGISTERS}
         self.next_fetch_at: dict[str, float] = {}
         self.adopt_voter_set: Callable[[float, Any, Effects], None] = lambda now, voter_set, effects: None
 
     def record_commitment(self, peer: str, register: str, number: ProposalNumber) -> None:
-        """This voter has promised or accepted this proposal."""
+        """Records that this voter has promised or accepted a proposal, if it is one of the current epoch."""
         if number.epoch == self.member.epoch:
             commitments = self.commitments[register]
             commitments[peer] = max(number, commitments.get(peer, NO_PROPOSAL))
 
     def record_acceptance(self, peer: str, disk: str, register: str, number: ProposalNumber) -> bool:
-        """This voter has accepted this proposal and has it safe on its disk.
+        """Records that this voter has accepted a proposal and holds it on its disk.
 
-        Returns whether that counts in this epoch: not where it was carried over from an earlier one, or is of
-        a set of voters that is not known here yet.
+        Returns whether the acceptance counts in the current epoch. It does not count where the proposal was
+        carried over from an earlier epoch, or where the sender is no voter of the current voter set.
         """
         acceptances = self.acceptances[register]
         if not self.member.is_current_voter(peer, disk) or number < acceptances.get(peer, NO_PROPOSAL):
@@ -52,14 +53,15 @@
     def learn_if_majority_accepted(
         self, now: float, peer: str, register: str, number: ProposalNumber, effects: Effects
     ) -> bool:
-        """Learn this proposal's value once a majority has accepted it; ask `peer` for a value not held here.
+        """Learns the value of a proposal once a majority has accepted it.
 
-        Returns whether it was learned.
+        Requests the value from `peer` where this controller does not hold it. Returns whether the value was
+        learned.
         """
         if number <= self.chosen[register].proposal_number:
             return False
-        accepted_by = sum(accepted == number for accepted in self.acceptances[register].values())
-        if accepted_by < self.member.majority:
+        acceptance_count = sum(accepted == number for accepted in self.acceptances[register].values())
+        if acceptance_count < self.member.majority:
             return False
         acceptor = self.acceptors[register]
         if acceptor.accepted == number:
@@ -71,7 +73,7 @@
         return False
 
     def learn(self, now: float, register: str, number: ProposalNumber, value: Any, effects: Effects) -> None:
-        """This value is chosen. A set of voters that is chosen is followed at once."""
+        """Records a value as chosen unless it or a newer one is known. Adopts a chosen voter set at once."""
         if number <= self.chosen[register].proposal_number:
             return
         self.chosen[register] = NumberedValue(number, value)
@@ -81,8 +83,10 @@
             self.adopt_voter_set(now, value, effects)
 
     def store_chosen(self, register: str, number: ProposalNumber, value: Any, effects: Effects) -> None:
-        """Accept a chosen value that this voter missed: it was away as it was chosen, was asked too late, or
-        by a difference from what it doesn't hold, and nobody would send it again.
+        """Stores a chosen value that this voter has not accepted, as no proposer sends it again.
+
+        The voter may have been away, may have received the request too late, or may have received a
+        difference from a value that it does not hold.
         """
         acceptor = self.acceptors[register]
         if self.member.is_active_voter and number.epoch == self.member.epoch and acceptor.accepted < number:
@@ -90,16 +94,16 @@
             effects.write(register, acceptor)
 
     def on_fetch(self, peer: str, request: FetchChosen, effects: Effects) -> None:
-        """Send the chosen value, if it is as new as the one asked for."""
+        """Sends the chosen value if it is at least as new as the requested one."""
         chosen = self.chosen[request.register]
         if chosen.proposal_number >= request.proposal_number:
             effects.send(peer, Chosen(request.register, chosen.proposal_number, chosen.value))
 
     def highest_acceptance(self, register: str) -> ProposalNumber:
-        """The highest proposal that any voter is known to have accepted."""
+        """Returns the highest proposal number that any voter has reported as accepted."""
         return max(self.acceptances[register].values(), default=NO_PROPOSAL)
 
     def clear_voter_records(self) -> None:
-        """Other voters count from now on."""
+        """Discards the acceptances and commitments of the voters, because another voter set takes over."""
         for by_voter in (*self.acceptances.values(), *self.commitments.values()):
             by_voter.clear()
--- a/bramblewood/controller/consensus/local_member.py
+++ b/bramblewood/controller/consensus/local_member.py
@@ -1,4 +1,4 @@
-"""This controller's place among the voters: its seat, and whether it may vote in the epoch it knows."""
+"""This controller's address and disk, the voter set that it follows, and whether it votes there."""
 
 from .voter_set import NO_VOTERS, VoterSet, is_voter, majority
 
@@ -6,7 +6,10 @@
 
 
 class LocalMember:
-    """Who this controller is, the newest set of voters it knows, and the newest epoch it was active in."""
+    """This controller as a member of the newest voter set that it has learned.
+
+    Invariant: the controller votes only in the epoch of that voter set, and only while `is_active_voter`.
+    """
 
     def __init__(
         self,
@@ -16,8 +19,11 @@
         voter_set: VoterSet | None = None,
         active_epoch: int = NEVER_ACTIVE,
     ) -> None:
-        """disk: the name that this machine's disk was given; incarnation: of this process; active_epoch: the
-        newest epoch in which this disk was an active voter.
+        """Creates the member from what the disk holds.
+
+        disk: the name of this controller's disk.
+        incarnation: a number that identifies this process among all processes at the address.
+        active_epoch: the newest epoch in which this disk was an active voter.
         """
         self.address, self.disk, self.incarnation = address, disk, incarnation
         self.voter_set: VoterSet = voter_set or NO_VOTERS
@@ -25,32 +31,35 @@
 
     @property
     def epoch(self) -> int:
-        """The newest epoch known here."""
+        """Returns the epoch of the newest voter set learned."""
         return self.voter_set["n"]
 
     @property
     def voters(self) -> dict[str, str]:
-        """The name of each voter's disk in that epoch, by its address."""
+        """Returns the name of each voter's disk in that epoch, by the voter's address."""
         return self.voter_set["voters"]
 
     @property
     def majority(self) -> int:
-        """How many voters are more than half of them."""
+        """Returns the smallest number of these voters that is more than half of them."""
         return majority(self.voters)
 
     def is_current_voter(self, address: str, disk: str) -> bool:
-        """Whether this address with this disk votes in the epoch known here."""
+        """Returns whether the current voter set has a seat for this address with this disk."""
         return is_voter(self.voters, address, disk)
 
     @property
     def is_member(self) -> bool:
-        """Whether this controller, on this disk, may have a seat in that epoch; see `holds_seat`."""
+        """Returns whether the current voter set has a seat that this disk may match; see `holds_seat`."""
         return self.is_current_voter(self.address, self.disk)
 
     @property
     def holds_seat(self) -> bool:
-        """Whether this very disk is a member. Only a disk that was active in the epoch before may go on to a
-        seat of any disk: one that came back empty may not.
+        """Returns whether this disk may join the current epoch as a voter.
+
+        It may where the seat names the disk. It may also where the seat belongs to any disk and this disk was
+        active in the previous epoch. A disk that came back empty was not, and has to wait for a seat that
+        names it.
         """
         if self.voters.get(self.address) == self.disk:
             return True
@@ -58,5 +67,5 @@
 
     @property
     def is_active_voter(self) -> bool:
-        """Whether this controller votes: it holds all that its epoch began with."""
+        """Returns whether this controller votes: it has a seat, and holds the state its epoch began with."""
         return self.is_member and self.active_epoch == self.epoch
--- a/bramblewood/controller/consensus/messages.py
+++ b/bramblewood/controller/consensus/messages.py
@@ -1,9 +1,21 @@
-"""The messages of consensus between controllers, and their form on the wire.
-
-On the wire a message is a JSON map. Its keys: k kind, r register, b number of the proposal (for `chosen`, of
-the value), disk name of the sender's disk, a number last accepted, v value, p number promised, m set of
-voters. Machines of different versions run side by side, so the keys, and which of them are left out, stay as
-they are.
+"""The messages of consensus between controllers, and their wire forms.
+
+The wire form of a message is a JSON map with some of these keys:
+
+k     the kind of the message
+r     the register
+b     the number of the proposal
+a     the number of the proposal that the sender accepted last
+p     the number that the sender has promised
+v     a value
+base  the number of the proposal whose value a difference applies to
+d     a difference between two values
+disk  the name of the sender's disk
+have  the number or numbers whose values the sender holds
+m     a voter set
+
+`epoch_messages` has further keys. Controllers of different releases run side by side, so neither the keys nor
+the conditions under which one is omitted may change.
 """
 
 from typing import Any, NamedTuple, Protocol
@@ -13,7 +25,7 @@
 from .epoch_messages import EPOCH_NOTICE, EPOCH_STATE, JOIN_EPOCH, OMITTED, EpochNotice, EpochState, JoinEpoch
 from .proposal_number import ProposalNumber
 
-# kinds, as `k` on the wire
+# kinds, the values of the wire key `k`
 PREPARE = "prepare"
 PROMISE = "promise"
 ACCEPT = "accept"
@@ -27,34 +39,39 @@
 
 
 class Message(Protocol):
-    """What every message of this module has."""
+    """The interface of all messages of consensus."""
 
     def to_wire(self) -> dict:
-        """The form on the wire."""
+        """Returns the wire form."""
         ...
 
 
 class Prepare(NamedTuple):
-    """A proposer asks for a promise. held: what it has accepted itself; a voter that has the same leaves out
-    its value in the reply.
+    """A proposer asks a voter for a promise.
+
+    accepted: the number of the proposal that the proposer's own acceptor accepted last. A voter that accepted
+    the same proposal last omits the value in its reply.
     """
 
     register: str
     proposal_number: ProposalNumber
-    held: ProposalNumber
+    accepted: ProposalNumber
 
     @classmethod
     def from_wire(cls, wire: dict) -> "Prepare":
-        """Read the form on the wire."""
+        """Decodes the wire form."""
         return cls(wire["r"], parse_proposal_number(wire["b"]), parse_proposal_number(wire["have"]))
 
     def to_wire(self) -> dict:
-        """The form on the wire."""
-        return {"k": PREPARE, "r": self.register, "b": self.proposal_number, "have": self.held}
+        """Returns the wire form."""
+        return {"k": PREPARE, "r": self.register, "b": self.proposal_number, "have": self.accepted}
 
 
 class Promise(NamedTuple):
-    """A voter answers no lower proposal any more. accepted, value: what it accepted last."""
+    """A voter promises to reject every lower proposal.
+
+    accepted, value: the number of the proposal that the voter accepted last, and its value.
+    """
 
     register: str
     proposal_number: ProposalNumber
@@ -64,18 +81,18 @@
 
     @property
     def has_value(self) -> bool:
-        """Whether the voter sent the value; else the proposer is expected to hold it."""
+        """Returns whether the voter sent the value. If not, the proposer is expected to hold it."""
         return self.value is not OMITTED
 
     @classmethod
     def from_wire(cls, wire: dict) -> "Promise":
-        """Read the form on the wire."""
+        """Decodes the wire form."""
         register, disk = wire["r"], Fields(wire).text("disk")
         accepted, value = parse_proposal_number(wire["a"]), wire.get("v", OMITTED)
         return cls(register, parse_proposal_number(wire["b"]), disk, accepted, value)
 
     def to_wire(self) -> dict:
-        """The form on the wire."""
+        """Returns the wire form."""
         wire = {"k": PROMISE, "r": self.register, "b": self.proposal_number, "disk": self.disk}
         wire["a"] = self.accepted
         if self.has_value:
@@ -84,7 +101,7 @@
 
 
 class Accept(NamedTuple):
-    """A proposer asks a voter to accept this value."""
+    """A proposer asks a voter to accept a value."""
 
     register: str
     proposal_number: ProposalNumber
@@ -92,7 +109,7 @@
 
     @classmethod
     def from_wire(cls, wire: dict) -> "Accept | AcceptDifference":
-        """Read the form on the wire."""
+        """Decodes the wire form. Returns AcceptDifference where the form has a difference."""
         if "base" in wire:
             return AcceptDifference(
                 wire["r"], parse_proposal_number(wire["b"]), parse_proposal_number(wire["base"]), wire["d"]
@@ -100,12 +117,16 @@
         return cls(wire["r"], parse_proposal_number(wire["b"]), wire["v"])
 
     def to_wire(self) -> dict:
-        """The form on the wire."""
+        """Returns the wire form."""
         return {"k": ACCEPT, "r": self.register, "b": self.proposal_number, "v": self.value}
 
 
 class AcceptDifference(NamedTuple):
-    """The same, with the value given by how it differs from the one that the voter accepted under `base`."""
+    """A proposer asks a voter to accept a value, which it sends as a difference.
+
+    base: the number of the proposal that the voter accepted last, to whose value `difference` applies.
+    difference: in the form of `value_diff`.
+    """
 
     register: str
     proposal_number: ProposalNumber
@@ -113,13 +134,13 @@
     difference: dict | None
 
     def to_wire(self) -> dict:
-        """The form on the wire."""
+        """Returns the wire form."""
         wire = {"k": ACCEPT, "r": self.register, "b": self.proposal_number}
         return {**wire, "base": self.base, "d": self.difference}
 
 
 class Accepted(NamedTuple):
-    """A voter tells all voters what it has accepted, and has safe on its disk."""
+    """A voter reports to all voters that it has accepted a proposal and that the proposal is on its disk."""
 
     register: str
     proposal_number: ProposalNumber
@@ -127,16 +148,19 @@
 
     @classmethod
     def from_wire(cls, wire: dict) -> "Accepted":
-        """Read the form on the wire."""
+        """Decodes the wire form."""
         return cls(wire["r"], parse_proposal_number(wire["b"]), Fields(wire).text("disk"))
 
     def to_wire(self) -> dict:
-        """The form on the wire."""
+        """Returns the wire form."""
         return {"k": ACCEPTED, "r": self.register, "b": self.proposal_number, "disk": self.disk}
 
 
 class Rejected(NamedTuple):
-    """A voter has promised a higher proposal than the one that it was asked about."""
+    """A voter rejects a proposal.
+
+    promised: the higher number that the voter has promised.
+    """
 
     register: str
     proposal_number: ProposalNumber
@@ -145,7 +169,7 @@
 
     @classmethod
     def from_wire(cls, wire: dict) -> "Rejected":
-        """Read the form on the wire."""
+        """Decodes the wire form."""
         return cls(
             wire["r"],
             parse_proposal_number(wire["b"]),
@@ -154,45 +178,45 @@
         )
 
     def to_wire(self) -> dict:
-        """The form on the wire."""
+        """Returns the wire form."""
         wire = {"k": REJECTED, "r": self.register, "b": self.proposal_number}
         return {**wire, "p": self.promised, "disk": self.disk}
 
 
 class RoundDone(NamedTuple):
-    """A proposer tells that its round had nothing to write, so others need not wait for it."""
+    """A proposer reports that its round ended without a write, so other proposers need not wait for it."""
 
     register: str
     proposal_number: ProposalNumber
 
     @classmethod
     def from_wire(cls, wire: dict) -> "RoundDone":
-        """Read the form on the wire."""
+        """Decodes the wire form."""
         return cls(wire["r"], parse_proposal_number(wire["b"]))
 
     def to_wire(self) -> dict:
-        """The form on the wire."""
+        """Returns the wire form."""
         return {"k": ROUND_DONE, "r": self.register, "b": self.proposal_number}
 
 
 class FetchChosen(NamedTuple):
-    """Ask for the value chosen under this number, or a newer one."""
+    """A controller asks for the value that is chosen under this number, or for a newer one."""
 
     register: str
     proposal_number: ProposalNumber
 
     @classmethod
     def from_wire(cls, wire: dict) -> "FetchChosen":
-        """Read the form on the wire."""
+        """Decodes the wire form."""
         return cls(wire["r"], parse_proposal_number(wire["b"]))
 
     def to_wire(self) -> dict:
-        """The form on the wire."""
+        """Returns the wire form."""
         return {"k": FETCH_CHOSEN, "r": self.register, "b": self.proposal_number}
 
 
 class Chosen(NamedTuple):
-    """This value is chosen, under this number."""
+    """A controller reports that this value is chosen under this number."""
 
     register: str
     proposal_number: ProposalNumber
@@ -200,11 +224,11 @@
 
     @classmethod
     def from_wire(cls, wire: dict) -> "Chosen":
-        """Read the form on the wire."""
+        """Decodes the wire form."""
         return cls(wire["r"], parse_proposal_number(wire["b"]), wire["v"])
 
     def to_wire(self) -> dict:
-        """The form on the wire."""
+        """Returns the wire form."""
         return {"k": CHOSEN, "r": self.register, "b": self.proposal_number, "v": self.value}
 
 
@@ -226,15 +250,17 @@
     JOIN_EPOCH: JoinEpoch,
     EPOCH_STATE: EpochState,
 }
-CONSENSUS_MESSAGE_KINDS = frozenset(MESSAGE_TYPES)  # of the messages on a link that consensus handles
+CONSENSUS_MESSAGE_KINDS = frozenset(MESSAGE_TYPES)
 
 
 def decode(wire: dict) -> RegisterMessage | EpochMessage:
-    """The message of this wire form. KeyError where its kind is unknown, PeerMessageError where a key is
-    missing or has a value of another type.
+    """Decodes the wire form of any message of consensus.
+
+    Raises KeyError where the kind is unknown, and PeerMessageError where a key is missing or its value has
+    the wrong type.
     """
     message_type = MESSAGE_TYPES[wire["k"]]
     try:
         return message_type.from_wire(wire)
     except (KeyError, TypeError) as error:
-        raise PeerMessageError(f"{wire['k']}: {error!r}") from error
+        raise PeerMessageError(f"{wire['k']} message has a missing or malformed key: {error!r}") from error
--- a/bramblewood/controller/consensus/proposer.py
+++ b/bramblewood/controller/consensus/proposer.py
@@ -1,4 +1,4 @@
-"""The proposer: rounds of prepare and accept that carry the changes proposed at this controller."""
+"""The proposer: runs the rounds that carry the changes proposed at this controller."""
 
 import zlib
 from typing import Any, NamedTuple
@@ -17,18 +17,18 @@
 
 
 class Rejection(NamedTuple):
-    """The answer by which a round of ours was lost."""
+    """The rejection that ended a round of this controller."""
 
     peer: str
     proposal_number: ProposalNumber
-    promised: ProposalNumber  # by that peer, to another proposer
+    promised: ProposalNumber  # the higher number that the peer has promised
 
 
 class Proposer:
-    """The changes proposed here, by register, of which the first is under way.
+    """The queues of changes proposed here, by register. The first round of a queue is the one in progress.
 
-    Invariant: what is proposed is made from the newest value that a majority of the epoch's voters held when
-    it promised, so nothing chosen before is lost.
+    Invariant: every proposed value is made from the newest value that a majority of the epoch's voters had
+    accepted when it promised. No value that was chosen before is therefore lost.
     """
 
     def __init__(
@@ -42,45 +42,45 @@
         self.rounds: dict[str, list[ProposalRound]] = {name: [] for name in ALL_REGISTERS}
         self.highest_counters = {name: acceptor.promised.counter for name, acceptor in acceptors.items()}
         self.unfinished_since: dict[str, float] = {}
-        self.last_rejection: Rejection | None = None  # for the log, until the shell takes it
+        self.last_rejection: Rejection | None = None  # the newest one, until the caller takes it for its log
         self.jitter_draws = 0
 
     def jitter(self) -> float:
-        """Evenly in [0, 1), another sequence at each controller and start."""
+        """Returns a number drawn uniformly from [0, 1). Each process has a sequence of its own."""
         self.jitter_draws += 1
         text = f"{self.member.address}:{self.member.incarnation}:{self.jitter_draws}"
         return zlib.crc32(text.encode()) / 2**32
 
     def observe_counter(self, register: str, number: ProposalNumber) -> None:
-        """A proposal of this number exists: the next one made here is higher."""
+        """Records that a proposal with this number exists, so that the next one made here is higher."""
         self.highest_counters[register] = max(self.highest_counters[register], number.counter)
 
     def propose(
-        self, now: float, register: str, change: Change, tag: Any, within: float, effects: Effects
+        self, now: float, register: str, change: Change, tag: Any, timeout: float, effects: Effects
     ) -> None:
-        """Queue a change. It gets an answer in these or later effects; see `ConsensusReplica.propose`."""
-        self.rounds[register].append(ProposalRound(register, change, tag, now + within))
+        """Queues a change, and starts a round if none is in progress; see `ConsensusReplica.propose`."""
+        self.rounds[register].append(ProposalRound(register, change, tag, now + timeout))
         self.start_next_round(now, register, effects)
 
     # --- starting rounds
 
     def start_next_round(self, now: float, register: str, effects: Effects) -> None:
-        """Answer what has waited for too long, and start a round for all that waits, if it is time."""
+        """Answers the changes whose deadline has passed, and starts a round for the others if one is due."""
         queue = self.rounds[register]
         while queue and now >= queue[0].deadline:
             effects.answer(queue.pop(0).tag, None)
         if not self.member.voters or self.member.epoch == 0 and register != VOTER_SET:
-            return  # nobody to ask yet
+            return  # no voter set has been learned that may choose a value of this register
         if not queue or queue[0].phase is not Phase.WAITING or now < queue[0].next_attempt_at:
             return
         if not self.backoff.must_wait(now, register):
-            # all that wait now; of what comes later, the promises to this round may know too little. Sets of
-            # voters follow each other one at a time
+            # The round carries all changes that wait now. It must not take later ones, because its promises
+            # may lack a value that is chosen before those are proposed. Voter sets change one at a time.
             queue[0].batch = queue[:1] if register == VOTER_SET else list(queue)
             self.start_round(now, queue[0], effects)
 
     def start_round(self, now: float, proposal_round: ProposalRound, effects: Effects) -> None:
-        """Ask all voters for a promise, under a number above every one known here."""
+        """Asks all voters for a promise, under a number above every number observed in this register."""
         register, member = proposal_round.register, self.member
         self.highest_counters[register] += 1
         counter = self.highest_counters[register]
@@ -89,30 +89,32 @@
         effects.broadcast(member.voters, Prepare(register, number, self.acceptors[register].accepted))
 
     def schedule_retry(self, now: float, proposal_round: ProposalRound) -> None:
-        """The round failed; again after a wait that grows and differs between controllers."""
+        """Schedules the next attempt after a wait that grows with the attempts and has a random part."""
         units = min(proposal_round.attempts, MAX_RETRY_BACKOFF_UNITS)
         proposal_round.wait_until(now + RETRY_BACKOFF_UNIT * (0.5 + self.jitter()) * units)
 
     def restart_rounds(self, now: float) -> None:
-        """Another epoch has begun: rounds of the one before are answered no more. They begin anew after a
-        short wait, as what they asked for may be chosen.
+        """Schedules the next attempt of each round in progress, as another epoch has begun.
+
+        The voters of the previous epoch answer no longer. The short wait lets this controller learn whether
+        the previous epoch has chosen what the round proposed.
         """
         for queue in self.rounds.values():
             for proposal_round in queue[:1]:
                 if proposal_round.phase is not Phase.WAITING:
                     proposal_round.wait_until(now + PHASE_TIMEOUT / 2)
 
-    # --- answers of voters
+    # --- replies of voters
 
     def current_round(self, register: str, number: ProposalNumber) -> ProposalRound | None:
-        """The round of this number, if it is still the one under way."""
+        """Returns the round in progress if it has this number and belongs to the current epoch, else None."""
         for proposal_round in self.rounds[register][:1]:
             if proposal_round.proposal_number == number and number.epoch == self.member.epoch:
                 return proposal_round
         return None
 
     def on_promise(self, now: float, peer: str, promise: Promise, effects: Effects) -> None:
-        """A voter has promised to answer no lower proposal."""
+        """Handles a promise. Proposes a value once a majority has promised."""
         self.learner.record_commitment(peer, promise.register, promise.proposal_number)
         proposal_round = self.current_round(promise.register, promise.proposal_number)
         if proposal_round is None:
@@ -126,15 +128,21 @@
     def on_late_promise(
         self, peer: str, promise: Promise, proposal_round: ProposalRound, effects: Effects
     ) -> None:
-        """A majority had promised before: this voter was asked to accept by a difference that it may not be
-        able to use.
+        """Handles a promise that arrives after the value was proposed.
+
+        The voter may have been sent a difference before. It is sent the value too if it does not hold the
+        base of that difference.
         """
         proposal_round.promises[peer] = NumberedValue(promise.accepted, None)
         if promise.accepted != proposal_round.base:
             effects.send(peer, proposal_round.accept_value)
 
     def record_promise(self, peer: str, promise: Promise, proposal_round: ProposalRound) -> bool:
-        """False where the promise left out a value that is no longer held here: the next round brings it."""
+        """Records a promise together with the value that the voter had accepted.
+
+        Returns False where the promise omits a value that this controller holds no longer. The promise does
+        not count then, and the voter sends the value in the next round.
+        """
         if promise.has_value:
             proposal_round.promises[peer] = NumberedValue(promise.accepted, promise.value)
             return True
@@ -145,7 +153,7 @@
         return True
 
     def on_majority_promised(self, now: float, proposal_round: ProposalRound, effects: Effects) -> None:
-        """Make the value from the newest one that the majority holds, and ask to accept it."""
+        """Makes the next value from the newest one that the majority has accepted, and proposes it."""
         base = proposal_round.newest_accepted()
         changed, value = self.apply_changes(proposal_round, base.value)
         register_is_empty = base.proposal_number == NO_PROPOSAL
@@ -159,27 +167,29 @@
         )
         for peer in self.member.voters:
             promised = proposal_round.promises.get(peer)
-            holds_base = promised is None or promised.proposal_number == base.proposal_number
-            send_difference = holds_base and not register_is_empty
+            may_hold_base = promised is None or promised.proposal_number == base.proposal_number
+            send_difference = may_hold_base and not register_is_empty
             effects.send(
                 peer, proposal_round.accept_difference if send_difference else proposal_round.accept_value
             )
 
     def apply_changes(self, proposal_round: ProposalRound, value: Any) -> tuple[bool, Any]:
-        """Make the changes that this round carries, one on the other.
+        """Applies the changes that this round carries, each to the result of the one before it.
 
-        Returns whether any of them made another value, and the value after all of them.
+        Returns whether any change made a new value, and the value after all changes.
         """
         changed = False
-        for one in proposal_round.batch:
-            following, one.outcome = one.change(value)
-            if following is not None:
-                changed, value = True, following
+        for queued_round in proposal_round.batch:
+            next_value, queued_round.outcome = queued_round.change(value)
+            if next_value is not None:
+                changed, value = True, next_value
         return changed, value
 
     def is_already_chosen(self, number: ProposalNumber, proposal_round: ProposalRound) -> bool:
-        """Whether a majority has accepted this very proposal. One that was only carried into the epoch proves
-        nothing, as those who carried it may not be those who accepted it.
+        """Returns whether the promises prove that a majority has accepted the proposal with this number.
+
+        A proposal of an earlier epoch proves nothing. Voters receive it when they join the epoch, whether or
+        not a majority accepted it.
         """
         return number.epoch == self.member.epoch and all(
             promise.proposal_number == number for promise in proposal_round.promises.values()
@@ -188,7 +198,7 @@
     def finish_without_write(
         self, now: float, proposal_round: ProposalRound, base: NumberedValue, effects: Effects
     ) -> None:
-        """What stands is chosen already, and no change makes another value of it."""
+        """Ends a round whose changes make no new value, after learning the current value as chosen."""
         if base.proposal_number != NO_PROPOSAL:
             self.learner.learn(now, proposal_round.register, base.proposal_number, base.value, effects)
         others = [peer for peer in self.member.voters if peer != self.member.address]
@@ -198,7 +208,7 @@
     def on_acceptance(
         self, now: float, peer: str, register: str, number: ProposalNumber, effects: Effects
     ) -> None:
-        """A voter has accepted what the round of this number proposed."""
+        """Handles the acceptance of a proposal. Ends its round once a majority has accepted."""
         proposal_round = self.current_round(register, number)
         if proposal_round is not None and proposal_round.phase is Phase.ACCEPTING:
             proposal_round.accepted_by.add(peer)
@@ -206,9 +216,9 @@
                 self.finish_round(now, proposal_round, effects)
 
     def on_rejection(self, now: float, peer: str, rejected: Rejected) -> None:
-        """A voter has promised a higher proposal: the round is lost."""
+        """Handles a rejection: the voter has promised a higher number, so the round has failed."""
         self.observe_counter(rejected.register, rejected.promised)
-        if self.member.is_member:  # others don't hear what is chosen
+        if self.member.is_member:  # other controllers are not sent what is chosen, so they would wait in vain
             self.backoff.observe(now, rejected.register, rejected.promised)
         proposal_round = self.current_round(rejected.register, rejected.proposal_number)
         if proposal_round is not None and proposal_round.phase is not Phase.WAITING:
@@ -216,18 +226,18 @@
             self.schedule_retry(now, proposal_round)
 
     def finish_round(self, now: float, proposal_round: ProposalRound, effects: Effects) -> None:
-        """Answer the changes that this round carried, and start the next one."""
+        """Answers the changes that this round carried, and starts the next round."""
         queue = self.rounds[proposal_round.register]
-        for one in proposal_round.batch:
-            if one in queue:
-                queue.remove(one)
-                effects.answer(one.tag, one.outcome)
+        for queued_round in proposal_round.batch:
+            if queued_round in queue:
+                queue.remove(queued_round)
+                effects.answer(queued_round.tag, queued_round.outcome)
         self.start_next_round(now, proposal_round.register, effects)
 
     # --- time
 
     def tick(self, now: float, register: str, effects: Effects) -> None:
-        """Time has passed: retry a round whose phase took too long, complete what others left."""
+        """Retries a round whose phase has timed out, and completes rounds that other proposers left."""
         for proposal_round in self.rounds[register][:1]:
             if proposal_round.phase is not Phase.WAITING and now >= proposal_round.phase_deadline:
                 self.schedule_retry(now, proposal_round)
@@ -235,23 +245,27 @@
         self.complete_unfinished(now, register, effects)
 
     def complete_unfinished(self, now: float, register: str, effects: Effects) -> None:
-        """End a round whose proposer may be gone, and choose anew in this epoch what was carried into it."""
+        """Proposes a change that keeps the value if the newest accepted value stays unchosen for too long.
+
+        This completes a round whose proposer may have stopped. It also lets this epoch choose a value that
+        was carried over from an earlier epoch.
+        """
         highest = self.learner.highest_acceptance(register)
         carried_over = register != VOTER_SET and highest > NO_PROPOSAL and highest.epoch < self.member.epoch
         if highest <= self.learner.chosen[register].proposal_number and not carried_over:
             self.unfinished_since.pop(register, None)
             return
-        since = self.unfinished_since.setdefault(register, now)
-        if now < since + UNFINISHED_TIMEOUT * (1 + self.jitter()):
+        unfinished_at = self.unfinished_since.setdefault(register, now)
+        if now < unfinished_at + UNFINISHED_TIMEOUT * (1 + self.jitter()):
             return
         self.unfinished_since[register] = now
         if not self.rounds[register] and self.member.is_active_voter:
             self.propose(now, register, keep_current_value, COMPLETION_TAG, 1.0, effects)
 
 
-COMPLETION_TAG = "settle"  # of rounds that no caller waits for
+COMPLETION_TAG = "settle"  # of changes that no caller waits for
 
 
 def keep_current_value(value: Any) -> tuple[None, bool]:
-    """A change that makes no other value, so that its round only completes what is there."""
+    """Writes no new value, so that the round of this change only completes the current value."""
     return None, True
--- a/bramblewood/controller/consensus/replica.py
+++ b/bramblewood/controller/consensus/replica.py
@@ -1,15 +1,18 @@
-"""One controller's part in consensus on registers: Paxos among an epoch's voters, one instance a version.
-
-Each register holds one value. A change reads what a majority holds, makes the next value from it and asks the
-same majority to accept that under a higher proposal number; there is no leader. The parts are state machines
-without I/O: inputs come with the time, and give Effects of what to write, send and answer. Writes come first:
-the shell sends and answers only once all writes of the same effects are safe on disk.
-
-Epochs. A proposal number begins with its epoch, and counts only among the voters of that epoch. The set of
-voters of epoch e + 1 is the value of the register VOTER_SET that the voters of e choose. A voter is an
-address *and* a disk: a machine whose disk came back empty is a new member, and what its old disk promised
-binds only the epochs that the old disk was part of. How voters go from one epoch to the next: `epochs`. A
-value that was only carried over counts as chosen once a proposal of the epoch itself has chosen it.
+"""One controller's replica of the registers: Paxos among the voters of an epoch.
+
+Each register holds one value. To apply a change, a proposer reads the value that a majority of the voters
+holds, makes the next value from it, and asks the voters to accept that under a higher proposal number. There
+is no leader. Each version of a value is one instance of Paxos.
+
+The parts are state machines without I/O. Their inputs include the current time. They return Effects, which
+list what to write, send and answer. The caller sends and answers only once all writes of the same effects are
+durable.
+
+A proposal number begins with its epoch, and counts only among the voters of that epoch. The voter set of
+epoch e + 1 is the value of the register VOTER_SET that the voters of e choose; `epochs` describes the
+transition. A voter is an address together with a disk. A controller whose disk came back empty is a new
+member. The promises of its old disk bind only the epochs in which the old disk was a voter. A value that was
+carried over from an earlier epoch counts as chosen once a proposal of the current epoch has chosen it.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -47,9 +50,9 @@
 
 
 class ConsensusReplica:
-    """The registers at one controller: its acceptors, proposer and learner, and its place in the epochs.
+    """The registers at one controller: its acceptors, proposer, learner and epoch transition.
 
-    All times (`now`, `within`) are in s on the caller's steady clock.
+    All times are in s. `now` is the time on the caller's monotonic clock.
     """
 
     member_class = LocalMember
@@ -65,15 +68,20 @@
         voter_set: VoterSet | None = None,
         active_epoch: int = NEVER_ACTIVE,
     ) -> None:
-        """disk: the name of this machine's disk; incarnation: of this process, higher at each start; stored:
-        (promised, accepted, value) by register; voter_set: the newest one known; active_epoch: the newest
-        epoch in which this disk was active.
+        """Creates the replica from what the disk holds.
+
+        disk: the name of this controller's disk.
+        incarnation: a number that identifies this process among all processes at the address.
+        stored: (promised, accepted, value) by register.
+        voter_set: the newest voter set that was learned as chosen.
+        active_epoch: the newest epoch in which this disk was an active voter.
         """
         stored = stored or {}
         self.member = self.member_class(address, disk, incarnation, voter_set, active_epoch)
         self.acceptors = {register: Acceptor(*stored.get(register, ())) for register in ALL_REGISTERS}
         self.durable_accepted = {register: acceptor.accepted for register, acceptor in self.acceptors.items()}
-        # raises where a difference leads to no value of this register; the shell sets it
+        # raises an error if the value is not valid for the register; set by the caller, called with values
+        # that result from a difference
         self.require_value: Callable[[str, Any], None] = lambda register, value: None
         backoff = ProposerBackoff(address, PHASE_TIMEOUT)
         self.learner = self.learner_class(self.member, self.acceptors, backoff)
@@ -81,87 +89,93 @@
         self.epochs = EpochTransition(self.member, self.acceptors, self.learner, self.proposer)
         self.learner.adopt_voter_set = self.epochs.adopt_voter_set
 
-    # --- what is known here
+    # --- state
 
     @property
     def address(self) -> str:
-        """This controller's."""
+        """Returns the address of this controller."""
         return self.member.address
 
     @property
     def disk(self) -> str:
-        """The name of this machine's disk."""
+        """Returns the name of this controller's disk."""
         return self.member.disk
 
     @property
     def voter_set(self) -> VoterSet:
-        """The newest set of voters known here."""
+        """Returns the newest voter set learned as chosen, which is the current one."""
         return self.member.voter_set
 
     @property
     def epoch(self) -> int:
-        """The epoch of that set."""
+        """Returns the epoch of the current voter set."""
         return self.member.epoch
 
     @property
     def voters(self) -> dict[str, str]:
-        """The name of each voter's disk, by its address."""
+        """Returns the name of each current voter's disk, by the voter's address."""
         return self.member.voters
 
     @property
     def active_epoch(self) -> int:
-        """The newest epoch in which this disk was active; below 0 if none, or if it votes no more."""
+        """Returns the newest epoch in which this disk was active.
+
+        Returns NEVER_ACTIVE if there is none, and after `stop_voting`.
+        """
         return self.member.active_epoch
 
     @property
     def is_member(self) -> bool:
-        """Whether this controller, on this disk, may have a seat in that epoch."""
+        """Returns whether the current voter set has a seat that this controller and disk may match."""
         return self.member.is_member
 
     @property
     def is_active_voter(self) -> bool:
-        """Whether this controller votes in that epoch."""
+        """Returns whether this controller votes in the current epoch."""
         return self.member.is_active_voter
 
     @property
     def chosen(self) -> dict[str, NumberedValue]:
-        """By register, the newest value known to be chosen."""
+        """Returns the newest value known to be chosen, by register."""
         return self.learner.chosen
 
     @property
     def peer_commitments(self) -> dict[str, dict[str, ProposalNumber]]:
-        """By register and voter, the highest proposal of this epoch that it promised or accepted."""
+        """Returns, by register and voter, the highest proposal of this epoch promised or accepted there."""
         return self.learner.commitments
 
     def take_last_rejection(self) -> Rejection | None:
-        """The newest rejection of a proposal of ours that was not taken yet, for the log."""
+        """Returns the newest rejection of a proposal of this controller, for the log, and forgets it."""
         rejection, self.proposer.last_rejection = self.proposer.last_rejection, None
         return rejection
 
     def value(self, register: str) -> Any:
-        """The newest value known to be chosen, or None."""
+        """Returns the newest value known to be chosen, or None if there is none."""
         return self.chosen[register].value
 
     def version(self, register: str) -> int:
-        """The number of that value, 0 for none."""
+        """Returns the version number of the newest value known to be chosen, or 0 if there is none."""
         value = self.value(register)
         return value["n"] if value else 0
 
-    # --- what the shell brings
+    # --- inputs from the caller
+
+    def propose(self, now: float, register: str, change: Change, tag: Any, timeout: float) -> Effects:
+        """Queues a change of a register's value.
 
-    def propose(self, now: float, register: str, change: Change, tag: Any, within: float) -> Effects:
-        """Queue a change.
+        change: a function from the current value, which is None at first, to (next value, outcome). A next
+        value of None writes nothing. The function may be called more than once; the last outcome counts.
+        timeout: the time after which the outcome is given up as unclear.
 
-        change: from the value that stands (None at first) to (next value or None for none, outcome). It may
-        be called more than once, and only the last outcome counts. Its answer is (tag, outcome), in these or
-        in later effects, or (tag, None) where the outcome stayed unclear for `within` s.
+        These or later effects have the answer, which is (tag, outcome), or (tag, None) where the outcome is
+        unclear.
         """
         effects = no_effects()
-        self.proposer.propose(now, register, change, tag, within, effects)
+        self.proposer.propose(now, register, change, tag, timeout, effects)
         return effects
 
     def tick(self, now: float) -> Effects:
-        """Time has passed: retry lost rounds, complete what others left, ask again for an epoch's state."""
+        """Retries failed rounds, completes unfinished ones, and repeats requests for an epoch's state."""
         effects = no_effects()
         for register in ALL_REGISTERS:
             self.proposer.tick(now, register, effects)
@@ -169,23 +183,26 @@
         return effects
 
     def mark_durable(self, register: str, accepted: ProposalNumber) -> None:
-        """The newest write of this register is safe on disk."""
+        """Records that the row of this register with this accepted number is durable."""
         self.durable_accepted[register] = accepted
 
     def stop_voting(self) -> None:
-        """Answer nothing as a voter any more, on the way to the end of this process."""
+        """Makes this controller answer no proposal as a voter from now on. This process is about to end."""
         self.member.active_epoch = NEVER_ACTIVE
 
     def adopt_voter_set(self, now: float, voter_set: VoterSet, effects: Effects) -> None:
-        """A peer tells the newest set of voters that it knows to be chosen."""
+        """Follows a newer voter set that a peer reports as chosen."""
         self.epochs.adopt_voter_set(now, voter_set, effects)
 
     def check_disk_rollback(self, epoch: int, commitments: Mapping[str, Sequence], new_disk: str) -> Effects:
-        """A peer tells what it heard this voter commit to; see `EpochTransition.check_disk_rollback`."""
+        """Checks the commitments that a peer has recorded for this voter.
+
+        See `EpochTransition.check_disk_rollback`. Raises PeerMessageError.
+        """
         numbers = {
             register: ProposalNumber.from_wire(number)
             for register, number in commitments.items()
-            if register in self.acceptors  # else of a program that knows more registers
+            if register in self.acceptors  # a later release has further registers
         }
         effects = self.epochs.check_disk_rollback(epoch, numbers, new_disk)
         if effects.facts:
@@ -195,7 +212,7 @@
     def record_acceptance(
         self, now: float, peer: str, disk: str, register: str, number: Sequence, effects: Effects
     ) -> None:
-        """A voter has accepted this proposal and has it safe on its disk."""
+        """Handles the report that a voter has accepted a proposal and holds it on its disk."""
         number = ProposalNumber.from_wire(number)
         if not self.learner.record_acceptance(peer, disk, register, number):
             return
@@ -204,10 +221,10 @@
             self.proposer.start_next_round(now, register, effects)
 
     def receive(self, now: float, peer: str, wire: dict) -> Effects:
-        """Handle a message of consensus, in its wire form."""
+        """Handles a message of consensus, given in its wire form. Raises PeerMessageError."""
         effects = no_effects()
         if wire.get("r", VOTER_SET) not in self.acceptors:
-            return effects  # of a program that knows more registers
+            return effects  # a later release has further registers
         message = decode(wire)
         match message:
             case EpochNotice():
@@ -250,7 +267,7 @@
     # --- the acceptors
 
     def _on_voter_request(self, now: float, peer: str, request: VoterRequest, effects: Effects) -> None:
-        """Answer a proposer of this epoch; tell one of an earlier epoch that it missed a change."""
+        """Handles a request of a proposer. Sends the current voter set to a proposer of an earlier epoch."""
         if request.proposal_number.epoch < self.epoch:
             effects.send(peer, EpochNotice(self.voter_set))
         elif self.is_active_voter and request.proposal_number.epoch == self.epoch:
@@ -261,13 +278,13 @@
                     self._accept(now, peer, register, number, value, effects)
                 case AcceptDifference(register, number, base, difference):
                     acceptor = self.acceptors[register]
-                    if base == acceptor.accepted:  # else the next round brings the value itself
+                    if base == acceptor.accepted:  # else the next round sends the whole value
                         value = apply_difference(acceptor.value, difference)
                         self.require_value(register, value)
                         self._accept(now, peer, register, number, value, effects)
 
     def _on_prepare(self, now: float, peer: str, prepare: Prepare, effects: Effects) -> None:
-        register, number, held = prepare
+        register, number, proposer_accepted = prepare
         acceptor = self.acceptors[register]
         if not acceptor.prepare(number):
             self._reject(peer, register, number, effects)
@@ -275,14 +292,14 @@
         self.proposer.backoff.observe(now, register, number)
         effects.write(register, acceptor)
         promise = Promise(register, number, self.disk, acceptor.accepted)
-        if held != acceptor.accepted:
+        if proposer_accepted != acceptor.accepted:
             promise = promise._replace(value=acceptor.value)
         effects.send(peer, promise)
 
     def _accept(
         self, now: float, peer: str, register: str, number: ProposalNumber, value: Any, effects: Effects
     ) -> None:
-        """Accept what `peer` proposes, and tell it and all voters."""
+        """Accepts the proposal of `peer` and reports that to `peer` and all voters, or rejects it."""
         acceptor = self.acceptors[register]
         if not acceptor.accept(number, value):
             self._reject(peer, register, number, effects)
