--- a/bramblewood/controller/consensus/membership.py
+++ b/bramblewood/controller/consensus/membership.py
@@ -1,11 +1,16 @@
-"""Who should vote: the one change of the set of voters that is due, if any. Pure.
-
-A change takes a seat from a controller that is lost, is leaving, or came back with another disk, and gives
-it to one that holds what is agreed. It is only ever proposed here; consensus makes the majority of the set
-before agree. Bounds against flapping: one change at a time, none while a voter that can be heard is not
-active yet; a seat is taken from a silent voter after half of `CatchUpS`, the time in which the rules expect
-it back, and given to a controller that has been heard for a quarter of it without a gap, so that a second
-loss that the rules allow once `CatchUpS` is over meets the new set.
+"""Decides who should vote: finds the one change of the voter set that is due, if any. Pure.
+
+A change takes the seat of a voter that is lost, is leaving, or came back with another disk. It gives the seat
+to a controller that has caught up. The change is only proposed here. It takes effect once a majority of the
+current voters has chosen it.
+
+Three bounds keep the voter set from flapping:
+
+- Voters change one at a time. No change is due while a reachable voter is not active yet.
+- A silent voter keeps its seat for half of `CatchUpS`, the time within which it is expected back.
+- A controller takes a seat only after a quarter of `CatchUpS` in which its heartbeats arrived without a gap.
+
+The sum is less than `CatchUpS`, so a second loss, which may occur after `CatchUpS`, meets the new voter set.
 """
 
 from typing import NamedTuple
@@ -18,64 +23,84 @@
 from .quorum import FailureDomain, keeps_majority, select_first_voters, voters_needed
 from .voter_set import VoterSet, is_voter, majority
 
-LOST_AFTER_FRACTION = 1 / 2  # of CatchUpS without a heartbeat, after which a voter's seat is given away
+LOST_AFTER_FRACTION = 1 / 2  # of CatchUpS without a heartbeat, after which a voter may lose its seat
 STEADY_FRACTION = 1 / 4  # of CatchUpS with heartbeats, before a controller may take a seat
 
 
 class VoterSetChange(NamedTuple):
-    """Voters that should follow those of the current epoch."""
+    """The voters that shall follow those of the current epoch."""
 
     voters: dict[str, str]  # the name of each voter's disk, by its address
     reason: str  # for the log
 
 
 def replace_voter(voters: dict[str, str], old: str, new: str, disk: str) -> dict[str, str]:
-    """These voters with `new` on this disk in the seat of `old`; with one seat more where `old` has none."""
-    return {**{name: kept for name, kept in voters.items() if name != old}, new: disk}
+    """Returns these voters with `new`, on this disk, in the seat of `old`.
+
+    Adds a seat for `new` if `old` has none.
+    """
+    return {**{name: kept_disk for name, kept_disk in voters.items() if name != old}, new: disk}
 
 
 class Membership:
-    """Finds the change of voters that is due. It keeps no state but its settings."""
+    """Finds the change of the voter set that is due. It has no state except its settings.
+
+    Parameters named `peers` have the status of every known controller by address, including this one.
+    Parameters named `versions` have the chosen versions by register.
+    """
 
     def __init__(self, tolerance: Tolerance, regions: dict[str, str], catch_up: float) -> None:
-        """regions: the region of each zone; catch_up: `CatchUpS` in s."""
+        """Takes the settings. regions: the region of each zone. catch_up: `CatchUpS` in s."""
         self.tolerance, self.regions = tolerance, regions
         self.lost_after = catch_up * LOST_AFTER_FRACTION
         self.steady_after = catch_up * STEADY_FRACTION
 
     def failure_domains(self, peers: dict[str, PeerStatus]) -> dict[str, FailureDomain]:
-        """Where each of these controllers stands."""
+        """Returns the failure domain of each of these controllers."""
         return {
             name: FailureDomain(peer.zone, self.regions.get(peer.zone, peer.zone), peer.counts_for_tolerance)
             for name, peer in peers.items()
         }
 
     def is_silent(self, peer: PeerStatus | None) -> bool:
-        """Whether it was silent for so long that its seat may be given to another; None: never heard of."""
+        """Returns whether a controller has sent no heartbeat for so long that it may lose its seat.
+
+        peer: None if the controller is unknown, which also counts as silent.
+        """
         return peer is None or peer.silent_for > self.lost_after
 
     def has_failed_disk(self, peer: PeerStatus | None) -> bool:
-        """Whether its disk has failed for as long: it can promise and accept nothing, like a silent one."""
+        """Returns whether a controller's disk has failed for so long that it may lose its seat.
+
+        Such a controller can neither promise nor accept, like a silent one.
+        """
         return peer is not None and peer.disk_failing_for > self.lost_after
 
     def is_lost(self, peer: PeerStatus | None) -> bool:
-        """Whether its seat may be given to another, and no change waits for it."""
+        """Returns whether a controller may lose its seat. No change waits for a lost voter."""
         return self.is_silent(peer) or self.has_failed_disk(peer)
 
     # --- the change that is due
 
     def founding_change(
-        self, seeds: tuple[str, ...], peers: dict[str, PeerStatus], late: bool
+        self, seeds: tuple[str, ...], peers: dict[str, PeerStatus], wait_is_over: bool
     ) -> VoterSetChange | None:
-        """The voters of epoch 1, of those who have shown themselves; None while it is better to wait."""
-        heard = reachable_peers(peers)
-        chosen = select_first_voters(self.failure_domains(heard), seeds, self.tolerance, late)
-        return VoterSetChange({name: heard[name].disk for name in chosen}, "first boot") if chosen else None
+        """Returns the change to the voters of epoch 1, or None while it is better to wait.
+
+        wait_is_over: as in `select_first_voters`.
+        """
+        reachable = reachable_peers(peers)
+        selected = select_first_voters(self.failure_domains(reachable), seeds, self.tolerance, wait_is_over)
+        return (
+            VoterSetChange({name: reachable[name].disk for name in selected}, "first boot")
+            if selected
+            else None
+        )
 
     def due_change(
         self, voter_set: VoterSet, peers: dict[str, PeerStatus], versions: dict[str, int]
     ) -> VoterSetChange | None:
-        """The change that is due. peers: all controllers known, this one too; versions: what is chosen."""
+        """Returns the change that is due, or None."""
         if self.has_joining_voter(voter_set, peers):
             return None
         return self.due_disk_change(voter_set, peers, versions) or self.due_replacement(
@@ -83,25 +108,27 @@
         )
 
     def has_joining_voter(self, voter_set: VoterSet, peers: dict[str, PeerStatus]) -> bool:
-        """Whether a voter that is heard on its disk is about to be active: one change at a time. One whose
-        disk fails won't be; the majority that a change needs is counted without it anyway.
+        """Returns whether a reachable voter on the disk of its seat is about to become active.
+
+        A voter whose disk has failed for long does not count, as it will not become active. The majority that
+        a change needs does not include it either.
         """
-        heard = reachable_peers(peers)
+        reachable = reachable_peers(peers)
         return any(
-            name in heard
-            and heard[name].disk == disk
-            and not heard[name].is_active_in(voter_set, name)
-            and not self.has_failed_disk(heard[name])
+            name in reachable
+            and reachable[name].disk == disk
+            and not reachable[name].is_active_in(voter_set, name)
+            and not self.has_failed_disk(reachable[name])
             for name, disk in voter_set["voters"].items()
         )
 
     def due_disk_change(
         self, voter_set: VoterSet, peers: dict[str, PeerStatus], versions: dict[str, int]
     ) -> VoterSetChange | None:
-        """The seat of a voter that is heard on another disk than its seat names, given to that disk."""
-        voters, heard = voter_set["voters"], reachable_peers(peers)
+        """Returns the change that gives a voter's seat to the disk that the voter has now, or None."""
+        voters, reachable = voter_set["voters"], reachable_peers(peers)
         for name, disk in voters.items():
-            peer = heard.get(name)
+            peer = reachable.get(name)
             if peer is None or peer.disk == disk or peer.epoch != voter_set["n"] or peer.leaving:
                 continue
             if not disk or peer.has_caught_up(versions):
@@ -112,32 +139,32 @@
     def due_replacement(
         self, voter_set: VoterSet, peers: dict[str, PeerStatus], versions: dict[str, int]
     ) -> VoterSetChange | None:
-        """The seat of a voter that leaves or is lost, or a free one, given to a spare."""
+        """Returns the change that gives a spare a free seat or that of a leaving or lost voter, or None."""
         voters = voter_set["voters"]
         spares = self.eligible_spares(voter_set, peers, versions)
         if not spares:
             return None
         for reason, is_due in (
             ("leaves", self.is_leaving),
-            ("silent", self.is_silent),
+            ("sends no heartbeats", self.is_silent),
             ("disk fails", self.has_failed_disk),
         ):
             for name in voters:
                 if is_due(peers.get(name)):
-                    following = self.assign_to_best_spare(voters, spares, peers, name)
-                    return VoterSetChange(following, f"{name} {reason}")
+                    changed_voters = self.assign_to_best_spare(voters, spares, peers, name)
+                    return VoterSetChange(changed_voters, f"{name} {reason}")
         if len(voters) < voters_needed(self.tolerance):
             return VoterSetChange(self.assign_to_best_spare(voters, spares, peers), "a seat is free")
         return None
 
     def is_leaving(self, peer: PeerStatus | None) -> bool:
-        """Whether it is heard, and was told to end."""
+        """Returns whether a reachable controller is shutting down."""
         return peer is not None and peer.is_reachable and peer.leaving
 
     def eligible_spares(
         self, voter_set: VoterSet, peers: dict[str, PeerStatus], versions: dict[str, int]
     ) -> list[str]:
-        """Controllers that may take a seat now."""
+        """Returns the controllers that may take a seat now, sorted."""
         voters = voter_set["voters"]
         any_counts = any(peers[name].counts_for_tolerance for name in voters if name in peers)
         return sorted(
@@ -153,7 +180,7 @@
         )
 
     def successors(self, voter_set: VoterSet, peers: dict[str, PeerStatus]) -> list[str]:
-        """Controllers that may take a seat now or soon: a voter that leaves waits for them."""
+        """Returns the controllers that may take a seat now or soon. A leaving voter waits for one of them."""
         voters = voter_set["voters"]
         return [
             name for name, peer in reachable_peers(peers).items() if name not in voters and not peer.leaving
@@ -162,18 +189,18 @@
     def assign_to_best_spare(
         self, voters: dict[str, str], spares: list[str], peers: dict[str, PeerStatus], old: str = ""
     ) -> dict[str, str]:
-        """The voters once the best spare has the seat of `old`, or a further seat where `old` is empty.
+        """Returns the voters after the best spare has taken the seat of `old`, or a new seat if `old` is "".
 
-        The best leaves a majority after the losses to be tolerated, then stands in the zone with the fewest
-        voters, then is the first by address.
+        A spare is better if the voters keep a majority after every tolerated loss, then if its zone has fewer
+        voters, then if its address sorts first.
         """
         domains = self.failure_domains(peers)
-        staying = [name for name in voters if name != old]
-        zones = [domains[name].zone for name in staying if name in domains]
+        remaining = [name for name in voters if name != old]
+        zones = [domains[name].zone for name in remaining if name in domains]
 
         def rank(name: str) -> tuple:
-            known = [voter for voter in (*staying, name) if voter in domains]
-            loses_majority = not keeps_majority(known, domains, self.tolerance)
+            known_voters = [voter for voter in (*remaining, name) if voter in domains]
+            loses_majority = not keeps_majority(known_voters, domains, self.tolerance)
             return loses_majority, zones.count(domains[name].zone), name
 
         new = min(spares, key=rank)
@@ -184,51 +211,57 @@
     def requested_change(
         self, voter_set: VoterSet, peers: dict[str, PeerStatus], versions: dict[str, int], old: str, new: str
     ) -> Result[VoterSetChange, str]:
-        """An operator's change; old or new may be empty, for an addition or a removal.
+        """Returns the change that an operator requests, or the reason why it is rejected.
+
+        old: the voter to remove, "" to add one only.
+        new: the controller that gets a seat, "" to remove one only.
 
-        Returns the voters as they are where that is how they stand already, as a request may be repeated; or
-        why the change is refused.
+        Returns the current voters where the change has been made already, because a request may be repeated.
         """
         voters = voter_set["voters"]
         if old and old not in peers:
-            return Err(f"{old} is not known")
+            return Err(f"{old} is not a known controller")
         if (not old or old not in voters) and (not new or new in voters):
             return Ok(VoterSetChange(voters, "stands"))
         if old and old not in voters:
-            return Err(f"{old} is no voter of epoch {voter_set['n']}")
+            return Err(f"{old} is not a voter of epoch {voter_set['n']}")
         if new and (problem := self.rejection_reason(new, voters, peers, versions)):
             return Err(problem)
-        following = {name: disk for name, disk in voters.items() if name != old}
+        requested = {name: disk for name, disk in voters.items() if name != old}
         if new:
-            following[new] = peers[new].disk
-        if len(following) < min(len(voters), voters_needed(self.tolerance)):
-            return Err(f"{len(following)} voters don't bear what may be lost: replace it, or add one first")
-        active = active_voters(following, voter_set, peers)
-        if len(active) + (1 if new else 0) < majority(following):
-            return Err("no majority of that set can be heard")
-        return Ok(VoterSetChange(following, "by hand"))
+            requested[new] = peers[new].disk
+        if len(requested) < min(len(voters), voters_needed(self.tolerance)):
+            return Err(
+                f"{len(requested)} voters are too few for Tolerance: replace the voter, or add one first"
+            )
+        active = active_voters(requested, voter_set, peers)
+        if len(active) + (1 if new else 0) < majority(requested):
+            return Err("no majority of the requested voters is reachable and active")
+        return Ok(VoterSetChange(requested, "by hand"))
 
     def rejection_reason(
         self, new: str, voters: dict[str, str], peers: dict[str, PeerStatus], versions: dict[str, int]
     ) -> str:
-        """Why an operator may not give a seat to this controller now, "" if nothing forbids it."""
+        """Returns why an operator may not give a seat to the controller `new` now, or "" if it may."""
         if new in voters:
-            return f"{new} votes already"
+            return f"{new} is a voter already"
         if new not in reachable_peers(peers):
-            return f"{new} is not heard"
+            return f"{new} sends no heartbeats"
         if peers[new].disk_failing_for:
             return f"the disk of {new} refuses writes, or does not answer"
-        return "" if peers[new].has_caught_up(versions) else f"{new} has not caught up"
+        return (
+            "" if peers[new].has_caught_up(versions) else f"{new} has not caught up with the chosen versions"
+        )
 
     def failure_margin(self, voter_set: VoterSet, peers: dict[str, PeerStatus]) -> int:
-        """How many more active voters may be lost with a majority left; below 0: there is none."""
+        """Returns how many active voters may be lost with a majority left; below 0 if there is none."""
         voters = voter_set["voters"]
         return len(active_voters(voters, voter_set, peers)) - majority(voters)
 
     def view(
         self, address: str, voter_set: VoterSet, peers: dict[str, PeerStatus], versions: dict[str, int]
     ) -> MembershipView:
-        """What operators are shown of who votes, as the controller at this address sees it."""
+        """Returns the view of all controllers that the controller at `address` shows to operators."""
         margin, losses = self.failure_margin(voter_set, peers), self.tolerance.losses
         return membership_view(address, voter_set, peers, versions, self.is_lost, losses, margin)
 
@@ -242,12 +275,16 @@
     durable: dict[str, dict[str, tuple]],
     has_successor: bool,
 ) -> bool:
-    """Whether a controller that was told to end may go: its seat is another's and a majority of that set is
-    active, or (there being nobody to take it) a majority of the others holds on disk what it holds itself.
+    """Returns whether a controller that is shutting down may end without a risk to what is agreed.
+
+    If another controller or disk has its seat, it may once a majority of the current voters is active. If it
+    has its seat and no successor, it may once a majority of the other voters holds on disk all that it has
+    accepted. If it has its seat and a successor, it waits for the change.
 
-    address, disk: its own; accepted: the number of what it accepted, by register; durable: that of what
-    others have safe on disk, by controller and register; has_successor: somebody may take the seat, now or
-    soon.
+    address, disk: those of the controller itself.
+    accepted: by register, the number of the proposal that it accepted last.
+    durable: by controller and register, the number of the proposal that is accepted and on disk there.
+    has_successor: whether a controller may take the seat now or soon.
     """
     voters = voter_set["voters"]
     active = [name for name in voters if name in peers and peers[name].is_active_in(voter_set, name)]
--- a/bramblewood/controller/consensus/membership_view.py
+++ b/bramblewood/controller/consensus/membership_view.py
@@ -1,4 +1,4 @@
-"""What operators are shown of who votes; `bramblewood members show` prints it."""
+"""The view of the voters and other controllers that `bramblewood members show` prints."""
 
 from collections.abc import Callable
 from typing import TypedDict
@@ -8,25 +8,25 @@
 
 
 class MemberView(TypedDict):
-    """One controller. Keys and states are part of the `--json` form."""
+    """The view of one controller. Its keys and states are part of the `--json` output."""
 
     disk: str
     state: str  # voter, joining, leaving, silent, lost, other disk, disk fails, spare, new
-    heard: float | None  # s since its last heartbeat, None where it was never heard
-    epoch: int | None
-    lag: dict[str, int] | None  # versions that it is behind, by register
+    heard: float | None  # s since its last heartbeat, None if no heartbeat ever arrived
+    epoch: int | None  # that it reports, None if no heartbeat ever arrived
+    lag: dict[str, int] | None  # by register, by how many versions it is behind
 
 
 class MembershipView(TypedDict):
-    """Who votes, as the controller `me` sees it. Its keys are part of the `--json` form."""
+    """The view of all controllers that `me` has. Its keys are part of the `--json` output."""
 
-    me: str
+    me: str  # the address of the controller that reports
     epoch: int
-    state: str
-    members: dict[str, MemberView]
-    others: dict[str, MemberView]
-    tolerance: int  # losses to be tolerated
-    margin: int  # active voters that may be lost with a majority left
+    state: str  # of that controller, one of the states of `MemberView`
+    members: dict[str, MemberView]  # the voters, by address
+    others: dict[str, MemberView]  # the other controllers, by address
+    tolerance: int  # losses that shall be tolerated
+    margin: int  # losses of active voters that leave a majority; below 0 if there is no majority
 
 
 def membership_view(
@@ -38,18 +38,23 @@
     tolerated_losses: int,
     margin: int,
 ) -> MembershipView:
-    """The view of the controller at this address. versions: what is chosen; peers: itself among them."""
+    """Returns the view that the controller at `address` has.
+
+    peers: the status of every known controller, including this one.
+    versions: the chosen versions, by register.
+    is_lost: returns whether a voter counts as lost, so that its seat may be assigned to another controller.
+    """
     voters = voter_set["voters"]
 
-    def views(names: set[str]) -> dict[str, MemberView]:
+    def member_views(names: set[str]) -> dict[str, MemberView]:
         return {name: member_view(name, voter_set, peers[name], versions, is_lost) for name in sorted(names)}
 
     return {
         "me": address,
         "epoch": voter_set["n"],
         "state": member_state(address, voter_set, peers[address], is_lost),
-        "members": views({*voters}),
-        "others": views(peers.keys() - voters.keys()),
+        "members": member_views({*voters}),
+        "others": member_views(peers.keys() - voters.keys()),
         "tolerance": tolerated_losses,
         "margin": margin,
     }
@@ -62,7 +67,7 @@
     versions: dict[str, int],
     is_lost: Callable[[PeerStatus], bool],
 ) -> MemberView:
-    """One controller as it is seen here."""
+    """Returns the view of the controller at `address`. The parameters are as in `membership_view`."""
     has_reported = bool(peer.disk)
     lag = {
         register: max(version - peer.versions.get(register, 0), 0) for register, version in versions.items()
@@ -79,7 +84,7 @@
 def member_state(
     address: str, voter_set: VoterSet, peer: PeerStatus, is_lost: Callable[[PeerStatus], bool]
 ) -> str:
-    """One of the states of `MemberView`."""
+    """Returns the state of the controller at `address`, one of the states of `MemberView`."""
     voters, has_seat = voter_set["voters"], address in voter_set["voters"]
     if not peer.is_reachable:
         return "lost" if has_seat and is_lost(peer) else "silent"
--- a/bramblewood/controller/consensus/peer_status.py
+++ b/bramblewood/controller/consensus/peer_status.py
@@ -1,4 +1,4 @@
-"""What is known here of each controller, as the question of who should vote needs it."""
+"""The status of each controller, as far as it decides who should vote."""
 
 from typing import NamedTuple
 
@@ -7,43 +7,47 @@
 
 
 class PeerStatus(NamedTuple):
-    """One controller as it is seen from here. Times in s."""
+    """The status of one controller, from the heartbeats that arrive here. All times are in s."""
 
-    disk: str  # the name of its disk, "" where it was never heard
+    disk: str  # the name of its disk, "" if no heartbeat ever arrived
     zone: str
-    counts_for_tolerance: bool  # its loss is one of those that `Tolerance` bounds
+    counts_for_tolerance: bool  # `Tolerance` bounds the loss of this controller
     epoch: int
-    is_active_voter: bool  # of that epoch, as it says itself
-    leaving: bool
-    silent_for: float  # since its last heartbeat
-    steady_for: float  # since its heartbeats began to come without a gap; 0 while they don't
-    versions: dict[str, int]  # what it knows to be chosen, by register
-    disk_failing_for: float = 0.0  # that its disk has refused every write, or not answered one
+    is_active_voter: bool  # it reports that it is an active voter of that epoch
+    leaving: bool  # it is shutting down
+    silent_for: float  # time since its last heartbeat
+    steady_for: float  # time for which its heartbeats have arrived without a gap, 0 while they do not
+    versions: dict[str, int]  # by register, the newest version that it reports as chosen
+    disk_failing_for: float = 0.0  # time for which its disk has refused every write or left one unanswered
 
     @property
     def is_reachable(self) -> bool:
-        """Whether its heartbeats come."""
+        """Returns whether its heartbeats arrive."""
         return self.steady_for > 0
 
     def is_active_in(self, voter_set: VoterSet, address: str) -> bool:
-        """Whether it said that it is an active voter of this very epoch, on the disk that this epoch knows.
+        """Returns whether it reports that it is an active voter of this epoch, on the disk of its seat.
 
-        address: its own.
+        address: the address of the controller whose status this is.
         """
-        knows_disk = is_voter(voter_set["voters"], address, self.disk)
-        return self.is_active_voter and self.epoch == voter_set["n"] and knows_disk
+        matches_seat = is_voter(voter_set["voters"], address, self.disk)
+        return self.is_active_voter and self.epoch == voter_set["n"] and matches_seat
 
     def has_caught_up(self, versions: dict[str, int]) -> bool:
-        """Whether it follows these chosen versions; not whether it has the newest, as its heartbeats lag."""
+        """Returns whether it follows the data registers.
+
+        versions: the chosen versions by register. The controller need not report the newest version, as its
+        heartbeats lag. It has to report some version of each data register that has one.
+        """
         return all(self.versions.get(name, 0) > 0 or not versions.get(name, 0) for name in (CONFIG, TABLE))
 
 
 def reachable_peers(peers: dict[str, PeerStatus]) -> dict[str, PeerStatus]:
-    """Those of these controllers whose heartbeats come."""
+    """Returns the controllers whose heartbeats arrive."""
     return {name: peer for name, peer in peers.items() if peer.is_reachable}
 
 
 def active_voters(voters: dict[str, str], voter_set: VoterSet, peers: dict[str, PeerStatus]) -> list[str]:
-    """Of these voters, those heard that are active in the epoch of `voter_set`."""
-    heard = reachable_peers(peers)
-    return [name for name in voters if name in heard and heard[name].is_active_in(voter_set, name)]
+    """Returns those of `voters` that are reachable and active in the epoch of `voter_set`."""
+    reachable = reachable_peers(peers)
+    return [name for name in voters if name in reachable and reachable[name].is_active_in(voter_set, name)]
--- a/bramblewood/controller/consensus/quorum.py
+++ b/bramblewood/controller/consensus/quorum.py
@@ -1,4 +1,4 @@
-"""Which sets of voters keep a majority after whatever `Tolerance` says may be lost. Pure."""
+"""Selects voters so that a majority is left after every loss that `Tolerance` allows for. Pure."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -9,7 +9,7 @@
 
 
 class FailureDomain(NamedTuple):
-    """Where a controller stands, and whether its loss is one of those that `Tolerance` bounds."""
+    """The zone and region of a controller, and whether `Tolerance` bounds its loss."""
 
     zone: str
     region: str
@@ -19,7 +19,7 @@
 def remaining_after_worst_loss(
     voters: Iterable[str], domains: dict[str, FailureDomain], tolerance: Tolerance
 ) -> int:
-    """How many of these voters are left after the worst loss that is to be tolerated."""
+    """Returns how many of these voters are left after the worst loss that `tolerance` allows for."""
     voters = list(voters)
     worst_loss = 0
     for lost_group_count, voter_groups in (
@@ -33,40 +33,46 @@
 
 
 def keeps_majority(voters: Iterable[str], domains: dict[str, FailureDomain], tolerance: Tolerance) -> bool:
-    """Whether more than half of these voters are left after every loss that is to be tolerated."""
+    """Returns whether more than half of these voters are left after every loss that is tolerated."""
     voters = list(voters)
     return 2 * remaining_after_worst_loss(voters, domains, tolerance) > len(voters)
 
 
 def voters_needed(tolerance: Tolerance) -> int:
-    """The number of voters of whom a majority is left after these losses."""
+    """Returns the number of voters of which a majority is left after the losses that are tolerated."""
     return 2 * tolerance.losses + 1
 
 
 def select_first_voters(
-    domains: dict[str, FailureDomain], seeds: Iterable[str], tolerance: Tolerance, late: bool
+    domains: dict[str, FailureDomain], seeds: Iterable[str], tolerance: Tolerance, wait_is_over: bool
 ) -> tuple[str, ...] | None:
-    """The first voters by name, or None where it is better to wait for more to show themselves.
+    """Returns the addresses of the first voters, sorted, or None while it is better to wait.
 
-    domains: of all controllers that have shown themselves. late: wait no longer, and take what is there.
-    Seeds come first. Machines that don't count for `Tolerance` may go in any number, so they vote only where
-    none counts.
+    domains: the failure domain of every controller that is reachable.
+    wait_is_over: whether to select at once, even if a seed is not reachable or no selection keeps a majority.
+
+    Seeds are preferred. Controllers that do not count for `Tolerance` may be lost in any number, so they vote
+    only if no controller counts.
     """
     seeds = set(seeds)
-    if not late and not seeds <= domains.keys():
+    if not wait_is_over and not seeds <= domains.keys():
         return None
     candidates = candidates_in_order(domains, seeds, tolerance)
     needed = voters_needed(tolerance)
     for count in range(min(needed, len(candidates)), 0, -1):
         if keeps_majority(candidates[:count], domains, tolerance):
             return tuple(sorted(candidates[:count]))
-    return tuple(sorted(candidates[:needed])) if late else None
+    return tuple(sorted(candidates[:needed])) if wait_is_over else None
 
 
 def candidates_in_order(
     domains: dict[str, FailureDomain], seeds: set[str], tolerance: Tolerance
 ) -> list[str]:
-    """Those that may vote, one of each zone or region in turn where these may be lost as a whole."""
+    """Returns the controllers that may vote, in the order in which they are selected.
+
+    Seeds come first. Where a whole zone or region may be lost, the order takes one controller of each zone or
+    region in turn.
+    """
     eligible = {name: domain for name, domain in domains.items() if domain.counts_for_tolerance} or domains
     groups: dict[str, list[str]] = {}
     for name in sorted(eligible, key=lambda name: (name not in seeds, name)):
