--- a/bramblewood/controller/consensus/membership.py
+++ b/bramblewood/controller/consensus/membership.py
@@ -132,7 +132,7 @@
             if peer is None or peer.disk == disk or peer.epoch != voter_set["n"] or peer.leaving:
                 continue
             if not disk or peer.has_caught_up(versions):
-                reason = "other disk" if disk else "disk named"
+                reason = f"{name} is back on another disk" if disk else f"{name} has a seat of any disk"
                 return VoterSetChange(replace_voter(voters, name, name, peer.disk), reason)
         return None
 
