--- a/features/consensus.feature
+++ b/features/consensus.feature
@@ -1,56 +1,56 @@
-Feature: Every version is agreed by a majority, and nothing acknowledged is lost
+Feature: A majority agrees on every version, and no acknowledged configuration is lost
 
-  Scenario: Two changes on one parent meet in one slot
-    Given three controllers from seed 1
-    When the configuration "first" r1 on r0 is put at a
-    And all is delivered
-    And the configuration "left" r4 on r1 is put at a
-    And the configuration "right" r5 on r1 is put at b
-    And all is delivered
-    Then "first" was acknowledged
-    And in every order of the messages with each one lost in turn, one is taken and one refused
+  Scenario: At most one of two concurrent configurations with the same parent is chosen
+    Given three replicas with seed 1
+    When the configuration "first" r1 after r0 is put at replica a
+    And all replicas run without faults
+    And the configuration "left" r4 after r1 is put at replica a
+    And the configuration "right" r5 after r1 is put at replica b
+    And all replicas run without faults
+    Then the configuration "first" was acknowledged
+    And at most one of two concurrent configurations is chosen, whichever message is lost
 
-  Scenario: The same configuration again is taken, from any controller, also once others followed
-    Given three controllers from seed 2
-    When the configuration "first" r1 on r0 is put at a
-    And all is delivered
-    And the configuration "second" r2 on r1 is put at b
-    And all is delivered
-    And the configuration "first" r1 on r0 is put at c
-    And all is delivered
-    Then "first" was acknowledged
-    And "second" is in force as r2
+  Scenario: A repeated configuration is acknowledged at any replica, also after others followed it
+    Given three replicas with seed 2
+    When the configuration "first" r1 after r0 is put at replica a
+    And all replicas run without faults
+    And the configuration "second" r2 after r1 is put at replica b
+    And all replicas run without faults
+    And the configuration "first" r1 after r0 is put at replica c
+    And all replicas run without faults
+    Then the configuration "first" was acknowledged
+    And version r2 is "second"
 
-  Scenario: A value that only a minority holds is not lost, and is not refused
-    Given three controllers from seed 3
-    When the configuration "first" r1 on r0 is put at a
-    And only b accepts it, and its proposer loses power
-    And the configuration "other" r2 on r0 is put at c
-    And all is delivered
-    Then "other" was refused
-    And "first" is in force as r1
+  Scenario: A value that only a minority accepted is chosen, and a conflicting one is rejected
+    Given three replicas with seed 3
+    When the configuration "first" r1 after r0 is put at replica a
+    And only replica b accepts it, and its proposer stops
+    And the configuration "other" r2 after r0 is put at replica c
+    And all replicas run without faults
+    Then the configuration "other" was rejected
+    And version r1 is "first"
 
-  Scenario: A machine that lost its disk is a new member, and votes once a majority has given it its seat
-    Given three controllers from seed 4
-    When the configuration "first" r1 on r0 is put at a
-    And all is delivered
-    And a is away
-    And b loses its disk and comes back
-    Then b does not vote
-    When a is back
-    And all is delivered
-    Then "first" is in force as r1
+  Scenario: A replica with an empty disk votes only once a majority has given its seat to the new disk
+    Given three replicas with seed 4
+    When the configuration "first" r1 after r0 is put at replica a
+    And all replicas run without faults
+    And replica a stops
+    And replica b restarts with an empty disk
+    Then replica b does not vote
+    When replica a starts again
+    And all replicas run without faults
+    Then version r1 is "first"
 
-  Scenario: A voter that was away keeps what was chosen meanwhile
-    Then a voter that was away holds on its disk what was chosen meanwhile; one that only learns it does not
+  Scenario: A voter stores the value that was chosen while it was stopped
+    Then a voter stores what was chosen while it was stopped, and the check finds one that does not
 
-  Scenario: A disk that came back empty to a seat of any disk waits until a set of voters names it
-    Then an empty disk does not go on in a seat of any disk; one to which every seat there is its own does
+  Scenario: An empty disk does not join by a seat of any disk
+    Then an empty disk does not join by a seat of any disk, and the check finds one that does
 
-  Scenario: Storms
-    Given three controllers from seed 5
-    Then 300 storms of stops, losses and lost disks keep what was acknowledged
-    And 50 storms from disks that knew no epochs do so too
-    And "the name of a disk that was lost" is found out within 300 storms
-    And "a seat of any disk, where no disk may go on" is found out within 5 storms
-    And "a seat of any disk, where an empty disk may go on" is found out within 150 storms
+  Scenario: Random runs lose no acknowledged configuration, and find each of three faults
+    Given three replicas with seed 5
+    Then 300 random runs with stops, lost messages and lost disks lose no acknowledged configuration
+    And 50 random runs from seats of any disk lose none either
+    And the fault "an empty disk reuses the name of the lost disk" breaks a rule within 300 random runs
+    And the fault "no disk joins by a seat of any disk" breaks a rule within 5 random runs
+    And the fault "an empty disk joins by a seat of any disk" breaks a rule within 150 random runs
--- a/features/founding_voters.feature
+++ b/features/founding_voters.feature
@@ -1,7 +1,7 @@
-Feature: The first voters keep a majority after any loss within the tolerance
+Feature: The first voters keep a majority after every loss within the tolerance
 
-  Scenario: Controllers in zones and regions, some of which don't count
-    Then in 2000 random fleets the founding voters keep a majority wherever some set of voters would
+  Scenario: The first voters are selected among controllers in zones and regions, some of which do not count
+    Then in 2000 random fleets the first voters keep a majority if any selection does
 
-  Scenario: A seed that has not been heard yet
-    Then founding waits for a seed that has not been heard yet, but not for ever
+  Scenario: The selection waits for a seed that is not reachable yet
+    Then the selection waits for an unreachable seed until the wait is over
--- a/features/steps/consensus.py
+++ b/features/steps/consensus.py
@@ -2,85 +2,85 @@
 
 from tests.simulation.consensus import (
     CONFIG,
-    EverySeatOfAnyDisk,
-    LearnsOnly,
-    NoSeatOfAnyDisk,
+    AnyDiskSeatAlwaysHeld,
+    AnyDiskSeatNeverHeld,
+    LearnsWithoutAccepting,
     ReplicaCluster,
     RuleViolation,
     configuration,
-    joins_with_empty_disk,
-    keeps_what_was_chosen_while_away,
-    kept_as_it_joined,
+    empty_disk_joins,
+    keeps_learned_value_when_joining,
+    stores_missed_value,
     storm,
 )
 
 
-@given("three controllers from seed {seed:d}")
-def controllers(context, seed):
+@given("three replicas with seed {seed:d}")
+def start_replicas(context, seed):
     context.cluster = ReplicaCluster(seed)
 
 
-@when('the configuration "{mark}" r{number:d} on r{parent:d} is put at {name}')
-def put(context, mark, number, parent, name):
-    context.cluster.put(name, configuration(number, parent, mark))
+@when('the configuration "{digest}" r{number:d} after r{parent:d} is put at replica {name}')
+def put_configuration(context, digest, number, parent, name):
+    context.cluster.put(name, configuration(number, parent, digest))
 
 
-@when("all is delivered")
-def deliver_all(context):
-    context.cluster.read_when_recovered()
+@when("all replicas run without faults")
+def run_without_faults(context):
+    context.cluster.read_after_recovery()
 
 
-@when("only {name} accepts it, and its proposer loses power")
-def minority(context, name):
+@when("only replica {name} accepts it, and its proposer stops")
+def accept_at_minority(context, name):
     cluster = context.cluster
     while not any(message["k"] == "accept" for _, _, message in cluster.in_flight):
         for machine in cluster.unsynced:
             while cluster.unsynced[machine]:
                 cluster.sync(machine)
         cluster.deliver(0)
-    cluster.in_flight = [item for item in cluster.in_flight if item[1] == name and item[2]["k"] == "accept"]
+    cluster.in_flight = [sent for sent in cluster.in_flight if sent[1] == name and sent[2]["k"] == "accept"]
     cluster.deliver(0)
     cluster.sync(name)
     cluster.in_flight.clear()
     cluster.stop("a")
 
 
-@when("{name} loses its disk and comes back")
-def wiped(context, name):
+@when("replica {name} restarts with an empty disk")
+def restart_with_empty_disk(context, name):
     context.cluster.wipe(name)
     context.cluster.start(name)
 
 
-@when("{name} is away")
-def away(context, name):
+@when("replica {name} stops")
+def stop_replica(context, name):
     context.cluster.stop(name)
 
 
-@when("{name} is back")
-def back(context, name):
+@when("replica {name} starts again")
+def start_replica(context, name):
     context.cluster.start(name)
 
 
-@then('"{mark}" is in force as r{number:d}')
-def in_force(context, mark, number):
-    value = context.cluster.read_when_recovered()
-    assert value["past"].get(str(number)) == mark, value
+@then('version r{number:d} is "{digest}"')
+def check_version(context, digest, number):
+    value = context.cluster.read_after_recovery()
+    assert value["past"].get(str(number)) == digest, value
     context.cluster.check_outcome()
 
 
-@then('"{mark}" was {word}')
-def was_answered(context, mark, word):
-    answered = context.cluster.acknowledged if word == "acknowledged" else context.cluster.rejected
-    assert mark in answered, (context.cluster.acknowledged, context.cluster.rejected)
+@then('the configuration "{digest}" was {outcome}')
+def check_answer(context, digest, outcome):
+    answered = context.cluster.acknowledged if outcome == "acknowledged" else context.cluster.rejected
+    assert digest in answered, (context.cluster.acknowledged, context.cluster.rejected)
 
 
-@then("{name} does not vote")
-def silent(context, name):
+@then("replica {name} does not vote")
+def check_does_not_vote(context, name):
     assert not context.cluster.replicas[name].is_active_voter
 
 
-@then("in every order of the messages with each one lost in turn, one is taken and one refused")
-def each_lost(context):
+@then("at most one of two concurrent configurations is chosen, whichever message is lost")
+def check_concurrent_configurations(context):
     decided = 0
     for seed in range(20):
         for lost in range(16):
@@ -92,57 +92,62 @@
                 if step == 3 * lost and cluster.in_flight:
                     cluster.in_flight.pop(cluster.rng.randrange(len(cluster.in_flight)))
             cluster.check_outcome()
-            past = (cluster.read_when_recovered() or {"past": {}})["past"]
+            past = (cluster.read_after_recovery() or {"past": {}})["past"]
             assert len(past) <= 1 and len(cluster.acknowledged) <= 1, (seed, lost, past)
             decided += len(cluster.acknowledged) == len(cluster.rejected) == 1
-    assert decided > 0.9 * 320, decided  # else both ran into each other for two seconds: unclear, not wrong
+    assert decided > 0.9 * 320, (
+        decided
+    )  # in the other runs an outcome stays unclear, as neither round ends in time
 
 
-@then("{count:d} storms of stops, losses and lost disks keep what was acknowledged")
-def storms(context, count):
+@then("{count:d} random runs with stops, lost messages and lost disks lose no acknowledged configuration")
+def check_random_runs(context, count):
     acknowledged = 0
     for seed in range(count):
         acknowledged += len(storm(seed).acknowledged)
-    assert acknowledged > count, "hardly anything was acknowledged: the storms prove nothing"
+    assert acknowledged > count, "too few configurations were acknowledged for the runs to prove anything"
 
 
-@then("{count:d} storms from disks that knew no epochs do so too")
-def old_storms(context, count):
+@then("{count:d} random runs from seats of any disk lose none either")
+def check_random_runs_from_any_disk(context, count):
     for seed in range(count):
-        storm(seed, any_disk=True)
+        storm(seed, seats_of_any_disk=True)
 
 
 FAULTS = {
-    "the name of a disk that was lost": {"keeps_lost_disks_name": True},
-    "a seat of any disk, where no disk may go on": {"replica_class": NoSeatOfAnyDisk, "any_disk": True},
-    "a seat of any disk, where an empty disk may go on": {
-        "replica_class": EverySeatOfAnyDisk,
-        "any_disk": True,
+    "an empty disk reuses the name of the lost disk": {"reuses_disk_name": True},
+    "no disk joins by a seat of any disk": {
+        "replica_class": AnyDiskSeatNeverHeld,
+        "seats_of_any_disk": True,
+    },
+    "an empty disk joins by a seat of any disk": {
+        "replica_class": AnyDiskSeatAlwaysHeld,
+        "seats_of_any_disk": True,
     },
 }
 
 
-@then('"{fault}" is found out within {count:d} storms')
-def found_out(context, fault, count):
+@then('the fault "{fault}" breaks a rule within {count:d} random runs')
+def check_fault_is_found(context, fault, count):
     for seed in range(count):
         try:
             storm(seed, **FAULTS[fault])
         except RuleViolation:
             return
-    raise AssertionError("no storm found it")
+    raise AssertionError("no random run breaks a rule")
 
 
-@then("no configuration is known at {name}")
-def unknown(context, name):
+@then("no configuration is chosen at replica {name}")
+def check_no_configuration(context, name):
     assert context.cluster.replicas[name].value(CONFIG) is None
 
 
-@then("a voter that was away holds on its disk what was chosen meanwhile; one that only learns it does not")
-def answered(context):
-    assert keeps_what_was_chosen_while_away() and not keeps_what_was_chosen_while_away(LearnsOnly)
-    assert kept_as_it_joined()
+@then("a voter stores what was chosen while it was stopped, and the check finds one that does not")
+def check_missed_value_is_stored(context):
+    assert stores_missed_value() and not stores_missed_value(LearnsWithoutAccepting)
+    assert keeps_learned_value_when_joining()
 
 
-@then("an empty disk does not go on in a seat of any disk; one to which every seat there is its own does")
-def empty(context):
-    assert not joins_with_empty_disk() and joins_with_empty_disk(EverySeatOfAnyDisk)
+@then("an empty disk does not join by a seat of any disk, and the check finds one that does")
+def check_empty_disk_does_not_join(context):
+    assert not empty_disk_joins() and empty_disk_joins(AnyDiskSeatAlwaysHeld)
--- a/features/steps/founding_voters.py
+++ b/features/steps/founding_voters.py
@@ -8,7 +8,11 @@
 
 
 def random_fleet(seed: int) -> tuple[dict[str, FailureDomain], tuple[str, ...], Tolerance]:
-    """Controllers in zones of two regions, some of which don't count; the first three are the seeds."""
+    """Returns random failure domains, the seeds, and a random tolerance.
+
+    The controllers are in up to 5 zones and 3 regions. Some do not count for the tolerance. The first three
+    controllers are the seeds.
+    """
     rng = random.Random(seed)
     zones = [f"z{i}" for i in range(rng.randint(1, 5))]
     names = [f"10.0.0.{i}" for i in range(1, rng.randint(1, 9) + 1)]
@@ -21,37 +25,39 @@
 
 
 def keeps_majority(voters: tuple[str, ...], domains: dict, tolerance: Tolerance) -> bool:
-    """Whether each loss within the tolerance leaves a majority of these voters."""
-    by = {"machines": lambda name: name, "zones": lambda name: domains[name].zone}
-    by["regions"] = lambda name: domains[name].region
-    for kind, key in by.items():
-        groups = {key(name) for name in domains}
-        for lost in combinations(groups, min(getattr(tolerance, kind), len(groups))):
-            if 2 * sum(key(name) not in lost for name in voters) <= len(voters):
+    """Returns whether a majority of these voters is left after every loss within the tolerance."""
+    group_functions = {"machines": lambda name: name, "zones": lambda name: domains[name].zone}
+    group_functions["regions"] = lambda name: domains[name].region
+    for kind, group_of in group_functions.items():
+        groups = {group_of(name) for name in domains}
+        for lost_groups in combinations(groups, min(getattr(tolerance, kind), len(groups))):
+            if 2 * sum(group_of(name) not in lost_groups for name in voters) <= len(voters):
                 return False
     return True
 
 
-@then("in {count:d} random fleets the founding voters keep a majority wherever some set of voters would")
-def founding_voters_keep_majority(context, count):
-    able = 0
+@then("in {count:d} random fleets the first voters keep a majority if any selection does")
+def check_first_voters_keep_majority(context, count):
+    satisfiable_count = 0
     for seed in range(count):
         domains, seeds, tolerance = random_fleet(seed)
         voters = select_first_voters(domains, seeds, tolerance, True)
         assert voters == select_first_voters(dict(reversed(domains.items())), seeds, tolerance, True)
-        counted = [name for name, domain in domains.items() if domain.counts_for_tolerance] or list(domains)
-        assert set(voters) <= set(counted)
-        sets = (some for n in range(1, len(counted) + 1) for some in combinations(counted, n))
-        if any(keeps_majority(some, domains, tolerance) for some in sets):
-            able += 1
+        eligible = [name for name, domain in domains.items() if domain.counts_for_tolerance] or list(domains)
+        assert set(voters) <= set(eligible)
+        selections = (
+            selection for n in range(1, len(eligible) + 1) for selection in combinations(eligible, n)
+        )
+        if any(keeps_majority(selection, domains, tolerance) for selection in selections):
+            satisfiable_count += 1
             assert keeps_majority(voters, domains, tolerance), (seed, domains, tolerance, voters)
-        early = select_first_voters(domains, seeds, tolerance, False)
-        assert early is None or keeps_majority(early, domains, tolerance), (seed, early)
-    assert able > count // 10, able
+        early_voters = select_first_voters(domains, seeds, tolerance, False)
+        assert early_voters is None or keeps_majority(early_voters, domains, tolerance), (seed, early_voters)
+    assert satisfiable_count > count // 10, satisfiable_count
 
 
-@then("founding waits for a seed that has not been heard yet, but not for ever")
-def founding_waits(context):
+@then("the selection waits for an unreachable seed until the wait is over")
+def check_selection_waits_for_seed(context):
     domains = {name: FailureDomain(f"z{name}", "r", True) for name in "abde"}
     assert select_first_voters(domains, "cde", Tolerance(), False) is None
     assert select_first_voters(domains, "cde", Tolerance(), True) == ("a", "d", "e")
--- a/tests/simulation/consensus.py
+++ b/tests/simulation/consensus.py
@@ -1,5 +1,7 @@
-"""Several controllers' replicas in one process, from a seed: messages in any order, lost and doubled, disks
-that keep only what was synced, machines that stop, return and lose their disks. Judges look after every step.
+"""A simulation of the replicas of three controllers in one process, driven by a seed.
+
+Messages arrive in any order, get lost and are duplicated. Disks keep only what was synced. Machines stop,
+start again and lose their disks. The invariants are checked after every step.
 """
 
 import random
@@ -21,15 +23,16 @@
 
 
 def configuration(number: int, parent: int, digest: str) -> Configuration:
+    """Returns a configuration r`number` that follows r`parent`, with a made-up digest."""
     return Configuration(number, parent, digest, {}, {}, {}, {"Revision": f"r{number}", "mark": digest})
 
 
 class RuleViolation(AssertionError):
-    """A rule was broken; raised by the checks of a simulation."""
+    """Raised by the checks of a simulation when the program breaks a rule."""
 
 
-class LearnsOnly(ConsensusReplica):
-    """A voter that only learns what was chosen while it was away, and doesn't accept it."""
+class LearnsWithoutAccepting(ConsensusReplica):
+    """A faulty replica that learns the values chosen while it was stopped, but does not store them."""
 
     class learner_class(Learner):
         def learn(self, now, register, number, value, effects) -> None:
@@ -39,8 +42,8 @@
                     self.adopt_voter_set(now, value, effects)
 
 
-class NoSeatOfAnyDisk(ConsensusReplica):
-    """Goes on in no seat of any disk, so that an old disk waits until its seat has its name."""
+class AnyDiskSeatNeverHeld(ConsensusReplica):
+    """A faulty replica that never joins by a seat of any disk, even if it was active before."""
 
     class member_class(LocalMember):
         @property
@@ -48,8 +51,8 @@
             return self.voters.get(self.address) == self.disk
 
 
-class EverySeatOfAnyDisk(ConsensusReplica):
-    """Goes on in a seat of any disk even with an empty disk."""
+class AnyDiskSeatAlwaysHeld(ConsensusReplica):
+    """A faulty replica that joins by a seat of any disk even with an empty disk."""
 
     class member_class(LocalMember):
         @property
@@ -58,39 +61,51 @@
 
 
 class ReplicaCluster:
+    """Three replicas with their disks, and the messages in flight between them."""
+
     def __init__(
         self,
         seed: int,
-        keeps_lost_disks_name: bool = False,
+        reuses_disk_name: bool = False,
         replica_class: type = ConsensusReplica,
-        any_disk: bool = False,
+        seats_of_any_disk: bool = False,
     ) -> None:
-        """keeps_lost_disks_name: a machine whose disk was lost goes by the name of its old disk, as it must
-        not. any_disk: the disks knew no epochs, so the seats are of any disk at first.
+        """Starts the replicas as active voters of epoch 1.
+
+        reuses_disk_name: a fault, an empty disk gets the name and facts of the lost disk.
+        seats_of_any_disk: the seats of epoch 1 belong to any disk, as after an upgrade from a release without
+        epochs.
         """
-        self.rng, self.keeps_lost_disks_name, self.now, self.incarnations = (
+        self.rng, self.reuses_disk_name, self.now, self.incarnations = (
             random.Random(seed),
-            keeps_lost_disks_name,
+            reuses_disk_name,
             0.0,
             0,
         )
         self.replica_class = replica_class
-        members = {"n": 1, "voters": {name: "" if any_disk else f"{name}0" for name in NAMES}, "before": {}}
+        members = {
+            "n": 1,
+            "voters": {name: "" if seats_of_any_disk else f"{name}0" for name in NAMES},
+            "before": {},
+        }
         self.disks: dict[str, dict] = {
             name: {"disk": f"{name}0", "members": members, "held": 1} for name in NAMES
         }
         self.replicas: dict[str, ConsensusReplica] = {}
         self.unsynced: dict[str, list[Effects]] = {name: [] for name in NAMES}
         self.in_flight: list[tuple[str, str, dict]] = []
-        self.acknowledged: dict[str, Configuration] = {}  # by mark: answered 200
-        self.rejected: dict[str, Configuration] = {}  # by mark: answered 4xx, for good
-        self.versions_seen: dict[str, str] = {}  # number: mark, of all that any machine has learned
+        self.acknowledged: dict[str, Configuration] = {}  # by digest, answered with status 200
+        self.rejected: dict[str, Configuration] = {}  # by digest, answered with status 4xx, which is final
+        self.versions_seen: dict[
+            str, str
+        ] = {}  # digest by version number, of all versions that any replica has learned
         for name in NAMES:
             self.start(name)
 
     # --- machines
 
     def start(self, name: str) -> None:
+        """Starts a machine from what its disk holds. An empty disk gets a new name."""
         disk, self.incarnations = self.disks[name], self.incarnations + 1
         disk.setdefault("disk", f"{name}{self.incarnations}")
         self.replicas[name] = self.replica_class(
@@ -103,23 +118,25 @@
         )
 
     def stop(self, name: str) -> None:
-        """Power lost: what was not synced is gone, and what was on its way from here was sent or not."""
+        """Stops a machine. Its writes that are not synced are lost; messages in flight stay in flight."""
         self.replicas.pop(name, None)
         self.unsynced[name].clear()
 
     def wipe(self, name: str) -> None:
+        """Stops a machine and empties its disk."""
         self.stop(name)
-        kept = ("disk", "members", "held") if self.keeps_lost_disks_name else ()
-        self.disks[name] = {fact: self.disks[name][fact] for fact in kept}
+        kept_facts = ("disk", "members", "held") if self.reuses_disk_name else ()
+        self.disks[name] = {fact: self.disks[name][fact] for fact in kept_facts}
 
     def apply(self, name: str, effects: Effects) -> None:
+        """Carries out the effects of a step at this machine, after its writes if there are any."""
         if effects.writes or effects.facts:
             self.unsynced[name].append(effects)
         else:
             self.dispatch(name, effects)
 
     def sync(self, name: str) -> None:
-        """The oldest write of a machine is safe now; what rests on it is sent."""
+        """Makes the oldest unsynced write of a machine durable, and dispatches its messages and answers."""
         effects = self.unsynced[name].pop(0)
         disk = self.disks[name]
         for register, promised, accepted, value in effects.writes:
@@ -131,6 +148,7 @@
         self.dispatch(name, effects)
 
     def dispatch(self, name: str, effects: Effects) -> None:
+        """Sends the messages of these effects, records the answers, and checks the invariants."""
         self.in_flight += [(name, peer, message) for peer, message in effects.sends]
         for peer, message in effects.sends:
             record_event("message", self.now, name, peer, message)
@@ -143,47 +161,55 @@
     # --- events
 
     def deliver(self, index: int) -> None:
+        """Delivers the message at this index of `in_flight`. A stopped machine loses it."""
         sender, peer, message = self.in_flight.pop(index)
         if peer in self.replicas:
             self.apply(peer, self.replicas[peer].receive(self.now, sender, message))
 
     def put(self, name: str, requested: Configuration) -> None:
+        """Proposes a configuration at this machine, as an operator's PUT does."""
         change = lambda current: apply_configuration(requested, current)  # noqa: E731
         self.apply(name, self.replicas[name].propose(self.now, CONFIG, change, requested, 2.0))
 
-    def tick(self, after: float) -> None:
-        self.now += after
+    def tick(self, duration: float) -> None:
+        """Advances the clock by `duration` s, at which every running machine acts on the time."""
+        self.now += duration
         for name in list(self.replicas):
             self.send_heartbeats(name)
             self.apply(name, self.replicas[name].tick(self.now))
-            self.give_seat_to_new_disk(name)
+            self.propose_new_disks(name)
 
     def send_heartbeats(self, name: str) -> None:
-        """As heartbeats do: others hear which set of voters is known here, and what is safe on this disk."""
+        """Sends what heartbeats carry: the voter set, and the proposal that is accepted and on disk."""
         replica = self.replicas[name]
         voter_set, durable = replica.voter_set, replica.durable_accepted[CONFIG]
         if replica.is_active_voter and durable != NO_PROPOSAL and self.rng.random() < 0.2:
-            told = {"k": "accepted", "r": CONFIG, "b": durable, "disk": replica.disk}
-            self.in_flight += [(name, peer, told) for peer in self.replicas if peer != name]
-        behind = [peer for peer, replica in self.replicas.items() if replica.epoch < voter_set["n"]]
-        self.in_flight += [(name, peer, {"k": "epoch", "m": voter_set}) for peer in behind]
+            acceptance = {"k": "accepted", "r": CONFIG, "b": durable, "disk": replica.disk}
+            self.in_flight += [(name, peer, acceptance) for peer in self.replicas if peer != name]
+        outdated = [peer for peer, replica in self.replicas.items() if replica.epoch < voter_set["n"]]
+        self.in_flight += [(name, peer, {"k": "epoch", "m": voter_set}) for peer in outdated]
 
-    def give_seat_to_new_disk(self, name: str) -> None:
-        """As controllers do: a voter that is back on another disk gets its seat, one change at a time."""
+    def propose_new_disks(self, name: str) -> None:
+        """Proposes, as controllers do, to give the seat of a voter with a new disk to that disk."""
         replica = self.replicas[name]
         for peer, disk in replica.voters.items():
             if not replica.is_active_voter or peer not in self.replicas or replica.proposer.rounds[VOTER_SET]:
                 continue
-            if (disk_now := self.replicas[peer].disk) != disk and self.replicas[peer].epoch == replica.epoch:
-                change = next_voter_set(replica.voter_set, {**replica.voters, peer: disk_now})
+            if (current_disk := self.replicas[peer].disk) != disk and self.replicas[
+                peer
+            ].epoch == replica.epoch:
+                change = next_voter_set(replica.voter_set, {**replica.voters, peer: current_disk})
                 self.apply(name, replica.propose(self.now, VOTER_SET, change, "members", 2.0))
 
     def run(self, steps: int, loss: float = 0.0, duplication: float = 0.0) -> None:
-        """Play on in an order drawn from the seed."""
+        """Simulates so many steps, in an order drawn from the seed.
+
+        loss, duplication: the probability that a message is lost or duplicated.
+        """
         for _ in range(steps):
-            synced = [name for name in NAMES if self.unsynced[name]]
-            if synced and self.rng.random() < 0.3:
-                self.sync(self.rng.choice(synced))
+            writing = [name for name in NAMES if self.unsynced[name]]
+            if writing and self.rng.random() < 0.3:
+                self.sync(self.rng.choice(writing))
             elif self.in_flight and self.rng.random() < 0.9:
                 index = self.rng.randrange(len(self.in_flight))
                 if self.rng.random() < duplication:
@@ -196,7 +222,7 @@
                 self.tick(0.01 + 0.1 * self.rng.random())
 
     def run_without_faults(self) -> None:
-        """Six seconds in which nothing is lost."""
+        """Simulates 6 s in which no message is lost and every write is synced."""
         for _ in range(60):
             for name in NAMES:
                 while self.unsynced[name]:
@@ -205,14 +231,14 @@
                 self.deliver(0)
             self.tick(0.1)
 
-    def read_when_recovered(self) -> Any:
-        """All machines up, nothing lost: the value that a reader gets."""
+    def read_after_recovery(self) -> Any:
+        """Starts all machines, lets them run without faults, and returns the value that a read gets."""
         for name in NAMES:
             if name not in self.replicas:
                 self.start(name)
-        found: list = []
+        values_read: list = []
         self.run_without_faults()
-        read = lambda current: (None, found.append(current))  # noqa: E731
+        read = lambda current: (None, values_read.append(current))  # noqa: E731
         self.apply("b", self.replicas["b"].propose(self.now, CONFIG, read, "read", 5.0))
         for _ in range(200):
             while self.in_flight:
@@ -221,37 +247,44 @@
                 while self.unsynced[name]:
                     self.sync(name)
             self.tick(0.05)
-        if not found:
-            raise RuleViolation("calm, and no majority answers a reader")
-        return found[-1]
+        if not values_read:
+            raise RuleViolation(
+                "no majority answered a read, although nothing fails and every message is delivered"
+            )
+        return values_read[-1]
 
-    # --- judges
+    # --- checks
 
     def check_invariants(self) -> None:
+        """Checks that all learned versions agree and that none of them was rejected."""
         for replica in self.replicas.values():
             value = replica.value(CONFIG)
             for number, digest in (value["past"] if value else {}).items():
                 if self.versions_seen.setdefault(number, digest) != digest:
-                    raise RuleViolation(f"r{number} is {digest} here and {self.versions_seen[number]} there")
+                    raise RuleViolation(
+                        f"r{number} is {digest} at one replica and {self.versions_seen[number]} at another"
+                    )
                 if digest in self.rejected:
-                    raise RuleViolation(f"{digest} was refused, and is in force")
+                    raise RuleViolation(f"{digest} was rejected, but is chosen")
 
     def check_outcome(self) -> None:
-        """What a reader gets at the end holds all that was acknowledged and nothing that was refused."""
-        value = self.read_when_recovered()
+        """Checks that a read returns all acknowledged configurations and no rejected one."""
+        value = self.read_after_recovery()
         self.check_invariants()
         past = value["past"] if value else {}
         for digest, requested in self.acknowledged.items():
             if past.get(str(requested.revision)) != digest:
-                found = past.get(str(requested.revision))
-                raise RuleViolation(f"{digest} was acknowledged as r{requested.revision}, which is {found}")
+                digest_read = past.get(str(requested.revision))
+                raise RuleViolation(
+                    f"{digest} was acknowledged as r{requested.revision}, which is {digest_read}"
+                )
         for digest, requested in self.rejected.items():
             if past.get(str(requested.revision)) == digest:
-                raise RuleViolation(f"{digest} was refused, and is in force")
+                raise RuleViolation(f"{digest} was rejected, but is chosen")
 
 
-def keeps_what_was_chosen_while_away(replica_class: type = ConsensusReplica) -> bool:
-    """Whether a voter that was away as a version was chosen holds it on disk soon after."""
+def stores_missed_value(replica_class: type = ConsensusReplica) -> bool:
+    """Returns whether a voter that was stopped while a version was chosen stores the version afterwards."""
     cluster = ReplicaCluster(1, replica_class=replica_class)
     cluster.stop("c")
     cluster.put("a", configuration(1, 0, "first"))
@@ -261,8 +294,8 @@
     return "first" in cluster.acknowledged and CONFIG in cluster.disks["c"].get("registers", {})
 
 
-def kept_as_it_joined() -> bool:
-    """Whether a voter that learned a version of an epoch before it was active there holds it afterwards."""
+def keeps_learned_value_when_joining() -> bool:
+    """Returns whether a voter accepts a version that it learned before it became active in the epoch."""
     before, proposal_number, value = (
         {name: f"{name}0" for name in NAMES},
         (2, 1, "a", 1),
@@ -273,16 +306,16 @@
     )
     replica.receive(0.0, "a", {"k": "chosen", "r": CONFIG, "b": proposal_number, "v": value})
     replica.tick(0.1)
-    for peer in ("a", "c"):  # as they held epoch 1
+    for peer in ("a", "c"):  # both report their state of epoch 1 as empty
         regs = {name: {"a": NO_PROPOSAL, "v": None} for name in ALL_REGISTERS}
-        told = {"k": "state", "e": 2, "held": 1, "disk": f"{peer}0", "regs": regs}
-        replica.receive(0.2, peer, told)
+        state = {"k": "state", "e": 2, "held": 1, "disk": f"{peer}0", "regs": regs}
+        replica.receive(0.2, peer, state)
     return replica.is_active_voter and replica.acceptors[CONFIG].accepted == proposal_number
 
 
-def joins_with_empty_disk(replica_class: type = ConsensusReplica) -> bool:
-    """Whether a disk that came back empty to a seat of any disk asks for what the epoch holds."""
-    cluster = ReplicaCluster(1, replica_class=replica_class, any_disk=True)
+def empty_disk_joins(replica_class: type = ConsensusReplica) -> bool:
+    """Returns whether a voter with an empty disk requests the state of an epoch by a seat of any disk."""
+    cluster = ReplicaCluster(1, replica_class=replica_class, seats_of_any_disk=True)
     cluster.wipe("b")
     cluster.start("b")
     cluster.apply(
@@ -293,35 +326,41 @@
 
 
 def storm(seed: int, **options: Any) -> ReplicaCluster:
-    """Changes from two operators on the same version, at any machine, amid losses, stops and a lost disk."""
+    """Simulates operators that put conflicting configurations, with lost messages, stops and lost disks.
+
+    Raises RuleViolation if a rule is broken. options: those of ReplicaCluster.
+    """
     cluster = ReplicaCluster(seed, **options)
-    rng, parent, number = cluster.rng, 0, 0
-
-    def changes() -> None:
-        nonlocal number
-        for digest in ("left", "right"):
-            number += 1 + rng.randrange(2)
-            requested = configuration(number, parent, f"{digest}{number}")
-            for _ in range(1 + rng.randrange(2)):  # an unclear call is repeated unchanged, to any
+    rng, parent, revision = cluster.rng, 0, 0
+
+    def put_conflicting_configurations() -> None:
+        nonlocal revision
+        for prefix in ("left", "right"):
+            revision += 1 + rng.randrange(2)
+            requested = configuration(revision, parent, f"{prefix}{revision}")
+            for _ in range(1 + rng.randrange(2)):  # an operator repeats an unanswered call at any machine
                 cluster.put(rng.choice(list(cluster.replicas)), requested)
                 cluster.run(rng.randrange(25), 0.1, 0.05)
 
     for _ in range(5):
-        changes()
-        down = rng.choice(NAMES)  # one at a time: a machine that lost its disk is away until it votes again
-        (cluster.wipe if rng.random() < 0.5 else cluster.stop)(down)
+        put_conflicting_configurations()
+        stopped = rng.choice(NAMES)  # one machine at a time; the next one only once this one votes again
+        (cluster.wipe if rng.random() < 0.5 else cluster.stop)(stopped)
         if rng.random() < 0.5:
             cluster.run(rng.randrange(40), 0.1, 0.05)
         if rng.random() < 0.5:
-            changes()
-        cluster.start(down)
-        changes()
-        for _ in range(1000):  # one loss at a time: the next comes once the seat is taken again
+            put_conflicting_configurations()
+        cluster.start(stopped)
+        put_conflicting_configurations()
+        for _ in range(1000):  # until all machines vote, before the next one stops
             cluster.run(10)
             if all(replica.is_active_voter for replica in cluster.replicas.values()):
                 break
         else:
-            raise RuleViolation("a machine that is back does not vote again")
-        parent = max((m.value(CONFIG)["n"] for m in cluster.replicas.values() if m.value(CONFIG)), default=0)
+            raise RuleViolation("a restarted machine does not become an active voter again")
+        parent = max(
+            (replica.value(CONFIG)["n"] for replica in cluster.replicas.values() if replica.value(CONFIG)),
+            default=0,
+        )
     cluster.check_outcome()
     return cluster
