--- a/features/steps/consensus.py
+++ b/features/steps/consensus.py
@@ -105,7 +105,7 @@
     acknowledged = 0
     for seed in range(count):
         acknowledged += len(storm(seed).acknowledged)
-    assert acknowledged > count, "too few configurations were acknowledged for the runs to prove anything"
+    assert acknowledged > count, f"{acknowledged} configurations acknowledged in {count} runs prove nothing"
 
 
 @then("{count:d} random runs from seats of any disk lose none either")
@@ -134,7 +134,7 @@
             storm(seed, **FAULTS[fault])
         except RuleViolation:
             return
-    raise AssertionError("no random run breaks a rule")
+    raise AssertionError(f"none of {count} random runs breaks a rule with the fault: {fault}")
 
 
 @then("no configuration is chosen at replica {name}")
