--- a/tests/test_consensus_messages.py
+++ b/tests/test_consensus_messages.py
@@ -1,4 +1,4 @@
-"""The messages of consensus keep their form on the wire: machines of two releases run side by side."""
+"""Guards the wire forms of consensus messages, as controllers of different releases run side by side."""
 
 import json
 
@@ -13,7 +13,7 @@
 )
 
 VOTERS = '{"n":2,"voters":{"10.0.0.1":"8eba264a","10.0.0.4":"f7dd8be5"},"before":{"10.0.0.1":"8eba264a"}}'
-# as the release before typed messages sent them, with the order of their keys
+# recorded from an earlier release, with the keys in the order in which it sent them
 WIRE_FORMS = [
     '{"k":"prepare","r":"config","b":[1,4,"10.0.0.1",7],"have":[0,0,"",0]}',
     '{"k":"promise","r":"config","b":[1,4,"10.0.0.1",7],"disk":"8eba264a","a":[1,3,"10.0.0.2",9]}',
@@ -37,28 +37,28 @@
 
 
 @pytest.mark.parametrize("text", WIRE_FORMS)
-def test_a_message_is_sent_as_it_was_received(text):
+def test_decoding_and_encoding_keeps_the_wire_form(text):
     message = decode(json.loads(text))
     assert json.dumps(message.to_wire(), separators=(",", ":")) == text
 
 
-def test_every_kind_has_a_wire_form_here():
+def test_wire_forms_cover_every_kind():
     assert {json.loads(text)["k"] for text in WIRE_FORMS} == messages.CONSENSUS_MESSAGE_KINDS
 
 
-def test_a_value_that_is_left_out_differs_from_null():
-    left_out, null = (decode(json.loads(WIRE_FORMS[index])) for index in (1, 3))
-    assert isinstance(left_out, Promise) and left_out.value is OMITTED and not left_out.has_value
+def test_an_omitted_value_is_not_a_null_value():
+    omitted, null = (decode(json.loads(WIRE_FORMS[index])) for index in (1, 3))
+    assert isinstance(omitted, Promise) and omitted.value is OMITTED and not omitted.has_value
     assert isinstance(null, Promise) and null.value is None and null.has_value
 
 
-def test_an_accept_with_a_base_carries_a_difference():
+def test_accept_with_a_base_decodes_to_a_difference():
     message = decode(json.loads(WIRE_FORMS[5]))
     assert isinstance(message, AcceptDifference)
     assert message.base == ProposalNumber(1, 3, "10.0.0.2", 9)
 
 
-def test_a_kind_that_is_unknown_is_an_error():
+def test_an_unknown_kind_raises_key_error():
     with pytest.raises(KeyError):
         decode({"k": "pulse"})
 
@@ -75,7 +75,7 @@
     assert sorted(reversed(numbers)) == numbers
 
 
-def test_a_proposal_number_is_a_list_on_the_wire_and_equals_its_fields():
+def test_proposal_number_is_a_list_in_wire_form_and_equals_its_tuple():
     number = ProposalNumber(2, 1, "10.0.0.1", 255)
     assert json.dumps(number) == '[2, 1, "10.0.0.1", 255]'
     assert ProposalNumber.from_wire(json.loads(json.dumps(number))) == number == (2, 1, "10.0.0.1", 255)
