--- a/bramblewood/controller/consensus/acceptor.py
+++ b/bramblewood/controller/consensus/acceptor.py
@@ -34,7 +34,7 @@
     def prepare(self, number: ProposalNumber) -> bool:
         """Promises to reject every proposal below `number`.
 
-        Returns False, and changes nothing, where this number or a higher one is promised already.
+        Returns False, and changes nothing, if this number or a higher one is promised already.
         """
         if number <= self.promised:
             return False
@@ -42,7 +42,7 @@
         return True
 
     def accept(self, number: ProposalNumber, value: Any) -> bool:
-        """Accepts a proposal. Returns False, and changes nothing, where a higher number is promised."""
+        """Accepts a proposal. Returns False, and changes nothing, if a higher number is promised."""
         if number < self.promised:
             return False
         self.store(number, value)
--- a/bramblewood/controller/consensus/effects.py
+++ b/bramblewood/controller/consensus/effects.py
@@ -29,7 +29,7 @@
 
     writes: list[RegisterRow]
     sends: list[tuple[str, dict]]  # (address, message in its wire form)
-    answers: list[tuple[Any, Any]]  # (tag of a proposal, outcome; None where the outcome is unclear)
+    answers: list[tuple[Any, Any]]  # (tag of a proposal, outcome; None if the outcome is unclear)
     facts: dict[str, Any]  # further values to write, by name
 
     def write(self, register: str, acceptor: Acceptor) -> None:
@@ -58,9 +58,9 @@
 class PendingWrites:
     """The facts, and the rows written together with a fact, that are not yet known to be durable.
 
-    Every write repeats them, because a disk may refuse one write and accept the next. The row of a single
-    proposal need not be repeated, as no message was sent on the strength of a refused write. A disk that
-    records an epoch as active, however, must hold every row with which that epoch began.
+    Every write repeats them, because a disk may refuse one write and accept the next. A disk that records an
+    epoch as active must hold every row with which that epoch began. The row of a single proposal is not
+    repeated, because no message about the proposal is sent unless its write succeeds.
     """
 
     def __init__(self, facts: dict[str, Any]) -> None:
@@ -68,7 +68,7 @@
         self.rows: dict[str, RegisterRow] = {}  # by register
 
     def prepare_write(self, effects: Effects) -> tuple[list, dict]:
-        """Returns the rows and facts to write for these effects. Both are empty where no write is needed."""
+        """Returns the rows and facts to write for these effects. Both are empty if no write is needed."""
         rows = {row[0]: row for row in effects.writes}
         self.facts.update(effects.facts)
         for register, row in rows.items():
@@ -77,7 +77,7 @@
         return list((rows | self.rows).values()), dict(self.facts)
 
     def mark_durable(self, rows: list, facts: dict) -> None:
-        """Stops repeating these rows and facts, except where a newer row or fact has replaced them."""
+        """Stops repeating these rows and facts, except if a newer row or fact has replaced them."""
         self.facts = {name: fact for name, fact in self.facts.items() if facts.get(name) != fact}
         self.rows = {
             register: row
--- a/bramblewood/controller/consensus/epoch_messages.py
+++ b/bramblewood/controller/consensus/epoch_messages.py
@@ -2,7 +2,7 @@
 
 The wire forms have these keys beside those of `messages`:
 
-again   true where only an active voter shall answer
+again   true if the receiver answers only as an active voter
 e       the epoch that the receiver joins
 held    the newest epoch in which the sender's disk was active
 regs    by register, what the sender has accepted
@@ -43,7 +43,7 @@
     """A voter of this voter set asks for the state with which its epoch begins.
 
     held_numbers: by register, the newest proposal number whose value the sender holds.
-    active_only: the receiver shall answer only if it is active in the epoch, because the sender has its
+    active_only: the receiver answers only if it is active in the epoch, because the sender has its
     answer as a sealed voter already.
     """
 
--- a/bramblewood/controller/consensus/epochs.py
+++ b/bramblewood/controller/consensus/epochs.py
@@ -121,7 +121,7 @@
     def seat_state(self, voter_set: VoterSet) -> SeatState | None:
         """Returns the state of this disk's seat for the epoch of `voter_set`.
 
-        Returns None where the state of this disk does not help to begin that epoch.
+        Returns None if the state of this disk does not help to begin that epoch.
         """
         member, epoch, before = self.member, voter_set["n"], voter_set["before"]
         if member.active_epoch == epoch and is_voter(voter_set["voters"], member.address, member.disk):
@@ -150,7 +150,7 @@
     def fill_omitted_values(self, state: EpochState) -> dict[str, NumberedValue] | None:
         """Returns the registers of a report, with the values that it omits filled in.
 
-        Returns None where this controller no longer holds an omitted value. The next request states the
+        Returns None if this controller no longer holds an omitted value. The next request states the
         numbers that it holds then, so the next report has the value.
         """
         registers = {}
@@ -199,7 +199,7 @@
         """Handles the request of a voter that joins an epoch.
 
         Follows the voter set of the request if it is newer, which seals the previous epoch here. Sends the
-        newest voter set if the request has an older one. Reports the state of this disk where it helps to
+        newest voter set if the request has an older one. Reports the state of this disk if it helps to
         begin the epoch.
         """
         member, epoch = self.member, request.voter_set["n"]
--- a/bramblewood/controller/consensus/learner.py
+++ b/bramblewood/controller/consensus/learner.py
@@ -14,7 +14,7 @@
 
 
 class Learner:
-    """The newest value known to be chosen in each register, and what each voter has accepted there.
+    """The newest value learned as chosen in each register, and what each voter has accepted there.
 
     Invariant: a value counts as chosen once a majority of an epoch's voters has accepted one proposal of that
     same epoch. The learner calls `adopt_voter_set` when it learns a chosen voter set.
@@ -24,10 +24,10 @@
         self.member, self.acceptors, self.backoff = member, acceptors, backoff
         self.chosen: dict[str, NumberedValue] = dict.fromkeys(ALL_REGISTERS, NumberedValue(NO_PROPOSAL, None))
         # by register and voter, the newest proposal that the voter has accepted and holds on its disk
-        self.acceptances: dict[str, dict[str, ProposalNumber]] = {name: {} for name in ALL_REGISTERS}
+        self.acceptances: dict[str, dict[str, ProposalNumber]] = {register: {} for register in ALL_REGISTERS}
         # by register and voter, the highest proposal of this epoch that the voter reported to this controller
         # as promised or accepted
-        self.commitments: dict[str, dict[str, ProposalNumber]] = {name: {} for name in ALL_REGISTERS}
+        self.commitments: dict[str, dict[str, ProposalNumber]] = {register: {} for register in ALL_REGISTERS}
         self.next_fetch_at: dict[str, float] = {}
         self.adopt_voter_set: Callable[[float, Any, Effects], None] = lambda now, voter_set, effects: None
 
@@ -40,8 +40,8 @@
     def record_acceptance(self, peer: str, disk: str, register: str, number: ProposalNumber) -> bool:
         """Records that this voter has accepted a proposal and holds it on its disk.
 
-        Returns whether the acceptance counts in the current epoch. It does not count where the proposal was
-        carried over from an earlier epoch, or where the sender is no voter of the current voter set.
+        Returns whether the acceptance counts in the current epoch. It does not count if the proposal was
+        carried over from an earlier epoch, or if the sender is no voter of the current voter set.
         """
         acceptances = self.acceptances[register]
         if not self.member.is_current_voter(peer, disk) or number < acceptances.get(peer, NO_PROPOSAL):
@@ -55,7 +55,7 @@
     ) -> bool:
         """Learns the value of a proposal once a majority has accepted it.
 
-        Requests the value from `peer` where this controller does not hold it. Returns whether the value was
+        Requests the value from `peer` if this controller does not hold it. Returns whether the value was
         learned.
         """
         if number <= self.chosen[register].proposal_number:
--- a/bramblewood/controller/consensus/local_member.py
+++ b/bramblewood/controller/consensus/local_member.py
@@ -57,7 +57,7 @@
     def holds_seat(self) -> bool:
         """Returns whether this disk may join the current epoch as a voter.
 
-        It may where the seat names the disk. It may also where the seat belongs to any disk and this disk was
+        It may if the seat names the disk. It may also if the seat belongs to any disk and this disk was
         active in the previous epoch. A disk that came back empty was not, and has to wait for a seat that
         names it.
         """
--- a/bramblewood/controller/consensus/membership.py
+++ b/bramblewood/controller/consensus/membership.py
@@ -28,7 +28,7 @@
 
 
 class VoterSetChange(NamedTuple):
-    """The voters that shall follow those of the current epoch."""
+    """The voters proposed for the next epoch."""
 
     voters: dict[str, str]  # the name of each voter's disk, by its address
     reason: str  # for the log
@@ -39,7 +39,7 @@
 
     Adds a seat for `new` if `old` has none.
     """
-    return {**{name: kept_disk for name, kept_disk in voters.items() if name != old}, new: disk}
+    return {**{address: kept_disk for address, kept_disk in voters.items() if address != old}, new: disk}
 
 
 class Membership:
@@ -58,8 +58,10 @@
     def failure_domains(self, peers: dict[str, PeerStatus]) -> dict[str, FailureDomain]:
         """Returns the failure domain of each of these controllers."""
         return {
-            name: FailureDomain(peer.zone, self.regions.get(peer.zone, peer.zone), peer.counts_for_tolerance)
-            for name, peer in peers.items()
+            address: FailureDomain(
+                peer.zone, self.regions.get(peer.zone, peer.zone), peer.counts_for_tolerance
+            )
+            for address, peer in peers.items()
         }
 
     def is_silent(self, peer: PeerStatus | None) -> bool:
@@ -92,7 +94,7 @@
         reachable = reachable_peers(peers)
         selected = select_first_voters(self.failure_domains(reachable), seeds, self.tolerance, wait_is_over)
         return (
-            VoterSetChange({name: reachable[name].disk for name in selected}, "first boot")
+            VoterSetChange({address: reachable[address].disk for address in selected}, "first boot")
             if selected
             else None
         )
@@ -115,11 +117,11 @@
         """
         reachable = reachable_peers(peers)
         return any(
-            name in reachable
-            and reachable[name].disk == disk
-            and not reachable[name].is_active_in(voter_set, name)
-            and not self.has_failed_disk(reachable[name])
-            for name, disk in voter_set["voters"].items()
+            address in reachable
+            and reachable[address].disk == disk
+            and not reachable[address].is_active_in(voter_set, address)
+            and not self.has_failed_disk(reachable[address])
+            for address, disk in voter_set["voters"].items()
         )
 
     def due_disk_change(
@@ -127,13 +129,17 @@
     ) -> VoterSetChange | None:
         """Returns the change that gives a voter's seat to the disk that the voter has now, or None."""
         voters, reachable = voter_set["voters"], reachable_peers(peers)
-        for name, disk in voters.items():
-            peer = reachable.get(name)
+        for address, disk in voters.items():
+            peer = reachable.get(address)
             if peer is None or peer.disk == disk or peer.epoch != voter_set["n"] or peer.leaving:
                 continue
             if not disk or peer.has_caught_up(versions):
-                reason = f"{name} is back on another disk" if disk else f"{name} has a seat of any disk"
-                return VoterSetChange(replace_voter(voters, name, name, peer.disk), reason)
+                reason = (
+                    f"{address} is back on another disk"
+                    if disk
+                    else f"{address} has a seat that names no disk"
+                )
+                return VoterSetChange(replace_voter(voters, address, address, peer.disk), reason)
         return None
 
     def due_replacement(
@@ -149,10 +155,10 @@
             ("sends no heartbeats", self.is_silent),
             ("disk fails", self.has_failed_disk),
         ):
-            for name in voters:
-                if is_due(peers.get(name)):
-                    changed_voters = self.assign_to_best_spare(voters, spares, peers, name)
-                    return VoterSetChange(changed_voters, f"{name} {reason}")
+            for address in voters:
+                if is_due(peers.get(address)):
+                    changed_voters = self.assign_to_best_spare(voters, spares, peers, address)
+                    return VoterSetChange(changed_voters, f"{address} {reason}")
         if len(voters) < voters_needed(self.tolerance):
             return VoterSetChange(self.assign_to_best_spare(voters, spares, peers), "a seat is free")
         return None
@@ -166,11 +172,11 @@
     ) -> list[str]:
         """Returns the controllers that may take a seat now, sorted."""
         voters = voter_set["voters"]
-        any_counts = any(peers[name].counts_for_tolerance for name in voters if name in peers)
+        any_counts = any(peers[address].counts_for_tolerance for address in voters if address in peers)
         return sorted(
-            name
-            for name, peer in peers.items()
-            if name not in voters
+            address
+            for address, peer in peers.items()
+            if address not in voters
             and peer.steady_for >= self.steady_after
             and not peer.leaving
             and not peer.disk_failing_for
@@ -183,7 +189,9 @@
         """Returns the controllers that may take a seat now or soon. A leaving voter waits for one of them."""
         voters = voter_set["voters"]
         return [
-            name for name, peer in reachable_peers(peers).items() if name not in voters and not peer.leaving
+            address
+            for address, peer in reachable_peers(peers).items()
+            if address not in voters and not peer.leaving
         ]
 
     def assign_to_best_spare(
@@ -195,13 +203,13 @@
         voters, then if its address sorts first.
         """
         domains = self.failure_domains(peers)
-        remaining = [name for name in voters if name != old]
-        zones = [domains[name].zone for name in remaining if name in domains]
+        remaining = [address for address in voters if address != old]
+        zones = [domains[address].zone for address in remaining if address in domains]
 
-        def rank(name: str) -> tuple:
-            known_voters = [voter for voter in (*remaining, name) if voter in domains]
+        def rank(address: str) -> tuple:
+            known_voters = [voter for voter in (*remaining, address) if voter in domains]
             loses_majority = not keeps_majority(known_voters, domains, self.tolerance)
-            return loses_majority, zones.count(domains[name].zone), name
+            return loses_majority, zones.count(domains[address].zone), address
 
         new = min(spares, key=rank)
         return replace_voter(voters, old, new, peers[new].disk)
@@ -216,7 +224,7 @@
         old: the voter to remove, "" to add one only.
         new: the controller that gets a seat, "" to remove one only.
 
-        Returns the current voters where the change has been made already, because a request may be repeated.
+        Returns the current voters if the change has been made already, because a request may be repeated.
         """
         voters = voter_set["voters"]
         if old and old not in peers:
@@ -227,7 +235,7 @@
             return Err(f"{old} is not a voter of epoch {voter_set['n']}")
         if new and (problem := self.rejection_reason(new, voters, peers, versions)):
             return Err(problem)
-        requested = {name: disk for name, disk in voters.items() if name != old}
+        requested = {address: disk for address, disk in voters.items() if address != old}
         if new:
             requested[new] = peers[new].disk
         if len(requested) < min(len(voters), voters_needed(self.tolerance)):
@@ -287,17 +295,17 @@
     has_successor: whether a controller may take the seat now or soon.
     """
     voters = voter_set["voters"]
-    active = [name for name in voters if name in peers and peers[name].is_active_in(voter_set, name)]
+    active = [voter for voter in voters if voter in peers and peers[voter].is_active_in(voter_set, voter)]
     if not is_voter(voters, address, disk):
         return len(active) >= majority(voters)
     if has_successor:
         return False
-    others = [name for name in voters if name != address]
+    others = [voter for voter in voters if voter != address]
     holders = [
-        name
-        for name in others
-        if name in durable
-        and name in active
-        and all(tuple(durable[name].get(register, ())) >= number for register, number in accepted.items())
+        voter
+        for voter in others
+        if voter in durable
+        and voter in active
+        and all(tuple(durable[voter].get(register, ())) >= number for register, number in accepted.items())
     ]
     return len(holders) >= len(others) // 2 + 1 or not others
--- a/bramblewood/controller/consensus/membership_view.py
+++ b/bramblewood/controller/consensus/membership_view.py
@@ -25,7 +25,7 @@
     state: str  # of that controller, one of the states of `MemberView`
     members: dict[str, MemberView]  # the voters, by address
     others: dict[str, MemberView]  # the other controllers, by address
-    tolerance: int  # losses that shall be tolerated
+    tolerance: int  # losses that the voters should tolerate
     margin: int  # losses of active voters that leave a majority; below 0 if there is no majority
 
 
@@ -46,8 +46,11 @@
     """
     voters = voter_set["voters"]
 
-    def member_views(names: set[str]) -> dict[str, MemberView]:
-        return {name: member_view(name, voter_set, peers[name], versions, is_lost) for name in sorted(names)}
+    def member_views(addresses: set[str]) -> dict[str, MemberView]:
+        return {
+            controller: member_view(controller, voter_set, peers[controller], versions, is_lost)
+            for controller in sorted(addresses)
+        }
 
     return {
         "me": address,
--- a/bramblewood/controller/consensus/messages.py
+++ b/bramblewood/controller/consensus/messages.py
@@ -109,7 +109,7 @@
 
     @classmethod
     def from_wire(cls, wire: dict) -> "Accept | AcceptDifference":
-        """Decodes the wire form. Returns AcceptDifference where the form has a difference."""
+        """Decodes the wire form. Returns AcceptDifference if the form has a difference."""
         if "base" in wire:
             return AcceptDifference(
                 wire["r"], parse_proposal_number(wire["b"]), parse_proposal_number(wire["base"]), wire["d"]
@@ -256,7 +256,7 @@
 def decode(wire: dict) -> RegisterMessage | EpochMessage:
     """Decodes the wire form of any message of consensus.
 
-    Raises KeyError where the kind is unknown, and PeerMessageError where a key is missing or its value has
+    Raises KeyError if the kind is unknown, and PeerMessageError if a key is missing or its value has
     the wrong type.
     """
     message_type = MESSAGE_TYPES[wire["k"]]
--- a/bramblewood/controller/consensus/peer_status.py
+++ b/bramblewood/controller/consensus/peer_status.py
@@ -39,15 +39,22 @@
         versions: the chosen versions by register. The controller need not report the newest version, as its
         heartbeats lag. It has to report some version of each data register that has one.
         """
-        return all(self.versions.get(name, 0) > 0 or not versions.get(name, 0) for name in (CONFIG, TABLE))
+        return all(
+            self.versions.get(register, 0) > 0 or not versions.get(register, 0)
+            for register in (CONFIG, TABLE)
+        )
 
 
 def reachable_peers(peers: dict[str, PeerStatus]) -> dict[str, PeerStatus]:
     """Returns the controllers whose heartbeats arrive."""
-    return {name: peer for name, peer in peers.items() if peer.is_reachable}
+    return {address: peer for address, peer in peers.items() if peer.is_reachable}
 
 
 def active_voters(voters: dict[str, str], voter_set: VoterSet, peers: dict[str, PeerStatus]) -> list[str]:
     """Returns those of `voters` that are reachable and active in the epoch of `voter_set`."""
     reachable = reachable_peers(peers)
-    return [name for name in voters if name in reachable and reachable[name].is_active_in(voter_set, name)]
+    return [
+        address
+        for address in voters
+        if address in reachable and reachable[address].is_active_in(voter_set, address)
+    ]
--- a/bramblewood/controller/consensus/proposer.py
+++ b/bramblewood/controller/consensus/proposer.py
@@ -39,8 +39,10 @@
         backoff: ProposerBackoff,
     ) -> None:
         self.member, self.acceptors, self.learner, self.backoff = member, acceptors, learner, backoff
-        self.rounds: dict[str, list[ProposalRound]] = {name: [] for name in ALL_REGISTERS}
-        self.highest_counters = {name: acceptor.promised.counter for name, acceptor in acceptors.items()}
+        self.rounds: dict[str, list[ProposalRound]] = {register: [] for register in ALL_REGISTERS}
+        self.highest_counters = {
+            register: acceptor.promised.counter for register, acceptor in acceptors.items()
+        }
         self.unfinished_since: dict[str, float] = {}
         self.last_rejection: Rejection | None = None  # the newest one, until the caller takes it for its log
         self.jitter_draws = 0
@@ -140,7 +142,7 @@
     def record_promise(self, peer: str, promise: Promise, proposal_round: ProposalRound) -> bool:
         """Records a promise together with the value that the voter had accepted.
 
-        Returns False where the promise omits a value that this controller holds no longer. The promise does
+        Returns False if the promise omits a value that this controller holds no longer. The promise does
         not count then, and the voter sends the value in the next round.
         """
         if promise.has_value:
--- a/bramblewood/controller/consensus/quorum.py
+++ b/bramblewood/controller/consensus/quorum.py
@@ -24,8 +24,8 @@
     worst_loss = 0
     for lost_group_count, voter_groups in (
         (tolerance.machines, voters),
-        (tolerance.zones, [domains[name].zone for name in voters]),
-        (tolerance.regions, [domains[name].region for name in voters]),
+        (tolerance.zones, [domains[address].zone for address in voters]),
+        (tolerance.regions, [domains[address].region for address in voters]),
     ):
         largest_groups = Counter(voter_groups).most_common(lost_group_count)
         worst_loss = max(worst_loss, sum(size for _, size in largest_groups))
@@ -70,13 +70,15 @@
 ) -> list[str]:
     """Returns the controllers that may vote, in the order in which they are selected.
 
-    Seeds come first. Where a whole zone or region may be lost, the order takes one controller of each zone or
+    Seeds come first. If a whole zone or region may be lost, the order takes one controller of each zone or
     region in turn.
     """
-    eligible = {name: domain for name, domain in domains.items() if domain.counts_for_tolerance} or domains
+    eligible = {
+        address: domain for address, domain in domains.items() if domain.counts_for_tolerance
+    } or domains
     groups: dict[str, list[str]] = {}
-    for name in sorted(eligible, key=lambda name: (name not in seeds, name)):
-        domain = eligible[name]
-        group = domain.region if tolerance.regions else domain.zone if tolerance.zones else name
-        groups.setdefault(group, []).append(name)
-    return [name for name in chain(*zip_longest(*groups.values())) if name is not None]
+    for address in sorted(eligible, key=lambda address: (address not in seeds, address)):
+        domain = eligible[address]
+        group = domain.region if tolerance.regions else domain.zone if tolerance.zones else address
+        groups.setdefault(group, []).append(address)
+    return [address for address in chain(*zip_longest(*groups.values())) if address is not None]
--- a/bramblewood/controller/consensus/replica.py
+++ b/bramblewood/controller/consensus/replica.py
@@ -136,7 +136,7 @@
 
     @property
     def chosen(self) -> dict[str, NumberedValue]:
-        """Returns the newest value known to be chosen, by register."""
+        """Returns the newest value learned as chosen, by register."""
         return self.learner.chosen
 
     @property
@@ -150,11 +150,11 @@
         return rejection
 
     def value(self, register: str) -> Any:
-        """Returns the newest value known to be chosen, or None if there is none."""
+        """Returns the newest value learned as chosen, or None if there is none."""
         return self.chosen[register].value
 
     def version(self, register: str) -> int:
-        """Returns the version number of the newest value known to be chosen, or 0 if there is none."""
+        """Returns the version number of the newest value learned as chosen, or 0 if there is none."""
         value = self.value(register)
         return value["n"] if value else 0
 
@@ -167,7 +167,7 @@
         value of None writes nothing. The function may be called more than once; the last outcome counts.
         timeout: the time after which the outcome is given up as unclear.
 
-        These or later effects have the answer, which is (tag, outcome), or (tag, None) where the outcome is
+        These or later effects have the answer, which is (tag, outcome), or (tag, None) if the outcome is
         unclear.
         """
         effects = no_effects()
--- a/bramblewood/controller/consensus/voter_set.py
+++ b/bramblewood/controller/consensus/voter_set.py
@@ -53,7 +53,7 @@
 ) -> Callable[[VoterSet | None], tuple[VoterSet | None, bool]]:
     """Returns a change that makes `voters` the voters of the epoch after `current`.
 
-    The change has the form that `ConsensusReplica.propose` takes. It writes nothing where another voter set
+    The change has the form that `ConsensusReplica.propose` takes. It writes nothing if another voter set
     was chosen after `current`. Its outcome is whether the voter set with `voters` is the chosen one.
     """
     proposed: VoterSet = {"n": current["n"] + 1, "voters": voters, "before": current["voters"]}
