--- a/bramblewood/controller/consensus/acceptor.py
+++ b/bramblewood/controller/consensus/acceptor.py
@@ -51,7 +51,8 @@
     def store(self, number: ProposalNumber, value: Any) -> None:
         """Stores a value, whatever was promised.
 
-        This is safe for a chosen value even below a promised number: the majority that promised the higher
-        number includes a voter that has accepted the chosen value, so the higher proposal carries it on.
+        The caller may store a chosen value even if a higher number is promised. The majority that promised
+        the higher number includes a voter that has accepted the chosen value, so the higher proposal has the
+        chosen value as its base.
         """
         self.promised, self.accepted, self.value = max(self.promised, number), number, value
--- a/bramblewood/controller/consensus/local_member.py
+++ b/bramblewood/controller/consensus/local_member.py
@@ -67,5 +67,5 @@
 
     @property
     def is_active_voter(self) -> bool:
-        """Returns whether this controller votes: it has a seat, and holds the state its epoch began with."""
+        """Returns whether this controller votes. It then holds the state with which the epoch began."""
         return self.is_member and self.active_epoch == self.epoch
--- a/bramblewood/controller/consensus/membership.py
+++ b/bramblewood/controller/consensus/membership.py
@@ -1,8 +1,8 @@
-"""Decides who should vote: finds the one change of the voter set that is due, if any. Pure.
+"""Finds the one change of the voter set that is due, if any. Pure.
 
 A change takes the seat of a voter that is lost, is leaving, or came back with another disk. It gives the seat
-to a controller that has caught up. The change is only proposed here. It takes effect once a majority of the
-current voters has chosen it.
+to a controller or disk that has caught up. The change takes effect once a majority of the current voters has
+chosen it.
 
 Three bounds keep the voter set from flapping:
 
--- a/bramblewood/controller/consensus/proposer.py
+++ b/bramblewood/controller/consensus/proposer.py
@@ -218,7 +218,7 @@
                 self.finish_round(now, proposal_round, effects)
 
     def on_rejection(self, now: float, peer: str, rejected: Rejected) -> None:
-        """Handles a rejection: the voter has promised a higher number, so the round has failed."""
+        """Handles the rejection of a voter that has promised a higher number. The attempt has failed."""
         self.observe_counter(rejected.register, rejected.promised)
         if self.member.is_member:  # other controllers are not sent what is chosen, so they would wait in vain
             self.backoff.observe(now, rejected.register, rejected.promised)
--- a/bramblewood/controller/consensus/proposer_backoff.py
+++ b/bramblewood/controller/consensus/proposer_backoff.py
@@ -43,7 +43,7 @@
         self.competing[register] = CompetingRound(number, wait_until)
 
     def round_finished(self, register: str, number: ProposalNumber) -> None:
-        """Ends the wait for this proposal and for older ones: it is chosen, or its round wrote nothing."""
+        """Ends the wait for this proposal, which is chosen or wrote nothing, and for older ones."""
         competing = self.competing.get(register)
         if competing is not None and competing.proposal_number <= number:
             del self.competing[register]
--- a/tests/simulation/consensus.py
+++ b/tests/simulation/consensus.py
@@ -23,7 +23,7 @@
 
 
 def configuration(number: int, parent: int, digest: str) -> Configuration:
-    """Returns a configuration r`number` that follows r`parent`, with a made-up digest."""
+    """Returns a configuration r`number` that follows r`parent`, with this digest."""
     return Configuration(number, parent, digest, {}, {}, {}, {"Revision": f"r{number}", "mark": digest})
 
 
@@ -72,9 +72,9 @@
     ) -> None:
         """Starts the replicas as active voters of epoch 1.
 
-        reuses_disk_name: a fault, an empty disk gets the name and facts of the lost disk.
-        seats_of_any_disk: the seats of epoch 1 belong to any disk, as after an upgrade from a release without
-        epochs.
+        reuses_disk_name: whether an empty disk gets the name and facts of the lost disk, which is a fault.
+        seats_of_any_disk: whether the seats of epoch 1 belong to any disk, as after an upgrade from a release
+        without epochs.
         """
         self.rng, self.reuses_disk_name, self.now, self.incarnations = (
             random.Random(seed),
@@ -96,9 +96,7 @@
         self.in_flight: list[tuple[str, str, dict]] = []
         self.acknowledged: dict[str, Configuration] = {}  # by digest, answered with status 200
         self.rejected: dict[str, Configuration] = {}  # by digest, answered with status 4xx, which is final
-        self.versions_seen: dict[
-            str, str
-        ] = {}  # digest by version number, of all versions that any replica has learned
+        self.versions_seen: dict[str, str] = {}  # by number, the digest of each version ever learned
         for name in NAMES:
             self.start(name)
 
@@ -172,7 +170,7 @@
         self.apply(name, self.replicas[name].propose(self.now, CONFIG, change, requested, 2.0))
 
     def tick(self, duration: float) -> None:
-        """Advances the clock by `duration` s, at which every running machine acts on the time."""
+        """Advances the clock by `duration` s, and ticks every running machine."""
         self.now += duration
         for name in list(self.replicas):
             self.send_heartbeats(name)
@@ -195,10 +193,8 @@
         for peer, disk in replica.voters.items():
             if not replica.is_active_voter or peer not in self.replicas or replica.proposer.rounds[VOTER_SET]:
                 continue
-            if (current_disk := self.replicas[peer].disk) != disk and self.replicas[
-                peer
-            ].epoch == replica.epoch:
-                change = next_voter_set(replica.voter_set, {**replica.voters, peer: current_disk})
+            if (new_disk := self.replicas[peer].disk) != disk and self.replicas[peer].epoch == replica.epoch:
+                change = next_voter_set(replica.voter_set, {**replica.voters, peer: new_disk})
                 self.apply(name, replica.propose(self.now, VOTER_SET, change, "members", 2.0))
 
     def run(self, steps: int, loss: float = 0.0, duplication: float = 0.0) -> None:
@@ -248,9 +244,7 @@
                     self.sync(name)
             self.tick(0.05)
         if not values_read:
-            raise RuleViolation(
-                "no majority answered a read, although nothing fails and every message is delivered"
-            )
+            raise RuleViolation("no majority answered a read, although every message was delivered")
         return values_read[-1]
 
     # --- checks
--- a/tests/simulation/scripted_cluster.py
+++ b/tests/simulation/scripted_cluster.py
@@ -66,7 +66,7 @@
         self.apply(name, self.replicas[name].receive(0.0, "", {"k": "epoch", "m": voter_set}))
 
     def lose_disk(self, name: str, incarnation: int = 50) -> None:
-        """Restarts the replica with an empty disk that has a new name."""
+        """Restarts the replica with an empty disk that has a new name, and notifies it of its voter set."""
         old = self.replicas[name]
         self.replicas[name] = ConsensusReplica(name, f"{name}{incarnation}", incarnation)
         self.notify(name, old.voter_set)
