--- a/bramblewood/controller/consensus/proposer.py
+++ b/bramblewood/controller/consensus/proposer.py
@@ -13,7 +13,13 @@
 from .proposal_round import Change, Phase, ProposalRound
 from .proposer_backoff import ProposerBackoff
 from .registers import ALL_REGISTERS, VOTER_SET
-from .timing import MAX_RETRY_BACKOFF_UNITS, PHASE_TIMEOUT, RETRY_BACKOFF_UNIT, UNFINISHED_TIMEOUT
+from .timing import (
+    COMPLETION_TIMEOUT,
+    MAX_RETRY_BACKOFF_UNITS,
+    PHASE_TIMEOUT,
+    RETRY_BACKOFF_UNIT,
+    UNFINISHED_TIMEOUT,
+)
 
 
 class Rejection(NamedTuple):
@@ -262,7 +268,7 @@
             return
         self.unfinished_since[register] = now
         if not self.rounds[register] and self.member.is_active_voter:
-            self.propose(now, register, keep_current_value, COMPLETION_TAG, 1.0, effects)
+            self.propose(now, register, keep_current_value, COMPLETION_TAG, COMPLETION_TIMEOUT, effects)
 
 
 COMPLETION_TAG = "settle"  # of changes that no caller waits for
