--- a/bramblewood/controller/runtime.py
+++ b/bramblewood/controller/runtime.py
@@ -1,4 +1,4 @@
-"""What every part of one running controller uses: its settings, clock, log and connections."""
+"""The settings, clock, log and connections that all parts of one controller share."""
 
 import asyncio
 
@@ -6,11 +6,14 @@
 from ..common.peer_connections import PeerConnections
 from ..common.settings import Settings
 
-TICK_INTERVAL = 0.1  # s between looks at what is due
+TICK_INTERVAL = 0.1  # s between two calls of `Controller.tick`
 
 
 class Runtime:
-    """Shared by all parts of a controller. Simulations put their own loop and connections here."""
+    """The process-wide state of one controller.
+
+    loop and peer_connections are set by the program once they exist. Simulations set replacements for them.
+    """
 
     loop: asyncio.AbstractEventLoop
     peer_connections: PeerConnections
@@ -19,9 +22,9 @@
         self.settings = settings
         self.own_address = settings.ip
         self.log = logs.start_logging(settings.name)
-        self.started_at = 0.0  # s, by `now`
+        self.started_at = 0.0  # s, on the clock of `now`
         self.shutdown_requested = asyncio.Event()
 
     def now(self) -> float:
-        """Steady clock in s."""
+        """Returns the time of the monotonic clock in s."""
         return self.loop.time()
--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -1,4 +1,7 @@
-"""The controller program: wiring, start, timers, signals and shutdown. Decisions are its parts' own."""
+"""The controller program: it builds and connects the parts, and handles start, timers, signals and shutdown.
+
+All other decisions are made by the parts.
+"""
 
 import asyncio
 import signal
@@ -44,18 +47,18 @@
 from .voter_changes import VoterChanges
 from .worker_api import WorkerApi
 
-DEFAULT_FOLDER = "/tmp"
-HOUSEKEEPING_INTERVAL = 0.5  # s, the policy's own turn
-LISTEN_BACKLOG = 512
-STORAGE_UNUSABLE = 2  # exit code
+DEFAULT_DATA_DIRECTORY = "/tmp"
+HOUSEKEEPING_INTERVAL = 0.5  # s between two rounds of the slower periodic work in `tick`
+LISTEN_BACKLOG = 512  # connections that the kernel queues for each listener
+STORAGE_UNUSABLE = 2  # exit code; the database cannot be opened
 
 
 class Controller:
-    """One controller: builds its parts, feeds them time and calls, and ends them in order."""
+    """One controller process. It builds and connects its parts, runs their periodic work, and closes them."""
 
     def __init__(self, settings: Settings) -> None:
         runtime = self.runtime = Runtime(settings)
-        self.quorum_io = QuorumIO(runtime, Storage(settings.data_directory or DEFAULT_FOLDER))
+        self.quorum_io = QuorumIO(runtime, Storage(settings.data_directory or DEFAULT_DATA_DIRECTORY))
         self.sessions = Sessions(runtime.own_address)
         self.quorum_contact = QuorumContact(runtime, self.quorum_io, self.sessions)
         self.registry, self.proxy_sessions = WorkerRegistry(), ProxySessions()
@@ -177,21 +180,27 @@
         self.key_releases.on_all_finished = lambda: self.coordinator_loop.step(runtime.now())
 
     def set_planner(self, planner: PlacementPlanner) -> None:
-        """Hand the planner of placement to those that use it; made once the clock is known."""
+        """Gives the placement planner to the parts that use it.
+
+        The planner needs the clock, so it is created only after the event loop has started.
+        """
         self.coordinator_loop.placement = self.proxy_heartbeats.placement = planner
 
     async def run(self) -> int:
-        """Run until SIGTERM. Returns the exit code: 0, 2 where the storage can't be opened, 3 where it turned
-        out to be damaged, so that the controller is to be started again.
+        """Runs the controller until a SIGTERM is handled or the storage is found damaged.
+
+        Returns the exit code: 0 after a regular shutdown, 2 if the storage cannot be opened, and 3 if the
+        storage was found damaged while the controller ran. After exit code 3 the controller must be started
+        again.
         """
         runtime, loop = self.runtime, asyncio.get_running_loop()
         runtime.loop = loop
         storage = self.quorum_io.storage
-        found = await asyncio.to_thread(open_or_replace, storage, runtime.log)
-        if isinstance(found, Err):
-            runtime.log.error("storage unusable", step="open", problem=str(found.err_value))
+        opened = await asyncio.to_thread(open_or_replace, storage, runtime.log)
+        if isinstance(opened, Err):
+            runtime.log.error("storage unusable", step="open", problem=str(opened.err_value))
             return STORAGE_UNUSABLE
-        self._restore(found.ok_value)
+        self._restore(opened.ok_value)
         loop.add_signal_handler(signal.SIGTERM, runtime.shutdown_requested.set)
         loop.add_signal_handler(signal.SIGHUP, self.controller_peers.reread_seeds)
         async with AsyncExitStack() as resources:
@@ -201,30 +210,31 @@
             while self.damage.reason is None and not self.voter_changes.may_shut_down(runtime.now()):
                 self.tick(runtime.now())
                 await self._wait_for_next_tick()
-            self.quorum_io.consensus.stop_voting()  # who holds what we hold has been looked at
+            # `may_shut_down` has checked that the others hold what this vote protects, or the time is up.
+            self.quorum_io.consensus.stop_voting()
             runtime.log.info("stopped", step="end")
         return 0 if self.damage.reason is None else await self.damage.finish()
 
-    def _restore(self, found: StoredState) -> None:
-        """Go on from what the disk holds."""
+    def _restore(self, stored_state: StoredState) -> None:
+        """Restores the state of the parts from the disk, and starts the writer thread of the storage."""
         runtime, settings, loop = self.runtime, self.runtime.settings, self.runtime.loop
         storage = self.quorum_io.storage
         storage.on_damage = lambda problem: loop.call_soon_threadsafe(self.damage.begin, problem)
-        self.quorum_io.restore(found.facts, found.registers, storage.replaces_damaged)
-        self.departures.restore(found.facts)
+        self.quorum_io.restore(stored_state.facts, stored_state.registers, storage.replaces_damaged)
+        self.departures.restore(stored_state.facts)
         self.set_planner(
             PlacementPlanner(runtime.now(), settings.heartbeat_interval, settings.detect_hot_keys)
         )
-        storage.start(lambda done, problem: loop.call_soon_threadsafe(done, problem))
+        storage.start(lambda on_finished, problem: loop.call_soon_threadsafe(on_finished, problem))
         self.quorum_io.execute(no_effects())
-        known = found.facts.get(KNOWN_CONTROLLERS_FACT, ())
-        for peer in {*settings.seed_hosts(), *self.quorum_io.consensus.voters, *known}:
+        known_controllers = stored_state.facts.get(KNOWN_CONTROLLERS_FACT, ())
+        for peer in {*settings.seed_hosts(), *self.quorum_io.consensus.voters, *known_controllers}:
             self.controller_peers.add(peer)
         runtime.started_at = runtime.now()
         self.controller_peers.next_seed_reread_at = runtime.started_at + SEED_REREAD_INTERVAL
 
     async def _open_resources(self, resources: AsyncExitStack) -> None:
-        """Sessions and servers; they end in the reverse order."""
+        """Starts the listeners, and registers all clients and servers to be closed in reverse order."""
         calls = self.lease_calls
         resources.callback(calls.client.close)
         resources.push_async_callback(calls.cancel_all)
@@ -258,7 +268,7 @@
             pass
 
     def tick(self, now: float) -> None:
-        """Do what is due by the clock, in this order."""
+        """Runs the work that is due, in the order of the calls below."""
         self.quorum_io.execute(self.quorum_io.consensus.tick(now))
         self.quorum_io.probe_failing_disk(now)
         self.voter_changes.propose_due_change(now)
@@ -276,7 +286,10 @@
         self.coordinator_loop.step(now)
 
     def handle_epoch_change(self) -> None:
-        """Another epoch is known, or this controller became active in it: on disk by now."""
+        """Connects to the voters of a new epoch, logs it, and sends heartbeats.
+
+        The caller calls it once the new epoch, or the active vote of this controller in it, is durable.
+        """
         consensus = self.quorum_io.consensus
         for peer in consensus.voters:
             self.controller_peers.add(peer)
@@ -287,4 +300,4 @@
             voters=consensus.voters,
             voting=consensus.is_active_voter,
         )
-        self.controller_peers.send_heartbeats(self.runtime.now())  # nobody waits for the next turn
+        self.controller_peers.send_heartbeats(self.runtime.now())  # without waiting for the interval
