--- a/bramblewood/controller/command_decoding.py
+++ b/bramblewood/controller/command_decoding.py
@@ -169,8 +169,8 @@
             instance_ids=tuple(call.get("Workers", ())),
             zone=call.get("Zone", ""),
             revision=call.get("Revision", ""),
-            count=call.get("Count", 0),
-            wave=call.get("Wave", 1),
+            max_workers=call.get("Count", 0),
+            wave_size=call.get("Wave", 1),
             dry_run=call["Do"] == "plan",
         )
     )
--- a/bramblewood/controller/commands.py
+++ b/bramblewood/controller/commands.py
@@ -1,4 +1,4 @@
-"""Commands of workers and operators, as decoded from their calls, and the rejection of invalid calls."""
+"""The commands that calls of workers and operators are decoded into, and the rejection of invalid calls."""
 
 from dataclasses import dataclass
 from typing import Literal
@@ -9,53 +9,66 @@
 
 @dataclass(frozen=True)
 class RegisterWorker:
-    """A worker's call: it is ready or draining."""
+    """Records the registration of a worker that is ready or draining."""
 
     instance_id: str
     registration: WorkerRegistration
 
     @property
     def is_leaving(self) -> bool:
-        """Whether the worker drains: other controllers must hold that before it is answered."""
+        """Whether the worker is draining.
+
+        Such a registration is a deregistration. A majority of the voters must hold it before the response.
+        """
         return self.registration.phase == DRAINING
 
 
 @dataclass(frozen=True)
 class DeregisterWorker:
-    """A worker's last call."""
+    """Records that a worker is gone. It is the last call of a worker."""
 
     instance_id: str
 
 
 @dataclass(frozen=True)
 class PutConfiguration:
-    """Put a configuration that was checked by itself."""
+    """Puts a configuration in force.
+
+    The configuration is valid by itself. Whether it follows the one in force is not checked yet.
+    """
 
     configuration: Configuration
 
 
 @dataclass(frozen=True)
 class GetConfiguration:
-    """Read the configuration that stands."""
+    """Reads the configuration in force."""
 
 
 @dataclass(frozen=True)
 class StartDrainPlan:
-    """Take workers out of service: those named, or all of a service in a zone or of a revision."""
+    """Takes workers of one service out of service, one wave at a time.
+
+    The plan selects the workers in use that match all of instance_ids, zone and revision. An empty value
+    matches every worker.
+    """
 
     name: str
     service: str
     instance_ids: tuple[str, ...]
     zone: str
     revision: str
-    count: int  # at most so many; 0 for all
-    wave: int  # workers at a time
-    dry_run: bool  # only tell what it would do
+    max_workers: int  # 0 for no limit
+    wave_size: int  # workers that are drained at a time
+    dry_run: bool  # only respond with the waves that the plan would have
 
 
 @dataclass(frozen=True)
 class EndDrainPlan:
-    """Stop a plan, or take all its workers back into use."""
+    """Stops a drain plan, or cancels it.
+
+    state: "stopped" begins no further wave; "back" also takes all workers of the plan into use again.
+    """
 
     name: str
     state: Literal["stopped", "back"]
@@ -63,7 +76,7 @@
 
 @dataclass(frozen=True)
 class ReplaceMember:
-    """A spare controller, `new`, is to get the seat of the voter `old`; both by address."""
+    """Gives the seat of the voter `old` to the spare controller `new`. Both are addresses."""
 
     old: str
     new: str
@@ -71,25 +84,25 @@
 
 @dataclass(frozen=True)
 class RemoveMember:
-    """A voter is to give up its seat, and nobody gets it."""
+    """Removes the voter at the address `old`, and its seat with it."""
 
     old: str
 
 
 @dataclass(frozen=True)
 class AddMember:
-    """A spare controller is to get a seat of its own."""
+    """Makes the spare controller at the address `new` a voter with an additional seat."""
 
     new: str
 
 
 @dataclass(frozen=True)
 class Rejection:
-    """The answer to a call that can't be taken."""
+    """The response to a call that is invalid."""
 
-    status: int  # of HTTP
+    status: int  # HTTP status
     reason: str
-    allow: str = ""  # methods that the path takes, where the method was the fault
+    allow: str = ""  # the methods that the path supports, if the method was not one of them
 
 
 Command = RegisterWorker | DeregisterWorker | PutConfiguration | GetConfiguration
--- a/bramblewood/controller/configuration_succession.py
+++ b/bramblewood/controller/configuration_succession.py
@@ -88,7 +88,7 @@
     }
 
 
-def settled_answer(
+def final_answer(
     configuration: Configuration,
     current: RegisterValue | None,
     transition: Transition = apply_configuration,
--- a/bramblewood/controller/http_listener.py
+++ b/bramblewood/controller/http_listener.py
@@ -1,4 +1,4 @@
-"""The controller's HTTP listeners: requests decoded and handed to whatever answers them."""
+"""The controller's HTTP listeners: they decode requests and pass them to the handlers."""
 
 from aiohttp import web
 from result import Err
@@ -19,13 +19,17 @@
 from .runtime import Runtime
 from .worker_api import WorkerApi
 
-READ_CHUNK = 2**16  # bytes
-CONNECTION_PATH = "/link"  # where peers dial
+READ_CHUNK = 2**16  # bytes of a request body that are read at a time
+CONNECTION_PATH = "/link"  # on which peers open their connections
 DRAIN_PLAN_PATH, MEMBERS_PATH = "/plan", "/members"
 
 
 class HttpListener:
-    """Serves both listeners: the inner one, for peers and operators, and that for workers and clients."""
+    """Serves the requests of both listeners.
+
+    The internal listener, on `peer_port`, serves other controllers, proxies and operators' tools. The
+    listener `Control` serves workers and the clients that read and put the configuration.
+    """
 
     def __init__(
         self,
@@ -39,15 +43,15 @@
         self.worker_api, self.operator_api, self.introspection = worker_api, operator_api, introspection
 
     async def serve(self, request: web.BaseRequest) -> web.StreamResponse:
-        """One HTTP request: of peers and operators' tools on the inner port, of workers and clients else."""
+        """Serves one HTTP request. The local port of its connection selects the listener."""
         if request.transport.get_extra_info("sockname")[1] == self.runtime.settings.peer_port:
-            return await self._serve_inner(request)
+            return await self._serve_internal(request)
         method, path, body = request.method, request.raw_path, b""
         limit = max_body_bytes(method, path)
         async for chunk in request.content.iter_chunked(READ_CHUNK):
             body += chunk
             if len(body) > limit:
-                return make_response(413, f"at most {limit} bytes")
+                return make_response(413, f"the request body exceeds {limit} bytes")
         command = decode(method, path, body)
         if isinstance(command, Err):
             rejection: Rejection = command.err_value
@@ -57,7 +61,8 @@
             return make_response(rejection.status, rejection.reason, headers)
         return await self.execute(command.ok_value)
 
-    async def _serve_inner(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def _serve_internal(self, request: web.BaseRequest) -> web.StreamResponse:
+        """Serves a request on the internal listener: a peer connection, an operator's call, or a view."""
         handlers, path = self.peer_handlers, request.raw_path
         if request.path == CONNECTION_PATH:
             return await accept_connection(
@@ -80,7 +85,10 @@
         return await execute(command.ok_value)
 
     async def execute(self, command: Command) -> web.Response:
-        """A worker's or the operator's call: taken, served or refused for good with a quorum only."""
+        """Executes a command from the listener `Control`, and returns the response.
+
+        A command is acknowledged, or rejected for good, only with a quorum.
+        """
         match command:
             case RegisterWorker():
                 return await self.worker_api.register(command)
--- a/bramblewood/controller/http_responses.py
+++ b/bramblewood/controller/http_responses.py
@@ -1,12 +1,13 @@
-"""The form of a controller's HTTP answers."""
+"""The JSON format of a controller's HTTP responses."""
 
 from aiohttp import web
 
+# reasons of responses with status 503
 NO_QUORUM = "no majority heard"
 NO_QUORUM_IN_TIME = "no majority heard in time"
 
 
 def make_response(status: int, reason: str = "", headers: dict | None = None) -> web.Response:
-    """A JSON answer that names its reason under `Failure`, where there is one."""
+    """Returns a response whose JSON body has the reason under `Failure`, or is empty without a reason."""
     body = {"Failure": reason} if reason else {}
     return web.json_response(body, status=status, headers=headers)
--- a/bramblewood/controller/operator_api.py
+++ b/bramblewood/controller/operator_api.py
@@ -1,5 +1,6 @@
-"""Operators' calls: configurations, drain plans, changes of the voter set. Each is agreed by a quorum and
-safe to repeat.
+"""Handlers of operators' calls: configurations, drain plans and changes of the voter set.
+
+Each change is agreed by a quorum, and each call is safe to repeat.
 """
 
 from typing import Any
@@ -9,7 +10,7 @@
 
 from ..common.worker_registry import WorkerRegistry
 from .commands import AddMember, EndDrainPlan, PutConfiguration, RemoveMember, ReplaceMember, StartDrainPlan
-from .configuration_succession import apply_configuration, settled_answer
+from .configuration_succession import apply_configuration, final_answer
 from .consensus.registers import CONFIG, TABLE, VOTER_SET
 from .consensus.voter_set import next_voter_set
 from .drain_plans import end_plan, plans_of, start_plan, worker_drains_of, workers_in_use
@@ -21,7 +22,10 @@
 
 
 class OperatorApi:
-    """Answers operators. A call whose outcome is unclear is answered with 503: the caller repeats it."""
+    """Executes operators' commands and responds to them.
+
+    The response is 503 where the outcome is unknown. The operator then repeats the call.
+    """
 
     def __init__(
         self,
@@ -35,10 +39,14 @@
         self.registry, self.voter_changes = registry, voter_changes
 
     async def put_configuration(self, call: PutConfiguration) -> web.Response:
-        """Take a new configuration, or tell what became of it before."""
+        """Puts a configuration in force, and responds with the outcome.
+
+        The response to a repeated call is the outcome of the first one. It needs no proposal where the
+        configuration register as known here settles it; see `final_answer`.
+        """
         configuration, answer = call.configuration, None
         if self.quorum_contact.has_quorum_contact(self.runtime.now()):
-            answer = settled_answer(configuration, self.quorum_io.consensus.value(CONFIG))
+            answer = final_answer(configuration, self.quorum_io.consensus.value(CONFIG))
         answer = answer or await self.quorum_io.agree(
             CONFIG, lambda value: apply_configuration(configuration, value)
         )
@@ -52,7 +60,7 @@
         return make_response(*answer) if answer else make_response(503, NO_QUORUM_IN_TIME)
 
     async def get_configuration(self) -> web.Response:
-        """The configuration in force, as a quorum holds it now."""
+        """Responds with the configuration in force, read through a quorum; 404 where there is none."""
         outcome = await self.quorum_io.agree(CONFIG, lambda value: (None, [value]))
         if outcome is None:
             return make_response(503, NO_QUORUM_IN_TIME)
@@ -64,17 +72,17 @@
         )
 
     async def change_drain_plan(self, command: StartDrainPlan | EndDrainPlan) -> web.Response:
-        """Start, show, stop or revert a drain plan."""
+        """Starts, stops or cancels a drain plan, or responds with the waves of a dry run."""
         if isinstance(command, EndDrainPlan):
             answer = await self.quorum_io.agree(
                 TABLE, lambda table: end_plan(table, command.name, command.state)
             )
         elif command.dry_run:
-            read_only = lambda table: (  # noqa: E731
+            dry_run_change = lambda table: (  # noqa: E731
                 None,
-                (self._workers_of_plan(command, table), self._start_plan(command, table)[1]),
+                (self._instance_ids_of_plan(command, table), self._start_plan(command, table)[1]),
             )
-            answer = await self.quorum_io.agree(TABLE, read_only)
+            answer = await self.quorum_io.agree(TABLE, dry_run_change)
             if answer is not None:
                 return _dry_run_response(command, *answer)
         else:
@@ -83,15 +91,19 @@
         return make_response(*answer) if answer else make_response(503, NO_QUORUM_IN_TIME)
 
     def _start_plan(self, command: StartDrainPlan, table: Any) -> tuple[Any, tuple[int, str]]:
-        instance_ids = self._workers_of_plan(command, table)
+        """Returns the table with the plan, or None where the table is unchanged, and the answer."""
+        instance_ids = self._instance_ids_of_plan(command, table)
         in_use = set(workers_in_use(self.registry, command.service, worker_drains_of(table)))
-        staying = len(in_use - set(instance_ids))
-        return start_plan(table, command.name, command.service, instance_ids, command.wave, staying)
+        remaining = len(in_use - set(instance_ids))
+        return start_plan(table, command.name, command.service, instance_ids, command.wave_size, remaining)
 
-    def _workers_of_plan(self, command: StartDrainPlan, table: Any) -> list[str]:
-        """The workers that a plan names, by the table that stands."""
+    def _instance_ids_of_plan(self, command: StartDrainPlan, table: Any) -> list[str]:
+        """Returns the instance ids of the workers that the command selects for its plan.
+
+        A plan that is already in the table keeps its workers, so that a repeated command names the same ones.
+        """
         if command.name in plans_of(table):
-            return plans_of(table)[command.name].instance_ids  # asked again
+            return plans_of(table)[command.name].instance_ids
         registrations = self.registry.registrations
         instance_ids = [
             instance_id
@@ -100,10 +112,14 @@
             and command.zone in ("", registrations[instance_id].zone)
             and command.revision in ("", registrations[instance_id].revision)
         ]
-        return instance_ids[: command.count or len(instance_ids)]
+        return instance_ids[: command.max_workers or len(instance_ids)]
 
     async def change_voter_set(self, command: ReplaceMember | RemoveMember | AddMember) -> web.Response:
-        """Change who votes: agreed by a majority of those who do."""
+        """Replaces, removes or adds a voter, and responds with the number of the resulting epoch.
+
+        A majority of the present voters has to agree. The response is 409 where the change is not possible,
+        and 412 where another change of the voter set was agreed first.
+        """
         voter_set, now = self.quorum_io.consensus.voter_set, self.runtime.now()
         old, new = getattr(command, "old", ""), getattr(command, "new", "")
         change = self.voter_changes.membership.requested_change(
@@ -131,8 +147,9 @@
 def _dry_run_response(
     command: StartDrainPlan, instance_ids: list[str], answer: tuple[int, str]
 ) -> web.Response:
+    """Returns the waves that the plan would have, and the reason why it could not start, "" if it could."""
     status, reason = answer
-    waves = [instance_ids[i : i + command.wave] for i in range(0, len(instance_ids), command.wave)]
+    waves = [instance_ids[i : i + command.wave_size] for i in range(0, len(instance_ids), command.wave_size)]
     return web.json_response({"Waves": waves, "Failure": "" if status == 200 else reason})
 
 
--- a/bramblewood/controller/worker_api.py
+++ b/bramblewood/controller/worker_api.py
@@ -1,4 +1,4 @@
-"""Workers' calls: registrations and deregistrations."""
+"""Handlers of workers' calls: registrations and deregistrations."""
 
 import asyncio
 
@@ -14,13 +14,16 @@
 from .registry_exchange import RegistryExchange
 from .runtime import Runtime
 
-# of a worker whose last call is the first that is heard of it: other controllers may know it
+# Stands for the registration of a worker that is unknown here when its last call arrives. Other controllers
+# may have its registration.
 UNKNOWN_WORKER = WorkerRegistration("", "", "", 1, GONE, 0)
 
 
 class WorkerApi:
-    """Answers workers. Each call is recorded and passed on at once, acknowledged with quorum contact only,
-    so that the worker goes to a controller that the others hear.
+    """Executes workers' commands and responds to them.
+
+    Each call is recorded and forwarded at once. The response is 503 while this controller has no quorum
+    contact, so that the worker calls another controller, which can reach the others.
 
     Invariant: a deregistration is acknowledged only once a majority of the voters has it on disk.
     """
@@ -39,7 +42,7 @@
         self.confirmations: dict[int, asyncio.Future] = {}  # by request id
 
     async def register(self, call: RegisterWorker) -> web.Response:
-        """A worker's heartbeat; the first that says `draining` deregisters it too."""
+        """Records the heartbeat of a worker. One with the phase `draining` is also a deregistration."""
         if call.is_leaving:
             return await self._deregister(call.instance_id, call.registration)
         self.registry_exchange.record(call.instance_id, call.registration)
@@ -47,32 +50,34 @@
         return web.json_response({}) if has_contact else make_response(503, NO_QUORUM)
 
     async def deregister(self, call: DeregisterWorker) -> web.Response:
-        """A worker's last call."""
-        known = self.registry_exchange.registry.registrations.get(call.instance_id) or UNKNOWN_WORKER
-        registration = known._replace(phase=GONE, call_sequence=known.call_sequence + 1)
+        """Records that a worker is gone, and responds once that is confirmed or has timed out."""
+        previous = self.registry_exchange.registry.registrations.get(call.instance_id) or UNKNOWN_WORKER
+        registration = previous._replace(phase=GONE, call_sequence=previous.call_sequence + 1)
         return await self._deregister(call.instance_id, registration)
 
     async def _deregister(self, instance_id: str, registration: WorkerRegistration) -> web.Response:
+        """Records and forwards a deregistration, and responds after at most CONFIRMATION_TIMEOUT s."""
         request_id = self.deregistrations.begin(self.runtime.now())
         confirmation = self.confirmations[request_id] = self.runtime.loop.create_future()
         self.registry_exchange.record(instance_id, registration, request_id)
-        self.departures.keep([instance_id], lambda: self._held_here(request_id))
+        self.departures.keep([instance_id], lambda: self._record_stored_locally(request_id))
         try:
             async with asyncio.timeout(CONFIRMATION_TIMEOUT):
                 await confirmation
         except TimeoutError:
             pass
-        is_confirmed = self._is_confirmed(request_id)  # by the clock of now: a freeze may lie before
+        # Checked again, because the process may have been frozen since the confirmation was set.
+        is_confirmed = self._is_confirmed(request_id)
         del self.confirmations[request_id]
         self.deregistrations.end(request_id)
         return web.json_response({}) if is_confirmed else make_response(503, "no majority holds it in time")
 
-    def _held_here(self, request_id: int) -> None:
+    def _record_stored_locally(self, request_id: int) -> None:
         self.deregistrations.record_held_here(request_id)
         self.check_confirmations()
 
     def check_confirmations(self) -> None:
-        """Wake the deregistrations that are confirmed by now."""
+        """Wakes the calls whose deregistrations are confirmed by now."""
         for request_id, confirmation in self.confirmations.items():
             if not confirmation.done() and self._is_confirmed(request_id):
                 confirmation.set_result(True)
--- a/tests/simulation/configuration_changes.py
+++ b/tests/simulation/configuration_changes.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from bramblewood.common.configuration import Configuration
-from bramblewood.controller.configuration_succession import apply_configuration, settled_answer
+from bramblewood.controller.configuration_succession import apply_configuration, final_answer
 from bramblewood.controller.consensus.effects import Effects
 from bramblewood.controller.consensus.registers import CONFIG
 from bramblewood.controller.consensus.replica import ConsensusReplica
@@ -225,7 +225,7 @@
             if self.rng.random() >= self.site.answers_lost:
                 self.call_later(self.operator_delay(), self.on_status, order, call, status)
 
-        if known := settled_answer(order.requested, machine.value(CONFIG), self.decide):
+        if known := final_answer(order.requested, machine.value(CONFIG), self.decide):
             return on_outcome(known)
         change = lambda current: self.decide(order.requested, current)  # noqa: E731
         self.apply(name, machine, machine.propose(self.now, CONFIG, change, on_outcome, CALL_TIMEOUT))
