--- a/bramblewood/controller/command_decoding.py
+++ b/bramblewood/controller/command_decoding.py
@@ -1,7 +1,8 @@
-"""Calls of workers and operators, decoded into commands. Pure: commands are run elsewhere.
+"""Decodes the calls of workers and operators into commands.
 
-Each decoder gives a command, or the `Rejection` that answers a call that can't be taken. The TypedDict
-classes state the fields of calls as the operators' and workers' pages give them.
+This module does no input or output; `http_listener.py` executes the commands. Each decoder returns a command,
+or the `Rejection` of an invalid call. The TypedDict classes declare the JSON fields of the calls. The names
+and types of the fields are documented for operators and workers.
 """
 
 import json
@@ -27,22 +28,22 @@
     StartDrainPlan,
 )
 
-MAX_CALL_BYTES = 64 * 2**10  # of a worker's or operator's call
-MAX_CONFIGURATION_BYTES = 32 * 2**20
+MAX_CALL_BYTES = 64 * 2**10  # limit of the body of a worker's or operator's call
+MAX_CONFIGURATION_BYTES = 32 * 2**20  # limit of the body of a call that puts a configuration
 INSTANCES_PATH = "/bramblewood/instances/"
 CONFIGURATION_PATH = "/bramblewood/config"
-INSTANCE_ID = re.compile(r"[\w.~-]{1,128}")
-PLAN_NAME = re.compile(r"[\w.-]{1,64}")
-CONTROLLER_ADDRESS = re.compile(r"\d{1,3}(\.\d{1,3}){3}")  # of a machine, as `Ip` gives it
-CALL_SEQUENCE_END = 2**53  # JSON's whole numbers are exact below it
-SLOTS_END = 2**20
+INSTANCE_ID_PATTERN = re.compile(r"[\w.~-]{1,128}")
+PLAN_NAME_PATTERN = re.compile(r"[\w.-]{1,64}")
+CONTROLLER_ADDRESS_PATTERN = re.compile(r"\d{1,3}(\.\d{1,3}){3}")  # IPv4, as in the setting `Ip`
+CALL_SEQUENCE_LIMIT = 2**53  # exclusive; smaller integers are exact in every JSON implementation
+SLOTS_LIMIT = 2**20  # exclusive
 
 
-# --- calls of workers and of whoever puts configurations, on the Control listener
+# --- calls of workers and configuration calls, on the listener `Control`
 
 
-class WorkerSummary(TypedDict):
-    """What a worker is."""
+class WorkerProperties(TypedDict):
+    """The properties of a worker that do not change while it runs."""
 
     Target: str
     Zone: NotRequired[str]
@@ -50,8 +51,11 @@
     Slots: NotRequired[int]
 
 
-class WorkerCondition(TypedDict):
-    """How a worker is, and the number of this call."""
+class WorkerState(TypedDict):
+    """The present state of a worker, and the sequence number of this call.
+
+    ColdLeftS: s for which the worker is still warming up.
+    """
 
     Phase: Literal["ready", "draining"]
     CallSeq: int
@@ -59,21 +63,21 @@
 
 
 class Heartbeat(TypedDict):
-    """The body of a worker's call."""
+    """The body of a worker's heartbeat. Address: host:port on which the worker serves requests."""
 
     Address: str
-    Summary: WorkerSummary
-    Condition: WorkerCondition
+    Summary: WorkerProperties
+    Condition: WorkerState
 
 
 def max_body_bytes(method: str, path: str) -> int:
-    """Bytes that the body of this call may have."""
-    puts_configuration = path == CONFIGURATION_PATH and method == "PUT"
-    return MAX_CONFIGURATION_BYTES if puts_configuration else MAX_CALL_BYTES
+    """Returns the largest allowed size of the body of this call."""
+    is_configuration_put = path == CONFIGURATION_PATH and method == "PUT"
+    return MAX_CONFIGURATION_BYTES if is_configuration_put else MAX_CALL_BYTES
 
 
 def decode(method: str, path: str, body: bytes) -> Result[Command, Rejection]:
-    """The command of a call on the Control listener."""
+    """Decodes a call on the listener `Control`. The query string of the path is ignored."""
     path = path.partition("?")[0]
     if path == CONFIGURATION_PATH:
         return decode_configuration_call(method, body)
@@ -83,7 +87,7 @@
 
 
 def decode_configuration_call(method: str, body: bytes) -> Result[Command, Rejection]:
-    """The command of a call that reads or puts the configuration."""
+    """Decodes a call that reads or puts the configuration."""
     if method == "GET":
         return Ok(GetConfiguration())
     if method == "PUT":
@@ -92,22 +96,22 @@
             .map(PutConfiguration)
             .map_err(lambda violation: Rejection(400, str(violation)))
         )
-    return Err(wrong_method(method, CONFIGURATION_PATH, "GET, PUT"))
+    return Err(method_not_allowed(method, CONFIGURATION_PATH, "GET, PUT"))
 
 
 def decode_instance_call(method: str, instance_id: str, body: bytes) -> Result[Command, Rejection]:
-    """The command of a worker's call."""
-    if not INSTANCE_ID.fullmatch(instance_id):
+    """Decodes a heartbeat or a deregistration of a worker."""
+    if not INSTANCE_ID_PATTERN.fullmatch(instance_id):
         return Err(Rejection(400, "the path holds no worker's id"))
     if method == "DELETE":
         return Ok(DeregisterWorker(instance_id))
     if method == "PUT":
         return decode_heartbeat(instance_id, body)
-    return Err(wrong_method(method, INSTANCES_PATH, "PUT, DELETE"))
+    return Err(method_not_allowed(method, INSTANCES_PATH, "PUT, DELETE"))
 
 
 def decode_heartbeat(instance_id: str, body: bytes) -> Result[RegisterWorker, Rejection]:
-    """The command of a worker's heartbeat."""
+    """Decodes the body of a worker's heartbeat into the command that records its registration."""
     checked = decode_body(body, Heartbeat)
     if isinstance(checked, Err):
         return checked
@@ -117,7 +121,7 @@
         return Err(Rejection(400, f"Address: expected host:port, found {heartbeat['Address']!r:.60}"))
     summary, condition = heartbeat["Summary"], heartbeat["Condition"]
     slots = summary.get("Slots", 1)
-    if not 0 <= condition["CallSeq"] < CALL_SEQUENCE_END or not 0 < slots < SLOTS_END:
+    if not 0 <= condition["CallSeq"] < CALL_SEQUENCE_LIMIT or not 0 < slots < SLOTS_LIMIT:
         return Err(Rejection(400, "CallSeq or Slots: out of range"))
     registration = WorkerRegistration(
         service=summary["Target"],
@@ -132,11 +136,14 @@
     return Ok(RegisterWorker(instance_id, registration))
 
 
-# --- calls of operators, on the listener for other controllers
+# --- calls of operators, on the internal listener
 
 
 class DrainPlanCall(TypedDict):
-    """An operator's call about a drain plan."""
+    """The body of an operator's call about a drain plan.
+
+    Do: "plan" is a dry run of "start", and "back" cancels a plan and takes its workers into use again.
+    """
 
     Do: Literal["start", "plan", "stop", "back"]
     Name: str
@@ -149,12 +156,12 @@
 
 
 def decode_drain_plan_call(body: bytes) -> Result[StartDrainPlan | EndDrainPlan, Rejection]:
-    """The command of a call about a drain plan."""
+    """Decodes a call about a drain plan."""
     checked = decode_body(body, DrainPlanCall)
     if isinstance(checked, Err):
         return checked
     call: DrainPlanCall = checked.ok_value
-    if not PLAN_NAME.fullmatch(call["Name"]):
+    if not PLAN_NAME_PATTERN.fullmatch(call["Name"]):
         return Err(Rejection(400, "Name: expected letters, digits, . _ -, 64 at most"))
     if call["Do"] in ("stop", "back"):
         return Ok(EndDrainPlan(call["Name"], "stopped" if call["Do"] == "stop" else "back"))
@@ -177,18 +184,19 @@
 
 
 class MembershipCall(TypedDict):
-    """An operator's call about who votes."""
+    """The body of an operator's call that changes the voter set. Old and New are IPv4 addresses."""
 
     Do: Literal["replace", "remove", "add"]
     Old: NotRequired[str]
     New: NotRequired[str]
 
 
+# the address fields that each membership call must have; it must not have the other one
 MEMBERSHIP_CALL_FIELDS = {"replace": ("Old", "New"), "remove": ("Old",), "add": ("New",)}
 
 
 def decode_membership_call(body: bytes) -> Result[ReplaceMember | RemoveMember | AddMember, Rejection]:
-    """The command of a call about who votes."""
+    """Decodes a call that changes the voter set."""
     checked = decode_body(body, MembershipCall)
     if isinstance(checked, Err):
         return checked
@@ -206,7 +214,10 @@
 
 
 def check_membership_addresses(call: MembershipCall) -> Rejection | None:
-    """The first address that is missing, one too many, or none."""
+    """Returns the rejection for the first address field that is missing, unexpected or not an address.
+
+    Returns None if the address fields are valid.
+    """
     expected_fields = MEMBERSHIP_CALL_FIELDS[call["Do"]]
     for name in ("Old", "New"):
         if (name in expected_fields) != (name in call):
@@ -214,24 +225,24 @@
                 ("nothing", "an address") if name in expected_fields else ("an address", "nothing")
             )
             return Rejection(400, f"{name}: expected {expected} to {call['Do']}, found {found}")
-        if name in call and not CONTROLLER_ADDRESS.fullmatch(call[name]):
+        if name in call and not CONTROLLER_ADDRESS_PATTERN.fullmatch(call[name]):
             expected = "an address such as 10.0.0.4"
             return Rejection(400, f"{name}: expected {expected}, found {call[name]!r:.60}")
     return None
 
 
-# --- what the decoders share
+# --- helpers
 
 
-def decode_body(body: bytes, shape: type) -> Result[Any, Rejection]:
-    """The body's known fields, or a rejection that names the first fault."""
+def decode_body(body: bytes, body_type: type) -> Result[Any, Rejection]:
+    """Decodes a JSON body and keeps the declared fields. The rejection names the first invalid field."""
     try:
-        checked = check(json.loads(body), shape)
+        checked = check(json.loads(body), body_type)
     except (ValueError, RecursionError):
         return Err(Rejection(400, "the body is no JSON"))
     return checked.map_err(lambda violation: Rejection(400, str(violation)))
 
 
-def wrong_method(method: str, path: str, allow: str) -> Rejection:
-    """The rejection of a method that the path doesn't take."""
+def method_not_allowed(method: str, path: str, allow: str) -> Rejection:
+    """Returns the rejection of a method that the path does not support. allow: the supported methods."""
     return Rejection(405, f"{method:.20} is not for {path}", allow)
--- a/bramblewood/controller/introspection.py
+++ b/bramblewood/controller/introspection.py
@@ -1,4 +1,8 @@
-"""What operators' tools read of one controller: views in JSON, and metrics. Changes nothing, asks nobody."""
+"""The JSON views and the metrics that operators' tools read from one controller.
+
+They show the state that this controller holds. A request changes nothing and sends nothing to other
+controllers.
+"""
 
 from typing import Any
 
@@ -21,7 +25,12 @@
 
 
 class Introspection:
-    """Views by path. Their JSON keys and the metrics' names are fixed: they keep older words."""
+    """Serves the views, by path, and the metrics.
+
+    The JSON keys of the views and the names of the metrics are fixed, because operators' tools rely on them.
+    They keep older terms: archives are controllers, desks are proxies, the scribe is the coordinator, and
+    holds are leases of keys.
+    """
 
     def __init__(
         self,
@@ -48,7 +57,11 @@
         }
 
     def respond(self, path: str) -> web.Response:
-        """The view or the metrics at this path, by what this controller knows, with quorum contact or not."""
+        """Returns the view or the metrics at this path, 404 if there are none.
+
+        The response does not need quorum contact. Its header `X-Local-View` names this controller and whether
+        it is current.
+        """
         now = self.runtime.now()
         if path in self.views:
             response = web.json_response(self.views[path](now))
@@ -61,6 +74,7 @@
         return response
 
     def _registry_view(self, now: float) -> dict[str, Any]:
+        """Returns all registrations, with the s since the last heartbeat and whether it has timed out."""
         timed_out = self.coordinator_loop.registry_exchange.timed_out_workers(now)
         return {
             instance_id: {
@@ -72,6 +86,7 @@
         }
 
     def _members_view(self, now: float) -> dict[str, Any]:
+        """Returns the voters and other controllers, and whether a voter set change is in flight."""
         changes = self.voter_changes
         view = changes.membership.view(
             self.runtime.own_address,
@@ -82,7 +97,7 @@
         return {**view, "change": "a change is being agreed" if changes.is_changing else ""}
 
     def _drain_plans_view(self, now: float) -> dict[str, Any]:
-        """The plans as they stand, with what keeps each worker."""
+        """Returns the drain plans, and for each of their workers what its next step waits for."""
         table = self.quorum_io.consensus.value(TABLE)
         return {
             name: {
@@ -99,6 +114,7 @@
     def _draining_worker_view(
         self, now: float, table: Any, instance_id: str, step: str, version: int
     ) -> dict[str, Any]:
+        """Returns the step of a worker, the proxies and requests that it waits for, and if it owns keys."""
         progress = self.coordinator_loop.drain_progress
         work = progress.work_in_flight(now, instance_id)
         return {
@@ -109,9 +125,11 @@
         }
 
     def _table_view(self, now: float) -> dict[str, Any]:
+        """Returns the chosen slice table, EMPTY_TABLE if none is chosen yet."""
         return self.quorum_io.consensus.value(TABLE) or EMPTY_TABLE
 
     def _leases_view(self, now: float) -> list[dict[str, Any]]:
+        """Returns the key leases that this controller granted, with the s that remain of each."""
         leases = self.coordinator_loop.key_leases
         return [
             {
@@ -125,6 +143,7 @@
         ]
 
     def _sessions_view(self, now: float) -> dict[str, Any]:
+        """Returns the state of this controller, of its sessions with other controllers, and all proxies."""
         consensus = self.quorum_io.consensus
         return {
             "me": self.runtime.own_address,
@@ -145,10 +164,12 @@
         }
 
     def _configuration_history(self, now: float) -> dict[str, Any]:
+        """Returns the digests of the latest revisions of the configuration, by revision."""
         value = self.quorum_io.consensus.value(CONFIG)
         return value["past"] if value else {}
 
     def _metrics(self, now: float) -> dict[str, float]:
+        """Returns the values of the metrics by name."""
         consensus = self.quorum_io.consensus
         timed_out = self.coordinator_loop.registry_exchange.timed_out_workers(now)
         return {
