--- a/bramblewood/controller/proxy_feed.py
+++ b/bramblewood/controller/proxy_feed.py
@@ -1,4 +1,4 @@
-"""What is chosen reaches the proxies: versions are announced, and pushed to subscribers."""
+"""Sends chosen values to the proxies: announces their versions, and pushes updates to subscribers."""
 
 from collections.abc import Callable
 
@@ -10,12 +10,13 @@
 from .quorum_io import QuorumIO
 from .runtime import Runtime
 
-# s that a table waits for its grants before proxies follow it: a round trip to a worker
+# s from the choice of a table to its announcement, so that the grants for it can reach the workers first;
+# about one round trip to a worker
 ANNOUNCEMENT_DELAY = 0.025
 
 
 class ProxyFeed:
-    """The versions that proxies may follow, and the updates that bring them there."""
+    """Holds the versions that proxies may follow, and sends the updates that lead to these versions."""
 
     def __init__(self, runtime: Runtime, quorum_io: QuorumIO, proxy_sessions: ProxySessions) -> None:
         self.runtime, self.quorum_io, self.proxy_sessions = runtime, quorum_io, proxy_sessions
@@ -24,11 +25,14 @@
         self.on_configuration_announced: Callable[[], None] = lambda: None
 
     def announce_table_soon(self, version: int) -> None:
-        """Announce a new table after its grants have had time to arrive."""
+        """Announces a new table after ANNOUNCEMENT_DELAY, so that the grants for it can arrive first."""
         self.runtime.loop.call_later(ANNOUNCEMENT_DELAY, self.announce, TABLE, version)
 
     def announce(self, register: str, version: int) -> None:
-        """Let proxies follow this version, and push it to the subscribers."""
+        """Allows proxies to follow this version, and pushes it to the subscribers.
+
+        An older or equal version is ignored.
+        """
         if version > self.announced_versions[register]:
             self.announced_versions[register] = version
             for connection in list(self.proxy_sessions.subscribers.values()):
@@ -37,7 +41,7 @@
                 self.on_configuration_announced()
 
     def push(self, connection: PeerConnection, register: str) -> None:
-        """Send a proxy what it lacks of a register, as far as was sent to it before."""
+        """Sends a proxy the changes of a register since the version that was last sent on this connection."""
         if register == TABLE:
             if message := self.proxy_updates.message_since(connection.sent_versions.get(TABLE, 0)):
                 connection.sent_versions[TABLE] = message.version
--- a/bramblewood/controller/proxy_sessions.py
+++ b/bramblewood/controller/proxy_sessions.py
@@ -1,8 +1,9 @@
-"""The proxies connected to this controller, and which of them it pushes all updates to.
+"""The proxies that are connected to this controller, and the subscribers among them.
 
-A proxy subscribes to one controller, of its own zone where there is one: that one pushes all updates at once.
-From the others it gets heartbeats with version numbers, and whatever must not wait for one controller:
-workers that leave.
+A proxy is connected to several controllers and subscribes to one of them, in its own zone if there is one.
+That controller pushes all updates to the proxy at once. The other controllers send the proxy heartbeats with
+version numbers, and the registrations of workers that drain or have gone. These must not depend on a single
+controller.
 """
 
 import json
@@ -13,33 +14,40 @@
 
 
 class ProxySessions:
-    """Connections that proxies dialled, by the proxies' names."""
+    """The connections that proxies have opened, by the name of the proxy."""
 
     def __init__(self) -> None:
         self.connected: dict[str, PeerConnection] = {}
         self.subscribers: dict[str, PeerConnection] = {}
 
     def add(self, connection: PeerConnection) -> None:
-        """A proxy has connected; a newer connection takes the place of an older one."""
+        """Adds the connection of a proxy. It replaces an older connection of the same proxy."""
         self.connected[connection.peer] = connection
 
     def remove(self, connection: PeerConnection) -> None:
-        """A connection has ended, of a proxy or of another controller."""
+        """Removes a connection that has ended.
+
+        The connection of another controller, or one that was replaced by a newer one, is ignored.
+        """
         for connections in (self.connected, self.subscribers):
             if connections.get(connection.peer) is connection:
                 del connections[connection.peer]
 
     def subscribe(self, connection: PeerConnection, versions: Versions) -> None:
-        """Push updates to this proxy from now on; versions: what it has."""
+        """Makes this proxy a subscriber. versions: the versions that it has, by register."""
         self.subscribers[connection.peer], connection.sent_versions = connection, dict(versions)
 
     def unsubscribe(self, connection: PeerConnection) -> None:
-        """Push no more updates to this proxy."""
+        """Stops pushing updates to this proxy."""
         self.subscribers.pop(connection.peer, None)
 
     def send_registrations(self, rows: dict[str, list]) -> None:
-        """Send changed registrations to the subscribers; those of leaving workers to all proxies, as one
-        controller may be lost.
+        """Sends changed registrations to the subscribers.
+
+        Registrations of workers that drain or have gone are sent to all proxies, because the controller that
+        another proxy subscribes to may be lost.
+
+        rows: registrations in their wire form, by instance id.
         """
         message = encode(RegistryUpdate(rows).to_wire())
         for connection in list(self.subscribers.values()):
@@ -53,10 +61,10 @@
 
 
 def leaving_rows(rows: dict[str, list]) -> dict[str, list]:
-    """Of these registrations, in their wire form, those of workers that leave or have gone."""
+    """Returns the rows of workers that drain or have gone. A row is a registration in its wire form."""
     return {instance_id: row for instance_id, row in rows.items() if WorkerRegistration(*row).phase != READY}
 
 
 def encode(message: dict) -> str:
-    """The text of a message that goes to many: encoded once."""
+    """Encodes a message that is sent on several connections, so that it is encoded only once."""
     return json.dumps(message, separators=(",", ":"))
--- a/bramblewood/controller/proxy_updates.py
+++ b/bramblewood/controller/proxy_updates.py
@@ -1,8 +1,6 @@
-"""Updates of the slice table to the proxies: what changed since any recent version. Pure.
+"""Builds the updates of the slice table for proxies, from any recent version to the newest one.
 
-A proxy chooses one controller that pushes all updates to it at once, of its own zone where there is one. From
-the others it gets heartbeats with version numbers, and whatever must not wait for one controller: workers
-that are drained or ejected.
+This module does no input or output. `proxy_sessions.py` describes which proxies an update is pushed to.
 """
 
 from collections import deque
@@ -15,11 +13,14 @@
 from .table_changes import TableValue
 from .value_diff import changed_keys
 
-CHANGES_KEPT = 200  # changes of the table that an update can be made of
+MAX_STEPS = 200  # version steps that are kept; a proxy with an older version gets the whole table
 
 
-class TableStep(NamedTuple):
-    """One step from a version to a later one: the first keys of what changed, by service."""
+class VersionStep(NamedTuple):
+    """A step from one version of the table to a later one.
+
+    changed_starts: the first keys of the slices that changed, by service.
+    """
 
     from_version: int
     to_version: int
@@ -27,50 +28,50 @@
 
 
 class ProxyUpdates:
-    """The newest table that is known here, and its last changes."""
+    """Holds the newest known table, and the latest steps that led to it."""
 
     def __init__(self) -> None:
         self.version = 0
         self.services: dict[str, dict[str, Row]] = {}  # rows by first key, by service
-        # drain steps of workers in a plan; ejected ones as if their drain were in progress
-        self.draining: dict[str, str] = {}
-        self.draining_version = 0  # that changed it last
-        self.changes: deque[TableStep] = deque(maxlen=CHANGES_KEPT)
+        # the steps of draining workers, by instance id; an ejected worker has the step DRAIN_IN_PROGRESS
+        self.drain_steps: dict[str, str] = {}
+        self.drain_steps_version = 0  # the version that last changed `drain_steps`
+        self.changes: deque[VersionStep] = deque(maxlen=MAX_STEPS)
 
     def learn_table(self, value: TableValue) -> None:
-        """Take a newer table; a jump over versions counts as one change."""
+        """Takes over a newer table. A jump over several versions is recorded as one step."""
         changed_starts = {}
-        for service, entries in value["s"].items():
-            known = self.services.get(service, {})
-            if entries is known:
+        for service, rows in value["s"].items():
+            previous = self.services.get(service, {})
+            if rows is previous:
                 continue
-            starts = [start for start in changed_keys(known, entries) if entries[start] != known.get(start)]
+            starts = [start for start in changed_keys(previous, rows) if rows[start] != previous.get(start)]
             if starts:
                 changed_starts[service] = starts
         ejected = dict.fromkeys(ejected_workers(value), DRAIN_IN_PROGRESS)
-        draining = {**ejected, **drain_steps_of(value)}
-        if draining != self.draining:
-            self.draining, self.draining_version = draining, value["n"]
-        self.changes.append(TableStep(self.version, value["n"], changed_starts))
+        drain_steps = {**ejected, **drain_steps_of(value)}
+        if drain_steps != self.drain_steps:
+            self.drain_steps, self.drain_steps_version = drain_steps, value["n"]
+        self.changes.append(VersionStep(self.version, value["n"], changed_starts))
         self.version, self.services = value["n"], value["s"]
 
-    def message_since(self, known: int) -> TableUpdate | None:
-        """The message that brings a proxy from version `known` to the newest; None where it has that.
+    def message_since(self, known_version: int) -> TableUpdate | None:
+        """Returns the update from a version to the newest one, None if that is the version.
 
-        It holds the whole table where the changes since are not all kept here.
+        The update contains the whole table if some of the steps since `known_version` are no longer kept.
         """
-        if known >= self.version:
+        if known_version >= self.version:
             return None
-        steps = [step for step in self.changes if step.to_version > known]
-        if known <= 0 or not steps or steps[0].from_version > known:
-            return TableUpdate(self.version, self.services, leaving=self.draining)
-        starts: dict[str, set[str]] = {}
+        steps = [step for step in self.changes if step.to_version > known_version]
+        if known_version <= 0 or not steps or steps[0].from_version > known_version:
+            return TableUpdate(self.version, self.services, leaving=self.drain_steps)
+        starts_by_service: dict[str, set[str]] = {}
         for step in steps:
             for service, changed in step.changed_starts.items():
-                starts.setdefault(service, set()).update(changed)
+                starts_by_service.setdefault(service, set()).update(changed)
         rows = {
             service: {start: self.services[service][start] for start in changed}
-            for service, changed in starts.items()
+            for service, changed in starts_by_service.items()
         }
-        draining = self.draining if self.draining_version > known else None
-        return TableUpdate(self.version, rows, known, draining)
+        drain_steps = self.drain_steps if self.drain_steps_version > known_version else None
+        return TableUpdate(self.version, rows, known_version, drain_steps)
