--- a/bramblewood/controller/configuration_succession.py
+++ b/bramblewood/controller/configuration_succession.py
@@ -1,13 +1,21 @@
-"""The succession of configurations: what a put configuration makes of the agreed register, and its answer.
-Pure.
+"""Decides whether a configuration that an operator puts succeeds the one in force, and the answer.
 
-Invariant: one configuration follows each version, and an answer other than 503 never changes. Numbers only
-rise, so a configuration that does not follow what stands never will, but for one whose parent may still
-come: it is refused for good only once that refusal is agreed on too.
+This module does no input or output. The controllers agree on its decisions through the register CONFIG.
 
-The register's value: {"n": number, "config": as it was put, "past": {number: digest} of the newest that are
-kept, "forgotten": the highest number that `past` no longer holds, "refused": {digest: the parent that is not
-there yet}}.
+Invariants: each revision has at most one successor. An answer other than 503 to a configuration never
+changes.
+
+Revisions only increase. A configuration whose parent is older than the current revision can therefore never
+come into force. A configuration whose parent is newer than the current revision may still come into force
+later. It is rejected for good only after the rejection is agreed on, too.
+
+The value of the register is a JSON map:
+
+    "n"          the current revision
+    "config"     the current configuration, as it was put
+    "past"       {revision: digest} of the latest revisions, the current one included
+    "forgotten"  the highest revision whose digest was discarded from "past"
+    "refused"    {digest: parent revision} of configurations that were rejected while their parent was unknown
 """
 
 from collections.abc import Callable
@@ -15,76 +23,89 @@
 
 from ..common.configuration import Configuration
 
-# versions whose digests are kept, so that a repeat is known: five times the 730 changes planned for a day, so
-# whoever repeats a call within its day or the four days after hears what became of it
-DIGESTS_KEPT = 3650
-# configurations kept as refused whose parent may still come: eight at once, eight times over
-MAX_REFUSED = 64
+# Revisions whose digests are kept, so that a repeated call gets the same answer. They cover five days at the
+# planned 730 changes a day.
+MAX_DIGESTS = 3650
+# Recorded rejections of configurations with an unknown parent: eight rounds of eight concurrent calls.
+MAX_REJECTED = 64
 
 RegisterValue = dict[str, Any]
 
-
-# statuses of answers, of HTTP
-TAKEN, INVALID, CONFLICT, UNCLEAR = 200, 400, 412, 503
+# HTTP statuses of the answers
+STATUS_ACCEPTED, STATUS_INVALID, STATUS_CONFLICT, STATUS_UNKNOWN = 200, 400, 412, 503
 
 
 class ConfigurationAnswer(NamedTuple):
-    """What the caller is told: its status, and the reason where it is not taken."""
+    """The answer to the operator: an HTTP status, and the reason if the configuration was not accepted."""
 
     status: int
     reason: str = ""
 
 
-ACCEPTED = ConfigurationAnswer(TAKEN)
+ACCEPTED = ConfigurationAnswer(STATUS_ACCEPTED)
+# returns the next value of the register, None to leave it unchanged, and the answer
 Transition = Callable[[Configuration, RegisterValue | None], tuple[RegisterValue | None, tuple[int, str]]]
 
 
 def apply_configuration(
-    configuration: Configuration, current: RegisterValue | None, kept: int = DIGESTS_KEPT
+    configuration: Configuration, current: RegisterValue | None, max_digests: int = MAX_DIGESTS
 ) -> tuple[RegisterValue | None, ConfigurationAnswer]:
-    """The register's next value, None where it stays, and the answer.
+    """Returns the next value of the register, None to leave it unchanged, and the answer.
 
-    200: this very configuration was taken, whatever came after. 412 (another version stands) and 400 (its
-    number does not rise): it never was in force and never will be. 503: unclear, as what would tell is
-    forgotten or not there yet. kept: digests of past versions to keep.
+    Status 200: the configuration is in force, or was in force and has been succeeded. 412: its parent is not
+    the current revision, or it was rejected before. 400: its revision is not above that of its parent. After
+    412 and 400 it never was in force and never will be. 503: the outcome is unknown, because the digest that
+    would show it was discarded, or because the parent is unknown and the rejection cannot be recorded.
+
+    max_digests: the number of past digests to keep.
     """
-    number, past = (current["n"], current["past"]) if current else (0, {})
+    current_revision, past = (current["n"], current["past"]) if current else (0, {})
     if past.get(str(configuration.revision)) == configuration.digest:
         return None, ACCEPTED
     if configuration.revision <= configuration.parent_revision:
         return None, invalid_revision(configuration)
-    if configuration.revision <= highest_forgotten(current):
-        return None, too_old(configuration)
-    refused = current.get("refused", {}) if current else {}
-    if configuration.parent_revision < number or configuration.digest in refused:
-        return None, version_conflict(number)
-    if configuration.parent_revision > number:
-        return refuse_early(configuration, current)
-    return successor(configuration, current, kept), ACCEPTED
+    if configuration.revision <= highest_discarded_revision(current):
+        return None, revision_too_old(configuration)
+    rejected = current.get("refused", {}) if current else {}
+    if configuration.parent_revision < current_revision or configuration.digest in rejected:
+        return None, revision_conflict(current_revision)
+    if configuration.parent_revision > current_revision:
+        return reject_unknown_parent(configuration, current)
+    return next_register_value(configuration, current, max_digests), ACCEPTED
 
 
-def refuse_early(
+def reject_unknown_parent(
     configuration: Configuration, current: RegisterValue | None
 ) -> tuple[RegisterValue | None, ConfigurationAnswer]:
-    """The refusal of a configuration whose parent may still come, written down as far as there is room."""
-    refused = current.get("refused", {}) if current else {}
-    if current is None or len(refused) >= MAX_REFUSED:
+    """Rejects a configuration whose parent may still come into force.
+
+    Returns the next value of the register, which records the rejection, and the answer. The value is None and
+    the status 503 if MAX_REJECTED rejections are recorded already, or if the register is empty.
+    """
+    rejected = current.get("refused", {}) if current else {}
+    if current is None or len(rejected) >= MAX_REJECTED:
         return None, unknown_parent(configuration, current["n"] if current else 0)
-    refused = {**refused, configuration.digest: configuration.parent_revision}
-    return {**current, "refused": refused}, version_conflict(current["n"])
+    rejected = {**rejected, configuration.digest: configuration.parent_revision}
+    return {**current, "refused": rejected}, revision_conflict(current["n"])
 
 
-def successor(configuration: Configuration, current: RegisterValue | None, kept: int) -> RegisterValue:
-    """The register's value once this configuration is taken."""
+def next_register_value(
+    configuration: Configuration, current: RegisterValue | None, max_digests: int
+) -> RegisterValue:
+    """Returns the value of the register with this configuration in force."""
     past = {**(current["past"] if current else {}), str(configuration.revision): configuration.digest}
-    refused = current.get("refused", {}) if current else {}
-    rising = sorted(past, key=int)
+    rejected = current.get("refused", {}) if current else {}
+    revisions = sorted(past, key=int)
     return {
         "n": configuration.revision,
         "config": configuration.raw,
-        "past": {number: past[number] for number in rising[-kept:]},
-        "forgotten": int(rising[-kept - 1]) if len(rising) > kept else highest_forgotten(current),
-        "refused": {digest: parent for digest, parent in refused.items() if parent >= configuration.revision},
+        "past": {revision: past[revision] for revision in revisions[-max_digests:]},
+        "forgotten": int(revisions[-max_digests - 1])
+        if len(revisions) > max_digests
+        else highest_discarded_revision(current),
+        "refused": {
+            digest: parent for digest, parent in rejected.items() if parent >= configuration.revision
+        },
     }
 
 
@@ -93,47 +114,50 @@
     current: RegisterValue | None,
     transition: Transition = apply_configuration,
 ) -> tuple[int, str] | None:
-    """The answer that a version known to be chosen settles for good, whatever came after it; None where it
-    takes an agreement to tell: the configuration follows that version, or one that is not known here.
+    """Returns the answer that can be given without a proposal, None if there is none.
+
+    current: a chosen value of the register, which later values may have replaced. It determines the answer
+    unless the configuration would change it, or names a parent that is newer than its revision.
     """
     if current is None:
         return None
-    following, answer = transition(configuration, current)
-    return answer if following is None and configuration.parent_revision <= current["n"] else None
+    next_value, answer = transition(configuration, current)
+    return answer if next_value is None and configuration.parent_revision <= current["n"] else None
 
 
-def highest_forgotten(current: RegisterValue | None) -> int:
-    """The highest number whose digest is no longer kept; 0 where all are.
+def highest_discarded_revision(current: RegisterValue | None) -> int:
+    """Returns the highest revision whose digest was discarded, 0 if none was.
 
-    Values that older programs left on a disk don't say it: there, all below the oldest kept.
+    Values that were stored by older releases lack this field. There, every revision below the oldest kept one
+    counts as discarded.
     """
     if current is None:
         return 0
-    oldest = min(map(int, current["past"]), default=current["n"] + 1)
-    return current.get("forgotten", oldest - 1)
+    oldest_kept = min(map(int, current["past"]), default=current["n"] + 1)
+    return current.get("forgotten", oldest_kept - 1)
 
 
-# --- answers to what is not taken
+# --- answers to configurations that are not accepted
 
 
 def invalid_revision(configuration: Configuration) -> ConfigurationAnswer:
-    """Its number does not rise above its parent's."""
+    """Returns the answer to a configuration whose revision is not above that of its parent."""
     reason = f"Revision: expected above r{configuration.parent_revision}, found r{configuration.revision}"
-    return ConfigurationAnswer(INVALID, reason)
+    return ConfigurationAnswer(STATUS_INVALID, reason)
 
 
-def too_old(configuration: Configuration) -> ConfigurationAnswer:
-    """Its digest may have been kept once."""
+def revision_too_old(configuration: Configuration) -> ConfigurationAnswer:
+    """Returns the answer to a configuration whose revision is too old for its digest to be kept."""
     reason = f"r{configuration.revision} is too long ago: whether it was taken is no longer known"
-    return ConfigurationAnswer(UNCLEAR, reason)
+    return ConfigurationAnswer(STATUS_UNKNOWN, reason)
 
 
-def version_conflict(number: int) -> ConfigurationAnswer:
-    """It does not follow the version that stands."""
-    return ConfigurationAnswer(CONFLICT, f"r{number} is current")
+def revision_conflict(current_revision: int) -> ConfigurationAnswer:
+    """Returns the answer to a configuration whose parent is not the current revision."""
+    return ConfigurationAnswer(STATUS_CONFLICT, f"r{current_revision} is current")
 
 
-def unknown_parent(configuration: Configuration, number: int) -> ConfigurationAnswer:
-    """Its parent may still come, and there is no room to note a refusal."""
-    reason = f"r{configuration.parent_revision} is not known, r{number} is current"
-    return ConfigurationAnswer(UNCLEAR, reason)
+def unknown_parent(configuration: Configuration, current_revision: int) -> ConfigurationAnswer:
+    """Returns the answer to a configuration with an unknown parent whose rejection cannot be recorded."""
+    reason = f"r{configuration.parent_revision} is not known, r{current_revision} is current"
+    return ConfigurationAnswer(STATUS_UNKNOWN, reason)
--- a/features/steps/configuration_changes.py
+++ b/features/steps/configuration_changes.py
@@ -124,7 +124,7 @@
 
 @then("where {kept:d} digests are kept, repeats of what is older have no clear answer and none is refused")
 def few_digests_kept(context, kept):
-    play = long_day(2, 5, context.changes, partial(apply_configuration, kept=kept))
+    play = long_day(2, 5, context.changes, partial(apply_configuration, max_digests=kept))
     assert len(play.acknowledged) == context.changes + 1 and not play.rejected
     assert {order.status for order in play.orders} == {200, 0}
 
--- a/tests/simulation/configuration_change_guards.py
+++ b/tests/simulation/configuration_change_guards.py
@@ -68,7 +68,7 @@
             super().start_round(now, proposal_round, effects)
 
 
-short_memory = partial(apply_configuration, kept=6)  # storms forget what hundreds of changes would
+short_memory = partial(apply_configuration, max_digests=6)  # storms forget what hundreds of changes would
 
 
 def refuses_what_was_forgotten(requested: Configuration, current: dict | None) -> tuple:
