--- a/tests/simulation/malformed_messages.py
+++ b/tests/simulation/malformed_messages.py
@@ -1,4 +1,4 @@
-"""Messages between peers with keys missing, of other types and sizes, of unknown kinds."""
+"""Malformed messages between peers, made from valid ones by removing a key or replacing its value."""
 
 import copy
 import json
@@ -11,8 +11,8 @@
 from bramblewood.controller.consensus.messages import CONSENSUS_MESSAGE_KINDS, decode
 from bramblewood.controller.register_values import require_values
 
-# in place of a field's value; lone numbers of either sign are of the right type for some fields
-OTHER_VALUES: tuple[Any, ...] = (
+# Replace the value of a field. Some of them are valid for some fields, for example the numbers.
+REPLACEMENT_VALUES: tuple[Any, ...] = (
     None,
     True,
     "x",
@@ -33,7 +33,7 @@
     {"a": {"b": []}},
     {"config": [1, 2, 3, 4]},
 )
-READERS = {
+DECODERS = {
     kinds.HELLO: messages.Hello.from_wire,
     kinds.REGISTRY_UPDATE: messages.RegistryUpdate.from_wire,
     kinds.REGISTRY_ACKNOWLEDGEMENT: messages.RegistryAcknowledgement.from_wire,
@@ -49,35 +49,40 @@
 }
 
 
-def read(wire: dict) -> Any:
-    """The message of a wire form; a heartbeat is a controller's where it says what it accepted."""
+def decode_message(wire: dict) -> Any:
+    """Decodes a message of any kind. Raises PeerMessageError if it is malformed.
+
+    Controllers and proxies share the kind of heartbeats. Only a controller's heartbeat has the key "acc".
+    """
     kind = wire["k"]
     if kind in CONSENSUS_MESSAGE_KINDS:
         require_values(wire)
         return decode(wire)
     if kind == kinds.HEARTBEAT:
         return (messages.ControllerHeartbeat if "acc" in wire else messages.ProxyHeartbeat).from_wire(wire)
-    return READERS[kind](wire)
+    return DECODERS[kind](wire)
 
 
 def mutations(wire: dict) -> Iterator[dict]:
-    """Each key left out, and each value replaced by others."""
+    """Yields copies of a message, each with one key removed or with one value replaced."""
     for key in wire.keys() - {"k"}:
         yield {name: value for name, value in wire.items() if name != key}
-        for value in OTHER_VALUES:
+        for value in REPLACEMENT_VALUES:
             yield {**wire, key: copy.deepcopy(value)}
 
 
 def is_malformed(wire: dict) -> bool:
-    """Whether a message can't be read. Fails where it ends in any other error than PeerMessageError."""
+    """Whether decoding raises PeerMessageError. Any other error propagates."""
     try:
-        read(wire)
+        decode_message(wire)
     except PeerMessageError:
         return True
     return False
 
 
 def malformed_texts(wire_forms: list[dict]) -> list[str]:
-    """The texts of all mutations that can't be read."""
-    found = [json.dumps(one) for wire in wire_forms for one in mutations(wire) if is_malformed(one)]
-    return list(dict.fromkeys(found))
+    """Returns the JSON texts of all malformed mutations of these messages, without duplicates."""
+    texts = [
+        json.dumps(mutation) for wire in wire_forms for mutation in mutations(wire) if is_malformed(mutation)
+    ]
+    return list(dict.fromkeys(texts))
--- a/tests/test_malformed_messages.py
+++ b/tests/test_malformed_messages.py
@@ -1,4 +1,4 @@
-"""What can't be decoded ends one connection, which is dialled again, and nothing else."""
+"""Malformed messages: they raise PeerMessageError, which closes only the connection that they came on."""
 
 import asyncio
 import json
@@ -15,7 +15,13 @@
 from bramblewood.controller.consensus.messages import CONSENSUS_MESSAGE_KINDS
 from bramblewood.proxy.load_balancing import LoadBalancer
 from bramblewood.proxy.load_report import take_report
-from tests.simulation.malformed_messages import READERS, is_malformed, malformed_texts, mutations, read
+from tests.simulation.malformed_messages import (
+    DECODERS,
+    decode_message,
+    is_malformed,
+    malformed_texts,
+    mutations,
+)
 from tests.simulation.membership_commands import INNER, ControllerFleet
 from tests.test_consensus_messages import WIRE_FORMS as CONSENSUS_TEXTS
 from tests.test_messages import WIRE_FORMS
@@ -25,7 +31,7 @@
 CONSENSUS_FORMS = [json.loads(text) for text in CONSENSUS_TEXTS]
 ALL_FORMS = [*COMMON_FORMS, *CONSENSUS_FORMS]
 ROW = ["register", "10.0.0.9:80", "here", 4, "ready", 7, 0.0, "v1"]
-# sound by themselves, and still no message that can be handled
+# texts that are no JSON, no message, or a well-formed message with invalid content
 UNUSABLE_TEXTS = [
     "{no JSON",
     "[]",
@@ -41,24 +47,24 @@
 ]
 
 
-def test_every_kind_is_played() -> None:
-    played = {wire["k"] for wire in ALL_FORMS}
-    assert played == {*READERS, kinds.HEARTBEAT, *CONSENSUS_MESSAGE_KINDS}
+def test_wire_forms_cover_every_message_kind() -> None:
+    covered_kinds = {wire["k"] for wire in ALL_FORMS}
+    assert covered_kinds == {*DECODERS, kinds.HEARTBEAT, *CONSENSUS_MESSAGE_KINDS}
 
 
 @pytest.mark.parametrize("wire", ALL_FORMS, ids=lambda wire: wire["k"])
-def test_a_mutation_is_read_or_a_typed_error(wire: dict) -> None:
-    outcomes = [is_malformed(one) for one in mutations(wire)]  # any other error fails here
+def test_mutated_message_is_decoded_or_raises_peer_message_error(wire: dict) -> None:
+    outcomes = [is_malformed(mutation) for mutation in mutations(wire)]  # any other error fails here
     assert any(outcomes)
 
 
 @pytest.mark.parametrize("wire", ALL_FORMS, ids=lambda wire: wire["k"])
-def test_what_a_later_release_adds_is_passed_over(wire: dict) -> None:
-    assert read({**wire, "later": {"x": [1]}}) == read(wire)
+def test_unknown_key_of_later_release_is_ignored(wire: dict) -> None:
+    assert decode_message({**wire, "later": {"x": [1]}}) == decode_message(wire)
 
 
-def test_what_a_proxy_reports_of_its_workers_is_read() -> None:
-    """Reports as proxies make them, with and without a stated load, failures, hot keys and a drain plan."""
+def test_load_report_of_proxy_is_decoded_without_loss() -> None:
+    """Covers workers with and without a reported load, failures, hot keys and a drain plan."""
     balancer = LoadBalancer(2.5)
     balancer.slices.drain_steps = {"w1": "told", "w3": "closing"}
     for number, load in enumerate(("", "1,0,4", "7,12,4", "9" * 30 + ",1,1", "none")):
@@ -76,17 +82,17 @@
     report = json.loads(json.dumps(take_report(balancer, 0.5, 2.5).to_wire()))
     assert report["met"]["w2"][3] == [7, 12, 4] and report["met"]["w0"][3] is report["met"]["w3"][3] is None
     assert report["left"] and report["heat"] and report["keys"]
-    assert json.loads(json.dumps(read(report).to_wire())) == report
+    assert json.loads(json.dumps(decode_message(report).to_wire())) == report
 
 
-def test_an_error_names_the_key_and_what_was_found() -> None:
+def test_error_names_the_key_and_the_value() -> None:
     with pytest.raises(PeerMessageError, match="key have: expected versions, found 'x'"):
-        read({"k": kinds.SUBSCRIPTION, "on": True, "have": {"table": "x"}})
+        decode_message({"k": kinds.SUBSCRIPTION, "on": True, "have": {"table": "x"}})
     with pytest.raises(PeerMessageError, match="no key r"):
-        read({"k": kinds.UPDATE_REQUEST, "have": 0})
+        decode_message({"k": kinds.UPDATE_REQUEST, "have": 0})
 
 
-def test_one_bad_registration_of_many_changes_nothing() -> None:
+def test_update_with_one_malformed_registration_changes_nothing() -> None:
     registry = WorkerRegistry()
     with pytest.raises(PeerMessageError):
         registry.record_all(1.0, {"good": ROW, "bad": ROW[:3]})
@@ -94,11 +100,11 @@
     assert WorkerRegistration.from_row(ROW[:6]).revision == ""
 
 
-# --- a peer that is dialled
+# --- connections to a peer that sends malformed messages
 
 
-def test_a_peer_that_sends_what_cannot_be_decoded_is_dialled_again() -> None:
-    async def play() -> None:
+def test_peer_that_sends_malformed_messages_is_dialled_again_with_backoff() -> None:
+    async def run() -> None:
         acceptor, errors = Acceptor(), []
         async with asyncio.timeout(5), listening(acceptor) as port:
 
@@ -108,53 +114,55 @@
             connections = PeerConnections(lambda peer: {"k": "hello"}, handle, lambda *_: None, None)
             connections.on_malformed = errors.append
             connections.maintain(HOST, port)
-            began, times = asyncio.get_running_loop().time(), []
+            started_at, connected_after = asyncio.get_running_loop().time(), []
             for text in ('{"k":"pulse"}', "[]", "{no JSON", '{"k":"roll"}'):
                 connection, _ = await acceptor.first_messages.get()
-                times.append(asyncio.get_running_loop().time() - began)
+                connected_after.append(asyncio.get_running_loop().time() - started_at)
                 connection.send(text)
             await acceptor.first_messages.get()
             assert not connections.tasks[HOST].done()
             await connections.close()
         assert [error.peer for error in errors] == [HOST] * 4
         assert errors[0].step == "receive" and str(errors[0]) == "pulse: KeyError('missing')"
-        waits = [later - earlier for earlier, later in zip(times, times[1:], strict=False)]
-        assert waits[0] < waits[1] < waits[2] < MAX_DELAY_AFTER_MALFORMED  # the pause grows
+        delays = [
+            later - earlier for earlier, later in zip(connected_after, connected_after[1:], strict=False)
+        ]
+        assert delays[0] < delays[1] < delays[2] < MAX_DELAY_AFTER_MALFORMED
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-# --- running controllers
+# --- controller processes
 
 
 @pytest.fixture
 def fleet() -> Iterator[ControllerFleet]:
-    made = ControllerFleet()
-    made.write_settings(3, 3)
+    fleet = ControllerFleet()
+    fleet.write_settings(3, 3)
     for number in range(1, 4):
-        made.start(number)
-    made.put_configuration()
-    made.wait_until_settled()
-    yield made
-    made.close()
+        fleet.start(number)
+    fleet.put_configuration()
+    fleet.wait_until_settled()
+    yield fleet
+    fleet.close()
 
 
-async def send_each(url: str, hello: dict, texts: list[str], answers: list[bool]) -> None:
-    """Each text on a connection of its own; answers: whether the controller closed it."""
+async def send_each(url: str, hello: dict, texts: list[str], closed: list[bool]) -> None:
+    """Sends each text on its own connection, and appends to `closed` whether the controller closed it."""
     async with aiohttp.ClientSession() as session:
         for text in texts:
             async with session.ws_connect(url) as websocket:
                 await websocket.send_str(json.dumps(hello))
                 await websocket.send_str(text)
-                answers.append(await is_closed(websocket))
+                closed.append(await is_closed(websocket))
 
 
 async def is_closed(websocket: aiohttp.ClientWebSocketResponse) -> bool:
-    """Whether the peer ends this connection; what it sends on it is passed over."""
-    ended = (web.WSMsgType.CLOSE, web.WSMsgType.CLOSED, web.WSMsgType.CLOSING, web.WSMsgType.ERROR)
+    """Whether the peer closes this connection within 1 s. Its messages until then are ignored."""
+    closing_types = (web.WSMsgType.CLOSE, web.WSMsgType.CLOSED, web.WSMsgType.CLOSING, web.WSMsgType.ERROR)
     try:
         async with asyncio.timeout(1.0):
-            while (await websocket.receive()).type not in ended:
+            while (await websocket.receive()).type not in closing_types:
                 pass
     except TimeoutError:
         return False
@@ -162,25 +170,27 @@
 
 
 @pytest.mark.parametrize("role", ["archive", "desk"])
-def test_running_controllers_take_no_harm(role: str, fleet: ControllerFleet) -> None:
+def test_controllers_close_connections_with_malformed_messages_and_keep_running(
+    role: str, fleet: ControllerFleet
+) -> None:
     hello = {"k": kinds.HELLO, "role": role, "from": fleet.address_of(2), "rows": {}}
-    for_controllers = [wire for wire in COMMON_FORMS if wire["k"] in controller_kinds(role)]
-    forms = [*for_controllers, *(CONSENSUS_FORMS if role == "archive" else [])]
+    common_forms = [wire for wire in COMMON_FORMS if wire["k"] in controller_kinds(role)]
+    forms = [*common_forms, *(CONSENSUS_FORMS if role == "archive" else [])]
     texts, closed = [*malformed_texts(forms), *UNUSABLE_TEXTS], []
     url = f"http://{fleet.address_of(1)}:{INNER}/link"
     fleet.loop.run_until_complete(send_each(url, hello, texts, closed))
-    kept = [text[:200] for text, was_closed in zip(texts, closed, strict=True) if not was_closed]
-    assert len(texts) > 100 and not kept
+    left_open = [text[:200] for text, was_closed in zip(texts, closed, strict=True) if not was_closed]
+    assert len(texts) > 100 and not left_open
     assert all(process.returncode is None for process in fleet.running.values())
     fleet.wait_until_settled()
     fleet.put_configuration()
     fleet.wait_until_read_back()
-    lines = fleet.log_events(1, "message malformed")
-    assert lines and all(line["step"] == "receive" and line["peer"] for line in lines)
+    events = fleet.log_events(1, "message malformed")
+    assert events and all(event["step"] == "receive" and event["peer"] for event in events)
 
 
 def controller_kinds(role: str) -> set[str]:
-    """The kinds that a controller handles, of a controller or of a proxy."""
+    """Returns the kinds, except those of consensus, that a controller handles from this role."""
     if role == "archive":
         return {kinds.HEARTBEAT, kinds.REGISTRY_UPDATE, kinds.REGISTRY_ACKNOWLEDGEMENT}
     return {
