--- a/tests/simulation/configuration_changes.py
+++ b/tests/simulation/configuration_changes.py
@@ -290,7 +290,9 @@
             revision = outcome[0]["n"] if outcome[0] else 0
             revisions.append(revision)
             if revision < oldest_allowed:
-                raise RuleViolation(f"a read returned r{revision} after r{oldest_allowed} was acknowledged")
+                raise RuleViolation(
+                    f"{name} reads r{revision} at {self.now:.3f} s, after r{oldest_allowed} was acknowledged"
+                )
 
         if replica:
             change = lambda current: (None, [current])  # noqa: E731
@@ -315,13 +317,13 @@
         if digest in self.rejected and (
             digest in self.acknowledged or self.chosen_digests.get(requested.revision) == digest
         ):
-            raise RuleViolation(f"{digest} was rejected, and was accepted")
+            raise RuleViolation(f"{digest} was rejected, and was accepted as r{requested.revision}")
 
     def check_in_force(self, revision: int, digest: str) -> None:
         if self.chosen_digests.setdefault(revision, digest) != digest:
             raise RuleViolation(f"r{revision} is both {digest} and {self.chosen_digests[revision]}")
         if digest in self.rejected:
-            raise RuleViolation(f"{digest} was rejected, and is in force")
+            raise RuleViolation(f"{digest} was rejected, and is in force as r{revision}")
 
     def check_invariants(self, name: str, replica: ConsensusReplica) -> None:
         """Checks the configurations that a replica has learned against the answers so far."""
@@ -335,7 +337,7 @@
             if value.get("forgotten", 0) < requested.revision <= value["n"]:
                 if past.get(str(requested.revision)) != digest:
                     raise RuleViolation(
-                        f"{digest} was acknowledged as r{requested.revision}, and is not in force"
+                        f"{digest} was acknowledged as r{requested.revision}, and is not in force at {name}"
                     )
 
     def newest_revision(self) -> int:
