--- a/bramblewood/controller/command_decoding.py
+++ b/bramblewood/controller/command_decoding.py
@@ -35,7 +35,7 @@
 INSTANCE_ID_PATTERN = re.compile(r"[\w.~-]{1,128}")
 PLAN_NAME_PATTERN = re.compile(r"[\w.-]{1,64}")
 CONTROLLER_ADDRESS_PATTERN = re.compile(r"\d{1,3}(\.\d{1,3}){3}")  # IPv4, as in the setting `Ip`
-CALL_SEQUENCE_LIMIT = 2**53  # exclusive; smaller integers are exact in every JSON implementation
+CALL_SEQUENCE_LIMIT = 2**53  # exclusive; integers below it are exact in JSON
 SLOTS_LIMIT = 2**20  # exclusive
 
 
@@ -43,7 +43,7 @@
 
 
 class WorkerProperties(TypedDict):
-    """The properties of a worker that do not change while it runs."""
+    """The service of a worker (Target), its zone, its software revision and its number of slots."""
 
     Target: str
     Zone: NotRequired[str]
@@ -191,7 +191,7 @@
     New: NotRequired[str]
 
 
-# the address fields that each membership call must have; it must not have the other one
+# The address fields that each membership call requires. The other field must be absent.
 MEMBERSHIP_CALL_FIELDS = {"replace": ("Old", "New"), "remove": ("Old",), "add": ("New",)}
 
 
--- a/bramblewood/controller/http_responses.py
+++ b/bramblewood/controller/http_responses.py
@@ -8,6 +8,6 @@
 
 
 def make_response(status: int, reason: str = "", headers: dict | None = None) -> web.Response:
-    """Returns a response whose JSON body has the reason under `Failure`, or is empty without a reason."""
+    """Returns a JSON response: the reason under `Failure`, or an empty object without a reason."""
     body = {"Failure": reason} if reason else {}
     return web.json_response(body, status=status, headers=headers)
--- a/bramblewood/controller/introspection.py
+++ b/bramblewood/controller/introspection.py
@@ -114,7 +114,7 @@
     def _draining_worker_view(
         self, now: float, table: Any, instance_id: str, step: str, version: int
     ) -> dict[str, Any]:
-        """Returns the step of a worker, the proxies and requests that it waits for, and if it owns keys."""
+        """Returns the step of a worker, what the step waits for, and whether the worker owns keys."""
         progress = self.coordinator_loop.drain_progress
         work = progress.work_in_flight(now, instance_id)
         return {
--- a/bramblewood/controller/operator_api.py
+++ b/bramblewood/controller/operator_api.py
@@ -41,8 +41,8 @@
     async def put_configuration(self, call: PutConfiguration) -> web.Response:
         """Puts a configuration in force, and responds with the outcome.
 
-        The response to a repeated call is the outcome of the first one. It needs no proposal where the
-        configuration register as known here settles it; see `final_answer`.
+        A repeated call gets the same answer as the first one, if that was definite. No proposal is needed if
+        the chosen value that this controller holds determines the answer; see `final_answer`.
         """
         configuration, answer = call.configuration, None
         if self.quorum_contact.has_quorum_contact(self.runtime.now()):
--- a/bramblewood/controller/proxy_feed.py
+++ b/bramblewood/controller/proxy_feed.py
@@ -41,7 +41,10 @@
                 self.on_configuration_announced()
 
     def push(self, connection: PeerConnection, register: str) -> None:
-        """Sends a proxy the changes of a register since the version that was last sent on this connection."""
+        """Sends a proxy the newest value of a register, unless it was sent on this connection before.
+
+        An update of the table contains only what changed since the version sent last, if that is known.
+        """
         if register == TABLE:
             if message := self.proxy_updates.message_since(connection.sent_versions.get(TABLE, 0)):
                 connection.sent_versions[TABLE] = message.version
--- a/bramblewood/controller/proxy_heartbeats.py
+++ b/bramblewood/controller/proxy_heartbeats.py
@@ -41,10 +41,8 @@
         self.registry_exchange, self.announced_versions = registry_exchange, announced_versions
         self.was_current = False  # whether the last heartbeat reported this controller as current
         self.next_heartbeat_at = 0.0
-        self.details_text, self.details_version = (
-            "",
-            0,
-        )  # the encoded details, and how often they have changed
+        # the encoded details, and how often they have changed
+        self.details_text, self.details_version = "", 0
 
     def send_due(self, now: float) -> None:
         """Sends heartbeats if they are due, or if this controller became current or ceased to be."""
--- a/bramblewood/controller/proxy_updates.py
+++ b/bramblewood/controller/proxy_updates.py
@@ -56,7 +56,7 @@
         self.version, self.services = value["n"], value["s"]
 
     def message_since(self, known_version: int) -> TableUpdate | None:
-        """Returns the update from a version to the newest one, None if that is the version.
+        """Returns the update from a version to the newest one, None if it is the newest one.
 
         The update contains the whole table if some of the steps since `known_version` are no longer kept.
         """
--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -210,7 +210,7 @@
             while self.damage.reason is None and not self.voter_changes.may_shut_down(runtime.now()):
                 self.tick(runtime.now())
                 await self._wait_for_next_tick()
-            # `may_shut_down` has checked that the others hold what this vote protects, or the time is up.
+            # The vote is no longer needed, its retention time has passed, or the disk is damaged.
             self.quorum_io.consensus.stop_voting()
             runtime.log.info("stopped", step="end")
         return 0 if self.damage.reason is None else await self.damage.finish()
--- a/bramblewood/controller/worker_api.py
+++ b/bramblewood/controller/worker_api.py
@@ -50,7 +50,7 @@
         return web.json_response({}) if has_contact else make_response(503, NO_QUORUM)
 
     async def deregister(self, call: DeregisterWorker) -> web.Response:
-        """Records that a worker is gone, and responds once that is confirmed or has timed out."""
+        """Records that a worker is gone, and responds once a majority holds that or the wait times out."""
         previous = self.registry_exchange.registry.registrations.get(call.instance_id) or UNKNOWN_WORKER
         registration = previous._replace(phase=GONE, call_sequence=previous.call_sequence + 1)
         return await self._deregister(call.instance_id, registration)
