--- a/tests/simulation/configuration_change_guards.py
+++ b/tests/simulation/configuration_change_guards.py
@@ -1,6 +1,6 @@
 """Replicas and decisions on configurations, each with one guard removed.
 
-The simulations of `configuration_changes.py` must find a violation with them.
+The feature `configuration_changes.feature` checks that the simulations notice the missing guard.
 """
 
 from functools import partial
--- a/tests/simulation/configuration_changes.py
+++ b/tests/simulation/configuration_changes.py
@@ -23,14 +23,8 @@
 
 PROPOSAL_TIMEOUT, TICK_INTERVAL = 0.85, 0.1  # s; as in the controller
 CALLER_TIMEOUT = 1.0  # s after which an operator calls another controller; PROTOCOL, "The operator"
-RETRY_DELAYS = (
-    0.05,
-    0.1,
-    0.2,
-    0.4,
-    0.8,
-    1.6,
-)  # s; the documentation only requires that they grow
+# s; the documentation only requires that they grow
+RETRY_DELAYS = (0.05, 0.1, 0.2, 0.4, 0.8, 1.6)
 MAX_CONCURRENT_REQUESTS = 8
 SYNC_DURATION = (0.001, 0.008)  # s, shortest and longest time until a write is durable
 
@@ -56,13 +50,12 @@
     slow: float = 0.0  # s, one-way delay of one link between two voters; 0 for no such link
     distant_delay: float = 0.0  # s, one-way delay of all links of the last controller; 0 for the usual delays
     lost: float = 0.0
+    # in either case a second copy arrives up to 1 s later, possibly after newer messages
     duplicated: float = 0.0
-    late_copies: float = 0.0  # a second copy arrives up to 1 s later, after newer messages
+    late_copies: float = 0.0
     answers_lost: float = 0.0
-    not_receiving: bool = False  # one voter receives nothing from the others, but they receive its messages
-    not_sending: bool = (
-        False  # no other controller receives the messages of one voter, but it receives theirs
-    )
+    not_receiving: bool = False  # one voter receives no messages, but the others receive its messages
+    not_sending: bool = False  # one voter's messages are all lost, but it receives those of the others
     mean_stop_interval: float = 0.0  # s between stops of a controller; 0 for no stops
 
 
