--- a/bramblewood/controller/proxy_heartbeats.py
+++ b/bramblewood/controller/proxy_heartbeats.py
@@ -7,7 +7,7 @@
 from ..common.messages import ProxyHeartbeat, Versions
 from .controller_peers import ControllerPeers
 from .placement import PlacementPlanner
-from .proxy_sessions import ProxySessions, encode
+from .proxy_sessions import ProxySessions, encode_message
 from .quorum_contact import QuorumContact
 from .registry_exchange import RegistryExchange
 from .runtime import Runtime
@@ -63,8 +63,8 @@
             live_digest=self.registry_exchange.registry.live_digest(),
             silent_workers=sorted(timed_out) or None,
         )
-        short_text = encode(heartbeat.to_wire())
-        full_text = encode(self._with_details(heartbeat).to_wire())
+        short_text = encode_message(heartbeat.to_wire())
+        full_text = encode_message(self._with_details(heartbeat).to_wire())
         details_text = full_text[len(short_text) :]
         if details_text != self.details_text:
             self.details_text, self.details_version = details_text, self.details_version + 1
--- a/bramblewood/controller/proxy_sessions.py
+++ b/bramblewood/controller/proxy_sessions.py
@@ -49,12 +49,12 @@
 
         rows: registrations in their wire form, by instance id.
         """
-        message = encode(RegistryUpdate(rows).to_wire())
+        message = encode_message(RegistryUpdate(rows).to_wire())
         for connection in list(self.subscribers.values()):
             connection.send(message)
         leaving = leaving_rows(rows)
         if leaving:
-            message = encode(RegistryUpdate(leaving).to_wire())
+            message = encode_message(RegistryUpdate(leaving).to_wire())
             for proxy, connection in list(self.connected.items()):
                 if proxy not in self.subscribers:
                     connection.send(message)
@@ -65,6 +65,6 @@
     return {instance_id: row for instance_id, row in rows.items() if WorkerRegistration(*row).phase != READY}
 
 
-def encode(message: dict) -> str:
+def encode_message(message: dict) -> str:
     """Encodes a message that is sent on several connections, so that it is encoded only once."""
     return json.dumps(message, separators=(",", ":"))
--- a/tests/simulation/configuration_changes.py
+++ b/tests/simulation/configuration_changes.py
@@ -196,9 +196,8 @@
         if name in self.not_sending or peer in self.not_receiving or rng.random() < site.lost:
             return
         arrival = self.now + self.link_delays[min(name, peer), max(name, peer)] * (1 + 0.2 * rng.random())
-        arrival = self.last_arrival[name, peer] = max(
-            arrival, self.last_arrival.get((name, peer), 0.0)
-        )  # a link keeps the order of its messages
+        # A link keeps the order of its messages.
+        arrival = self.last_arrival[name, peer] = max(arrival, self.last_arrival.get((name, peer), 0.0))
         self.call_later(arrival - self.now, self.deliver, name, peer, message)
         if rng.random() < site.duplicated or rng.random() < site.late_copies:
             self.call_later(arrival - self.now + rng.random(), self.deliver, name, peer, message)
@@ -233,10 +232,8 @@
 
     def deliver_call(self, request: ConfigurationRequest, call_number: int, name: str) -> None:
         replica = self.replicas.get(name)
-        if replica is None:
-            return self.call_later(
-                self.operator_delay(), self.handle_status, request, call_number, 503
-            )  # a stopped controller refuses the connection
+        if replica is None:  # a stopped controller refuses the connection
+            return self.call_later(self.operator_delay(), self.handle_status, request, call_number, 503)
 
         def on_outcome(outcome: tuple[int, str] | None) -> None:
             record_event("answer", self.now, name, request.requested.revision, outcome)
@@ -441,9 +438,8 @@
     simulation = start_simulation(seed, Site(voters, delays=(0.0005, 0.005), distant_delay=0.1), make_replica)
     for revision in range(2, 22):
         request = simulation.put(configuration(revision, revision - 1, f"m{revision}"), simulation.names[0])
-        pause_end = (
-            simulation.now + 0.3 * simulation.rng.random()
-        )  # rounds of the distant reader succeed here
+        # In the pause after the answer, rounds of the distant reader succeed.
+        pause_end = simulation.now + 0.3 * simulation.rng.random()
         while not request.status or simulation.now < pause_end:
             simulation.read(simulation.names[-1])
             simulation.run(simulation.now + 0.03 * simulation.rng.random())
