--- a/bramblewood/proxy/__init__.py
+++ b/bramblewood/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy (data plane): an edge machine that takes clients' requests and forwards them to workers."""
+"""The proxy (data plane) runs on an edge machine. It accepts client requests and forwards them to workers."""
--- a/bramblewood/proxy/request_handler.py
+++ b/bramblewood/proxy/request_handler.py
@@ -1,4 +1,4 @@
-"""One request's life at the proxy: checked, routed, read, attempted at workers, answered."""
+"""Handles one client request: it is validated, routed, read, attempted at workers and answered."""
 
 import asyncio
 import os
@@ -24,29 +24,32 @@
 from .request_attempts import FinalReply, RequestAttempts, WaitUntil
 from .retry_budget import RetryBudget
 
-# s that a request waits for the first configuration: a restart of all machines is over soon
+# s that a request waits for the first configuration, which arrives soon when all machines restart
 CONFIGURATION_WAIT = 0.25
-BODY_MEMORY_FRACTION = 0.25  # of the process's memory that clients' bodies may take
-BODY_READ_BYTES = 2**16  # read from a body at once
-DEFAULT_DEADLINE = 60.0  # s, where a client names none
-RETRY_AFTER = 0.5  # s, of answers given before a request is attempted
+BODY_MEMORY_FRACTION = 0.25  # of the process's memory limit that request bodies may use
+BODY_READ_BYTES = 2**16  # bytes read from a body at a time
+DEFAULT_DEADLINE = 60.0  # s, for a request without `X-Deadline-Ms`
+RETRY_AFTER = 0.5  # s, for requests that are rejected before any attempt
 
 
 class RequestRejected(BramblewoodError):
-    """A request is answered before it is attempted; `response` is the answer."""
+    """A request is rejected before any attempt. `response` is the response to the client."""
 
     step = "request"
 
     def __init__(
         self, status: int, reason: str, retry_after: float | None = None, close: bool = False
     ) -> None:
-        """retry_after: s. close: end the client's connection after the answer."""
+        """retry_after: s, or None. close: whether to close the client's connection after the response."""
         super().__init__(reason)
         self.response = error_response(status, reason, retry_after, close)
 
 
 class RoutedRequest(NamedTuple):
-    """What a request's head says. key: None where its service has none. time_left: s, from its arrival."""
+    """What a request's head determines.
+
+    key: None if the service has no keys. time_left: s from the request's arrival to the client's deadline.
+    """
 
     request_id: str
     route: Route
@@ -56,10 +59,11 @@
 
 
 class RequestHandler:
-    """Answers clients' requests.
+    """Handles client requests.
 
-    in_flight: requests that are not answered yet. body_bytes: of their bodies. responses_by_class: how many
-    were answered, by the status's first digit. is_shutting_down: close each connection after its answer.
+    in_flight: number of requests without a response so far. body_bytes: total size of their complete bodies.
+    responses_by_class: number of responses by the first digit of their status. is_shutting_down: whether each
+    client connection is closed after its response.
     """
 
     def __init__(
@@ -79,22 +83,23 @@
         self.is_shutting_down = False
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer a request."""
+        """Return the response to a client's request."""
         self.in_flight += 1
         try:
-            response = await self._answer(request)
+            response = await self._respond(request)
         finally:
             self.in_flight -= 1
         status_class = response.status // 100
         self.responses_by_class[status_class] = self.responses_by_class.get(status_class, 0) + 1
-        # a client that waits to send a body may send it or not; what follows a declined upgrade may be read
-        # in part
+        # A client that waits for `100 Continue` may or may not send the body. After a declined upgrade, part
+        # of the following data may already be read. In both cases, the start of the next request on the
+        # connection is uncertain.
         unread = not request.content.at_eof()
         if self.is_shutting_down or unread and expects_continue(request) or "Upgrade" in request.headers:
             response.force_close()
         return response
 
-    async def _answer(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def _respond(self, request: web.BaseRequest) -> web.StreamResponse:
         started_at = asyncio.get_running_loop().time()
         try:
             configuration = await self._wait_for_configuration(started_at)
@@ -111,21 +116,24 @@
             reply = await self._attempt_until_answered(request, body, attempts)
             return client_response(reply, request.method)
         except ClientDisconnected:
-            return error_response(400, "the client went away", close=True)  # nobody reads it
+            return error_response(400, "the client went away", close=True)  # not delivered
         finally:
             attempts.leave_queue()
             self.body_bytes -= len(body)
 
     async def _wait_for_configuration(self, started_at: float) -> Configuration:
-        loop, until = asyncio.get_running_loop(), started_at + CONFIGURATION_WAIT
-        while self.sessions.configuration is None and loop.time() < until:
-            await self.sessions.wait_for_update(until)
+        loop, wait_until = asyncio.get_running_loop(), started_at + CONFIGURATION_WAIT
+        while self.sessions.configuration is None and loop.time() < wait_until:
+            await self.sessions.wait_for_update(wait_until)
         if self.sessions.configuration is None:
             raise RequestRejected(503, "no configuration yet", RETRY_AFTER)
         return self.sessions.configuration
 
     def _route(self, request: web.BaseRequest, configuration: Configuration) -> RoutedRequest:
-        """Check a request's head and find its service and key; raises `RequestRejected`."""
+        """Validate a request's head and determine its service and key.
+
+        Raises `RequestRejected` for an invalid head.
+        """
         headers = request.headers
         route = configuration.find_route(headers.get("Host", ""), request.raw_path)
         if route is None:
@@ -154,10 +162,10 @@
         return RoutedRequest(request_id, route, service, key, time_left)
 
     async def _read_body(self, request: web.BaseRequest, deadline: float) -> bytes:
-        """The complete body; raises `RequestRejected`.
+        """Read the complete body and add its size to `body_bytes`.
 
-        It is limited by the configuration, the machine's memory and the client's time (s of the loop's
-        clock).
+        deadline: s of the loop's clock. Raises `RequestRejected` if the body exceeds the configured size or
+        the memory limit, does not arrive by the deadline, or if the client disconnects.
         """
         if not request.can_read_body:
             return b""
@@ -173,7 +181,7 @@
                     if self.body_bytes + size > self.settings.memory_limit * BODY_MEMORY_FRACTION:
                         raise RequestRejected(503, "too many bodies at once", RETRY_AFTER, close=True)
                     parts.append(part)
-        except TimeoutError:  # also where bytes form no chunk: aiohttp does not tell its handler
+        except TimeoutError:  # aiohttp reports no error for a malformed chunk, so that one also ends here
             raise RequestRejected(408, "the body did not come in time", close=True) from None
         except ConnectionError:
             raise RequestRejected(400, "the client went away", close=True) from None
@@ -204,7 +212,10 @@
     async def _attempt(
         self, request: web.BaseRequest, body: bytes, attempts: RequestAttempts, instance_id: str
     ) -> FinalReply | None:
-        """One attempt, which ends with its client if the request may be repeated."""
+        """Make one attempt. If the request is idempotent, a client disconnect cancels the attempt.
+
+        Raises `ClientDisconnected`.
+        """
         if attempts.non_idempotent:
             self.disconnects.check(request)
             return await self.forwarder.attempt(request, body, attempts, instance_id)
--- a/bramblewood/proxy/server.py
+++ b/bramblewood/proxy/server.py
@@ -1,4 +1,4 @@
-"""The proxy program: wiring, start, periodic work, and the graceful shutdown."""
+"""The proxy program: it connects and starts the components, runs periodic work and shuts down gracefully."""
 
 import asyncio
 import signal
@@ -20,22 +20,22 @@
 from .request_handler import RequestHandler
 from .retry_budget import RetryBudget
 
-# names of the listening addresses in `BindMap`
+# names of the listen addresses in `BindMap`
 CLIENT_LISTENER, READINESS_LISTENER = "Front", "ReadyProbe"
 READINESS_KEEP_ALIVE = 5.0  # s
-REPORT_INTERVAL = 0.5  # s between load reports: the design's cycle, whose length is free
-CLEANUP_INTERVAL = 1.0  # s between looks at idle connections
-SHUTDOWN_POLL_INTERVAL = 0.05  # s
-SHUTDOWN_RESERVE = 0.3  # s of GraceS that are kept for the end itself
-# s after which the platform has seen two failed health checks and sends no new connections
+REPORT_INTERVAL = 0.5  # s between load reports
+CLEANUP_INTERVAL = 1.0  # s between removals of idle connections and of departed workers
+SHUTDOWN_POLL_INTERVAL = 0.05  # s between checks for requests in flight
+SHUTDOWN_RESERVE = 0.3  # s of GraceS that are reserved for closing connections and exiting
+# s after which two health checks have failed, so that the platform sends no new connections
 HEALTH_CHECKS_FAILED_AFTER = 2.6
 
 
 class Proxy:
-    """One proxy process; each part owns its state."""
+    """One proxy process. Each component owns its state."""
 
     def __init__(self, settings: Settings, open_sockets: dict[str, socket.socket] | None = None) -> None:
-        """open_sockets: sockets that listen already, by their names in `BindMap`."""
+        """open_sockets: sockets that already listen, by their name in `BindMap`."""
         self.settings, self.open_sockets = settings, open_sockets or {}
         self.log = logs.start_logging(settings.name)
         bounds = settings.bounds
@@ -62,7 +62,10 @@
         self.client_listener: asyncio.Server | None = None
 
     async def run(self) -> int:
-        """Run until SIGTERM; the exit code. SIGHUP reads the settings' seeds again. Raises OSError."""
+        """Run until SIGTERM and return the exit code.
+
+        SIGHUP reads the seeds again from the settings file. Raises OSError if an address cannot be bound.
+        """
         loop = asyncio.get_running_loop()
         stopping = asyncio.Event()
         self.sessions.start(loop)
@@ -72,7 +75,7 @@
         await self._listen(loop)
         self.sessions.reported_at = loop.time()
         logs.log_started(self.log, self.settings.unsupported, contract=self.settings.rule_parts)
-        await self._work_until(stopping)
+        await self._run_periodic_work(stopping)
         return await self.shut_down()
 
     async def _listen(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -91,8 +94,11 @@
     def _socket(self, name: str) -> socket.socket:
         return self.open_sockets.get(name) or listen_on(*self.settings.listen_addresses[name])
 
-    async def _work_until(self, stopping: asyncio.Event) -> None:
-        """Report, look for controllers and clean up, until `stopping` is set."""
+    async def _run_periodic_work(self, stopping: asyncio.Event) -> None:
+        """Send load reports and clean up periodically until `stopping` is set.
+
+        While no controller is connected, the seeds are read again every SEED_REREAD_INTERVAL.
+        """
         loop = asyncio.get_running_loop()
         cleanup_at = loop.time()
         reread_seeds_at = cleanup_at + SEED_REREAD_INTERVAL
@@ -114,7 +120,7 @@
                 self._clean_up(now)
 
     def _clean_up(self, now: float) -> None:
-        """Close idle connections beyond their limits, forget workers that have gone."""
+        """Close idle connections that exceed their limits, and remove state of workers that have departed."""
         registry = self.load_balancer.registry
         limits = {
             instance_id: self.forwarder.idle_connection_limit(registration.service, instance_id, now)
@@ -126,11 +132,14 @@
         self.load_balancer.forget_departed()
 
     async def shut_down(self) -> int:
-        """Shut down gracefully; the exit code.
+        """Shut down gracefully and return the exit code.
+
+        Readiness fails at once. Requests on new connections are still answered, and the connections are then
+        closed. Requests in flight have until SHUTDOWN_RESERVE before the end of GraceS to complete.
 
-        Readiness fails at once, new connections are still answered and closed, and requests in flight end
-        within GraceS. Where few machines are ready the platform goes on sending: once it has seen the failed
-        health checks, connections are refused, so that clients go elsewhere at once.
+        If few machines are ready, the platform continues to send connections here. Once its health checks
+        have failed, the listener is closed and connections are refused, so that clients connect to another
+        machine without delay.
         """
         loop, handler = asyncio.get_running_loop(), self.request_handler
         started_at = loop.time()
