--- a/bramblewood/proxy/forwarding.py
+++ b/bramblewood/proxy/forwarding.py
@@ -1,6 +1,7 @@
-"""One attempt at a worker: the request is sent once, and what came of it is recorded.
+"""One attempt at a worker: the request is sent at most once, and the outcome is recorded.
 
-Invariant: after an attempt the worker's in-flight counts are what they were before, whichever way it ended.
+Invariant: an attempt increments the worker's in-flight counts when it starts and decrements them when it
+ends, whatever its outcome.
 """
 
 import asyncio
@@ -24,7 +25,10 @@
 
 
 class Forwarder:
-    """Sends requests to workers; outcomes: how many attempts ended in which way since the start."""
+    """Sends requests to workers.
+
+    attempts_by_outcome: number of attempts since the start of the process, by outcome.
+    """
 
     def __init__(
         self,
@@ -39,12 +43,15 @@
         self.load_balancer, self.retry_budget = load_balancer, retry_budget
         self.connection_pool, self.sessions = connection_pool, sessions
         self.invalidator = ReplicaInvalidator(proxy_name, load_balancer, connection_pool, sessions)
-        self.outcomes: dict[AttemptOutcome, int] = dict.fromkeys(AttemptOutcome, 0)
+        self.attempts_by_outcome: dict[AttemptOutcome, int] = dict.fromkeys(AttemptOutcome, 0)
 
     async def attempt(
         self, request: web.BaseRequest, body: bytes, attempts: RequestAttempts, instance_id: str
     ) -> FinalReply | None:
-        """Send the request to a worker; the final answer, or None where `attempts` says how to go on."""
+        """Send the request to a worker.
+
+        Returns the final reply, or None if `attempts` decides how to continue.
+        """
         loop, load_balancer = asyncio.get_running_loop(), self.load_balancer
         observation, non_idempotent = load_balancer.observation(instance_id), attempts.non_idempotent
         observation.request_started(loop.time(), non_idempotent)
@@ -64,12 +71,12 @@
         now = loop.time()
         if result is None:
             return attempts.fail(now, "no answer in time")
-        self.outcomes[result.outcome] += 1
+        self.attempts_by_outcome[result.outcome] += 1
         if result.outcome is AttemptOutcome.ANSWERED:
             self._record_answer(now, instance_id, result.answer, now - started_at)
         else:
             self._record_failure(now, instance_id, result.outcome, attempts)
-        return await self._finish(now, instance_id, result, attempts)
+        return await self._final_reply(now, instance_id, result, attempts)
 
     async def _exchange(
         self,
@@ -79,7 +86,10 @@
         instance_id: str,
         started_at: float,
     ) -> ExchangeResult | None:
-        """Send it over a connection from the pool; None where its deadline has passed before."""
+        """Send the request over a connection from the pool.
+
+        Returns None if its deadline has passed once a connection is acquired.
+        """
         loop, pool = asyncio.get_running_loop(), self.connection_pool
         address = self.load_balancer.registry.registrations[instance_id].address
         try:
@@ -89,7 +99,7 @@
         except WorkerUnreachable as error:
             return ExchangeResult(error.outcome)
         now = loop.time()
-        if now >= attempts.deadline:  # connecting took that long
+        if now >= attempts.deadline:  # acquiring the connection took too long
             connection.close()
             return None
         attempts.used_connections.add(connection.number)
@@ -105,7 +115,10 @@
     def _check_dead_connection(
         self, now: float, instance_id: str, idle_time: float, broken_after: float
     ) -> None:
-        """Record a connection that broke at once on reuse; a full worker resets what it has no room for."""
+        """Record a connection that broke immediately on reuse as dead.
+
+        A worker without a free slot is excepted, because a full worker also resets connections.
+        """
         if broken_after < MAX_RESET_WATCH and self.load_balancer.load_per_slot(now, instance_id) < 1.0:
             self.connection_pool.record_dead_connection(now, idle_time)
 
@@ -114,7 +127,7 @@
         self.connection_pool.release(instance_id, connection, limit)
 
     def idle_connection_limit(self, service: str, instance_id: str, now: float) -> int:
-        """Idle connections that may be kept to a worker of this service."""
+        """Return the number of idle connections that may be kept to a worker of this service."""
         configuration = self.sessions.configuration
         settings = configuration.services.get(service) if configuration is not None else None
         max_connections = settings.max_connections if settings else 0
@@ -142,7 +155,7 @@
             return
         broken = outcome is AttemptOutcome.CONNECTION_BROKEN
         observation.record_failure(now, back_off=not broken)
-        if broken:  # workers of some services reset what they have no room for
+        if broken:  # workers of some services reset connections while they are full
             observation.record_rejection(now)
         self.log.info(
             "attempt failed",
@@ -156,10 +169,14 @@
         if outcome is AttemptOutcome.NOT_SENT:
             self.connection_pool.close_all(instance_id)
 
-    async def _finish(
+    async def _final_reply(
         self, now: float, instance_id: str, result: ExchangeResult, attempts: RequestAttempts
     ) -> FinalReply | None:
-        """The final answer, where there is one, once no read replica is older than it."""
+        """Record the outcome and return the final reply, or None if another attempt may follow.
+
+        After a successful non-idempotent request, the reply waits until no outdated read replica of the key
+        can be read.
+        """
         service, key = attempts.service, attempts.key
         from_replica = key is not None and instance_id in self.load_balancer.slices.replica_holders(
             service, key
--- a/bramblewood/proxy/readiness.py
+++ b/bramblewood/proxy/readiness.py
@@ -63,7 +63,7 @@
             CONNECTIONS_REJECTED: pool.rejected,
             BODY_BYTES: self.request_handler.body_bytes,
         }
-        for outcome, count in self.forwarder.outcomes.items():
+        for outcome, count in self.forwarder.attempts_by_outcome.items():
             found[ATTEMPTS_BY_OUTCOME.format(outcome.value)] = count
         for status_class, count in self.request_handler.responses_by_class.items():
             found[RESPONSES_BY_CLASS.format(status_class)] = count
--- a/bramblewood/proxy/request_attempts.py
+++ b/bramblewood/proxy/request_attempts.py
@@ -1,11 +1,11 @@
-"""The attempts of one request: which worker it is sent to, when, and its final answer. Pure; times in s.
+"""The attempts of one request: the worker and time of each attempt, and the final reply to the client.
 
-`next_step` says what to do now and `attempt_finished` takes in how an attempt ended; `request_handler` and
-`forwarding` carry it out.
+No I/O. Times are seconds of the loop's clock. `next_step` returns the next action, which `request_handler`
+and `forwarding` carry out. `attempt_finished` records the outcome of an attempt.
 
-Invariant: a request that is not idempotent is sent to a second worker only where nothing of it was sent to
-the first, or the first said that it has not run it. A request that fails is answered at once: 503 with a time
-to come back where it has not run, else 502 or 504.
+Invariant: a non-idempotent request is sent to a second worker only if no byte of it was sent to the first, or
+if the first responded that it has not run and never will run the request. A request that fails is answered
+immediately: with 503 and `Retry-After` if it has not run, otherwise with 502 or 504.
 """
 
 from typing import NamedTuple
@@ -17,24 +17,26 @@
 from .load_balancing import LoadBalancer
 from .retry_budget import RetryBudget
 
-# Fractions are of the route's latency target (`TargetLatencyS`) where nothing else is said.
-# a request waits so long for a worker: rejected within a quarter of the target, it still counts
+# Unless stated otherwise, fractions are of the route's latency target (`TargetLatencyS`).
+# wait while no worker is available; a rejection within a quarter of the target still counts as in time
 NO_OWNER_WAIT_FRACTION = 0.2
-HANDOVER_WAIT_FRACTION = 0.6  # where its key passes from one live worker to another: tenths of a second
-FULL_WORKER_WAIT_FRACTION = 0.3  # where its only worker is known to be full
-# where its key is hot and it is idempotent: the rest is for its worker's queue and work
+HANDOVER_WAIT_FRACTION = 0.6  # wait while the key is handed over between two live workers: tenths of a second
+FULL_WORKER_WAIT_FRACTION = 0.3  # wait while the key's only worker is full
+# wait of an idempotent request for a hot key; the rest is left for the worker's queue and processing
 HOT_KEY_WAIT_FRACTION = 0.5
-# before a worker that rejected a connection is connected to again
+# backoff before a new connection to a worker that rejected one
 CONNECTION_REJECTED_BACKOFF_FRACTION = 0.1
-# before the same worker is asked again: the time of a full queue, at usual work
+# backoff before the same worker gets the request again: about the time to process a full queue
 SAME_WORKER_BACKOFF_FRACTION = 0.4
-RETRY_AFTER_FRACTION = 0.3  # of the time left after which to come back: clients honour up to a third
-QUEUE_FULL_RETRY_AFTER = 0.25  # s to come back after where a queue was full: a few requests' work
-# clients take these as a promise that the request has not run and never will
+RETRY_AFTER_FRACTION = 0.3  # of the time left, as `Retry-After`: clients wait for at most a third of it
+MAX_SHORT_RETRY_AFTER = 0.25  # s: upper bound of `Retry-After` unless no worker is available
+# Clients take these statuses as a guarantee that the request has not run and never will run.
 STATUSES_PROMISING_NOT_RUN = (408, 429, 503)
-MAX_UNSENT_ATTEMPTS = 4  # attempts of which nothing was sent; each costs a connection
-FULL_WORKER_POLL_INTERVAL = 0.04  # s between looks at a full worker: a part of a request's work
-DEADLINE_MARGIN = 0.012  # s kept back from a deadline for the transit to the client
+MAX_UNSENT_ATTEMPTS = 4  # limit on attempts that sent no byte, as each one opens a connection
+FULL_WORKER_POLL_INTERVAL = (
+    0.04  # s between checks of a full worker: a fraction of a request's processing time
+)
+DEADLINE_MARGIN = 0.012  # s reserved before the client's deadline for the transit of the response
 
 
 class SendToWorker(NamedTuple):
@@ -44,13 +46,13 @@
 
 
 class WaitUntil(NamedTuple):
-    """Ask again at this time (s), or as soon as controllers have sent an update."""
+    """Wait until this time, or until an update from a controller arrives, and call `next_step` again."""
 
     until: float
 
 
 class FinalReply(NamedTuple):
-    """The final answer: the worker's response, or a status and reason of the proxy's own."""
+    """The final reply to the client: a worker's response, or a status and reason of the proxy itself."""
 
     status: int
     reason: str
@@ -59,16 +61,19 @@
 
 
 class RequestAttempts:
-    """One request's attempts.
+    """The state of one request across its attempts.
 
-    deadline: when its client gives up, s of the loop's clock. affinity_key: the client's key where a route
-    sends what belongs together to one worker. used_connections: numbers of the connections it was sent on.
+    deadline: time at which the request fails: the client's deadline less DEADLINE_MARGIN, or the end of the
+    route's time-out if that is earlier. affinity_key: the client's key on a route with session affinity,
+    otherwise "". tried: workers that are excluded from further attempts. used_connections:
+    numbers of the connections on which the request was sent. may_have_run: whether a worker may have run the
+    request without a usable response.
     """
 
     def __init__(
         self, now: float, route: Route, service: str, key: int | None, request_id: str, time_left: float
     ) -> None:
-        """key: of a keyed service, else None. time_left: s that the client waits from now."""
+        """key: None if the service has no keys. time_left: s from `now` to the client's deadline."""
         self.route, self.service, self.key, self.request_id = route, service, key, request_id
         self.started_at = now
         self.affinity_key = ""
@@ -77,10 +82,14 @@
         self.tried: set[str] = set()
         self.used_connections: set[int] = set()
         self.sent_count = self.unsent_count = 0
-        self.last_response: WorkerResponse | None = None  # the newest that may be handed to the client
+        self.last_response: WorkerResponse | None = (
+            None  # the newest error response that may be forwarded to the client
+        )
         self.may_have_run = False
-        self.backed_off_worker, self.backoff_until = "", 0.0  # not to be asked again until then
-        self.hot_key_queue: HotKeyQueue | None = None  # in which it waits, or has waited
+        self.backed_off_worker, self.backoff_until = "", 0.0  # this worker gets no attempt before that time
+        self.hot_key_queue: HotKeyQueue | None = (
+            None  # of the hot key's worker, which this request waits for or was sent to
+        )
 
     @property
     def non_idempotent(self) -> bool:
@@ -90,7 +99,10 @@
     def next_step(
         self, now: float, load_balancer: LoadBalancer, retry_budget: RetryBudget
     ) -> SendToWorker | WaitUntil | FinalReply:
-        """What to do now."""
+        """Return the next action.
+
+        Each attempt after the first one that sent bytes spends a retry from the budget.
+        """
         if now >= self.deadline:
             return self.fail(now, "no answer in time")
         if self.sent_count >= self.route.max_attempts:
@@ -99,7 +111,7 @@
         if instance_id is None:
             return self._wait_for_worker(now, load_balancer)
         if instance_id == self.backed_off_worker and now < self.backoff_until:
-            return WaitUntil(self.backoff_until)  # let its queue get shorter, or a lease arrive
+            return WaitUntil(self.backoff_until)  # its queue may get shorter, or its lease may arrive
         if self.key is not None:
             full_wait_until = self.started_at + FULL_WORKER_WAIT_FRACTION * self.route.latency_target
             is_full = not self.sent_count and load_balancer.is_full(now, instance_id)
@@ -122,19 +134,22 @@
 
     def _wait_for_worker(self, now: float, load_balancer: LoadBalancer) -> WaitUntil | FinalReply:
         in_handover = self.key is not None and load_balancer.in_handover(self.service, self.key)
-        until = (
+        wait_until = (
             self.started_at + HANDOVER_WAIT_FRACTION * self.route.latency_target
             if in_handover
             else self.no_owner_wait_until
         )
-        if now < until and not self.last_response:
-            return WaitUntil(until)
+        if now < wait_until and not self.last_response:
+            return WaitUntil(wait_until)
         return self.fail(now, "no worker may get it now", long_retry_after=True)
 
     def _hot_key_wait(
         self, now: float, load_balancer: LoadBalancer, instance_id: str
     ) -> WaitUntil | FinalReply | None:
-        """Its wait in the queue of a hot key's worker; None where it may be sent now."""
+        """Wait in the queue of a hot key's worker. Returns None if the request may be sent now.
+
+        Returns a final reply if the request cannot be sent in time.
+        """
         queue = (
             load_balancer.observation(instance_id).hot_key_queue
             if load_balancer.is_hot(self.service, self.key)
@@ -149,28 +164,32 @@
             return None
         if self.route.pure:
             latest = min(self.started_at + HOT_KEY_WAIT_FRACTION * self.route.latency_target, self.deadline)
-            turn_at = queue.turn_at(now, self.request_id, (self.route.priority, self.started_at), latest)
-            if turn_at is None:
+            send_at = queue.turn_at(now, self.request_id, (self.route.priority, self.started_at), latest)
+            if send_at is None:
                 return self.fail(now, "a crowd at its record", long_retry_after=True)
-            if turn_at > now:
-                return WaitUntil(turn_at)
+            if send_at > now:
+                return WaitUntil(send_at)
         queue.record_passage(now)
         return None
 
     def leave_queue(self) -> None:
-        """It waits for a hot key's worker no more."""
+        """Remove the request from the queue of a hot key's worker, if it is in one."""
         if self.hot_key_queue is not None:
             self.hot_key_queue.remove(self.request_id)
 
     def fail(self, now: float, reason: str, long_retry_after: bool = False) -> FinalReply:
-        """Its final answer where no attempt succeeds any more; reason: told to the client."""
-        if self.last_response is not None and not says_not_run(self.last_response):
+        """Return the final reply if no further attempt is made.
+
+        reason: sent to the client unless a worker's response is forwarded. long_retry_after: whether
+        `Retry-After` may exceed MAX_SHORT_RETRY_AFTER.
+        """
+        if self.last_response is not None and not indicates_not_run(self.last_response):
             return FinalReply(self.last_response.status, reason, None, self.last_response)
         if self.may_have_run:
             return FinalReply(504 if now >= self.deadline else 502, reason)
         retry_after = RETRY_AFTER_FRACTION * max(self.deadline - now, 0.0)
         if not long_retry_after:
-            retry_after = min(retry_after, QUEUE_FULL_RETRY_AFTER)
+            retry_after = min(retry_after, MAX_SHORT_RETRY_AFTER)
         return FinalReply(503, reason, round(retry_after, 3))
 
     def attempt_finished(
@@ -181,17 +200,18 @@
         response: WorkerResponse | None,
         from_replica: bool = False,
     ) -> FinalReply | None:
-        """Take in how an attempt ended; the final answer, or None where `next_step` is to be asked again.
+        """Record the outcome of an attempt.
 
-        from_replica: the worker holds a read replica of the key and does not own it.
+        Returns the final reply, or None if `next_step` decides how to continue.
+        from_replica: whether the worker holds a read replica of the key and does not own the key.
         """
         if outcome in (AttemptOutcome.NOT_SENT, AttemptOutcome.CONNECTION_REJECTED):
-            return self._not_sent(now, instance_id, outcome)
+            return self._record_not_sent(now, instance_id, outcome)
         self.sent_count += 1
         if self.key is None:
             self.tried.add(instance_id)
         if outcome is AttemptOutcome.ANSWERED:
-            return self._answered(now, instance_id, response, from_replica)
+            return self._handle_response(now, instance_id, response, from_replica)
         self.may_have_run = True
         self._back_off(now, instance_id, SAME_WORKER_BACKOFF_FRACTION)
         if outcome is AttemptOutcome.TIMED_OUT or self.non_idempotent:
@@ -199,7 +219,7 @@
             return self.fail(now, "the worker broke off" if broken else "no answer in time")
         return None
 
-    def _not_sent(self, now: float, instance_id: str, outcome: AttemptOutcome) -> FinalReply | None:
+    def _record_not_sent(self, now: float, instance_id: str, outcome: AttemptOutcome) -> FinalReply | None:
         self.unsent_count += 1
         if outcome is AttemptOutcome.CONNECTION_REJECTED and self.key is not None:
             self._back_off(now, instance_id, CONNECTION_REJECTED_BACKOFF_FRACTION)
@@ -209,23 +229,23 @@
             return self.fail(now, "no worker could be reached")
         return None
 
-    def _answered(
+    def _handle_response(
         self, now: float, instance_id: str, response: WorkerResponse, from_replica: bool
     ) -> FinalReply | None:
-        if says_not_run(response):
+        if indicates_not_run(response):
             if from_replica:
-                self.tried.add(instance_id)  # it has no replica now: the owner has the record
+                self.tried.add(instance_id)  # it no longer holds a replica: the owner holds the record
             else:
                 self._back_off(now, instance_id, SAME_WORKER_BACKOFF_FRACTION)
             return None
-        if 200 <= response.status < 300 and not is_valid_success(response):
-            self.may_have_run = True  # no success of the worker's own
+        if 200 <= response.status < 300 and not is_valid_success_response(response):
+            self.may_have_run = True  # an intermediary may have generated or changed the response
             return None if self.route.pure else self.fail(now, "the worker's answer is not whole")
         if response.status >= 500 and self.route.pure:
             self.last_response = response
             return None
         if response.status in STATUSES_PROMISING_NOT_RUN and self.non_idempotent:
-            self.may_have_run = True  # the worker did not say so
+            self.may_have_run = True  # the response has no `X-Not-Run`
             return self.fail(now, "the worker did not say whether it ran")
         return FinalReply(response.status, response.reason, None, response)
 
@@ -233,13 +253,13 @@
         self.backed_off_worker, self.backoff_until = instance_id, now + fraction * self.route.latency_target
 
 
-def says_not_run(response: WorkerResponse) -> bool:
-    """Whether a worker states that it has not run the request and never will."""
+def indicates_not_run(response: WorkerResponse) -> bool:
+    """Whether a response guarantees that the worker has not run the request and never will run it."""
     return "X-Not-Run" in response.headers_by_name or response.status == 421
 
 
-def is_valid_success(response: WorkerResponse) -> bool:
-    """Whether a success is as workers give it: sealed and not encoded."""
+def is_valid_success_response(response: WorkerResponse) -> bool:
+    """Whether a successful response has the form that workers send: with a seal and without an encoding."""
     return (
         "X-Response-Seal" in response.headers_by_name and "Content-Encoding" not in response.headers_by_name
     )
