--- a/bramblewood/proxy/request_attempts.py
+++ b/bramblewood/proxy/request_attempts.py
@@ -28,14 +28,12 @@
 CONNECTION_REJECTED_BACKOFF_FRACTION = 0.1
 # backoff before the same worker gets the request again: about the time to process a full queue
 SAME_WORKER_BACKOFF_FRACTION = 0.4
-RETRY_AFTER_FRACTION = 0.3  # of the time left, as `Retry-After`: clients wait for at most a third of it
+RETRY_AFTER_FRACTION = 0.3  # of the time left, sent as `Retry-After`: clients accept up to a third
 MAX_SHORT_RETRY_AFTER = 0.25  # s: upper bound of `Retry-After` unless no worker is available
 # Clients take these statuses as a guarantee that the request has not run and never will run.
 STATUSES_PROMISING_NOT_RUN = (408, 429, 503)
 MAX_UNSENT_ATTEMPTS = 4  # limit on attempts that sent no byte, as each one opens a connection
-FULL_WORKER_POLL_INTERVAL = (
-    0.04  # s between checks of a full worker: a fraction of a request's processing time
-)
+FULL_WORKER_POLL_INTERVAL = 0.04  # s between checks of a full worker: a fraction of its response time
 DEADLINE_MARGIN = 0.012  # s reserved before the client's deadline for the transit of the response
 
 
@@ -63,11 +61,11 @@
 class RequestAttempts:
     """The state of one request across its attempts.
 
-    deadline: time at which the request fails: the client's deadline less DEADLINE_MARGIN, or the end of the
-    route's time-out if that is earlier. affinity_key: the client's key on a route with session affinity,
-    otherwise "". tried: workers that are excluded from further attempts. used_connections:
-    numbers of the connections on which the request was sent. may_have_run: whether a worker may have run the
-    request without a usable response.
+    deadline: the time at which the request fails. It is the client's deadline less DEADLINE_MARGIN, or the
+    end of the route's time-out if that is earlier. affinity_key: the client's key on a route with session
+    affinity, otherwise "". tried: workers that are excluded from further attempts. used_connections: numbers
+    of the connections on which the request was sent. may_have_run: whether a worker may have run the request
+    without a usable response.
     """
 
     def __init__(
@@ -82,14 +80,11 @@
         self.tried: set[str] = set()
         self.used_connections: set[int] = set()
         self.sent_count = self.unsent_count = 0
-        self.last_response: WorkerResponse | None = (
-            None  # the newest error response that may be forwarded to the client
-        )
+        self.last_response: WorkerResponse | None = None  # newest error response of a worker
         self.may_have_run = False
         self.backed_off_worker, self.backoff_until = "", 0.0  # this worker gets no attempt before that time
-        self.hot_key_queue: HotKeyQueue | None = (
-            None  # of the hot key's worker, which this request waits for or was sent to
-        )
+        # the queue of the hot key's worker that this request waits for or was sent to
+        self.hot_key_queue: HotKeyQueue | None = None
 
     @property
     def non_idempotent(self) -> bool:
@@ -202,8 +197,8 @@
     ) -> FinalReply | None:
         """Record the outcome of an attempt.
 
-        Returns the final reply, or None if `next_step` decides how to continue.
-        from_replica: whether the worker holds a read replica of the key and does not own the key.
+        Returns the final reply, or None if `next_step` decides how to continue. from_replica:
+        whether the worker holds a read replica of the key and does not own the key.
         """
         if outcome in (AttemptOutcome.NOT_SENT, AttemptOutcome.CONNECTION_REJECTED):
             return self._record_not_sent(now, instance_id, outcome)
