--- a/bramblewood/proxy/load_balancing.py
+++ b/bramblewood/proxy/load_balancing.py
@@ -1,10 +1,11 @@
-"""The choice of a worker for a request: by the slice table, corrected by what this proxy observes. Pure.
+"""Chooses a worker for each request, from the slice table and from this proxy's own observations.
 
-The table gives each slice its worker and a second one. What this proxy alone knows corrects it for its own
-requests: a worker that did not accept its connections gets nothing for a while, and one whose newest stated
-load is full gives way to the second while that has room. A keyed request goes to its key's owner, or, if it
-is idempotent, to a worker with a read replica; there is no second choice. Times are seconds of the loop's
-clock.
+No I/O. Times are seconds of the loop's clock.
+
+The slice table assigns each slice a worker and a second worker. This proxy's observations override the table
+for its own requests: a worker that does not accept connections gets no requests during a backoff, and if the
+first worker has no free slot, the less loaded of the two is chosen. A keyed request goes to its key's owner,
+or, if it is idempotent, possibly to a worker with a read replica. No other worker is chosen for it.
 """
 
 import zlib
@@ -24,25 +25,27 @@
 from .slice_lookup import SliceLookup
 from .worker_observations import WorkerObservation, WorkerObservations
 
-# requests waiting at a worker at which it counts as full; "queues a few more", PROTOCOL
+# queued requests, beyond the slots, at which a worker counts as full; "queues a few more", PROTOCOL
 FULL_QUEUE_LENGTH = 3
-LOCAL_SLICES_VALIDITY = 0.25  # s that the list of this zone's slices is used: half a cycle of the moves
-# of DrainS in which a draining worker may still get the keys that nobody else owns
+LOCAL_SLICES_VALIDITY = 0.25  # s for which the list of this zone's slices is cached: half a rebalancing cycle
+# of DrainS: for this long a draining worker still gets requests for the keys that it owns
 DRAINING_OWNER_FRACTION = 0.6
 MIXING_FACTOR = 2654435761  # 2**32 over the golden ratio: Knuth's multiplicative hash
-MIN_SECOND_SHARE = 0.1  # a second worker's share above which the two are compared by load
+MIN_SECOND_SHARE = (
+    0.1  # of a slice's requests: above this share of the second worker, the less loaded of the two is chosen
+)
 
 
 class LoadBalancer:
     """Chooses workers for requests.
 
-    registry: the workers as controllers state them. slices: the slice table. timed_out: workers that no
-    controller has heard from. local_fractions: by service, the fraction of this zone's requests that stay in
-    it.
+    registry: the worker registrations received from controllers. slices: the slice table. timed_out: workers
+    without a heartbeat at any controller for too long. local_fractions: by service, the fraction of this
+    zone's requests that are sent to workers in this zone.
     """
 
     def __init__(self, drain_time: float, zone: str = "") -> None:
-        """drain_time: s, DrainS of the settings. zone: the one that this proxy stands in."""
+        """drain_time: s, DrainS of the settings. zone: the zone of this proxy."""
         self.drain_time, self.zone = drain_time, zone
         self.registry = WorkerRegistry()
         self.slices = SliceLookup()
@@ -51,10 +54,12 @@
         self.affinity = AffinityTable()
         self.timed_out: set[str] = set()
         self.local_fractions: dict[str, float] = {}
-        self._local_slices: dict[str, tuple[float, list[int]]] = {}  # by service: when found, first keys
+        self._local_slices: dict[
+            str, tuple[float, list[int]]
+        ] = {}  # by service: time of the search, first keys of the slices
 
     def observation(self, instance_id: str) -> WorkerObservation:
-        """What this proxy has observed of a worker."""
+        """Return this proxy's observation of a worker. It is created if there is none."""
         return self.observations.of(instance_id)
 
     def is_hot(self, service: str, key: int | None) -> bool:
@@ -62,7 +67,7 @@
         return self.request_counts.is_hot(service, key)
 
     def in_handover(self, service: str, key: int) -> bool:
-        """Whether a key is being released by a worker that can be expected to answer."""
+        """Whether a live previous owner still has to release a key."""
         entry = self.slices.entry(service, key)
         if not entry or not entry[PREVIOUS_OWNER]:
             return False
@@ -73,25 +78,29 @@
             and entry[PREVIOUS_OWNER] not in self.timed_out
         )
 
-    # --- requests without keys are spread by hash
+    # --- requests without keys: distributed by a hash of the request id
 
     @staticmethod
     def hash_request_id(request_id: str) -> int:
-        """The key in whose slice a request lies whose service has no keys."""
+        """Return the key that selects the slice of a request to a service without keys."""
         return zlib.crc32(request_id.encode()) % KEY_SPACE_SIZE
 
     @staticmethod
     def locality_draw(request_id: str) -> float:
-        """Evenly in [0, 1), by the request's id; independent of which part of `WeightedTargets` it is in.
+        """Return a number that is uniformly distributed in [0, 1) over request ids.
 
-        Two CRCs of one text with different prefixes differ by a constant, so the second draw is mixed by a
-        multiplication: else a part of a route would stay in its zone all or none.
+        It is independent of the choice among `WeightedTargets`, which is a hash of the same id. Two CRCs of
+        one text with different prefixes differ by a constant. Therefore the CRC is multiplied by
+        MIXING_FACTOR. Without that, either all or none of the requests of a target would stay in the zone.
         """
         mixed = zlib.crc32(b"near" + request_id.encode()) * MIXING_FACTOR % 2**32
         return mixed / 2**32
 
     def slice_key(self, now: float, service: str, request_id: str) -> int:
-        """The same, drawn from this zone's slices for the fraction of the requests that is to stay here."""
+        """Return the key that selects the slice of a request to a service without keys.
+
+        For the service's fraction in `local_fractions`, the slice is one whose worker is in this zone.
+        """
         key = self.hash_request_id(request_id)
         if self.locality_draw(request_id) < self.local_fractions.get(service, 0.0):
             found_at, starts = self._local_slices.get(service, (-1e9, []))
@@ -103,7 +112,7 @@
         return key
 
     def _find_local_slices(self, now: float, service: str) -> list[int]:
-        """The first keys of the slices whose workers stand in this zone and are available."""
+        """Return the first keys of the slices whose workers are in this zone and available."""
         local = {
             instance_id
             for instance_id in self.registry.ready_instances(service)
@@ -113,10 +122,10 @@
         entries = self.slices.table.get(service, {})
         return [int(start) for start, entry in entries.items() if entry[WORKER] in available]
 
-    # --- what is known of a worker
+    # --- state of a worker
 
     def is_available(self, now: float, instance_id: str) -> bool:
-        """Whether it may get new requests: ready as far as known, and not backed off from."""
+        """Whether a worker may get new requests: ready, not timed out, not leaving, not in backoff."""
         registration = self.registry.registrations.get(instance_id)
         return (
             registration is not None
@@ -127,24 +136,32 @@
         )
 
     def _is_leaving(self, instance_id: str) -> bool:
-        """Whether a drain plan keeps new work from it, beyond announcing that it will."""
+        """Whether a drain plan excludes a worker from new requests.
+
+        A drain that is only announced does not exclude the worker.
+        """
         return self.slices.drain_steps.get(instance_id, DRAIN_ANNOUNCED) != DRAIN_ANNOUNCED
 
-    def _is_late_in_drain(self, now: float, instance_id: str, registration: WorkerRegistration) -> bool:
-        since = self.registry.changed_at.get(instance_id, 0.0)
-        return registration.phase == DRAINING and now - since > self.drain_time * DRAINING_OWNER_FRACTION
+    def _owner_drain_time_elapsed(
+        self, now: float, instance_id: str, registration: WorkerRegistration
+    ) -> bool:
+        draining_since = self.registry.changed_at.get(instance_id, 0.0)
+        return (
+            registration.phase == DRAINING
+            and now - draining_since > self.drain_time * DRAINING_OWNER_FRACTION
+        )
 
     def load_per_slot(self, now: float, instance_id: str) -> float:
-        """Requests per slot that a worker has, as far as this proxy can tell."""
+        """Return the estimated number of requests per slot at a worker."""
         slots = self.registry.registrations[instance_id].slots
         return self.observation(instance_id).requests_present(now) / slots
 
     def is_full(self, now: float, instance_id: str) -> bool:
-        """Whether a worker would likely reject a request."""
+        """Whether a worker is likely to reject a request because its queue is full."""
         capacity = self.registry.registrations[instance_id].slots + FULL_QUEUE_LENGTH
         return self.observation(instance_id).is_full(now, capacity)
 
-    # --- the choice
+    # --- choice of a worker
 
     def choose_worker(
         self,
@@ -155,22 +172,29 @@
         excluded: set[str],
         idempotent: bool = False,
     ) -> str | None:
-        """The worker for a request now, or None while there is none that may get it.
+        """Return the worker for a request, or None if no worker may get it now.
 
-        key: of a keyed service, else None. excluded: workers that were tried. idempotent: it may run twice.
+        key: None if the service has no keys. excluded: workers that earlier attempts rule out.
+        idempotent: whether the request may run twice.
         """
         if key is not None:
             entry = self.slices.entry(service, key)
-            return self._owner_or_reader(now, entry, request_id, excluded, idempotent) if entry else None
+            return (
+                self._choose_owner_or_reader(now, entry, request_id, excluded, idempotent) if entry else None
+            )
         entry = self.slices.entry(service, self.slice_key(now, service, request_id))
         if entry is None:
             return self.least_loaded(now, service, excluded)
-        return self._by_slice(now, service, entry, excluded, idempotent)
+        return self._choose_from_slice(now, service, entry, excluded, idempotent)
 
-    def _owner_or_reader(
+    def _choose_owner_or_reader(
         self, now: float, entry: list, request_id: str, excluded: set[str], idempotent: bool
     ) -> str | None:
-        """The worker for a key: its owner, or one of its readers."""
+        """Return the worker for a keyed request, or None if no worker may get it now.
+
+        An idempotent request goes to the owner or to one of the available readers, selected by a hash of its
+        id. Any other request goes to the owner.
+        """
         if idempotent:
             readers = [
                 reader
@@ -178,7 +202,9 @@
                 if reader not in excluded and self.is_available(now, reader)
             ]
             if readers:
-                position = self.hash_request_id(request_id) % (len(readers) + 1)  # the owner has a share
+                position = self.hash_request_id(request_id) % (
+                    len(readers) + 1
+                )  # the last position is the owner's
                 if position < len(readers):
                     return readers[position]
         owner = entry[WORKER]
@@ -187,12 +213,16 @@
         registration = self.registry.registrations.get(owner)
         if registration is None or registration.phase == GONE or self.observation(owner).backoff_until > now:
             return None
-        return None if self._is_late_in_drain(now, owner, registration) else owner
+        return None if self._owner_drain_time_elapsed(now, owner, registration) else owner
 
-    def _by_slice(
+    def _choose_from_slice(
         self, now: float, service: str, entry: list, excluded: set[str], idempotent: bool
     ) -> str | None:
-        """The worker for a slice of a service without keys: one of its two, by load, else any."""
+        """Return the worker for a request in a slice of a service without keys, or None if none is available.
+
+        It is one of the slice's two workers, or the least loaded worker of the service if neither is
+        available or if the only available one has no free slot.
+        """
         candidates = [
             instance_id
             for instance_id in (entry[WORKER], entry[SECOND])
@@ -200,20 +230,23 @@
         ]
         drain_steps = self.slices.drain_steps
         if not idempotent and any(instance_id in drain_steps for instance_id in candidates):
-            # work that is to last goes to a worker that stays
+            # a non-idempotent request goes to a worker that no drain plan names, if there is one
             staying = self.least_loaded(now, service, {*excluded, *drain_steps})
             candidates = [staying] if staying else candidates
         if not candidates:
             return self.least_loaded(now, service, excluded)
         first = candidates[0]
         if len(candidates) == 1:
-            return self._less_loaded_than(now, service, first, excluded) or first
+            return self._find_less_loaded(now, service, first, excluded) or first
         if entry[SECOND_SHARE] > MIN_SECOND_SHARE or self.load_per_slot(now, first) >= 1.0:
             return min(candidates, key=lambda instance_id: self.load_per_slot(now, instance_id))
         return first
 
-    def _less_loaded_than(self, now: float, service: str, first: str, excluded: set[str]) -> str | None:
-        """Another worker, where this one has no free slot and the other fewer requests a slot."""
+    def _find_less_loaded(self, now: float, service: str, first: str, excluded: set[str]) -> str | None:
+        """Return an available worker with fewer requests per slot than `first`.
+
+        Returns None if there is none or if `first` has a free slot.
+        """
         if self.load_per_slot(now, first) < 1.0:
             return None
         other = self.least_loaded(now, service, {*excluded, first})
@@ -222,7 +255,10 @@
         return None
 
     def least_loaded(self, now: float, service: str, excluded: set[str]) -> str | None:
-        """The available worker of a service with the fewest requests a slot, of equal ones any."""
+        """Return the available worker of a service with the fewest requests per slot, or None.
+
+        Ties are broken by a hash of instance id and time.
+        """
         candidates = [
             instance_id
             for instance_id in self.registry.ready_instances(service)
@@ -240,23 +276,26 @@
     # --- affinity
 
     def set_affinity(self, now: float, service: str, key: str, instance_id: str, duration: float) -> None:
-        """Send what this key's client does next to the same worker, for so long (s).
+        """Bind a client's key to a worker for `duration` (s).
 
-        A worker that leaves is bound no longer than it was.
+        A binding to a worker that is leaving is not extended.
         """
         if not self._is_leaving(instance_id):
             self.affinity.bind(service, key, instance_id, now + duration)
 
     def affinity_worker(self, now: float, service: str, key: str) -> str | None:
-        """The worker that a key's client is bound to, if it may get requests."""
+        """Return the worker that a client's key is bound to.
+
+        Returns None if there is no such worker or if it may not get requests.
+        """
         instance_id = self.affinity.worker(now, service, key)
         registration = self.registry.registrations.get(instance_id) if instance_id else None
         if registration is None or registration.phase == GONE or instance_id in self.timed_out:
             return None
-        if self._is_late_in_drain(now, instance_id, registration):
+        if self._owner_drain_time_elapsed(now, instance_id, registration):
             return None
         return None if self.observation(instance_id).backoff_until > now else instance_id
 
     def forget_departed(self) -> None:
-        """Drop what was observed of workers that are no longer registered."""
+        """Remove the observations of workers that are no longer registered."""
         self.observations.forget_departed(self.registry.registrations)
--- a/bramblewood/proxy/worker_observations.py
+++ b/bramblewood/proxy/worker_observations.py
@@ -1,23 +1,29 @@
-"""What this proxy has observed of workers: requests in flight, their stated load, failures and backoff. Pure.
+"""This proxy's observations of workers: requests in flight, reported load, failures and backoff.
 
-Times are seconds of the loop's clock.
+No I/O. Times are seconds of the loop's clock.
 """
 
 from collections.abc import Container
 
 from .hot_key_queue import OVERLOADED_RATE_FACTOR, REJECTED_RATE_FACTOR, HotKeyQueue
 
-# s that a worker gets nothing after a failed connection or a time-out; doubled each time up to the second
+# s without requests to a worker after a failed connection or a time-out; each failure doubles it
 MIN_BACKOFF, MAX_BACKOFF = 0.5, 4.0
-LOAD_VALIDITY = 1.0  # s that a stated load is used; reports are about as old
-FULL_QUEUE_VALIDITY = 0.15  # s that a full queue is believed: about a request's work
-REJECTION_BACKOFF = 0.1  # s that requests bound to a worker leave it alone after it rejected one
-MAX_STATED_LOAD = 10**6  # of running, waiting, slots; what is above is no load of one worker
+LOAD_VALIDITY = 1.0  # s for which a reported load is used, as reports are usually about this old
+FULL_QUEUE_VALIDITY = (
+    0.15  # s for which a reported full queue is assumed to last: about a request's processing time
+)
+REJECTION_BACKOFF = 0.1  # s for which a worker is assumed to be full after it rejects a request or connection
+MAX_REPORTED_LOAD = 10**6  # limit for each reported number; a load with a larger number is ignored as invalid
 NO_LOAD = (0, 0, 0)
 
 
 class WorkerObservation:
-    """What this proxy has observed of one worker; the counts are those since the last report."""
+    """This proxy's observation of one worker.
+
+    The counts `attempts`, `failures` and `server_errors` and the total `response_time` (s) start at the last
+    load report.
+    """
 
     __slots__ = (
         "in_flight",
@@ -33,40 +39,40 @@
         "failures",
         "server_errors",
         "response_time",
-        "load_reported",
+        "has_new_load",
         "answered_at",
     )
 
     def __init__(self) -> None:
         self.in_flight = self.non_idempotent_in_flight = 0
-        self.oldest_in_flight_at = 0.0  # when the first of those in flight was sent
-        self.load, self.load_at = NO_LOAD, -1e9  # running, waiting, slots, as the worker stated
+        self.oldest_in_flight_at = 0.0  # when the in-flight count last became 1
+        self.load, self.load_at = NO_LOAD, -1e9  # reported by the worker: running, waiting, slots
         self.backoff_until, self.backoff, self.full_until = 0.0, MIN_BACKOFF, 0.0
         self.hot_key_queue = HotKeyQueue()
         self.attempts = self.failures = self.server_errors = 0
-        self.response_time, self.load_reported = 0.0, False
-        self.answered_at = -1e9  # when its last answer came, whatever it was
+        self.response_time, self.has_new_load = 0.0, False
+        self.answered_at = -1e9  # time of the last response, whatever its status
 
     def request_started(self, now: float, non_idempotent: bool) -> None:
-        """A request goes to it."""
+        """Record that a request is sent to the worker."""
         self.oldest_in_flight_at = self.oldest_in_flight_at if self.in_flight else now
         self.in_flight += 1
         self.non_idempotent_in_flight += non_idempotent
 
     def request_ended(self, non_idempotent: bool) -> None:
-        """A request that went to it has ended, whichever way."""
+        """Record that a request to the worker has ended, whatever its outcome."""
         self.in_flight -= 1
         self.non_idempotent_in_flight -= non_idempotent
 
     def requests_present(self, now: float) -> int:
-        """Requests that it has, as far as this proxy can tell."""
+        """Return the estimated number of requests at the worker, running and waiting."""
         running, waiting, _ = self.load if now - self.load_at <= LOAD_VALIDITY else NO_LOAD
         return max(running + waiting, self.in_flight)
 
     def is_full(self, now: float, capacity: int) -> bool:
-        """Whether it would likely reject a request: by its newest stated load, or since it did.
+        """Whether the worker is likely to reject a request, by its reported load or by a recent rejection.
 
-        capacity: requests, running and waiting, from which it counts as full.
+        capacity: number of requests, running and waiting, at which the worker counts as full.
         """
         if now < self.full_until:
             return True
@@ -74,14 +80,17 @@
         return running + waiting >= capacity
 
     def record_load(self, now: float, header: str) -> None:
-        """Take in `X-Server-Load`: running, waiting, slots; anything else is ignored."""
+        """Record the value of an `X-Server-Load` field: `running,waiting,slots`.
+
+        A value in any other form is ignored.
+        """
         parts = header.split(",")
         if len(parts) != 3 or not all(part.strip().isdecimal() for part in parts):
             return
         load = tuple(map(int, parts))
-        if max(load) > MAX_STATED_LOAD:
+        if max(load) > MAX_REPORTED_LOAD:
             return
-        self.load, self.load_at, self.load_reported = load, now, True
+        self.load, self.load_at, self.has_new_load = load, now, True
         _, waiting, slots = self.load
         if waiting > slots:
             self.hot_key_queue.reduce_rate(now, OVERLOADED_RATE_FACTOR)
@@ -89,22 +98,26 @@
             self.hot_key_queue.raise_rate(now)
 
     def record_answer(self, response_time: float) -> None:
-        """It answered, within so many s."""
+        """Record a response, which ends the backoff. response_time: s."""
         self.attempts += 1
         self.response_time += response_time
         self.backoff, self.backoff_until = MIN_BACKOFF, 0.0
 
     def record_server_error(self) -> None:
-        """It answered with a fault of its own: it ran the request and could not serve it."""
+        """Record a server error: the worker ran the request and failed to serve it."""
         self.server_errors += 1
 
     def record_rejection(self, now: float) -> None:
-        """It rejected a request or a connection."""
+        """Record that the worker rejected a request or a connection."""
         self.full_until = now + REJECTION_BACKOFF
         self.hot_key_queue.reduce_rate(now, REJECTED_RATE_FACTOR)
 
     def record_failure(self, now: float, back_off: bool) -> None:
-        """An attempt got no answer; with `back_off` it gets nothing from here for a while."""
+        """Record an attempt without a response.
+
+        back_off: whether the worker gets no requests during a backoff. The next backoff is twice as long, up
+        to MAX_BACKOFF.
+        """
         self.attempts += 1
         self.failures += 1
         if back_off:
@@ -112,19 +125,20 @@
             self.backoff = min(self.backoff * 2, MAX_BACKOFF)
 
     def take_statistics(self) -> tuple | None:
-        """Its row of the load report, None where there is nothing to report; its counts begin anew.
+        """Return the worker's row of the load report and reset the counts.
 
-        The row: attempts, failures, mean response time (s), stated load or None, and server errors if any.
+        The row consists of attempts, failures, mean response time (s), reported load or None, and the number
+        of server errors if there are any. Returns None if there is nothing to report.
         """
         row: tuple | None = None
-        if self.attempts or self.load_reported:
+        if self.attempts or self.has_new_load:
             answered = self.attempts - self.failures
             mean = round(self.response_time / answered, 4) if answered else 0.0
-            row = (self.attempts, self.failures, mean, self.load if self.load_reported else None)
+            row = (self.attempts, self.failures, mean, self.load if self.has_new_load else None)
             if self.server_errors:
                 row = (*row, self.server_errors)
         self.attempts = self.failures = self.server_errors = 0
-        self.response_time, self.load_reported = 0.0, False
+        self.response_time, self.has_new_load = 0.0, False
         return row
 
 
@@ -135,14 +149,14 @@
         self.by_instance: dict[str, WorkerObservation] = {}
 
     def of(self, instance_id: str) -> WorkerObservation:
-        """A worker's; a new one where there is none yet."""
-        known = self.by_instance.get(instance_id)
-        return known or self.by_instance.setdefault(instance_id, WorkerObservation())
+        """Return the observation of a worker. It is created if there is none."""
+        observation = self.by_instance.get(instance_id)
+        return observation or self.by_instance.setdefault(instance_id, WorkerObservation())
 
-    def forget_departed(self, known: Container[str]) -> None:
-        """Drop those of workers that are not in `known` and have no request in flight."""
+    def forget_departed(self, registered: Container[str]) -> None:
+        """Remove the observations of workers that are not in `registered` and have no request in flight."""
         self.by_instance = {
             instance_id: observation
             for instance_id, observation in self.by_instance.items()
-            if instance_id in known or observation.in_flight
+            if instance_id in registered or observation.in_flight
         }
