--- a/bramblewood/proxy/hot_key_queue.py
+++ b/bramblewood/proxy/hot_key_queue.py
@@ -1,33 +1,39 @@
-"""Rate limit for a hot key's worker: how fast this proxy sends it idempotent requests, and in which order.
+"""Rate limit for a hot key's worker: the rate and order in which this proxy sends it idempotent requests.
 
-A worker rejects what it has no room for, non-idempotent requests too. Proxies don't know each other's
-requests, so each finds its own rate: it reduces the rate when the worker states that more requests wait than
-it has slots, or rejects one, and raises it again while it does neither (multiplicative decrease and
-increase). Non-idempotent requests pass at once and count; the others take what is left, by priority, then in
-order of arrival. No request waits that can't be sent in time. Pure; times in s.
+No I/O. Times are in seconds.
+
+A full worker rejects any request, including non-idempotent ones. A proxy does not know the requests of other
+proxies, so each proxy adapts its own rate. It reduces the rate when the worker rejects a request or reports
+more waiting requests than slots. It raises the rate while the worker does neither. Both changes are
+multiplicative. A non-idempotent request is sent immediately and consumes part of the rate. Idempotent
+requests share the remaining rate, by priority and then in order of arrival. A request that cannot be sent in
+time is not queued.
 """
 
 import math
 
-# of its rate that a proxy keeps when a worker states that more requests wait than it has slots
+# factor applied to the rate when a worker reports more waiting requests than slots
 OVERLOADED_RATE_FACTOR = 0.85
-REJECTED_RATE_FACTOR = 0.7  # and when it rejects a request
-RATE_EFFECT_DELAY = 0.2  # s before a lower rate can show: about a request's work
-RATE_GAIN_PER_SECOND = 0.3  # of its rate that it gains each second
-MIN_RATE = 0.2  # requests a second that are always sent: its worker states its load every five seconds
+REJECTED_RATE_FACTOR = 0.7  # factor applied to the rate when a worker rejects a request
+RATE_EFFECT_DELAY = 0.2  # s until a reduced rate has an effect: about a request's processing time
+RATE_GAIN_PER_SECOND = 0.3  # fraction of the rate by which it grows each second
+MIN_RATE = 0.2  # requests per second: keeps the worker's load reported every five seconds
 ARRIVAL_RATE_WINDOW = 1.0  # s over which the arrival rate is averaged
-UNLIMITED_RATE_FACTOR = 2.0  # times the arrival rate from which a rate limits nothing: the limit is lifted
+UNLIMITED_RATE_FACTOR = 2.0  # times the arrival rate: above this, the rate limit is removed
 
-Priority = tuple[int, float]  # the route's priority, when the request came; the lower goes first
+Priority = tuple[int, float]  # the route's priority and the time of arrival; the lowest is sent first
 
 
 class HotKeyQueue:
-    """One worker's rate limit at this proxy."""
+    """The rate limit of one worker at this proxy, and the requests that wait for it.
+
+    next_slot_at: earliest time of the next request. reduced_at, raised_at: times of the last rate changes.
+    """
 
     def __init__(self) -> None:
-        self.rate = math.inf  # requests a second
+        self.rate = math.inf  # requests per second; infinite if there is no limit
         self.next_slot_at = self.reduced_at = self.raised_at = -1e9
-        self.arrival_count, self.counted_at = 0.0, 0.0  # decays over ARRIVAL_RATE_WINDOW
+        self.arrival_count, self.counted_at = 0.0, 0.0  # a count that decays over ARRIVAL_RATE_WINDOW
         self.waiting: dict[str, Priority] = {}  # by request id
 
     @property
@@ -36,23 +42,30 @@
         return self.rate < math.inf
 
     def arrival_rate(self, now: float) -> float:
-        """Requests a second that arrive for this worker."""
+        """Return the average number of requests per second that arrive for the worker's hot keys."""
         decay = math.exp(-max(now - self.counted_at, 0.0) / ARRIVAL_RATE_WINDOW)
         return self.arrival_count * decay / ARRIVAL_RATE_WINDOW
 
     def record_arrival(self, now: float) -> None:
-        """A request for a hot key of this worker arrived."""
+        """Record that a request for a hot key of this worker arrived."""
         self.arrival_count, self.counted_at = self.arrival_rate(now) * ARRIVAL_RATE_WINDOW + 1.0, now
 
     def reduce_rate(self, now: float, factor: float) -> None:
-        """The worker has more than it can do; factor: OVERLOADED_RATE_FACTOR or REJECTED_RATE_FACTOR."""
+        """Reduce the rate because the worker is overloaded.
+
+        factor: OVERLOADED_RATE_FACTOR or REJECTED_RATE_FACTOR. Nothing changes until the last reduction can
+        have had an effect, or while fewer requests arrive than MIN_RATE.
+        """
         if now < self.reduced_at + RATE_EFFECT_DELAY or self.arrival_rate(now) < MIN_RATE:
             return
         self.rate = max(factor * min(self.rate, self.arrival_rate(now)), MIN_RATE)
         self.reduced_at = self.raised_at = now
 
     def raise_rate(self, now: float) -> None:
-        """The worker answered, and no more requests wait there than it has slots."""
+        """Raise the rate, because the worker reports no more waiting requests than slots.
+
+        A rate far above the arrival rate becomes infinite.
+        """
         if not self.is_limiting:
             return
         self.rate *= 1 + RATE_GAIN_PER_SECOND * min(now - self.raised_at, 1.0)
@@ -61,7 +74,11 @@
             self.rate = math.inf
 
     def turn_at(self, now: float, request_id: str, priority: Priority, latest: float) -> float | None:
-        """When a request may be sent: `now`, or when to ask again; None where it can't be by `latest`."""
+        """Return `now` if the request may be sent now, otherwise the time at which to call again.
+
+        Returns None if the request cannot be sent by `latest`. While the result is a later time, the
+        request is in the queue. It leaves the queue with any other result, or with `remove`.
+        """
         if not self.is_limiting:
             self.waiting.pop(request_id, None)
             return now
@@ -77,10 +94,10 @@
         return now
 
     def remove(self, request_id: str) -> None:
-        """A request waits here no more."""
+        """Remove a request from the queue, if it is waiting."""
         self.waiting.pop(request_id, None)
 
     def record_passage(self, now: float) -> None:
-        """A request is sent to the worker."""
+        """Record that a request is sent to the worker."""
         if self.is_limiting:
             self.next_slot_at = max(self.next_slot_at, now) + 1 / self.rate
--- a/bramblewood/proxy/retry_budget.py
+++ b/bramblewood/proxy/retry_budget.py
@@ -1,15 +1,15 @@
-"""The retry budget: how many retries this proxy may send, as its share of a budget for all proxies. Pure.
+"""The retry budget: the number of retries that this proxy may send, a share of the budget of all proxies.
 
-The budget of a service is a ratio of its requests in a sliding window, plus a constant that all proxies share
-(`RetryRatio`, `RetryWindowS`, `RetrySlack` of the settings).
+No I/O. The budget of a service is a ratio of its requests in a sliding window, plus a constant that all
+proxies share (`RetryRatio`, `RetryWindowS`, `RetrySlack` of the settings). Times are in seconds.
 """
 
-BUDGET_USE_FRACTION = 0.8  # of the budget that is used: the rules count arrivals in other windows than these
-BUCKET_DURATION = 1.0  # s
+BUDGET_USE_FRACTION = 0.8  # of the budget that is used, as the windows of the rules have other boundaries
+BUCKET_DURATION = 1.0  # s that one bucket covers
 
 
 class _Bucket:
-    """Counts of one second."""
+    """The counts of requests and retries in one second."""
 
     __slots__ = ("requests", "retries")
 
@@ -18,10 +18,16 @@
 
 
 class RetryBudget:
-    """Counts of requests and retries by service, in buckets of a second."""
+    """Counts of requests and retries by service and second.
+
+    proxies: number of proxies that share the slack.
+    """
 
     def __init__(self, ratio: float, window: float, slack: float) -> None:
-        """ratio: retries a request. window: s. slack: retries in a window that all proxies share."""
+        """ratio: retries per request.
+
+        window: s. slack: further retries per window, for all proxies together.
+        """
         self.ratio, self.window, self.slack, self.proxies = ratio, window, slack, 1
         self.buckets: dict[str, dict[int, _Bucket]] = {}
 
@@ -29,17 +35,17 @@
         buckets = self.buckets.setdefault(service, {})
         number = int(now / BUCKET_DURATION)
         if number not in buckets:
-            for old in [n for n in buckets if n < number - self.window / BUCKET_DURATION]:
-                del buckets[old]
+            for expired in [n for n in buckets if n < number - self.window / BUCKET_DURATION]:
+                del buckets[expired]
             buckets[number] = _Bucket()
         return buckets[number]
 
     def record_request(self, service: str, now: float) -> None:
-        """A client's request to a service arrived."""
+        """Count a client request to a service."""
         self._current_bucket(service, now).requests += 1
 
     def try_spend(self, service: str, now: float) -> bool:
-        """Spend one retry, if there is one left in the window; false where there is none."""
+        """Spend one retry if the budget of the window allows it. Returns whether it does."""
         current = self._current_bucket(service, now)
         buckets = self.buckets[service].values()
         requests = sum(bucket.requests for bucket in buckets)
--- a/bramblewood/proxy/slice_lookup.py
+++ b/bramblewood/proxy/slice_lookup.py
@@ -1,4 +1,4 @@
-"""The slice table as this proxy follows it: which slice a key lies in, and what its entry says. Pure.
+"""This proxy's copy of the slice table, and lookup of the slice of a key. No I/O.
 
 Invariant: the table never goes back to an older version within the life of a process.
 """
@@ -10,20 +10,25 @@
 
 
 class SliceLookup:
-    """The newest slice table known here.
+    """The newest slice table that this proxy has received.
 
-    table: entries by service and first key. version: of the table; 0 before the first. drain_steps: by
-    instance id, the step of a worker that an operator's drain plan names.
+    table: entries by service and first key. starts: the sorted first keys of each service's slices. version:
+    the table's version, 0 before the first table. drain_steps: by instance id, the step of each worker in an
+    operator's drain plan.
     """
 
     def __init__(self) -> None:
         self.table: dict[str, dict[str, list]] = {}
-        self.starts: dict[str, list[int]] = {}  # by service, the slices' first keys in order
+        self.starts: dict[str, list[int]] = {}
         self.version = 0
         self.drain_steps: dict[str, str] = {}
 
     def apply(self, update: TableUpdate) -> bool:
-        """Take in a table, or the difference to an older one; false where that one is newer than ours."""
+        """Apply an update: a complete table, or the changes since the version `update.base`.
+
+        Returns False if the update is based on a newer version than this proxy has. An update that is not
+        newer than the table is ignored and counts as applied.
+        """
         if update.version <= self.version:
             return True
         if update.base is None:
@@ -47,16 +52,16 @@
             self.starts[service] = sorted_starts(entries)
 
     def entry(self, service: str, key: int) -> list | None:
-        """The entry of the slice that this key lies in; None where the service has no table yet."""
+        """Return the entry of the slice that contains a key, or None if the service has no slices yet."""
         starts = self.starts.get(service)
         return self.table[service][str(starts[bisect_right(starts, key) - 1])] if starts else None
 
     def fencing_token(self, service: str, key: int | None) -> int | None:
-        """The fencing token under which a key is leased by this table; None where there is no key."""
+        """Return the fencing token of a key's lease, or None if there is no key or no slice."""
         entry = self.entry(service, key) if key is not None else None
         return entry[FENCING_TOKEN] if entry else None
 
     def replica_holders(self, service: str, key: int) -> set[str]:
-        """The workers that may hold read replicas of a key, by this table."""
+        """Return the workers that may hold read replicas of a key according to this table."""
         entry = self.entry(service, key)
         return set(all_readers(entry)) if entry else set()
