--- a/bramblewood/proxy/client_connections.py
+++ b/bramblewood/proxy/client_connections.py
@@ -1,7 +1,7 @@
-"""Clients' connections: limited by the newest configuration, closed where no first request comes in time.
+"""Client connections, with the limits of the newest configuration and a time-out for the first request.
 
-Invariant: a client that has sent no request within the configured time is disconnected; one whose request
-arrived in time is not, even if this process stood still meanwhile.
+Invariant: a client that sends no complete request head within the configured time is disconnected. A client
+whose request arrived in time is not, even if this process was suspended in the meantime.
 """
 
 import asyncio
@@ -16,14 +16,17 @@
 from .controller_sessions import ControllerSessions
 
 MAX_HEADERS = 256
-# s after a standstill in which requests that came meanwhile are read: some turns of the loop
+# s after the time-out: the loop reads requests that arrived in time while the process was suspended
 FIRST_REQUEST_READ_GRACE = 0.01
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 
 class ClientConnections:
-    """Makes the protocols of clients' connections; awaiting_first_request: ids of those without a request."""
+    """Creates the protocols of client connections.
+
+    awaiting_first_request: ids of the protocols that have received no request yet.
+    """
 
     def __init__(
         self, sessions: ControllerSessions, handler: Handler, disconnects: ClientDisconnects
@@ -31,16 +34,16 @@
         self.sessions, self.handler, self.disconnects = sessions, handler, disconnects
         self.awaiting_first_request: set[int] = set()
         self._server: web.Server | None = None
-        self._server_configuration: Configuration | None = None  # by whose limits the server serves
+        self._server_configuration: Configuration | None = None  # the server applies its limits
 
     def create_protocol(self) -> asyncio.Protocol:
-        """The protocol of a client's new connection, by the limits of now."""
+        """Return the protocol of a new client connection, with the current limits."""
         limits = self.sessions.client_limits
         if self._server is None or self._server_configuration is not self.sessions.configuration:
             self._server_configuration = self.sessions.configuration
             self._server = self._create_server(limits)
         protocol = self._server()
-        self.awaiting_first_request.add(id(protocol))  # the timer below keeps it alive meanwhile
+        self.awaiting_first_request.add(id(protocol))  # unique, as the timer below holds a reference
         loop = asyncio.get_running_loop()
         loop.call_later(
             limits.header_timeout,
@@ -59,7 +62,7 @@
             max_line_size=int(limits.max_header_bytes),
             max_field_size=int(limits.max_header_bytes),
             max_headers=MAX_HEADERS,
-            # a request that begins at the end of the idle time has its own time still
+            # a request that begins at the end of the idle time still has the full header time-out
             keepalive_timeout=limits.idle_timeout + limits.header_timeout,
             auto_decompress=False,
         )
@@ -69,7 +72,7 @@
         return await self.handler(request)
 
     def _first_request_timed_out(self, protocol: Any) -> None:
-        """The time for a first request is over: a client that has sent none is disconnected."""
+        """Disconnect a client that has sent no request within the time-out."""
         if id(protocol) in self.awaiting_first_request:
             self.awaiting_first_request.discard(id(protocol))
             if protocol.transport is not None:
--- a/bramblewood/proxy/client_disconnects.py
+++ b/bramblewood/proxy/client_disconnects.py
@@ -1,7 +1,8 @@
-"""Requests whose clients have disconnected: work on them that nobody needs any more is stopped.
+"""Cancels the work on requests whose clients have disconnected.
 
-Rule GONE of the users' pages: half a second after a client has gone, no worker gets its request any more, and
-none is still at work on it, if it may be repeated. What may not be repeated runs on once it was sent.
+Rule GONE of the users' pages: half a second after a client disconnects, its request is not sent to any
+further worker. If the request is idempotent, no worker is still processing it. A non-idempotent request that
+was sent is not cancelled.
 """
 
 import asyncio
@@ -14,45 +15,48 @@
 
 
 class ClientDisconnected(BramblewoodError):
-    """The client of a request has closed its connection."""
+    """The client closed its connection before its request was answered."""
 
     step = "request"
 
 
 class ClientServer(web.Server):
-    """Serves clients' connections, and announces those that are lost."""
+    """Serves client connections and reports lost ones to `disconnects`."""
 
     def __init__(self, handler, disconnects: "ClientDisconnects", **options) -> None:
-        """handler, options: as `web.Server` takes them."""
+        """handler, options: arguments of `web.Server`."""
         super().__init__(handler, **options)
         self.disconnects = disconnects
 
     def connection_lost(self, handler, exc: BaseException | None = None) -> None:
-        """A client's connection has ended, for whatever reason."""
+        """Handle the end of a client connection. exc: the error that ended it, if any."""
         super().connection_lost(handler, exc)
         self.disconnects.connection_lost(handler)
 
 
 class ClientDisconnects:
-    """Which work ends with which client's connection."""
+    """The work to cancel when a client connection is lost, at most one request per connection."""
 
     def __init__(self) -> None:
         self._scopes: dict[int, asyncio.Timeout] = {}  # by id of the connection's protocol
 
     def connection_lost(self, protocol: object) -> None:
-        """End the work that depends on this connection."""
+        """Cancel the work that depends on this connection."""
         scope = self._scopes.pop(id(protocol), None)
         if scope is not None:
             scope.reschedule(asyncio.get_running_loop().time())
 
     def check(self, request: web.BaseRequest) -> None:
-        """Raise `ClientDisconnected` where the request's client has gone."""
+        """Raise `ClientDisconnected` if the request's client has closed its connection."""
         if request.transport is None or request.transport.is_closing():
             raise ClientDisconnected
 
     @contextlib.asynccontextmanager
     async def watch(self, request: web.BaseRequest) -> AsyncIterator[None]:
-        """Cancel what is done inside when the request's client goes; raises `ClientDisconnected` then."""
+        """Cancel the body of an `async with` block when the client disconnects.
+
+        Raises `ClientDisconnected` in that case, or if the client has disconnected before.
+        """
         self.check(request)
         protocol = id(request.protocol)
         scope = asyncio.timeout(None)
--- a/bramblewood/proxy/client_limits.py
+++ b/bramblewood/proxy/client_limits.py
@@ -1,4 +1,4 @@
-"""What a client may send and how long it may take: the configuration's `Limits`. Pure."""
+"""Limits on the size and duration of client requests, from `Limits` of the configuration. No I/O."""
 
 from typing import NamedTuple
 
@@ -6,16 +6,16 @@
 
 
 class ClientLimits(NamedTuple):
-    """Limits on a client's connection; the defaults hold without a configuration. Times in s."""
+    """Limits on a client connection. Times are in seconds. The defaults apply without a configuration."""
 
     max_header_bytes: int = 2**14
     max_body_bytes: int = 2**26
-    header_timeout: float = 3.0  # for a first request
-    idle_timeout: float = 15.0  # between requests
+    header_timeout: float = 3.0  # from the connection to the first request
+    idle_timeout: float = 15.0  # between two requests
 
     @classmethod
     def of(cls, configuration: Configuration | None) -> "ClientLimits":
-        """Those of a configuration; what it does not name is as without one."""
+        """Return the limits of a configuration, with the default for each limit that it does not set."""
         if configuration is None or not configuration.limits:
             return DEFAULT_LIMITS
         limits = configuration.limits
--- a/bramblewood/proxy/connection_pool.py
+++ b/bramblewood/proxy/connection_pool.py
@@ -1,7 +1,8 @@
-"""The idle connections to all workers: reused, limited in number, closed in time.
+"""The pool of idle connections to workers, which limits their number and closes them before they expire.
 
-Invariant: a connection is in the pool or carries one exchange, never both; `connection_state` says whether it
-may come back. A request whose method is not idempotent goes on no idle connection that may be dead already.
+Invariant: a connection is either in the pool or carries one exchange. `connection_state` determines whether
+it may return to the pool. A non-idempotent request is not sent on an idle connection that may already be
+dead.
 """
 
 import asyncio
@@ -9,31 +10,31 @@
 from ..common.connection_state import AttemptOutcome
 from ..common.worker_connection import WorkerConnection, WorkerUnreachable, connect
 
-# of the idle time after which a connection was found dead: still trusted with non-idempotent requests
+# fraction of the idle time of a dead connection: up to this, idle connections take non-idempotent requests
 TRUSTED_IDLE_FRACTION = 0.5
-# s in which the trusted time doubles again: workers drop connections early for some seconds only
+# s in which the trusted idle time doubles, as workers close connections early for some seconds only
 TRUST_RECOVERY_TIME = 5.0
 MAX_TRUST_DOUBLINGS = 30.0
 
 
 class ConnectionPool:
-    """Idle connections by the worker's instance id, the one used last at the end."""
+    """Idle connections by instance id of the worker, the most recently used one last."""
 
     def __init__(self) -> None:
         self.idle: dict[str, list[WorkerConnection]] = {}
         self.opened = self.reused = self.rejected = 0  # counts since the start, for the metrics
-        self.dead_idle_time = 0.0  # s after which an idle connection was found dead; 0: none was
-        self.dead_found_at = -1e9  # when that was
+        self.dead_idle_time = 0.0  # s of idle time after which a connection may be dead; 0: unknown
+        self.dead_found_at = -1e9  # time at which the last dead connection was found
 
     def trusted_idle_time(self, now: float) -> float:
-        """For how long (s) a connection may have been idle to carry what must not be sent twice."""
+        """Return the longest idle time (s) after which a connection may carry a non-idempotent request."""
         if not self.dead_idle_time:
             return float("inf")
         doublings = min((now - self.dead_found_at) / TRUST_RECOVERY_TIME, MAX_TRUST_DOUBLINGS)
         return TRUSTED_IDLE_FRACTION * self.dead_idle_time * 2**doublings
 
     def record_dead_connection(self, now: float, idle_time: float) -> None:
-        """A connection that was idle for so long (s) was reset on use: workers may have dropped others."""
+        """Record that a connection with this idle time (s) was reset on use: others may be dead as well."""
         self.dead_idle_time, self.dead_found_at = min(idle_time, self.trusted_idle_time(now)), now
 
     async def acquire(
@@ -44,9 +45,10 @@
         non_idempotent: bool,
         excluded: set[int] | frozenset[int] = frozenset(),
     ) -> WorkerConnection:
-        """A connection that may carry a request: an idle one, else a new one.
+        """Return an idle connection that may carry a request, or else a new connection.
 
-        excluded: numbers of connections on which the request was sent before. Raises `WorkerUnreachable`.
+        excluded: numbers of the connections on which the request was sent before. Raises `WorkerUnreachable`
+        if no connection can be opened, or if the worker resets the new connection.
         """
         connection = self.take_idle(instance_id, now, non_idempotent, excluded)
         return connection if connection is not None else await self._open(address)
@@ -58,9 +60,10 @@
         non_idempotent: bool,
         excluded: set[int] | frozenset[int] = frozenset(),
     ) -> WorkerConnection | None:
-        """An idle connection that may carry a request, the one idle for the shortest time first.
+        """Return the most recently used idle connection that may carry a request, or None.
 
-        None of `excluded`: a surplus answer to the request's earlier attempt would have the same id.
+        Connections in `excluded` are not returned: a surplus response to an earlier attempt of the same
+        request would have the same id. Expired idle connections to the worker are closed.
         """
         trusted_time = self.trusted_idle_time(now) if non_idempotent else float("inf")
         idle = []
@@ -82,7 +85,7 @@
         self.opened += 1
         try:
             survived = await connection.survives_round_trip(round_trip)
-        except asyncio.CancelledError:  # nobody else knows of it yet
+        except asyncio.CancelledError:  # no other code has a reference to close it
             connection.close()
             raise
         if not survived:
@@ -91,7 +94,7 @@
         return connection
 
     def release(self, instance_id: str, connection: WorkerConnection, limit: int) -> None:
-        """Keep a connection for reuse, if fewer than `limit` are idle to this worker; else close it."""
+        """Keep a connection for reuse if fewer than `limit` to this worker are idle. Otherwise close it."""
         idle = self.idle.setdefault(instance_id, [])
         if connection.is_reusable and len(idle) < limit:
             idle.append(connection)
@@ -99,14 +102,15 @@
             connection.close()
 
     def close_all(self, instance_id: str) -> None:
-        """Close the idle connections to a worker."""
+        """Close all idle connections to a worker."""
         for connection in self.idle.pop(instance_id, ()):
             connection.close()
 
     def prune(self, now: float, limits: dict[str, int]) -> None:
-        """Close what was idle for too long and what exceeds the limits.
+        """Close expired idle connections and those that exceed the limits.
 
-        limits: by instance id, how many idle connections may be kept; workers that are not named have gone.
+        limits: number of idle connections that may be kept, by instance id. All connections to other workers
+        are closed.
         """
         for instance_id in list(self.idle):
             if instance_id not in limits:
@@ -117,7 +121,7 @@
                 for connection in self.idle[instance_id]
                 if connection.is_reusable and connection.reusable_until > now
             ]
-            keep = keep[max(len(keep) - limits[instance_id], 0) :]  # those used last
+            keep = keep[max(len(keep) - limits[instance_id], 0) :]  # the most recently used ones
             for connection in self.idle[instance_id]:
                 if connection not in keep:
                     connection.close()
--- a/bramblewood/proxy/connection_quota.py
+++ b/bramblewood/proxy/connection_quota.py
@@ -1,26 +1,26 @@
-"""How many idle connections each proxy may keep to a worker. Pure.
+"""The number of idle connections that each proxy may keep to a worker. No I/O.
 
-A worker accepts `MaxConns` connections from all callers together and resets the rest, and it accepts fewer
-while its queue is long. Proxies don't tell each other what they keep; each knows how many proxies there are
-and takes its even share. Where that is less than one, a lottery decides which proxies keep one, drawn anew
-for each worker and period, so that none stays without for long. What a proxy may not keep it closes right
-after use.
+A worker accepts `MaxConns` connections from all callers together, and fewer while its queue is long. It
+resets all further connections. Proxies do not exchange the number of connections that they keep. Each proxy
+takes an equal share, which it computes from the number of proxies. The fractional part of a share is the
+probability of one more connection. It is drawn for each worker and period, so that no proxy stays without a
+connection for long. A connection beyond the quota is closed after use.
 """
 
 import zlib
 
-IDLE_FRACTION = 0.5  # of MaxConns that idle connections may take: the other half is for requests in flight
-LOTTERY_PERIOD = 30.0  # s that a draw is valid: some idle times of a worker, PROTOCOL's ten seconds and more
-UNLIMITED = 2**20
+IDLE_FRACTION = 0.5  # of MaxConns for idle connections: the other half is reserved for requests in flight
+LOTTERY_PERIOD = 30.0  # s for which a draw is valid: several idle times of a worker, ten seconds in PROTOCOL
+UNLIMITED = 2**20  # connections
 
 
 def idle_connection_quota(
     max_connections: int, proxies: int, proxy: str, instance_id: str, now: float
 ) -> int:
-    """Idle connections that this proxy may keep to this worker.
+    """Return the number of idle connections that this proxy may keep to a worker.
 
-    max_connections: the service's `MaxConns`; 0 for no limit. proxies: how many there are. proxy: this one's
-    name. now: s.
+    max_connections: `MaxConns` of the service, 0 for no limit. proxies: number of proxies. proxy: name of
+    this proxy. now: s.
     """
     if max_connections <= 0:
         return UNLIMITED
