--- a/bramblewood/proxy/http_fields.py
+++ b/bramblewood/proxy/http_fields.py
@@ -1,6 +1,6 @@
-"""HTTP header fields of requests and responses that pass through the proxy. Pure.
+"""HTTP header fields of requests and responses that pass through the proxy. No I/O.
 
-RFC 9110, section 7.6.1: fields that concern one connection are not forwarded.
+Hop-by-hop fields, which concern one connection only, are not forwarded (RFC 9110, section 7.6.1).
 """
 
 from collections.abc import Iterable
@@ -23,15 +23,16 @@
     b"proxy-authorization",
     b"expect",
 }
-# whose value decides who gets a request and whose a response is: twice, it could be read in two ways
+# These determine where a request is sent and which request a response belongs to. A request with more than
+# one value of such a field is ambiguous.
 SINGLE_VALUE_FIELDS = ("Host", "X-Attempt-Id", "X-Shard-Key", "X-Deadline-Ms")
-# no `Connection` field may remove these
+# A `Connection` field cannot remove these.
 END_TO_END_FIELDS = {name.lower().encode() for name in SINGLE_VALUE_FIELDS}
 FIELDS_SET_FOR_WORKERS = {b"x-deadline-ms", b"x-target-instance", b"content-length"}
 FIELDS_SET_FOR_CLIENTS = {b"content-length", b"date", b"server"}
 _NOT_FOR_WORKERS = HOP_BY_HOP_FIELDS | FIELDS_SET_FOR_WORKERS
 _NOT_FOR_CLIENTS = HOP_BY_HOP_FIELDS | FIELDS_SET_FOR_CLIENTS
-MAX_DIGITS = 18
+MAX_DIGITS = 18  # keeps a parsed integer within 64 bits
 
 
 class _MultiValueHeaders(Protocol):
@@ -41,9 +42,10 @@
 def request_head(
     request: web.BaseRequest, body: bytes, attempts: RequestAttempts, instance_id: str, now: float
 ) -> bytes:
-    """A request's head as a worker gets it.
+    """Return the head of a request to a worker.
 
-    Unchanged but for what concerns one connection, the time left (`X-Deadline-Ms`) and its target.
+    It is the client's head without hop-by-hop fields. `X-Deadline-Ms`, `X-Target-Instance` and `Content-
+    Length` are replaced, and `X-Attempt-Id` is added if it is missing. now: s of the loop's clock.
     """
     not_forwarded = _NOT_FOR_WORKERS | (connection_options(request.headers) - END_TO_END_FIELDS)
     lines = [f"{request.method} {request.raw_path} HTTP/1.1".encode("utf-8", "surrogateescape")]
@@ -60,7 +62,7 @@
 
 
 def connection_options(headers: _MultiValueHeaders) -> set[bytes]:
-    """The fields that concern one connection as its `Connection` fields say, in lower case."""
+    """Return the names of the hop-by-hop fields that the `Connection` fields list, in lower case."""
     options = ",".join(headers.getall("Connection", ()))
     return {name.strip().lower().encode("utf-8", "surrogateescape") for name in options.split(",")}
 
@@ -68,7 +70,10 @@
 def error_response(
     status: int, reason: str, retry_after: float | None = None, close: bool = False
 ) -> web.Response:
-    """A response of the proxy's own. retry_after: s. close: end the client's connection after it."""
+    """Return an error response of the proxy itself.
+
+    retry_after: s, or None. close: whether to close the client's connection after the response.
+    """
     response = web.json_response({"Failure": reason}, status=status)
     if retry_after is not None:
         response.headers["Retry-After"] = f"{retry_after:.3f}"
@@ -78,7 +83,7 @@
 
 
 def client_response(reply: FinalReply, method: str) -> web.Response:
-    """The response that a client gets; method: of its request."""
+    """Return the response to the client. method: of its request."""
     if reply.response is None:
         return error_response(reply.status, reply.reason, reply.retry_after)
     response = reply.response
@@ -88,7 +93,7 @@
         if name.lower() not in not_forwarded:
             headers.add(name.decode("utf-8", "surrogateescape"), value.decode("utf-8", "surrogateescape"))
     if method == "HEAD" and "Content-Length" in response.headers_by_name:
-        headers["Content-Length"] = response.headers_by_name["Content-Length"]  # of what a GET would bring
+        headers["Content-Length"] = response.headers_by_name["Content-Length"]  # as for a GET
     return web.Response(status=response.status, reason=response.reason, body=response.body, headers=headers)
 
 
@@ -98,5 +103,5 @@
 
 
 def parse_integer(text: str) -> int | None:
-    """A number of 0 or more as a field states it, of 18 digits at most; None if it is none."""
+    """Return the non-negative integer in a field, or None if it is not one or has more than MAX_DIGITS."""
     return int(text) if text.isascii() and text.isdigit() and len(text) <= MAX_DIGITS else None
--- a/bramblewood/proxy/load_report.py
+++ b/bramblewood/proxy/load_report.py
@@ -1,11 +1,14 @@
-"""The load report that a proxy sends to the coordinator: requests counted, workers observed, drains. Pure."""
+"""The load report that a proxy sends to the coordinator: request counts, worker statistics, drains.
+
+No I/O.
+"""
 
 from ..common.messages import LoadReport
 from .load_balancing import LoadBalancer
 
 
 def take_report(load_balancer: LoadBalancer, elapsed: float, now: float) -> LoadReport:
-    """The report of the last `elapsed` s; all counts begin anew."""
+    """Return the report of the last `elapsed` s and reset all counts. now: s of the loop's clock."""
     workers = {}
     for instance_id, observation in load_balancer.observations.by_instance.items():
         if (row := observation.take_statistics()) is not None:
@@ -19,10 +22,11 @@
 
 
 def remaining_work(load_balancer: LoadBalancer, now: float) -> dict[str, list]:
-    """By instance id of workers in a drain plan, what this proxy has there.
+    """Return this proxy's remaining work at each worker in a drain plan, by instance id.
 
-    That is: idempotent requests in flight, non-idempotent ones with the keys bound to the worker, and for how
-    long (s) the oldest is in flight. Workers at which there is nothing are left out.
+    Each row consists of the number of idempotent requests in flight, the number of non-idempotent requests
+    in flight plus the number of keys bound to the worker, and the time (s) since the worker last had no
+    request in flight. Workers without remaining work are omitted.
     """
     remaining = {}
     for instance_id in load_balancer.slices.drain_steps:
--- a/bramblewood/proxy/readiness.py
+++ b/bramblewood/proxy/readiness.py
@@ -1,6 +1,6 @@
-"""What the platform and operators ask a proxy: whether it is ready, and its metrics.
+"""Serves the readiness check of the platform and the metrics.
 
-The names of the metrics and of their labels are an operator's interface and those of earlier releases.
+The names and labels of the metrics are a public interface and stay the same across releases.
 """
 
 from aiohttp import web
@@ -26,7 +26,7 @@
 
 
 class Readiness:
-    """Answers on the readiness address."""
+    """Handles requests on the readiness address."""
 
     def __init__(
         self,
@@ -44,15 +44,18 @@
         return self.sessions.selection.is_ready and not self.request_handler.is_shutting_down
 
     async def handle(self, request: web.BaseRequest) -> web.Response:
-        """200 or 503 to a health check; at `/metrics` the metrics."""
+        """Return the metrics at `/metrics`.
+
+        At any other path, return 200 if the proxy is ready and 503 if not.
+        """
         if request.path == METRICS_PATH:
             return web.Response(text=metrics.format_metrics(self.metrics()))
         return web.Response(status=200 if self.is_ready else 503)
 
     def metrics(self) -> dict[str, float]:
-        """The metrics by name."""
+        """Return the value of each metric by its name, which includes its label."""
         versions, pool = self.sessions.known_versions(), self.connection_pool
-        found = {
+        values = {
             READY: int(self.is_ready),
             REQUESTS_IN_FLIGHT: self.request_handler.in_flight,
             CONFIGURATION_VERSION: versions[CONFIGURATION_REGISTER],
@@ -64,7 +67,7 @@
             BODY_BYTES: self.request_handler.body_bytes,
         }
         for outcome, count in self.forwarder.attempts_by_outcome.items():
-            found[ATTEMPTS_BY_OUTCOME.format(outcome.value)] = count
+            values[ATTEMPTS_BY_OUTCOME.format(outcome.value)] = count
         for status_class, count in self.request_handler.responses_by_class.items():
-            found[RESPONSES_BY_CLASS.format(status_class)] = count
-        return found
+            values[RESPONSES_BY_CLASS.format(status_class)] = count
+        return values
