--- a/bramblewood/proxy/controller_selection.py
+++ b/bramblewood/proxy/controller_selection.py
@@ -1,11 +1,11 @@
-"""Which controller this proxy gets its updates from, which coordinates, and when the proxy is ready. Pure.
+"""Selects the controller that sends updates to this proxy, and determines when the proxy is ready.
 
-Times are seconds of the proxy's own steady clock. What a controller claims in its heartbeats selects the
-upstream and says that there is something newer to ask for; nothing rests on a claim for good, as it may have
-waited in a socket.
+No I/O. Times are seconds of the proxy's own steady clock. The heartbeats of controllers select the upstream
+and announce newer versions. A heartbeat may be delayed in a socket, so no safety property depends on its
+content.
 
-Invariant: readiness, and the certainty that the slice table is the newest, rest on an answer to a question
-that this proxy asked, from a controller that had fresh contact with a quorum on all registers at that moment.
+Invariant: the proxy becomes ready, and treats its slice table as the newest, only by a confirmation that it
+requested. The controller that confirms has recent contact with a quorum on all registers at that time.
 """
 
 import math
@@ -22,41 +22,42 @@
 )
 from ..common.timeouts import CONFIRMATION_VALIDITY
 
-UPSTREAM_GRACE = 0.2  # s in which the upstream may bring what another controller states
-REQUEST_RETRY_INTERVAL = 0.4  # s after which what was asked for and did not arrive is asked elsewhere
+UPSTREAM_GRACE = 0.2  # s for the upstream to send a version that another controller announces
+REQUEST_RETRY_INTERVAL = 0.4  # s after which a version that has not arrived is requested again
 
 Message = Subscribe | Unsubscribe | UpdateRequest | ConfirmationRequest
 OutgoingMessages = list[tuple[str, Message]]  # controller, message
 
 
 class ControllerSelection:
-    """What this proxy knows of the controllers.
+    """The state of the controllers as this proxy sees it.
 
-    coordinator: the one that takes load reports. upstream: the one that pushes updates here. registry_source:
-    the one whose complete worker registry came on the connection that is up. table_confirmed_at: when the
-    last confirmation was asked for that our slice table is the newest. is_ready: for the life of this
-    process.
+    coordinator: the controller that receives load reports. upstream: the controller that sends updates.
+    registry_source: the controller whose complete worker registry was received on the present connection.
+    table_confirmed_at: when the newest confirmation of the slice table was requested. is_ready: whether the
+    proxy is ready; it then stays true for the life of the process.
     """
 
     def __init__(self, name: str, zone: str) -> None:
         self.name, self.zone = name, zone
         self.connected: set[str] = set()
-        self.heartbeats: dict[str, ProxyHeartbeat] = {}  # by controller: the newest on this connection
+        self.heartbeats: dict[str, ProxyHeartbeat] = {}  # newest by controller, on its present connection
         self.zones: dict[str, str] = {}  # by controller
         self.coordinator: str | None = None
         self.upstream: str | None = None
         self.registry_source: str | None = None
-        self.awaited_versions: dict[str, tuple[int, float]] = {}  # by register: the newest, when to ask
+        # by register: newest version announced, time of the next request
+        self.awaited_versions: dict[str, tuple[int, float]] = {}
         self.table_confirmed_at = -1e9
         self.is_ready = False
 
     def is_current_upstream(self, peer: str) -> bool:
-        """Whether this controller is the upstream, and current by its newest heartbeat."""
+        """Whether a controller is the upstream and is current according to its newest heartbeat."""
         heartbeat = self.heartbeats.get(peer)
         return peer == self.upstream and heartbeat is not None and heartbeat.is_current
 
     def connection_changed(self, peer: str, is_up: bool, known_versions: Versions) -> OutgoingMessages:
-        """The connection to a controller came up or was lost."""
+        """Process a new or lost connection to a controller. Returns the messages to send."""
         if is_up:
             self.connected.add(peer)
             return []
@@ -69,10 +70,10 @@
         return self._select_upstream(known_versions)
 
     def _select_upstream(self, known_versions: Versions) -> OutgoingMessages:
-        """Have one controller push all updates: of those that are current one of this zone, if there is one.
+        """Select one current controller as the upstream, in this zone if possible.
 
-        Where none is current, the last one goes on pushing: its registrations may be new, and nothing older
-        is taken in.
+        Returns the messages to send. If no controller is current, the upstream stays the same. Its
+        registrations may still be new, and older versions are never applied.
         """
         candidates = [
             peer
@@ -99,7 +100,10 @@
     def heartbeat_received(
         self, now: float, peer: str, heartbeat: ProxyHeartbeat, known_versions: Versions
     ) -> OutgoingMessages:
-        """A controller's heartbeat arrived; known_versions: those that this proxy has."""
+        """Process a heartbeat.
+
+        known_versions: the versions that this proxy has. Returns the messages to send.
+        """
         self.heartbeats[peer] = heartbeat
         if heartbeat.zone is not None:
             self.zones[peer] = heartbeat.zone
@@ -110,13 +114,17 @@
         messages = self._select_upstream(known_versions)
         for register, version in heartbeat.versions.items():
             if register not in known_versions:
-                continue  # of a controller that knows more registers
+                continue  # the controller runs a release with more registers
             if version > known_versions[register] and self._is_due(now, register, version):
                 messages.append((peer, UpdateRequest(register, known_versions[register])))
         return messages + self.confirmation_request(now, known_versions)
 
     def _is_due(self, now: float, register: str, version: int) -> bool:
-        """Whether to ask for a newer version: the upstream pushes it, others are asked if that fails."""
+        """Whether to request a newer version now.
+
+        The upstream is expected to send the version without a request. If it has not arrived after
+        UPSTREAM_GRACE, it is requested every REQUEST_RETRY_INTERVAL.
+        """
         newest, ask_at = self.awaited_versions.get(register, (0, 0.0))
         if version > newest:
             self.awaited_versions[register] = (version, now + UPSTREAM_GRACE)
@@ -127,12 +135,15 @@
         return True
 
     def registry_received(self, now: float, peer: str, known_versions: Versions) -> OutgoingMessages:
-        """A complete worker registry came from this controller."""
+        """Process a complete worker registry from a controller. Returns the messages to send."""
         self.registry_source = peer if peer == self.upstream else self.registry_source
         return self.confirmation_request(now, known_versions)
 
     def confirmation_request(self, now: float, known_versions: Versions) -> OutgoingMessages:
-        """While not ready: ask the upstream whether what is here is all and the newest."""
+        """Return the request for a confirmation that the versions of this proxy are the newest.
+
+        There is none if the proxy is ready or lacks the complete registry or a version.
+        """
         if self.is_ready or self.registry_source is None or not all(known_versions.values()):
             return []
         return [(self.registry_source, ConfirmationRequest(now))]
@@ -140,7 +151,11 @@
     def confirmation_received(
         self, now: float, peer: str, confirmation: Confirmation, known_versions: Versions
     ) -> None:
-        """A controller that is current answers what we asked it: these versions are the newest."""
+        """Process a confirmation from a current controller, which contains the newest versions.
+
+        The slice table is confirmed if it is the newest. The proxy becomes ready if all its versions are the
+        newest, if the controller is the source of its registry and if the confirmation is still valid.
+        """
         newest, asked_at = confirmation.versions, confirmation.asked_at
         if newest.get("table", math.inf) <= known_versions["table"]:
             self.table_confirmed_at = max(self.table_confirmed_at, asked_at)
--- a/bramblewood/proxy/controller_sessions.py
+++ b/bramblewood/proxy/controller_sessions.py
@@ -1,7 +1,8 @@
-"""The proxy's sessions with the controllers: messages received, configuration and slice table taken in.
+"""The proxy's sessions with the controllers: receives messages and applies configurations and slice tables.
 
-Invariant: neither the configuration nor the slice table goes back to an older version within the life of a
-process, whichever controller sends it. Keys and kinds of the messages are those of earlier releases.
+Invariant: during the life of a process, neither the configuration nor the slice table is replaced by an
+older version, whichever controller sends it. The keys and kinds of the messages are compatible with earlier
+releases.
 """
 
 import asyncio
@@ -40,17 +41,17 @@
 from .retry_budget import RetryBudget
 
 CONFIGURATION_REGISTER, TABLE_REGISTER = "config", "table"  # names of the registers on the wire
-# s for which a deregistration is told to controllers again: many times what a late call about it takes
-DEREGISTRATION_MEMORY = 10.0
-CONFIRMATION_RETRY_INTERVAL = 0.1  # s until a controller is asked again whether a table is the newest
-READER_REMOVAL_TIMEOUT = 1.0  # s for a change of the slice table to be agreed and announced
+# s for which a deregistration is repeated to controllers: many times the transit time of a delayed call
+DEREGISTRATION_REPEAT_TIME = 10.0
+CONFIRMATION_RETRY_INTERVAL = 0.1  # s until a confirmation of the slice table is requested again
+READER_REMOVAL_TIMEOUT = 1.0  # s for the controllers to agree on a change of the slice table and announce it
 
 
 class ControllerSessions:
-    """The connections to the controllers, and what this proxy knows from them.
+    """The connections to the controllers, and the state received from them.
 
-    configuration: the newest, None before the first. client_limits: its limits. selection: which controller
-    does what. updated: set at the next update; replaced by a new event then.
+    configuration: the newest configuration, None before the first one. client_limits: its limits. selection:
+    the roles of the controllers. updated: set at the next update, which also replaces it by a new event.
     """
 
     def __init__(
@@ -68,16 +69,17 @@
         self.client_limits = DEFAULT_LIMITS
         self.selection = ControllerSelection(settings.name, settings.zone)
         self.freshness = RegistryFreshness(load_balancer.registry, settings.heartbeat_interval)
-        self._silent_workers: set[str] = set()  # by the newest heartbeat of a current controller
+        self._silent_workers: set[str] = set()  # from the newest heartbeat of a current controller
         self.peer_connections = PeerConnections(
             self.greeting, self.handle_message, self.connection_changed, CONNECTION_TIMEOUT, settings.bind_ip
         )
         self.peer_connections.on_malformed = self.log_malformed
         self.loop: asyncio.AbstractEventLoop
         self.updated: asyncio.Event
-        self.reported_at = 0.0  # when the last load report was sent
+        self.reported_at = 0.0  # time of the last load report
         self._removal_count = 0
-        self._pending_removals: dict[int, asyncio.Future[bool]] = {}  # by number, as the answer repeats it
+        # by the request id that the response repeats
+        self._pending_removals: dict[int, asyncio.Future[bool]] = {}
         self._handlers = {
             kinds.HEARTBEAT: self._on_heartbeat,
             kinds.REGISTRY_UPDATE: self._on_registrations,
@@ -88,41 +90,44 @@
         }
 
     def start(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Begin, before anything else is called."""
+        """Set the event loop. This is called before any other method."""
         self.loop, self.updated = loop, asyncio.Event()
 
     def connect(self) -> None:
-        """Keep a connection to each controller that the settings name."""
+        """Maintain a connection to each controller in the seeds of the settings."""
         for peer in self.settings.seed_hosts():
             self.peer_connections.maintain(peer, self.settings.peer_port)
 
     def reread_seeds(self) -> None:
-        """Read the settings file again and connect to the controllers that it names now."""
+        """Read the seeds again from the settings file and maintain a connection to each of them."""
         for peer in reread_seeds(self.settings, self.log):
             self.peer_connections.maintain(peer, self.settings.peer_port)
 
     async def close(self) -> None:
-        """End all connections."""
+        """Close all connections to controllers."""
         await self.peer_connections.close()
 
-    # --- what connections report
+    # --- connections and messages
 
     def greeting(self, peer: str) -> dict[str, Any]:
-        """The first message on a connection; it repeats deregistrations, as a restart forgets them."""
-        since = self.loop.time() - DEREGISTRATION_MEMORY
-        departing = self.load_balancer.registry.departing_registrations(since)
+        """Return the first message on a connection.
+
+        It repeats recent deregistrations, because a controller that restarts loses them.
+        """
+        changed_since = self.loop.time() - DEREGISTRATION_REPEAT_TIME
+        departing = self.load_balancer.registry.departing_registrations(changed_since)
         return Hello(ROLE_PROXY, self.settings.name, departing).to_wire()
 
     def connection_changed(self, peer: str, is_up: bool) -> None:
-        """A connection came up or was lost."""
+        """Process a new or lost connection to a controller."""
         self._send_all(self.selection.connection_changed(peer, is_up, self.known_versions()))
 
     def log_malformed(self, error: PeerMessageError) -> None:
-        """A controller sent what can't be decoded; its connection is closed, and dialled again."""
+        """Log a message that cannot be decoded. Its connection is closed and opened again."""
         self.log.error("message malformed", **error.log_fields())
 
     def handle_message(self, connection: PeerConnection, message: dict) -> None:
-        """A message arrived; kinds that are not known are ignored."""
+        """Process a message. Messages of unknown kinds are ignored."""
         handler = self._handlers.get(message["k"])
         if handler is not None:
             handler(self.loop.time(), connection, message)
@@ -144,7 +149,7 @@
         self._send_all(self.selection.heartbeat_received(now, connection.peer, heartbeat, versions))
         if connection.peer == self.selection.upstream:
             if self.freshness.heartbeat_received(now, heartbeat):
-                connection.send(Subscribe(versions).to_wire())  # brings the complete registry again
+                connection.send(Subscribe(versions).to_wire())  # the response contains the complete registry
         self._update_timed_out(now)
 
     def _on_registrations(self, now: float, connection: PeerConnection, message: dict) -> None:
@@ -160,11 +165,13 @@
         if update.is_complete:
             versions = self.known_versions()
             self._send_all(self.selection.registry_received(now, connection.peer, versions))
-        self._notify_waiting()
+        self._wake_waiting_requests()
 
     def _update_timed_out(self, now: float) -> None:
-        """Workers that the controllers name silent, and those that they don't know any more and that answer
-        nothing here: the upstream may be cut off from the controller that a worker calls.
+        """Update the set of timed-out workers: those that controllers report as silent, and unconfirmed ones.
+
+        An unconfirmed worker that still responds to this proxy is not timed out. The upstream may be
+        partitioned from the controller that receives the worker's heartbeats.
         """
         answering_since = now - self.freshness.expiry_time
         unconfirmed = {
@@ -180,14 +187,14 @@
             configuration = build_configuration(update.configuration)
             if configuration.is_ok():
                 self.apply_configuration(configuration.ok_value)
-                self.log.info("configuration", step="take", number=self.configuration.revision)
-                self._notify_waiting()
+                self.log.info("configuration applied", step="take", number=self.configuration.revision)
+                self._wake_waiting_requests()
         self._send_all(self.selection.confirmation_request(now, self.known_versions()))
 
     def _on_table(self, now: float, connection: PeerConnection, message: dict) -> None:
         if not self.load_balancer.slices.apply(TableUpdate.from_wire(message)):
             connection.send(UpdateRequest(TABLE_REGISTER, 0).to_wire())
-        self._notify_waiting()
+        self._wake_waiting_requests()
         self._send_all(self.selection.confirmation_request(now, self.known_versions()))
 
     def _on_confirmation(self, now: float, connection: PeerConnection, message: dict) -> None:
@@ -197,7 +204,7 @@
         )
         if self.selection.is_ready and not was_ready:
             self.log.info("ready", step="start", number=self.configuration.revision)
-        self._notify_waiting()
+        self._wake_waiting_requests()
 
     def _on_readers_removed(self, now: float, connection: PeerConnection, message: dict) -> None:
         pending = self._pending_removals.get(ReadersRemoved.from_wire(message).request_id)
@@ -205,28 +212,31 @@
             pending.set_result(True)
 
     def apply_configuration(self, configuration: Configuration) -> None:
-        """Serve by this configuration from now on."""
+        """Use this configuration and its limits from now on."""
         self.configuration, self.client_limits = configuration, ClientLimits.of(configuration)
 
-    # --- what the rest of the proxy asks
+    # --- requests by other components
 
     def known_versions(self) -> Versions:
-        """The versions that this proxy has, by register; 0 for none."""
+        """Return the version that this proxy has of each register, 0 for none."""
         return {
             CONFIGURATION_REGISTER: self.configuration.revision if self.configuration else 0,
             TABLE_REGISTER: self.load_balancer.slices.version,
         }
 
-    async def wait_for_update(self, until: float) -> None:
-        """Wait for an update from the controllers, at most until then (s of the loop's clock)."""
+    async def wait_for_update(self, deadline: float) -> None:
+        """Wait for an update from the controllers, at most until the deadline (s of the loop's clock)."""
         try:
-            async with asyncio.timeout_at(until):
+            async with asyncio.timeout_at(deadline):
                 await self.updated.wait()
         except TimeoutError:
             pass
 
     async def confirm_table(self, deadline: float) -> None:
-        """Ask the upstream whether our slice table is the newest, and wait a while for the answer."""
+        """Request the upstream's confirmation that the slice table is the newest, and wait for an update.
+
+        The wait ends after CONFIRMATION_RETRY_INTERVAL or at the deadline (s of the loop's clock).
+        """
         now = self.loop.time()
         self._send_upstream(ConfirmationRequest(now))
         await self.wait_for_update(min(now + CONFIRMATION_RETRY_INTERVAL, deadline))
@@ -234,13 +244,14 @@
     async def remove_readers(
         self, service: str, key: int, instance_ids: tuple[str, ...], deadline: float
     ) -> bool:
-        """Have readers removed from a key's slice; true once that is agreed, false where it takes too long.
+        """Request that the controllers remove readers from a key's slice.
 
-        deadline: s of the loop's clock.
+        Returns True once they have agreed, and False after READER_REMOVAL_TIMEOUT or at the deadline (s of
+        the loop's clock), or if there is no upstream.
         """
-        number = self._removal_count = self._removal_count + 1
-        pending = self._pending_removals[number] = self.loop.create_future()
-        request = RemoveReaders(number, service, key, instance_ids)
+        request_id = self._removal_count = self._removal_count + 1
+        pending = self._pending_removals[request_id] = self.loop.create_future()
+        request = RemoveReaders(request_id, service, key, instance_ids)
         try:
             if not self._send_upstream(request):
                 retry_at = self.loop.time() + CONFIRMATION_RETRY_INTERVAL
@@ -251,10 +262,10 @@
         except TimeoutError:
             return False
         finally:
-            del self._pending_removals[number]
+            del self._pending_removals[request_id]
 
     def send_report(self, now: float) -> None:
-        """Send the coordinator the load report, if there is a coordinator."""
+        """Send the load report to the coordinator, if there is one."""
         coordinator = self.selection.coordinator
         if coordinator is None:
             return
@@ -262,8 +273,8 @@
         if self.peer_connections.send(coordinator, report.to_wire()):
             self.reported_at = now
 
-    def _notify_waiting(self) -> None:
-        """Requests that wait look again."""
+    def _wake_waiting_requests(self) -> None:
+        """Wake up all callers of `wait_for_update`."""
         self.updated.set()
         self.updated = asyncio.Event()
 
