--- a/bramblewood/proxy/registry_freshness.py
+++ b/bramblewood/proxy/registry_freshness.py
@@ -1,15 +1,17 @@
-"""Which workers of the registry here no controller knows any more. Pure.
+"""Detects workers in this proxy's registry that no controller has in its registry any more.
 
-A worker that died unheard while all controllers started anew is known to no controller, so none names it
-silent or gone. Registries only merge, so its registration would stay ready at a proxy for good.
+No I/O. Times are seconds of the proxy's own steady clock.
 
-Each heartbeat of a controller has the digest of the live registrations that it knows. Where the upstream's
-differs from ours for some time, the proxy asks it for its complete registry. A live registration that is not
-in there, and that no update names in the time after which a worker counts as silent, is unconfirmed: it is
-treated like one that the controllers name silent, until a controller names it again; one that goes on to
-answer here is not. Without a current upstream nothing expires: docs/degraded.md.
+If a worker dies while all controllers restart, no controller has its registration, so none reports it as
+silent or gone. Registries are only ever merged. Without this module, the registration would stay ready at a
+proxy forever.
 
-Times are s of the proxy's own steady clock.
+Each heartbeat of a controller contains the digest of its live registrations. If the digest of the upstream
+differs from the digest of this proxy for some time, the proxy requests the upstream's complete registry. A
+live registration that this registry lacks, and that no update contains within the heartbeat time-out of a
+worker, becomes unconfirmed. An unconfirmed worker is treated like one that the controllers report as silent,
+unless it still responds to this proxy. The next update that contains the worker confirms it. Without a
+current upstream, no registration becomes unconfirmed (docs/degraded.md).
 """
 
 from collections.abc import Collection
@@ -18,26 +20,26 @@
 from ..common.timeouts import MISSED_HEARTBEATS
 from ..common.worker_registry import WorkerRegistry
 
-MISMATCH_TOLERANCE = 2.0  # s that registries may differ, as updates are on their way
-FIRST_REQUEST_INTERVAL = 2.0  # s between requests for a complete registry; doubled while they don't help
-MAX_REQUEST_INTERVAL = 60.0  # s
+MISMATCH_TOLERANCE = 2.0  # s for which registries may differ while updates are in transit
+FIRST_REQUEST_INTERVAL = 2.0  # s between requests for a complete registry; doubled while digests differ
+MAX_REQUEST_INTERVAL = 60.0  # s: upper bound of the doubled interval
 
 
 class RegistryFreshness:
-    """Compares this proxy's registry with its upstream's."""
+    """Compares this proxy's registry with the registry of its upstream."""
 
     def __init__(self, registry: WorkerRegistry, heartbeat_interval: float) -> None:
-        """heartbeat_interval: s, of the workers."""
+        """heartbeat_interval: s between heartbeats of a worker."""
         self.registry = registry
         self.expiry_time = MISSED_HEARTBEATS * heartbeat_interval
-        self.unconfirmed: set[str] = set()  # live here, and known to no controller
-        self.absent_since: dict[str, float] = {}  # by instance: not in the newest complete registry
+        self.unconfirmed: set[str] = set()  # registered as live here, but at no controller
+        self.absent_since: dict[str, float] = {}  # by instance id: when a complete registry first lacked it
         self.differing_since: float | None = None
         self.next_request_at = 0.0
         self.request_interval = FIRST_REQUEST_INTERVAL
 
     def heartbeat_received(self, now: float, heartbeat: ProxyHeartbeat) -> bool:
-        """The upstream's heartbeat came. Returns whether to ask it for its complete registry."""
+        """Process a heartbeat of the upstream. Returns whether to request its complete registry."""
         self.unconfirmed &= self.registry.registrations.keys()
         if not heartbeat.is_current or heartbeat.live_digest is None:
             self.differing_since = None
@@ -57,8 +59,10 @@
     def registrations_received(
         self, now: float, instance_ids: Collection[str], is_complete: bool, is_current: bool
     ) -> None:
-        """A controller named these workers; is_complete: all that it knows; is_current: whether it is the
-        upstream and has fresh contact with a quorum.
+        """Confirm the workers in an update from a controller, and record which live workers it lacks.
+
+        is_complete: whether the update is the controller's complete registry. is_current: whether the
+        controller is the upstream and has recent contact with a quorum.
         """
         for instance_id in instance_ids:
             self.absent_since.pop(instance_id, None)
@@ -69,7 +73,11 @@
                     self.absent_since.setdefault(instance_id, now)
 
     def _expire_absent(self, now: float) -> None:
-        expired = {one for one, since in self.absent_since.items() if now >= since + self.expiry_time}
+        expired = {
+            instance_id
+            for instance_id, absent_at in self.absent_since.items()
+            if now >= absent_at + self.expiry_time
+        }
         for instance_id in expired:
             del self.absent_since[instance_id]
         self.unconfirmed |= expired & self.registry.registrations.keys()
--- a/bramblewood/proxy/replica_invalidation.py
+++ b/bramblewood/proxy/replica_invalidation.py
@@ -1,11 +1,14 @@
-"""What has to happen before a non-idempotent request on a replicated key is answered. Pure; times in s.
+"""Invalidates the read replicas of a key before a non-idempotent request on that key is answered.
 
-Invariant: once its answer is given, no read replica that is older than its effect can be read any more.
+No I/O. Times are in seconds.
 
-The request has run at the key's owner. What may remain are replicas under read leases. `next_step` says what
-to do: make sure that the readers known here are all (`ConfirmTable`), have each drop its replica
-(`DropReplicas`), have those that don't answer removed from the slice table (`RemoveReaders`) and wait until
-their leases have expired (`WaitUntil`), or answer (`ALL_CLEAR`).
+Invariant: after the response is sent, no read replica that is older than the request's effect can be read.
+
+The request has run at the key's owner. Outdated replicas under read leases may remain. `next_step` returns
+the next action: confirm that the slice table here, and so its set of readers, is the newest
+(`ConfirmTable`), have each reader drop its replica (`DropReplicas`), have unresponsive readers removed from
+the slice table (`RemoveReaders`), wait until their leases expire (`WaitUntil`), or send the response
+(`ALL_CLEAR`).
 """
 
 from typing import NamedTuple
@@ -14,45 +17,45 @@
 
 
 class ConfirmTable(NamedTuple):
-    """Ask a controller whether this proxy's slice table is the newest."""
+    """Request a controller's confirmation that this proxy's slice table is the newest."""
 
 
 class DropReplicas(NamedTuple):
-    """Have these readers drop their replicas of the key."""
+    """Request that these readers drop their replicas of the key."""
 
     instance_ids: tuple[str, ...]
 
 
 class RemoveReaders(NamedTuple):
-    """Have these readers removed from the key's slice."""
+    """Request that the controllers remove these readers from the key's slice."""
 
     instance_ids: tuple[str, ...]
 
 
 class WaitUntil(NamedTuple):
-    """Wait until this time (s): a read lease may be valid until then."""
+    """Wait until this time: a read lease may be valid until then."""
 
     until: float
 
 
-ALL_CLEAR = "clear"  # the answer may be given
+ALL_CLEAR = "clear"  # the response may be sent
 InvalidationStep = ConfirmTable | DropReplicas | RemoveReaders | WaitUntil | str
 
 
 class ReplicaInvalidation:
-    """The invalidation after one non-idempotent request."""
+    """The state of the invalidation after one non-idempotent request."""
 
     def __init__(self) -> None:
-        self.dropped: set[str] = set()  # readers that have dropped their replicas since the request ran
-        self.unresponsive: set[str] = set()  # those that did not answer
-        # readers removed from the slice, and until when a replica of theirs may be read
+        self.dropped: set[str] = set()  # readers that dropped their replica after the request ran
+        self.unresponsive: set[str] = set()  # readers that did not confirm the drop
+        # by reader that was removed from the slice: until when its replica may be read
         self.lease_expiry: dict[str, float] = {}
 
     def next_step(self, now: float, confirmed_at: float, readers: set[str]) -> InvalidationStep:
-        """What to do now.
+        """Return the next action.
 
-        confirmed_at: when the confirmation was asked for on which the slice table, and so `readers`, rests.
-        readers: all workers that may hold a replica of the key, by that table.
+        confirmed_at: when the newest confirmation of the slice table was requested. readers: all workers that
+        may hold a replica of the key according to that table.
         """
         if now >= confirmed_at + CONFIRMATION_VALIDITY:
             return ConfirmTable()
@@ -64,9 +67,12 @@
         return WaitUntil(expired_at) if expired_at > now else ALL_CLEAR
 
     def drop_finished(self, instance_id: str, dropped: bool) -> None:
-        """A reader was asked to drop its replica; dropped: it answered that it has."""
+        """Record the result of a request to drop a replica.
+
+        dropped: whether the reader confirmed the drop.
+        """
         (self.dropped if dropped else self.unresponsive).add(instance_id)
 
     def readers_removed(self, now: float, instance_ids: tuple[str, ...]) -> None:
-        """The controllers agreed to remove these readers, and said so now."""
+        """Record that the controllers have agreed to remove these readers from the slice."""
         self.lease_expiry.update(dict.fromkeys(instance_ids, now + READ_LEASE_EXPIRY))
--- a/bramblewood/proxy/replica_invalidation_calls.py
+++ b/bramblewood/proxy/replica_invalidation_calls.py
@@ -1,4 +1,4 @@
-"""Carries out what `replica_invalidation` says: calls to readers, questions to controllers, waits."""
+"""Carries out the actions of `replica_invalidation`: calls to readers, requests to controllers and waits."""
 
 import asyncio
 import json
@@ -19,8 +19,8 @@
 )
 from .request_attempts import RequestAttempts
 
-DROP_TIMEOUT = 0.2  # s for a reader to drop a replica: many times the transit between zones
-RELEASE_PATH = "/bramblewood/release"  # at which workers take releases of keys and of replicas
+DROP_TIMEOUT = 0.2  # s for a reader to confirm a drop: many times the transit time between zones
+RELEASE_PATH = "/bramblewood/release"  # path at which workers accept the release of keys and replicas
 
 
 class ReplicaInvalidator:
@@ -37,9 +37,9 @@
         self.connection_pool, self.sessions = connection_pool, sessions
 
     async def invalidate(self, attempts: RequestAttempts) -> bool:
-        """See to it that no replica older than the request's effect can be read any more.
+        """Ensure that no read replica that is older than the request's effect can be read.
 
-        False where that takes longer than its client waits.
+        Returns False if the request's deadline passes before that.
         """
         loop, slices = asyncio.get_running_loop(), self.load_balancer.slices
         service, key, deadline = attempts.service, attempts.key, attempts.deadline
@@ -69,7 +69,10 @@
             invalidation.drop_finished(instance_id, dropped)
 
     async def _drop_replica(self, instance_id: str, key: int, fencing_token: int) -> bool:
-        """Have a reader drop its replica of a key; whether it has, or has gone."""
+        """Request that a reader drop its replica of a key.
+
+        Returns whether it confirms the drop or is gone.
+        """
         registration = self.load_balancer.registry.registrations.get(instance_id)
         if registration is None or registration.phase == GONE:
             return True
