--- a/features/forwarding.feature
+++ b/features/forwarding.feature
@@ -1,6 +1,6 @@
-Feature: A request is forwarded once and gets its own answer
+Feature: The proxy forwards each request, retries it only if that is safe, and returns its own response
 
-  Scenario: A connection is closed on reuse: each request arrives once, whatever its method
+  Scenario: A request whose connection is closed on reuse arrives once and is answered 502, whatever its method
     Given a proxy in front of these workers
       | worker | script                                                              |
       | w1     | answer, close, answer, close, answer, close, answer, close, answer  |
@@ -16,7 +16,7 @@
       | GET    | /pay/8  | a8 |      |        |
     Then the transcript is "connection-closed-on-reuse"
 
-  Scenario: Idempotent requests are retried at a second worker, others are not
+  Scenario: Idempotent requests are retried at a second worker, and non-idempotent requests are not
     Given a proxy in front of these workers
       | worker | script                         |
       | w1     | close, cut, close, cut, error, error |
@@ -31,7 +31,7 @@
       | POST   | /pay/6  | b6 | x    |        |
     Then the transcript is "retry-at-second-worker"
 
-  Scenario: Surplus, late, malformed, unsealed and encoded answers
+  Scenario: Surplus and late responses are discarded, and malformed, unsealed and encoded ones are answered 502
     Given a proxy in front of these workers
       | worker | script                                                       |
       | w1     | extra, answer, late extra, answer, noise, unsealed, encoded  |
@@ -46,7 +46,7 @@
       | POST   | /pay/7  | c7 | x    |        |
     Then the transcript is "malformed-answers"
 
-  Scenario: A request that was not run is told apart from one that timed out
+  Scenario: A request that no worker has run is answered 503, and one that timed out is answered 504
     Given a proxy in front of these workers
       | worker | script                              |
       | w1     | full, elsewhere, silent, full, full |
@@ -59,7 +59,7 @@
       | POST   | /pay/4  | d4 | x    |                     |
     Then the transcript is "not-run-and-timed-out"
 
-  Scenario: A key has one owner, which is asked again only after a backoff
+  Scenario: A keyed request is retried only at its key's owner after a backoff, and invalid keys are rejected
     Given a proxy in front of these workers
       | worker | script                  |
       | w1     | elsewhere, answer, full |
@@ -72,17 +72,17 @@
       | POST   | /pay/%2F/..%41?q=%20 | e5 |      |         |
     Then the transcript is "keys-and-paths"
 
-  Scenario: Limits on what a client sends and how long it takes
+  Scenario: Requests that exceed the configured limits are rejected, and a slow client is disconnected
     Given a proxy whose configuration allows 300 bytes of headers, 20 of body and 0.1 s for a first request
-    Then a client that sends half a request is disconnected
-    And large headers are answered 431, a large body 413, and a proper request 200
-    And a request that came while the proxy stood still is answered, though it timed out meanwhile
+    Then a client that sends an incomplete request head is disconnected
+    And a request with large headers is answered 431, one with a large body 413, and one within the limits 200
+    And a request that arrives while the event loop is blocked is answered, although its time-out passes meanwhile
 
-  Scenario: A client's connection is kept for the idle time-out and the time of one more request
+  Scenario: An idle client connection is kept for the idle time-out plus the header time-out
     Given a proxy with an idle time-out of 5 s and a header time-out of 2 s
-    Then it keeps a client's connection for 7 s after an answer
+    Then it keeps a client's connection for 7 s after a response
 
-  Scenario: A worker that rejects a connection has run nothing
+  Scenario: A request is retried after a worker rejects its connection, even if it is not idempotent
     Given a proxy in front of these workers
       | worker | script                    |
       | w1     | no room, no room, no room |
--- a/features/steps/proxy.py
+++ b/features/steps/proxy.py
@@ -16,7 +16,7 @@
 
 
 @when("clients send")
-def requests(context):
+def requests_sent(context):
     context.requests = [
         (row["method"], row["path"], row["id"], row["body"], row["fields"]) for row in context.table
     ]
@@ -39,12 +39,12 @@
     "a proxy whose configuration allows {header:d} bytes of headers, {body:d} of body "
     "and {time:g} s for a first request"
 )
-def limits(context, header, body, time):
+def client_limits(context, header, body, time):
     context.limits = {"MaxHeaderBytes": header, "MaxBodyBytes": body, "HeaderTimeoutS": time}
 
 
-@then("a client that sends half a request is disconnected")
-def half_a_request(context):
+@then("a client that sends an incomplete request head is disconnected")
+def incomplete_request_head(context):
     async def run():
         simulation = ProxySimulation()
         await simulation.start({"w1": []}, context.limits)
@@ -61,8 +61,11 @@
     assert asyncio.run(run()) == b""
 
 
-@then("a request that came while the proxy stood still is answered, though it timed out meanwhile")
-def request_during_standstill(context):
+@then(
+    "a request that arrives while the event loop is blocked is answered, "
+    "although its time-out passes meanwhile"
+)
+def request_while_loop_is_blocked(context):
     async def run():
         simulation = ProxySimulation()
         await simulation.start({"w1": []}, context.limits)
@@ -90,7 +93,7 @@
     context.limits = {"IdleTimeoutS": idle, "HeaderTimeoutS": header}
 
 
-@then("it keeps a client's connection for {seconds:g} s after an answer")
+@then("it keeps a client's connection for {seconds:g} s after a response")
 def client_keep_alive(context, seconds):
     async def run():
         simulation = ProxySimulation()
@@ -101,7 +104,9 @@
     assert asyncio.run(run()) == seconds
 
 
-@then("large headers are answered 431, a large body 413, and a proper request 200")
+@then(
+    "a request with large headers is answered 431, one with a large body 413, and one within the limits 200"
+)
 def large_requests(context):
     async def run():
         simulation = ProxySimulation()
--- a/tests/simulation/proxy.py
+++ b/tests/simulation/proxy.py
@@ -1,4 +1,4 @@
-"""One proxy on loopback between a raw client and scripted workers; complete exchanges, as a transcript."""
+"""Runs a proxy on loopback between a raw client and scripted workers, and records a transcript."""
 
 import asyncio
 from typing import Any
@@ -16,12 +16,12 @@
     ["keyed", "h.example", "/keyed/", "pure", 2, 0.5, 1, 2, "divided"],
 ]
 CONFIG = configuration("r3", ROUTES, [["plain", None], ["divided", True]])
-SLICES, SLICE_KEYS = 8, 8192
+SLICE_COUNT, KEYS_PER_SLICE = 8, 8192
 END_OF_HEAD = b"\r\n\r\n"
 
 
 def answer(status: int, request_id: str, body: str, extra_field: str = "X-Response-Seal: s") -> bytes:
-    """A worker's answer in bytes."""
+    """Return a worker's response in bytes."""
     lines = [
         f"HTTP/1.1 {status} X",
         f"X-Attempt-Id: {request_id}",
@@ -34,10 +34,11 @@
 
 
 class ScriptedWorker:
-    """A worker that does with each request what its script says, and notes what arrived.
+    """A worker that handles each request by the next step of its script and records what arrives.
 
-    received_fields: header fields of its requests so far. open_connections: those that callers have not
-    closed. reached: set when a request is held. released: lets it go on.
+    arrivals: transcript lines of the requests so far. received_fields: header fields of the requests so far,
+    by lower-case name. open_connections: number of connections that callers have not closed. reached: set
+    when a request is held. released: releases the held request.
     """
 
     def __init__(self, name: str, script: list[str]) -> None:
@@ -68,10 +69,13 @@
     async def serve_request(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, late_bytes: bytes
     ) -> bytes:
-        """Answer one request after the late bytes of the one before; this one's late bytes."""
+        """Respond to one request, after sending `late_bytes` of the previous one.
+
+        Returns the late bytes of this one.
+        """
         head = (await reader.readuntil(END_OF_HEAD)).decode()
-        request_line, *lines = head.split("\r\n")
-        fields = {name.lower(): value for name, _, value in (line.partition(": ") for line in lines)}
+        request_line, *field_lines = head.split("\r\n")
+        fields = {name.lower(): value for name, _, value in (line.partition(": ") for line in field_lines)}
         request_id = fields.get("x-attempt-id", "")
         if self.script[:1] == ["early"]:
             self.arrivals.append(f"{self.name} gets a head and no body: {self.script.pop(0)}")
@@ -82,44 +86,44 @@
         step = self.script.pop(0) if self.script else "answer"
         self.arrivals.append(f"{self.name} gets {method} {path} {request_id} {body.decode()!r}: {step}")
         self.received_fields |= fields
-        complete = answer(200, request_id, f"{self.name} {request_id}")
+        complete_response = answer(200, request_id, f"{self.name} {request_id}")
         if method == "HEAD":
-            complete = complete[: complete.index(END_OF_HEAD) + len(END_OF_HEAD)]
+            complete_response = complete_response[: complete_response.index(END_OF_HEAD) + len(END_OF_HEAD)]
         writer.write(late_bytes)
-        return await self.perform(step, request_id, complete, writer)
+        return await self.perform(step, request_id, complete_response, writer)
 
     async def perform(
-        self, step: str, request_id: str, complete: bytes, writer: asyncio.StreamWriter
+        self, step: str, request_id: str, complete_response: bytes, writer: asyncio.StreamWriter
     ) -> bytes:
-        """Do what a step of the script says; bytes that come late, before the next answer."""
+        """Carry out a step of the script. Returns the late bytes, which are sent before the next response."""
         match step:
             case "answer":
-                writer.write(complete)
+                writer.write(complete_response)
             case "close":
                 writer.close()
             case "cut":
-                writer.write(complete[:-3])
+                writer.write(complete_response[:-3])
                 writer.close()
             case "extra":
-                writer.write(complete + answer(200, request_id, "again"))
+                writer.write(complete_response + answer(200, request_id, "again"))
             case "late extra":
-                writer.write(complete)
+                writer.write(complete_response)
                 return answer(200, request_id, "a late second answer")
             case "full twice":
                 not_run = answer(503, request_id, "", "X-Not-Run: 1")
                 writer.write(not_run)
                 return not_run
             case "unasked":
-                writer.write(complete)
+                writer.write(complete_response)
                 await self.released.wait()
                 writer.write(answer(200, request_id, "bytes that nobody asked for"))
             case "noise":
                 writer.write(b"\x00\x01 no answer at all\r\n\r\n")
             case "unsealed":
-                writer.write(complete.replace(b"X-Response-Seal", b"X-Other"))
+                writer.write(complete_response.replace(b"X-Response-Seal", b"X-Other"))
             case "encoded":
                 encoded = b"Content-Encoding: br\r\nX-Response-Seal"
-                writer.write(complete.replace(b"X-Response-Seal", encoded))
+                writer.write(complete_response.replace(b"X-Response-Seal", encoded))
             case "full":
                 writer.write(answer(503, request_id, "", "X-Not-Run: 1"))
             case "elsewhere":
@@ -134,15 +138,15 @@
             case "held":
                 self.reached.set()
                 await self.released.wait()
-                writer.write(complete)
+                writer.write(complete_response)
         return b""
 
 
 class ProxySimulation:
-    """A proxy, its scripted workers, and the transcript of what clients sent and got."""
+    """A proxy, its scripted workers, and the transcript of requests and responses."""
 
     def __init__(self, grace: float = 6.0) -> None:
-        """grace: s, GraceS of the settings."""
+        """grace: GraceS of the settings, in seconds."""
         settings = Settings(
             "desk-1", "127.0.0.1", "z", (1, 2), (), False, None, 1.5, {}, 2**28, 100, Bounds(GraceS=grace)
         )
@@ -151,19 +155,19 @@
         self.transcript: list[str] = []
 
     async def start(self, scripts: dict[str, list[str]], limits: dict[str, Any] | None = None) -> None:
-        """scripts: by worker. limits: the configuration's `Limits`."""
+        """Start the workers and the proxy. scripts: by worker. limits: `Limits` of the configuration."""
         proxy, loop = self.proxy, asyncio.get_running_loop()
         proxy.sessions.start(loop)
-        checked = build_configuration({**CONFIG, "Limits": limits or {}})
-        proxy.sessions.apply_configuration(checked.ok_value)
+        built_configuration = build_configuration({**CONFIG, "Limits": limits or {}})
+        proxy.sessions.apply_configuration(built_configuration.ok_value)
         for number, (name, script) in enumerate(scripts.items()):
             worker = self.workers[name] = ScriptedWorker(name, script)
             await worker.start()
             registration = WorkerRegistration("plain", worker.address, "z", 2, "ready", number)
             proxy.load_balancer.registry.record(0.0, name, registration)
-        first, last = next(iter(scripts)), [*scripts][-1]
-        entry = [first, last if len(scripts) > 1 else "", 0.01, 1, "", ""]
-        table = {str(number * SLICE_KEYS): [*entry] for number in range(SLICES)}
+        first_worker, last_worker = next(iter(scripts)), [*scripts][-1]
+        entry = [first_worker, last_worker if len(scripts) > 1 else "", 0.01, 1, "", ""]
+        table = {str(number * KEYS_PER_SLICE): [*entry] for number in range(SLICE_COUNT)}
         proxy.load_balancer.slices.apply(TableUpdate(1, {"plain": table, "divided": table}))
         self.listener = await loop.create_server(proxy.client_connections.create_protocol, "127.0.0.1", 0)
         proxy.client_listener = self.listener
@@ -172,7 +176,10 @@
     async def send(
         self, method: str, path: str, request_id: str, body: str = "", *fields: str, keep: bool = False
     ) -> None:
-        """Send a request on a connection of its own; what came of it goes to the transcript."""
+        """Send a request on a new connection, and add the exchange to the transcript.
+
+        keep: whether to omit `Connection: close`.
+        """
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         lines = [f"{method} {path} HTTP/1.1", "Host: h.example", f"X-Attempt-Id: {request_id}", *fields]
         lines += [f"Content-Length: {len(body)}"] * bool(body) + ["Connection: close"] * (not keep)
@@ -186,9 +193,9 @@
             self.transcript += [f"  {line}" for line in worker.arrivals]
             worker.arrivals.clear()
         status = head.split(" ")[1] if head else "no answer"
-        shown_fields = ("retry-after", "x-response-seal", *["connection"] * keep)
-        shown = [line for line in head.split("\r\n") if line.lower().startswith(shown_fields)]
-        names = " ".join(line.split(":")[0] for line in shown)
+        transcript_fields = ("retry-after", "x-response-seal", *["connection"] * keep)
+        shown_lines = [line for line in head.split("\r\n") if line.lower().startswith(transcript_fields)]
+        names = " ".join(line.split(":")[0] for line in shown_lines)
         self.transcript.append(f"  client gets {status} {text!r} {names}".rstrip())
 
     async def end(self) -> None:
