--- a/features/connection_quota.feature
+++ b/features/connection_quota.feature
@@ -1,6 +1,6 @@
-Feature: Proxies share the connections that a worker accepts
+Feature: Proxies keep equal shares of the connections that a worker accepts
 
-  Scenario: Proxies share a worker's connections without asking each other
+  Scenario: The total of all proxies' idle connections stays below the limit of a worker without coordination
     Given 62 proxies and 67 workers that accept 57 connections each
-    Then they keep at most 45 idle connections to any worker, and on average half of what it accepts
-    And no proxy has to do without a connection to the same worker for 10 lottery periods
+    Then they keep at most 45 idle connections to any worker, and half of the accepted ones on average
+    And every proxy may keep a connection to a given worker in at least one of 10 successive periods
--- a/features/steps/connection_pool.py
+++ b/features/steps/connection_pool.py
@@ -27,36 +27,39 @@
 
 
 def acquired_idle_time(context, non_idempotent):
-    """For how long the acquired connection was idle, or None where a new one is made."""
+    """Return the idle time (s) of the acquired connection, or None if a new connection is opened."""
     context.connection_pool.idle["w"] = list(context.idle)
     try:
         context.connection_pool.acquire("w", "nowhere", NOW, non_idempotent).send(None)
     except StopIteration as returned:
         return returned.value.idle_time
     except RuntimeError:
-        return None  # it connects, and there is no loop here
-    raise AssertionError("it waits")
+        return None  # opening a connection fails, as no event loop is running
+    raise AssertionError("acquire() neither returned an idle connection nor opened a new one")
 
 
-@when("one that was idle for {idle_time:g} s is reset on use")
+@when("a connection that was idle for {idle_time:g} s is reset on use")
 def reset_on_use(context, idle_time):
     context.connection_pool.record_dead_connection(NOW, idle_time)
 
 
-@then("an idempotent request takes the one idle for {first:g} s, the next the one idle for {second:g} s")
-def idempotent(context, first, second):
+@then(
+    "an idempotent request takes the connection idle for {first:g} s, "
+    "and the next request the one idle for {second:g} s"
+)
+def idempotent_requests(context, first, second):
     assert acquired_idle_time(context, non_idempotent=False) == first
     context.idle.pop()
     assert acquired_idle_time(context, non_idempotent=False) == second
 
 
 @then(
-    "a non-idempotent one takes none idle for over {first:g} s, "
-    "and {after:g} s later none idle for over {second:g} s"
+    "a non-idempotent request takes no connection idle for more than {first:g} s, "
+    "and {after:g} s later none idle for more than {second:g} s"
 )
-def non_idempotent(context, first, after, second):
+def non_idempotent_requests(context, first, after, second):
     assert abs(context.connection_pool.trusted_idle_time(NOW) - first) < 1e-9
-    # the one that is left with the shortest idle time was idle for 0.3 s
+    # the shortest idle time among the remaining connections is 0.3 s
     assert acquired_idle_time(context, non_idempotent=True) is None
     assert abs(context.connection_pool.trusted_idle_time(NOW + after) - second) < 1e-9
 
@@ -73,7 +76,7 @@
                 await asyncio.sleep(0)
             acquiring.cancel()
             await asyncio.wait([acquiring])
-            for _ in range(100):  # for the worker to read the close
+            for _ in range(100):  # until the worker reads the end of the connection
                 await asyncio.sleep(0.001)
         context.result = acquiring.cancelled(), worker.open_connections, dict(pool.idle)
         await simulation.end()
@@ -82,6 +85,6 @@
         asyncio.run(run())
 
 
-@then("the worker's connection is closed, and none is kept")
+@then("the connection is closed and not kept in the pool")
 def closed_and_not_kept(context):
     assert context.result == (True, 0, {"w1": []}), context.result
--- a/features/steps/connection_quota.py
+++ b/features/steps/connection_quota.py
@@ -4,7 +4,7 @@
 
 
 @given("{proxies:d} proxies and {workers:d} workers that accept {connections:d} connections each")
-def fleet(context, proxies, workers, connections):
+def proxies_and_workers(context, proxies, workers, connections):
     def quota(proxy, worker, now):
         return idle_connection_quota(connections, proxies, f"d{proxy}", f"w{worker}", now)
 
@@ -12,14 +12,14 @@
     context.proxies, context.workers = range(proxies), range(workers)
 
 
-@then("they keep at most {limit:d} idle connections to any worker, and on average half of what it accepts")
-def idle_connections(context, limit):
+@then("they keep at most {limit:d} idle connections to any worker, and half of the accepted ones on average")
+def idle_connections_per_worker(context, limit):
     kept = [sum(context.quota(proxy, worker, 0.0) for proxy in context.proxies) for worker in context.workers]
     assert max(kept) <= limit and abs(sum(kept) / len(kept) - context.connections / 2) < 1.5, kept
 
 
-@then("no proxy has to do without a connection to the same worker for {periods:d} lottery periods")
-def lottery(context, periods):
+@then("every proxy may keep a connection to a given worker in at least one of {periods:d} successive periods")
+def successive_draws(context, periods):
     for proxy in context.proxies:
         draws = [context.quota(proxy, 1, LOTTERY_PERIOD * number) for number in range(4 * periods)]
         assert all(any(draws[first : first + periods]) for first in range(3 * periods)), (proxy, draws)
