--- a/features/request_lifetime.feature
+++ b/features/request_lifetime.feature
@@ -1,41 +1,41 @@
-Feature: A request ends with its time, its client or its worker, and what is handed on says how long is left
-  Rules BUDGET, CONFIG, GONE and the deregistration without draining of the users' pages.
+Feature: A request ends at its deadline or when its client disconnects, and each attempt carries the time left
+  The scenarios cover the rules BUDGET, CONFIG and GONE of the users' pages, and deregistration without draining.
 
-  Scenario: A retry carries what is left of the client's deadline
-    Given a proxy before
+  Scenario: A retry carries the time left until the client's deadline
+    Given a proxy with these scripted workers
       | worker | script     |
       | w1     | slow error |
       | w2     |            |
-    When a client that waits 1.5 s sends a lookup
-    Then its answer is 200
-    And the worker that was asked first was told of at most 1.5 s, the other of at most 0.95 s
+    When a client with a deadline of 1.5 s sends an idempotent request
+    Then the response has status 200
+    And the first worker received a deadline of at most 1.5 s, and the other at most 0.95 s
 
-  Scenario: A request that outlasts its route's time-out gets its final answer then
-    Given a proxy before
+  Scenario: A request without a response at its route's time-out is answered 504 at that time
+    Given a proxy with these scripted workers
       | worker | script |
       | w1     | silent |
-    When a client that waits 30 s sends an effect
-    Then its answer is 504 after 2 s, at most 0.5 s later
+    When a client with a deadline of 30 s sends a non-idempotent request
+    Then the response has status 504 after 2 s, with a delay of at most 0.5 s
 
-  Scenario: A worker's request ends soon after its client has gone
-    Given a proxy before
+  Scenario: An idempotent request at a worker is cancelled soon after its client disconnects
+    Given a proxy with these scripted workers
       | worker | script |
       | w1     | held   |
-    When a client goes away while the worker has its lookup
+    When a client disconnects while the worker holds its idempotent request
     Then the worker's connection is closed within 0.5 s
 
-  Scenario: A worker that deregisters without draining finishes what it has and gets nothing new
-    Given a proxy before
+  Scenario: A worker that deregisters without draining completes its request and gets no new one
+    Given a proxy with these scripted workers
       | worker | script |
       | w1     | held   |
       | w2     |        |
-    When the worker that has a lookup deregisters
-    Then that lookup is answered 200 by it
-    And the next 8 lookups go to the other worker
+    When the worker that holds an idempotent request deregisters
+    Then that worker answers the request 200
+    And the next 8 requests go to the other worker
 
-  Scenario: A proxy that knows no configuration says so for a while, and refuses nothing for good
-    Given a proxy before
+  Scenario: A proxy without a configuration answers 503 with Retry-After
+    Given a proxy with these scripted workers
       | worker | script |
       | w1     |        |
-    When it has no configuration yet
-    Then a lookup is answered 503 with a time to come back
+    When the proxy has no configuration
+    Then a request is answered 503 with Retry-After
--- a/features/steps/graceful_shutdown.py
+++ b/features/steps/graceful_shutdown.py
@@ -15,29 +15,29 @@
 HEALTH_CHECK = SimpleNamespace(path="/bramblewood/readiness")
 
 
-def record(context, name, now, phase, call_sequence):
+def register(context, name, now, phase, call_sequence):
     registration = WorkerRegistration("s", f"{name}:1", "z", 2, phase, call_sequence)
     context.load_balancer.registry.record(now, name, registration)
 
 
-@given("a service of w1 and w2, {how}")
-def service(context, how):
-    context.load_balancer, context.keyed = LoadBalancer(2.5), how.startswith("with keys")
+@given("a service of w1 and w2, {key_ownership}")
+def service(context, key_ownership):
+    context.load_balancer, context.keyed = LoadBalancer(2.5), key_ownership.startswith("with keys")
     for name in ("w1", "w2"):
-        record(context, name, 0.0, "ready", 1)
-    second = "" if context.keyed else "w2"
-    context.entries = {str(number * 8192): ["w1", second, 0.01, 1, "", ""] for number in range(8)}
+        register(context, name, 0.0, "ready", 1)
+    second_worker = "" if context.keyed else "w2"
+    context.entries = {str(number * 8192): ["w1", second_worker, 0.01, 1, "", ""] for number in range(8)}
     context.load_balancer.slices.apply(TableUpdate(1, {"s": context.entries}))
 
 
-@when("{name} is known to drain from {now:g} s")
-def drains(context, name, now):
-    record(context, name, now, "draining", 5)
+@when("{name} is registered as draining at {now:g} s")
+def registered_as_draining(context, name, now):
+    register(context, name, now, "draining", 5)
 
 
-@when("{name} is reported ready at {now:g} s, by a call that was sent before")
-def outdated_call(context, name, now):
-    record(context, name, now, "ready", 4)
+@when("{name} is registered as ready at {now:g} s by a delayed earlier heartbeat")
+def registered_by_delayed_heartbeat(context, name, now):
+    register(context, name, now, "ready", 4)
 
 
 @when("the slice table moves all keys from w1 to w2")
@@ -46,19 +46,19 @@
     context.load_balancer.slices.apply(TableUpdate(2, {"s": entries}, base=1))
 
 
-@when("w1 has released them")
+@when("w1 has released the keys")
 def keys_released(context):
     entries = {start: ["w2", "", 0.0, 2, "h", ""] for start in context.entries}
     context.load_balancer.slices.apply(TableUpdate(3, {"s": entries}, base=2))
 
 
-@then("of {count:d} requests at {now:g} s {part} to {name}")
-def requests_go(context, count, now, part, name):
+@then("of {count:d} requests at {now:g} s {share} to {name}")
+def requests_sent_to(context, count, now, share, name):
     chosen = 0
     for number in range(count):
         key = zlib.crc32(b"%d" % number) % KEY_SPACE_SIZE if context.keyed else None
         chosen += context.load_balancer.choose_worker(now, "s", key, f"r{number}", set()) == name
-    assert chosen == (count if part.startswith("all") else 0), chosen
+    assert chosen == (count if share.startswith("all") else 0), chosen
 
 
 @given("a proxy with a request in flight at its worker")
@@ -66,12 +66,15 @@
     context.grace = 1.0
 
 
-@when("the proxy gets SIGTERM")
+@when("the proxy receives SIGTERM")
 def sigterm(context):
-    pass  # within the exchange below, once the worker has the request
+    pass  # the steps below shut the proxy down once the worker has received the request
 
 
-@then("readiness is 503, a new connection is answered and closed, and the request in flight is answered")
+@then(
+    "readiness is 503, a request on a new connection is answered and the connection closed, "
+    "and the request in flight is answered"
+)
 def shuts_down(context):
     async def run():
         simulation = ProxySimulation(grace=context.grace)
@@ -89,9 +92,9 @@
         return status, shutdown.result(), simulation.transcript
 
     status, exit_code, transcript = asyncio.run(run())
-    answers = [line.strip() for line in transcript if "client gets" in line]
+    responses = [line.strip() for line in transcript if "client gets" in line]
     assert (status, exit_code) == (503, 0)
-    assert answers == [
+    assert responses == [
         "client gets 200 'w1 t2' X-Response-Seal Connection",
         "client gets 200 'w1 t1' X-Response-Seal",
     ], transcript
