--- a/tests/test_registry_freshness.py
+++ b/tests/test_registry_freshness.py
@@ -1,4 +1,4 @@
-"""Workers that no controller knows any more are noticed by their proxy, and no others."""
+"""A proxy detects the workers that no controller has in its registry any more, and only those."""
 
 import pytest
 
@@ -9,19 +9,19 @@
 from bramblewood.proxy.load_balancing import LoadBalancer
 from bramblewood.proxy.registry_freshness import MAX_REQUEST_INTERVAL, RegistryFreshness
 
-BEAT = 1.5  # s between a worker's calls
-EXPIRY = 3.2 * BEAT
+HEARTBEAT_INTERVAL = 1.5  # s between heartbeats of a worker
+EXPIRY_TIME = 3.2 * HEARTBEAT_INTERVAL
 
 
 def registration(name: str, phase: str = READY, sequence: int = 1) -> WorkerRegistration:
     return WorkerRegistration("s", f"{name}:1", "z", 2, phase, sequence)
 
 
-def registry_of(*names: str) -> WorkerRegistry:
-    made = WorkerRegistry()
+def registry_with(*names: str) -> WorkerRegistry:
+    registry = WorkerRegistry()
     for name in names:
-        made.record(0.0, name, registration(name))
-    return made
+        registry.record(0.0, name, registration(name))
+    return registry
 
 
 def heartbeat(registry: WorkerRegistry, is_current: bool = True) -> ProxyHeartbeat:
@@ -30,44 +30,53 @@
 
 @pytest.fixture
 def freshness() -> RegistryFreshness:
-    return RegistryFreshness(registry_of("a", "b", "c"), BEAT)
+    return RegistryFreshness(registry_with("a", "b", "c"), HEARTBEAT_INTERVAL)
 
 
-def request_times(freshness: RegistryFreshness, upstream: WorkerRegistry, until: float) -> list[float]:
-    """When the proxy asks for a complete registry, with a heartbeat each half second."""
-    return [t / 2 for t in range(int(until * 2)) if freshness.heartbeat_received(t / 2, heartbeat(upstream))]
+def request_times(freshness: RegistryFreshness, upstream: WorkerRegistry, end: float) -> list[float]:
+    """Return the times before `end` at which the proxy requests a complete registry.
 
+    A heartbeat of the upstream arrives every half second.
+    """
+    return [
+        half_seconds / 2
+        for half_seconds in range(int(end * 2))
+        if freshness.heartbeat_received(half_seconds / 2, heartbeat(upstream))
+    ]
 
-def test_registries_that_agree_are_left_alone(freshness: RegistryFreshness) -> None:
-    assert request_times(freshness, registry_of("c", "a", "b"), 60.0) == []
+
+def test_equal_registries_cause_no_request_and_no_unconfirmed_worker(freshness: RegistryFreshness) -> None:
+    assert request_times(freshness, registry_with("c", "a", "b"), 60.0) == []
     assert not freshness.unconfirmed
 
 
-def test_a_worker_that_no_controller_knows_is_unconfirmed_once_it_would_count_as_silent(
+def test_a_worker_missing_from_the_upstream_is_unconfirmed_after_the_heartbeat_timeout(
     freshness: RegistryFreshness,
 ) -> None:
-    upstream = registry_of("a", "c")
+    upstream = registry_with("a", "c")
     assert request_times(freshness, upstream, 3.0) == [2.0]
     freshness.registrations_received(2.1, {"a", "c"}, True, True)
-    freshness.heartbeat_received(2.0 + EXPIRY, heartbeat(upstream))
+    freshness.heartbeat_received(2.0 + EXPIRY_TIME, heartbeat(upstream))
     assert freshness.unconfirmed == set()
-    freshness.heartbeat_received(2.2 + EXPIRY, heartbeat(upstream))
+    freshness.heartbeat_received(2.2 + EXPIRY_TIME, heartbeat(upstream))
     assert freshness.unconfirmed == {"b"}
-    assert not freshness.heartbeat_received(60.0, heartbeat(upstream))  # the rest agrees
-    freshness.registrations_received(61.0, {"b"}, False, False)  # it is heard again
+    assert not freshness.heartbeat_received(
+        60.0, heartbeat(upstream)
+    )  # the remaining registrations are equal
+    freshness.registrations_received(61.0, {"b"}, False, False)  # a controller has its registration again
     assert freshness.unconfirmed == set()
 
 
-def test_one_that_is_named_in_time_is_kept(freshness: RegistryFreshness) -> None:
-    """All controllers have just started, and its next call comes a moment after the registry."""
+def test_a_worker_in_an_update_within_the_timeout_stays_confirmed(freshness: RegistryFreshness) -> None:
+    """All controllers have restarted, and the heartbeat arrives shortly after the complete registry."""
     freshness.registrations_received(2.0, {"a", "c"}, True, True)
     freshness.registrations_received(3.0, {"b"}, False, True)
-    freshness.heartbeat_received(30.0, heartbeat(registry_of("a", "b", "c")))
+    freshness.heartbeat_received(30.0, heartbeat(registry_with("a", "b", "c")))
     assert not freshness.unconfirmed and not freshness.absent_since
 
 
-def test_without_a_current_upstream_nothing_expires(freshness: RegistryFreshness) -> None:
-    upstream = registry_of("a")
+def test_without_a_current_upstream_no_worker_becomes_unconfirmed(freshness: RegistryFreshness) -> None:
+    upstream = registry_with("a")
     freshness.registrations_received(2.0, {"a"}, True, False)
     assert not freshness.absent_since
     freshness.registrations_received(2.0, {"a"}, True, True)
@@ -76,39 +85,41 @@
     assert not freshness.unconfirmed
 
 
-def test_a_controller_of_an_earlier_release_has_no_digest(freshness: RegistryFreshness) -> None:
+def test_a_heartbeat_without_a_digest_causes_no_request(freshness: RegistryFreshness) -> None:
     for now in range(60):
         assert not freshness.heartbeat_received(float(now), ProxyHeartbeat({}, True, False, 1))
 
 
-def test_requests_that_do_not_help_become_rare(freshness: RegistryFreshness) -> None:
-    times = request_times(freshness, registry_of("a", "b", "c", "d"), 400.0)
+def test_the_request_interval_doubles_up_to_its_maximum_while_digests_differ(
+    freshness: RegistryFreshness,
+) -> None:
+    times = request_times(freshness, registry_with("a", "b", "c", "d"), 400.0)
     assert times[:4] == [2.0, 4.0, 8.0, 16.0]
     assert {later - earlier for earlier, later in zip(times[6:], times[7:], strict=False)} == {
         MAX_REQUEST_INTERVAL
     }
 
 
-def test_a_worker_that_answers_here_is_used_on() -> None:
-    """The upstream is cut off from the controller that the worker calls: it lives all the same."""
+def test_an_unconfirmed_worker_that_responds_to_the_proxy_is_not_timed_out() -> None:
+    """Such a worker is live if the upstream is partitioned from the controller that gets its heartbeats."""
     settings = Settings(
-        "d", "d", "z", (1, 2), (), False, None, BEAT, {"Front": ("d", 1)}, 2**28, 99, Bounds()
+        "d", "d", "z", (1, 2), (), False, None, HEARTBEAT_INTERVAL, {"Front": ("d", 1)}, 2**28, 99, Bounds()
     )
-    balancer = LoadBalancer(2.5)
-    sessions = ControllerSessions(settings, None, balancer, None, None)
+    load_balancer = LoadBalancer(2.5)
+    sessions = ControllerSessions(settings, None, load_balancer, None, None)
     for name in ("a", "b"):
-        balancer.registry.record(0.0, name, registration(name))
+        load_balancer.registry.record(0.0, name, registration(name))
     sessions.freshness.unconfirmed = {"a", "b"}
-    balancer.observation("b").answered_at = 99.0
+    load_balancer.observation("b").answered_at = 99.0
     sessions._update_timed_out(100.0)
-    assert balancer.timed_out == {"a"}
-    sessions._update_timed_out(99.5 + EXPIRY)
-    assert balancer.timed_out == {"a", "b"}
+    assert load_balancer.timed_out == {"a"}
+    sessions._update_timed_out(99.5 + EXPIRY_TIME)
+    assert load_balancer.timed_out == {"a", "b"}
 
 
-def test_a_digest_is_of_the_live_workers() -> None:
-    registry = registry_of("a", "b")
+def test_a_digest_covers_live_workers_only() -> None:
+    registry = registry_with("a", "b")
     registry.record(1.0, "b", registration("b", GONE, 2))
-    assert registry.live_digest() == registry_of("a").live_digest()
-    assert registry_of("a", "b").live_digest({"b"}) == registry_of("a").live_digest()
-    assert registry.live_digest({"b"}) == registry.live_digest()  # gone, so it was in no digest
+    assert registry.live_digest() == registry_with("a").live_digest()
+    assert registry_with("a", "b").live_digest({"b"}) == registry_with("a").live_digest()
+    assert registry.live_digest({"b"}) == registry.live_digest()  # a worker that is gone is in no digest
