--- a/bramblewood/proxy/client_disconnects.py
+++ b/bramblewood/proxy/client_disconnects.py
@@ -1,6 +1,6 @@
 """Cancels the work on requests whose clients have disconnected.
 
-Rule GONE of the users' pages: half a second after a client disconnects, its request is not sent to any
+Rule GONE of the users' pages: from half a second after a client disconnects, its request is sent to no
 further worker. If the request is idempotent, no worker is still processing it. A non-idempotent request that
 was sent is not cancelled.
 """
--- a/bramblewood/proxy/connection_quota.py
+++ b/bramblewood/proxy/connection_quota.py
@@ -10,7 +10,8 @@
 import zlib
 
 IDLE_FRACTION = 0.5  # of MaxConns for idle connections: the other half is reserved for requests in flight
-LOTTERY_PERIOD = 30.0  # s for which a draw is valid: several idle times of a worker, ten seconds in PROTOCOL
+# s for which a draw is valid: several idle time-outs of a worker, which are ten seconds or more in PROTOCOL
+LOTTERY_PERIOD = 30.0
 UNLIMITED = 2**20  # connections
 
 
--- a/bramblewood/proxy/hot_key_queue.py
+++ b/bramblewood/proxy/hot_key_queue.py
@@ -17,7 +17,7 @@
 REJECTED_RATE_FACTOR = 0.7  # factor applied to the rate when a worker rejects a request
 RATE_EFFECT_DELAY = 0.2  # s until a reduced rate has an effect: about a request's processing time
 RATE_GAIN_PER_SECOND = 0.3  # fraction of the rate by which it grows each second
-MIN_RATE = 0.2  # requests per second: keeps the worker's load reported every five seconds
+MIN_RATE = 0.2  # requests per second: the lowest rate still gets a load report every five seconds
 ARRIVAL_RATE_WINDOW = 1.0  # s over which the arrival rate is averaged
 UNLIMITED_RATE_FACTOR = 2.0  # times the arrival rate: above this, the rate limit is removed
 
--- a/bramblewood/proxy/http_fields.py
+++ b/bramblewood/proxy/http_fields.py
@@ -44,8 +44,8 @@
 ) -> bytes:
     """Return the head of a request to a worker.
 
-    It is the client's head without hop-by-hop fields. `X-Deadline-Ms`, `X-Target-Instance` and `Content-
-    Length` are replaced, and `X-Attempt-Id` is added if it is missing. now: s of the loop's clock.
+    It is the client's head without hop-by-hop fields. The proxy sets `X-Deadline-Ms`, `X-Target-Instance` and
+    `Content-Length`, and adds `X-Attempt-Id` if it is missing. now: s of the loop's clock.
     """
     not_forwarded = _NOT_FOR_WORKERS | (connection_options(request.headers) - END_TO_END_FIELDS)
     lines = [f"{request.method} {request.raw_path} HTTP/1.1".encode("utf-8", "surrogateescape")]
--- a/bramblewood/proxy/load_balancing.py
+++ b/bramblewood/proxy/load_balancing.py
@@ -31,9 +31,8 @@
 # of DrainS: for this long a draining worker still gets requests for the keys that it owns
 DRAINING_OWNER_FRACTION = 0.6
 MIXING_FACTOR = 2654435761  # 2**32 over the golden ratio: Knuth's multiplicative hash
-MIN_SECOND_SHARE = (
-    0.1  # of a slice's requests: above this share of the second worker, the less loaded of the two is chosen
-)
+# of a slice's requests: above this share of the second worker, the less loaded of the two is chosen
+MIN_SECOND_SHARE = 0.1
 
 
 class LoadBalancer:
@@ -54,16 +53,15 @@
         self.affinity = AffinityTable()
         self.timed_out: set[str] = set()
         self.local_fractions: dict[str, float] = {}
-        self._local_slices: dict[
-            str, tuple[float, list[int]]
-        ] = {}  # by service: time of the search, first keys of the slices
+        # by service: time of the search, first keys of the slices
+        self._local_slices: dict[str, tuple[float, list[int]]] = {}
 
     def observation(self, instance_id: str) -> WorkerObservation:
         """Return this proxy's observation of a worker. It is created if there is none."""
         return self.observations.of(instance_id)
 
     def is_hot(self, service: str, key: int | None) -> bool:
-        """Whether a key is hot."""
+        """Whether a key is hot according to the newest list of the coordinator."""
         return self.request_counts.is_hot(service, key)
 
     def in_handover(self, service: str, key: int) -> bool:
@@ -202,9 +200,7 @@
                 if reader not in excluded and self.is_available(now, reader)
             ]
             if readers:
-                position = self.hash_request_id(request_id) % (
-                    len(readers) + 1
-                )  # the last position is the owner's
+                position = self.hash_request_id(request_id) % (len(readers) + 1)  # the last is the owner's
                 if position < len(readers):
                     return readers[position]
         owner = entry[WORKER]
--- a/bramblewood/proxy/load_report.py
+++ b/bramblewood/proxy/load_report.py
@@ -26,7 +26,7 @@
 
     Each row consists of the number of idempotent requests in flight, the number of non-idempotent requests
     in flight plus the number of keys bound to the worker, and the time (s) since the worker last had no
-    request in flight. Workers without remaining work are omitted.
+    request of this proxy in flight. Workers without remaining work are omitted.
     """
     remaining = {}
     for instance_id in load_balancer.slices.drain_steps:
--- a/bramblewood/proxy/request_counts.py
+++ b/bramblewood/proxy/request_counts.py
@@ -24,7 +24,7 @@
         self.hot_keys = {service: set(keys) for service, (_, keys) in by_service.items()}
 
     def is_hot(self, service: str, key: int | None) -> bool:
-        """Whether a key is hot."""
+        """Whether a key is hot according to the newest list of the coordinator."""
         return key in self.hot_keys.get(service, ())
 
     def record_request(self, service: str, key: int) -> None:
--- a/bramblewood/proxy/retry_budget.py
+++ b/bramblewood/proxy/retry_budget.py
@@ -4,7 +4,7 @@
 proxies share (`RetryRatio`, `RetryWindowS`, `RetrySlack` of the settings). Times are in seconds.
 """
 
-BUDGET_USE_FRACTION = 0.8  # of the budget that is used, as the windows of the rules have other boundaries
+BUDGET_USE_FRACTION = 0.8  # of the budget: the rest is reserved, as the rules count requests in other windows
 BUCKET_DURATION = 1.0  # s that one bucket covers
 
 
@@ -24,10 +24,7 @@
     """
 
     def __init__(self, ratio: float, window: float, slack: float) -> None:
-        """ratio: retries per request.
-
-        window: s. slack: further retries per window, for all proxies together.
-        """
+        """ratio: retries per request. window: s. slack: further retries per window, shared by all proxies."""
         self.ratio, self.window, self.slack, self.proxies = ratio, window, slack, 1
         self.buckets: dict[str, dict[int, _Bucket]] = {}
 
--- a/bramblewood/proxy/server.py
+++ b/bramblewood/proxy/server.py
@@ -23,7 +23,7 @@
 # names of the listen addresses in `BindMap`
 CLIENT_LISTENER, READINESS_LISTENER = "Front", "ReadyProbe"
 READINESS_KEEP_ALIVE = 5.0  # s
-REPORT_INTERVAL = 0.5  # s between load reports
+REPORT_INTERVAL = 0.5  # s between load reports: the cycle of the design, which may have any length
 CLEANUP_INTERVAL = 1.0  # s between removals of idle connections and of departed workers
 SHUTDOWN_POLL_INTERVAL = 0.05  # s between checks for requests in flight
 SHUTDOWN_RESERVE = 0.3  # s of GraceS that are reserved for closing connections and exiting
--- a/bramblewood/proxy/worker_observations.py
+++ b/bramblewood/proxy/worker_observations.py
@@ -7,12 +7,12 @@
 
 from .hot_key_queue import OVERLOADED_RATE_FACTOR, REJECTED_RATE_FACTOR, HotKeyQueue
 
-# s without requests to a worker after a failed connection or a time-out; each failure doubles it
+# s without requests to a worker after a failed connection or a time-out; each failure doubles it, up to the
+# maximum
 MIN_BACKOFF, MAX_BACKOFF = 0.5, 4.0
 LOAD_VALIDITY = 1.0  # s for which a reported load is used, as reports are usually about this old
-FULL_QUEUE_VALIDITY = (
-    0.15  # s for which a reported full queue is assumed to last: about a request's processing time
-)
+# s for which a reported full queue is assumed to last: about a request's processing time
+FULL_QUEUE_VALIDITY = 0.15
 REJECTION_BACKOFF = 0.1  # s for which a worker is assumed to be full after it rejects a request or connection
 MAX_REPORTED_LOAD = 10**6  # limit for each reported number; a load with a larger number is ignored as invalid
 NO_LOAD = (0, 0, 0)
--- a/features/connection_pool.feature
+++ b/features/connection_pool.feature
@@ -1,4 +1,4 @@
-Feature: Connections to workers are reused only if that is safe, and unused ones are closed
+Feature: Connections to workers are reused only if that is safe, and closed if no request can use them
 
   Scenario: After a connection is found dead, non-idempotent requests use only connections that were idle for a shorter time
     Given connections to a worker that are idle for 0.1 s, 0.3 s and 5 s
--- a/tests/test_registry_freshness.py
+++ b/tests/test_registry_freshness.py
@@ -60,9 +60,8 @@
     assert freshness.unconfirmed == set()
     freshness.heartbeat_received(2.2 + EXPIRY_TIME, heartbeat(upstream))
     assert freshness.unconfirmed == {"b"}
-    assert not freshness.heartbeat_received(
-        60.0, heartbeat(upstream)
-    )  # the remaining registrations are equal
+    # the digests are equal without "b"
+    assert not freshness.heartbeat_received(60.0, heartbeat(upstream))
     freshness.registrations_received(61.0, {"b"}, False, False)  # a controller has its registration again
     assert freshness.unconfirmed == set()
 
