--- a/bramblewood/proxy/http_fields.py
+++ b/bramblewood/proxy/http_fields.py
@@ -32,7 +32,7 @@
 FIELDS_SET_FOR_CLIENTS = {b"content-length", b"date", b"server"}
 _NOT_FOR_WORKERS = HOP_BY_HOP_FIELDS | FIELDS_SET_FOR_WORKERS
 _NOT_FOR_CLIENTS = HOP_BY_HOP_FIELDS | FIELDS_SET_FOR_CLIENTS
-MAX_DIGITS = 18  # keeps a parsed integer within 64 bits
+MAX_DIGITS = 18  # of an integer in a header field; the integer then fits into 64 bits
 
 
 class _MultiValueHeaders(Protocol):
