--- a/bramblewood/proxy/load_balancing.py
+++ b/bramblewood/proxy/load_balancing.py
@@ -80,7 +80,7 @@
 
     @staticmethod
     def hash_request_id(request_id: str) -> int:
-        """Return the key that selects the slice of a request to a service without keys."""
+        """Return the key of a request to a service without keys: a hash of its id."""
         return zlib.crc32(request_id.encode()) % KEY_SPACE_SIZE
 
     @staticmethod
--- a/bramblewood/proxy/request_attempts.py
+++ b/bramblewood/proxy/request_attempts.py
@@ -29,7 +29,8 @@
 # backoff before the same worker gets the request again: about the time to process a full queue
 SAME_WORKER_BACKOFF_FRACTION = 0.4
 RETRY_AFTER_FRACTION = 0.3  # of the time left, sent as `Retry-After`: clients accept up to a third
-MAX_SHORT_RETRY_AFTER = 0.25  # s: upper bound of `Retry-After` unless no worker is available
+# s: upper bound of `Retry-After`, unless no worker is available or a hot key gets too many requests
+MAX_SHORT_RETRY_AFTER = 0.25
 # Clients take these statuses as a guarantee that the request has not run and never will run.
 STATUSES_PROMISING_NOT_RUN = (408, 429, 503)
 MAX_UNSENT_ATTEMPTS = 4  # limit on attempts that sent no byte, as each one opens a connection
@@ -197,8 +198,8 @@
     ) -> FinalReply | None:
         """Record the outcome of an attempt.
 
-        Returns the final reply, or None if `next_step` decides how to continue. from_replica:
-        whether the worker holds a read replica of the key and does not own the key.
+        from_replica: whether the worker holds a read replica of the key and does not own the key. Returns the
+        final reply, or None if `next_step` decides how to continue.
         """
         if outcome in (AttemptOutcome.NOT_SENT, AttemptOutcome.CONNECTION_REJECTED):
             return self._record_not_sent(now, instance_id, outcome)
