--- a/bramblewood/proxy/load_balancing.py
+++ b/bramblewood/proxy/load_balancing.py
@@ -274,7 +274,7 @@
     def set_affinity(self, now: float, service: str, key: str, instance_id: str, duration: float) -> None:
         """Bind a client's key to a worker for `duration` (s).
 
-        A binding to a worker that is leaving is not extended.
+        A binding to a worker that is leaving is neither created nor extended.
         """
         if not self._is_leaving(instance_id):
             self.affinity.bind(service, key, instance_id, now + duration)
--- a/features/forwarding.feature
+++ b/features/forwarding.feature
@@ -1,4 +1,4 @@
-Feature: The proxy forwards each request, retries it only if that is safe, and returns its own response
+Feature: The proxy forwards each request, retries it only if that is safe, and returns the response to that request
 
   Scenario: A request whose connection is closed on reuse arrives once and is answered 502, whatever its method
     Given a proxy in front of these workers
@@ -46,7 +46,7 @@
       | POST   | /pay/7  | c7 | x    |        |
     Then the transcript is "malformed-answers"
 
-  Scenario: A request that no worker has run is answered 503, and one that timed out is answered 504
+  Scenario: A request that was not run is retried or answered 503, and one that timed out is answered 504
     Given a proxy in front of these workers
       | worker | script                              |
       | w1     | full, elsewhere, silent, full, full |
