--- a/bramblewood/common/__init__.py
+++ b/bramblewood/common/__init__.py
@@ -1,1 +1,1 @@
-"""What proxies and controllers share: settings, configurations, connections between them, logs, errors."""
+"""Modules for proxies and controllers: settings, configurations, connections, messages, logs and errors."""
--- a/bramblewood/common/errors.py
+++ b/bramblewood/common/errors.py
@@ -1,17 +1,17 @@
-"""The errors that the gateway raises itself: one tree, so that callers can tell ours from Python's.
+"""The base classes of the gateway's own errors, so that callers can tell them from Python's errors.
 
-Each says what went wrong, and at which step and with which peer, as the log's keys `step` and `peer` do.
-Kinds that belong to one module are defined there, as subclasses of `BramblewoodError`. Those that stand for
-one of Python's own errors have that as a base too, so that `except ValueError` still catches them.
+Each error states the problem, the step that failed and the peer concerned, as the log's keys `reason`, `step`
+and `peer` do. An error that belongs to one module is defined in that module as a subclass of
+`BramblewoodError`. An error that corresponds to a built-in error also derives from the built-in class, so
+that `except ValueError` still catches it.
 """
 
 
 class BramblewoodError(Exception):
-    """Base of the gateway's errors.
+    """Base class of the gateway's errors.
 
-    problem: what went wrong; it is the error's text.
-    step: the step at which it did, as the log names it; a subclass gives its usual one.
-    peer: the machine or worker concerned, empty where there is none.
+    `problem` describes what failed, and is the text of the error. `step` is the step that failed, by its name
+    in the log; each subclass defines its default. `peer` is the machine or worker concerned, or "" for none.
     """
 
     step = ""
@@ -22,13 +22,16 @@
         self.step = step or type(self).step
 
     def log_fields(self) -> dict[str, str]:
-        """The error as keys of a log line."""
+        """Return the error as fields of a log line: `step`, `reason` and, unless it is empty, `peer`."""
         fields = {"step": self.step, "reason": str(self)}
         return fields | {"peer": self.peer} if self.peer else fields
 
 
 class SettingsError(BramblewoodError):
-    """A settings file that can't be read or has an invalid field; the text names file and field."""
+    """A settings file cannot be read, or a field in it is invalid.
+
+    The text of the error names the file, once its path is known, and the field.
+    """
 
     step = "settings"
 
@@ -40,15 +43,15 @@
         return f"{self.path}: {self.problem}" if self.path else str(self.problem)
 
     def in_file(self, path: str) -> "SettingsError":
-        """The same error with the file that it was found in."""
+        """Return a copy of the error with the path of the settings file."""
         return type(self)(self.problem, path=path)
 
 
 class SettingsUnreadableError(SettingsError):
-    """A settings file that is not there, or can't be read."""
+    """A settings file does not exist or cannot be read."""
 
 
 class PeerMessageError(BramblewoodError, ValueError):
-    """A message from a peer that is no JSON object."""
+    """A message from a peer cannot be decoded, or a field of it has the wrong type."""
 
     step = "receive"
--- a/bramblewood/common/listeners.py
+++ b/bramblewood/common/listeners.py
@@ -1,8 +1,9 @@
-"""Listening sockets, opened before the rest of a proxy is imported.
+"""Opens the listening sockets of a proxy before the rest of the proxy is imported.
 
-Clients that connect meanwhile wait in the backlog and are not rejected.
+Clients that connect during the imports wait in the backlog, and their connections are not rejected.
 
-Imports nothing heavy. A faulty settings file opens no socket here; it is reported later by `settings.load`.
+This module imports only the standard library and `settings_path`, so that its own import is fast. If the
+settings file is invalid, no socket is opened here, and `settings.load` reports the fault later.
 """
 
 import os
@@ -11,11 +12,14 @@
 
 from .settings_path import DEFAULT_SETTINGS_PATH, SETTINGS_PATH_VARIABLE
 
-ACCEPT_BACKLOG = 1024  # connections that may wait to be accepted
+ACCEPT_BACKLOG = 1024  # the most connections that may wait to be accepted
 
 
 def open_listeners_early(names: tuple[str, ...]) -> dict[str, socket.socket]:
-    """Listening sockets by these names of `BindMap` in the settings file; none where any of them fails."""
+    """Return a listening socket for each of these names of `BindMap`, or {} if any of them cannot be opened.
+
+    Sockets that are already open are closed in that case.
+    """
     sockets: dict[str, socket.socket] = {}
     try:
         with open(os.environ.get(SETTINGS_PATH_VARIABLE, DEFAULT_SETTINGS_PATH), "rb") as file:
@@ -31,7 +35,7 @@
 
 
 def listen_on(host: str, port: int) -> socket.socket:
-    """A non-blocking listening socket; raises OSError where the address can't be had."""
+    """Return a non-blocking socket that listens at this address; raises OSError if it cannot be bound."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/bramblewood/common/logs.py
+++ b/bramblewood/common/logs.py
@@ -1,6 +1,7 @@
-"""The gateway's logs: one JSON object a line on standard output, at most `MAX_LINES_PER_SECOND`.
+"""The gateway's logs: one JSON object per line on standard output, at most `MAX_LINES_PER_SECOND`.
 
-Each line has `node`, `level`, `event` and `step`, and `peer` where there is one.
+Each line has the keys `node`, `level`, `event` and `step`. A line that concerns a peer also has `peer`. A
+line that counts dropped lines has `count` in place of `step`.
 """
 
 import json
@@ -9,20 +10,22 @@
 
 import logbook
 
-MAX_LINES_PER_SECOND = 40  # a storm of faults must not cost the processor time that requests need
+MAX_LINES_PER_SECOND = (
+    40  # limits the processor time that logging takes from requests while many faults occur
+)
 
 
 class JsonLineHandler(logbook.Handler):
-    """Writes records as JSON lines; of those beyond the limit of a second only their count."""
+    """Writes records as JSON lines, and counts the records beyond the limit of a second."""
 
     def __init__(self, node: str) -> None:
         super().__init__(logbook.INFO)
         self.node = node
-        self.second = 0  # of the monotonic clock, in which the counts below were taken
+        self.second = 0  # of the monotonic clock; the counts below are those of this second
         self.written = self.dropped = 0
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Write one record, or count it as dropped."""
+        """Write a record, or count it as dropped if the limit of this second is reached."""
         second = int(time.monotonic())
         if second != self.second:
             self._begin_second(second)
@@ -43,13 +46,16 @@
 
 
 def start_logging(node: str) -> logbook.Logger:
-    """Start the log of this process; `logger.info("event", step=..., peer=...)` writes a line."""
+    """Start the log of this process, and return its logger.
+
+    `logger.info("event", step=..., peer=...)` writes a line.
+    """
     JsonLineHandler(node).push_application()
     return logbook.Logger(node)
 
 
 def log_started(log: logbook.Logger, unsupported: tuple[str, ...], **fields: object) -> None:
-    """Log that the program runs, and once what its settings say that it can't act on."""
+    """Log that the program has started, and log the settings that it does not support, if there are any."""
     log.info("started", step="start", **fields)
     if unsupported:
         log.warning("settings not known", step="start", what=unsupported)
--- a/bramblewood/common/metrics.py
+++ b/bramblewood/common/metrics.py
@@ -1,11 +1,11 @@
-"""Metrics in the text form that monitoring scrapes.
+"""Formats metrics in the text format that a monitoring system scrapes.
 
-Names come from the program, never from a request, so that their number is bounded.
+Metric names are fixed in the program and never come from a request, so their number is bounded.
 """
 
 PREFIX = "bramblewood_"
 
 
 def format_metrics(values: dict[str, float]) -> str:
-    """One line `bramblewood_NAME VALUE` a metric, sorted by name."""
+    """Return one line `bramblewood_NAME VALUE` for each metric, sorted by name."""
     return "".join(f"{PREFIX}{name} {value}\n" for name, value in sorted(values.items()))
--- a/bramblewood/common/settings_path.py
+++ b/bramblewood/common/settings_path.py
@@ -1,4 +1,4 @@
-"""Where the settings file is, apart from its reading: the early listeners need this before anything heavy."""
+"""The path of the settings file, in a module that `listeners` can import without the settings parser."""
 
 SETTINGS_PATH_VARIABLE = "BRAMBLEWOOD_BOOT"
 DEFAULT_SETTINGS_PATH = "/etc/bramblewood/boot.toml"
--- a/bramblewood/common/timeouts.py
+++ b/bramblewood/common/timeouts.py
@@ -1,35 +1,44 @@
-"""Durations in seconds that controllers and proxies both rely on; each follows from the protocol or others.
+"""Durations in seconds that controllers and proxies both rely on.
 
-Both programs must use the same values: what one of them still counts on, the other must not have given up.
+Each duration follows from the protocol or from other durations. Both programs must
+use the same values. If they differed, one program could still rely on a lease or on a confirmation that the
+other already treats as expired.
 """
 
-UNACKNOWLEDGED_TIMEOUT_MS = 1000  # that sent bytes may stay unacknowledged (TCP_USER_TIMEOUT)
-# for which an answer from a quorum is good; callers give a controller one second, PROTOCOL
+# ms that sent bytes may stay unacknowledged before the system ends the connection (TCP_USER_TIMEOUT)
+UNACKNOWLEDGED_TIMEOUT_MS = 1000
+# how long an answer from a quorum stays valid; callers give a controller one second: PROTOCOL
 QUORUM_CONTACT_VALIDITY = 1.0
-# a worker's clock may run 2% slow; PROTOCOL
+# a worker's clock may run 2% slow: PROTOCOL
 CLOCK_DRIFT_FACTOR = 1.02
-# for a call in transit, as the pages allow after a freeze (ThawSlackS)
+# the longest transit of a call; the rules allow the same time after a freeze (`ThawSlackS`)
 MAX_TRANSIT_TIME = 0.3
-MISSED_HEARTBEATS = 3.2  # a worker's heartbeat intervals after which one that nobody heard counts as silent
-# from a call's sending to its arrival at most: lost packets are sent again until the socket gives them up
+# a worker is silent if no heartbeat of it arrives for this many of its heartbeat intervals
+MISSED_HEARTBEATS = 3.2
+# the longest time from the sending of a call to its arrival; TCP retransmits lost packets until the socket
+# times out
 MAX_CALL_TRANSIT = UNACKNOWLEDGED_TIMEOUT_MS / 1000 + MAX_TRANSIT_TIME
-# of a read replica; one that can't be reached holds up a write's answer as long as a call may take
+# the lease of a read replica; an unreachable replica delays the response to a write for as long as a call may
+# take
 READ_LEASE_DURATION = 1.0
-# until a new reader's first lease: the age of a quorum's answer, the transit of the confirmation, and the
-# time in which proxies use it
+# from the announcement of a new reader to its first lease: the age of a quorum's answer, the transit of the
+# confirmation, and the time in which proxies use the confirmation
 REPLICA_ANNOUNCEMENT_DELAY = 3.0
-# from asking for a confirmation until it is used no more
+# from the request for a confirmation to the end of the confirmation's use
 CONFIRMATION_VALIDITY = REPLICA_ANNOUNCEMENT_DELAY - QUORUM_CONTACT_VALIDITY - MAX_TRANSIT_TIME
 
 
 def lease_expiry(duration: float) -> float:
-    """After a change is known until every lease of this duration has expired that rests on an older table.
+    """Return the s after which every lease that rests on an older table has expired.
 
-    The one rule for all leases: a controller sends them on quorum contact only, so the last one leaves while
-    contact from before the change is valid; it arrives after a call's longest transit; and it lasts as long
-    as its duration on a clock that is as slow as a worker's may be.
+    The time runs from the moment at which a change of the table is known. `duration` is the duration of each
+    lease in s.
+
+    A controller sends leases only while it has quorum contact. So the last lease of the older table is sent
+    while contact from before the change is still valid. It arrives after the longest transit of a call at the
+    latest. It then lasts for its duration on the slowest clock that a worker may have.
     """
     return QUORUM_CONTACT_VALIDITY + MAX_CALL_TRANSIT + duration * CLOCK_DRIFT_FACTOR
 
 
-READ_LEASE_EXPIRY = lease_expiry(READ_LEASE_DURATION)  # until no replica of a removed reader can be read
+READ_LEASE_EXPIRY = lease_expiry(READ_LEASE_DURATION)  # s until no replica of a removed reader can be read
