--- a/bramblewood/common/slice_table.py
+++ b/bramblewood/common/slice_table.py
@@ -1,30 +1,38 @@
-"""The agreed table of slices: its form, its constants, and a typed view of one entry.
-
-`{"n": version, "s": {service: {first key: row}}}`, as controllers agree on it and proxies follow it. A slice
-spans from its first key to the next slice's first key, the last one to the end of the key space. Keyed
-services use the keys of the requests, others a hash of their ids.
-
-A row is a list, on the wire and on disk: worker, second worker, the second's share, fencing token, handover,
-previous owner, and, only where a hot key has any, its readers: by worker the version of the table that made
-it one, or that version negated once it is none. The handover is what the previous owner gave with its
-release, for the new one. An entry with a previous owner has no owner yet: its worker is granted the keys once
-that one has released them.
-
-`SliceEntry` decodes and encodes rows. The proxy's path of each request reads rows by the index constants, as
+"""The agreed table of slices: its format, its constants, and a typed form of its entries.
+
+Controllers agree on the table, and proxies follow it. It has the form
+`{"n": version, "s": {service: {first key: row}}}`. A slice contains the keys from its first key up to the
+next slice's first key. The last slice ends with the key space. The requests of a keyed service state their
+keys. For other services the key is a hash of the request id.
+
+On the wire and on disk a row is a list of the following values:
+
+- the worker
+- the second worker, or "" for none
+- the second worker's share of the requests
+- the fencing token
+- the handover: data that the previous owner returned with its release, for the new owner
+- the previous owner, or "" if the worker owns the keys. While there is a previous owner, the slice has no
+  owner: the worker is granted the keys once the previous owner has released them.
+- the readers, which are the workers with a read replica. Only a slice with a hot key has them. They map each
+  instance id to the version of the table that made it a reader, or, once it is not a reader any more, to the
+  negated version of the table that removed it.
+
+`SliceEntry` decodes and encodes rows. The proxy reads rows by the index constants for each request, since
 decoding a row costs more than the look-up itself.
 """
 
 from typing import Any, NamedTuple
 
-WORKER, SECOND, SECOND_SHARE, FENCING_TOKEN, HANDOVER, PREVIOUS_OWNER = range(6)  # places in a row
-READERS = 6  # place of the readers, where the row has any
+WORKER, SECOND, SECOND_SHARE, FENCING_TOKEN, HANDOVER, PREVIOUS_OWNER = range(6)  # indexes in a row
+READERS = 6  # index of the readers, in a row that has them
 ROW_LENGTHS = (READERS, READERS + 1)
-# steps of a worker in a drain plan, as they are stored and sent
+# the steps of a worker in a drain plan, as they are stored and sent
 DRAIN_ANNOUNCED, DRAIN_IN_PROGRESS, DRAINED, OUT_OF_SERVICE = "told", "closing", "closed", "out"
-UNASSIGNED = ["", "", 0.0, 0, "", ""]  # the row of a slice that no worker has yet
+UNASSIGNED = ["", "", 0.0, 0, "", ""]  # the row of a slice that is not assigned to a worker
 KEY_SPACE_SIZE = 65536
-KEYS_PER_RANGE = 8  # keys that a count of heat covers: the finest that a slice is split to
-NO_READERS: dict[str, int] = {}  # never changed in place
+KEYS_PER_RANGE = 8  # keys in a range; requests are counted by range, except in ranges that are watched
+NO_READERS: dict[str, int] = {}  # shared by all entries without readers, so it must not be modified
 
 Row = list[Any]
 
@@ -37,23 +45,21 @@
     second_share: float
     fencing_token: int
     handover: str
-    previous_owner: str  # still to release the keys; "" where the worker owns them
-    readers: dict[str, int] = (
-        NO_READERS  # by worker: the version that made it one, negative for none any more
-    )
+    previous_owner: str  # has not released the keys yet; "" if the worker owns them
+    readers: dict[str, int] = NO_READERS  # table version by instance id; negative for a removed reader
 
     @classmethod
     def decode(cls, row: Row) -> "SliceEntry":
-        """The entry of a row; the row itself is not kept."""
+        """Return the entry of a row. Raises TypeError if the row has another length."""
         return cls(*row)
 
     def encode(self) -> Row:
-        """The row, without readers where there are none."""
+        """Return the row. A row without readers ends with the previous owner."""
         return [*self[:READERS], *([self.readers] if self.readers else [])]
 
 
 def is_slice_row(value: Any) -> bool:
-    """Whether this is the row of a slice, as far as a look-up relies on it."""
+    """Return whether a value is a row of a slice. Only the values that a look-up uses are checked."""
     if not isinstance(value, (list, tuple)) or len(value) not in ROW_LENGTHS:
         return False
     worker, second, share, fencing_token, _, previous_owner, *readers = value
@@ -61,34 +67,42 @@
         type(worker) is type(second) is type(previous_owner) is str
         and type(share) in (int, float)
         and type(fencing_token) is int
-        and all(isinstance(by_worker, dict) for by_worker in readers)
+        and all(isinstance(versions, dict) for versions in readers)
     )
 
 
 def all_readers(row: Row) -> dict[str, int]:
-    """All workers that may hold read replicas of this record, those too that are readers no more."""
+    """Return the table version by instance id of all readers, including the removed ones.
+
+    Each of them may hold read replicas of the slice's keys.
+    """
     return row[READERS] if len(row) > READERS else {}
 
 
 def active_readers(row: Row) -> list[str]:
-    """The workers that lookups of this record may go to, beside its own."""
+    """Return the instance ids of the readers that are not removed.
+
+    Lookups of the slice's keys may be sent to them as well as to the slice's worker.
+    """
     return [instance_id for instance_id, version in all_readers(row).items() if version > 0]
 
 
 def with_readers(row: Row, readers: list[str], version: int) -> Row:
-    """The row with just these readers; those that are new are so since this version of the table.
+    """Return the row with exactly these active readers.
 
-    One that is a reader no more stays there, as such, until its last lease has run out: an effect must
-    still be kept from being answered while its replica can be read.
+    `version` is the version of the table that contains the new row. It is recorded for each reader that is
+    added or removed. A removed reader stays in the row, and stays removed even if `readers` contains it. The
+    caller deletes it once its last lease has expired. Until then its replica can be read, and the response to
+    a write must wait.
     """
     versions = {
-        instance_id: since if since < 0 or instance_id in readers else -version
-        for instance_id, since in all_readers(row).items()
+        instance_id: recorded_version if recorded_version < 0 or instance_id in readers else -version
+        for instance_id, recorded_version in all_readers(row).items()
     }
     versions |= {instance_id: version for instance_id in readers if instance_id not in versions}
     return [*row[:READERS], *([versions] if versions else [])]
 
 
 def sorted_starts(entries: dict[str, Row]) -> list[int]:
-    """The first keys of a service's slices, ascending."""
+    """Return the first keys of a service's slices as integers, in ascending order."""
     return sorted(map(int, entries))
--- a/bramblewood/common/timeouts.py
+++ b/bramblewood/common/timeouts.py
@@ -1,8 +1,8 @@
 """Durations in seconds that controllers and proxies both rely on.
 
-Each duration follows from the protocol or from other durations. Both programs must
-use the same values. If they differed, one program could still rely on a lease or on a confirmation that the
-other already treats as expired.
+Each duration follows from the protocol or from other durations. Both programs must use the same values. If
+they differed, one program could still rely on a lease or on a confirmation that the other already treats as
+expired.
 """
 
 # ms that sent bytes may stay unacknowledged before the system ends the connection (TCP_USER_TIMEOUT)
--- a/bramblewood/common/worker_registry.py
+++ b/bramblewood/common/worker_registry.py
@@ -1,14 +1,18 @@
-"""The registry of workers: a mergeable map of registrations, kept by every controller and every proxy.
+"""The registry of workers: a mergeable map of registrations that every controller and every proxy holds.
 
-Invariant: registries that have taken the same registrations agree, in whatever order these came. Of two
-registrations of one instance the one with the higher call number stands; of equal ones the later phase
-(ready, draining, gone). "Gone" is final. When a worker was last heard travels as an age, never as a time of
-day.
+Invariant: registries that have merged the same registrations agree, whatever the order in which the
+registrations arrived. Of two registrations of one instance, one with the phase "gone" takes precedence, then
+the one with the higher call number, then the one with the later phase (ready, draining, gone). "Gone" is
+final.
 
-The last call of an instance that a controller has never heard of makes a registration without an address. It
-is gone like any other, and takes what it lacks from any registration of that instance, whichever comes first.
+The time of a worker's last contact is sent as an age, since the steady clocks of two machines differ.
 
-A registration travels as a list, its fields in order. All times in s of the steady clock.
+The last call of an instance that a controller does not know creates a registration without an address, whose
+phase is "gone". It receives its missing fields from any other registration of that instance, whichever of the
+two arrives first.
+
+On the wire and on disk a registration is the list of its fields, in their order. All times are in s of the
+steady clock.
 """
 
 import zlib
@@ -20,17 +24,18 @@
 
 READY, DRAINING, GONE = "ready", "draining", "gone"
 PHASE_ORDER = {READY: 0, DRAINING: 1, GONE: 2}
-GONE_RETENTION = 600.0  # s that a worker that is gone is kept, so that a late message of it changes nothing
+# s that the registration of a gone worker is kept, so that a late message does not register the worker again
+GONE_RETENTION = 600.0
 
-# names of a registration's fields on the operators' pages, in order
-MIN_ROW_LENGTH = 6  # the fields that a row has always had
+MIN_ROW_LENGTH = 6  # fields in the rows of the earliest releases
+# the names of a registration's fields in operators' views, in the order of the fields
 VIEW_KEYS = ("service", "address", "zone", "slots", "phase", "seq", "cold", "revision")
 
-RegistrationRow = list[Any]  # a registration as it travels
+RegistrationRow = list[Any]  # a registration in the form that is sent and stored
 
 
 class WorkerRegistration(NamedTuple):
-    """What a worker said of itself in one call."""
+    """The state that a worker reported of itself in one call."""
 
     service: str
     address: str
@@ -38,58 +43,63 @@
     slots: int
     phase: str
     call_sequence: int
-    warm_up_left: float = 0.0  # s that it was still slow when this was said
-    revision: str = ""  # of its software
+    warm_up_left: float = 0.0  # s that the worker's warm-up still took at the time of the call
+    revision: str = ""  # of the worker's software
 
     @classmethod
     def from_row(cls, row: Any) -> "WorkerRegistration":
-        """A registration in the form that it travels in. Raises PeerMessageError where the row is none."""
+        """Return the registration in a row. Raises PeerMessageError if the row is not a registration."""
         if not MIN_ROW_LENGTH <= len(row) <= len(VIEW_KEYS):
             raise PeerMessageError(f"registration of {len(row)} fields")
         registration = cls(*row)
         texts = registration.service, registration.address, registration.zone, registration.revision
         numbers = registration.slots, registration.call_sequence, registration.warm_up_left
         if not all(map(is_text, texts)) or not all(map(is_number, numbers)):
-            raise PeerMessageError(f"registration with fields of other types: {row!r:.80}")
+            raise PeerMessageError(f"registration with a field of the wrong type: {row!r:.80}")
         if registration.phase not in PHASE_ORDER:
-            raise PeerMessageError(f"registration of an unknown phase: {registration.phase!r:.40}")
+            raise PeerMessageError(f"registration with an unknown phase: {registration.phase!r:.40}")
         return registration
 
     def to_view(self) -> dict[str, Any]:
-        """The fields by their names on the operators' pages (`/view/roll`, `--json`)."""
+        """Return the fields by their names in operators' views (`/view/roll`, `--json`)."""
         return dict(zip(VIEW_KEYS, self, strict=True))
 
     @classmethod
     def from_view(cls, view: dict[str, Any]) -> "WorkerRegistration":
-        """The inverse of `to_view`; other keys of the page are left out."""
+        """Return the registration in a view: the inverse of `to_view`. Other keys of the view are ignored."""
         return cls(*(view[key] for key in VIEW_KEYS))
 
     def precedence(self) -> tuple[bool, int, int]:
-        """Of two registrations of one instance the one that is higher in this stands."""
+        """Return a sort key. Of two registrations of one instance, that with the higher key is merged."""
         return (self.phase == GONE, self.call_sequence, PHASE_ORDER.get(self.phase, 0))
 
 
 class WorkerRegistry:
-    """The registrations by instance, and when each was heard and changed."""
+    """The registrations by instance id, with the time of each instance's last contact and last change."""
 
     def __init__(self) -> None:
         self.registrations: dict[str, WorkerRegistration] = {}
-        self.last_heard: dict[str, float] = {}  # when an instance was last heard to live, by anyone
-        self.changed_at: dict[str, float] = {}  # when its phase, address or slots last changed here
-        self.warm_at: dict[str, float] = {}  # when its slow start ends
-        self.instance_by_address: dict[str, str] = {}  # the one that was registered there last
-        self._live_digest: int | None = None  # None: to be worked out again
+        self.last_heard: dict[
+            str, float
+        ] = {}  # time of the last contact of any controller or proxy with an instance
+        self.changed_at: dict[
+            str, float
+        ] = {}  # when this registry last changed an instance's phase, address or slots
+        self.warm_at: dict[str, float] = {}  # when an instance's warm-up ends
+        self.instance_by_address: dict[str, str] = {}  # the newest instance at each address
+        self._live_digest: int | None = None  # None: must be computed again
 
     def record(
         self, now: float, instance_id: str, registration: WorkerRegistration, age: float = 0.0
     ) -> bool:
-        """Merge a registration; true if phase, address or slots, which others should know of, have changed.
+        """Merge a registration that is `age` s old.
 
-        age: s since the worker said it.
+        Returns whether the instance's phase, address or slots have changed, so that the registration has to
+        be sent to other controllers and proxies.
         """
         known = self.registrations.get(instance_id)
         if registration.phase != GONE:
-            self._hear(instance_id, now - age)
+            self._update_last_heard(instance_id, now - age)
         if known is not None and registration.precedence() <= known.precedence():
             if registration.address and not known.address:
                 self.registrations[instance_id] = registration._replace(
@@ -99,20 +109,23 @@
         if known is not None and not registration.address:
             registration = known._replace(phase=GONE, call_sequence=registration.call_sequence)
         self.registrations[instance_id] = registration
-        if known is not None and known_to_others(known) == known_to_others(registration):
+        if known is not None and propagated_fields(known) == propagated_fields(registration):
             return False
         self._live_digest = None
         self.changed_at[instance_id] = now
         self.warm_at[instance_id] = now + registration.warm_up_left
         if registration.phase != GONE:
-            self._claim_address(now, instance_id, registration.address)
+            self._assign_address(now, instance_id, registration.address)
         return True
 
-    def _hear(self, instance_id: str, at: float) -> None:
-        self.last_heard[instance_id] = max(self.last_heard.get(instance_id, 0.0), at)
+    def _update_last_heard(self, instance_id: str, heard_at: float) -> None:
+        self.last_heard[instance_id] = max(self.last_heard.get(instance_id, 0.0), heard_at)
+
+    def _assign_address(self, now: float, instance_id: str, address: str) -> None:
+        """Record the instance at its address. Of two instances at one address, the older one is set to gone.
 
-    def _claim_address(self, now: float, instance_id: str, address: str) -> None:
-        """Of two instances at one address the one that was heard last is the newer; the older is gone."""
+        The newer instance is the one with the later contact.
+        """
         other_id = self.instance_by_address.get(address)
         other = self.registrations.get(other_id) if other_id not in (None, instance_id) else None
         if other is not None and other.phase != GONE:
@@ -127,10 +140,14 @@
     def record_all(
         self, now: float, rows: dict[str, RegistrationRow], ages: dict[str, float] | None = None
     ) -> tuple[dict[str, RegistrationRow], dict[str, RegistrationRow]]:
-        """Merge what another controller or a proxy sent; ages: s since it heard of each, 0 where not told.
+        """Merge the rows that another controller or a proxy sent.
 
-        Gives the rows that were new here, and, of workers that are draining or gone, the rows of which this
-        registry knows something newer.
+        `ages` maps instance ids to the s since the sender's last contact with them.
+        A missing age counts as 0.
+
+        Returns the rows that changed this registry, and this registry's rows of the workers that are draining
+        or gone and for which the sender's row is older. Raises PeerMessageError if a row is not a
+        registration; no row is merged in that case.
         """
         ages = ages or {}
         registrations = {instance_id: WorkerRegistration.from_row(row) for instance_id, row in rows.items()}
@@ -139,16 +156,16 @@
             for instance_id, registration in registrations.items()
             if self.record(now, instance_id, registration, ages.get(instance_id, 0.0))
         ]
-        news = {instance_id: [*self.registrations[instance_id]] for instance_id in changed}
-        newer_here = {}
-        for instance_id, theirs in registrations.items():
-            ours = self.registrations[instance_id]
-            if ours.phase != READY and ours.precedence() > theirs.precedence():
-                newer_here[instance_id] = [*ours]
-        return news, newer_here
+        changed_rows = {instance_id: [*self.registrations[instance_id]] for instance_id in changed}
+        newer_rows = {}
+        for instance_id, received in registrations.items():
+            local = self.registrations[instance_id]
+            if local.phase != READY and local.precedence() > received.precedence():
+                newer_rows[instance_id] = [*local]
+        return changed_rows, newer_rows
 
     def departing_registrations(self, since: float = 0.0) -> dict[str, RegistrationRow]:
-        """The rows of workers that are draining or gone; since: only those that changed then or later."""
+        """Return the rows of the workers that are draining or gone and that changed at `since` or later."""
         return {
             instance_id: [*registration]
             for instance_id, registration in self.registrations.items()
@@ -156,21 +173,21 @@
         }
 
     def record_last_heard(self, now: float, ages: dict[str, float]) -> None:
-        """Merge what another controller heard: how long ago (s) each instance spoke."""
+        """Merge the s since another controller's last contact with each instance. Ignores unknown ones."""
         for instance_id, age in ages.items():
             if instance_id in self.registrations:
-                self._hear(instance_id, now - age)
+                self._update_last_heard(instance_id, now - age)
 
-    def seconds_since_heard(self, now: float, within: float) -> dict[str, float]:
-        """By instance how long ago it was heard, of those heard within so many s."""
+    def seconds_since_heard(self, now: float, max_age: float) -> dict[str, float]:
+        """Return the s since the last contact with each instance, if they are at most `max_age`."""
         return {
-            instance_id: round(now - at, 2)
-            for instance_id, at in self.last_heard.items()
-            if now - at <= within
+            instance_id: round(now - heard_at, 2)
+            for instance_id, heard_at in self.last_heard.items()
+            if now - heard_at <= max_age
         }
 
     def timed_out(self, now: float, timeout: float) -> set[str]:
-        """Instances that no controller has heard for more than `timeout` s though they did not deregister."""
+        """Return the instances that are not gone and whose last contact is more than `timeout` s ago."""
         return {
             instance_id
             for instance_id, registration in self.registrations.items()
@@ -178,18 +195,28 @@
         }
 
     def live_instances(self) -> list[str]:
-        """The workers that are not gone."""
-        return [one for one, registration in self.registrations.items() if registration.phase != GONE]
+        """Return the instance ids of the workers that are not gone."""
+        return [
+            instance_id
+            for instance_id, registration in self.registrations.items()
+            if registration.phase != GONE
+        ]
 
-    def live_digest(self, without: Collection[str] = ()) -> int:
-        """A number that two registries share if they know the same live workers; without: those left out."""
+    def live_digest(self, excluded: Collection[str] = ()) -> int:
+        """Return a digest of the instance ids of the live workers, which are those that are not gone.
+
+        Two registries with the same live workers have the same digest. The workers in `excluded`, which must
+        be registered, do not count.
+        """
         if self._live_digest is None:
             self._live_digest = sum(map(instance_digest, self.live_instances()))
-        left_out = (one for one in without if self.registrations[one].phase != GONE)
-        return self._live_digest - sum(map(instance_digest, left_out))
+        excluded_live = (
+            instance_id for instance_id in excluded if self.registrations[instance_id].phase != GONE
+        )
+        return self._live_digest - sum(map(instance_digest, excluded_live))
 
     def ready_instances(self, service: str) -> list[str]:
-        """The workers of a service that take requests, by their own word."""
+        """Return the instance ids of a service's workers whose phase is ready."""
         return [
             instance_id
             for instance_id, registration in self.registrations.items()
@@ -197,7 +224,7 @@
         ]
 
     def remove_expired(self, now: float) -> None:
-        """Forget workers that have been gone for GONE_RETENTION."""
+        """Remove the workers that have been gone for more than GONE_RETENTION."""
         expired = [
             instance_id
             for instance_id, registration in self.registrations.items()
@@ -209,10 +236,10 @@
 
 
 def instance_digest(instance_id: str) -> int:
-    """One worker's part of a digest."""
+    """Return one worker's summand in the digest of live workers."""
     return zlib.crc32(instance_id.encode())
 
 
-def known_to_others(registration: WorkerRegistration) -> tuple[str, str, int]:
-    """What other controllers and proxies act on; a change of it is sent on at once."""
+def propagated_fields(registration: WorkerRegistration) -> tuple[str, str, int]:
+    """Return the fields whose change is sent to other controllers and proxies at once."""
     return registration.phase, registration.address, registration.slots
