--- a/bramblewood/common/connection_state.py
+++ b/bramblewood/common/connection_state.py
@@ -1,10 +1,12 @@
-"""The state of one connection to a worker: what was sent, whose answer arrives, whether it may be reused.
+"""The state machine of one connection to a worker.
 
-No I/O: `worker_connection` hands in what happened (`on_data`, `on_closed`, `on_timeout`) and gets the result
-of the exchange once there is one.
+It decides which bytes are the response to the request in flight, and whether the connection may be reused.
+The module does no I/O: `worker_connection` calls `on_data`, `on_closed` and `on_timeout`, each of which
+returns the result of the exchange if the event ends it.
 
-Invariant: a connection carries one request at a time, and its phase and the answer's `X-Attempt-Id` alone
-decide which request an answer belongs to. Where that can't be told the connection ends; nothing is guessed.
+Invariant: a connection carries one request at a time. Only the phase of the connection and the response's
+`X-Attempt-Id` decide which request a response belongs to. If they do not determine it, the connection is not
+used any more.
 """
 
 from enum import Enum
@@ -12,32 +14,32 @@
 
 from .response_parser import MalformedResponse, ResponseParser, WorkerResponse
 
-MAX_ANSWER_BYTES = 32 * 2**20  # bytes that may arrive until an answer is complete
+MAX_RESPONSE_BYTES = 32 * 2**20  # the most bytes that may arrive before the response is complete
 ATTEMPT_ID_HEADER = "X-Attempt-Id"
 
 
 class ConnectionPhase(Enum):
-    """Where a connection stands between two requests."""
+    """The phase of a connection in the exchange of a request and its response."""
 
-    IDLE = "idle"  # new: nothing was sent
-    AWAITING_ANSWER = "out"  # a request was sent, not a byte of an answer is here
-    READING_ANSWER = "begun"  # bytes of an answer are here, of whichever request, and it is not complete
-    ANSWER_COMPLETE = "read"  # the answer was read and nothing beyond it: no request is in flight
-    UNUSABLE = "spoilt"  # closed, or to be closed: its bytes can't be trusted any more
+    IDLE = "idle"  # no request has been sent yet
+    AWAITING_RESPONSE = "awaiting response"  # a request is in flight, and the buffer is empty
+    READING_RESPONSE = "reading response"  # a request is in flight, and part of a response has arrived
+    RESPONSE_COMPLETE = "response complete"  # no request is in flight, and no surplus bytes have arrived
+    UNUSABLE = "unusable"  # closed or about to be closed; no request may be sent on it
 
 
 class AttemptOutcome(Enum):
-    """How an attempt at a worker ended; the values are labels of a metric and of log lines."""
+    """How an attempt at a worker ended. The values are labels of a metric and of log lines."""
 
-    ANSWERED = "whole"  # a complete answer to this request
-    NOT_SENT = "unsent"  # nothing of the request was sent
-    CONNECTION_REJECTED = "turned"  # nothing was sent: the worker accepts no further connection now
-    CONNECTION_BROKEN = "broken"  # it was sent, and no answer to it can arrive any more
-    TIMED_OUT = "silent"  # it was sent, and its deadline has passed
+    ANSWERED = "whole"  # the complete response to this request arrived
+    NOT_SENT = "unsent"  # no byte of the request was sent
+    CONNECTION_REJECTED = "turned"  # no byte was sent; the worker accepts no further connections at present
+    CONNECTION_BROKEN = "broken"  # the request was sent, and no response to it can arrive any more
+    TIMED_OUT = "silent"  # the request was sent, and its deadline has passed
 
 
 class ExchangeResult(NamedTuple):
-    """The outcome of one exchange; `answer` is set where that is `ANSWERED`."""
+    """The outcome of one exchange. `answer` is the response if the outcome is `ANSWERED`, otherwise None."""
 
     outcome: AttemptOutcome
     answer: WorkerResponse | None = None
@@ -49,87 +51,95 @@
     def __init__(self) -> None:
         self.phase, self.parser = ConnectionPhase.IDLE, ResponseParser()
         self.request_id, self.bytes_received = "", 0
-        self.foreign_answer_seen = False  # another request's answer arrived while this one's was awaited
-        self.accepts_unnamed = False  # whether an answer without an id counts as the request's
+        self.foreign_response_seen = False  # a response to another request arrived on this connection
+        self.accepts_unnamed = False  # whether a response without an id is accepted for the request in flight
         self.requests_sent = 0
 
     @property
     def is_reusable(self) -> bool:
-        """Whether it may be kept and may carry a request."""
-        return self.phase in (ConnectionPhase.IDLE, ConnectionPhase.ANSWER_COMPLETE)
+        """Whether the connection may be kept and may carry a request."""
+        return self.phase in (ConnectionPhase.IDLE, ConnectionPhase.RESPONSE_COMPLETE)
 
     @property
-    def is_awaiting_answer(self) -> bool:
-        """Whether a request is in flight on it."""
-        return self.phase in (ConnectionPhase.AWAITING_ANSWER, ConnectionPhase.READING_ANSWER)
+    def is_awaiting_response(self) -> bool:
+        """Whether a request is in flight on the connection."""
+        return self.phase in (ConnectionPhase.AWAITING_RESPONSE, ConnectionPhase.READING_RESPONSE)
 
     def begin_request(self, request_id: str, head_request: bool, accepts_unnamed: bool = False) -> bool:
-        """Start an exchange; false where the request must not be sent here.
+        """Start an exchange. Returns False if the request must not be sent on this connection.
 
-        request_id: its `X-Attempt-Id`. head_request: its method is HEAD, so its answer has no body.
-        accepts_unnamed: an answer without an id is taken too; who asks so looks at the answer, and at what
-        the connection carried before.
+        `request_id` is the request's `X-Attempt-Id`. `head_request` states that its method is HEAD, so that
+        its response has no body. `accepts_unnamed` states that a response without an id is accepted too. The
+        caller must then check that such a response is not the response to an earlier request.
         """
         if not self.is_reusable:
             return False
-        self.phase, self.request_id, self.bytes_received = ConnectionPhase.AWAITING_ANSWER, request_id, 0
+        self.phase, self.request_id, self.bytes_received = ConnectionPhase.AWAITING_RESPONSE, request_id, 0
         self.parser.head_request, self.accepts_unnamed = head_request, accepts_unnamed
         self.requests_sent += 1
         return True
 
     def on_data(self, data: bytes, unsent_bytes: int = 0) -> ExchangeResult | None:
-        """Bytes arrived; the result of the exchange if they complete it.
+        """Process bytes that arrived. Returns the result of the exchange if they end it, otherwise None.
 
-        unsent_bytes: bytes of the request that are still in the write buffer. After an answer that came
-        that early, nobody may take them for the start of a request.
+        `unsent_bytes` is the number of bytes of the request that are still in the write buffer. If the
+        response arrives before they are sent, the connection is not reused: the worker would read them as the
+        start of another request.
         """
-        if not self.is_awaiting_answer:
-            self.phase = ConnectionPhase.UNUSABLE  # unsolicited
+        if not self.is_awaiting_response:
+            self.phase = ConnectionPhase.UNUSABLE  # the bytes are unsolicited
             return None
         self.bytes_received += len(data)
         self.parser.feed(data)
         try:
-            answer = self._own_answer()
+            response = self._own_response()
         except MalformedResponse:
             return self._finish(AttemptOutcome.CONNECTION_BROKEN)
-        if answer is not None:
-            clean = not (
-                self.foreign_answer_seen
+        if response is not None:
+            is_clean = not (
+                self.foreign_response_seen
                 or self.parser.is_mid_response
-                or answer.closes_connection
+                or response.closes_connection
                 or unsent_bytes
             )
-            self.phase = ConnectionPhase.ANSWER_COMPLETE if clean else ConnectionPhase.UNUSABLE
-            return ExchangeResult(AttemptOutcome.ANSWERED, answer)
-        if self.bytes_received > MAX_ANSWER_BYTES:
+            self.phase = ConnectionPhase.RESPONSE_COMPLETE if is_clean else ConnectionPhase.UNUSABLE
+            return ExchangeResult(AttemptOutcome.ANSWERED, response)
+        if self.bytes_received > MAX_RESPONSE_BYTES:
             return self._finish(AttemptOutcome.CONNECTION_BROKEN)
         mid_response = self.parser.is_mid_response
-        self.phase = ConnectionPhase.READING_ANSWER if mid_response else ConnectionPhase.AWAITING_ANSWER
+        self.phase = ConnectionPhase.READING_RESPONSE if mid_response else ConnectionPhase.AWAITING_RESPONSE
         return None
 
-    def _own_answer(self) -> WorkerResponse | None:
-        """This request's answer once it is complete; raises `MalformedResponse`, also without an id."""
-        while (answer := self.parser.next_response()) is not None:
-            if answer.status < 200:
+    def _own_response(self) -> WorkerResponse | None:
+        """Return the response to the request in flight, or None until it is complete.
+
+        Interim responses and responses to other requests are discarded. Raises `MalformedResponse`, also for
+        a response that lacks a required id.
+        """
+        while (response := self.parser.next_response()) is not None:
+            if response.status < 200:
                 continue
-            answer_id = answer.headers_by_name.get(ATTEMPT_ID_HEADER)
-            if answer_id == self.request_id:
-                return answer
-            if answer_id is None and self.accepts_unnamed:
-                return answer
-            if answer_id is None:
-                raise MalformedResponse("an answer without an id")
-            self.foreign_answer_seen = True
+            response_id = response.headers_by_name.get(ATTEMPT_ID_HEADER)
+            if response_id == self.request_id:
+                return response
+            if response_id is None and self.accepts_unnamed:
+                return response
+            if response_id is None:
+                raise MalformedResponse("response without X-Attempt-Id")
+            self.foreign_response_seen = True
         return None
 
     def on_closed(self) -> ExchangeResult | None:
-        """It was closed or reset. A request without a complete answer gets none."""
+        """Process a close or reset of the connection. A request in flight ends as CONNECTION_BROKEN."""
         return self._finish(AttemptOutcome.CONNECTION_BROKEN)
 
     def on_timeout(self) -> ExchangeResult | None:
-        """The request's deadline has passed. Its answer may still arrive, so nothing else is sent here."""
+        """Process the end of the request's deadline. A request in flight ends as TIMED_OUT.
+
+        Its response may still arrive, so no other request is sent on the connection.
+        """
         return self._finish(AttemptOutcome.TIMED_OUT)
 
     def _finish(self, outcome: AttemptOutcome) -> ExchangeResult | None:
-        was_awaiting_answer, self.phase = self.is_awaiting_answer, ConnectionPhase.UNUSABLE
-        return ExchangeResult(outcome) if was_awaiting_answer else None
+        was_awaiting_response, self.phase = self.is_awaiting_response, ConnectionPhase.UNUSABLE
+        return ExchangeResult(outcome) if was_awaiting_response else None
--- a/bramblewood/common/worker_connection.py
+++ b/bramblewood/common/worker_connection.py
@@ -1,7 +1,7 @@
-"""One TCP connection to a worker: the asyncio transport around its `WorkerConnectionState`.
+"""A TCP connection to a worker: an asyncio protocol that drives a `WorkerConnectionState`.
 
-Aiohttp's client is not used: it sends a GET or a PUT a second time by itself when a reused connection closes,
-and its parser takes what follows a truncated answer for a part of it. Here a request is sent once.
+Each request is sent once. aiohttp's client is not used, because it sends a GET or a PUT again when a reused
+connection closes, and because its parser reads the bytes after a truncated response as a part of it.
 """
 
 import asyncio
@@ -12,24 +12,25 @@
 from .errors import BramblewoodError
 from .peer_connections import set_connection_timeouts
 
-CONNECT_TIMEOUT = 0.35  # s to connect: a lost SYN packet is sent again after a second or more
-# ms that sent bytes may stay unacknowledged: a worker's machine acknowledges packets in a few ms
+CONNECT_TIMEOUT = 0.35  # s; TCP sends a lost SYN packet again after a second or more, which is too late
+# ms that sent bytes may stay unacknowledged; a worker's machine acknowledges packets in a few ms
 UNACKNOWLEDGED_DATA_TIMEOUT_MS = 500
-KEEP_ALIVE_FRACTION = 0.6  # of the time that a worker says it keeps an idle connection
-DEFAULT_KEEP_ALIVE = 0.8  # s, where it says none; workers state whole seconds if any
-# s at least (a timer's own lateness) and at most that a new connection is watched before anything is sent
+KEEP_ALIVE_FRACTION = 0.6  # of the time for which a worker states that it keeps an idle connection
+DEFAULT_KEEP_ALIVE = 0.8  # s, if the worker states no time; a stated time is in whole seconds
+# bounds of the s that a new connection is watched for a reset before a request is sent; the lower bound is
+# the resolution of a timer
 MIN_RESET_WATCH, MAX_RESET_WATCH = 0.001, 0.02
 
-_numbers = itertools.count(1)
+_connection_numbers = itertools.count(1)
 
 
 class WorkerUnreachable(BramblewoodError):
-    """No connection could be made; `outcome` says whether the worker rejected it."""
+    """A connection to a worker could not be made. `outcome` is NOT_SENT or CONNECTION_REJECTED."""
 
     step = "connect"
 
     def __init__(self, outcome: AttemptOutcome, address: str, is_refused: bool = False) -> None:
-        """is_refused: nobody listens there."""
+        """`is_refused` states that no process listens at the address."""
         super().__init__(outcome.value, peer=address)
         self.outcome, self.is_refused = outcome, is_refused
 
@@ -37,29 +38,30 @@
 class WorkerConnection(asyncio.Protocol):
     """A connection that carries one request at a time.
 
-    `idle_since` (when its last answer was complete, 0 before the first) and `reusable_until` (when the worker
-    may close it) are in seconds of the loop's clock.
+    `idle_since` is the time at which the last response was complete, or 0 before the first one.
+    `reusable_until` is the time at which the worker may close the connection. Both are seconds of the loop's
+    clock.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        self.loop, self.transport, self.number = loop, None, next(_numbers)
+        self.loop, self.transport, self.number = loop, None, next(_connection_numbers)
         self.state, self.is_open = WorkerConnectionState(), False
         self.pending_exchange: asyncio.Future[ExchangeResult] | None = None
         self.reusable_until = self.idle_since = 0.0
         self.lost = loop.create_future()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by asyncio."""
+        """Store the transport. Called by asyncio when the connection is established."""
         self.transport, self.is_open = transport, True
 
     def data_received(self, data: bytes) -> None:
-        """Called by asyncio."""
+        """Process received bytes. Called by asyncio."""
         self._resolve(self.state.on_data(data, self.transport.get_write_buffer_size()))
-        if not self.state.is_awaiting_answer and not self.is_reusable:
+        if not self.state.is_awaiting_response and not self.is_reusable:
             self.close()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Called by asyncio."""
+        """End the exchange in progress. Called by asyncio when the connection is closed or reset."""
         self.is_open = False
         if not self.lost.done():
             self.lost.set_result(True)
@@ -72,20 +74,20 @@
 
     @property
     def is_reusable(self) -> bool:
-        """Whether it may be kept and carry a request. One that is closing sends nothing any more."""
+        """Whether the connection may be kept and may carry a request. A closing transport sends no data."""
         return self.is_open and not self.transport.is_closing() and self.state.is_reusable
 
     async def survives_round_trip(self, round_trip: float) -> bool:
-        """Whether a new connection is still open after a round trip (s).
+        """Wait for `round_trip` s, within the bounds above, and return whether the connection is still open.
 
-        A worker that has no room for a connection accepts it and resets it at once.
+        A worker without a slot for a new connection accepts it and resets it at once.
         """
-        watch = min(max(round_trip, MIN_RESET_WATCH), MAX_RESET_WATCH)
-        await asyncio.wait([self.lost], timeout=watch)
+        watch_time = min(max(round_trip, MIN_RESET_WATCH), MAX_RESET_WATCH)
+        await asyncio.wait([self.lost], timeout=watch_time)
         return self.is_open
 
     def close(self) -> None:
-        """Close it at once; an exchange under way ends as broken."""
+        """Close the connection at once. An exchange in progress ends as CONNECTION_BROKEN."""
         self._resolve(self.state.on_closed())
         if self.is_open and self.transport is not None:
             self.is_open = False
@@ -99,9 +101,9 @@
         head_request: bool = False,
         accepts_unnamed: bool = False,
     ) -> ExchangeResult:
-        """Send a request once and await its answer.
+        """Send a request once, and return the result of the exchange.
 
-        deadline: s of the loop's clock. head_request, accepts_unnamed: as of
+        `deadline` is in s of the loop's clock. `head_request` and `accepts_unnamed` are those of
         `WorkerConnectionState.begin_request`.
         """
         if not self.is_reusable or not self.state.begin_request(request_id, head_request, accepts_unnamed):
@@ -115,7 +117,7 @@
             result = self.state.on_timeout() or ExchangeResult(AttemptOutcome.TIMED_OUT)
         finally:
             self.pending_exchange = None
-            if self.state.is_awaiting_answer:  # the exchange was cancelled
+            if self.state.is_awaiting_response:  # the exchange was cancelled
                 self.state.on_timeout()
             if not self.is_reusable:
                 self.close()
@@ -127,7 +129,7 @@
 
 
 def keep_alive_seconds(header: str) -> float:
-    """For how long (s) an idle connection may be reused, by a `Keep-Alive` value such as `timeout=10`."""
+    """Return the s for which an idle connection may be reused, from a header such as `timeout=10`."""
     _, _, value = header.partition("timeout=")
     number = value.partition(",")[0].strip()
     return int(number) * KEEP_ALIVE_FRACTION if number.isdigit() else DEFAULT_KEEP_ALIVE
@@ -136,9 +138,12 @@
 async def connect(
     address: str, unacknowledged_ms: int = UNACKNOWLEDGED_DATA_TIMEOUT_MS
 ) -> tuple[WorkerConnection, float]:
-    """A new connection to a worker at `host:port`, and the round trip (s) that making it took.
+    """Connect to the worker at `host:port`.
 
-    unacknowledged_ms: that sent bytes may stay unacknowledged. Raises `WorkerUnreachable` (not sent).
+    Returns the connection, and the time in s that the TCP handshake took.
+
+    `unacknowledged_ms` is the time for which sent bytes may stay unacknowledged. Raises `WorkerUnreachable`
+    with the outcome NOT_SENT.
     """
     loop = asyncio.get_running_loop()
     host, _, port = address.rpartition(":")
--- a/features/steps/worker_connections.py
+++ b/features/steps/worker_connections.py
@@ -59,7 +59,10 @@
                 data,
                 cut,
             )
-            assert connection.phase is ConnectionPhase.ANSWER_COMPLETE and connection.is_reusable, (data, cut)
+            assert connection.phase is ConnectionPhase.RESPONSE_COMPLETE and connection.is_reusable, (
+                data,
+                cut,
+            )
         connection, result = answered_with(data, tuple(range(1, len(data))), head_request)
         assert result.answer.body == row["body"].encode() and connection.is_reusable
         for more in range(1, len(surplus) + 1):
--- a/tests/simulation/worker_connections.py
+++ b/tests/simulation/worker_connections.py
@@ -274,7 +274,7 @@
                 state.request_id,
                 bytes(state.parser.buffer),
                 state.parser.response_head,
-                state.foreign_answer_seen,
+                state.foreign_response_seen,
             ]
             connections += [
                 connection.surplus,
@@ -324,7 +324,7 @@
     def on_data(self, data: bytes, unsent_bytes: int = 0) -> ExchangeResult | None:
         result = super().on_data(data, unsent_bytes)
         if result is not None and result.outcome is AttemptOutcome.ANSWERED:
-            self.phase = ConnectionPhase.ANSWER_COMPLETE
+            self.phase = ConnectionPhase.RESPONSE_COMPLETE
         return result
 
 
