--- a/bramblewood/common/peer_connections.py
+++ b/bramblewood/common/peer_connections.py
@@ -1,7 +1,8 @@
-"""Connections between controllers and proxies: one websocket to each peer, dialled again when it breaks.
+"""Connections between controllers and proxies: one websocket to each peer, dialled again when it is lost.
 
-A connection promises nothing but order: what was in transit when it broke is lost, and its sender sends it
-again. A peer that stays silent for too long is given up, as a partition closes no socket.
+A connection guarantees only the order of its messages. Messages in transit are lost with the connection, and
+their sender has to send them again. A partition does not close a socket, so a connection also counts as lost
+if no message arrives for too long.
 """
 
 import asyncio
@@ -17,13 +18,13 @@
 from .errors import BramblewoodError, PeerMessageError
 from .timeouts import UNACKNOWLEDGED_TIMEOUT_MS
 
-CONNECT_TIMEOUT = 0.6  # s for a connection to come up; many times the transit between zones
-# s without a message after which a connection counts as lost; heartbeats come each quarter of a second
+CONNECT_TIMEOUT = 0.6  # s to establish a connection; many times the transit time between zones
+# s without a message after which a connection counts as lost; a heartbeat is sent every quarter of a second
 CONNECTION_TIMEOUT = 1.2
-FIRST_RECONNECT_DELAY = 0.1  # s between dials; doubled after each that failed
+FIRST_RECONNECT_DELAY = 0.1  # s between dials; doubled after each failed dial
 MAX_RECONNECT_DELAY = 0.5  # s
-MAX_DELAY_AFTER_MALFORMED = 5.0  # s between dials to a peer that goes on to send what can't be decoded
-# what handling a message raises where it is not of the form that it should have
+MAX_DELAY_AFTER_MALFORMED = 5.0  # s between dials of a peer that keeps sending malformed messages
+# the errors that a message handler raises for a message with missing or invalid fields
 MALFORMED_MESSAGE_ERRORS = (
     LookupError,
     TypeError,
@@ -32,8 +33,8 @@
     ArithmeticError,
     RecursionError,
 )
-MAX_QUEUED_MESSAGES = 400  # that may wait for a slow peer; with more the connection is given up
-MAX_MESSAGE_BYTES = 16 * 2**20  # a configuration of thousands of routes and its table
+MAX_QUEUED_MESSAGES = 400  # to a slow peer; a connection with more is closed
+MAX_MESSAGE_BYTES = 16 * 2**20  # enough for a configuration of thousands of routes, and for its table
 COMPRESSION_WINDOW_BITS = 15
 
 Message = dict[str, Any]
@@ -42,27 +43,31 @@
 def set_connection_timeouts(
     sock: socket.socket | None, unacknowledged_ms: int = UNACKNOWLEDGED_TIMEOUT_MS
 ) -> None:
-    """Have the system end a connection whose bytes stay unacknowledged, as behind a partition."""
+    """Set TCP_USER_TIMEOUT and TCP_NODELAY on a socket.
+
+    The system then ends a connection whose sent bytes stay unacknowledged for `unacknowledged_ms`, as they do
+    in a partition.
+    """
     if sock is not None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, unacknowledged_ms)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def create_connection_socket(address_info: tuple) -> socket.socket:
-    """A socket for an outgoing connection, as aiohttp's `socket_factory`."""
-    family, kind, protocol, _, _ = address_info
-    sock = socket.socket(family, kind, protocol)
+    """Return a socket for an outgoing connection; a `socket_factory` of aiohttp."""
+    family, socket_type, protocol, _, _ = address_info
+    sock = socket.socket(family, socket_type, protocol)
     sock.setblocking(False)
     set_connection_timeouts(sock)
     return sock
 
 
 class PeerConnection:
-    """One websocket and the messages that wait to be sent on it. It owns the task that writes them."""
+    """A websocket and the queue of messages to send on it. It owns the task that writes them."""
 
     def __init__(self, peer: str, websocket: Any) -> None:
         self.peer, self.websocket = peer, websocket
-        # kept by the program that uses the connection: what the peer is, and what it was sent
+        # set by the owner of the connection: the peer's role, and the versions that were sent to the peer
         self.role = ""
         self.details_version = -1
         self.sent_versions: dict[str, int] = {}
@@ -70,7 +75,7 @@
         self._writer_task = asyncio.ensure_future(self._write_messages())
 
     def send(self, message: Message | str) -> None:
-        """Queue a message, or its JSON text; a peer that falls too far behind loses the connection."""
+        """Queue a message or its JSON text. Closes the connection if too many messages are queued."""
         if self._outgoing.qsize() > MAX_QUEUED_MESSAGES:
             self.close()
             return
@@ -85,14 +90,14 @@
             self.close()
 
     def close(self) -> None:
-        """Abort the connection; messages that wait are lost."""
+        """Abort the connection. Queued messages are lost."""
         self._writer_task.cancel()
         transport = getattr(getattr(self.websocket, "_writer", None), "transport", None)
         if transport is not None:
-            transport.abort()  # a close handshake would wait for a peer that may be gone
+            transport.abort()  # a close handshake would wait for the peer, which may be unreachable
 
     async def wait_closed(self) -> None:
-        """Wait for the writing task to end, after `close`."""
+        """Wait until the writer task has ended. Call `close` first."""
         await asyncio.wait((self._writer_task,))
 
 
@@ -100,18 +105,25 @@
 
 
 def decode_message(connection: PeerConnection, text: str) -> Message:
-    """The message in a websocket's text; raises PeerMessageError where it is no JSON object with a kind."""
+    """Return the message in a websocket's text.
+
+    Raises PeerMessageError if it is not a JSON object with a kind.
+    """
     try:
         message = json.loads(text)
     except (ValueError, RecursionError) as error:
         raise PeerMessageError(error, peer=connection.peer) from error
     if not isinstance(message, dict) or not isinstance(message.get("k"), str):
-        raise PeerMessageError("no message with a kind", peer=connection.peer)
+        raise PeerMessageError("expected a JSON object whose key k is a text", peer=connection.peer)
     return message
 
 
 def handle_message(connection: PeerConnection, on_message: MessageHandler, text: str) -> None:
-    """Decode a message and hand it on. Raises PeerMessageError, with kind and peer, where that can't be."""
+    """Decode a message and pass it to `on_message`.
+
+    Raises PeerMessageError with the peer if the message cannot be decoded, and with the peer and the kind if
+    `on_message` fails with one of MALFORMED_MESSAGE_ERRORS.
+    """
     message = decode_message(connection, text)
     try:
         on_message(connection, message)
@@ -123,8 +135,9 @@
 async def receive_messages(
     connection: PeerConnection, on_message: MessageHandler, timeout: float | None
 ) -> None:
-    """Hand on each message until the connection ends or brings none for `timeout` s. Raises PeerMessageError
-    at the first that can't be handled.
+    """Pass each message to `on_message` until the connection ends or no message arrives for `timeout` s.
+
+    A `timeout` of None means no limit. Raises PeerMessageError at the first message that cannot be handled.
     """
     while True:
         try:
@@ -137,15 +150,15 @@
 
 
 class DialOutcome(Enum):
-    """How one dialled connection ended."""
+    """How a dial or the connection that it established ended."""
 
-    FAILED = "failed"  # it did not come up
-    LOST = "lost"
-    MALFORMED = "malformed"  # the peer sent what can't be decoded
+    FAILED = "failed"  # no connection was established
+    LOST = "lost"  # the connection was established, and has been closed or timed out
+    MALFORMED = "malformed"  # the peer sent a message that cannot be handled
 
 
 class PeerConnections:
-    """The connections that this program dials, by peer. It owns the task that dials each."""
+    """The connections that this program dials, by peer. It owns a task for each peer."""
 
     def __init__(
         self,
@@ -155,13 +168,12 @@
         receive_timeout: float | None,
         local_ip: str = "",
     ) -> None:
-        """Dial nobody yet.
+        """Store the settings. `maintain` starts to dial.
 
-        first_message: of a peer, what each new connection to it begins with.
-        on_change: called with a peer and whether its connection has come up or has been lost.
-        receive_timeout: s without a message after which a connection counts as lost; None: never, for peers
-        that send nothing.
-        local_ip: the address to dial from, where that matters.
+        `first_message` returns the message that each new connection to a peer begins with. `on_change` is
+        called with a peer and True when its connection is established, and with False when it is lost.
+        `receive_timeout` is the time in s without a message after which a connection counts as lost, or None
+        for peers that send no messages. `local_ip` is the address to dial from, or "" for any.
         """
         self.connected: dict[str, PeerConnection] = {}
         self.tasks: dict[str, asyncio.Task[None]] = {}
@@ -169,23 +181,23 @@
         self._receive_timeout = receive_timeout
         self._local_address = (local_ip, 0) if local_ip else None
         self._session: aiohttp.ClientSession | None = None
-        # called with each message that could not be handled, before its connection is closed
+        # called with the error of each message that cannot be handled, before its connection is closed
         self.on_malformed: Callable[[PeerMessageError], None] = lambda error: None
 
     def maintain(self, peer: str, port: int) -> None:
-        """Keep a connection to this peer from now on."""
+        """Dial a peer now, and again whenever the connection is lost, until `close`."""
         if peer not in self.tasks:
             self.tasks[peer] = asyncio.ensure_future(self._maintain(peer, port))
 
     def send(self, peer: str, message: Message | str) -> bool:
-        """Send to a peer; False where it is not connected."""
+        """Queue a message to a peer. Returns False if the peer is not connected."""
         connection = self.connected.get(peer)
         if connection is not None:
             connection.send(message)
         return connection is not None
 
     async def close(self) -> None:
-        """Dial no more, and close all connections."""
+        """Stop dialling, and close all connections."""
         for task in self.tasks.values():
             task.cancel()
         await asyncio.gather(*self.tasks.values(), return_exceptions=True)
@@ -203,7 +215,7 @@
             delay = min(delay * 2, MAX_DELAY_AFTER_MALFORMED if is_malformed else MAX_RECONNECT_DELAY)
 
     async def _connect_and_receive(self, peer: str, port: int) -> DialOutcome:
-        """Dial once, and receive until the connection is lost."""
+        """Dial a peer once, and receive its messages until the connection ends."""
         connection = None
         try:
             connection = PeerConnection(peer, await self._open(peer, port))
@@ -215,7 +227,7 @@
             self.on_malformed(error)
             return DialOutcome.MALFORMED
         except (OSError, TimeoutError, aiohttp.ClientError, ValueError):
-            pass  # dialled again, whatever the reason
+            pass  # the peer is dialled again after any of these errors
         finally:
             if connection is not None:
                 await self._close_lost(peer, connection)
@@ -254,11 +266,16 @@
     on_close: Callable[[PeerConnection], None],
     on_malformed: Callable[[PeerMessageError], None] = lambda error: None,
 ) -> web.StreamResponse:
-    """Serve a connection that a peer dialled: its first message says who it is."""
+    """Serve a connection that a peer dialled, until it ends.
+
+    The first message, which identifies the peer, is passed to `on_first_message`, and all others to
+    `on_message`. `on_malformed` is called with the error of a message that cannot be handled, and `on_close`
+    when the connection has ended.
+    """
     websocket = web.WebSocketResponse(compress=True, max_msg_size=MAX_MESSAGE_BYTES)
     try:
         await websocket.prepare(request)
-    except ConnectionError:  # the dialler has gone meanwhile
+    except ConnectionError:  # the peer has closed the connection in the meantime
         return web.Response(status=503)
     set_connection_timeouts(request.transport.get_extra_info("socket") if request.transport else None)
     connection = PeerConnection(request.remote or "", websocket)
--- a/bramblewood/common/response_parser.py
+++ b/bramblewood/common/response_parser.py
@@ -1,8 +1,9 @@
-"""Parser of workers' responses, from bytes as they arrive. Pure.
+"""Parses workers' responses incrementally, from bytes as they arrive. The module does no I/O.
 
-Stricter than a client of the open web has to be: what is not surely one complete response is a
-`MalformedResponse`. One whose end only the close of its connection would tell can't be told from one that was
-truncated, so it is malformed. The framing is RFC 9112, section 6.
+The framing is that of RFC 9112, section 6, and the parser is stricter than a client of the open web: bytes
+that are not certain to be a complete response raise `MalformedResponse`. A response that ends only with the
+close of its connection is malformed, since it cannot be distinguished from a truncated one. The exception is
+a response with the header `X-Not-Run`, whose meaning does not depend on its body.
 """
 
 import re
@@ -12,12 +13,12 @@
 
 from .errors import BramblewoodError
 
-MAX_HEAD_BYTES = 2**16  # of a response's head, or of its trailers
+MAX_HEAD_BYTES = 2**16  # the most bytes of a response's head, of a chunk-size line or of a trailer line
 VERSION_PREFIX = b"HTTP/1."
 STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([1-9]\d\d)(?: ([^\r\n\0]*))?")
 HEADER_FIELD = re.compile(rb"([!#$%&'*+\-.^_`|~0-9A-Za-z]+):[ \t]*([^\r\n\0]*?)[ \t]*")
 CHUNK_SIZE_LINE = re.compile(rb"([0-9A-Fa-f]{1,15})[ \t]*(?:;[^\r\n\0]*)?")
-# a status line inside a head: a response that was truncated there, and the next one
+# a status line within a head or a trailer: the response was truncated there, and the next one follows
 EMBEDDED_STATUS_LINE = re.compile(rb"HTTP/1\.[01] \d\d\d")
 SINGLE_VALUE_HEADERS = ("X-Attempt-Id", "Content-Length", "Transfer-Encoding")
 MAX_LENGTH_DIGITS = 15
@@ -26,24 +27,32 @@
 
 
 class MalformedResponse(BramblewoodError, ValueError):
-    """Bytes that form no complete response."""
+    """The received bytes are not a valid response."""
 
     step = "response"
 
 
 class WorkerResponse(NamedTuple):
-    """A response; raw_headers are (name, value) pairs in bytes, headers_by_name the same in any case."""
+    """A response to a request.
+
+    `raw_headers` contains (name, value) pairs as they were received. `headers_by_name` contains the same
+    headers by case-insensitive name.
+    """
 
     status: int
     reason: str
     raw_headers: tuple[tuple[bytes, bytes], ...]
     headers_by_name: CIMultiDict[str]
     body: bytes = b""
-    closes_connection: bool = False  # the worker ends the connection after it
+    closes_connection: bool = False  # whether the worker closes the connection after it
 
 
 def parse_head(text: bytes) -> WorkerResponse:
-    """A response's head, given without the empty line that ends it; raises `MalformedResponse`."""
+    """Parse the head of a response, without the empty line that ends it.
+
+    Returns a response with an empty body. Raises `MalformedResponse` if the head is malformed or contains one
+    of SINGLE_VALUE_HEADERS more than once.
+    """
     first_line, *lines = text.split(CRLF)
     status_line = STATUS_LINE.fullmatch(first_line)
     if status_line is None or EMBEDDED_STATUS_LINE.search(text, 1):
@@ -56,35 +65,40 @@
         raw_headers.append(field.groups())
         headers_by_name.add(field[1].decode(), field[2].decode("utf-8", "surrogateescape"))
     if any(len(headers_by_name.getall(name, ())) > 1 for name in SINGLE_VALUE_HEADERS):
-        raise MalformedResponse("a header more than once")
+        raise MalformedResponse("a header of SINGLE_VALUE_HEADERS is repeated")
     version, status, reason = status_line.groups()
-    options = ",".join(headers_by_name.getall("Connection", ())).lower().split(",")
-    closes = version == b"0" or "close" in [option.strip() for option in options]
-    text_reason = (reason or b"").decode("utf-8", "surrogateescape")
-    return WorkerResponse(int(status), text_reason, tuple(raw_headers), headers_by_name, b"", closes)
+    connection_options = ",".join(headers_by_name.getall("Connection", ())).lower().split(",")
+    closes = version == b"0" or "close" in [option.strip() for option in connection_options]
+    reason_text = (reason or b"").decode("utf-8", "surrogateescape")
+    return WorkerResponse(int(status), reason_text, tuple(raw_headers), headers_by_name, b"", closes)
 
 
 def check_framing(head: WorkerResponse) -> tuple[bool, int | None]:
-    """Whether the body is chunked, and its `Content-Length`; raises `MalformedResponse`."""
+    """Return whether the body is chunked, and its `Content-Length` or None.
+
+    Raises `MalformedResponse` if the head switches protocols, or if its `Transfer-Encoding` or
+    `Content-Length` is invalid.
+    """
     coding = head.headers_by_name.get("Transfer-Encoding")
     length = head.headers_by_name.get("Content-Length")
     if head.status == 101:
-        raise MalformedResponse("a switch of protocol")
+        raise MalformedResponse("status 101 switches protocols")
     if coding is not None and (length is not None or coding.lower() != "chunked"):
-        raise MalformedResponse("two lengths, or another coding")
+        raise MalformedResponse("Transfer-Encoding is not chunked, or is combined with Content-Length")
     if length is None:
         return coding is not None, None
     if not (length.isascii() and length.isdigit() and len(length) <= MAX_LENGTH_DIGITS):
-        raise MalformedResponse("a length")
+        raise MalformedResponse("Content-Length is not a number")
     return False, int(length)
 
 
 class ResponseParser:
-    """The responses on one connection, in the order of their arrival.
+    """Parses the responses on one connection, in the order of their arrival.
 
-    head_request: the request is a HEAD, so its response has no body. bytes_needed: of the body, or of the
-    chunk with its line's end; None while the chunk's size is not known. chunks: so far, where the body is
-    chunked.
+    `head_request` states that the request's method is HEAD, so that its response has no body. `response_head`
+    is the head of the incomplete response, or None if its head is incomplete. `bytes_needed` is the length of
+    the body, or of the current chunk with its line end; it is None until the size of the chunk is known.
+    `chunks` contains the chunks received so far, or is None if the body is not chunked.
     """
 
     def __init__(self) -> None:
@@ -95,15 +109,15 @@
 
     @property
     def is_mid_response(self) -> bool:
-        """Whether bytes of an incomplete response are here."""
+        """Whether part of a response has arrived, and the response is incomplete."""
         return bool(self.buffer) or self.response_head is not None
 
     def feed(self, data: bytes) -> None:
-        """Bytes arrived."""
+        """Append bytes that arrived to the buffer."""
         self.buffer += data
 
     def next_response(self) -> WorkerResponse | None:
-        """The next complete response, or None until more bytes arrive; raises `MalformedResponse`."""
+        """Return the next response, or None if it is incomplete. Raises `MalformedResponse`."""
         if self.response_head is None and not self._read_head():
             return None
         if self.chunks is None:
@@ -123,21 +137,28 @@
         del self.buffer[:count]
         return data
 
-    def _read_until(self, end: bytes) -> bytes | None:
-        """What comes before this end, both taken out of the buffer; None while the end is not here."""
-        position = self.buffer.find(end)
+    def _read_until(self, delimiter: bytes) -> bytes | None:
+        """Remove the bytes up to and including `delimiter` from the buffer, and return those before it.
+
+        Returns None if the buffer does not contain `delimiter`. Raises `MalformedResponse` if there are more
+        than MAX_HEAD_BYTES before it.
+        """
+        position = self.buffer.find(delimiter)
         if position > MAX_HEAD_BYTES or position < 0 and len(self.buffer) > MAX_HEAD_BYTES:
-            raise MalformedResponse("too long")
-        return self._consume(position + len(end))[: -len(end)] if position >= 0 else None
+            raise MalformedResponse("head, chunk size or trailer is too long")
+        return self._consume(position + len(delimiter))[: -len(delimiter)] if position >= 0 else None
 
     def _read_head(self) -> bool:
-        """Whether the head is here; it and what is needed of the body are then known."""
+        """Return whether the head is complete.
+
+        If it is, set `response_head`, `bytes_needed` and `chunks`.
+        """
         if self.buffer[: len(VERSION_PREFIX)] != VERSION_PREFIX[: len(self.buffer)]:
             raise MalformedResponse(bytes(self.buffer[: len(VERSION_PREFIX)]))
         text = self._read_until(END_OF_HEAD)
         if text is None:
             if b"\n" in self.buffer and not STATUS_LINE.fullmatch(self.buffer.partition(CRLF)[0]):
-                raise MalformedResponse("a status line")
+                raise MalformedResponse("first line is not a status line")
             return False
         head = parse_head(text)
         is_chunked, length = check_framing(head)
@@ -147,14 +168,14 @@
         elif is_chunked:
             self.bytes_needed, self.chunks = None, []
         elif length is None:
-            if "X-Not-Run" not in head.headers_by_name:  # which its head alone says, whatever its body
-                raise MalformedResponse("only the close would tell its end")
+            if "X-Not-Run" not in head.headers_by_name:  # with it, the body does not matter
+                raise MalformedResponse("no length of the body")
             head = head._replace(closes_connection=True)
         self.response_head = head
         return True
 
     def _read_chunks(self) -> bool:
-        """Whether the last chunk and its trailers are here; complete chunks go to `chunks`."""
+        """Move complete chunks to `chunks`. Returns whether the last chunk and the trailers are complete."""
         while True:
             if self.bytes_needed is None:
                 line = self._read_until(CRLF)
@@ -169,12 +190,15 @@
                 return False
             chunk = self._consume(self.bytes_needed)
             if not chunk.endswith(CRLF):
-                raise MalformedResponse("a chunk's end")
+                raise MalformedResponse("chunk does not end with CRLF")
             self.chunks.append(chunk[: -len(CRLF)])
             self.bytes_needed = None
 
     def _read_trailers(self) -> bool:
-        """Whether the trailers are here; they are dropped, as the client gets the body with its length."""
+        """Return whether the trailers are complete.
+
+        They are dropped, since the client receives the body with a `Content-Length`.
+        """
         while (line := self._read_until(CRLF)) is not None:
             if not line:
                 return True
