--- a/bramblewood/common/response_parser.py
+++ b/bramblewood/common/response_parser.py
@@ -56,16 +56,18 @@
     first_line, *lines = text.split(CRLF)
     status_line = STATUS_LINE.fullmatch(first_line)
     if status_line is None or EMBEDDED_STATUS_LINE.search(text, 1):
-        raise MalformedResponse(first_line)
+        raise MalformedResponse(
+            f"malformed or second status line in a head that begins with {first_line!r:.80}"
+        )
     raw_headers, headers_by_name = [], CIMultiDict()
     for line in lines:
         field = HEADER_FIELD.fullmatch(line)
         if field is None:
-            raise MalformedResponse(line)
+            raise MalformedResponse(f"malformed header {line!r:.80}")
         raw_headers.append(field.groups())
         headers_by_name.add(field[1].decode(), field[2].decode("utf-8", "surrogateescape"))
     if any(len(headers_by_name.getall(name, ())) > 1 for name in SINGLE_VALUE_HEADERS):
-        raise MalformedResponse("a header of SINGLE_VALUE_HEADERS is repeated")
+        raise MalformedResponse(f"one of the headers {', '.join(SINGLE_VALUE_HEADERS)} is repeated")
     version, status, reason = status_line.groups()
     connection_options = ",".join(headers_by_name.getall("Connection", ())).lower().split(",")
     closes = version == b"0" or "close" in [option.strip() for option in connection_options]
@@ -84,11 +86,11 @@
     if head.status == 101:
         raise MalformedResponse("status 101 switches protocols")
     if coding is not None and (length is not None or coding.lower() != "chunked"):
-        raise MalformedResponse("Transfer-Encoding is not chunked, or is combined with Content-Length")
+        raise MalformedResponse(f"Transfer-Encoding {coding!r:.60} with Content-Length {length!r:.60}")
     if length is None:
         return coding is not None, None
     if not (length.isascii() and length.isdigit() and len(length) <= MAX_LENGTH_DIGITS):
-        raise MalformedResponse("Content-Length is not a number")
+        raise MalformedResponse(f"expected a number as Content-Length, found {length!r:.60}")
     return False, int(length)
 
 
@@ -145,7 +147,7 @@
         """
         position = self.buffer.find(delimiter)
         if position > MAX_HEAD_BYTES or position < 0 and len(self.buffer) > MAX_HEAD_BYTES:
-            raise MalformedResponse("head, chunk size or trailer is too long")
+            raise MalformedResponse(f"more than {MAX_HEAD_BYTES} bytes without {delimiter!r}")
         return self._consume(position + len(delimiter))[: -len(delimiter)] if position >= 0 else None
 
     def _read_head(self) -> bool:
@@ -154,7 +156,7 @@
         If it is, set `response_head`, `bytes_needed` and `chunks`.
         """
         if self.buffer[: len(VERSION_PREFIX)] != VERSION_PREFIX[: len(self.buffer)]:
-            raise MalformedResponse(bytes(self.buffer[: len(VERSION_PREFIX)]))
+            raise MalformedResponse(f"response begins with {bytes(self.buffer[: len(VERSION_PREFIX)])!r}")
         text = self._read_until(END_OF_HEAD)
         if text is None:
             if b"\n" in self.buffer and not STATUS_LINE.fullmatch(self.buffer.partition(CRLF)[0]):
@@ -182,7 +184,7 @@
                 if line is None:
                     return False
                 if (size := CHUNK_SIZE_LINE.fullmatch(line)) is None:
-                    raise MalformedResponse(line)
+                    raise MalformedResponse(f"malformed chunk size {line!r:.80}")
                 self.bytes_needed = int(size[1], 16) + len(CRLF)
             if self.bytes_needed == len(CRLF):
                 return self._read_trailers()
@@ -203,5 +205,5 @@
             if not line:
                 return True
             if not HEADER_FIELD.fullmatch(line) or EMBEDDED_STATUS_LINE.search(line):
-                raise MalformedResponse(line)
+                raise MalformedResponse(f"malformed trailer {line!r:.80}")
         return False
--- a/bramblewood/common/worker_registry.py
+++ b/bramblewood/common/worker_registry.py
@@ -50,7 +50,9 @@
     def from_row(cls, row: Any) -> "WorkerRegistration":
         """Return the registration in a row. Raises PeerMessageError if the row is not a registration."""
         if not MIN_ROW_LENGTH <= len(row) <= len(VIEW_KEYS):
-            raise PeerMessageError(f"registration of {len(row)} fields")
+            raise PeerMessageError(
+                f"expected a registration of {MIN_ROW_LENGTH} to {len(VIEW_KEYS)} fields, found {len(row)}"
+            )
         registration = cls(*row)
         texts = registration.service, registration.address, registration.zone, registration.revision
         numbers = registration.slots, registration.call_sequence, registration.warm_up_left
