--- a/bramblewood/common/configuration.py
+++ b/bramblewood/common/configuration.py
@@ -1,6 +1,6 @@
-"""A configuration that was checked: routes, services, and the index by which a request finds its route.
+"""A validated configuration: its routes, its services, and the index in which a request's route is found.
 
-`configuration_parser` makes them from what an operator sends. Times in seconds.
+`configuration_parser` builds it from the configuration that an operator sends. Times are in seconds.
 """
 
 import zlib
@@ -8,7 +8,7 @@
 
 
 class Route(NamedTuple):
-    """One route. targets: (service, share), the shares above 0."""
+    """A route. `targets` contains (service, share) pairs, whose shares are above 0."""
 
     label: str
     host: str
@@ -16,13 +16,14 @@
     pure: bool
     timeout: float
     latency_target: float
-    priority: int  # 0 first
+    priority: int  # 0 is the highest
     max_attempts: int
     targets: tuple[tuple[str, float], ...]
-    pinned: bool = False  # its operator says that what a key's client began finishes at the same worker
+    # whether a client's requests without a slice key stay at the worker that served its earlier requests
+    pinned: bool = False
 
     def choose_service(self, request_id: str) -> str:
-        """The service of a request, drawn by the shares from its id."""
+        """Return the service of a request. It is a function of the request id, and follows the shares."""
         total_share = sum(share for _, share in self.targets)
         remaining = zlib.crc32(b"share" + request_id.encode()) / 2**32 * total_share
         for service, share in self.targets:
@@ -33,29 +34,33 @@
 
 
 class Service(NamedTuple):
-    """One service, and what its workers allow."""
+    """A service, and the limits of its workers."""
 
     label: str
     health_path: str
-    max_connections: int  # from all proxies together
+    max_connections: int  # to each worker, from all proxies together; 0 for no limit
     sharded: bool
-    warm_up_seconds: float  # for which keys that were not handed over are slow
-    read_replicas: bool = False  # its operator says that reads may be answered from replicas
+    warm_up_seconds: float  # how long requests for keys without a handover are slow at their new worker
+    read_replicas: bool = False  # whether replicas may serve reads
 
 
 class Configuration(NamedTuple):
-    """One revision of the configuration. raw: as the operator sent it, and as it is stored and sent on."""
+    """A revision of the configuration.
+
+    `raw` is the configuration in the form in which the operator sends it, and in which it is stored and sent
+    to proxies.
+    """
 
     revision: int
-    parent_revision: int  # 0 for none
+    parent_revision: int  # the revision that this one replaces; 0 for none
     digest: str
-    routes_by_host: dict[str, dict[str, Route]]  # then by path prefix
+    routes_by_host: dict[str, dict[str, Route]]  # by host in lower case, then by path prefix
     services: dict[str, Service]
-    limits: dict[str, Any]  # `Limits`, by the page's names
+    limits: dict[str, Any]  # the fields of `Limits`, by their names in the configuration
     raw: dict[str, Any]
 
     def latency_targets(self) -> dict[str, float]:
-        """By service the shortest latency target of the routes to it."""
+        """Return for each service the shortest latency target of its routes."""
         targets: dict[str, float] = {}
         for routes in self.routes_by_host.values():
             for route in routes.values():
@@ -64,7 +69,10 @@
         return targets
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """The route of this host with the longest prefix that the path begins with."""
+        """Return the host's route with the longest matching path prefix, or None if there is none.
+
+        If the host as given has no routes, its port is ignored. So is the query of the path.
+        """
         routes = self.routes_by_host.get(host.lower())
         if not routes:
             routes = self.routes_by_host.get(host.lower().partition(":")[0])
--- a/bramblewood/common/configuration_parser.py
+++ b/bramblewood/common/configuration_parser.py
@@ -1,7 +1,7 @@
-"""Reads a configuration as an operator sends it; each fault is reported with its place.
+"""Parses and validates the configuration that an operator sends.
 
-Field names are those of docs/configuration.md, "The gateway's wire". A configuration with any fault isn't
-used.
+Each violation is reported with the path of the field. A configuration with a violation is not used. The field
+names are those of docs/configuration.md, "The gateway's wire".
 """
 
 import hashlib
@@ -14,20 +14,20 @@
 from .configuration import Configuration, Route, Service
 from .schema import SchemaViolation, check
 
-MAX_ROUTE_TIMEOUT = 600.0  # s, ten minutes: the most that a TimeoutS may be; PROTOCOL, "The operator"
-PURE = "pure"  # of `RouteType`
+MAX_ROUTE_TIMEOUT = 600.0  # s; the maximum and the default of `TimeoutS`: PROTOCOL, "The operator"
+PURE = "pure"  # the `RouteType` of idempotent requests
 DIGEST_LENGTH = 32  # hexadecimal digits
 
 
 class Table(TypedDict):
-    """Records as lists of values, in the order of the column names."""
+    """A table of records. Each record is a list of values in the order of the column names."""
 
     ColumnNames: list[str]
     Records: list[list[Any]]
 
 
 class LimitFields(TypedDict):
-    """`Limits`: what clients may send, and how long it may take."""
+    """The fields of `Limits`, which bound the size and the duration of clients' requests."""
 
     MaxHeaderBytes: NotRequired[int]
     MaxBodyBytes: NotRequired[int]
@@ -36,7 +36,7 @@
 
 
 class ConfigurationFields(TypedDict):
-    """The whole of a configuration."""
+    """The fields of a configuration."""
 
     Revision: str
     RouteList: Table
@@ -46,14 +46,14 @@
 
 
 class WeightedTarget(TypedDict):
-    """A service's share of a route's requests."""
+    """A service and its share of a route's requests."""
 
     Target: str
     Share: float
 
 
 class RouteRecord(TypedDict):
-    """One record of `RouteList`."""
+    """The fields of a record of `RouteList`."""
 
     Label: str
     Hostname: str
@@ -69,7 +69,7 @@
 
 
 class ServiceRecord(TypedDict):
-    """One record of `ServiceList`."""
+    """The fields of a record of `ServiceList`."""
 
     Label: str
     HealthPath: NotRequired[str]
@@ -80,7 +80,7 @@
 
 
 def decode_configuration(body: bytes) -> Result[Configuration, SchemaViolation]:
-    """The configuration in the body of a call that puts one."""
+    """Return the configuration in the body of an operator's call, or the first violation."""
     try:
         raw = json.loads(body)
     except (ValueError, RecursionError):
@@ -89,13 +89,17 @@
 
 
 def build_configuration(raw: Any) -> Result[Configuration, SchemaViolation]:
-    """A configuration, or its first violation."""
+    """Return the configuration that `raw` describes, or its first violation."""
     configuration, violations = validate_configuration(raw)
     return Err(violations[0]) if violations else Ok(configuration)
 
 
 def validate_configuration(raw: Any) -> tuple[Configuration | None, list[SchemaViolation]]:
-    """A configuration and all its violations; where there are any, it is not to be used."""
+    """Return the configuration that `raw` describes, and all its violations.
+
+    If there are violations, the configuration is incomplete and must not be used. It is None if the fields do
+    not match ConfigurationFields.
+    """
     checked = check(raw, ConfigurationFields)
     if isinstance(checked, Err):
         return None, [checked.err_value]
@@ -122,7 +126,10 @@
 
 
 def parse_revision(text: Any) -> int | None:
-    """`r12` is 12; 0 stands for no revision; None for what is neither."""
+    """Return the number of a revision such as `r12`, 0 for no revision, or None if the text is invalid.
+
+    A missing or empty value, `0` and `r0` stand for no revision.
+    """
     if text in (0, "0", None, "", "r0") and text is not False:
         return 0
     match = re.fullmatch(r"r(\d{1,18})", text) if isinstance(text, str) else None
@@ -130,7 +137,7 @@
 
 
 def configuration_digest(raw: dict) -> str:
-    """The same for the same configuration, however its fields were ordered."""
+    """Return a digest of a configuration, which does not depend on the order of its fields."""
     return hashlib.sha256(json.dumps(raw, sort_keys=True).encode()).hexdigest()[:DIGEST_LENGTH]
 
 
@@ -151,7 +158,10 @@
 def _parse_routes(
     table: Table, services: dict[str, Service], violations: list[SchemaViolation]
 ) -> dict[str, dict[str, Route]]:
-    """Routes by host, then by path prefix; of two with the same the first stays."""
+    """Return the routes by host, then by path prefix.
+
+    Of two routes with the same host and prefix, the second one is reported as a violation and left out.
+    """
     routes_by_host: dict[str, dict[str, Route]] = {}
     for path, record in _parse_records(table, RouteRecord, "RouteList", violations).items():
         parsed = _parse_route(record, path, services)
@@ -170,7 +180,10 @@
 def _parse_records(
     table: Table, schema: type, name: str, violations: list[SchemaViolation]
 ) -> dict[str, dict[str, Any]]:
-    """Checked records by their path; null is left out of a record, faulty ones are reported and left out."""
+    """Return the valid records by their paths.
+
+    A null value counts as a missing field. An invalid record is reported as a violation and left out.
+    """
     columns, records = table["ColumnNames"], {}
     for index, values in enumerate(table["Records"]):
         path = f"{name}.Records.{index}"
@@ -220,7 +233,7 @@
 def _parse_targets(
     record: RouteRecord, path: str, services: dict[str, Service]
 ) -> Result[tuple[tuple[str, float], ...], SchemaViolation]:
-    """The services of a route with their shares; those of share 0 are left out."""
+    """Return the services of a route with their shares. Services with share 0 are left out."""
     targets = [(target["Target"], target["Share"]) for target in record.get("WeightedTargets", [])]
     if not targets and "Target" in record:
         targets = [(record["Target"], 1.0)]
--- a/bramblewood/common/logs.py
+++ b/bramblewood/common/logs.py
@@ -58,4 +58,4 @@
     """Log that the program has started, and log the settings that it does not support, if there are any."""
     log.info("started", step="start", **fields)
     if unsupported:
-        log.warning("settings not known", step="start", what=unsupported)
+        log.warning("settings not supported", step="start", what=unsupported)
--- a/bramblewood/common/schema.py
+++ b/bramblewood/common/schema.py
@@ -1,8 +1,8 @@
-"""Checks values from outside (JSON, TOML) against typed dictionaries; names the first violation and its path.
+"""Checks decoded JSON and TOML values against schemas, and reports the first violation with its path.
 
-Schemas are TypedDict classes (fields may be NotRequired), str, int, float (whole numbers too), bool, Any,
-Literal, list[X], dict[str, X] and X | None. Unknown fields are left out of the result, so that later versions
-of a file or message can have more of them.
+A schema is a TypedDict class (whose fields may be NotRequired), str, int, float (which also accepts
+integers), bool, Any, Literal, list[X], dict[str, X] or X | None. Unknown fields are left out of the result,
+so that a later version of a file or message may add fields.
 """
 
 import math
@@ -25,12 +25,12 @@
 
 from .errors import BramblewoodError
 
-SCALAR_NAMES = {str: "a text", int: "a whole number", float: "a number", bool: "true or false"}
-MAX_VALUE_LENGTH = 60  # characters of an invalid value that are shown
+SCALAR_DESCRIPTIONS = {str: "a text", int: "a whole number", float: "a number", bool: "true or false"}
+MAX_VALUE_LENGTH = 60  # the most characters of an invalid value in the text of a violation
 
 
 class SchemaViolation(NamedTuple):
-    """What is wrong with a value: where it stands, what was expected, what was found."""
+    """A violation of a schema: the path of the value, the expected value, and the value found."""
 
     path: str
     expected: str
@@ -41,7 +41,7 @@
 
 
 class SchemaError(BramblewoodError):
-    """Carries a violation up to `check`; never leaves this module."""
+    """Carries a violation to `check`. It is not raised outside this module."""
 
     step = "check"
 
@@ -51,7 +51,7 @@
 
 
 class Field(NamedTuple):
-    """One field of a typed dictionary."""
+    """A field of a TypedDict class."""
 
     name: str
     schema: Any
@@ -59,9 +59,10 @@
 
 
 def check(value: Any, schema: Any, path: str = "") -> Result[Any, SchemaViolation]:
-    """The value with its known fields only, or the first violation.
+    """Return the value without its unknown fields, or the first violation.
 
-    path: where the value stands in what it came with; the violation's path begins with it.
+    `path` is the path of the value in the file or message. The path of a violation begins with it. Raises
+    TypeError if `schema` is not a schema.
     """
     try:
         return Ok(_checked(value, schema, path))
@@ -71,7 +72,7 @@
 
 @cache
 def fields_of(schema: type) -> tuple[Field, ...]:
-    """The fields of a typed dictionary; worked out once for each."""
+    """Return the fields of a TypedDict class. The result is cached."""
     fields = []
     for name, hint in get_type_hints(schema, include_extras=True).items():
         qualifier = get_origin(hint)
@@ -86,12 +87,12 @@
 
 
 def _checked(value: Any, schema: Any, path: str) -> Any:
-    """The checked value; raises SchemaError at the first violation."""
+    """Return the value without its unknown fields. Raises SchemaError at the first violation."""
     if schema is Any:
         return value
-    if schema in SCALAR_NAMES:
+    if schema in SCALAR_DESCRIPTIONS:
         if not _is_scalar(value, schema):
-            raise _violation(path, SCALAR_NAMES[schema], value)
+            raise _violation(path, SCALAR_DESCRIPTIONS[schema], value)
         return value
     if is_typeddict(schema):
         return _checked_fields(value, schema, path)
@@ -99,7 +100,7 @@
 
 
 def _is_scalar(value: Any, schema: type) -> bool:
-    if isinstance(value, bool):  # a kind of int to Python, not to us
+    if isinstance(value, bool):  # bool is a subclass of int, but true and false are not numbers
         return schema is bool
     if schema is float:
         return isinstance(value, (float, int)) and math.isfinite(value)
@@ -136,5 +137,5 @@
     if origin in (Union, types.UnionType):
         if value is None and type(None) in arguments:
             return None
-        return _checked(value, next(part for part in arguments if part is not type(None)), path)
-    raise TypeError(f"not a schema: {schema!r}")
+        return _checked(value, next(argument for argument in arguments if argument is not type(None)), path)
+    raise TypeError(f"expected a schema, found {schema!r}")
--- a/bramblewood/common/settings.py
+++ b/bramblewood/common/settings.py
@@ -1,6 +1,6 @@
-"""The settings file of a proxy or controller: read, checked, and its `Bounds` made numbers.
+"""Reads and checks the settings file of a proxy or controller, and parses its `Bounds`.
 
-Field names are those of docs/configuration.md, "The gateway's settings file". Times in seconds.
+Field names are those of docs/configuration.md, "The gateway's settings file". Times are in seconds.
 """
 
 import math
@@ -15,28 +15,28 @@
 from .schema import check
 from .settings_path import DEFAULT_SETTINGS_PATH, SETTINGS_PATH_VARIABLE
 
-# s without any connected peer after which the file is read again: it may name others by now
+# s without a connected peer after which the file is read again, since its seeds may have changed
 SEED_REREAD_INTERVAL = 10.0
-# the parts of the rules that this program was written for; `ContractList` names those in force
+# the parts of the rules that this program supports; `ContractList` names the parts in force
 SUPPORTED_RULE_PARTS = frozenset(
     ("base", "drain", "config", "cost", "retry", "recover", "health", "pool", "own")
 )
 MAX_PORT = 65535
-# where the file names none
+# the defaults of fields that the file does not contain
 DEFAULT_HEARTBEAT_INTERVAL = 1.5  # s
 DEFAULT_MEMORY_MIB = 256.0
 DEFAULT_DESCRIPTOR_LIMIT = 1024
 
 
 class MachineLimits(TypedDict):
-    """The table `Limits`."""
+    """The fields of the table `Limits`."""
 
     MemoryMb: NotRequired[float]
     MaxFds: NotRequired[int]
 
 
 class ToleranceFields(TypedDict):
-    """The table `Tolerance`."""
+    """The fields of the table `Tolerance`."""
 
     Machines: NotRequired[int]
     Zones: NotRequired[int]
@@ -44,7 +44,7 @@
 
 
 class SettingsFile(TypedDict):
-    """The fields that are read, as the users' pages name them."""
+    """The fields of the settings file that this program reads."""
 
     NodeName: str
     Ip: str
@@ -67,7 +67,10 @@
 
 @dataclass(frozen=True)
 class Tolerance:
-    """What may be lost at once: so many machines that count, or zones, or regions."""
+    """The numbers of machines, of zones or of regions whose simultaneous loss is tolerated.
+
+    Machines whose `Counted` is false do not count.
+    """
 
     machines: int = 1
     zones: int = 0
@@ -75,13 +78,19 @@
 
     @property
     def losses(self) -> int:
-        """Voters that may be lost at once, where no two stand in a zone or region that may be lost as one."""
+        """The number of voters that may be lost at once.
+
+        It assumes that a zone or region whose loss is tolerated contains one voter at most.
+        """
         return max(self.machines, self.zones, self.regions)
 
 
 @dataclass(frozen=True)
 class Bounds:
-    """The rules' figures (seconds and plain numbers) by their names in `Bounds`; the pages' defaults."""
+    """The bounds of the rules, in seconds or without a unit, with the documented defaults.
+
+    The fields have the names that the file uses in `Bounds`.
+    """
 
     ReuseAfterS: float = 2.0
     ContactS: float = 3.0
@@ -99,7 +108,7 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """The settings of one process, checked."""
+    """The checked settings of one process."""
 
     name: str
     ip: str
@@ -108,32 +117,37 @@
     seed_addresses: tuple[str, ...]  # of controllers' `Control` listeners, host:port
     first_boot: bool
     data_directory: str | None
-    heartbeat_interval: float  # s between a worker's calls
+    heartbeat_interval: float  # s between a worker's heartbeats
     listen_addresses: dict[str, tuple[str, int]]  # by name of listener
     memory_limit: float  # bytes
     descriptor_limit: int
     bounds: Bounds
     tolerance: Tolerance = Tolerance()
     detect_hot_keys: bool = True
-    bind_ip: str = ""  # where to listen for peers and to dial them from, where others know another address
-    counts_for_tolerance: bool = True  # whether `Tolerance` bounds the loss of this machine
+    # the address to listen on for peers and to dial them from, if it is not the one that others use; else ""
+    bind_ip: str = ""
+    counts_for_tolerance: bool = True  # whether the loss of this machine counts for `Tolerance`
     region_of_zone: dict[str, str] = field(default_factory=dict)
     rule_parts: tuple[str, ...] = ()  # the parts of the rules that are in force
-    unsupported: tuple[str, ...] = ()  # what the file says and this program can't act on
-    path: str = ""  # of the file
+    unsupported: tuple[str, ...] = ()  # the settings in the file that this program does not support
+    path: str = ""  # the path of the file
 
     @property
     def peer_port(self) -> int:
-        """The port at which controllers listen for peers; the same on all machines."""
+        """The port on which controllers listen for peers. It is the same on all machines."""
         return self.port_range[0]
 
     def seed_hosts(self) -> tuple[str, ...]:
-        """The hosts of the seed addresses."""
+        """Return the hosts of the seed addresses."""
         return tuple(address.rpartition(":")[0] for address in self.seed_addresses)
 
 
 def load(path: str | None = None) -> Result[Settings, SettingsError]:
-    """The settings file at this path, or at the one that the environment variable names."""
+    """Read the settings file, and return the settings or the first error.
+
+    If `path` is None, the environment variable SETTINGS_PATH_VARIABLE names the file, and otherwise it is
+    DEFAULT_SETTINGS_PATH.
+    """
     path = path or os.environ.get(SETTINGS_PATH_VARIABLE) or DEFAULT_SETTINGS_PATH
     try:
         with open(path, "rb") as file:
@@ -145,24 +159,25 @@
 
 
 def reread_seeds(settings: Settings, log: Any) -> tuple[str, ...]:
-    """The hosts of the seeds that the file names now; none where it is faulty, which is logged.
+    """Read the settings file again, and return the hosts of its seeds.
 
-    Other fields that have changed act at the next start.
+    If the file is invalid, log the error and return (). Changes of other fields take effect at the next
+    start.
     """
-    reread = load(settings.path)
-    if isinstance(reread, Err):
-        log.warning("settings refused", **reread.err_value.log_fields())
+    reread_settings = load(settings.path)
+    if isinstance(reread_settings, Err):
+        log.warning("settings file invalid", **reread_settings.err_value.log_fields())
         return ()
-    log.info("settings read again", step="settings", seeds=reread.ok_value.seed_addresses)
-    return reread.ok_value.seed_hosts()
+    log.info("settings file reread", step="settings", seeds=reread_settings.ok_value.seed_addresses)
+    return reread_settings.ok_value.seed_hosts()
 
 
 def parse_settings(content: bytes) -> Result[Settings, SettingsError]:
-    """The settings in a file's content, or the first fault, whose text names the field."""
+    """Return the settings in the content of a file, or the first error, whose text names the field."""
     try:
         table = tomllib.loads(content.decode())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        return Err(SettingsError(f"not TOML: {error}"))
+        return Err(SettingsError(f"invalid TOML: {error}"))
     checked = check(table, SettingsFile)
     if isinstance(checked, Err):
         return Err(SettingsError(checked.err_value))
@@ -179,7 +194,7 @@
     }
     for index, text in enumerate(fields["SeedNodes"]):
         _parse_address(text, f"SeedNodes.{index}")
-    bounds, not_numbers = _parse_bounds(fields.get("Bounds", []))
+    bounds, unsupported_bounds = _parse_bounds(fields.get("Bounds", []))
     limits, rule_parts = fields.get("Limits", {}), tuple(fields.get("ContractList", ()))
     unknown_parts = (f"ContractList: {part}" for part in rule_parts if part not in SUPPORTED_RULE_PARTS)
     return Settings(
@@ -201,7 +216,7 @@
         counts_for_tolerance=fields.get("Counted", True),
         region_of_zone=fields.get("Zones", {}),
         rule_parts=rule_parts,
-        unsupported=(*unknown_parts, *not_numbers),
+        unsupported=(*unknown_parts, *unsupported_bounds),
     )
 
 
@@ -212,7 +227,7 @@
 
 
 def _parse_address(text: str, path: str) -> tuple[str, int]:
-    """host:port as its parts; path: the field, for the error."""
+    """Return the parts of a text `host:port`. Raises SettingsError, which names the field `path`."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise SettingsError(f"{path}: expected host:port, found {text!r:.60}")
@@ -220,25 +235,27 @@
 
 
 def _parse_bounds(texts: list[str]) -> tuple[Bounds, tuple[str, ...]]:
-    """`name=value` texts, and those of known names that say true or false, which leave the default standing.
+    """Parse `name=value` texts.
+
+    Returns the bounds, and the texts with a known name and the value true or false.
 
-    Unknown names are ignored; a known one that is neither a number of 0 or more nor true or false
-    is an error.
+    Such a text leaves the default of its bound in force. Unknown names are ignored. Any other value that is
+    not a number of 0 or more raises SettingsError.
     """
     values: dict[str, float] = {}
-    not_numbers = []
+    unsupported_bounds = []
     for index, text in enumerate(texts):
         name, _, value = (part.strip() for part in text.partition("="))
         if name not in Bounds.__dataclass_fields__:
             continue
         if value in ("true", "false"):
-            not_numbers.append(text)
+            unsupported_bounds.append(text)
             continue
         number = _float_or_none(value)
         if number is None or not 0 <= number < math.inf:
             raise SettingsError(f"Bounds.{index}: expected {name}=a number of 0 or more, found {text!r:.60}")
         values[name] = number
-    return Bounds(**values), tuple(not_numbers)
+    return Bounds(**values), tuple(unsupported_bounds)
 
 
 def _float_or_none(text: str) -> float | None:
@@ -249,7 +266,10 @@
 
 
 def _parse_tolerance(fields: ToleranceFields | None) -> Tolerance:
-    """Without the table the loss of one machine is tolerated; in it, what is left out is not."""
+    """Return the tolerance.
+
+    Without the table it is the default; in the table, a missing field counts as 0.
+    """
     if fields is None:
         return Tolerance()
     for name, count in fields.items():
