--- a/features/steps/settings.py
+++ b/features/steps/settings.py
@@ -45,7 +45,7 @@
         "losses": settings.tolerance.losses,
         "counted": settings.counts_for_tolerance,
         "seeds": settings.seed_addresses,
-        "unread": settings.unsupported,
+        "unsupported": settings.unsupported,
         "memory": settings.memory_limit,
         "descriptors": settings.descriptor_limit,
     }
