--- a/bramblewood/common/messages/__init__.py
+++ b/bramblewood/common/messages/__init__.py
@@ -1,13 +1,15 @@
-"""The messages between controllers and proxies, except those of the consensus: what each says, and its form
-on the wire.
+"""The messages between controllers and proxies, except those of the consensus, and their wire format.
 
-On a connection every message is one JSON object whose key `k` names its kind. The keys and values are fixed:
-machines of different software versions work side by side. A key that a class gives as optional is left out
-where the field is None, and the order of the keys is kept. Wire names differ from the field names where the
-wire keeps an older word: `archives` are controllers, `desks` are proxies, `rows` are registrations by worker
-instance id, each in the list form of `WorkerRegistration`.
+Each message on a connection is a JSON object whose key `k` contains its kind. The class of a message has two
+methods: `to_wire` returns that object, and `from_wire` decodes it. The keys, their order and their values are
+fixed, since machines with different software versions communicate with each other. The key of an optional
+field is left out if the field is None.
 
-Reading a message that lacks a required key raises KeyError. Times are in s, on the sender's steady clock.
+Some keys on the wire are older words than the field names: `archives` are controllers, `desks` are proxies,
+and `rows` are registrations by worker instance id, each in the list form of `WorkerRegistration`.
+
+`from_wire` raises PeerMessageError if a required key is missing or a value has the wrong type. Times are in s
+of the sender's steady clock.
 """
 
 from .between_controllers import ControllerHeartbeat, RegistryAcknowledgement
--- a/bramblewood/common/messages/between_controllers.py
+++ b/bramblewood/common/messages/between_controllers.py
@@ -1,4 +1,4 @@
-"""Messages that controllers send each other."""
+"""The messages that controllers send to each other."""
 
 from typing import Any, NamedTuple
 
@@ -8,36 +8,41 @@
 
 
 class ControllerHeartbeat(NamedTuple):
-    """What a controller tells each other controller several times a second.
+    """The state of a controller, which it sends to each other controller several times a second.
 
-    Proposal numbers are tuples here and lists on the wire.
+    Proposal numbers are tuples in the fields and lists on the wire. Only the first heartbeat on a connection
+    contains `bound`, and only some contain `worker_ages`. `members`, `zone`, `counted`, `controllers`,
+    `proxies` and `digests` are left out if they are those already sent on the connection.
     """
 
     sent_at: float
-    is_voting: bool  # an active voter of its epoch, on disk too
-    is_current: bool  # it has fresh contact with a quorum and its disk answers
-    accepted: dict[str, tuple]  # newest accepted proposal number, by register
-    durable: dict[str, tuple]  # the same, safe on its disk
+    is_voting: bool  # whether the sender is an active voter of its epoch, and its disk holds that state
+    is_current: bool  # whether the sender has quorum contact, its disk responds, and it is not shutting down
+    accepted: dict[str, tuple]  # the newest accepted proposal number, by register
+    durable: dict[str, tuple]  # the newest accepted proposal number on the sender's disk, by register
     epoch: int
-    disk: str
-    versions: Versions  # what it knows to be chosen
-    is_leaving: bool
-    echo: float  # `sent_at` of the newest heartbeat it had from the receiver; negative for none
-    bound: dict[str, Any] | None = None  # what the receiver has promised, as heard by the sender
-    # what changes seldom is left out where it was sent on this connection before
-    members: Any = None
+    disk: str  # the name of the sender's disk
+    versions: Versions  # the newest versions that the sender knows to be chosen
+    is_leaving: bool  # whether the sender is shutting down
+    echo: float  # `sent_at` of the newest heartbeat from the receiver to the sender; negative for none
+    # by register the proposal number that the receiver is known to have promised or accepted, so that the
+    # receiver can detect a rollback of its disk
+    bound: dict[str, Any] | None = None
+    members: Any = None  # the set of voters
     zone: str | None = None
-    counted: bool | None = None  # whether the loss of its zone is to be borne
+    counted: bool | None = None  # whether the loss of the sender's machine counts for the tolerance
     controllers: list[str] | None = None
-    proxies: list[str] | None = None  # names of those connected to the sender
-    worker_ages: dict[str, float] | None = None  # s since workers were heard, of the last ones
-    # by register: the proposal number of what is safe on the sender's disk, and the digest of its content
+    proxies: list[str] | None = None  # the names of the proxies that are connected to the sender
+    # s since the last contact, by instance id, for workers with a recent contact
+    worker_ages: dict[str, float] | None = None
+    # the proposal number of the value on the sender's disk, and the digest of that value, by register
     digests: dict[str, tuple[tuple, int]] | None = None
-    disk_failing_for: float | None = None  # s that its disk has refused every write, or not answered
+    # s for which the sender's disk has refused each write or has stalled; None for a healthy disk
+    disk_failing_for: float | None = None
 
     @classmethod
     def from_wire(cls, message: dict) -> "ControllerHeartbeat":
-        """Read the form on the wire."""
+        """Decode a received message. Raises PeerMessageError if it is malformed."""
         fields = Fields(message)
         return cls(
             fields.number("t"),
@@ -62,8 +67,8 @@
         )
 
     def to_wire(self) -> dict[str, Any]:
-        """The form on the wire."""
-        made = {
+        """Return the JSON object of the message."""
+        wire_form = {
             "k": kinds.HEARTBEAT,
             "t": self.sent_at,
             "v": self.is_voting,
@@ -88,36 +93,36 @@
             ("nodisk", self.disk_failing_for),
         ):
             if value is not None:
-                made[key] = value
-        return made
+                wire_form[key] = value
+        return wire_form
 
 
-def is_digest_row(row: Any) -> bool:
-    """Whether this is a proposal number with a digest."""
-    return is_list(row) and len(row) == 2 and is_proposal_number(row[0]) and is_integer(row[1])
+def is_numbered_digest(value: Any) -> bool:
+    """Return whether a value is a pair of a proposal number and a digest."""
+    return is_list(value) and len(value) == 2 and is_proposal_number(value[0]) and is_integer(value[1])
 
 
 def digests_from_wire(fields: Fields) -> dict[str, tuple[tuple, int]] | None:
-    """Digests by register; None where a heartbeat has none, as those of earlier releases."""
-    rows = fields.map_of("sums", is_digest_row, "proposal numbers with digests", None)
+    """Return the digests by register, or None if the heartbeat has none. Earlier releases send none."""
+    rows = fields.map_of("sums", is_numbered_digest, "proposal numbers with digests", None)
     return rows and {register: (tuple(number), digest) for register, (number, digest) in rows.items()}
 
 
 class RegistryAcknowledgement(NamedTuple):
-    """A controller holds the registrations that it was sent, or newer ones."""
+    """The sender holds the registrations of a RegistryUpdate, or newer ones."""
 
-    request_id: int
-    newer: Registrations  # of workers that leave, where the sender knows more
-    epoch: int  # in which it was an active voter as it said so; -1 for none
+    request_id: int  # of the RegistryUpdate
+    newer: Registrations  # the sender's registrations of draining and gone workers, if they are newer
+    epoch: int  # the epoch in which the sender was an active voter when it sent this; -1 for none
 
     @classmethod
     def from_wire(cls, message: dict) -> "RegistryAcknowledgement":
-        """Read the form on the wire."""
+        """Decode a received message. Raises PeerMessageError if it is malformed."""
         fields = Fields(message)
         return cls(fields.integer("id"), fields.rows("rows"), fields.integer("epoch"))
 
     def to_wire(self) -> dict[str, Any]:
-        """The form on the wire."""
+        """Return the JSON object of the message."""
         return {
             "k": kinds.REGISTRY_ACKNOWLEDGEMENT,
             "id": self.request_id,
--- a/bramblewood/common/messages/fields.py
+++ b/bramblewood/common/messages/fields.py
@@ -1,7 +1,7 @@
-"""Reads the fields of a message in its wire form, each with its type. Pure.
+"""Reads the fields of a received message and checks their types. The module does no I/O.
 
-Invariant: a message object holds values of the stated types only, so what handles it needs no checks. Keys
-that are not known are passed over: a peer of a later release may send more.
+Invariant: a decoded message contains only values of the stated types, so its handlers need no type checks.
+Unknown keys are ignored, since a peer with a later release may send additional keys.
 """
 
 from collections.abc import Iterable
@@ -9,63 +9,65 @@
 
 from ..errors import PeerMessageError
 
-MAX_MAGNITUDE = 1e18  # of a number: beyond it is no time, count or version
-REQUIRED: Any = object()  # in place of a default: the key must be there
+MAX_MAGNITUDE = 1e18  # of a number; no time, count or version is larger
+REQUIRED: Any = object()  # as a default: the key must be present
 
 
-def fail(key: str, expected: str, found: Any) -> PeerMessageError:
-    """The error of a field that is not of its type."""
+def field_error(key: str, expected: str, found: Any) -> PeerMessageError:
+    """Return the error of a field whose value does not have the expected type."""
     return PeerMessageError(f"key {key}: expected {expected}, found {found!r:.60}")
 
 
 def is_integer(value: Any) -> bool:
-    """Whether this is an integer of sensible size; true and false are none."""
+    """Return whether a value is an integer of at most MAX_MAGNITUDE. True and False are not integers."""
     return type(value) is int and abs(value) <= MAX_MAGNITUDE
 
 
 def is_number(value: Any) -> bool:
-    """Whether this is a finite number of sensible size."""
+    """Return whether a value is an integer or a float of at most MAX_MAGNITUDE. NaN is not a number."""
     return type(value) in (int, float) and abs(value) <= MAX_MAGNITUDE
 
 
 def is_text(value: Any) -> bool:
-    """Whether this is a text."""
+    """Return whether a value is a text."""
     return type(value) is str
 
 
 def is_flag(value: Any) -> bool:
-    """Whether this is true or false."""
+    """Return whether a value is True or False."""
     return type(value) is bool
 
 
 def is_list(value: Any) -> bool:
-    """Whether this is a list; a message that was not sent yet may have tuples."""
+    """Return whether a value is a list, or a tuple, which JSON encodes as a list."""
     return isinstance(value, (list, tuple))
 
 
 def is_map(value: Any) -> bool:
-    """Whether this is a map."""
+    """Return whether a value is a map."""
     return isinstance(value, dict)
 
 
 def is_proposal_number(value: Any) -> bool:
-    """Whether this is a proposal number: epoch, counter, proposer, incarnation."""
+    """Return whether a value is a proposal number: epoch, counter, proposer, incarnation."""
     if not is_list(value) or len(value) != 4:
         return False
     epoch, counter, proposer, incarnation = value
     return is_integer(epoch) and is_integer(counter) and is_text(proposer) and is_integer(incarnation)
 
 
-def require_all(key: str, values: Iterable[Any], is_valid: Any, expected: str) -> None:
-    """Raise PeerMessageError at the first of a field's values that is not valid."""
+def check_values(key: str, values: Iterable[Any], is_valid: Any, expected: str) -> None:
+    """Raise PeerMessageError at the first of these values of the field `key` that is not valid."""
     for value in values:
         if not is_valid(value):
-            raise fail(key, expected, value)
+            raise field_error(key, expected, value)
 
 
 class Fields:
-    """The fields of one message. Each method gives the value of a key, or `default` where the key is missing
-    or null; it raises PeerMessageError where the value has another type, or there is none and no default.
+    """The fields of one message.
+
+    Each method returns the value of a key, or `default` if the key is missing or its value is null. It raises
+    PeerMessageError if the value has another type, or if there is neither a value nor a default.
     """
 
     def __init__(self, message: Any) -> None:
@@ -78,58 +80,65 @@
         if value is None and default is not REQUIRED:
             return default
         if not is_valid(value):
-            raise fail(key, expected, value) if key in self.message else PeerMessageError(f"no key {key}")
+            raise (
+                field_error(key, expected, value)
+                if key in self.message
+                else PeerMessageError(f"no key {key}")
+            )
         return value
 
     def text(self, key: str, default: Any = REQUIRED) -> Any:
-        """A text."""
+        """Return a text."""
         return self._field(key, is_text, "a text", default)
 
     def integer(self, key: str, default: Any = REQUIRED) -> Any:
-        """An integer."""
+        """Return an integer."""
         return self._field(key, is_integer, "an integer", default)
 
     def number(self, key: str, default: Any = REQUIRED) -> Any:
-        """A number, such as a time in s."""
+        """Return a number, such as a time in s."""
         return self._field(key, is_number, "a number", default)
 
     def flag(self, key: str, default: Any = REQUIRED) -> Any:
-        """True or false."""
+        """Return True or False."""
         return self._field(key, is_flag, "true or false", default)
 
     def list_of(self, key: str, is_valid: Any, expected: str, default: Any = REQUIRED) -> Any:
-        """A list whose elements are all valid."""
+        """Return a list whose elements are all valid. `expected` names the elements in an error."""
         found = self._field(key, is_list, "a list", default)
-        require_all(key, found or (), is_valid, expected)
+        check_values(key, found or (), is_valid, expected)
         return found
 
     def texts(self, key: str, default: Any = REQUIRED) -> Any:
-        """A list of texts."""
+        """Return a list of texts."""
         return self.list_of(key, is_text, "texts", default)
 
     def mapping(self, key: str, default: Any = REQUIRED) -> Any:
-        """A map, whatever its values are."""
+        """Return a map with values of any type."""
         return self._field(key, is_map, "a map", default)
 
     def map_of(self, key: str, is_valid: Any, expected: str, default: Any = REQUIRED) -> Any:
-        """A map whose values are all valid."""
+        """Return a map whose values are all valid. `expected` names the values in an error."""
         found = self.mapping(key, default)
-        require_all(key, (found or {}).values(), is_valid, expected)
+        check_values(key, (found or {}).values(), is_valid, expected)
         return found
 
     def versions(self, key: str, default: Any = REQUIRED) -> Any:
-        """Versions by register."""
+        """Return the versions by register."""
         return self.map_of(key, is_integer, "versions", default)
 
     def ages(self, key: str, default: Any = REQUIRED) -> Any:
-        """Ages in s by instance id."""
+        """Return ages in s, by instance id."""
         return self.map_of(key, is_number, "ages", default)
 
     def rows(self, key: str, default: Any = REQUIRED) -> Any:
-        """Lists by key, such as registrations by instance id; who uses a row checks its fields."""
+        """Return lists by key, such as registrations by instance id.
+
+        The receiver must check their elements.
+        """
         return self.map_of(key, is_list, "lists", default)
 
     def proposal_numbers(self, key: str, default: Any = REQUIRED) -> Any:
-        """Proposal numbers by register, as tuples."""
+        """Return proposal numbers as tuples, by register."""
         found = self.map_of(key, is_proposal_number, "proposal numbers", default)
         return found and {register: tuple(number) for register, number in found.items()}
--- a/bramblewood/common/messages/with_proxies.py
+++ b/bramblewood/common/messages/with_proxies.py
@@ -1,32 +1,45 @@
-"""Messages that go between a controller and a proxy."""
+"""The messages between a controller and a proxy."""
 
 from typing import Any, NamedTuple
 
 from . import kinds
 from .fields import Fields, is_text
 from .greetings import Versions
-from .shapes import is_counts, is_fractions, is_hot_key_status, is_slices, is_work_in_flight, is_worker_row
+from .shapes import (
+    is_count_map,
+    is_hot_key_status,
+    is_number_map,
+    is_slice_map,
+    is_work_in_flight,
+    is_worker_row,
+)
 
 
 class ProxyHeartbeat(NamedTuple):
-    """What a controller tells each proxy twice a second, and as it becomes current or ceases to."""
+    """The state of a controller, which it sends to each proxy.
 
-    versions: Versions  # newest versions that proxies may follow
-    is_current: bool
+    It sends a heartbeat twice a second, and whenever `is_current` changes. The fields from `zone` to
+    `hot_keys` change seldom. A heartbeat contains them only if they have changed since an earlier one on the
+    connection.
+    """
+
+    versions: Versions  # the newest versions that proxies may follow
+    is_current: bool  # whether the sender has quorum contact, its disk responds, and it is not shutting down
     is_coordinator: bool
     proxy_count: int
-    # of the live workers that the sender knows; None from earlier releases
+    # the digest of the live workers in the sender's registry; None from earlier releases
     live_digest: int | None = None
-    silent_workers: list[str] | None = None  # instance ids without a heartbeat for too long
-    # what changes seldom is left out where it was sent on this connection before
+    silent_workers: list[str] | None = None  # the instance ids of the workers without a recent contact
     zone: str | None = None
     controllers: list[str] | None = None
-    zone_affinity: dict[str, Any] | None = None  # by service and zone: the part of requests that stay in it
-    hot_keys: dict[str, Any] | None = None  # by service; only with `zone_affinity`
+    # the fraction of a zone's requests that stay in the zone, by service and zone; only from the coordinator
+    zone_affinity: dict[str, Any] | None = None
+    # by service a list of two lists: the ranges of keys to watch, and the hot keys; only with `zone_affinity`
+    hot_keys: dict[str, Any] | None = None
 
     @classmethod
     def from_wire(cls, message: dict) -> "ProxyHeartbeat":
-        """Read the form on the wire."""
+        """Decode a received message. Raises PeerMessageError if it is malformed."""
         fields = Fields(message)
         return cls(
             fields.versions("n"),
@@ -37,13 +50,13 @@
             fields.texts("silent", None),
             fields.text("zone", None),
             fields.texts("archives", None),
-            fields.map_of("near", is_fractions, "parts of requests by zone", None),
+            fields.map_of("near", is_number_map, "parts of requests by zone", None),
             fields.map_of("crowds", is_hot_key_status, "ranges and keys", None),
         )
 
     def to_wire(self) -> dict[str, Any]:
-        """The form on the wire."""
-        made = {
+        """Return the JSON object of the message."""
+        wire_form = {
             "k": kinds.HEARTBEAT,
             "n": self.versions,
             "whole": self.is_current,
@@ -59,122 +72,128 @@
             ("crowds", self.hot_keys),
         ):
             if value is not None:
-                made[key] = value
-        return made
+                wire_form[key] = value
+        return wire_form
 
 
 class Subscribe(NamedTuple):
-    """A proxy chooses this controller to push all updates to it, from the versions it has."""
+    """A proxy requests that this controller pushes all updates after the given versions to it."""
 
     versions: Versions
 
     @classmethod
     def from_wire(cls, message: dict) -> "Subscribe":
-        """Read the form on the wire."""
+        """Decode a received message. Raises PeerMessageError if it is malformed."""
         return cls(Fields(message).versions("have"))
 
     def to_wire(self) -> dict[str, Any]:
-        """The form on the wire."""
+        """Return the JSON object of the message."""
         return {"k": kinds.SUBSCRIPTION, "on": True, "have": self.versions}
 
 
 class Unsubscribe(NamedTuple):
-    """A proxy is pushed to from another controller now."""
+    """A proxy requests no further updates from this controller: it has subscribed to another one."""
 
     def to_wire(self) -> dict[str, Any]:
-        """The form on the wire."""
+        """Return the JSON object of the message."""
         return {"k": kinds.SUBSCRIPTION, "on": False}
 
 
 def subscription_from_wire(message: dict) -> Subscribe | Unsubscribe:
-    """Both share one kind on the wire."""
+    """Decode a subscription or its end, which have the same kind on the wire.
+
+    Raises PeerMessageError if the message is malformed.
+    """
     return Subscribe.from_wire(message) if Fields(message).flag("on") else Unsubscribe()
 
 
 class UpdateRequest(NamedTuple):
-    """A proxy asks for what it lacks of a register, whichever controller pushes to it."""
+    """A proxy requests the newest version of a register from a controller, subscribed to it or not."""
 
     register: str
-    version: int  # that it has; 0 for none
+    version: int  # the version that the proxy has; 0 for none
 
     @classmethod
     def from_wire(cls, message: dict) -> "UpdateRequest":
-        """Read the form on the wire."""
+        """Decode a received message. Raises PeerMessageError if it is malformed."""
         fields = Fields(message)
         return cls(fields.text("r"), fields.integer("have"))
 
     def to_wire(self) -> dict[str, Any]:
-        """The form on the wire."""
+        """Return the JSON object of the message."""
         return {"k": kinds.UPDATE_REQUEST, "r": self.register, "have": self.version}
 
 
 class LoadReport(NamedTuple):
-    """What a proxy saw of requests and workers since its last report, for the coordinator."""
+    """The requests that a proxy has counted and its observations of workers since its last report."""
 
-    seconds: float  # that it covers
-    heat: dict[str, Any]  # requests by service and range of keys
-    # by worker: attempts, unanswered ones, mean time in s, load; then those that failed by its own fault
+    seconds: float  # the length of the interval that the report covers
+    heat: dict[str, Any]  # the number of requests, by service and range of keys
+    # by worker: attempts, attempts without a response, mean response time in s, the load that the worker
+    # stated or None, and the number of server errors if there are any
     workers: dict[str, list]
-    keys: dict[str, Any] | None = None  # requests by service and single key, where counted
-    table_version: int | None = None  # that it follows; only while a drain plan stands
-    in_flight: dict[str, Any] | None = None  # by worker of a plan: requests under way
+    keys: dict[str, Any] | None = None  # the number of requests, by service and key, in watched ranges
+    table_version: int | None = None  # the version that the proxy follows; only during a drain plan
+    # by worker in a drain plan: the idempotent requests in flight, the non-idempotent requests and bound
+    # keys, and the s since the oldest request was sent
+    in_flight: dict[str, Any] | None = None
 
     @classmethod
     def from_wire(cls, message: dict) -> "LoadReport":
-        """Read the form on the wire."""
+        """Decode a received message. Raises PeerMessageError if it is malformed."""
         fields = Fields(message)
         return cls(
             fields.number("over"),
-            fields.map_of("heat", is_counts, "requests by range of keys"),
+            fields.map_of("heat", is_count_map, "requests by range of keys"),
             fields.map_of("met", is_worker_row, "rows of a worker"),
-            fields.map_of("keys", is_counts, "requests by key", None),
+            fields.map_of("keys", is_count_map, "requests by key", None),
             fields.integer("n", None),
             fields.map_of("left", is_work_in_flight, "rows of three numbers", None),
         )
 
     def to_wire(self) -> dict[str, Any]:
-        """The form on the wire."""
-        made = {"k": kinds.LOAD_REPORT, "over": self.seconds, "heat": self.heat, "met": self.workers}
+        """Return the JSON object of the message."""
+        wire_form = {"k": kinds.LOAD_REPORT, "over": self.seconds, "heat": self.heat, "met": self.workers}
         for key, value in (("n", self.table_version), ("left", self.in_flight), ("keys", self.keys)):
             if value is not None:
-                made[key] = value
-        return made
+                wire_form[key] = value
+        return wire_form
 
 
 class ConfirmationRequest(NamedTuple):
-    """A proxy asks whether what it has is the newest."""
+    """A proxy asks a controller which versions are the newest."""
 
-    asked_at: float  # on the proxy's clock, given back with the answer
+    asked_at: float  # on the proxy's clock; the Confirmation contains it again
 
     @classmethod
     def from_wire(cls, message: dict) -> "ConfirmationRequest":
-        """Read the form on the wire."""
+        """Decode a received message. Raises PeerMessageError if it is malformed."""
         return cls(Fields(message).number("t"))
 
     def to_wire(self) -> dict[str, Any]:
-        """The form on the wire."""
+        """Return the JSON object of the message."""
         return {"k": kinds.CONFIRMATION_REQUEST, "t": self.asked_at}
 
 
 class Confirmation(NamedTuple):
-    """A controller that is current says which versions are the newest."""
+    """A current controller states which versions are the newest."""
 
-    asked_at: float
+    asked_at: float  # that of the ConfirmationRequest
     versions: Versions
 
     @classmethod
     def from_wire(cls, message: dict) -> "Confirmation":
-        """Read the form on the wire."""
+        """Decode a received message. Raises PeerMessageError if it is malformed."""
         fields = Fields(message)
         return cls(fields.number("t"), fields.versions("n"))
 
     def to_wire(self) -> dict[str, Any]:
-        """The form on the wire."""
+        """Return the JSON object of the message."""
         return {"k": kinds.CONFIRMATION, "t": self.asked_at, "n": self.versions}
 
 
 class RemoveReaders(NamedTuple):
-    """A proxy asks that workers which don't answer are no read replicas of a key any more."""
+    """A proxy requests that unreachable workers are removed from the readers of a key."""
 
     request_id: int
     service: str
@@ -183,13 +202,13 @@
 
     @classmethod
     def from_wire(cls, message: dict) -> "RemoveReaders":
-        """Read the form on the wire."""
+        """Decode a received message. Raises PeerMessageError if it is malformed."""
         fields = Fields(message)
         instance_ids = tuple(fields.texts("lives"))
         return cls(fields.integer("id"), fields.text("service"), fields.integer("key"), instance_ids)
 
     def to_wire(self) -> dict[str, Any]:
-        """The form on the wire."""
+        """Return the JSON object of the message."""
         return {
             "k": kinds.REMOVE_READERS,
             "id": self.request_id,
@@ -200,60 +219,60 @@
 
 
 class ReadersRemoved(NamedTuple):
-    """The controllers have agreed on it."""
+    """The controllers have agreed on the removal of readers."""
 
-    request_id: int
-    table_version: int
+    request_id: int  # of the RemoveReaders
+    table_version: int  # the version of the table without these readers
 
     @classmethod
     def from_wire(cls, message: dict) -> "ReadersRemoved":
-        """Read the form on the wire."""
+        """Decode a received message. Raises PeerMessageError if it is malformed."""
         fields = Fields(message)
         return cls(fields.integer("id"), fields.integer("n"))
 
     def to_wire(self) -> dict[str, Any]:
-        """The form on the wire."""
+        """Return the JSON object of the message."""
         return {"k": kinds.READERS_REMOVED, "id": self.request_id, "n": self.table_version}
 
 
 class ConfigurationUpdate(NamedTuple):
-    """A configuration for proxies to follow."""
+    """A configuration that proxies follow."""
 
     version: int
-    configuration: dict[str, Any]  # as the operator gave it
+    configuration: dict[str, Any]  # in the form in which the operator sent it
 
     @classmethod
     def from_wire(cls, message: dict) -> "ConfigurationUpdate":
-        """Read the form on the wire."""
+        """Decode a received message. Raises PeerMessageError if it is malformed."""
         fields = Fields(message)
         return cls(fields.integer("n"), fields.mapping("config"))
 
     def to_wire(self) -> dict[str, Any]:
-        """The form on the wire."""
+        """Return the JSON object of the message."""
         return {"k": kinds.CONFIGURATION_UPDATE, "n": self.version, "config": self.configuration}
 
 
 class TableUpdate(NamedTuple):
-    """A slice table for proxies to follow: all of it, or what changed since the base version."""
+    """A slice table that proxies follow: the whole table, or its changes since the base version."""
 
     version: int
-    services: dict[str, Any]  # by service and first key: the entry; see `common.slice_table`
-    base: int | None = None  # the version that `services` changes; None where it is the whole table
-    # step in its drain plan, by worker; None where the base has the same
+    services: dict[str, Any]  # rows by service and first key: see `common.slice_table`
+    base: int | None = None  # the version that the changes apply to; None for the whole table
+    # the steps of workers in their drain plans, by instance id; None if they are those of the base
     leaving: dict[str, str] | None = None
 
     @classmethod
     def from_wire(cls, message: dict) -> "TableUpdate":
-        """Read the form on the wire."""
+        """Decode a received message. Raises PeerMessageError if it is malformed."""
         fields = Fields(message)
         base = fields.integer("base", None)
-        services = fields.map_of("s" if base is None else "d", is_slices, "rows by first key")
+        services = fields.map_of("s" if base is None else "d", is_slice_map, "rows by first key")
         return cls(fields.integer("n"), services, base, fields.map_of("w", is_text, "steps", None))
 
     def to_wire(self) -> dict[str, Any]:
-        """The form on the wire."""
-        made: dict[str, Any] = {"k": kinds.TABLE_UPDATE, "n": self.version}
-        made |= {"s": self.services} if self.base is None else {"base": self.base, "d": self.services}
+        """Return the JSON object of the message."""
+        wire_form: dict[str, Any] = {"k": kinds.TABLE_UPDATE, "n": self.version}
+        wire_form |= {"s": self.services} if self.base is None else {"base": self.base, "d": self.services}
         if self.leaving is not None:
-            made["w"] = self.leaving
-        return made
+            wire_form["w"] = self.leaving
+        return wire_form
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -1,4 +1,4 @@
-"""Each message keeps its form on the wire: keys, their order, and which are left out."""
+"""Guards against a change of the wire format of messages: their keys, the order of keys, optional keys."""
 
 import json
 
@@ -6,7 +6,7 @@
 
 from bramblewood.common import messages
 
-HEARTBEAT = {
+CONTROLLER_HEARTBEAT = {
     "k": "pulse",
     "t": 7.5,
     "v": True,
@@ -19,19 +19,19 @@
     "leaving": False,
     "e": -1e9,
 }
-SELDOM = {"members": {"n": 1}, "zone": "", "counted": False, "archives": ["a"], "desks": []}
-TO_PROXY = {"k": "pulse", "n": {"table": 4}, "whole": True, "scribe": False, "desks": 2}
+RARELY_SENT_FIELDS = {"members": {"n": 1}, "zone": "", "counted": False, "archives": ["a"], "desks": []}
+PROXY_HEARTBEAT = {"k": "pulse", "n": {"table": 4}, "whole": True, "scribe": False, "desks": 2}
 
 WIRE_FORMS = [
     (messages.Hello, {"k": "hello", "role": "desk", "from": "d1", "rows": {}}),
     (messages.Hello, {"k": "hello", "role": "archive", "from": "a", "rows": {"w": []}, "ages": {}}),
-    (messages.ControllerHeartbeat, HEARTBEAT),
-    (messages.ControllerHeartbeat, {**HEARTBEAT, "bound": {}, **SELDOM, "heard": {}}),
-    (messages.ProxyHeartbeat, TO_PROXY),
-    (messages.ProxyHeartbeat, {**TO_PROXY, "silent": ["w"], "zone": "", "archives": [], "near": {}}),
+    (messages.ControllerHeartbeat, CONTROLLER_HEARTBEAT),
+    (messages.ControllerHeartbeat, {**CONTROLLER_HEARTBEAT, "bound": {}, **RARELY_SENT_FIELDS, "heard": {}}),
+    (messages.ProxyHeartbeat, PROXY_HEARTBEAT),
+    (messages.ProxyHeartbeat, {**PROXY_HEARTBEAT, "silent": ["w"], "zone": "", "archives": [], "near": {}}),
     (
         messages.ProxyHeartbeat,
-        {**TO_PROXY, "zone": "z", "archives": ["a"], "near": {}, "crowds": {"s": [[1], [8]]}},
+        {**PROXY_HEARTBEAT, "zone": "z", "archives": ["a"], "near": {}, "crowds": {"s": [[1], [8]]}},
     ),
     (messages.RegistryUpdate, {"k": "roll", "rows": {"w": ["s"]}}),
     (messages.RegistryUpdate, {"k": "roll", "rows": {}, "id": 0}),
@@ -56,17 +56,17 @@
 
 
 @pytest.mark.parametrize(("message_class", "wire_form"), WIRE_FORMS)
-def test_message_read_and_written_again_is_the_same_text(message_class, wire_form):
+def test_encoding_of_a_decoded_message_is_the_same_json(message_class, wire_form):
     assert json.dumps(message_class.from_wire(wire_form).to_wire()) == json.dumps(wire_form)
 
 
-def test_subscription_and_its_end_share_a_kind():
-    end = {"k": "home", "on": False}
-    assert messages.subscription_from_wire(end).to_wire() == end
-    begin = {"k": "home", "on": True, "have": {"config": 1, "table": 0}}
-    assert messages.subscription_from_wire(begin) == messages.Subscribe({"config": 1, "table": 0})
+def test_subscribe_and_unsubscribe_share_one_kind():
+    unsubscribe = {"k": "home", "on": False}
+    assert messages.subscription_from_wire(unsubscribe).to_wire() == unsubscribe
+    subscribe = {"k": "home", "on": True, "have": {"config": 1, "table": 0}}
+    assert messages.subscription_from_wire(subscribe) == messages.Subscribe({"config": 1, "table": 0})
 
 
-def test_proposal_numbers_of_a_heartbeat_compare_as_tuples():
-    heartbeat = messages.ControllerHeartbeat.from_wire(HEARTBEAT)
+def test_proposal_numbers_of_a_heartbeat_are_decoded_as_tuples():
+    heartbeat = messages.ControllerHeartbeat.from_wire(CONTROLLER_HEARTBEAT)
     assert heartbeat.accepted["table"] > heartbeat.durable["table"] == (1, 1, "a", 3)
--- a/tests/test_peer_connections.py
+++ b/tests/test_peer_connections.py
@@ -1,4 +1,4 @@
-"""Connections between peers over loopback: whose tasks end, and what a malformed message does."""
+"""Tests connections between peers over loopback: their tasks, reconnection and malformed messages."""
 
 import asyncio
 import contextlib
@@ -20,7 +20,7 @@
 
 
 class Acceptor:
-    """Accepts connections, and keeps what they bring."""
+    """Accepts connections, and queues their first messages, further messages and ends."""
 
     def __init__(self) -> None:
         self.first_messages, self.messages, self.closed = asyncio.Queue(), asyncio.Queue(), asyncio.Queue()
@@ -36,7 +36,7 @@
 
 @contextlib.asynccontextmanager
 async def listening(acceptor: Acceptor):
-    """The port at which the acceptor listens."""
+    """Serve connections with the acceptor. Yields the port on which it listens."""
     with socket.socket() as sock:
         sock.bind((HOST, 0))
         port = sock.getsockname()[1]
@@ -49,7 +49,7 @@
         await server.shutdown(1.0)
 
 
-def dialler(changes: asyncio.Queue) -> PeerConnections:
+def create_connections(changes: asyncio.Queue) -> PeerConnections:
     def on_change(peer: str, connected: bool) -> None:
         changes.put_nowait((peer, connected))
 
@@ -60,12 +60,12 @@
     return asyncio.all_tasks() - {asyncio.current_task()}
 
 
-def test_close_ends_every_task() -> None:
-    async def play() -> None:
+def test_close_ends_all_tasks_of_the_connections() -> None:
+    async def scenario() -> None:
         acceptor, changes = Acceptor(), asyncio.Queue()
         async with asyncio.timeout(5), listening(acceptor) as port:
-            before = other_tasks()
-            connections = dialler(changes)
+            earlier_tasks = other_tasks()
+            connections = create_connections(changes)
             connections.maintain(HOST, port)
             assert await changes.get() == (HOST, True)
             _, first = await acceptor.first_messages.get()
@@ -76,28 +76,28 @@
             assert await changes.get() == (HOST, False)
             assert not connections.send(HOST, {"k": "late"})
             await acceptor.closed.get()
-            names = [task.get_coro().__qualname__ for task in other_tasks() - before]
-            assert not [name for name in names if "PeerConnection" in name]
+            task_names = [task.get_coro().__qualname__ for task in other_tasks() - earlier_tasks]
+            assert not [task_name for task_name in task_names if "PeerConnection" in task_name]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_lost_connection_is_dialled_again() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         acceptor, changes = Acceptor(), asyncio.Queue()
         async with asyncio.timeout(5), listening(acceptor) as port:
-            connections = dialler(changes)
+            connections = create_connections(changes)
             connections.maintain(HOST, port)
             connection, _ = await acceptor.first_messages.get()
             connection.close()
             assert [await changes.get() for _ in range(3)] == [(HOST, True), (HOST, False), (HOST, True)]
             await connections.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_malformed_first_message_closes_the_connection() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         acceptor = Acceptor()
         async with asyncio.timeout(5), listening(acceptor) as port, aiohttp.ClientSession() as session:
             async with session.ws_connect(f"http://{HOST}:{port}/link") as websocket:
@@ -106,11 +106,11 @@
                 assert (await websocket.receive()).type is not aiohttp.WSMsgType.TEXT
             assert acceptor.first_messages.empty()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_malformed_message_names_step_and_peer() -> None:
-    async def play() -> None:
+def test_error_of_a_malformed_message_contains_step_and_peer() -> None:
+    async def scenario() -> None:
         connection = PeerConnection("10.0.0.4", None)
         with pytest.raises(PeerMessageError) as raised:
             decode_message(connection, "{no JSON")
@@ -120,12 +120,12 @@
         fields = raised.value.log_fields()
         assert (fields["step"], fields["peer"]) == ("receive", "10.0.0.4")
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_settings_error_names_the_file_once_it_is_known() -> None:
+def test_settings_error_contains_the_path_of_its_file() -> None:
     error = SettingsError("Ip: expected a text, found 7")
     assert str(error) == "Ip: expected a text, found 7"
-    named = error.in_file("boot.toml")
-    assert str(named) == "boot.toml: Ip: expected a text, found 7"
-    assert named.log_fields() == {"step": "settings", "reason": str(named)}
+    error_with_path = error.in_file("boot.toml")
+    assert str(error_with_path) == "boot.toml: Ip: expected a text, found 7"
+    assert error_with_path.log_fields() == {"step": "settings", "reason": str(error_with_path)}
