--- a/features/steps/listeners.py
+++ b/features/steps/listeners.py
@@ -14,6 +14,7 @@
 
 
 def free_port() -> int:
+    """Return a port of 127.0.0.1 that is not in use."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return sock.getsockname()[1]
@@ -24,11 +25,11 @@
         lines = [f'{name} = "127.0.0.1:{port}"' for name, port in zip(LISTENERS, ports, strict=True)]
         file.write("\n".join(["[BindMap]", *lines]))
     context.add_cleanup(os.unlink, file.name)
-    context.path, context.ports = file.name, ports
+    context.settings_path, context.ports = file.name, ports
 
 
 def open_early(context):
-    with mock.patch.dict(os.environ, {"BRAMBLEWOOD_BOOT": context.path}):
+    with mock.patch.dict(os.environ, {"BRAMBLEWOOD_BOOT": context.settings_path}):
         return open_listeners_early(LISTENERS)
 
 
@@ -39,9 +40,9 @@
 
 @given("a settings file whose second listener's address is in use")
 def address_in_use(context):
-    context.other = listen_on("127.0.0.1", 0)
-    context.add_cleanup(context.other.close)
-    write_settings(context, (free_port(), context.other.getsockname()[1]))
+    context.other_listener = listen_on("127.0.0.1", 0)
+    context.add_cleanup(context.other_listener.close)
+    write_settings(context, (free_port(), context.other_listener.getsockname()[1]))
 
 
 @when("the listeners are opened early and a client connects to the first")
@@ -51,7 +52,7 @@
     context.add_cleanup(context.client.close)
 
 
-@then("the client is accepted once a server takes over the listener")
+@then("the client is accepted once a server uses the listener")
 def client_is_accepted(context):
     async def serve():
         accepted = asyncio.Event()
@@ -64,40 +65,42 @@
     context.listeners["ReadyProbe"].close()
 
 
-@then("no listener stays open")
-def no_listener_open(context):
+@then("no listener is open")
+def no_listener_is_open(context):
     assert open_early(context) == {}
-    listen_on("127.0.0.1", context.ports[0]).close()  # fails where the address is still in use
+    listen_on("127.0.0.1", context.ports[0]).close()  # raises OSError if the first listener is still open
 
 
-def ignore(*_):
+def do_nothing(*_):
     pass
 
 
-@then("of two peers that were dialled in vain one is connected once it listens, and the other still dialled")
+@then(
+    "of two peers whose first dial failed, the one that listens is connected and the other is still dialled"
+)
 def peers_are_dialled_again(context):
     async def dial():
-        greeted, port = asyncio.Event(), free_port()
-        peer_connections = PeerConnections(lambda peer: {"k": "hello"}, ignore, ignore, None)
+        first_message_received, port = asyncio.Event(), free_port()
+        peer_connections = PeerConnections(lambda peer: {"k": "hello"}, do_nothing, do_nothing, None)
         with mock.patch(
             "bramblewood.common.peer_connections.asyncio.sleep", side_effect=asyncio.sleep
         ) as sleep:
             for ip in ("127.0.0.2", "127.0.0.3"):
                 peer_connections.maintain(ip, port)
-            while sleep.call_count < 2:  # each has failed once, and waits for its next dial
+            while sleep.call_count < 2:  # until the first dial of each peer has failed
                 await asyncio.wait(peer_connections.tasks.values(), timeout=0.01)
 
         def accept(request):
-            return accept_connection(request, lambda *_: greeted.set(), ignore, ignore)
+            return accept_connection(request, lambda *_: first_message_received.set(), do_nothing, do_nothing)
 
         listener = await asyncio.get_running_loop().create_server(
             web.Server(accept, access_log=None), "127.0.0.2", port
         )
         async with asyncio.timeout(2):
-            await greeted.wait()
-        found = [*peer_connections.connected], [task.done() for task in peer_connections.tasks.values()]
+            await first_message_received.wait()
+        result = [*peer_connections.connected], [task.done() for task in peer_connections.tasks.values()]
         await peer_connections.close()
         listener.close()
-        return found
+        return result
 
     assert asyncio.run(dial()) == (["127.0.0.2"], [False, False])
--- a/features/steps/worker_connections.py
+++ b/features/steps/worker_connections.py
@@ -12,49 +12,54 @@
 from bramblewood.common.worker_connection import WorkerConnection
 from tests.approved import approve
 from tests.simulation.proxy import ProxySimulation
-from tests.simulation.worker_connections import RuleBroken, answered_with, play_all_orders, play_random
+from tests.simulation.worker_connections import RuleViolation, play_random, receive_response, run_all_orders
 
-LOOKUP = "GET /look/9 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: after\r\nX-Deadline-Ms: 900\r\n\r\n"
+LOOKUP_REQUEST = (
+    "GET /look/9 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: after\r\nX-Deadline-Ms: 900\r\n\r\n"
+)
 
 
 def bytes_of(cell: str) -> bytes:
+    """Return the bytes of a table cell, in which \\n stands for CRLF."""
     return cell.replace("\\n", "\r\n").encode()
 
 
-@then("over {count:d} states are reached with and without keys, and no rule is broken in any")
-def all_orders(context, count):
+@then("more than {count:d} states are reached with and without keys, and no rule is broken")
+def all_orders_break_no_rule(context, count):
     for keyed in (False, True):
-        states, _ = play_all_orders(4, keyed)
+        states, _ = run_all_orders(4, keyed)
         assert states > count, states
 
 
 @then("{seeds:d} random runs of up to {steps:d} events break no rule")
-def random_runs(context, seeds, steps):
+def random_runs_break_no_rule(context, seeds, steps):
     assert sum(play_random(seed, steps, seed % 2 == 1) for seed in range(seeds)) > 20 * seeds
 
 
 @then('without "{guard}" a rule is broken within {seeds:d} random runs')
-def guarded(context, guard, seeds):
+def rule_is_broken_without_guard(context, guard, seeds):
     for seed in range(seeds):
         try:
             play_random(seed, 80, seed % 2 == 1, guard)
-        except RuleBroken:
+        except RuleViolation:
             return
-    raise AssertionError("no seed found it")
+    raise AssertionError("no rule is broken in any of the random runs")
 
 
-@then("these are complete with their last byte only, in any two pieces, and kept if nothing follows")
-def framings(context):
+@then(
+    "each response is complete at its last byte only, and its connection is reusable unless more bytes follow"
+)
+def responses_are_complete_at_last_byte(context):
     surplus = b"HTTP/1.1 200 OK\r\nX-Attempt-Id: r\r\nContent-Length: 0\r\n\r\n"
     for row in context.table:
-        data, head_request = bytes_of(row["answer"]), row["method"] == "HEAD"
+        data, is_head = bytes_of(row["response"]), row["method"] == "HEAD"
         for cut in range(len(data)):
-            connection, result = answered_with(data[:cut], (), head_request)
+            connection, result = receive_response(data[:cut], (), is_head)
             assert result is None and connection.on_closed().outcome is AttemptOutcome.CONNECTION_BROKEN, (
                 data,
                 cut,
             )
-            connection, result = answered_with(data, (cut,), head_request)
+            connection, result = receive_response(data, (cut,), is_head)
             assert result.outcome is AttemptOutcome.ANSWERED and result.answer.body == row["body"].encode(), (
                 data,
                 cut,
@@ -63,39 +68,39 @@
                 data,
                 cut,
             )
-        connection, result = answered_with(data, tuple(range(1, len(data))), head_request)
+        connection, result = receive_response(data, tuple(range(1, len(data))), is_head)
         assert result.answer.body == row["body"].encode() and connection.is_reusable
-        for more in range(1, len(surplus) + 1):
-            connection, result = answered_with(data + surplus[:more], (), head_request)
+        for surplus_length in range(1, len(surplus) + 1):
+            connection, result = receive_response(data + surplus[:surplus_length], (), is_head)
             assert (
                 result.answer.body == row["body"].encode() and connection.phase is ConnectionPhase.UNUSABLE
-            ), more
-            connection, result = answered_with(data + surplus[:more], (len(data),), head_request)
-            assert connection.phase is ConnectionPhase.UNUSABLE, more
+            ), surplus_length
+            connection, result = receive_response(data + surplus[:surplus_length], (len(data),), is_head)
+            assert connection.phase is ConnectionPhase.UNUSABLE, surplus_length
 
 
-@then("these are complete, and their connection is not kept")
-def not_kept(context):
+@then("each response is complete, and its connection is not reusable")
+def connection_is_not_reusable(context):
     for row in context.table:
-        connection, result = answered_with(bytes_of(row["answer"]))
+        connection, result = receive_response(bytes_of(row["response"]))
         assert result.outcome is AttemptOutcome.ANSWERED and connection.phase is ConnectionPhase.UNUSABLE, (
-            row["answer"]
+            row["response"]
         )
 
 
-@then("these are malformed")
-def malformed(context):
+@then("each response is malformed")
+def responses_are_malformed(context):
     for row in context.table:
-        connection, result = answered_with(bytes_of(row["answer"]))
+        connection, result = receive_response(bytes_of(row["response"]))
         assert (
             result is not None
             and result.outcome is AttemptOutcome.CONNECTION_BROKEN
             and not connection.is_reusable
-        ), row["answer"]
+        ), row["response"]
 
 
 async def exchange(port: int, data: bytes) -> bytes:
-    """What comes back on one connection, until it is closed or the answer to the lookup is whole."""
+    """Return the bytes received on a new connection until it is closed or the lookup is answered."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(data)
     received = b""
@@ -103,7 +108,7 @@
         async with asyncio.timeout(2):
             while not received.endswith(b"w1 after") and (part := await reader.read(2**16)):
                 received += part
-                if b"Connection: close" in received:  # as clients heed it
+                if b"Connection: close" in received:  # a client must not use the connection any more
                     break
     except ConnectionResetError:
         pass
@@ -111,8 +116,8 @@
     return received
 
 
-def simulate(context, scenario):
-    """What `scenario(simulation)` returns, with workers by these scripts."""
+def run_scenario(context, scenario):
+    """Run a scenario with the workers of `context.scripts`, and return its result."""
 
     async def run():
         simulation = ProxySimulation()
@@ -125,7 +130,7 @@
     return asyncio.run(run())
 
 
-# rows of the scenario below, by their fields: requests that the HTTP parser rejects and logs
+# the fields of the ambiguous requests that the HTTP parser rejects and logs
 REJECTED_BY_PARSER = [
     "hOST: h.example",
     "Content-Length: 2",
@@ -137,7 +142,7 @@
 
 @contextlib.contextmanager
 def parser_errors():
-    """The errors that aiohttp's server logs meanwhile. They are kept out of the output of the tests."""
+    """Collect the errors that aiohttp's server logs, and keep them out of the output of the tests."""
     errors = []
     handler = logging.Handler()
     handler.emit = lambda record: errors.append(record.exc_info[1])
@@ -152,7 +157,7 @@
 
 
 @when("a client sends each of these and then an idempotent request on the same connection")
-def ambiguous_requests(context):
+def client_sends_ambiguous_requests(context):
     async def scenario(simulation):
         rejected_by_parser = []
         for row in context.table:
@@ -162,7 +167,7 @@
             head = "\r\n".join(lines) + "\r\n\r\n"
             with parser_errors() as errors:
                 received = await exchange(
-                    simulation.port, bytes_of(head) + body + LOOKUP.encode() * bool(body)
+                    simulation.port, bytes_of(head) + body + LOOKUP_REQUEST.encode() * bool(body)
                 )
             assert all(isinstance(error, BadHttpMessage) for error in errors), errors
             rejected_by_parser += [row["fields"]] * len(errors)
@@ -176,75 +181,77 @@
         assert rejected_by_parser == REJECTED_BY_PARSER, rejected_by_parser
         return simulation.transcript
 
-    context.transcript = simulate(context, scenario)
+    context.transcript = run_scenario(context, scenario)
 
 
 @then('the transcript of those connections is "{name}"')
-def ambiguous_requests_transcript(context, name):
+def transcript_is_approved(context, name):
     approve(name, context.transcript)
 
 
-@then('a HEAD is answered 200 with "{length}" and no body, and its connection is kept')
-def head_request(context, length):
+@then('a HEAD request gets status 200 with "{length}" and no body, and its connection is reused')
+def head_response_has_no_body(context, length):
     async def scenario(simulation):
         received = await exchange(
             simulation.port,
-            (LOOKUP.replace("GET", "HEAD").replace("after", "r") + LOOKUP).encode(),
+            (LOOKUP_REQUEST.replace("GET", "HEAD").replace("after", "r") + LOOKUP_REQUEST).encode(),
         )
         return received.decode().partition("\r\n\r\n"), simulation.proxy.connection_pool.opened
 
-    (head, _, rest), opened = simulate(context, scenario)
+    (head, _, rest), connections_opened = run_scenario(context, scenario)
     assert head.startswith("HTTP/1.1 200") and length in head.split("\r\n"), head
-    assert rest.startswith("HTTP/1.1 200") and opened == 1, (rest, opened)
+    assert rest.startswith("HTTP/1.1 200") and connections_opened == 1, (rest, connections_opened)
 
 
 @when("a client disconnects while its non-idempotent request is at the worker")
 def client_disconnects(context):
-    async def scenario(simulation, half: bool):
+    async def scenario(simulation, half_close: bool):
         worker = simulation.workers["w1"]
         reader, writer = await asyncio.open_connection("127.0.0.1", simulation.port)
-        writer.write(LOOKUP.replace("GET /look/9", "POST /pay/1").replace("after", "gone").encode())
+        writer.write(LOOKUP_REQUEST.replace("GET /look/9", "POST /pay/1").replace("after", "gone").encode())
         await worker.reached.wait()
-        writer.write_eof() if half else writer.transport.abort()
-        answered = await reader.read() if half else b""
+        writer.write_eof() if half_close else writer.transport.abort()
+        bytes_received = await reader.read() if half_close else b""
         worker.released.set()
         while simulation.proxy.request_handler.in_flight:
             await asyncio.sleep(0)
         await simulation.send("POST", "/pay/2", "next", "x")
         writer.close()
-        return simulation.transcript, answered, simulation.proxy.connection_pool.opened
+        return simulation.transcript, bytes_received, simulation.proxy.connection_pool.opened
 
-    context.results = [simulate(context, partial(scenario, half=half)) for half in (False, True)]
+    context.results = [
+        run_scenario(context, partial(scenario, half_close=half_close)) for half_close in (False, True)
+    ]
 
 
-@then("its request ran once, and the next client gets its own answer on that connection")
-def ran_once(context):
-    for lines, answered, opened in context.results:
+@then("its request runs once, and the next client gets its own response on that connection")
+def request_runs_once(context):
+    for lines, bytes_received, connections_opened in context.results:
         assert [line.split()[4] for line in lines if " gets POST" in line] == ["gone", "next"], lines
-        assert "client gets 200 'w1 next'" in lines[-1] and answered == b"" and opened == 1, (lines, opened)
+        assert (
+            "client gets 200 'w1 next'" in lines[-1] and bytes_received == b"" and connections_opened == 1
+        ), (lines, connections_opened)
 
 
 @when("a client sends a body that the worker does not read")
-def early_answer(context):
+def client_sends_unread_body(context):
     async def scenario(simulation):
         await simulation.send("POST", "/pay/1", "large", "x" * 2**24)
         await simulation.send("POST", "/pay/2", "next", "x")
         return simulation.transcript, simulation.proxy.connection_pool.opened
 
-    context.results = simulate(context, scenario)
+    context.results = run_scenario(context, scenario)
 
 
 @then("the client gets the worker's 503, and the next request is sent on another connection")
-def early_answer_forwarded(context):
-    lines, opened = context.results
+def early_response_is_forwarded(context):
+    lines, connections_opened = context.results
     assert [line.split()[2] for line in lines if "client gets" in line] == ["503", "200"], lines
-    assert opened == 2, opened
+    assert connections_opened == 2, connections_opened
 
 
-@then(
-    "a non-idempotent request whose connection takes longer than its deadline is answered 503 and never sent"
-)
-def connected_too_late(context):
+@then("a non-idempotent request is not sent and gets status 503 if connecting exceeds its deadline")
+def late_connection_is_not_used(context):
     async def scenario(simulation):
         acquire, until = simulation.proxy.connection_pool.acquire, simulation.proxy.sessions.loop.time() + 0.1
 
@@ -258,28 +265,31 @@
         await simulation.send("POST", "/pay/1", "late", "x", "X-Deadline-Ms: 90")
         return simulation.transcript
 
-    transcript = simulate(context, scenario)
+    transcript = run_scenario(context, scenario)
     assert len(transcript) == 2 and "client gets 503" in transcript[1], transcript
 
 
-@then("an empty X-Attempt-Id is answered 400, and nothing is forwarded")
-def empty_id(context):
+@then("a request with an empty X-Attempt-Id gets status 400 and is not forwarded")
+def empty_id_is_rejected(context):
     async def scenario(simulation):
-        empty = LOOKUP.replace("X-Attempt-Id: after", "X-Attempt-Id:")
-        received = await exchange(simulation.port, (empty + LOOKUP).encode())
+        empty = LOOKUP_REQUEST.replace("X-Attempt-Id: after", "X-Attempt-Id:")
+        received = await exchange(simulation.port, (empty + LOOKUP_REQUEST).encode())
         return received, simulation.workers["w1"].arrivals
 
-    received, arrivals = simulate(context, scenario)
+    received, arrivals = run_scenario(context, scenario)
     assert received.startswith(b"HTTP/1.1 400") and len(arrivals) == 1, (received, arrivals)
 
 
-BODY = "POST /pay/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: r1\r\nX-Deadline-Ms: 100\r\n"
-CHUNKED = BODY + "Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n"
-INCOMPLETE = BODY + "Content-Length: 2\r\n\r\nx"
+REQUEST_WITHOUT_BODY = "POST /pay/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: r1\r\nX-Deadline-Ms: 100\r\n"
+INCOMPLETE_CHUNKS = REQUEST_WITHOUT_BODY + "Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n"
+INCOMPLETE_BODY = REQUEST_WITHOUT_BODY + "Content-Length: 2\r\n\r\nx"
 
 
 async def start_request(simulation, data: str):
-    """A request whose body has begun to come."""
+    """Send a part of a request, and wait until the proxy has the request in flight.
+
+    Returns the client's reader and writer.
+    """
     reader, writer = await asyncio.open_connection("127.0.0.1", simulation.port)
     writer.write(data.encode())
     while not simulation.proxy.request_handler.in_flight:
@@ -287,11 +297,11 @@
     return reader, writer
 
 
-@then("a body with a malformed chunk, or an incomplete one, is answered 408 at its client's deadline")
-def incomplete_bodies(context):
+@then("a request with a malformed chunk or an incomplete body gets status 408 at its deadline")
+def incomplete_bodies_time_out(context):
     async def scenario(simulation):
         statuses = []
-        for first_part, last_part in ((CHUNKED, b"ZZ\r\n"), (INCOMPLETE, b"")):
+        for first_part, last_part in ((INCOMPLETE_CHUNKS, b"ZZ\r\n"), (INCOMPLETE_BODY, b"")):
             reader, writer = await start_request(simulation, first_part)
             writer.write(last_part)
             async with asyncio.timeout(1):
@@ -299,13 +309,13 @@
             writer.close()
         return statuses, simulation.workers["w1"].arrivals, simulation.proxy.request_handler.in_flight
 
-    assert simulate(context, scenario) == ([b"HTTP/1.1 408"] * 2, [], 0)
+    assert run_scenario(context, scenario) == ([b"HTTP/1.1 408"] * 2, [], 0)
 
 
-@then("a client that disconnects within its body leaves no state behind")
-def disconnects_in_body(context):
+@then("a client that disconnects within its body leaves no request in flight and no body bytes")
+def disconnect_within_body(context):
     async def scenario(simulation):
-        _, writer = await start_request(simulation, INCOMPLETE)
+        _, writer = await start_request(simulation, INCOMPLETE_BODY)
         writer.transport.abort()
         while simulation.proxy.request_handler.in_flight:
             await asyncio.sleep(0)
@@ -315,21 +325,21 @@
             simulation.proxy.request_handler.responses_by_class,
         )
 
-    assert simulate(context, scenario) == ([], 0, {4: 1})
+    assert run_scenario(context, scenario) == ([], 0, {4: 1})
 
 
-@then("a keyed idempotent request is answered 200 over {count:d} connections")
-def not_run_twice(context, count):
+@then("a keyed idempotent request gets status 200 after attempts on {count:d} connections")
+def rejected_twice_on_one_connection(context, count):
     async def scenario(simulation):
         await simulation.send("GET", "/keyed/1", "k", "", "X-Shard-Key: 7")
         return simulation.transcript[-1], simulation.proxy.connection_pool.opened
 
-    answer_line, opened = simulate(context, scenario)
-    assert "client gets 200" in answer_line and opened == count, (answer_line, opened)
+    answer_line, connections_opened = run_scenario(context, scenario)
+    assert "client gets 200" in answer_line and connections_opened == count, (answer_line, connections_opened)
 
 
-@then('one is closed after each of "{steps}", and when unsolicited bytes arrive')
-def closed_after_surplus(context, steps):
+@then('a connection is closed after each of the worker steps "{steps}" and after unsolicited bytes')
+def connection_is_closed_after_surplus(context, steps):
     async def scenario(simulation):
         await simulation.send("POST", "/pay/1", "u", "x", "X-Deadline-Ms: 100")
         open_connections = simulation.workers["w1"].open_connections
@@ -341,13 +351,13 @@
 
     for step in steps.split(", "):
         context.scripts = {"w1": [step]}
-        simulate(context, scenario)
+        run_scenario(context, scenario)
     context.scripts = {"w1": ["unasked"]}
-    assert simulate(context, scenario) == 1  # it was kept until those bytes came
+    assert run_scenario(context, scenario) == 1  # it is kept until the unsolicited bytes arrive
 
 
-@then("one that is closing carries no request")
-def closing_connection(context):
+@then("a closing connection sends no request")
+def closing_connection_sends_nothing(context):
     async def run():
         connection = WorkerConnection(asyncio.get_running_loop())
         connection.connection_made(SimpleNamespace(is_closing=lambda: True, abort=lambda: None))
--- a/tests/simulation/worker_connections.py
+++ b/tests/simulation/worker_connections.py
@@ -1,9 +1,15 @@
-"""Two requests, one of which is not idempotent, over connections to two workers that do whatever workers may.
+"""Simulates requests over connections to two workers that behave in any way that a worker may.
 
-The simulation applies what a worker and the network did, event by event; the proxy's own connection states,
-connection pool and request attempts answer. After each event, what the workers executed is compared with what
-the clients were answered: the rules MIXED, TWICE, REFUSED and UNASKED. All orders of events up to a depth are
-played, and random ones beyond it.
+Some of the requests are not idempotent. The simulation applies one event of a worker or of the network at a
+time to the proxy's own connection states, connection pool and request attempts. After each event it compares
+the requests that the workers executed with the replies that the clients received. The rules are:
+
+- MIXED: a reply is a response of a worker to the same request, or an error of the proxy.
+- TWICE: a non-idempotent request is executed once at most.
+- REFUSED: a non-idempotent request is not executed if its reply promises that.
+- UNASKED: a worker does not read a part of a body as a request.
+
+All orders of events up to a given length are run, and random orders of more events.
 """
 
 import contextlib
@@ -27,35 +33,43 @@
 from tests.simulation.digests import record_event
 from tests.simulation.proxy import CONFIG, answer
 
-CONFIGURATION_UNDER_TEST = build_configuration(CONFIG).ok_value
+TESTED_CONFIGURATION = build_configuration(CONFIG).ok_value
 TWO_REQUESTS = ("effect", "lookup")
 ROUTES = {
-    "effect": CONFIGURATION_UNDER_TEST.find_route("h.example", "/pay/1"),
-    "lookup": CONFIGURATION_UNDER_TEST.find_route("h.example", "/look/1"),
+    "effect": TESTED_CONFIGURATION.find_route("h.example", "/pay/1"),
+    "lookup": TESTED_CONFIGURATION.find_route("h.example", "/look/1"),
 }
 MANY_REQUESTS = tuple(f"{kind}{place}" for place in range(4) for kind in TWO_REQUESTS)
-# what a worker may do with a request that is there
+# what a worker may do with a request that has arrived
 WORKER_ACTIONS = (
     "run",
-    "error",
-    "refuse",
-    "bare",
-    "double",
-    "part",
-    "late",
-    "refuse late",
-    "error part",
-    "cut",
+    "run, status 500",
+    "reject",
+    "run, 503 without X-Not-Run",
+    "run, response twice",
+    "run, partial second head",
+    "run, second response late",
+    "reject, second response late",
+    "run, status 500, partial second head late",
+    "run, body cut",
+)
+WORKER_ACTIONS += (
+    "run, head cut",
+    "close",
+    "run, close",
+    "invalid bytes",
+    "reject before the body",
+    "reject after a foreign response",
+    "reject without an id",
 )
-WORKER_ACTIONS += ("cut head", "drop", "run drop", "noise", "early", "foreign", "anonymous")
 
 
-class RuleBroken(AssertionError):
-    """A rule that did not hold."""
+class RuleViolation(AssertionError):
+    """A rule of the module's docstring is violation."""
 
 
 class SimulatedConnection(SimpleNamespace):
-    """A connection as the pool has it, and its worker's end."""
+    """A connection with the attributes that the pool uses, and the state of its worker's end."""
 
     @property
     def is_reusable(self) -> bool:
@@ -66,7 +80,7 @@
 
 
 class ExchangeSimulation:
-    """The requests, connections and workers, and what happened so far. removed_guard: one taken out."""
+    """The requests, connections and workers. `removed_guard` names the guard that does not act, or is ""."""
 
     def __init__(self, keyed: bool, removed_guard: str = "", names: tuple[str, ...] = TWO_REQUESTS) -> None:
         self.keyed, self.removed_guard, self.names = keyed, removed_guard, names
@@ -77,8 +91,10 @@
         self.in_flight: dict[str, SimulatedConnection] = {}
         self.replies: dict[str, FinalReply] = {}
         self.executed: list[str] = []
-        self.answers_given: dict[str, list[tuple]] = {name: [] for name in names}
-        self.abandoned: list[str] = []  # requests still at workers, which the proxy has given up
+        self.responses_sent: dict[str, list[tuple]] = {name: [] for name in names}
+        self.abandoned: list[
+            str
+        ] = []  # requests still at a worker after their exchange has ended at the proxy
         self.load_balancer = SimpleNamespace(
             affinity_worker=lambda *_: None,
             choose_worker=lambda now, service, key, request_id, tried, idempotent: next(
@@ -89,28 +105,28 @@
             in_handover=lambda *_: False,
         )
 
-    # --- the proxy
+    # --- events at the proxy
 
-    def begin(self, name: str) -> None:
+    def start_request(self, name: str) -> None:
         route, key = ROUTES[name.rstrip("0123456789")], 7 if self.keyed else None
         self.request_attempts[name] = RequestAttempts(0.0, route, "plain", key, name, 1.5)
-        self.proceed(name)
+        self.advance_request(name)
 
-    def proceed(self, name: str) -> None:
+    def advance_request(self, name: str) -> None:
         while name not in self.in_flight and name not in self.replies:
             attempts = self.request_attempts[name]
             step = attempts.next_step(self.now[name], self.load_balancer, self.retry_budget)
             if isinstance(step, WaitUntil):
                 self.now[name] = step.until
             elif isinstance(step, SendToWorker):
-                self.send(name, step.instance_id)
+                self.send_attempt(name, step.instance_id)
             else:
                 self.replies[name] = step
 
-    def send(self, name: str, instance_id: str) -> None:
+    def send_attempt(self, name: str, instance_id: str) -> None:
         attempts = self.request_attempts[name]
-        may_reuse = self.removed_guard == "another connection for the same request"
-        excluded = set() if may_reuse else attempts.used_connections
+        may_use_same_connection = self.removed_guard == "retries on another connection"
+        excluded = set() if may_use_same_connection else attempts.used_connections
         connection = self.connection_pool.take_idle(instance_id, 0.0, attempts.non_idempotent, excluded)
         if connection is None:
             connection = SimulatedConnection(
@@ -119,14 +135,14 @@
                 instance_id=instance_id,
                 reusable_until=9e9,
                 idle_since=0.0,
-                surplus=b"",
+                late_bytes=b"",
                 closed_by_worker=False,
                 unread_body=False,
                 request_at_worker=None,
             )
             self.connections.append(connection)
         if connection.unread_body:
-            raise RuleBroken("UNASKED: the rest of a body is read as a request")
+            raise RuleViolation("UNASKED: the worker reads the rest of a body as a request")
         attempts.used_connections.add(connection.number)
         record_event("request", self.now[name], name, instance_id, connection.number)
         connection.state.begin_request(name, False)
@@ -134,9 +150,9 @@
         if connection.closed_by_worker:
             self.exchange_ended(connection, connection.state.on_closed())
             return
-        connection.request_at_worker, surplus, connection.surplus = name, connection.surplus, b""
-        if surplus:
-            self.receive(connection, surplus)
+        connection.request_at_worker, late_bytes, connection.late_bytes = name, connection.late_bytes, b""
+        if late_bytes:
+            self.receive(connection, late_bytes)
 
     def receive(self, connection: SimulatedConnection, data: bytes, unsent_bytes: int = 0) -> None:
         self.exchange_ended(connection, connection.state.on_data(data, unsent_bytes))
@@ -146,7 +162,7 @@
             return
         name = connection.state.request_id
         del self.in_flight[name]
-        if connection.request_at_worker is not None:  # the proxy is done with it, its worker is not
+        if connection.request_at_worker is not None:  # the exchange has ended, and the worker has not
             self.abandoned.append(connection.request_at_worker)
             connection.request_at_worker = None
         self.connection_pool.release(connection.instance_id, connection, 9)
@@ -159,88 +175,100 @@
         reply = attempts.attempt_finished(
             self.now[name], connection.instance_id, result.outcome, result.answer
         )
-        answered = reply and (reply.status, reply.response and reply.response.body)
-        record_event("reply", self.now[name], name, connection.number, answered)
+        recorded_reply = reply and (reply.status, reply.response and reply.response.body)
+        record_event("reply", self.now[name], name, connection.number, recorded_reply)
         if reply is not None:
             self.replies[name] = reply
-        self.proceed(name)
+        self.advance_request(name)
 
-    # --- workers and the network
+    # --- events of workers and the network
 
     def possible_events(self) -> list[tuple]:
-        found = [("begin", name) for name in self.names if name not in self.request_attempts]
+        events = [("client sends", name) for name in self.names if name not in self.request_attempts]
         for connection in self.connections:
             if connection.request_at_worker is not None:
-                found += [(act, connection.number) for act in WORKER_ACTIONS]
+                events += [(action, connection.number) for action in WORKER_ACTIONS]
             elif connection.is_reusable and not connection.closed_by_worker:
-                found += [("shut unseen", connection.number), ("shut", connection.number)]
-            if connection.surplus and connection.is_reusable:
-                found.append(("arrives", connection.number))
-        found += [("silence", name) for name in self.in_flight]
-        return found + [("late run", name) for name in sorted(set(self.abandoned))]
+                events += [("idle close unnoticed", connection.number), ("idle close", connection.number)]
+            if connection.late_bytes and connection.is_reusable:
+                events.append(("late bytes arrive", connection.number))
+        events += [("deadline passes", name) for name in self.in_flight]
+        return events + [("abandoned request runs", name) for name in sorted(set(self.abandoned))]
 
-    def apply(self, event: tuple) -> None:
+    def apply_event(self, event: tuple) -> None:
         action, target = event
-        if action == "begin":
-            self.begin(target)
-        elif action == "silence":
+        if action == "client sends":
+            self.start_request(target)
+        elif action == "deadline passes":
             self.now[target] = self.request_attempts[target].deadline
             connection = self.in_flight[target]
             self.exchange_ended(connection, connection.state.on_timeout())
-        elif action == "late run":
+        elif action == "abandoned request runs":
             self.abandoned.remove(target)
             self.executed.append(target)
-        elif action == "arrives":
+        elif action == "late bytes arrive":
             connection = self.connections[target]
-            surplus, connection.surplus = connection.surplus, b""
-            self.receive(connection, surplus)
-        elif action.startswith("shut"):
+            late_bytes, connection.late_bytes = connection.late_bytes, b""
+            self.receive(connection, late_bytes)
+        elif action.startswith("idle close"):
             connection = self.connections[target]
             connection.closed_by_worker = True
-            if action == "shut":
+            if action == "idle close":
                 connection.state.on_closed()
         else:
-            self.act(action, self.connections[target])
+            self.apply_worker_action(action, self.connections[target])
         self.check_rules()
 
-    def act(self, action: str, connection: SimulatedConnection) -> None:
+    def apply_worker_action(self, action: str, connection: SimulatedConnection) -> None:
         name, connection.request_at_worker = connection.request_at_worker, None
-        ran = action not in ("refuse", "refuse late", "drop", "noise", "early", "foreign", "anonymous")
+        ran = action not in (
+            "reject",
+            "reject, second response late",
+            "close",
+            "invalid bytes",
+            "reject before the body",
+            "reject after a foreign response",
+            "reject without an id",
+        )
         self.executed += [name] * ran
-        status = {"error": 500, "error part": 500, "bare": 503}.get(action, 200 if ran else 503)
+        status = {
+            "run, status 500": 500,
+            "run, status 500, partial second head late": 500,
+            "run, 503 without X-Not-Run": 503,
+        }.get(action, 200 if ran else 503)
         body = f"{name} {len(self.executed)}"
         extra = "X-Response-Seal: s" if status == 200 else "X-Other: 1" if ran else "X-Not-Run: 1"
-        complete = answer(status, name, body, extra)
-        head, tail = complete.index(b"X-Attempt"), len(complete) - 3
-        data, unsent_bytes = complete, 0
+        response_bytes = answer(status, name, body, extra)
+        head, tail = response_bytes.index(b"X-Attempt"), len(response_bytes) - 3
+        data, unsent_bytes = response_bytes, 0
         match action:
-            case "double":
-                data += complete
-            case "part":
-                data += complete[: head - 2]  # its first line without the end
-            case "late" | "refuse late":
-                connection.surplus = complete
-            case "error part":
-                connection.surplus = complete[: head - 2]
-            case "cut":
-                data = complete[:tail]
-            case "cut head":
-                data = complete[:head]
-            case "drop" | "run drop":
+            case "run, response twice":
+                data += response_bytes
+            case "run, partial second head":
+                data += response_bytes[: head - 2]  # the status line without its end
+            case "run, second response late" | "reject, second response late":
+                connection.late_bytes = response_bytes
+            case "run, status 500, partial second head late":
+                connection.late_bytes = response_bytes[: head - 2]
+            case "run, body cut":
+                data = response_bytes[:tail]
+            case "run, head cut":
+                data = response_bytes[:head]
+            case "close" | "run, close":
                 data = b""
-            case "noise":
+            case "invalid bytes":
                 data = b"\0\1 no answer\r\n\r\n"
-            case "early":
+            case "reject before the body":
                 unsent_bytes, connection.unread_body = 9, True
-            case "foreign":
-                data = answer(200, "another", "another's") + complete
-            case "anonymous":
-                data = complete.replace(b"X-Attempt-Id", b"X-Other")
-        if data[: len(complete)] == complete or action == "foreign":
-            self.answers_given[name].append((status, body))
+            case "reject after a foreign response":
+                data = answer(200, "another", "another's") + response_bytes
+            case "reject without an id":
+                data = response_bytes.replace(b"X-Attempt-Id", b"X-Other")
+        if data[: len(response_bytes)] == response_bytes or action == "reject after a foreign response":
+            self.responses_sent[name].append((status, body))
         if data:
             self.receive(connection, data, unsent_bytes)
-        if action in ("cut", "cut head", "drop", "run drop"):
+        if action in ("run, body cut", "run, head cut", "close", "run, close"):
             connection.closed_by_worker = True
             self.exchange_ended(connection, connection.state.on_closed())
 
@@ -248,24 +276,26 @@
 
     def check_rules(self) -> None:
         if any(self.executed.count(name) > 1 for name in self.names if name.startswith("effect")):
-            raise RuleBroken("TWICE")
+            raise RuleViolation("TWICE: a non-idempotent request is executed more than once")
         for name, reply in self.replies.items():
             response = reply.response
             if response is not None:
-                if (response.status, response.body.decode()) not in self.answers_given[name]:
-                    raise RuleBroken("MIXED")
+                if (response.status, response.body.decode()) not in self.responses_sent[name]:
+                    raise RuleViolation("MIXED: a reply is not a response to its request")
                 if response.status != reply.status or (response.status == 200) != (
                     "X-Response-Seal" in response.headers_by_name
                 ):
-                    raise RuleBroken("MIXED")
+                    raise RuleViolation("MIXED: a reply mixes the status and the headers of two responses")
             elif reply.status < 400:
-                raise RuleBroken("MIXED")
+                raise RuleViolation("MIXED: the proxy replies with a success of its own")
             promises_not_run = name.startswith("effect") and reply.status in (408, 421, 429, 503)
             if promises_not_run and name in self.executed:
-                raise RuleBroken("REFUSED")
+                raise RuleViolation(
+                    "REFUSED: a request is executed although its reply promises that it is not"
+                )
 
     def state_key(self) -> str:
-        """All that decides what may happen from now on."""
+        """Return a text of all state that determines which events are possible, and their results."""
         connections = []
         for connection in self.connections:
             state = connection.state
@@ -277,7 +307,7 @@
                 state.foreign_response_seen,
             ]
             connections += [
-                connection.surplus,
+                connection.late_bytes,
                 connection.closed_by_worker,
                 connection.unread_body,
                 connection.request_at_worker,
@@ -303,17 +333,17 @@
                 list(self.request_attempts),
                 replies,
                 self.executed,
-                self.answers_given,
+                self.responses_sent,
                 self.abandoned,
                 self.now,
             )
         )
 
 
-# --- guards taken out
+# --- removal of guards
 
 
-class TakesAnyId(WorkerConnectionState):
+class AcceptsAnyId(WorkerConnectionState):
     def on_data(self, data: bytes, unsent_bytes: int = 0) -> ExchangeResult | None:
         return super().on_data(
             re.sub(rb"(?<=X-Attempt-Id: )\w+", self.request_id.encode(), data), unsent_bytes
@@ -328,7 +358,7 @@
         return result
 
 
-class TakesTruncated(WorkerConnectionState):
+class AcceptsTruncated(WorkerConnectionState):
     def on_closed(self) -> ExchangeResult | None:
         head, received = self.parser.response_head, bytes(self.parser.buffer)
         result = super().on_closed()
@@ -338,11 +368,11 @@
 
 
 STATES_WITHOUT_GUARD = {
-    "answers matched by id": TakesAnyId,
+    "responses matched by id": AcceptsAnyId,
     "connections with surplus bytes closed": KeepsSurplusBytes,
-    "truncated answers rejected": TakesTruncated,
+    "truncated responses rejected": AcceptsTruncated,
 }
-NEVER = re.compile(rb"(?!)")
+NEVER_MATCHES = re.compile(rb"(?!)")
 
 
 def new_connection_state(removed_guard: str) -> WorkerConnectionState:
@@ -350,11 +380,11 @@
 
 
 def without_guard(removed_guard: str):
-    """The module's guards that are no method's."""
-    if removed_guard == "unconfirmed promises of not run withheld":
+    """Return a context in which a guard that is a module's constant is removed."""
+    if removed_guard == "unconfirmed not-run statuses replaced":
         return patch.object(request_attempts, "STATUSES_PROMISING_NOT_RUN", ())
     if removed_guard == "embedded status lines rejected":
-        return patch.object(response_parser, "EMBEDDED_STATUS_LINE", NEVER)
+        return patch.object(response_parser, "EMBEDDED_STATUS_LINE", NEVER_MATCHES)
     return contextlib.nullcontext()
 
 
@@ -364,54 +394,63 @@
 def simulation_after(events_so_far: list[tuple], keyed: bool, removed_guard: str = "") -> ExchangeSimulation:
     simulation = ExchangeSimulation(keyed, removed_guard)
     for event in events_so_far:
-        simulation.apply(event)
+        simulation.apply_event(event)
     return simulation
 
 
-def play_all_orders(
+def run_all_orders(
     depth: int, keyed: bool, removed_guard: str = "", max_events: int = 10**9
 ) -> tuple[int, int]:
-    """Run all orders of so many events; how many states and events there were. Raises RuleBroken."""
-    seen_states, events, level = set(), 0, [[]]
+    """Run all orders of up to `depth` events.
+
+    Returns the numbers of different states and of events. Raises RuleViolation.
+    """
+    seen_states, event_count, traces = set(), 0, [[]]
     with without_guard(removed_guard):
         for _ in range(depth):
-            next_level = []
-            for events_so_far in level:
+            next_traces = []
+            for events_so_far in traces:
                 for event in simulation_after(events_so_far, keyed, removed_guard).possible_events():
-                    events += 1
-                    if events > max_events:
-                        return len(seen_states), events
+                    event_count += 1
+                    if event_count > max_events:
+                        return len(seen_states), event_count
                     trace = [*events_so_far, event]
                     try:
-                        reached = simulation_after(trace, keyed, removed_guard).state_key()
-                    except RuleBroken as broken:
-                        raise RuleBroken(f"{broken} after {events} events: {trace}") from None
-                    if reached not in seen_states:
-                        seen_states.add(reached)
-                        next_level.append(trace)
-            level = next_level
-    return len(seen_states), events
+                        state = simulation_after(trace, keyed, removed_guard).state_key()
+                    except RuleViolation as violation:
+                        raise RuleViolation(f"{violation} after {event_count} events: {trace}") from None
+                    if state not in seen_states:
+                        seen_states.add(state)
+                        next_traces.append(trace)
+            traces = next_traces
+    return len(seen_states), event_count
 
 
 def play_random(seed: int, steps: int, keyed: bool, removed_guard: str = "") -> int:
-    """One random run of many requests; how many events it had."""
-    random_events, simulation = random.Random(seed), ExchangeSimulation(keyed, removed_guard, MANY_REQUESTS)
+    """Run up to `steps` random events on many requests.
+
+    Returns the number of events. Raises RuleViolation.
+    """
+    rng, simulation = random.Random(seed), ExchangeSimulation(keyed, removed_guard, MANY_REQUESTS)
     with without_guard(removed_guard):
         for count in range(steps):
             events = simulation.possible_events()
             if not events:
                 return count
-            simulation.apply(random_events.choice(events))
+            simulation.apply_event(rng.choice(events))
     return steps
 
 
-# --- bytes of one answer
+# --- the bytes of a single response
 
 
-def answered_with(
+def receive_response(
     data: bytes, cuts: tuple[int, ...] = (), head_request: bool = False
 ) -> tuple[WorkerConnectionState, ExchangeResult | None]:
-    """A connection whose request "r" was answered with these bytes, in pieces cut at these places."""
+    """Receive these bytes, in pieces that begin at the indexes `cuts`, as the response to the request "r".
+
+    Returns the state of the connection, and the result of the exchange or None.
+    """
     connection, result = WorkerConnectionState(), None
     connection.begin_request("r", head_request)
     for start, end in zip((0, *cuts), (*cuts, len(data)), strict=True):
