--- a/bramblewood/common/configuration.py
+++ b/bramblewood/common/configuration.py
@@ -13,7 +13,7 @@
     label: str
     host: str
     path_prefix: str
-    pure: bool
+    pure: bool  # whether its requests are idempotent
     timeout: float
     latency_target: float
     priority: int  # 0 is the highest
@@ -23,7 +23,7 @@
     pinned: bool = False
 
     def choose_service(self, request_id: str) -> str:
-        """Return the service of a request. It is a function of the request id, and follows the shares."""
+        """Return a service for a request id. It is always the same for one id, and follows the shares."""
         total_share = sum(share for _, share in self.targets)
         remaining = zlib.crc32(b"share" + request_id.encode()) / 2**32 * total_share
         for service, share in self.targets:
@@ -40,7 +40,7 @@
     health_path: str
     max_connections: int  # to each worker, from all proxies together; 0 for no limit
     sharded: bool
-    warm_up_seconds: float  # how long requests for keys without a handover are slow at their new worker
+    warm_up_seconds: float  # how long a worker is slow for keys that it received without a handover
     read_replicas: bool = False  # whether replicas may serve reads
 
 
@@ -71,7 +71,8 @@
     def find_route(self, host: str, path: str) -> Route | None:
         """Return the host's route with the longest matching path prefix, or None if there is none.
 
-        If the host as given has no routes, its port is ignored. So is the query of the path.
+        If there are no routes for the host with its port, those for the host without the port are used. The
+        query in the path is ignored.
         """
         routes = self.routes_by_host.get(host.lower())
         if not routes:
--- a/bramblewood/common/logs.py
+++ b/bramblewood/common/logs.py
@@ -10,9 +10,8 @@
 
 import logbook
 
-MAX_LINES_PER_SECOND = (
-    40  # limits the processor time that logging takes from requests while many faults occur
-)
+# limits the processor time that logging takes from requests while many faults occur
+MAX_LINES_PER_SECOND = 40
 
 
 class JsonLineHandler(logbook.Handler):
--- a/bramblewood/common/messages/with_proxies.py
+++ b/bramblewood/common/messages/with_proxies.py
@@ -108,7 +108,7 @@
 
 
 class UpdateRequest(NamedTuple):
-    """A proxy requests the newest version of a register from a controller, subscribed to it or not."""
+    """A proxy requests the newest version of a register. It need not have subscribed to the controller."""
 
     register: str
     version: int  # the version that the proxy has; 0 for none
@@ -135,7 +135,7 @@
     keys: dict[str, Any] | None = None  # the number of requests, by service and key, in watched ranges
     table_version: int | None = None  # the version that the proxy follows; only during a drain plan
     # by worker in a drain plan: the idempotent requests in flight, the non-idempotent requests and bound
-    # keys, and the s since the oldest request was sent
+    # keys, and the age in s of the oldest request
     in_flight: dict[str, Any] | None = None
 
     @classmethod
--- a/bramblewood/common/slice_table.py
+++ b/bramblewood/common/slice_table.py
@@ -88,12 +88,12 @@
 
 
 def with_readers(row: Row, readers: list[str], version: int) -> Row:
-    """Return the row with exactly these active readers.
+    """Return the row in which the workers in `readers` are readers, and all other readers are removed.
 
     `version` is the version of the table that contains the new row. It is recorded for each reader that is
-    added or removed. A removed reader stays in the row, and stays removed even if `readers` contains it. The
-    caller deletes it once its last lease has expired. Until then its replica can be read, and the response to
-    a write must wait.
+    added or removed. The row still contains a removed reader, since its replica can be read until its last
+    lease has expired, and responses to writes must wait for that. Such a reader stays removed even if
+    `readers` contains it.
     """
     versions = {
         instance_id: recorded_version if recorded_version < 0 or instance_id in readers else -version
--- a/bramblewood/common/timeouts.py
+++ b/bramblewood/common/timeouts.py
@@ -29,7 +29,7 @@
 
 
 def lease_expiry(duration: float) -> float:
-    """Return the s after which every lease that rests on an older table has expired.
+    """Return the time in s after which every lease that rests on an older table has expired.
 
     The time runs from the moment at which a change of the table is known. `duration` is the duration of each
     lease in s.
--- a/bramblewood/common/worker_connection.py
+++ b/bramblewood/common/worker_connection.py
@@ -17,8 +17,8 @@
 UNACKNOWLEDGED_DATA_TIMEOUT_MS = 500
 KEEP_ALIVE_FRACTION = 0.6  # of the time for which a worker states that it keeps an idle connection
 DEFAULT_KEEP_ALIVE = 0.8  # s, if the worker states no time; a stated time is in whole seconds
-# bounds of the s that a new connection is watched for a reset before a request is sent; the lower bound is
-# the resolution of a timer
+# bounds of the time in s that a new connection is watched for a reset before a request is sent; the lower
+# bound is the resolution of a timer
 MIN_RESET_WATCH, MAX_RESET_WATCH = 0.001, 0.02
 
 _connection_numbers = itertools.count(1)
@@ -129,7 +129,10 @@
 
 
 def keep_alive_seconds(header: str) -> float:
-    """Return the s for which an idle connection may be reused, from a header such as `timeout=10`."""
+    """Return the time in s for which an idle connection may be reused.
+
+    `header` is the value of a `Keep-Alive` header such as `timeout=10`.
+    """
     _, _, value = header.partition("timeout=")
     number = value.partition(",")[0].strip()
     return int(number) * KEEP_ALIVE_FRACTION if number.isdigit() else DEFAULT_KEEP_ALIVE
@@ -140,10 +143,8 @@
 ) -> tuple[WorkerConnection, float]:
     """Connect to the worker at `host:port`.
 
-    Returns the connection, and the time in s that the TCP handshake took.
-
-    `unacknowledged_ms` is the time for which sent bytes may stay unacknowledged. Raises `WorkerUnreachable`
-    with the outcome NOT_SENT.
+    Returns the connection, and the time in s that the TCP handshake took. `unacknowledged_ms` is the time for
+    which sent bytes may stay unacknowledged. Raises `WorkerUnreachable` with the outcome NOT_SENT.
     """
     loop = asyncio.get_running_loop()
     host, _, port = address.rpartition(":")
--- a/bramblewood/common/worker_registry.py
+++ b/bramblewood/common/worker_registry.py
@@ -72,7 +72,7 @@
         return cls(*(view[key] for key in VIEW_KEYS))
 
     def precedence(self) -> tuple[bool, int, int]:
-        """Return a sort key. Of two registrations of one instance, that with the higher key is merged."""
+        """Return a sort key. Of two registrations of one instance, the higher one takes precedence."""
         return (self.phase == GONE, self.call_sequence, PHASE_ORDER.get(self.phase, 0))
 
 
@@ -81,13 +81,11 @@
 
     def __init__(self) -> None:
         self.registrations: dict[str, WorkerRegistration] = {}
-        self.last_heard: dict[
-            str, float
-        ] = {}  # time of the last contact of any controller or proxy with an instance
-        self.changed_at: dict[
-            str, float
-        ] = {}  # when this registry last changed an instance's phase, address or slots
-        self.warm_at: dict[str, float] = {}  # when an instance's warm-up ends
+        # the time of the last contact of any controller or proxy with an instance
+        self.last_heard: dict[str, float] = {}
+        # the time at which an instance's phase, address or slots last changed in this registry
+        self.changed_at: dict[str, float] = {}
+        self.warm_at: dict[str, float] = {}  # the time at which an instance's warm-up ends
         self.instance_by_address: dict[str, str] = {}  # the newest instance at each address
         self._live_digest: int | None = None  # None: must be computed again
 
@@ -144,8 +142,8 @@
     ) -> tuple[dict[str, RegistrationRow], dict[str, RegistrationRow]]:
         """Merge the rows that another controller or a proxy sent.
 
-        `ages` maps instance ids to the s since the sender's last contact with them.
-        A missing age counts as 0.
+        `ages` contains the time in s since the sender's last contact, by instance id. A missing age counts as
+        0.
 
         Returns the rows that changed this registry, and this registry's rows of the workers that are draining
         or gone and for which the sender's row is older. Raises PeerMessageError if a row is not a
@@ -175,13 +173,13 @@
         }
 
     def record_last_heard(self, now: float, ages: dict[str, float]) -> None:
-        """Merge the s since another controller's last contact with each instance. Ignores unknown ones."""
+        """Merge the ages in s of another controller's last contacts. Unregistered instances are ignored."""
         for instance_id, age in ages.items():
             if instance_id in self.registrations:
                 self._update_last_heard(instance_id, now - age)
 
     def seconds_since_heard(self, now: float, max_age: float) -> dict[str, float]:
-        """Return the s since the last contact with each instance, if they are at most `max_age`."""
+        """Return the ages in s of the last contacts by instance id, as far as they are at most `max_age`."""
         return {
             instance_id: round(now - heard_at, 2)
             for instance_id, heard_at in self.last_heard.items()
--- a/tests/simulation/worker_connections.py
+++ b/tests/simulation/worker_connections.py
@@ -65,7 +65,7 @@
 
 
 class RuleViolation(AssertionError):
-    """A rule of the module's docstring is violation."""
+    """A rule of the module's docstring is broken."""
 
 
 class SimulatedConnection(SimpleNamespace):
@@ -92,9 +92,8 @@
         self.replies: dict[str, FinalReply] = {}
         self.executed: list[str] = []
         self.responses_sent: dict[str, list[tuple]] = {name: [] for name in names}
-        self.abandoned: list[
-            str
-        ] = []  # requests still at a worker after their exchange has ended at the proxy
+        # requests that are still at a worker after their exchange has ended at the proxy
+        self.abandoned: list[str] = []
         self.load_balancer = SimpleNamespace(
             affinity_worker=lambda *_: None,
             choose_worker=lambda now, service, key, request_id, tried, idempotent: next(
@@ -162,7 +161,7 @@
             return
         name = connection.state.request_id
         del self.in_flight[name]
-        if connection.request_at_worker is not None:  # the exchange has ended, and the worker has not
+        if connection.request_at_worker is not None:  # the worker may still run the request
             self.abandoned.append(connection.request_at_worker)
             connection.request_at_worker = None
         self.connection_pool.release(connection.instance_id, connection, 9)
@@ -237,23 +236,23 @@
             "run, 503 without X-Not-Run": 503,
         }.get(action, 200 if ran else 503)
         body = f"{name} {len(self.executed)}"
-        extra = "X-Response-Seal: s" if status == 200 else "X-Other: 1" if ran else "X-Not-Run: 1"
-        response_bytes = answer(status, name, body, extra)
-        head, tail = response_bytes.index(b"X-Attempt"), len(response_bytes) - 3
+        extra_field = "X-Response-Seal: s" if status == 200 else "X-Other: 1" if ran else "X-Not-Run: 1"
+        response_bytes = answer(status, name, body, extra_field)
+        head_cut, body_cut = response_bytes.index(b"X-Attempt"), len(response_bytes) - 3
         data, unsent_bytes = response_bytes, 0
         match action:
             case "run, response twice":
                 data += response_bytes
             case "run, partial second head":
-                data += response_bytes[: head - 2]  # the status line without its end
+                data += response_bytes[: head_cut - 2]  # the status line without its end
             case "run, second response late" | "reject, second response late":
                 connection.late_bytes = response_bytes
             case "run, status 500, partial second head late":
-                connection.late_bytes = response_bytes[: head - 2]
+                connection.late_bytes = response_bytes[: head_cut - 2]
             case "run, body cut":
-                data = response_bytes[:tail]
+                data = response_bytes[:body_cut]
             case "run, head cut":
-                data = response_bytes[:head]
+                data = response_bytes[:head_cut]
             case "close" | "run, close":
                 data = b""
             case "invalid bytes":
