--- a/bramblewood/common/response_parser.py
+++ b/bramblewood/common/response_parser.py
@@ -90,7 +90,9 @@
     if length is None:
         return coding is not None, None
     if not (length.isascii() and length.isdigit() and len(length) <= MAX_LENGTH_DIGITS):
-        raise MalformedResponse(f"expected a number as Content-Length, found {length!r:.60}")
+        raise MalformedResponse(
+            f"expected a Content-Length of 1 to {MAX_LENGTH_DIGITS} digits, found {length!r:.60}"
+        )
     return False, int(length)
 
 
--- a/tests/simulation/worker_connections.py
+++ b/tests/simulation/worker_connections.py
@@ -366,7 +366,7 @@
         return ExchangeResult(AttemptOutcome.ANSWERED, head._replace(body=received))
 
 
-STATES_WITHOUT_GUARD = {
+STATE_CLASSES_WITHOUT_GUARD = {
     "responses matched by id": AcceptsAnyId,
     "connections with surplus bytes closed": KeepsSurplusBytes,
     "truncated responses rejected": AcceptsTruncated,
@@ -375,7 +375,7 @@
 
 
 def new_connection_state(removed_guard: str) -> WorkerConnectionState:
-    return STATES_WITHOUT_GUARD.get(removed_guard, WorkerConnectionState)()
+    return STATE_CLASSES_WITHOUT_GUARD.get(removed_guard, WorkerConnectionState)()
 
 
 def without_guard(removed_guard: str):
