--- a/bramblewood/common/configuration_parser.py
+++ b/bramblewood/common/configuration_parser.py
@@ -19,7 +19,7 @@
 DIGEST_LENGTH = 32  # hexadecimal digits
 
 
-class Table(TypedDict):
+class RecordTable(TypedDict):
     """A table of records. Each record is a list of values in the order of the column names."""
 
     ColumnNames: list[str]
@@ -39,8 +39,8 @@
     """The fields of a configuration."""
 
     Revision: str
-    RouteList: Table
-    ServiceList: Table
+    RouteList: RecordTable
+    ServiceList: RecordTable
     Limits: NotRequired[LimitFields]
     ParentVersion: NotRequired[Any]
 
@@ -141,7 +141,7 @@
     return hashlib.sha256(json.dumps(raw, sort_keys=True).encode()).hexdigest()[:DIGEST_LENGTH]
 
 
-def _parse_services(table: Table, violations: list[SchemaViolation]) -> dict[str, Service]:
+def _parse_services(table: RecordTable, violations: list[SchemaViolation]) -> dict[str, Service]:
     services = {}
     for record in _parse_records(table, ServiceRecord, "ServiceList", violations).values():
         services[record["Label"]] = Service(
@@ -156,7 +156,7 @@
 
 
 def _parse_routes(
-    table: Table, services: dict[str, Service], violations: list[SchemaViolation]
+    table: RecordTable, services: dict[str, Service], violations: list[SchemaViolation]
 ) -> dict[str, dict[str, Route]]:
     """Return the routes by host, then by path prefix.
 
@@ -178,7 +178,7 @@
 
 
 def _parse_records(
-    table: Table, schema: type, name: str, violations: list[SchemaViolation]
+    table: RecordTable, schema: type, name: str, violations: list[SchemaViolation]
 ) -> dict[str, dict[str, Any]]:
     """Return the valid records by their paths.
 
--- a/bramblewood/common/timeouts.py
+++ b/bramblewood/common/timeouts.py
@@ -15,11 +15,9 @@
 MAX_TRANSIT_TIME = 0.3
 # a worker is silent if no heartbeat of it arrives for this many of its heartbeat intervals
 MISSED_HEARTBEATS = 3.2
-# the longest time from the sending of a call to its arrival; TCP retransmits lost packets until the socket
-# times out
+# the longest time from sending a call to its arrival; TCP retransmits packets until the socket times out
 MAX_CALL_TRANSIT = UNACKNOWLEDGED_TIMEOUT_MS / 1000 + MAX_TRANSIT_TIME
-# the lease of a read replica; an unreachable replica delays the response to a write for as long as a call may
-# take
+# the lease of a read replica; an unreachable replica delays the response to a write by the time of a call
 READ_LEASE_DURATION = 1.0
 # from the announcement of a new reader to its first lease: the age of a quorum's answer, the transit of the
 # confirmation, and the time in which proxies use the confirmation
