--- a/bramblewood/common/configuration.py
+++ b/bramblewood/common/configuration.py
@@ -19,7 +19,7 @@
     priority: int  # 0 is the highest
     max_attempts: int
     targets: tuple[tuple[str, float], ...]
-    # whether a client's requests without a slice key stay at the worker that served its earlier requests
+    # whether requests with the same `X-Shard-Key` stay at one worker, if the service is not sharded
     pinned: bool = False
 
     def choose_service(self, request_id: str) -> str:
@@ -39,7 +39,7 @@
     label: str
     health_path: str
     max_connections: int  # to each worker, from all proxies together; 0 for no limit
-    sharded: bool
+    sharded: bool  # whether requests are assigned to slices by their `X-Shard-Key`
     warm_up_seconds: float  # how long a worker is slow for keys that it received without a handover
     read_replicas: bool = False  # whether replicas may serve reads
 
--- a/bramblewood/common/messages/__init__.py
+++ b/bramblewood/common/messages/__init__.py
@@ -1,9 +1,10 @@
 """The messages between controllers and proxies, except those of the consensus, and their wire format.
 
-Each message on a connection is a JSON object whose key `k` contains its kind. The class of a message has two
-methods: `to_wire` returns that object, and `from_wire` decodes it. The keys, their order and their values are
-fixed, since machines with different software versions communicate with each other. The key of an optional
-field is left out if the field is None.
+Each message on a connection is a JSON object whose key `k` contains its kind. The method `to_wire` of a
+message returns that object, and the class method `from_wire` decodes it. `Subscribe` and `Unsubscribe` share
+a kind, which `subscription_from_wire` decodes. The keys, their order and their values are fixed, since
+machines with different software versions communicate with each other. The key of an optional field is left
+out if the field is None.
 
 Some keys on the wire are older words than the field names: `archives` are controllers, `desks` are proxies,
 and `rows` are registrations by worker instance id, each in the list form of `WorkerRegistration`.
--- a/bramblewood/common/messages/with_proxies.py
+++ b/bramblewood/common/messages/with_proxies.py
@@ -108,7 +108,7 @@
 
 
 class UpdateRequest(NamedTuple):
-    """A proxy requests the newest version of a register. It need not have subscribed to the controller."""
+    """A proxy requests the changes of a register since a version, from a controller of its choice."""
 
     register: str
     version: int  # the version that the proxy has; 0 for none
--- a/bramblewood/common/settings.py
+++ b/bramblewood/common/settings.py
@@ -222,7 +222,7 @@
 
 def _parse_port_range(ports: list[int]) -> tuple[int, int]:
     if len(ports) != 2 or not 0 < ports[0] <= ports[1] <= MAX_PORT:
-        raise SettingsError(f"PortRange: expected two rising ports, found {ports!r:.60}")
+        raise SettingsError(f"PortRange: expected two ports in ascending order, found {ports!r:.60}")
     return ports[0], ports[1]
 
 
@@ -235,12 +235,10 @@
 
 
 def _parse_bounds(texts: list[str]) -> tuple[Bounds, tuple[str, ...]]:
-    """Parse `name=value` texts.
+    """Parse `name=value` texts. Returns the bounds, and the texts that are not supported.
 
-    Returns the bounds, and the texts with a known name and the value true or false.
-
-    Such a text leaves the default of its bound in force. Unknown names are ignored. Any other value that is
-    not a number of 0 or more raises SettingsError.
+    A text with a known name and the value true or false is not supported, and its bound keeps its default.
+    Unknown names are ignored. Any other value that is not a number of 0 or more raises SettingsError.
     """
     values: dict[str, float] = {}
     unsupported_bounds = []
@@ -266,9 +264,9 @@
 
 
 def _parse_tolerance(fields: ToleranceFields | None) -> Tolerance:
-    """Return the tolerance.
+    """Return the default tolerance if there is no table, and otherwise that of the table.
 
-    Without the table it is the default; in the table, a missing field counts as 0.
+    A field that the table does not contain counts as 0. Raises SettingsError if a field is negative.
     """
     if fields is None:
         return Tolerance()
--- a/bramblewood/common/worker_connection.py
+++ b/bramblewood/common/worker_connection.py
@@ -18,7 +18,7 @@
 KEEP_ALIVE_FRACTION = 0.6  # of the time for which a worker states that it keeps an idle connection
 DEFAULT_KEEP_ALIVE = 0.8  # s, if the worker states no time; a stated time is in whole seconds
 # bounds of the time in s that a new connection is watched for a reset before a request is sent; the lower
-# bound is the resolution of a timer
+# bound is the usual lateness of a timer
 MIN_RESET_WATCH, MAX_RESET_WATCH = 0.001, 0.02
 
 _connection_numbers = itertools.count(1)
