--- a/bramblewood/controller/quorum_io.py
+++ b/bramblewood/controller/quorum_io.py
@@ -22,7 +22,8 @@
 from .runtime import TICK_INTERVAL, Runtime
 from .storage import Storage
 
-# s until an operator's or worker's call fails; callers retry elsewhere after 1 s without a response, PROTOCOL
+# s until an operator's or worker's call fails. PROTOCOL lets callers retry elsewhere after 1 s without a
+# response, so a call fails before that.
 AGREEMENT_TIMEOUT = 0.85
 PROPOSAL_TIMEOUT = 1.0  # s until a proposal without a waiting caller fails
 STALL_TIMEOUT = 0.3  # s that a write may take before this controller ceases to be current
@@ -46,13 +47,13 @@
         self.incarnation = int.from_bytes(os.urandom(4), "big")
         self.pending_writes = PendingWrites({})
         self.writes_in_flight = 0
-        # s, own clock: when the first write in flight began, or a later time at which another write finished;
-        # None while no write is in flight
+        # s, own clock: since when no write has finished while at least one is in flight; None while none is
         self.writing_since: float | None = None
         self.writes_failing_since: float | None = None  # first failed write after the last successful one
         self.next_probe_at = 0.0
-        self.announced_epoch = (-1, False)  # epoch, and whether this controller is an active voter of it
-        self.on_epoch_changed: Callable[[], None] = lambda: None  # called once the epoch is durable
+        self.announced_epoch = (-1, False)  # as of the last call of on_epoch_changed: epoch, is_active_voter
+        # called once a change of the epoch, or of the active vote of this controller, is durable
+        self.on_epoch_changed: Callable[[], None] = lambda: None
         self.on_progress: Callable[[], None] = lambda: None  # called after each step that may choose a value
 
     def restore(
@@ -197,7 +198,7 @@
             if self.writes_failing_since is None:
                 self.writes_failing_since = self.runtime.now()
             self.runtime.log.error("write failed", step="write", problem=problem)
-            unknown_outcomes = [(tag, None) for tag, _ in effects.answers]
+            unknown_outcomes = [(on_outcome, None) for on_outcome, _ in effects.answers]
             self._send_and_answer(no_effects()._replace(answers=unknown_outcomes))
             return
         self.writes_failing_since = None
--- a/bramblewood/controller/sessions.py
+++ b/bramblewood/controller/sessions.py
@@ -2,8 +2,8 @@
 
 Each controller sends heartbeats to every other controller. A heartbeat lists the proposals that its sender
 has accepted, and it echoes the send time of the last heartbeat that the sender received from the receiver.
-The send time is on the receiver's clock. The receiver can therefore conclude that the peer had accepted
-nothing newer than listed at the echoed time.
+The echoed time is on the receiver's clock, and the sender composed the list after that time. The receiver
+can therefore conclude that, at the echoed time, the sender had accepted nothing newer than the list shows.
 
 Quorum contact is valid for QUORUM_CONTACT_VALIDITY s after the oldest echoed time among the newest echoes of
 a majority. A value that a majority chooses later is chosen after that time. A controller that moves keys
@@ -25,7 +25,7 @@
 from .consensus.voter_set import VoterSet, is_voter, majority
 
 HEARTBEAT_INTERVAL = 0.25  # s between heartbeats; three intervals fit into QUORUM_CONTACT_VALIDITY
-PEER_TIMEOUT = 0.9  # s without a heartbeat until a peer counts as absent: three intervals and their transit
+PEER_TIMEOUT = 0.9  # s without a heartbeat until a peer counts as absent: three intervals and a transit time
 
 
 class PeerSession(NamedTuple):
@@ -49,7 +49,7 @@
 
     voter_set: VoterSet | None
     zone: str | None
-    counts_for_tolerance: bool | None  # whether the loss of this zone is one of those that `Tolerance` bounds
+    counts_for_tolerance: bool | None  # whether `Tolerance` bounds the loss of the sender's machine
     controllers: list[str] | None
     proxies: list[str] | None
     digests: dict[str, tuple[tuple, int]] | None = None  # digests of the durable values, by register
@@ -67,9 +67,10 @@
         self.sent_details: dict[str, PeerDetails] = {}  # details sent on the present connection
         self.times_to_echo: dict[str, float] = {}  # send time of each peer's newest heartbeat, on its clock
         self.proxies_by_peer: dict[str, list[str]] = {}  # proxies connected to each peer, as last reported
-        self.zones: dict[str, tuple[str, bool]] = {}  # zone, and whether it counts for the tolerance
-        self.uninterrupted_since: dict[str, float] = {}  # start of each peer's heartbeats without a gap
-        # by register: when this controller had last accepted nothing newer than the known chosen proposal
+        self.zones: dict[str, tuple[str, bool]] = {}  # by peer: zone, counts_for_tolerance
+        self.uninterrupted_since: dict[str, float] = {}  # by peer: when its present run of heartbeats began
+        # by register: the last time at which this controller had accepted nothing newer than the newest
+        # chosen proposal known here
         self.up_to_date_at: dict[str, float] = {}
 
     def forget_sent_details(self, peer: str) -> None:
@@ -89,8 +90,8 @@
 
     def record_heartbeat(self, now: float, peer: str, heartbeat: ControllerHeartbeat) -> None:
         """Replace the session of this peer with the contents of a heartbeat received from it."""
-        before = self.by_peer.get(peer)
-        if before is None or now - before.received_at > PEER_TIMEOUT or before.disk != heartbeat.disk:
+        previous = self.by_peer.get(peer)
+        if previous is None or now - previous.received_at > PEER_TIMEOUT or previous.disk != heartbeat.disk:
             self.uninterrupted_since[peer] = now
         self.by_peer[peer] = PeerSession(
             now,
@@ -125,8 +126,9 @@
         Returns 0.0 where a majority does not confirm this. With no register in `chosen`, the result covers
         contact with a majority alone.
 
-        voters, epoch: the newest voter set known here, by address and disk, and its epoch. A majority of
-        active voters that had not left the epoch when they sent proves that no later epoch had begun.
+        voters, epoch: the newest voter set known here, by address and disk, and its epoch. Only
+        peers that were active voters of this epoch when they sent their heartbeats count: no later epoch
+        begins while a majority is active in this one.
         chosen: the newest chosen proposal known here, by register.
         accepted: the newest proposal that this controller has accepted, by register; None where it does not
         vote. This controller counts with the last time at which it had accepted nothing newer than `chosen`,
