--- a/bramblewood/controller/controller_peers.py
+++ b/bramblewood/controller/controller_peers.py
@@ -13,7 +13,7 @@
 
 KNOWN_CONTROLLERS_FACT = "archives"  # name of a fact on disk
 NO_ECHO = -1e9  # s; sent in place of an echo to a peer from which no heartbeat has arrived
-HEARTBEATS_PER_WORKER_AGES = 4  # one heartbeat in so many reports when workers were last heard
+HEARTBEATS_PER_WORKER_AGES = 4  # one heartbeat out of this many reports when workers were last heard
 MAX_REPORTED_WORKER_AGE = 2.0  # s; workers last heard longer ago are left out of heartbeats
 
 
@@ -34,7 +34,7 @@
     ) -> None:
         self.runtime, self.quorum_io, self.quorum_contact = runtime, quorum_io, quorum_contact
         self.sessions, self.registry, self.proxy_sessions = sessions, registry, proxy_sessions
-        self.known: set[str] = set()  # addresses, without the own one
+        self.known: set[str] = set()  # addresses of the other controllers
         self.connection_changed_at: dict[str, float] = {}  # when a connection came up or was lost, by address
         self.next_heartbeat_at = 0.0
         self.next_seed_reread_at = 0.0
@@ -60,7 +60,7 @@
             self.next_seed_reread_at = now + SEED_REREAD_INTERVAL
 
     def connection_changed(self, peer: str, is_up: bool) -> None:
-        """Record and log that the connection dialled to this controller came up or was lost.
+        """Record and log that the connection which this controller dials to a peer came up or was lost.
 
         A new connection gets a heartbeat with all details at once.
         """
@@ -90,7 +90,9 @@
             session = self.sessions.by_peer.get(peer)
             last_activity_at = max(session.received_at if session else 0.0, self.connection_changed_at[peer])
             if now - last_activity_at > CONNECTION_TIMEOUT:
-                connected[peer].close()  # heartbeats arrive on the peer's own connection: likely a partition
+                # The peer's heartbeats arrive on the connection that the peer dials. Their absence indicates
+                # a partition, even while this connection seems to be up.
+                connected[peer].close()
                 continue
             message = self._heartbeat_for_peer(now, peer, heartbeat, details)
             self.runtime.peer_connections.send(peer, message.to_wire())
@@ -100,7 +102,8 @@
         consensus = self.quorum_io.consensus
         return ControllerHeartbeat(
             sent_at=now,
-            is_voting=self.quorum_io.is_durably_voting(),  # peers shut down and change voters based on it
+            # durable, because peers rely on it when they shut down or change voters
+            is_voting=self.quorum_io.is_durably_voting(),
             is_current=self.quorum_contact.is_current(now),
             accepted={register: consensus.acceptors[register].accepted for register in ALL_REGISTERS},
             durable=consensus.durable_accepted,
--- a/bramblewood/controller/peer_handlers.py
+++ b/bramblewood/controller/peer_handlers.py
@@ -136,12 +136,13 @@
         if heartbeat.members is not None:
             voter_set_from(heartbeat.members)
         self.sessions.record_heartbeat(now, peer, heartbeat)
-        if (
-            heartbeat.echo < 0
-        ):  # the peer has none to echo yet: at a start, contact does not wait for the interval
+        # The peer has no heartbeat to echo yet. It gets one at once, so that quorum contact need not wait for
+        # the next interval.
+        if heartbeat.echo < 0:
             self.controller_peers.send_heartbeats(now, peer)
         is_first_on_connection = heartbeat.zone is not None
-        if heartbeat.digests is not None or is_first_on_connection:  # compared before the rest is used
+        # The digests are compared first, because `_learn_from_heartbeat` ignores peers whose content differs.
+        if heartbeat.digests is not None or is_first_on_connection:
             self.content_watch.record(peer, heartbeat.digests or {})
         self.registry.record_last_heard(now, heartbeat.worker_ages or {})
         self._learn_from_heartbeat(now, peer, heartbeat)
@@ -165,10 +166,12 @@
             if proposal_number != NO_PROPOSAL and heartbeat.is_voting:
                 consensus.record_acceptance(now, peer, heartbeat.disk, register, proposal_number, effects)
         self.quorum_io.execute(effects)
-        rolled_back = consensus.check_disk_rollback(heartbeat.epoch, heartbeat.bound or {}, new_disk_name())
-        if rolled_back.facts:
+        rollback_effects = consensus.check_disk_rollback(
+            heartbeat.epoch, heartbeat.bound or {}, new_disk_name()
+        )
+        if rollback_effects.facts:
             self.runtime.log.error("disk rolled back", step="epoch", peer=peer, disk=consensus.disk)
-            self.quorum_io.execute(rolled_back)
+            self.quorum_io.execute(rollback_effects)
 
     def handle_registry_update(self, connection: PeerConnection, message: dict) -> None:
         """Merge the registrations that a controller or a proxy forwards.
