--- a/bramblewood/controller/deregistration.py
+++ b/bramblewood/controller/deregistration.py
@@ -1,4 +1,4 @@
-"""Deregistrations: a worker's `draining` or last call is confirmed once a majority of the voters holds it.
+"""Confirms a deregistration, a worker's `draining` or last call, once a majority of the voters holds it.
 
 This is a state machine without I/O. Each call starts a request of its own, even where a worker repeats a
 call. The registration is sent to all controllers, and each of them acknowledges it once its registry and its
@@ -8,7 +8,7 @@
 
 Only voters of the present epoch count. Controllers without a vote also hold registrations but do not count.
 A voter that has left the epoch may have sent its state to its successors before it received the
-deregistration. A voter that is still in the epoch sends its successors the registration before it sends them
+deregistration. A voter that is still in the epoch first sends its successors the registration, and only later
 the values that its epoch has chosen.
 
 A request expires CONFIRMATION_TIMEOUT s after its start, on the clock of the controller that started it.
@@ -18,7 +18,8 @@
 import itertools
 from collections.abc import Collection
 
-# s that a deregistration waits for a majority; callers retry elsewhere after 1 s without a response, PROTOCOL
+# s that a deregistration waits for a majority. PROTOCOL lets callers retry elsewhere after 1 s without a
+# response, so a deregistration fails before that.
 CONFIRMATION_TIMEOUT = 0.6
 
 
@@ -69,9 +70,9 @@
         epoch: int,
         has_quorum_contact: bool,
     ) -> bool:
-        """Whether a majority of the voters of this epoch holds the registration, and the request is valid.
+        """Whether a majority of this epoch's voters holds the registration, and the request has not expired.
 
-        has_quorum_contact: whether quorum contact shows that these are still the voters.
+        has_quorum_contact: whether quorum contact confirms that `voters` and `epoch` are still current.
         """
         request = self.pending[request_id]
         peers = {peer for peer, voter_epoch in request.holders.items() if voter_epoch == epoch}
@@ -81,5 +82,5 @@
         return is_majority and has_quorum_contact and now < request.started_at + CONFIRMATION_TIMEOUT
 
     def end(self, request_id: int) -> None:
-        """Forget a request, confirmed or not."""
+        """Remove a request, whether it was confirmed or not."""
         del self.pending[request_id]
--- a/bramblewood/controller/registry_exchange.py
+++ b/bramblewood/controller/registry_exchange.py
@@ -17,7 +17,7 @@
 
     def __init__(self, runtime: Runtime, registry: WorkerRegistry, proxy_sessions: ProxySessions) -> None:
         self.runtime, self.registry, self.proxy_sessions = runtime, registry, proxy_sessions
-        # called with the time (s) after a worker has reported that it drains or has gone
+        # called with the present time (s) after a worker has reported that it is draining or gone
         self.on_departure: Callable[[float], None] = lambda now: None
 
     def record(
@@ -73,8 +73,8 @@
         return {instance_id: [*row] for instance_id, row in self.registry.registrations.items()}
 
     def timed_out_workers(self, now: float) -> set[str]:
-        """The instance ids of workers without a heartbeat for MISSED_HEARTBEATS intervals at any controller.
+        """The instance ids of workers that no controller has heard for MISSED_HEARTBEATS heartbeat intervals.
 
-        Workers that are gone are left out.
+        Workers whose phase is GONE are left out.
         """
         return self.registry.timed_out(now, MISSED_HEARTBEATS * self.runtime.settings.heartbeat_interval)
