--- a/bramblewood/controller/voter_changes.py
+++ b/bramblewood/controller/voter_changes.py
@@ -1,4 +1,4 @@
-"""Proposes the voter set changes that `consensus/membership.py` finds due, and decides about the shutdown.
+"""Proposes the voter set changes that `consensus/membership.py` finds due, and decides when to shut down.
 
 Any seed may propose the founding voter set. Only the coordinator proposes a later one. Each proposal is
 logged as `voter set change`.
@@ -17,8 +17,8 @@
 from .sessions import Sessions
 
 FOUNDING_TIMEOUT = 3.0  # s that a first boot waits for controllers that start at about the same time
-UNKNOWN_VOTERS_PATIENCE = 10.0  # s after a start until an unknown voter set is logged as an error
-UNKNOWN_VOTERS_LOG_INTERVAL = 30.0  # s between two such errors
+UNKNOWN_VOTERS_PATIENCE = 10.0  # s after the start of the process until an unknown voter set is logged
+UNKNOWN_VOTERS_LOG_INTERVAL = 30.0  # s between two log lines about an unknown voter set
 UNKNOWN_VOTERS_REMEDY = (
     "start a controller whose disk is intact; if none is left, start the seeds on empty folders"
     " with FirstBoot = true and put the configuration again"
@@ -111,17 +111,19 @@
             self.runtime.log.error("voters unknown", step="epoch", peer=peers, way_out=UNKNOWN_VOTERS_REMEDY)
 
     def change_finished(self, outcome: Any) -> None:
-        """Allow the next proposal. The outcome is ignored: the next call of `propose_due_change` looks at the
-        voter set that was chosen.
+        """Allow the next proposal.
+
+        The outcome is ignored, because `propose_due_change` reads the voter set that is actually chosen.
         """
         self.is_changing = False
 
     def may_shut_down(self, now: float) -> bool:
         """Whether a shutdown is requested and may proceed.
 
-        It may proceed at once without an active vote, otherwise when `consensus/membership.py` finds that the
-        vote is no longer needed, and in any case after VOTE_RETENTION_FRACTION of GraceS. The first call
-        after the request logs the shutdown and sends heartbeats that announce it.
+        A controller without an active vote may shut down at once. A voter may shut down when
+        `consensus/membership.py` finds that its vote is no longer needed, and in any case after
+        VOTE_RETENTION_FRACTION of GraceS. The first call after the request logs the shutdown and sends
+        heartbeats that announce it.
         """
         if not self.runtime.shutdown_requested.is_set():
             return False
