--- a/features/quorum_contact.feature
+++ b/features/quorum_contact.feature
@@ -1,10 +1,14 @@
 Feature: A controller responds, rejects and grants only with quorum contact
 
-  Whole controllers, with and without a spare, and proxies run on a simulated clock. Every run checks the rules that
-  tests/simulation/fleet/rules.py lists at each step and at each response, and it fails at the first violation.
+  Whole controllers and proxies run on a simulated clock. In some runs, one controller is a spare without a vote. Every
+  run checks the rules that tests/simulation/fleet/rules.py lists at each step and at each response, and it fails at the
+  first violation.
 
   Scenario Outline: The rules hold while a minority of controllers is isolated for twenty seconds
-    Then the rules hold with <isolated> of <count> controllers isolated (<isolation>) for all seeds below 1
+    Each letter names a controller. A partition blocks messages to the isolated controllers (in), from them (out) or
+    in both directions (both), or they are frozen.
+
+    Then the rules hold with controllers <isolated> of <count> isolated (<isolation>) for all seeds below 1
     Examples:
       | isolated | count | isolation |
       | a        | 3     | both      |
--- a/features/steps/quorum_contact.py
+++ b/features/steps/quorum_contact.py
@@ -132,10 +132,11 @@
 
 
 @then(
-    "the rules hold with {isolated} of {controllers:d} controllers isolated ({direction}) for all seeds "
+    "the rules hold with controllers {isolated} of {controllers:d} isolated ({direction}) for all seeds "
     "below {count:d}"
 )
 def rules_hold_under_isolation(context, count, isolated, controllers, direction):
+    # three controllers run with one spare, five without
     runs = [
         quorum_contact.isolation(seed, isolated, direction, controllers, controllers % 5 and 1)
         for seed in range(count)
@@ -148,13 +149,13 @@
 
 
 @then(
-    "the rules hold under {seconds:d} s of random faults for all seeds below {five:d} with five controllers "
-    "and below {three:d} with three"
+    "the rules hold under {seconds:d} s of random faults for all seeds below {seeds_of_five:d} with five "
+    "controllers and below {seeds_of_three:d} with three"
 )
-def rules_hold_under_random_faults(context, five, seconds, three):
-    for count, seeds in ((5, five), (3, three)):
+def rules_hold_under_random_faults(context, seeds_of_five, seconds, seeds_of_three):
+    for voter_count, seeds in ((5, seeds_of_five), (3, seeds_of_three)):
         for seed in range(seeds):
-            quorum_contact.random_faults(seed, count, seconds)
+            quorum_contact.random_faults(seed, voter_count, seconds)
 
 
 @then('the rules hold in "{name}" for all seeds below {count:d}')
--- a/tests/simulation/fleet/fleet.py
+++ b/tests/simulation/fleet/fleet.py
@@ -22,15 +22,16 @@
 class Fleet:
     """A simulated cluster. A run is determined by the seed and the calls of its methods.
 
-    count: the number of voting controllers, named a to e. spares: the number of controllers without a vote at
-    the start, named x to z. proxies: the number of proxies, named d0, d1 and so on.
+    voter_count: the number of voting controllers, named a to e.
+    spares: the number of controllers without a vote at the start, named x to z.
+    proxies: the number of proxies, named d0, d1 and so on.
     """
 
-    def __init__(self, seed, count=5, proxies=2, spares=0):
+    def __init__(self, seed, voter_count=5, proxies=2, spares=0):
         self.rng, self.now = random.Random(seed), 100.0
         self.tcp_user_timeout, self.transit_times = TCP_USER_TIMEOUT, TRANSIT_TIMES
-        self.voters = tuple("abcde"[:count])
-        self.controllers = self.voters + tuple("xyz"[:spares])  # callers use voters and spares alike
+        self.voters = tuple("abcde"[:voter_count])
+        self.controllers = self.voters + tuple("xyz"[:spares])  # callers send calls to voters and to spares
         # blocked_until: by (sender, receiver), the end of a partition
         self.connections, self.blocked_until, self.scheduled, self.errors = [], {}, [], []
         # read_delays: by machine, s between two messages that it reads from one connection
@@ -140,9 +141,10 @@
         self.schedule(self.now + self.rng.uniform(*TRANSIT_TIMES), arrive)
 
     def put_configuration(self, name, newest=False):
-        """Put a configuration whose parent is the newest acknowledged one.
+        """Put a configuration at this controller.
 
-        Unless `newest` is set, the parent is now and then an older acknowledged configuration or none.
+        Its parent is the newest acknowledged configuration or, unless `newest` is set, sometimes an older
+        acknowledged configuration or none.
         """
         acknowledged = self.rules.acknowledged
         parent = max(acknowledged, default=0)
--- a/tests/simulation/fleet/machine.py
+++ b/tests/simulation/fleet/machine.py
@@ -48,7 +48,7 @@
         self.facts = {"disk": f"disk-{name}", "held": 1 if name in voters else -1}
         self.facts["members"] = {"n": 1, "voters": voters, "before": {}}
         self.registers, self.server, self.is_frozen, self.thawed_at = {}, None, False, -9.0
-        # latest time such that a majority has received a message sent then or later, and replied to it
+        # the latest time for which a majority has replied to a message that was sent at that time or later
         self.last_contact_at = 0.0
         # by peer: send time of the newest message from it, and of the newest message that it has echoed
         self.received_send_times, self.echoed_send_times = {}, {}
@@ -117,7 +117,7 @@
         controller.set_planner(PlacementPlanner(now, WORKER_HEARTBEAT, False))
 
     def notify_connection_change(self, peer, is_up):
-        """Notify the program that a connection came up or was lost, after the thaw where it is frozen."""
+        """Notify the program that a connection came up or was lost. A frozen program is notified later."""
         if self.is_frozen:
             self.loop.call_soon(self.handlers.connection_changed, peer, is_up)
         else:
--- a/tests/simulation/fleet/rules.py
+++ b/tests/simulation/fleet/rules.py
@@ -1,7 +1,7 @@
 """The rules that are checked at every step and at every response. A violation raises RuleViolation.
 
 - A controller without quorum contact responds to every call with 503. Contact is a round trip to a majority.
-  It may be as old as its validity and the duration of a call allow.
+  Its age at the response is at most its validity and the duration of a call together.
 - A read returns no configuration older than one that was acknowledged before the read began.
 - A majority of the voters holds each acknowledged deregistration. Every current controller has it once older
   contact has expired, and every connected proxy has it within DrainS.
@@ -66,8 +66,8 @@
         self.acknowledged, self.rejected = {}, {}
         self.deregistered = []  # (instance id, when the deregistration was acknowledged)
         self.counts = {}  # number of checks, by what they check; shows that a run reaches them
-        self.disconnected_at = {}  # by proxy: when it was last without contact to some controller
-        # last state by proxy; by epoch: its voters, and when it was first seen
+        self.disconnected_at = {}  # by proxy: when it was last without contact to at least one controller
+        # by proxy: its state after the last step; by epoch: its voters, and when it was first seen
         self.proxy_states, self.epochs = {}, {}
 
     def count(self, checked):
--- a/tests/simulation/fleet/worker.py
+++ b/tests/simulation/fleet/worker.py
@@ -9,7 +9,7 @@
 from .timing import CALL_TIMEOUT, DRAIN_TIME, WORKER_HEARTBEAT
 
 SLOTS = 2
-RETRY_DELAY = 0.2  # s from a failed call to the next call, which goes to another controller
+RETRY_DELAY = 0.2  # s from a failed call to the next call, which goes to a random controller
 
 
 class Lease(NamedTuple):
@@ -38,8 +38,8 @@
             None,
         )
         self.leases = {}  # by first key
-        self.fencing_tokens = {}  # by first and last key: the highest seen
-        # whether its deregistration is acknowledged, and the time of its last call after that
+        self.fencing_tokens = {}  # by first and last key: token of the newest call for this range
+        # whether its `draining` call is acknowledged, and when it then makes its last call
         self.is_deregistered, self.ends_at = False, 0.0
 
     def handle_call(self, kind, body, machine):
@@ -91,7 +91,10 @@
         self.fleet.call(self.controller, command, self.call, self.name)
 
     def process_response(self, now):
-        """End the call in flight after a response or a timeout. The retry of a failed call goes elsewhere."""
+        """End the call in flight after a response or a timeout.
+
+        A failed call is retried at a random controller.
+        """
         status, deadline = self.call.status, self.call.deadline
         if status is None and now < deadline:
             return
--- a/tests/simulation/quorum_contact.py
+++ b/tests/simulation/quorum_contact.py
@@ -44,9 +44,9 @@
     return seconds
 
 
-def start_fleet(seed, count=5, spares=0, tcp_user_timeout=TCP_USER_TIMEOUT):
-    """A fleet whose first configuration is in force."""
-    fleet = Fleet(seed, count, spares=spares)
+def start_fleet(seed, voter_count=5, spares=0, tcp_user_timeout=TCP_USER_TIMEOUT):
+    """Return a fleet whose first configuration is in force."""
+    fleet = Fleet(seed, voter_count, spares=spares)
     fleet.tcp_user_timeout = tcp_user_timeout
     fleet.run(1.5 + fleet.rng.random())
     fleet.put_configuration("a")
@@ -65,9 +65,9 @@
     return name
 
 
-def random_faults(seed, count=5, seconds=60.0):
-    """Random faults, up to two at a time, during configurations, reads, slice moves and deregistrations."""
-    fleet = start_fleet(seed, count, spares=seed % 2)
+def random_faults(seed, voter_count=5, seconds=60.0):
+    """Inject random faults, up to two at a time, during puts, reads, slice moves and deregistrations."""
+    fleet = start_fleet(seed, voter_count, spares=seed % 2)
     rng, ends_at = fleet.rng, fleet.now + seconds
     next_fault_at = next_call_at = next_move_at = next_replacement_at = fleet.now
     while fleet.now < ends_at:
@@ -88,15 +88,15 @@
     return fleet
 
 
-def isolation(seed, isolated, direction, count=5, spares=0):
-    """Isolates these machines for 20 s while configurations, reads and deregistrations continue everywhere.
+def isolation(seed, isolated, direction, voter_count=5, spares=0):
+    """Isolate these machines for 20 s while configurations, reads and deregistrations continue everywhere.
 
     Isolated controllers receive more of the calls than the others.
 
     direction: "both", "in" or "out" for a partition in these directions, "frozen" for a freeze.
     """
     tcp_user_timeout = TCP_USER_TIMEOUT if seed % 2 else LONG_TCP_USER_TIMEOUT
-    fleet, isolated = start_fleet(seed, count, spares, tcp_user_timeout), list(isolated)
+    fleet, isolated = start_fleet(seed, voter_count, spares, tcp_user_timeout), list(isolated)
     fleet.run(fleet.rng.random())
     for name in isolated:
         if direction == "frozen":
@@ -152,16 +152,16 @@
 def chosen_proposal_not_learned(seed):
     """A voter accepts a proposal that is chosen, but learns of the choice from no other controller.
 
-    One controller cannot reach it. Its connections to the other are fast enough for heartbeats, but too slow
-    for proposals.
+    The proposing controller can no longer reach it. Its connection to the third controller is fast enough for
+    heartbeats, but too slow for proposals.
     """
     fleet = start_fleet(seed, 3)
     acceptor = fleet.machines["a"].server.quorum_io.consensus.acceptors[CONFIG]
-    before = acceptor.accepted
+    accepted_before = acceptor.accepted
     fleet.tcp_user_timeout = LONG_TCP_USER_TIMEOUT
     fleet.put_configuration("c", newest=True)
     fleet.partition(["b"], fleet.now + 0.6, "in")
-    while acceptor.accepted == before:
+    while acceptor.accepted == accepted_before:
         fleet.step()
     for other in "ab":
         fleet.blocked_until["c", other] = fleet.now + REST_OF_RUN
@@ -173,7 +173,7 @@
 
 
 def proxy_behind_slow_connections(seed):
-    """A proxy starts on connections with growing delays while one configuration follows another."""
+    """A proxy starts while new configurations are put, and it reads too slowly to keep up with them."""
     fleet = start_fleet(seed, 3)
     fleet.restart("d1", 0.1)
     fleet.read_delays["d1"] = 0.5 + 0.2 * fleet.rng.random()
@@ -189,7 +189,7 @@
 def deregister(fleet, name):
     """Run until this worker's deregistration is acknowledged, and stop its further calls.
 
-    Returns its last call before the deregistration, for a delayed delivery.
+    Returns the worker's last call before the deregistration, so that the caller can deliver it late.
     """
     worker = fleet.workers[name]
     registration = WorkerRegistration("s", f"{name}:1", "z", SLOTS, READY, worker.call_sequence)
@@ -201,7 +201,10 @@
 
 
 def restart_of_all_after_deregistration(seed):
-    """All controllers restart right after a deregistration. A late old call arrives, and a proxy starts."""
+    """All controllers restart right after a deregistration.
+
+    An older call of the worker then arrives late, and a proxy starts.
+    """
     fleet = start_fleet(seed, 3)
     name = sorted(fleet.workers)[seed % 4]
     late_call = deregister(fleet, name)
@@ -220,15 +223,15 @@
 def power_loss_after_deregistration(seed):
     """All machines lose power right after a deregistration is acknowledged, and one voter loses its disk.
 
-    The same old call of the worker then arrives late at several controllers.
+    An older call of the worker then arrives late, several times and at several controllers.
     """
     fleet = start_fleet(seed, 3 + 2 * (seed % 2))
     name = fleet.rng.choice(sorted(fleet.workers))
     late_call = deregister(fleet, name)
     for machine in fleet.machines.values():
         machine.kill()
-    without_disk = fleet.machines[fleet.rng.choice(fleet.voters)]
-    without_disk.facts, without_disk.registers = {"disk": f"disk-{without_disk.name}-2"}, {}
+    new_disk_voter = fleet.machines[fleet.rng.choice(fleet.voters)]
+    new_disk_voter.facts, new_disk_voter.registers = {"disk": f"disk-{new_disk_voter.name}-2"}, {}
     for machine in fleet.machines.values():
         fleet.schedule(fleet.now + fleet.rng.uniform(0.2, 1.0), machine.start, False)
     for _ in range(6):
@@ -295,7 +298,10 @@
 
 
 def deregistration_with_broken_link(seed):
-    """A worker deregisters at one of two controllers without a link; a third is connected to both."""
+    """A worker deregisters at one of two controllers without a link between them.
+
+    The third controller is connected to both.
+    """
     fleet = start_fleet(seed, 3)
     fleet.tcp_user_timeout = fleet.rng.choice([TCP_USER_TIMEOUT, LONG_TCP_USER_TIMEOUT])
     fleet.blocked_until["a", "c"] = fleet.blocked_until["c", "a"] = fleet.now + REST_OF_RUN
