--- a/tests/simulation/recorded_runs.py
+++ b/tests/simulation/recorded_runs.py
@@ -44,7 +44,8 @@
     return quorum_contact.isolation(seed, "ab", ("both", "in", "out", "frozen")[seed % 4])
 
 
-# by name in the file of digests: the function that runs one seed, and the recorded seeds
+# by name in play_digests.json: the function that runs one seed, and the recorded seeds. The names are those
+# under which the digests were first recorded, and some of them use earlier terms.
 RUNS: dict[str, tuple[Callable[[int], Any], Iterable[int]]] = {
     "core": (consensus.storm, range(6)),
     "epochs": (partial(membership_epoch_days.day, rounds=1), range(6)),
