--- a/features/sessions.feature
+++ b/features/sessions.feature
@@ -18,12 +18,12 @@
     When at 10.1 a heartbeat of b echoes time 9.95 and reports proposal 5 accepted
     Then at 10.1 it has no quorum contact for proposal 4
 
-  Scenario: Quorum contact has expired after a freeze, so that no grant is sent
+  Scenario: Quorum contact expires during a freeze, so that no grant rests on it, and a newer echo renews it
     Given a controller, one of three
     When at 10 a heartbeat of b echoes time 9.8 and reports proposal 4 accepted
     Then at 14 its quorum contact for proposal 4 has expired
     When at 14.2 a heartbeat of b echoes time 14.1 and reports proposal 4 accepted
     Then at 14.2 its quorum contact for proposal 4 is valid until 15.1
 
-  Scenario: Of two instances at one address the one with the later heartbeat is kept, in either order of arrival
+  Scenario: Of two instances at one address, the one with the later heartbeat is kept, in either order of arrival
     Then both registries keep the newer instance after controllers exchange registrations
--- a/features/steps/sessions.py
+++ b/features/steps/sessions.py
@@ -73,7 +73,8 @@
 
 @then("both registries keep the newer instance after controllers exchange registrations")
 def registries_keep_newer_instance(context):
-    partitioned, connected = WorkerRegistry(), WorkerRegistry()  # exchanged at 12, when the partition ends
+    # the registries of two controllers, which exchange registrations at 12, when a partition ends
+    partitioned, connected = WorkerRegistry(), WorkerRegistry()
     partitioned.record(1.0, "old", WorkerRegistration("s", "10.0.0.9:1", "z", 1, READY, 3))
     connected.record(11.0, "new", WorkerRegistration("s", "10.0.0.9:1", "z", 1, READY, 1))
     sent = {}
@@ -86,4 +87,4 @@
         phases = {instance_id: row.phase for instance_id, row in registry.registrations.items()}
         assert phases == {"old": GONE, "new": READY}
         assert registry.instance_by_address["10.0.0.9:1"] == "new"
-    assert WorkerRegistration(*changed_rows["old"]).phase == GONE  # in the form that is forwarded
+    assert WorkerRegistration(*changed_rows["old"]).phase == GONE  # changed rows are forwarded
