--- a/bramblewood/controller/quorum_io.py
+++ b/bramblewood/controller/quorum_io.py
@@ -49,7 +49,7 @@
         self.writes_in_flight = 0
         # s, own clock: since when no write has finished while at least one is in flight; None while none is
         self.writing_since: float | None = None
-        self.writes_failing_since: float | None = None  # first failed write after the last successful one
+        self.writes_failing_since: float | None = None  # first failed write since a successful one
         self.next_probe_at = 0.0
         self.announced_epoch = (-1, False)  # as of the last call of on_epoch_changed: epoch, is_active_voter
         # called once a change of the epoch, or of the active vote of this controller, is durable
@@ -165,7 +165,7 @@
             )
 
     def write_facts(self, facts: dict[str, Any], on_durable: Callable[[], None]) -> None:
-        """Write facts that do not belong to consensus, and call on_durable once they are on disk.
+        """Write facts outside a consensus step, and call on_durable once they are on disk.
 
         A fact with the value None is removed. Where the write fails, on_durable is never called and the write
         is not retried.
--- a/features/steps/quorum_contact.py
+++ b/features/steps/quorum_contact.py
@@ -28,6 +28,7 @@
 from tests.simulation.fleet import RuleViolation
 from tests.simulation.quorum_contact import DIRECTED_RUNS
 
+# the original methods, which replacements of guards call
 quorum_contact_until, deregister = Sessions.quorum_contact_until, WorkerApi.deregister
 grant_or_release = LeaseCalls.grant_or_release
 heartbeat_received = ControllerSelection.heartbeat_received
--- a/features/steps/sessions.py
+++ b/features/steps/sessions.py
@@ -9,7 +9,7 @@
 DETAILS = PeerDetails({"n": 1}, "z", True, ["a", "b", "c"], ["d1"])
 
 
-@given("a controller, one of three")
+@given("one of three controllers")
 def controller_among_three(context):
     context.sessions = Sessions("a")
 
