--- a/bramblewood/controller/peer_handlers.py
+++ b/bramblewood/controller/peer_handlers.py
@@ -247,7 +247,7 @@
                 connection.send(ReadersRemoved(request.request_id, version).to_wire())
 
         self.runtime.log.info(
-            "readers removed", step="read replicas", peer=sorted(instance_ids), keys=(key, key)
+            "removing readers", step="read replicas", peer=sorted(instance_ids), keys=(key, key)
         )
         self.quorum_io.propose(
             TABLE,
