--- a/bramblewood/controller/quorum_io.py
+++ b/bramblewood/controller/quorum_io.py
@@ -47,9 +47,10 @@
         self.incarnation = int.from_bytes(os.urandom(4), "big")
         self.pending_writes = PendingWrites({})
         self.writes_in_flight = 0
-        # s, own clock: since when no write has finished while at least one is in flight; None while none is
+        # s, own clock: start of the present wait for any write to finish; None while no write is in flight
         self.writing_since: float | None = None
-        self.writes_failing_since: float | None = None  # first failed write since a successful one
+        # s, own clock: first failed write since the last successful one; None while writes succeed
+        self.writes_failing_since: float | None = None
         self.next_probe_at = 0.0
         self.announced_epoch = (-1, False)  # as of the last call of on_epoch_changed: epoch, is_active_voter
         # called once a change of the epoch, or of the active vote of this controller, is durable
--- a/bramblewood/controller/sessions.py
+++ b/bramblewood/controller/sessions.py
@@ -126,8 +126,8 @@
         Returns 0.0 where a majority does not confirm this. With no register in `chosen`, the result covers
         contact with a majority alone.
 
-        voters, epoch: the newest voter set known here, by address and disk, and its epoch. Only
-        peers that were active voters of this epoch when they sent their heartbeats count: no later epoch
+        voters, epoch: the newest voter set known here, by address and disk, and its epoch. Only peers
+        that were active voters of this epoch when they sent their heartbeats count, because no later epoch
         begins while a majority is active in this one.
         chosen: the newest chosen proposal known here, by register.
         accepted: the newest proposal that this controller has accepted, by register; None where it does not
--- a/tests/simulation/fleet/rules.py
+++ b/tests/simulation/fleet/rules.py
@@ -1,7 +1,7 @@
 """The rules that are checked at every step and at every response. A violation raises RuleViolation.
 
 - A controller without quorum contact responds to every call with 503. Contact is a round trip to a majority.
-  Its age at the response is at most its validity and the duration of a call together.
+  At a response it is at most as old as its validity plus the duration of a call.
 - A read returns no configuration older than one that was acknowledged before the read began.
 - A majority of the voters holds each acknowledged deregistration. Every current controller has it once older
   contact has expired, and every connected proxy has it within DrainS.
