--- a/bramblewood/controller/storage.py
+++ b/bramblewood/controller/storage.py
@@ -5,8 +5,8 @@
 
 - Write-ahead mode: a commit returns after the log is synced. Each frame of the log has a checksum, so SQLite
   reads the log up to the first torn frame.
-- locking_mode=EXCLUSIVE: SQLite would otherwise keep the index of the log in shared memory, which these
-  machines do not have.
+- locking_mode=EXCLUSIVE: SQLite would otherwise keep the index of the log in shared memory, which the
+  machines of the controllers do not have.
 - synchronous=EXTRA, set before the switch to write-ahead mode: the switch itself is a transaction with a
   rollback journal. With FULL, the removal of that journal may be lost in a power cut. The next start would
   then roll the switch back and ignore the log, and with it everything that was acknowledged.
@@ -54,7 +54,7 @@
 from .storage_schema import CREATE_TABLES, DATABASE_FILE, DROP_TABLES, SCHEMA_VERSION
 from .value_diff import MISSING, SET, difference
 
-THREAD_NAME = "shelf"
+WRITER_THREAD_NAME = "shelf"
 # Bytes to which SQLite truncates the log after a checkpoint. A checkpoint takes place when the log holds
 # 1,000 pages of 4 KiB, the default of wal_autocheckpoint. Without this limit, the log would keep the size
 # that it had after the largest transaction.
@@ -68,8 +68,8 @@
 class WriteRequest(NamedTuple):
     """Writes that the writer thread has yet to commit together.
 
-    facts: by name; None deletes a fact. on_finished: called with None once the writes are durable, and with
-    the problem if they failed.
+    facts: the values by name, None for a fact to delete. on_finished: called with None once the writes are
+    durable, and with the problem if they failed.
     """
 
     registers: list[RegisterWrite]
@@ -113,7 +113,7 @@
         self.connect = connect or connect_durably
         self.folder, self.path = folder, os.path.join(folder, DATABASE_FILE)
         self.write_queue: queue.SimpleQueue[WriteRequest | None] = queue.SimpleQueue()  # None ends the thread
-        self.writer_thread = threading.Thread(target=self.run_writer, daemon=True, name=THREAD_NAME)
+        self.writer_thread = threading.Thread(target=self.run_writer, daemon=True, name=WRITER_THREAD_NAME)
         self.database: sqlite3.Connection | None = None
         self.notify: Callable[[Callable, str | None], None] = print
         self.stored_values: dict[str, Any] = {}
@@ -166,7 +166,7 @@
         return Ok(stored_state)
 
     def record_digests(self, registers: dict[str, RegisterState]) -> None:
-        """Records the digests of registers that are durable and whose sums `checksums` holds."""
+        """Records the digests of durable registers. Their sums are already in `checksums`."""
         for name, (_, accepted, _) in registers.items():
             self.digests.record(name, tuple(accepted), self.checksums.part_sums[name].checksum_sum)
 
@@ -272,7 +272,7 @@
             self.database.execute("begin immediate")
             checksums = self.write_rows(self.database, latest_states, facts)
             self.database.execute("commit")
-        # The disk can fail, and a value may not be writable as JSON. The writer thread has to survive both.
+        # The disk can fail, and JSON may not be able to represent a value. The writer thread survives both.
         except Exception as error:
             # A failed rollback is ignored: the next transaction shows whether the disk works again.
             with contextlib.suppress(sqlite3.Error):
--- a/bramblewood/controller/storage_checksums.py
+++ b/bramblewood/controller/storage_checksums.py
@@ -4,9 +4,9 @@
 match its checksum. For a set of rows, the database stores the number of rows and the sum of their checksums,
 so a missing, duplicated or outdated row is detected too.
 
-The sum over the parts of a register depends only on the value and not on the sequence of writes that produced
-it. Two controllers that hold the same value therefore hold the same sum. `content_agreement.py` compares
-these sums.
+The parts of a register are the rows that encode its value. The sum over them depends only on the value and
+not on the sequence of writes that produced it. Two controllers that hold the same value therefore hold the
+same sum. `content_agreement.py` compares these sums.
 """
 
 from typing import NamedTuple
@@ -19,7 +19,8 @@
 def text_checksum(text: str) -> int:
     """Returns the CRC-32C of a text.
 
-    The texts below separate the columns of a row by NUL, a character that JSON text never contains.
+    The functions below join the columns of a row to one text, with NUL between them. JSON text never
+    contains this character.
     """
     return google_crc32c.value(text.encode("utf-8", "surrogatepass"))
 
