--- a/bramblewood/controller/storage_errors.py
+++ b/bramblewood/controller/storage_errors.py
@@ -54,7 +54,7 @@
 def is_damage_on_read(error: Exception) -> bool:
     """Returns whether an error that was raised while a database was read reports damaged content.
 
-    The other case is a failure of the disk or of the process.
+    Returns False for a failure of the disk or of the process.
     """
     if isinstance(error, (OSError, MemoryError)):
         return False
--- a/bramblewood/controller/storage_reader.py
+++ b/bramblewood/controller/storage_reader.py
@@ -59,7 +59,7 @@
 def add_epoch(number: ProposalNumber) -> ProposalNumber:
     """Returns a proposal number of schema version 1 with the epoch that later versions put first.
 
-    The epoch is 1. It is 0 for a number with the counter 0, which no proposer has ever used.
+    The epoch is 1, or 0 for a number with the counter 0. No proposer has ever used such a number.
     """
     return (1 if number[0] else 0, *number)
 
@@ -71,6 +71,7 @@
 
 def find_file_faults(database: Any) -> list[str]:
     """Returns the faults that SQLite finds in the pages, tables and indexes of the file, one line each."""
+    # SQLite starts the heading above the faults of a database with "***".
     lines = [line for row in database.execute("pragma integrity_check") for line in row[0].splitlines()]
     return [line for line in lines if line != "ok" and not line.startswith("***")]
 
@@ -92,7 +93,9 @@
             f"schema version {version} is unknown: this program reads versions 1 to {SCHEMA_VERSION}"
         )
     facts = {name: json.loads(value) for name, value in database.execute("select name, value from facts")}
-    read_registers = read_registers_1 if version == SCHEMA_VERSION_1 else read_registers_2
+    read_registers = (
+        read_registers_of_version_1 if version == SCHEMA_VERSION_1 else read_registers_of_version_2
+    )
     return StoredState(facts, read_registers(database))
 
 
@@ -106,7 +109,7 @@
             raise RowsDamagedError(f"the table {name} has rows, but the database has no schema version")
 
 
-def read_registers_1(database: Any) -> dict[str, RegisterState]:
+def read_registers_of_version_1(database: Any) -> dict[str, RegisterState]:
     """Returns the registers of schema version 1, with the epoch added to their proposal numbers."""
     registers = {}
     for name, *numbers, value in database.execute("select name, promised, accepted, value from registers"):
@@ -115,7 +118,7 @@
     return registers
 
 
-def read_registers_2(database: Any) -> dict[str, RegisterState]:
+def read_registers_of_version_2(database: Any) -> dict[str, RegisterState]:
     """Returns the registers of schema version 2."""
     registers = {}
     for name, *numbers in database.execute("select name, promised, accepted from registers"):
@@ -180,7 +183,7 @@
 def read_verified_parts(database: Any) -> dict[str, RegisterParts]:
     """Returns the parts of all registers, by register. Raises RowsDamagedError for a changed row.
 
-    The whole table is read in one pass, so that a damaged index has no effect.
+    The table is read as a whole and without its index, so a damaged index has no effect.
     """
     parts_by_register: dict[str, RegisterParts] = {}
     for register, path, value, checksum in database.execute(READ_PARTS):
