--- a/bramblewood/controller/row_encoding.py
+++ b/bramblewood/controller/row_encoding.py
@@ -8,7 +8,7 @@
 of a configuration, therefore have a row each.
 
 Invariant: the order of the rows is the order in which they were first written. A map precedes its parts, and
-the keys of a map are in the order that `apply_difference` gives them.
+the keys of a map are in the order that `value_diff.apply_difference` gives them.
 """
 
 import json
@@ -23,8 +23,8 @@
 # `decode_rows` parses this number of rows with one call. One call for each row would be slow, and one call
 # for all rows would need far more memory.
 ROWS_PER_BATCH = 1000
-# A slice of a slice table lies three keys deep: "s", the service and the first key of the slice. A part at
-# this depth is the smallest unit that a change rewrites.
+# The path of a slice in a slice table has three keys: "s", the service and the first key of the slice. A part
+# at this depth is the smallest unit that a change rewrites.
 MAX_DEPTH = 3
 ROOT_PATH = "[]"
 ENCODER = json.JSONEncoder(separators=(",", ":"))
--- a/bramblewood/controller/value_diff.py
+++ b/bramblewood/controller/value_diff.py
@@ -31,7 +31,8 @@
     `difference` and `changed_keys` use it to avoid a comparison with the map that was patched. Copies and
     pickles are plain maps.
 
-    base_ref: a weak reference to the map that was patched. change: the difference that was applied to it.
+    base_ref: a weak reference to the map that was patched; for a plain dict, the class `object` (see
+    `apply_difference`). change: the difference that was applied to the map.
     """
 
     __slots__ = ("base_ref", "change", "__weakref__")
@@ -118,14 +119,18 @@
 
 
 def apply_difference(old: Any, change: dict | None) -> Any:
-    """Returns the value that a difference makes of `old`; None means no change. `old` is not modified."""
+    """Returns the result of applying the difference `change` to `old`. None stands for no difference.
+
+    `old` is not modified.
+    """
     if change is None:
         return old
     if SET in change:
         return change[SET]
     patched = PatchedDict(old)
-    # A plain dict cannot be referenced weakly, and a strong reference would keep it alive. `object` takes the
-    # place of the reference then: each call returns a new object, which is never identical to a map.
+    # A plain dict cannot be referenced weakly, and a strong reference would keep it alive. For a plain dict,
+    # `base_ref` is therefore the class `object`. A call of it returns a new object, which is not identical to
+    # any map.
     patched.change, patched.base_ref = change, ref(old) if isinstance(old, PatchedDict) else object
     for key in change.get(REMOVE_KEYS, ()):
         patched.pop(key, None)
