--- a/bramblewood/controller/damage_response.py
+++ b/bramblewood/controller/damage_response.py
@@ -6,14 +6,14 @@
 from .quorum_io import QuorumIO
 from .runtime import Runtime
 
-STORAGE_DAMAGED = 3  # exit code; the next start quarantines the damaged database
+STORAGE_DAMAGED_EXIT_CODE = 3  # the next start quarantines the damaged database
 
 
 class DamageResponse:
     """Ends this process after the database was found damaged.
 
     reason: a description of the first damage that was found, None as long as there is none. The main loop of
-    the controller ends once it is set.
+    the controller ends once the reason is set.
     """
 
     def __init__(self, runtime: Runtime, quorum_io: QuorumIO) -> None:
@@ -33,4 +33,4 @@
             await asyncio.to_thread(mark_damaged, self.quorum_io.storage.folder, self.reason)
         except OSError as error:
             self.runtime.log.error("damage marker not written", step="end", problem=str(error))
-        return STORAGE_DAMAGED
+        return STORAGE_DAMAGED_EXIT_CODE
--- a/tests/test_damaged_controllers.py
+++ b/tests/test_damaged_controllers.py
@@ -1,4 +1,4 @@
-"""Controllers with damaged or changed content, run as processes, never answer with that content."""
+"""Controllers that run as processes never answer with damaged or changed content."""
 
 import asyncio
 import random
@@ -7,7 +7,7 @@
 
 import pytest
 
-from bramblewood.controller.damage_response import STORAGE_DAMAGED
+from bramblewood.controller.damage_response import STORAGE_DAMAGED_EXIT_CODE
 from bramblewood.controller.storage import Storage
 from bramblewood.controller.storage_schema import DATABASE_FILE
 from bramblewood.controller.voter_changes import UNKNOWN_VOTERS_PATIENCE
@@ -103,7 +103,7 @@
         return exit_codes.keys() == changed and set(statuses.values()) == {200}
 
     fleet.wait_until("all controllers answer", all_answer)
-    assert exit_codes == dict.fromkeys(changed, STORAGE_DAMAGED)
+    assert exit_codes == dict.fromkeys(changed, STORAGE_DAMAGED_EXIT_CODE)
     fleet.wait_until_settled()
     fleet.put_configuration()
     fleet.wait_until_read_back()
@@ -145,7 +145,7 @@
         return set(statuses_without_changed_content(fleet, range(1, 4)).values()) == {200}
 
     fleet.wait_until("all controllers answer", all_answer)
-    assert exit_codes == {1: STORAGE_DAMAGED}
+    assert exit_codes == {1: STORAGE_DAMAGED_EXIT_CODE}
 
 
 def test_controller_with_a_damaged_database_becomes_a_voter_again(fleet: ControllerFleet) -> None:
