--- a/bramblewood/controller/content_watch.py
+++ b/bramblewood/controller/content_watch.py
@@ -13,10 +13,10 @@
 
 
 class ContentWatch:
-    """Compares digests of durable content whenever a heartbeat of another controller delivers them.
+    """Compares the digests in the heartbeats of the other controllers with those of this controller.
 
-    logged: the differing registers that were logged last, by peer. on_divergence: called with the reason as
-    long as a majority of the voters holds other content than this controller.
+    logged: the differing registers that were logged last, by peer. on_divergence: called with the reason by
+    each comparison that finds a majority of the voters with other content than this controller.
     """
 
     def __init__(self, runtime: Runtime, quorum_io: QuorumIO) -> None:
--- a/bramblewood/controller/damaged_storage.py
+++ b/bramblewood/controller/damaged_storage.py
@@ -2,8 +2,10 @@
 
 The files of the database are moved to a separate folder, and the controller starts with an empty database.
 
-An empty database is safe, as after the loss of a disk. It gets a new disk name, so its controller is a new
-member without a vote (`consensus/epochs.py`). The promises in the damaged database bind only the old member.
+A start with an empty database is as safe as a start after the loss of a disk. The empty database gets a new
+disk name, so its controller is a new member without a vote (`consensus/epochs.py`). The promises in the
+damaged database bind only the old member.
+
 A controller that has ever quarantined a database takes no part in founding a voter set, because its setting
 `FirstBoot` may still be true while other controllers hold acknowledged values.
 
