--- a/bramblewood/controller/departures.py
+++ b/bramblewood/controller/departures.py
@@ -1,14 +1,13 @@
 """Durable storage of the deregistrations that this controller has received.
 
-A worker's `ready` call may arrive seconds late. If all machines lose power in between, no memory records that
-the same worker has since been acknowledged as draining or gone. A deregistration is therefore acknowledged
-only after a majority of the voters has stored it. A controller that later contacts a majority reaches at
-least one of these voters.
+A worker's `ready` call may arrive seconds late. Before it arrives, the same worker may have deregistered, and
+a power cut may have ended all processes that held the deregistration in memory. A deregistration is therefore
+acknowledged only after a majority of the voters has stored it. A controller that later contacts a majority
+reaches at least one of these voters.
 
 Invariant: a deregistration that `keep` reported as durable is in the registry of every later process on this
-disk, for at least DEPARTURE_RETENTION seconds on that process's own clock. The retention is many times the
-delay of a late call. It also bounds the stored rows: with 2,400 deregistrations a day, about twenty rows are
-stored.
+disk, for at least DEREGISTRATION_RETENTION seconds on that process's own clock. The retention is many times
+the delay of a late call. It also bounds the number of stored rows.
 
 Each worker has a fact of its own, so that a deregistration changes one row. All waiting writes are committed
 in one transaction, so the release of hundreds of workers at once needs few transactions.
@@ -21,8 +20,8 @@
 from .quorum_io import QuorumIO
 from .runtime import Runtime
 
-DEPARTURE_FACT_PREFIX = "departed/"  # precedes the instance id in the name of a fact
-DEPARTURE_RETENTION = 120.0  # s
+FACT_NAME_PREFIX = "departed/"  # precedes the instance id in the name of a fact
+DEREGISTRATION_RETENTION = 120.0  # s
 EXPIRY_INTERVAL = 30.0  # s between two searches for expired deregistrations
 
 
@@ -43,8 +42,8 @@
         """Records the stored deregistrations in the registry. Their retention restarts now."""
         now = self.runtime.now()
         for name, row in facts.items():
-            if name.startswith(DEPARTURE_FACT_PREFIX):
-                instance_id, registration = name.removeprefix(DEPARTURE_FACT_PREFIX), WorkerRegistration(*row)
+            if name.startswith(FACT_NAME_PREFIX):
+                instance_id, registration = name.removeprefix(FACT_NAME_PREFIX), WorkerRegistration(*row)
                 self.registry.record(now, instance_id, registration)
                 self._mark_durable(instance_id, registration.phase)
 
@@ -54,28 +53,28 @@
         If the write fails, on_durable is not called, and the worker repeats its call.
         """
         phases = {instance_id: self.registry.registrations[instance_id].phase for instance_id in instance_ids}
-        missing = {
+        phases_to_store = {
             instance_id: phase
             for instance_id, phase in phases.items()
             if not self._is_durable(instance_id, phase)
         }
-        if not missing:
+        if not phases_to_store:
             on_durable()
             return
         facts = {
-            f"{DEPARTURE_FACT_PREFIX}{instance_id}": [*self.registry.registrations[instance_id]]
-            for instance_id in missing
+            f"{FACT_NAME_PREFIX}{instance_id}": [*self.registry.registrations[instance_id]]
+            for instance_id in phases_to_store
         }
 
         def mark_written() -> None:
-            for instance_id, phase in missing.items():
+            for instance_id, phase in phases_to_store.items():
                 self._mark_durable(instance_id, phase)
             on_durable()
 
         self.quorum_io.write_facts(facts, mark_written)
 
     def remove_expired(self, now: float) -> None:
-        """Deletes the deregistrations that were stored for DEPARTURE_RETENTION, in one write.
+        """Deletes the deregistrations that were stored for DEREGISTRATION_RETENTION, in one write.
 
         Does nothing until EXPIRY_INTERVAL has passed since the last search.
         """
@@ -85,7 +84,7 @@
         expired = [
             instance_id
             for instance_id, stored_at in self.stored_at.items()
-            if now - stored_at > DEPARTURE_RETENTION
+            if now - stored_at > DEREGISTRATION_RETENTION
         ]
         if not expired:
             return
@@ -95,7 +94,7 @@
                 self.stored_at.pop(instance_id, None)
                 self.durable_phases.pop(instance_id, None)
 
-        facts = dict.fromkeys(f"{DEPARTURE_FACT_PREFIX}{instance_id}" for instance_id in expired)
+        facts = dict.fromkeys(f"{FACT_NAME_PREFIX}{instance_id}" for instance_id in expired)
         self.quorum_io.write_facts(facts, forget_expired)
 
     def _is_durable(self, instance_id: str, phase: str) -> bool:
@@ -108,7 +107,7 @@
         return durable_phase != READY and PHASE_ORDER[durable_phase] >= PHASE_ORDER[phase]
 
     def _mark_durable(self, instance_id: str, phase: str) -> None:
-        """Records that a phase of a worker is durable; an earlier phase does not replace a later one."""
+        """Records that a phase of a worker is durable. An earlier phase does not replace a later one."""
         now = self.runtime.now()
         durable_phase = self.durable_phases.get(instance_id, READY)
         if PHASE_ORDER[phase] >= PHASE_ORDER[durable_phase]:
