--- a/features/steps/storage.py
+++ b/features/steps/storage.py
@@ -16,7 +16,7 @@
     LongLivedStorage,
     difference_reproduces_value,
     disk_of_schema_1,
-    first_failing_seed,
+    first_detecting_seed,
     make_storage,
     run_lifetimes,
 )
@@ -26,7 +26,7 @@
 def disks_hold_one_written_state(context, count, schema_1=False, min_acknowledged=10):
     acknowledged = sum(run_lifetimes(seed, schema_1) for seed in range(count))
     assert acknowledged > min_acknowledged * count, (
-        "too few acknowledged batches: the power cuts prove nothing"
+        "too few acknowledged batches for a test of their durability"
     )
 
 
@@ -43,7 +43,7 @@
     "or holds an unwritten one"
 )
 def fault_is_detected(context, fault, count):
-    assert first_failing_seed(fault, count) is not None, "no disk lost an acknowledged state"
+    assert first_detecting_seed(fault, count) is not None, "no disk lost an acknowledged state"
 
 
 @then("{count:d} differences, sent as JSON, reproduce the values that they were computed from")
--- a/features/storage.feature
+++ b/features/storage.feature
@@ -1,6 +1,6 @@
 Feature: Controller storage survives power cuts, failing disks and upgrades
 
-  Scenario: A start after power cuts and refused calls finds one written state, no older than the acknowledged one
+  Scenario: A start after power cuts and failed file calls finds one written state, no older than the acknowledged one
     Then 400 disks hold exactly one written state, none older than the last acknowledged one
 
   Scenario: A power cut during the upgrade of schema version 1 loses no acknowledged state
@@ -55,7 +55,7 @@
     When the disk responds again
     Then the promise is sent, survives a power cut, and the controller is current again
 
-  Scenario: A power cut while the disk hangs
+  Scenario: A power cut while the disk hangs leaves the content from before the write
     Given a controller whose disk hangs during a sync
     When it writes a promise at 10
     And the power is cut
--- a/tests/simulation/damaged_database.py
+++ b/tests/simulation/damaged_database.py
@@ -127,7 +127,7 @@
 
 
 def change_digit(rng: random.Random, data: bytearray) -> None:
-    """Replaces a digit by another, which changes a value and leaves valid JSON, as users have reported."""
+    """Replaces a digit by another one, which changes a value but leaves valid JSON."""
     offsets = [offset for offset, byte in enumerate(data) if chr(byte) in "0123456789"]
     offset = rng.choice(offsets)
     data[offset] = ord(rng.choice([digit for digit in "0123456789" if ord(digit) != data[offset]]))
@@ -212,10 +212,14 @@
 
 def page_kinds(folder: str) -> set[str]:
     """Returns the kinds of the pages that a folder's database has."""
-    names = {2: "interior index", 5: "interior table", 10: "leaf index", 13: "leaf table"}
+    # The first byte of a page's header is the type of the page.
+    names_by_type = {2: "interior index", 5: "interior table", 10: "leaf index", 13: "leaf table"}
     data = Path(folder, DATABASE_FILE).read_bytes()
     pages = [data[start : start + PAGE_SIZE] for start in range(0, len(data), PAGE_SIZE)]
-    kinds = {names.get(page[HEADER_SIZE if number == 0 else 0], "other") for number, page in enumerate(pages)}
+    kinds = {
+        names_by_type.get(page[HEADER_SIZE if number == 0 else 0], "other")
+        for number, page in enumerate(pages)
+    }
     database = sqlite3.connect(os.path.join(folder, DATABASE_FILE))
     has_pointer_map = database.execute("pragma auto_vacuum").fetchone()[0] != 0
     database.close()
--- a/tests/simulation/storage_failures.py
+++ b/tests/simulation/storage_failures.py
@@ -33,7 +33,7 @@
 SPECIAL_KEYS = ("0", "a", "b", "", 'a",b', "a,", "a-", "[", "\\", "\n", "\u00e9", "\ud800")
 REGISTERS = ("config", "table")
 MAX_CALLS = 500  # upper bound of the file calls before a power cut
-UPGRADE_CALLS = 150  # upper bound of the file calls that a start needs to upgrade schema version 1
+MAX_UPGRADE_CALLS = 150  # upper bound of the file calls that a start needs to upgrade schema version 1
 
 
 def make_storage(disk: SimulatedDisk, replacements=(), storage_class=Storage) -> Storage:
@@ -57,7 +57,7 @@
 
 
 def proposal_number(number: int) -> tuple:
-    """Returns a flat tuple for an odd number, and a nested tuple for an even one."""
+    """Returns a proposal number: a flat tuple for an odd `number`, and a nested tuple for an even one."""
     return (1, number, "a", 1) if number % 2 else ((1, "d"), number)
 
 
@@ -169,7 +169,7 @@
     disk, history = disk_of_schema_1(rng) if schema_1 else (SimulatedDisk(rng), WriteHistory())
     disk.syncs_own_name = bool(seed % 2)
     for _ in range(lifetimes):
-        disk.power_cut_at = rng.randrange(1, UPGRADE_CALLS if schema_1 else MAX_CALLS)
+        disk.power_cut_at = rng.randrange(1, MAX_UPGRADE_CALLS if schema_1 else MAX_CALLS)
         if rng.random() < 0.3:
             kind_of_call, code = rng.choice(["write", "flush"]), rng.choice([errno.EIO, errno.ENOSPC])
             disk.errors = {kind_of_call: lambda code=code: code if rng.random() < 0.05 else 0}
@@ -218,10 +218,10 @@
     """Uses the recorded difference of a patched map even if the patched map is not the stored value."""
 
     def write_rows(self, database, registers, facts):
-        trusted = lambda old, new: (  # noqa: E731
+        difference_without_base_check = lambda old, new: (  # noqa: E731
             new.change if isinstance(new, PatchedDict) else difference(old, new)
         )
-        with mock.patch("bramblewood.controller.storage.difference", trusted):
+        with mock.patch("bramblewood.controller.storage.difference", difference_without_base_check):
             return super().write_rows(database, registers, facts)
 
 
@@ -249,7 +249,7 @@
 }
 
 
-def first_failing_seed(fault: str, seeds: int) -> int | None:
+def first_detecting_seed(fault: str, seeds: int) -> int | None:
     """Returns the first seed for which the simulation detects a fault, None where no seed detects it."""
     for seed in range(seeds):
         try:
@@ -299,8 +299,8 @@
     def commit_moves(self, count: int, emptying_interval: int = 0) -> None:
         """Commits moves of single slices.
 
-        emptying_interval: after each such number of moves, a service loses all its slices and gets them back.
-        0: no service is emptied.
+        emptying_interval: the number of moves after which a service loses all its slices and gets them back,
+        0 for never.
         """
         for number in range(count):
             self.commit(moved(self.value, self.rng.randrange(10**6)))
