--- a/tests/simulation/simulated_disk.py
+++ b/tests/simulation/simulated_disk.py
@@ -1,4 +1,4 @@
-"""A simulated disk behind the store's port, with power cuts, torn and lost writes, and I/O errors."""
+"""A simulated disk with power cuts, torn and lost writes, and I/O errors, for the store and for SQLite."""
 
 import errno
 import random
@@ -95,7 +95,7 @@
         copied.durable_names = dict(copied.names)
         return copied
 
-    # --- the port
+    # --- file calls
 
     def count_call(self, kind):
         """Counts a file call. Raises PowerCut after the power cut, and OSError where `errors` gives one."""
--- a/tests/simulation/sqlite_on_simulated_disk.py
+++ b/tests/simulation/sqlite_on_simulated_disk.py
@@ -11,7 +11,7 @@
 
 
 def raises_sqlite_error(method):
-    """Decorates a file call of SQLite, so that it raises a failure of the disk as an I/O error of SQLite."""
+    """Decorates a file call of SQLite, so that a failure of the disk becomes an I/O error of SQLite."""
 
     @functools.wraps(method)
     def wrapper(*args):
@@ -145,7 +145,7 @@
         self.call_sqlite(self.database.close)
 
     def __del__(self):
-        """Closes the connection. After a power cut that fails, and apsw would print the error."""
+        """Closes the connection. After a power cut this fails, and apsw would print the error."""
         with contextlib.suppress(apsw.Error, AttributeError):
             self.database.close(True)
 
