--- a/tests/test_failing_disk.py
+++ b/tests/test_failing_disk.py
@@ -1,4 +1,4 @@
-"""A voter whose disk fails or delays every write reports it, loses its seat, and blocks no other voter."""
+"""A voter whose disk fails or delays every write reports it, is replaced, and blocks no other voter."""
 
 from types import SimpleNamespace
 
@@ -29,13 +29,13 @@
     return Membership(Tolerance(1), {}, CATCH_UP).due_change(VOTER_SET, peers, {})
 
 
-def test_spare_gets_the_seat_of_a_voter_whose_disk_fails_for_too_long() -> None:
+def test_spare_replaces_a_voter_whose_disk_fails_for_too_long() -> None:
     assert due_change(peers_with(c={"disk_failing_for": LOST_AFTER - 0.1})) is None
     change = due_change(peers_with(c={"disk_failing_for": LOST_AFTER + 0.1}))
     assert change.voters == {"a": "a0", "b": "b0", "d": "d0"} and change.reason == "c disk fails"
 
 
-def test_spare_with_a_failing_disk_gets_no_seat() -> None:
+def test_spare_with_a_failing_disk_replaces_no_voter() -> None:
     peers = peers_with(c={"silent_for": 99.0, "steady_for": 0.0}, d={"disk_failing_for": 0.1})
     assert due_change(peers) is None
     requested = Membership(Tolerance(1), {}, CATCH_UP).requested_change(VOTER_SET, peers, {}, "c", "d")
--- a/tests/test_old_disks.py
+++ b/tests/test_old_disks.py
@@ -1,4 +1,4 @@
-"""The programs read and continue the data folders that the programs of commit 4cd356e wrote."""
+"""The commands, controllers and managers read and continue the data folders of commit 4cd356e."""
 
 import json
 import os
@@ -27,7 +27,7 @@
 CONTENTS = json.loads((RECORDED_FOLDER / "contents.json").read_text())
 CONTROLLERS = CONTENTS["controllers"]
 ADDRESS = "127.77.4.1"  # address of the controllers that wrote the folders
-STARTED_AT = 1_760_000_051.0  # Unix time in s of the manager's next start, 2 s after it ended
+STARTED_AT = 1_760_000_051.0  # Unix time in s of the manager's start, 2 s after the recorded manager ended
 TERMS = StoreTerms("", "in-loop", False, 0.002, 0.25, 3.2e9)
 COMMAND_TIMEOUT = 30.0  # s
 # Keys of the printed ledger that a short stop of the manager does not change.
