--- a/benchmarks/controller_storage.py
+++ b/benchmarks/controller_storage.py
@@ -2,8 +2,8 @@
 
     python -m benchmarks.controller_storage [--folder F]
 
-Prints one JSON object for each size. Times are the median of RUNS in milliseconds, as wall-clock time (`_ms`)
-and processor time (`_cpu_ms`):
+Prints one JSON object for each size. Times are medians of RUNS calls in milliseconds, as wall-clock time
+(`_ms`) and processor time (`_cpu_ms`):
 
 - `round`: compute and apply the difference of a move.
 - `feed`: prepare the updates that proxies get for the move.
@@ -11,8 +11,8 @@
 - `fresh`: commit a value that shares no objects with the stored value.
 - `open`: open the database.
 
-`json`, `base` and `log` are the bytes of the value as JSON text, of the database and of its log. `ratio` is
-the processor time of a move, relative to that of the first size.
+`json`, `base` and `log` are the sizes in bytes of the value as JSON text, of the database and of its log.
+`ratio` is the processor time of a move, relative to that of the first size.
 """
 
 import argparse
@@ -37,7 +37,7 @@
 def table(slices: int, number: int = 1) -> dict:
     """Returns a slice table with this number of slices and version `number`.
 
-    The slices of each service start at the keys 0, 1, 2 and so on.
+    The slices of each service start at the keys 0, 1, 2 and so on (`common/slice_table.py`).
     """
     services: dict[str, dict] = {f"service-{index}": {} for index in range(SERVICES)}
     for index in range(slices):
@@ -90,6 +90,7 @@
 
     values.append(value)
     commit(0)
+    # 7919 is a prime, so the moves are spread over the slices of the service.
     for index in range(RUNS):
         values.append(moved(values[-1], 7919 * index))
     row: dict = {"slices": slices, "json": len(json.dumps(value))}
