--- a/tests/test_damaged_controllers.py
+++ b/tests/test_damaged_controllers.py
@@ -30,8 +30,8 @@
         fleet.start(number)
 
 
-def found_cluster_and_stop(fleet: ControllerFleet, count: int) -> None:
-    """Founds a cluster of `count` voters, stores a configuration there, and ends all controllers."""
+def create_cluster_and_stop(fleet: ControllerFleet, count: int) -> None:
+    """Creates a cluster of `count` voters, stores a configuration there, and ends all controllers."""
     fleet.write_settings(count, count)
     for number in range(1, count + 1):
         with open(fleet.paths[number], "a") as settings:
@@ -91,7 +91,7 @@
 
 def assert_changed_controllers_recover(fleet: ControllerFleet, voters: int, changed: set[int]) -> None:
     """Changes the content of some controllers, and checks that they restart with an empty database."""
-    found_cluster_and_stop(fleet, voters)
+    create_cluster_and_stop(fleet, voters)
     numbers, exit_codes = range(1, voters + 1), {}
     for number in changed:
         change_content(fleet.data_folder(number))
@@ -128,7 +128,7 @@
 
 def test_no_controller_answers_until_a_majority_agrees(fleet: ControllerFleet) -> None:
     """Two of three controllers run and differ. Only the third one reveals which of the two changed."""
-    found_cluster_and_stop(fleet, 3)
+    create_cluster_and_stop(fleet, 3)
     change_content(fleet.data_folder(1))
     fleet.start(1)
     fleet.start(2)
@@ -149,7 +149,7 @@
 
 
 def test_controller_with_a_damaged_database_becomes_a_voter_again(fleet: ControllerFleet) -> None:
-    found_cluster_and_stop(fleet, 3)
+    create_cluster_and_stop(fleet, 3)
     damage_database(fleet.data_folder(3))
     start_all(fleet, range(1, 4))
     fleet.wait_for_states({1: "voter", 2: "voter", 3: "voter"})
@@ -165,7 +165,7 @@
 
 
 def test_controllers_refuse_to_answer_if_all_databases_are_damaged(fleet: ControllerFleet) -> None:
-    found_cluster_and_stop(fleet, 3)
+    create_cluster_and_stop(fleet, 3)
     numbers = range(1, 4)
     for number in numbers:
         damage_database(fleet.data_folder(number))
--- a/tests/test_failing_disk.py
+++ b/tests/test_failing_disk.py
@@ -13,7 +13,7 @@
 from tests.simulation.membership_seat_cases import peer_status
 
 CATCH_UP = BOUNDS.CatchUpS
-LOST_AFTER = CATCH_UP * LOST_AFTER_FRACTION
+LOST_AFTER = CATCH_UP * LOST_AFTER_FRACTION  # s of disk failure after which a voter may be replaced
 VOTER_SET: VoterSet = {"n": 2, "voters": {"a": "a0", "b": "b0", "c": "c0"}, "before": {}}
 SEEDS = 30
 
