--- a/tests/simulation/simulated_disk.py
+++ b/tests/simulation/simulated_disk.py
@@ -170,7 +170,7 @@
         try:
             self.disk.count_call("flush")
         except OSError:
-            file.unsynced_writes, file.contents = [], bytearray(file.durable)  # unsynced data is lost
+            file.unsynced_writes, file.contents = [], bytearray(file.durable)  # the cached pages are dropped
             raise
         file.durable, file.unsynced_writes = bytes(file.contents), []
 
