--- a/bramblewood/proxy/client_connections.py
+++ b/bramblewood/proxy/client_connections.py
@@ -16,7 +16,7 @@
 from .controller_sessions import ControllerSessions
 
 MAX_HEADERS = 256
-# s after the time-out: the loop reads requests that arrived in time while the process was suspended
+# s from the time-out to the disconnect, in which requests that arrived during a suspension are handled
 FIRST_REQUEST_READ_GRACE = 0.01
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
@@ -25,7 +25,7 @@
 class ClientConnections:
     """Creates the protocols of client connections.
 
-    awaiting_first_request: ids of the protocols that have received no request yet.
+    awaiting_first_request: ids (`id()`) of the protocols that have received no request yet.
     """
 
     def __init__(
@@ -34,7 +34,8 @@
         self.sessions, self.handler, self.disconnects = sessions, handler, disconnects
         self.awaiting_first_request: set[int] = set()
         self._server: web.Server | None = None
-        self._server_configuration: Configuration | None = None  # the server applies its limits
+        # the configuration whose limits `_server` applies
+        self._server_configuration: Configuration | None = None
 
     def create_protocol(self) -> asyncio.Protocol:
         """Return the protocol of a new client connection, with the current limits."""
@@ -43,8 +44,10 @@
             self._server_configuration = self.sessions.configuration
             self._server = self._create_server(limits)
         protocol = self._server()
-        self.awaiting_first_request.add(id(protocol))  # unique, as the timer below holds a reference
+        self.awaiting_first_request.add(id(protocol))  # stays unique: the timer holds the protocol
         loop = asyncio.get_running_loop()
+        # The second timer starts when the first one fires. After a suspension, one timer for the total time
+        # would fire before the loop has handled a request that arrived meanwhile.
         loop.call_later(
             limits.header_timeout,
             loop.call_later,
--- a/bramblewood/proxy/client_disconnects.py
+++ b/bramblewood/proxy/client_disconnects.py
@@ -1,8 +1,8 @@
 """Cancels the work on requests whose clients have disconnected.
 
-Rule GONE of the users' pages: from half a second after a client disconnects, its request is sent to no
-further worker. If the request is idempotent, no worker is still processing it. A non-idempotent request that
-was sent is not cancelled.
+This implements rule GONE of the user documentation: from half a second after a client disconnects, its
+request is sent to no further worker. If the request is idempotent, no worker is still processing it by then.
+A non-idempotent request that was sent is not cancelled.
 """
 
 import asyncio
@@ -35,16 +35,16 @@
 
 
 class ClientDisconnects:
-    """The work to cancel when a client connection is lost, at most one request per connection."""
+    """Holds the work to cancel when a client connection is lost, at most one request per connection."""
 
     def __init__(self) -> None:
-        self._scopes: dict[int, asyncio.Timeout] = {}  # by id of the connection's protocol
+        self._scopes: dict[int, asyncio.Timeout] = {}  # by `id()` of the connection's protocol
 
     def connection_lost(self, protocol: object) -> None:
         """Cancel the work that depends on this connection."""
         scope = self._scopes.pop(id(protocol), None)
         if scope is not None:
-            scope.reschedule(asyncio.get_running_loop().time())
+            scope.reschedule(asyncio.get_running_loop().time())  # expires now, which cancels the work
 
     def check(self, request: web.BaseRequest) -> None:
         """Raise `ClientDisconnected` if the request's client has closed its connection."""
