--- a/bramblewood/proxy/connection_pool.py
+++ b/bramblewood/proxy/connection_pool.py
@@ -10,11 +10,12 @@
 from ..common.connection_state import AttemptOutcome
 from ..common.worker_connection import WorkerConnection, WorkerUnreachable, connect
 
-# fraction of the idle time of a dead connection: up to this, idle connections take non-idempotent requests
+# A non-idempotent request uses a connection only if it was idle for at most this fraction of the idle time
+# after which a connection may be dead.
 TRUSTED_IDLE_FRACTION = 0.5
-# s in which the trusted idle time doubles, as workers close connections early for some seconds only
+# s in which the trusted idle time doubles; workers close connections early for some seconds at a time only
 TRUST_RECOVERY_TIME = 5.0
-MAX_TRUST_DOUBLINGS = 30.0
+MAX_TRUST_DOUBLINGS = 30.0  # prevents an overflow long after the last dead connection
 
 
 class ConnectionPool:
@@ -63,7 +64,7 @@
         """Return the most recently used idle connection that may carry a request, or None.
 
         Connections in `excluded` are not returned: a surplus response to an earlier attempt of the same
-        request would have the same id. Expired idle connections to the worker are closed.
+        request would have the same request id. Expired idle connections to the worker are closed.
         """
         trusted_time = self.trusted_idle_time(now) if non_idempotent else float("inf")
         idle = []
--- a/bramblewood/proxy/controller_sessions.py
+++ b/bramblewood/proxy/controller_sessions.py
@@ -142,7 +142,7 @@
             }
         if heartbeat.is_current:
             self._silent_workers = set(heartbeat.silent_workers or ())
-            self.retry_budget.proxies = max(heartbeat.proxy_count, 1)
+            self.retry_budget.proxy_count = max(heartbeat.proxy_count, 1)
         for controller in heartbeat.controllers or ():
             self.peer_connections.maintain(controller, self.settings.peer_port)
         versions = self.known_versions()
@@ -173,11 +173,11 @@
         An unconfirmed worker that still responds to this proxy is not timed out. The upstream may be
         partitioned from the controller that receives the worker's heartbeats.
         """
-        answering_since = now - self.freshness.expiry_time
+        answered_since = now - self.freshness.heartbeat_timeout
         unconfirmed = {
             instance_id
             for instance_id in self.freshness.unconfirmed
-            if self.load_balancer.observation(instance_id).answered_at < answering_since
+            if self.load_balancer.observation(instance_id).answered_at < answered_since
         }
         self.load_balancer.timed_out = self._silent_workers | unconfirmed
 
@@ -193,7 +193,7 @@
 
     def _on_table(self, now: float, connection: PeerConnection, message: dict) -> None:
         if not self.load_balancer.slices.apply(TableUpdate.from_wire(message)):
-            connection.send(UpdateRequest(TABLE_REGISTER, 0).to_wire())
+            connection.send(UpdateRequest(TABLE_REGISTER, 0).to_wire())  # 0: the complete table
         self._wake_waiting_requests()
         self._send_all(self.selection.confirmation_request(now, self.known_versions()))
 
--- a/bramblewood/proxy/forwarding.py
+++ b/bramblewood/proxy/forwarding.py
@@ -57,7 +57,7 @@
         observation.request_started(loop.time(), non_idempotent)
         if attempts.affinity_key:
             load_balancer.set_affinity(
-                observation.oldest_in_flight_at,
+                observation.in_flight_since,
                 attempts.service,
                 attempts.affinity_key,
                 instance_id,
@@ -88,7 +88,7 @@
     ) -> ExchangeResult | None:
         """Send the request over a connection from the pool.
 
-        Returns None if its deadline has passed once a connection is acquired.
+        Returns None if the request's deadline passes before a connection is acquired.
         """
         loop, pool = asyncio.get_running_loop(), self.connection_pool
         address = self.load_balancer.registry.registrations[instance_id].address
@@ -131,8 +131,8 @@
         configuration = self.sessions.configuration
         settings = configuration.services.get(service) if configuration is not None else None
         max_connections = settings.max_connections if settings else 0
-        proxies = self.retry_budget.proxies
-        return idle_connection_quota(max_connections, proxies, self.proxy_name, instance_id, now)
+        proxy_count = self.retry_budget.proxy_count
+        return idle_connection_quota(max_connections, proxy_count, self.proxy_name, instance_id, now)
 
     def _record_answer(
         self, now: float, instance_id: str, answer: WorkerResponse, response_time: float
--- a/bramblewood/proxy/load_report.py
+++ b/bramblewood/proxy/load_report.py
@@ -1,6 +1,6 @@
-"""The load report that a proxy sends to the coordinator: request counts, worker statistics, drains.
+"""The load report that a proxy sends to the coordinator. No I/O.
 
-No I/O.
+It contains request counts, statistics of workers, and the remaining work at workers in a drain plan.
 """
 
 from ..common.messages import LoadReport
@@ -36,6 +36,6 @@
         if not in_flight and not bound_keys:
             continue
         non_idempotent = observation.non_idempotent_in_flight if observation is not None else 0
-        oldest = round(now - observation.oldest_in_flight_at, 2) if in_flight else 0.0
-        remaining[instance_id] = [in_flight - non_idempotent, non_idempotent + bound_keys, oldest]
+        in_flight_time = round(now - observation.in_flight_since, 2) if in_flight else 0.0
+        remaining[instance_id] = [in_flight - non_idempotent, non_idempotent + bound_keys, in_flight_time]
     return remaining
--- a/bramblewood/proxy/registry_freshness.py
+++ b/bramblewood/proxy/registry_freshness.py
@@ -31,10 +31,10 @@
     def __init__(self, registry: WorkerRegistry, heartbeat_interval: float) -> None:
         """heartbeat_interval: s between heartbeats of a worker."""
         self.registry = registry
-        self.expiry_time = MISSED_HEARTBEATS * heartbeat_interval
+        self.heartbeat_timeout = MISSED_HEARTBEATS * heartbeat_interval
         self.unconfirmed: set[str] = set()  # registered as live here, but at no controller
         self.absent_since: dict[str, float] = {}  # by instance id: when a complete registry first lacked it
-        self.differing_since: float | None = None
+        self.differing_since: float | None = None  # when the digests began to differ
         self.next_request_at = 0.0
         self.request_interval = FIRST_REQUEST_INTERVAL
 
@@ -44,7 +44,7 @@
         if not heartbeat.is_current or heartbeat.live_digest is None:
             self.differing_since = None
             return False
-        self._expire_absent(now)
+        self._mark_absent_as_unconfirmed(now)
         if heartbeat.live_digest == self.registry.live_digest(self.unconfirmed):
             self.differing_since, self.request_interval = None, FIRST_REQUEST_INTERVAL
             return False
@@ -72,11 +72,11 @@
                 if instance_id not in instance_ids and instance_id not in self.unconfirmed:
                     self.absent_since.setdefault(instance_id, now)
 
-    def _expire_absent(self, now: float) -> None:
+    def _mark_absent_as_unconfirmed(self, now: float) -> None:
         expired = {
             instance_id
             for instance_id, absent_at in self.absent_since.items()
-            if now >= absent_at + self.expiry_time
+            if now >= absent_at + self.heartbeat_timeout
         }
         for instance_id in expired:
             del self.absent_since[instance_id]
--- a/bramblewood/proxy/retry_budget.py
+++ b/bramblewood/proxy/retry_budget.py
@@ -4,7 +4,8 @@
 proxies share (`RetryRatio`, `RetryWindowS`, `RetrySlack` of the settings). Times are in seconds.
 """
 
-BUDGET_USE_FRACTION = 0.8  # of the budget: the rest is reserved, as the rules count requests in other windows
+# fraction of the budget that is spent; the rest is a margin, as the rules count requests in other windows
+BUDGET_USE_FRACTION = 0.8
 BUCKET_DURATION = 1.0  # s that one bucket covers
 
 
@@ -20,12 +21,16 @@
 class RetryBudget:
     """Counts of requests and retries by service and second.
 
-    proxies: number of proxies that share the slack.
+    proxy_count: number of proxies that share the slack.
     """
 
     def __init__(self, ratio: float, window: float, slack: float) -> None:
-        """ratio: retries per request. window: s. slack: further retries per window, shared by all proxies."""
-        self.ratio, self.window, self.slack, self.proxies = ratio, window, slack, 1
+        """Create the budget of one proxy.
+
+        ratio: retries per request. window: length of the sliding window (s). slack: further retries per
+        window, shared by all proxies.
+        """
+        self.ratio, self.window, self.slack, self.proxy_count = ratio, window, slack, 1
         self.buckets: dict[str, dict[int, _Bucket]] = {}
 
     def _current_bucket(self, service: str, now: float) -> _Bucket:
@@ -47,7 +52,7 @@
         buckets = self.buckets[service].values()
         requests = sum(bucket.requests for bucket in buckets)
         retries = sum(bucket.retries for bucket in buckets)
-        budget = self.ratio * requests + self.slack / max(self.proxies, 1)
+        budget = self.ratio * requests + self.slack / max(self.proxy_count, 1)
         if retries + 1 > BUDGET_USE_FRACTION * budget:
             return False
         current.retries += 1
--- a/bramblewood/proxy/worker_observations.py
+++ b/bramblewood/proxy/worker_observations.py
@@ -7,10 +7,10 @@
 
 from .hot_key_queue import OVERLOADED_RATE_FACTOR, REJECTED_RATE_FACTOR, HotKeyQueue
 
-# s without requests to a worker after a failed connection or a time-out; each failure doubles it, up to the
-# maximum
+# s without requests to a worker after a failed connection or a time-out: each failure doubles the minimum, up
+# to the maximum
 MIN_BACKOFF, MAX_BACKOFF = 0.5, 4.0
-LOAD_VALIDITY = 1.0  # s for which a reported load is used, as reports are usually about this old
+LOAD_VALIDITY = 1.0  # s for which a reported load is used; reported loads are usually about this old
 # s for which a reported full queue is assumed to last: about a request's processing time
 FULL_QUEUE_VALIDITY = 0.15
 REJECTION_BACKOFF = 0.1  # s for which a worker is assumed to be full after it rejects a request or connection
@@ -21,14 +21,14 @@
 class WorkerObservation:
     """This proxy's observation of one worker.
 
-    The counts `attempts`, `failures` and `server_errors` and the total `response_time` (s) start at the last
-    load report.
+    The counts `attempts`, `failures` and `server_errors` and the total `response_time` (s) cover the time
+    since the last load report.
     """
 
     __slots__ = (
         "in_flight",
         "non_idempotent_in_flight",
-        "oldest_in_flight_at",
+        "in_flight_since",
         "load",
         "load_at",
         "backoff_until",
@@ -45,7 +45,7 @@
 
     def __init__(self) -> None:
         self.in_flight = self.non_idempotent_in_flight = 0
-        self.oldest_in_flight_at = 0.0  # when the in-flight count last became 1
+        self.in_flight_since = 0.0  # when the in-flight count last rose from 0
         self.load, self.load_at = NO_LOAD, -1e9  # reported by the worker: running, waiting, slots
         self.backoff_until, self.backoff, self.full_until = 0.0, MIN_BACKOFF, 0.0
         self.hot_key_queue = HotKeyQueue()
@@ -55,7 +55,7 @@
 
     def request_started(self, now: float, non_idempotent: bool) -> None:
         """Record that a request is sent to the worker."""
-        self.oldest_in_flight_at = self.oldest_in_flight_at if self.in_flight else now
+        self.in_flight_since = self.in_flight_since if self.in_flight else now
         self.in_flight += 1
         self.non_idempotent_in_flight += non_idempotent
 
--- a/features/steps/connection_quota.py
+++ b/features/steps/connection_quota.py
@@ -1,6 +1,6 @@
 from behave import given, then
 
-from bramblewood.proxy.connection_quota import LOTTERY_PERIOD, idle_connection_quota
+from bramblewood.proxy.connection_quota import DRAW_PERIOD, idle_connection_quota
 
 
 @given("{proxies:d} proxies and {workers:d} workers that accept {connections:d} connections each")
@@ -21,5 +21,5 @@
 @then("every proxy may keep a connection to a given worker in at least one of {periods:d} successive periods")
 def successive_draws(context, periods):
     for proxy in context.proxies:
-        draws = [context.quota(proxy, 1, LOTTERY_PERIOD * number) for number in range(4 * periods)]
+        draws = [context.quota(proxy, 1, DRAW_PERIOD * number) for number in range(4 * periods)]
         assert all(any(draws[first : first + periods]) for first in range(3 * periods)), (proxy, draws)
--- a/tests/test_registry_freshness.py
+++ b/tests/test_registry_freshness.py
@@ -10,7 +10,7 @@
 from bramblewood.proxy.registry_freshness import MAX_REQUEST_INTERVAL, RegistryFreshness
 
 HEARTBEAT_INTERVAL = 1.5  # s between heartbeats of a worker
-EXPIRY_TIME = 3.2 * HEARTBEAT_INTERVAL
+HEARTBEAT_TIMEOUT = 3.2 * HEARTBEAT_INTERVAL  # s without a heartbeat until a worker is timed out
 
 
 def registration(name: str, phase: str = READY, sequence: int = 1) -> WorkerRegistration:
@@ -56,9 +56,9 @@
     upstream = registry_with("a", "c")
     assert request_times(freshness, upstream, 3.0) == [2.0]
     freshness.registrations_received(2.1, {"a", "c"}, True, True)
-    freshness.heartbeat_received(2.0 + EXPIRY_TIME, heartbeat(upstream))
+    freshness.heartbeat_received(2.0 + HEARTBEAT_TIMEOUT, heartbeat(upstream))
     assert freshness.unconfirmed == set()
-    freshness.heartbeat_received(2.2 + EXPIRY_TIME, heartbeat(upstream))
+    freshness.heartbeat_received(2.2 + HEARTBEAT_TIMEOUT, heartbeat(upstream))
     assert freshness.unconfirmed == {"b"}
     # the digests are equal without "b"
     assert not freshness.heartbeat_received(60.0, heartbeat(upstream))
@@ -67,7 +67,7 @@
 
 
 def test_a_worker_in_an_update_within_the_timeout_stays_confirmed(freshness: RegistryFreshness) -> None:
-    """All controllers have restarted, and the heartbeat arrives shortly after the complete registry."""
+    """All controllers have restarted, and the worker's next heartbeat follows the complete registry."""
     freshness.registrations_received(2.0, {"a", "c"}, True, True)
     freshness.registrations_received(3.0, {"b"}, False, True)
     freshness.heartbeat_received(30.0, heartbeat(registry_with("a", "b", "c")))
@@ -112,7 +112,7 @@
     load_balancer.observation("b").answered_at = 99.0
     sessions._update_timed_out(100.0)
     assert load_balancer.timed_out == {"a"}
-    sessions._update_timed_out(99.5 + EXPIRY_TIME)
+    sessions._update_timed_out(99.5 + HEARTBEAT_TIMEOUT)
     assert load_balancer.timed_out == {"a", "b"}
 
 
