--- a/bramblewood/proxy/controller_selection.py
+++ b/bramblewood/proxy/controller_selection.py
@@ -1,11 +1,12 @@
 """Selects the controller that sends updates to this proxy, and determines when the proxy is ready.
 
-No I/O. Times are seconds of the proxy's own steady clock. The heartbeats of controllers select the upstream
-and announce newer versions. A heartbeat may be delayed in a socket, so no safety property depends on its
-content.
+No I/O. Times are seconds of the proxy's own steady clock. A controller is current if its newest heartbeat
+says that it has recent contact with a quorum and can serve proxies. The proxy selects its upstream by the
+heartbeats, which also announce newer versions. A heartbeat may be delayed in a socket, so no safety property
+depends on its content.
 
-Invariant: the proxy becomes ready, and treats its slice table as the newest, only by a confirmation that it
-requested. The controller that confirms has recent contact with a quorum on all registers at that time.
+Invariant: the proxy becomes ready, and treats its slice table as the newest, only after a confirmation that
+it requested. The controller that confirms has recent contact with a quorum on all registers when it confirms.
 """
 
 import math
@@ -115,21 +116,21 @@
         for register, version in heartbeat.versions.items():
             if register not in known_versions:
                 continue  # the controller runs a release with more registers
-            if version > known_versions[register] and self._is_due(now, register, version):
+            if version > known_versions[register] and self._is_request_due(now, register, version):
                 messages.append((peer, UpdateRequest(register, known_versions[register])))
         return messages + self.confirmation_request(now, known_versions)
 
-    def _is_due(self, now: float, register: str, version: int) -> bool:
+    def _is_request_due(self, now: float, register: str, version: int) -> bool:
         """Whether to request a newer version now.
 
         The upstream is expected to send the version without a request. If it has not arrived after
         UPSTREAM_GRACE, it is requested every REQUEST_RETRY_INTERVAL.
         """
-        newest, ask_at = self.awaited_versions.get(register, (0, 0.0))
+        newest, request_at = self.awaited_versions.get(register, (0, 0.0))
         if version > newest:
             self.awaited_versions[register] = (version, now + UPSTREAM_GRACE)
             return False
-        if now < ask_at:
+        if now < request_at:
             return False
         self.awaited_versions[register] = (version, now + REQUEST_RETRY_INTERVAL)
         return True
--- a/bramblewood/proxy/hot_key_queue.py
+++ b/bramblewood/proxy/hot_key_queue.py
@@ -17,9 +17,10 @@
 REJECTED_RATE_FACTOR = 0.7  # factor applied to the rate when a worker rejects a request
 RATE_EFFECT_DELAY = 0.2  # s until a reduced rate has an effect: about a request's processing time
 RATE_GAIN_PER_SECOND = 0.3  # fraction of the rate by which it grows each second
-MIN_RATE = 0.2  # requests per second: the lowest rate still gets a load report every five seconds
+# requests per second; at this rate, a response with the worker's load still arrives every five seconds
+MIN_RATE = 0.2
 ARRIVAL_RATE_WINDOW = 1.0  # s over which the arrival rate is averaged
-UNLIMITED_RATE_FACTOR = 2.0  # times the arrival rate: above this, the rate limit is removed
+UNLIMITED_RATE_FACTOR = 2.0  # the rate limit is removed once it exceeds this many times the arrival rate
 
 Priority = tuple[int, float]  # the route's priority and the time of arrival; the lowest is sent first
 
@@ -27,7 +28,8 @@
 class HotKeyQueue:
     """The rate limit of one worker at this proxy, and the requests that wait for it.
 
-    next_slot_at: earliest time of the next request. reduced_at, raised_at: times of the last rate changes.
+    next_slot_at: earliest time at which the next request may be sent. reduced_at: time of the last reduction
+    of the rate. raised_at: time of the last change of the rate.
     """
 
     def __init__(self) -> None:
--- a/bramblewood/proxy/http_fields.py
+++ b/bramblewood/proxy/http_fields.py
@@ -32,7 +32,7 @@
 FIELDS_SET_FOR_CLIENTS = {b"content-length", b"date", b"server"}
 _NOT_FOR_WORKERS = HOP_BY_HOP_FIELDS | FIELDS_SET_FOR_WORKERS
 _NOT_FOR_CLIENTS = HOP_BY_HOP_FIELDS | FIELDS_SET_FOR_CLIENTS
-MAX_DIGITS = 18  # of an integer in a header field; the integer then fits into 64 bits
+MAX_DIGITS = 18  # of an integer in a header field, which then fits into 64 bits
 
 
 class _MultiValueHeaders(Protocol):
@@ -83,7 +83,7 @@
 
 
 def client_response(reply: FinalReply, method: str) -> web.Response:
-    """Return the response to the client. method: of its request."""
+    """Return the response to the client. method: the method of the client's request."""
     if reply.response is None:
         return error_response(reply.status, reply.reason, reply.retry_after)
     response = reply.response
@@ -103,5 +103,8 @@
 
 
 def parse_integer(text: str) -> int | None:
-    """Return the non-negative integer in a field, or None if it is not one or has more than MAX_DIGITS."""
+    """Return the non-negative integer that a text represents, or None if it represents none.
+
+    A text with more than MAX_DIGITS digits is not accepted.
+    """
     return int(text) if text.isascii() and text.isdigit() and len(text) <= MAX_DIGITS else None
