--- a/bramblewood/proxy/load_balancing.py
+++ b/bramblewood/proxy/load_balancing.py
@@ -25,13 +25,13 @@
 from .slice_lookup import SliceLookup
 from .worker_observations import WorkerObservation, WorkerObservations
 
-# queued requests, beyond the slots, at which a worker counts as full; "queues a few more", PROTOCOL
+# A worker counts as full with this many requests more than slots: it "queues a few more", PROTOCOL.
 FULL_QUEUE_LENGTH = 3
 LOCAL_SLICES_VALIDITY = 0.25  # s for which the list of this zone's slices is cached: half a rebalancing cycle
-# of DrainS: for this long a draining worker still gets requests for the keys that it owns
+# fraction of DrainS for which a draining worker still gets requests for the keys that it owns
 DRAINING_OWNER_FRACTION = 0.6
 MIXING_FACTOR = 2654435761  # 2**32 over the golden ratio: Knuth's multiplicative hash
-# of a slice's requests: above this share of the second worker, the less loaded of the two is chosen
+# If the second worker's share of a slice's requests exceeds this, the less loaded of the two is chosen.
 MIN_SECOND_SHARE = 0.1
 
 
@@ -39,7 +39,7 @@
     """Chooses workers for requests.
 
     registry: the worker registrations received from controllers. slices: the slice table. timed_out: workers
-    without a heartbeat at any controller for too long. local_fractions: by service, the fraction of this
+    whose last heartbeat at any controller is too old. local_fractions: by service, the fraction of this
     zone's requests that are sent to workers in this zone.
     """
 
@@ -53,7 +53,7 @@
         self.affinity = AffinityTable()
         self.timed_out: set[str] = set()
         self.local_fractions: dict[str, float] = {}
-        # by service: time of the search, first keys of the slices
+        # cached result of `_find_local_slices` by service: time of the search, first keys of the slices
         self._local_slices: dict[str, tuple[float, list[int]]] = {}
 
     def observation(self, instance_id: str) -> WorkerObservation:
@@ -200,7 +200,8 @@
                 if reader not in excluded and self.is_available(now, reader)
             ]
             if readers:
-                position = self.hash_request_id(request_id) % (len(readers) + 1)  # the last is the owner's
+                # the position after the last reader stands for the owner
+                position = self.hash_request_id(request_id) % (len(readers) + 1)
                 if position < len(readers):
                     return readers[position]
         owner = entry[WORKER]
--- a/bramblewood/proxy/replica_invalidation_calls.py
+++ b/bramblewood/proxy/replica_invalidation_calls.py
@@ -76,6 +76,7 @@
         registration = self.load_balancer.registry.registrations.get(instance_id)
         if registration is None or registration.phase == GONE:
             return True
+        # a release of the range from `Source` to `TargetVersion`, which contains only this key
         body = json.dumps({"Source": key, "TargetVersion": key, "fence": fencing_token}).encode()
         request_id = f"drop-{self.proxy_name}-{os.urandom(4).hex()}"
         head = [
--- a/bramblewood/proxy/request_attempts.py
+++ b/bramblewood/proxy/request_attempts.py
@@ -19,21 +19,22 @@
 
 # Unless stated otherwise, fractions are of the route's latency target (`TargetLatencyS`).
 # wait while no worker is available; a rejection within a quarter of the target still counts as in time
-NO_OWNER_WAIT_FRACTION = 0.2
-HANDOVER_WAIT_FRACTION = 0.6  # wait while the key is handed over between two live workers: tenths of a second
+NO_WORKER_WAIT_FRACTION = 0.2
+# wait during a key's handover between live workers, which takes tenths of a second
+HANDOVER_WAIT_FRACTION = 0.6
 FULL_WORKER_WAIT_FRACTION = 0.3  # wait while the key's only worker is full
 # wait of an idempotent request for a hot key; the rest is left for the worker's queue and processing
 HOT_KEY_WAIT_FRACTION = 0.5
 # backoff before a new connection to a worker that rejected one
 CONNECTION_REJECTED_BACKOFF_FRACTION = 0.1
-# backoff before the same worker gets the request again: about the time to process a full queue
+# backoff before the same worker gets the request again: about the time in which it processes a full queue
 SAME_WORKER_BACKOFF_FRACTION = 0.4
-RETRY_AFTER_FRACTION = 0.3  # of the time left, sent as `Retry-After`: clients accept up to a third
+RETRY_AFTER_FRACTION = 0.3  # fraction of the time left sent as `Retry-After`; clients accept up to a third
 # s: upper bound of `Retry-After`, unless no worker is available or a hot key gets too many requests
 MAX_SHORT_RETRY_AFTER = 0.25
 # Clients take these statuses as a guarantee that the request has not run and never will run.
 STATUSES_PROMISING_NOT_RUN = (408, 429, 503)
-MAX_UNSENT_ATTEMPTS = 4  # limit on attempts that sent no byte, as each one opens a connection
+MAX_UNSENT_ATTEMPTS = 4  # limit on attempts that send no byte, as each one opens a connection
 FULL_WORKER_POLL_INTERVAL = 0.04  # s between checks of a full worker: a fraction of its response time
 DEADLINE_MARGIN = 0.012  # s reserved before the client's deadline for the transit of the response
 
@@ -77,7 +78,7 @@
         self.started_at = now
         self.affinity_key = ""
         self.deadline = now + min(time_left - DEADLINE_MARGIN, route.timeout)
-        self.no_owner_wait_until = now + NO_OWNER_WAIT_FRACTION * route.latency_target
+        self.no_worker_wait_until = now + NO_WORKER_WAIT_FRACTION * route.latency_target
         self.tried: set[str] = set()
         self.used_connections: set[int] = set()
         self.sent_count = self.unsent_count = 0
@@ -107,7 +108,8 @@
         if instance_id is None:
             return self._wait_for_worker(now, load_balancer)
         if instance_id == self.backed_off_worker and now < self.backoff_until:
-            return WaitUntil(self.backoff_until)  # its queue may get shorter, or its lease may arrive
+            # until then the worker's queue may get shorter, or its lease on the key may arrive
+            return WaitUntil(self.backoff_until)
         if self.key is not None:
             full_wait_until = self.started_at + FULL_WORKER_WAIT_FRACTION * self.route.latency_target
             is_full = not self.sent_count and load_balancer.is_full(now, instance_id)
@@ -133,7 +135,7 @@
         wait_until = (
             self.started_at + HANDOVER_WAIT_FRACTION * self.route.latency_target
             if in_handover
-            else self.no_owner_wait_until
+            else self.no_worker_wait_until
         )
         if now < wait_until and not self.last_response:
             return WaitUntil(wait_until)
@@ -230,7 +232,7 @@
     ) -> FinalReply | None:
         if indicates_not_run(response):
             if from_replica:
-                self.tried.add(instance_id)  # it no longer holds a replica: the owner holds the record
+                self.tried.add(instance_id)  # its replica is gone, but the owner has the record
             else:
                 self._back_off(now, instance_id, SAME_WORKER_BACKOFF_FRACTION)
             return None
@@ -255,7 +257,10 @@
 
 
 def is_valid_success_response(response: WorkerResponse) -> bool:
-    """Whether a successful response has the form that workers send: with a seal and without an encoding."""
+    """Whether a successful response has the form that workers send.
+
+    It has an `X-Response-Seal` and no `Content-Encoding`.
+    """
     return (
         "X-Response-Seal" in response.headers_by_name and "Content-Encoding" not in response.headers_by_name
     )
--- a/bramblewood/proxy/request_handler.py
+++ b/bramblewood/proxy/request_handler.py
@@ -1,4 +1,4 @@
-"""Handles one client request: it is validated, routed, read, attempted at workers and answered."""
+"""Handles one client request: validates, routes and reads it, sends it to workers and answers it."""
 
 import asyncio
 import os
@@ -26,7 +26,7 @@
 
 # s that a request waits for the first configuration, which arrives soon when all machines restart
 CONFIGURATION_WAIT = 0.25
-BODY_MEMORY_FRACTION = 0.25  # of the process's memory limit that request bodies may use
+BODY_MEMORY_FRACTION = 0.25  # fraction of the process's memory limit that request bodies may use
 BODY_READ_BYTES = 2**16  # bytes read from a body at a time
 DEFAULT_DEADLINE = 60.0  # s, for a request without `X-Deadline-Ms`
 RETRY_AFTER = 0.5  # s, for requests that are rejected before any attempt
@@ -46,7 +46,7 @@
 
 
 class RoutedRequest(NamedTuple):
-    """What a request's head determines.
+    """The values that are determined by the head of a request.
 
     key: None if the service has no keys. time_left: s from the request's arrival to the client's deadline.
     """
@@ -116,7 +116,7 @@
             reply = await self._attempt_until_answered(request, body, attempts)
             return client_response(reply, request.method)
         except ClientDisconnected:
-            return error_response(400, "the client went away", close=True)  # not delivered
+            return error_response(400, "the client went away", close=True)  # this response is not delivered
         finally:
             attempts.leave_queue()
             self.body_bytes -= len(body)
@@ -181,7 +181,7 @@
                     if self.body_bytes + size > self.settings.memory_limit * BODY_MEMORY_FRACTION:
                         raise RequestRejected(503, "too many bodies at once", RETRY_AFTER, close=True)
                     parts.append(part)
-        except TimeoutError:  # aiohttp reports no error for a malformed chunk, so that one also ends here
+        except TimeoutError:  # or a malformed chunk, for which aiohttp reports no error
             raise RequestRejected(408, "the body did not come in time", close=True) from None
         except ConnectionError:
             raise RequestRejected(400, "the client went away", close=True) from None
--- a/bramblewood/proxy/server.py
+++ b/bramblewood/proxy/server.py
@@ -1,4 +1,4 @@
-"""The proxy program: it connects and starts the components, runs periodic work and shuts down gracefully."""
+"""The proxy program: it creates and starts the components, runs periodic work and shuts down gracefully."""
 
 import asyncio
 import signal
@@ -23,11 +23,12 @@
 # names of the listen addresses in `BindMap`
 CLIENT_LISTENER, READINESS_LISTENER = "Front", "ReadyProbe"
 READINESS_KEEP_ALIVE = 5.0  # s
-REPORT_INTERVAL = 0.5  # s between load reports: the cycle of the design, which may have any length
+# s between load reports: one cycle of the placement policy, although controllers accept any interval
+REPORT_INTERVAL = 0.5
 CLEANUP_INTERVAL = 1.0  # s between removals of idle connections and of departed workers
 SHUTDOWN_POLL_INTERVAL = 0.05  # s between checks for requests in flight
 SHUTDOWN_RESERVE = 0.3  # s of GraceS that are reserved for closing connections and exiting
-# s after which two health checks have failed, so that the platform sends no new connections
+# s from SIGTERM until two health checks have failed, so that the platform sends no new connections
 HEALTH_CHECKS_FAILED_AFTER = 2.6
 
 
--- a/bramblewood/proxy/slice_lookup.py
+++ b/bramblewood/proxy/slice_lookup.py
@@ -1,4 +1,4 @@
-"""This proxy's copy of the slice table, and lookup of the slice of a key. No I/O.
+"""Holds this proxy's copy of the slice table, and looks up the slice of a key. No I/O.
 
 Invariant: the table never goes back to an older version within the life of a process.
 """
