--- a/features/steps/proxy.py
+++ b/features/steps/proxy.py
@@ -73,7 +73,7 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", simulation.port)
         while not connections.awaiting_first_request:
             await asyncio.sleep(0)
-        for _ in range(3):  # until the proxy reads from it
+        for _ in range(3):  # until the proxy reads from the connection
             await asyncio.sleep(0)
         timed_out_at = loop.time() + context.limits["HeaderTimeoutS"] + 0.02
         writer.write(b"GET /look/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: s1\r\n\r\n")
--- a/tests/simulation/proxy.py
+++ b/tests/simulation/proxy.py
@@ -1,4 +1,7 @@
-"""Runs a proxy on loopback between a raw client and scripted workers, and records a transcript."""
+"""Runs a proxy on loopback between a client and scripted workers, and records a transcript.
+
+The client and the workers write the bytes of HTTP messages themselves, so they can send malformed ones.
+"""
 
 import asyncio
 from typing import Any
@@ -10,12 +13,13 @@
 from bramblewood.emulator.operator import configuration
 from bramblewood.proxy.server import Proxy
 
+# name, host, path prefix, route type, time-out (s), latency target (s), priority, max. attempts, service
 ROUTES = [
     ["look", "h.example", "/look/", "pure", 2, 0.5, 1, 2, "plain"],
     ["pay", "h.example", "/pay/", "effectful", 2, 0.5, 0, 2, "plain"],
-    ["keyed", "h.example", "/keyed/", "pure", 2, 0.5, 1, 2, "divided"],
+    ["keyed", "h.example", "/keyed/", "pure", 2, 0.5, 1, 2, "sharded"],
 ]
-CONFIG = configuration("r3", ROUTES, [["plain", None], ["divided", True]])
+CONFIG = configuration("r3", ROUTES, [["plain", None], ["sharded", True]])
 SLICE_COUNT, KEYS_PER_SLICE = 8, 8192
 END_OF_HEAD = b"\r\n\r\n"
 
@@ -38,7 +42,7 @@
 
     arrivals: transcript lines of the requests so far. received_fields: header fields of the requests so far,
     by lower-case name. open_connections: number of connections that callers have not closed. reached: set
-    when a request is held. released: releases the held request.
+    when a request is held. released: when set, the worker continues with the held request.
     """
 
     def __init__(self, name: str, script: list[str]) -> None:
@@ -54,7 +58,7 @@
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.open_connections += 1
-        if self.script[:1] == ["no room"]:
+        if self.script[:1] == ["no room"]:  # the worker resets the connection without reading from it
             self.arrivals.append(f"{self.name} resets a connection: {self.script.pop(0)}")
             writer.transport.abort()
             return
@@ -77,7 +81,7 @@
         request_line, *field_lines = head.split("\r\n")
         fields = {name.lower(): value for name, _, value in (line.partition(": ") for line in field_lines)}
         request_id = fields.get("x-attempt-id", "")
-        if self.script[:1] == ["early"]:
+        if self.script[:1] == ["early"]:  # the worker responds before it has read the body
             self.arrivals.append(f"{self.name} gets a head and no body: {self.script.pop(0)}")
             writer.write(answer(503, request_id, "", "X-Not-Run: 1"))
             await self.released.wait()
@@ -101,39 +105,39 @@
                 writer.write(complete_response)
             case "close":
                 writer.close()
-            case "cut":
+            case "cut":  # a truncated response
                 writer.write(complete_response[:-3])
                 writer.close()
-            case "extra":
+            case "extra":  # a surplus response immediately after the response
                 writer.write(complete_response + answer(200, request_id, "again"))
-            case "late extra":
+            case "late extra":  # a surplus response just before the response to the next request
                 writer.write(complete_response)
                 return answer(200, request_id, "a late second answer")
-            case "full twice":
+            case "full twice":  # the same rejection again, just before the response to the next request
                 not_run = answer(503, request_id, "", "X-Not-Run: 1")
                 writer.write(not_run)
                 return not_run
-            case "unasked":
+            case "unasked":  # a surplus response while no request is in flight
                 writer.write(complete_response)
                 await self.released.wait()
                 writer.write(answer(200, request_id, "bytes that nobody asked for"))
-            case "noise":
+            case "noise":  # bytes that are not an HTTP response
                 writer.write(b"\x00\x01 no answer at all\r\n\r\n")
             case "unsealed":
                 writer.write(complete_response.replace(b"X-Response-Seal", b"X-Other"))
             case "encoded":
                 encoded = b"Content-Encoding: br\r\nX-Response-Seal"
                 writer.write(complete_response.replace(b"X-Response-Seal", encoded))
-            case "full":
+            case "full":  # a rejection: the request has not run and never will run
                 writer.write(answer(503, request_id, "", "X-Not-Run: 1"))
-            case "elsewhere":
+            case "elsewhere":  # a misdirected request: it belongs to another worker
                 writer.write(answer(421, request_id, "", "X-Instance: i-other"))
             case "slow error":
                 await asyncio.sleep(0.6)
                 writer.write(answer(500, request_id, "failed"))
             case "error":
                 writer.write(answer(500, request_id, "failed"))
-            case "silent":
+            case "silent":  # no response
                 pass
             case "held":
                 self.reached.set()
@@ -148,14 +152,17 @@
     def __init__(self, grace: float = 6.0) -> None:
         """grace: GraceS of the settings, in seconds."""
         settings = Settings(
-            "desk-1", "127.0.0.1", "z", (1, 2), (), False, None, 1.5, {}, 2**28, 100, Bounds(GraceS=grace)
+            "proxy-1", "127.0.0.1", "z", (1, 2), (), False, None, 1.5, {}, 2**28, 100, Bounds(GraceS=grace)
         )
         self.proxy = Proxy(settings)
         self.workers: dict[str, ScriptedWorker] = {}
         self.transcript: list[str] = []
 
     async def start(self, scripts: dict[str, list[str]], limits: dict[str, Any] | None = None) -> None:
-        """Start the workers and the proxy. scripts: by worker. limits: `Limits` of the configuration."""
+        """Start the workers and the proxy.
+
+        scripts: each worker's script, by its name. limits: `Limits` of the configuration.
+        """
         proxy, loop = self.proxy, asyncio.get_running_loop()
         proxy.sessions.start(loop)
         built_configuration = build_configuration({**CONFIG, "Limits": limits or {}})
@@ -168,7 +175,7 @@
         first_worker, last_worker = next(iter(scripts)), [*scripts][-1]
         entry = [first_worker, last_worker if len(scripts) > 1 else "", 0.01, 1, "", ""]
         table = {str(number * KEYS_PER_SLICE): [*entry] for number in range(SLICE_COUNT)}
-        proxy.load_balancer.slices.apply(TableUpdate(1, {"plain": table, "divided": table}))
+        proxy.load_balancer.slices.apply(TableUpdate(1, {"plain": table, "sharded": table}))
         self.listener = await loop.create_server(proxy.client_connections.create_protocol, "127.0.0.1", 0)
         proxy.client_listener = self.listener
         self.port = self.listener.sockets[0].getsockname()[1]
