--- a/features/request_lifetime.feature
+++ b/features/request_lifetime.feature
@@ -1,5 +1,5 @@
 Feature: A request ends at its deadline or when its client disconnects, and each attempt carries the time left
-  The scenarios cover the rules BUDGET, CONFIG and GONE of the users' pages, and deregistration without draining.
+  The scenarios cover the rules BUDGET, CONFIG and GONE of the user documentation, and deregistration without draining.
 
   Scenario: A retry carries the time left until the client's deadline
     Given a proxy with these scripted workers
--- a/features/steps/connection_quota.py
+++ b/features/steps/connection_quota.py
@@ -12,7 +12,9 @@
     context.proxies, context.workers = range(proxies), range(workers)
 
 
-@then("they keep at most {limit:d} idle connections to any worker, and half of the accepted ones on average")
+@then(
+    "they keep at most {limit:d} idle connections to any worker, and on average half of those that it accepts"
+)
 def idle_connections_per_worker(context, limit):
     kept = [sum(context.quota(proxy, worker, 0.0) for proxy in context.proxies) for worker in context.workers]
     assert max(kept) <= limit and abs(sum(kept) / len(kept) - context.connections / 2) < 1.5, kept
--- a/features/steps/request_lifetime.py
+++ b/features/steps/request_lifetime.py
@@ -5,7 +5,7 @@
 
 from tests.simulation.proxy import ProxySimulation
 
-FROM_CONTROLLER = types.SimpleNamespace(peer="127.0.0.9")  # the connection on which the message arrives
+CONTROLLER_CONNECTION = types.SimpleNamespace(peer="127.0.0.9")  # stands in for a `PeerConnection`
 
 
 def run_exchange(context, exchange):
@@ -98,7 +98,7 @@
         writer.transport.abort()
         disconnected_at = asyncio.get_running_loop().time()
         await asyncio.sleep(0.4)
-        worker.released.set()  # it reads again and so detects a closed connection
+        worker.released.set()  # the worker then reads again and detects a closed connection
         while worker.open_connections and asyncio.get_running_loop().time() < disconnected_at + 1.0:
             await asyncio.sleep(0.01)
         return worker.open_connections, asyncio.get_running_loop().time() - disconnected_at
@@ -118,7 +118,7 @@
         worker = await worker_with_request(simulation)
         gone_row = ["plain", worker.address, "z", 2, "gone", 9]
         simulation.proxy.sessions.handle_message(
-            FROM_CONTROLLER, {"k": "roll", "rows": {worker.name: gone_row}}
+            CONTROLLER_CONNECTION, {"k": "roll", "rows": {worker.name: gone_row}}
         )
         worker.released.set()
         status, arrivals_before = await status_of(*connection), len(worker.arrivals)
