--- a/bramblewood/proxy/hot_key_queue.py
+++ b/bramblewood/proxy/hot_key_queue.py
@@ -20,7 +20,7 @@
 # requests per second; at this rate, a response with the worker's load still arrives every five seconds
 MIN_RATE = 0.2
 ARRIVAL_RATE_WINDOW = 1.0  # s over which the arrival rate is averaged
-UNLIMITED_RATE_FACTOR = 2.0  # the rate limit is removed once it exceeds this many times the arrival rate
+UNLIMITED_RATE_FACTOR = 2.0  # the limit is removed once the rate exceeds this many times the arrival rate
 
 Priority = tuple[int, float]  # the route's priority and the time of arrival; the lowest is sent first
 
--- a/bramblewood/proxy/load_balancing.py
+++ b/bramblewood/proxy/load_balancing.py
@@ -25,7 +25,7 @@
 from .slice_lookup import SliceLookup
 from .worker_observations import WorkerObservation, WorkerObservations
 
-# A worker counts as full with this many requests more than slots: it "queues a few more", PROTOCOL.
+# A worker with this many more requests than slots counts as full: it "queues a few more", PROTOCOL.
 FULL_QUEUE_LENGTH = 3
 LOCAL_SLICES_VALIDITY = 0.25  # s for which the list of this zone's slices is cached: half a rebalancing cycle
 # fraction of DrainS for which a draining worker still gets requests for the keys that it owns
--- a/bramblewood/proxy/request_attempts.py
+++ b/bramblewood/proxy/request_attempts.py
@@ -29,7 +29,7 @@
 CONNECTION_REJECTED_BACKOFF_FRACTION = 0.1
 # backoff before the same worker gets the request again: about the time in which it processes a full queue
 SAME_WORKER_BACKOFF_FRACTION = 0.4
-RETRY_AFTER_FRACTION = 0.3  # fraction of the time left sent as `Retry-After`; clients accept up to a third
+RETRY_AFTER_FRACTION = 0.3  # `Retry-After` as a fraction of the time left; clients accept up to a third
 # s: upper bound of `Retry-After`, unless no worker is available or a hot key gets too many requests
 MAX_SHORT_RETRY_AFTER = 0.25
 # Clients take these statuses as a guarantee that the request has not run and never will run.
--- a/features/graceful_shutdown.feature
+++ b/features/graceful_shutdown.feature
@@ -1,4 +1,4 @@
-Feature: Requests during the drain of a worker and during the graceful shutdown of a proxy
+Feature: Requests are served during the drain of a worker and during the graceful shutdown of a proxy
 
   Scenario: A draining worker gets no request that another worker can serve
     Given a service of w1 and w2, without keys
