--- a/bramblewood/proxy/worker_observations.py
+++ b/bramblewood/proxy/worker_observations.py
@@ -13,9 +13,8 @@
 LOAD_VALIDITY = 1.0  # s for which a reported load is used; reported loads are usually about this old
 # s for which a reported full queue is assumed to last: about a request's processing time
 FULL_QUEUE_VALIDITY = 0.15
-REJECTION_VALIDITY = (
-    0.1  # s for which a worker is assumed to be full after it rejects a request or connection
-)
+# s for which a worker is assumed to be full after it rejects a request or connection
+REJECTION_VALIDITY = 0.1
 MAX_REPORTED_LOAD = 10**6  # limit for each reported number; a load with a larger number is ignored as invalid
 NO_LOAD = (0, 0, 0)
 
