--- a/bramblewood/controller/placement/planner.py
+++ b/bramblewood/controller/placement/planner.py
@@ -17,7 +17,7 @@
 from .slice_changes import SliceChanges, initial_slice_count
 
 DEFAULT_LATENCY_TARGET = 1.0  # s, for a service that no route refers to
-# heartbeat intervals before a service's first table, so that each running worker has registered by then
+# heartbeat intervals to wait before a service's first table; each running worker registers in this time
 DISCOVERY_HEARTBEATS = 2.2
 POLICY_STATE_BY_PHASE = {READY: events.READY, DRAINING: events.DRAINING, GONE: events.DEREGISTERED}
 
@@ -31,13 +31,14 @@
         Args:
             started_at: when this controller started (s).
             heartbeat_interval: s between two heartbeats of a worker.
-            detects_hot_keys: whether keyed services have hot keys detected.
+            detects_hot_keys: whether hot keys of keyed services are detected.
         """
         self._discovery_duration = DISCOVERY_HEARTBEATS * heartbeat_interval
         self._discovery_ends_at = started_at + self._discovery_duration
         self._detects_hot_keys = detects_hot_keys
         self._services: dict[str, ServicePlacement] = {}
-        self._worker_reports: dict[str, list[events.WorkerReported]] = {}  # by service, since its last plan
+        # by service: the reports since its last plan
+        self._worker_reports: dict[str, list[events.WorkerReported]] = {}
         self._first_table_due_at: dict[str, float] = {}  # by service
 
     def reset(self) -> None:
@@ -111,7 +112,10 @@
         return changes
 
     def hot_keys(self) -> dict[str, HotKeyStatus]:
-        """Return the status to send to proxies, by service. Services without watched ranges are left out."""
+        """Return the watched ranges and hot keys to send to proxies, by service.
+
+        Services without watched ranges are left out.
+        """
         statuses = {name: placement.hot_key_status() for name, placement in self._services.items()}
         return {name: status for name, status in statuses.items() if status.watched_ranges}
 
@@ -170,7 +174,7 @@
     out_of_use: set[str],
     warm_at: Mapping[str, float],
 ) -> ServiceWorkers:
-    """Return the workers of a service in the form that its policy manager needs."""
+    """Return the status of a service's workers, in the form that the policy's manager needs."""
     statuses, longest_warm_up = {}, 0.0
     for instance_id, registration in registrations.items():
         state = (
--- a/bramblewood/controller/placement/rebalancing.py
+++ b/bramblewood/controller/placement/rebalancing.py
@@ -7,7 +7,8 @@
 1. Each hot key gets a slice of its own, at its present worker.
 2. Slices whose heat exceeds their worker's limit are split so that the parts have about equal heat. The parts
    go to the least loaded workers.
-3. Workers whose load exceeds their capacity hand their hottest slices to workers with spare capacity.
+3. Workers whose load exceeds their capacity hand their hottest slices to workers with spare capacity. This
+   step is left out in a cycle in which the policy itself reassigns slices.
 
 The module does no I/O and reads no clock.
 """
@@ -88,39 +89,41 @@
         """Return splits of the slices whose last `REPORTS_HELD` estimates exceed their worker's limit."""
         splits: list[SliceSplit] = []
         candidates = [
-            hot_slice
-            for hot_slice in self._manager.own_slices()
-            if hot_slice.primary
-            and hot_slice.primary.usable
-            and hot_slice.number not in reassigned
-            and not rows[str(hot_slice.number)][PREVIOUS_OWNER]
+            own_slice
+            for own_slice in self._manager.own_slices()
+            if own_slice.primary
+            and own_slice.primary.usable
+            and own_slice.number not in reassigned
+            and not rows[str(own_slice.number)][PREVIOUS_OWNER]
         ]
-        for hot_slice in candidates:
-            limit = CAPACITY_LIMIT * self._worker_loads.capacity(hot_slice.primary)
-            recent_heat = [*hot_slice.estimates][-REPORTS_HELD:]
+        for candidate in candidates:
+            limit = CAPACITY_LIMIT * self._worker_loads.capacity(candidate.primary)
+            recent_heat = [*candidate.estimates][-REPORTS_HELD:]
             if not limit or len(recent_heat) < REPORTS_HELD or min(recent_heat) <= limit:
                 continue
-            start, end = _slice_bounds(starts, hot_slice.number)
-            part_count = min(int(2 * hot_slice.estimate() / limit) + 1, MAX_SPLIT_PARTS)
+            start, end = _slice_bounds(starts, candidate.number)
+            # enough parts for each to have less than half of the limit, if their heat is equal
+            part_count = min(int(2 * candidate.estimate() / limit) + 1, MAX_SPLIT_PARTS)
             split_points = self._service_load.split_points(start, end, part_count)
-            splits += self._assign_parts(now, hot_slice, split_points)
+            splits += self._assign_parts(now, candidate, split_points)
             if split_points:
-                hot_slice.estimates.clear()
+                candidate.estimates.clear()  # they include the heat of the parts that are split off
         return splits
 
     def _assign_parts(self, now: float, hot_slice: Slice, split_points: list[int]) -> list[SliceSplit]:
         """Return the parts that begin at these keys, each with the least loaded worker that can take it.
 
-        A part stays with the slice's owner if its move would make that worker more loaded than the owner.
+        A part stays with the slice's owner if no other worker can take it, or if its move would make that
+        worker more loaded than the owner.
         """
         splits, owner, loads = [], hot_slice.primary, self._worker_loads
-        heat = hot_slice.estimate() / (len(split_points) + 1)
+        part_heat = hot_slice.estimate() / (len(split_points) + 1)
         for start in split_points:
-            target = loads.least_loaded(heat, excluding=owner)
-            if target is None or loads.load_of(target) + heat > loads.load_of(owner):
+            target = loads.least_loaded(part_heat, excluding=owner)
+            if target is None or loads.load_of(target) + part_heat > loads.load_of(owner):
                 target = owner
             else:
-                loads.record_move(now, owner, target, heat)
+                loads.record_move(now, owner, target, part_heat)
             splits.append(SliceSplit(hot_slice.number, start, Assignment(target.name)))
         return splits
 
@@ -139,17 +142,20 @@
         return assignments
 
     def _is_fully_utilized(self, now: float, worker: Worker) -> bool:
-        """Whether a usable worker reports full utilization, in reports that reflect its last offload."""
+        """Whether the worker is usable, and its last `REPORTS_HELD` reports state full utilization.
+
+        The result is False until reports can show the effect of the worker's last offload.
+        """
         utilizations = [*worker.loads][-REPORTS_HELD:]
         if len(utilizations) < REPORTS_HELD or min(utilizations) < FULL_UTILIZATION or not worker.usable:
             return False
-        # before then, no report can show the effect of the last offload
+        # reports show the effect of the last offload only after REPORT_LAG
         return now >= self._last_offload_at.get(worker.name, LONG_AGO) + REPORT_LAG
 
     def _offload_worker(
         self, now: float, worker: Worker, slices: list[Slice], rows: Mapping[str, Row]
     ) -> dict[int, Assignment]:
-        """Return moves of the worker's hottest slices to workers with room, until its load fits its capacity.
+        """Return moves of the worker's hottest slices to workers with spare capacity, until its load fits.
 
         The owner of a hot key hands over all its other slices that are hot enough to be worth a move.
         """
@@ -159,9 +165,9 @@
         owns_hot_key = any(hot_keys.is_hot(owned_slice.number) for owned_slice in slices)
         for candidate in sorted(slices, key=lambda owned: (-owned.estimate(), owned.number)):
             heat = candidate.estimate()
-            is_offloaded = loads.load_of(worker) <= capacity and not owns_hot_key
-            if is_offloaded or heat < capacity / MAX_SPLIT_PARTS:
-                break  # moving a slice as cool as the remaining ones costs more than it gains
+            needs_no_offload = loads.load_of(worker) <= capacity and not owns_hot_key
+            if needs_no_offload or heat < capacity / MAX_SPLIT_PARTS:
+                break  # the remaining slices are no hotter; to move one costs more than it gains
             if heat > capacity or hot_keys.is_hot(candidate.number):
                 continue
             if rows[str(candidate.number)][PREVIOUS_OWNER]:
--- a/bramblewood/controller/placement/replica_placement.py
+++ b/bramblewood/controller/placement/replica_placement.py
@@ -1,6 +1,6 @@
 """Chooses the workers that hold read replicas of a service's hot keys.
 
-`read_replicas.py` grants the leases of these replicas. This module does no I/O and reads no clock.
+`controller/read_replicas.py` grants the leases of these replicas. This module does no I/O and reads no clock.
 """
 
 from collections.abc import Mapping
@@ -37,7 +37,7 @@
 def _additional_readers(
     key: int, entry: SliceEntry, current_count: int, hot_keys: HotKeys, worker_loads: WorkerLoads
 ) -> list[str]:
-    """Return the least loaded workers to add as readers, as many as the key's request rate requires.
+    """Return the least loaded workers to add as readers, until the request rate needs no more.
 
     A worker that may still hold a replica of the key, as a present or a former reader, is not chosen.
     """
--- a/bramblewood/controller/placement/service_load.py
+++ b/bramblewood/controller/placement/service_load.py
@@ -1,5 +1,5 @@
-"""The load of one service as proxies report it: its requests by key range and by key, and the observations of
-its workers. The module does no I/O and reads no clock.
+"""The load of one service as proxies report it: its requests by key range and by key, and what the proxies
+observe at its workers. The module does no I/O and reads no clock.
 """
 
 from bisect import bisect_right
@@ -14,11 +14,11 @@
 # s between two reports of a proxy, and between two cycles of the policy; short, so that the load of a hot key
 # is spread within seconds
 REPORT_CYCLE = 0.5
-# factor applied to recent counts each cycle; they then span about five reports, as the policy's averages do
+# factor applied to recent counts each cycle; they thus span about five reports, as the policy's averages do
 RECENT_COUNT_DECAY = 0.8
 MIN_RECENT_COUNT = 0.05  # requests; smaller counts are dropped
-MIN_REPORTED_INTERVAL = REPORT_CYCLE / 4  # s that the reports of a cycle must span for the cycle to end
-# a proxy counts as reporting for this many cycles, and this many s more, after its last report
+MIN_REPORTED_INTERVAL = REPORT_CYCLE / 4  # s; a cycle ends only once its reports span more than this
+# a proxy counts as reporting until this many cycles, and this many s, have passed since its last report
 REPORTING_CYCLES, REPORTING_GRACE = 3, 1.0
 ALL_OPERATIONS = "all"  # the policy's name for requests that are not distinguished by operation
 
@@ -56,7 +56,7 @@
         self._recent_counts: dict[int, float] = defaultdict(float)
         self._range_counts: Counter[int] = Counter()  # since the last cycle, by index of the key range
         self._key_counts: dict[int, dict[str, int]] = {}  # since the last cycle, by watched key and proxy
-        self._reported_seconds: dict[str, float] = {}  # that the reports since the last cycle span, by proxy
+        self._reported_seconds: dict[str, float] = {}  # s that reports since the last cycle span, by proxy
         self._last_report_at: dict[str, float] = {}  # by proxy
         self._last_cycle_at = LONG_AGO
 
@@ -145,17 +145,18 @@
         counts_by_key = sorted(
             (key, count) for key, count in self._recent_counts.items() if start <= key < end
         )
-        total, passed = sum(count for _, count in counts_by_key), 0.0
+        total, count_so_far = sum(count for _, count in counts_by_key), 0.0
         points: list[int] = []
 
         def part_is_full() -> bool:
-            return len(points) < part_count - 1 and passed >= total * (len(points) + 1) / part_count
+            return len(points) < part_count - 1 and count_so_far >= total * (len(points) + 1) / part_count
 
         for key, count in counts_by_key:
             if key > start and part_is_full():
                 points.append(key)
-            passed += count
+            count_so_far += count
             width = 1 if self.hot_keys.is_watched(key) else KEYS_PER_RANGE
             if count > total / part_count and key + width < end and part_is_full():
-                points.append(key + width)  # a key or range with more requests than one part ends its part
+                # a key or range with more requests than an average part ends its part
+                points.append(key + width)
         return points
--- a/bramblewood/controller/placement/service_placement.py
+++ b/bramblewood/controller/placement/service_placement.py
@@ -1,8 +1,9 @@
-"""Placement of one service: the policy's manager, kept in step with the agreed table and the registry.
+"""Plans the placement of one service with the policy's manager.
 
-The manager decides as if its own table were in force. Before each decision it therefore receives, as events,
-the differences between the agreed table and the assignments that it holds. Its decisions are returned as
-changes to be agreed. The module does no I/O and reads no clock.
+The manager assumes that its decisions take effect at once. In fact the controllers must agree on them first.
+Before each decision, the manager therefore receives, as events, the differences between the agreed table and
+the assignments that it holds, and the changes of the worker registry. Its decisions are returned as changes
+for the controllers to agree on. The module does no I/O and reads no clock.
 """
 
 from collections.abc import Iterable, Mapping
@@ -26,7 +27,8 @@
 
 # s of slow start after an ejection by the policy, while no worker has reported a longer warm-up
 DEFAULT_WARM_UP = 1.0
-# fraction of its capacity that a new worker is assumed to have; workers report only how long they are slow
+# fraction of its capacity that a new worker is assumed to have; workers report how long they warm up, but not
+# how slow they are
 SLOW_START_CAPACITY = 0.5
 # seed of the manager's random draws; the recorded simulation runs depend on this text
 MANAGER_SEED = "office:{service}"
@@ -35,8 +37,8 @@
 class WorkerStatus(NamedTuple):
     """The status of a worker as the manager receives it.
 
-    `state` is one of the worker states of `events`. `warm_at` is when its slow start ends or ended, None for
-    a worker that had none.
+    `state` is one of the worker states of `events`. `warm_at` is the time at which the worker's slow start
+    ends or ended; None if it had none.
     """
 
     state: str
@@ -58,7 +60,12 @@
     def __init__(
         self, service: str, keyed: bool, slice_count: int, latency_target: float, detects_hot_keys: bool
     ) -> None:
-        """Args: latency_target: s, the shortest of the service's routes."""
+        """Create a placement that has received no reports.
+
+        Args:
+            keyed: whether the slices have one owner at a time.
+            latency_target: s, the shortest of the service's routes.
+        """
         self.keyed = keyed
         self.zone_affinity = ZoneAffinity()
         self._settings = StartupSettings(
@@ -78,7 +85,8 @@
         self._worker_loads = WorkerLoads(self._manager)
         self._rebalancer = Rebalancer(self._manager, self._service_load, self._worker_loads)
         self._manager_workers: dict[str, WorkerStatus] = {}  # by instance id
-        self._manager_assignments: dict[int, Assignment] = {}  # by first key, its own new ones included
+        # by first key; includes new assignments that are not agreed yet
+        self._manager_assignments: dict[int, Assignment] = {}
         self._zone_affinity_adjusted_at = LONG_AGO
 
     def record_request_counts(
@@ -97,7 +105,10 @@
         return self._service_load.hot_keys.status()
 
     def capacity(self) -> ServiceCapacity:
-        """Return the busy slots, and the slots of each usable worker, fewer while it is in slow start."""
+        """Return the busy slots, and the slots of each usable worker.
+
+        A worker in slow start counts with the fraction of its slots that it can already use.
+        """
         ready = self._manager.ready_workers()
         busy_slots = sum(mean(worker.loads) * worker.weight for worker in ready)
         slots = {worker.name: worker.weight * worker.warmth() for worker in ready if worker.usable}
@@ -110,7 +121,7 @@
         rows: Mapping[str, Row] | None,
         slice_count: int,
         worker_reports: Iterable[events.WorkerReported],
-        has_read_replicas: bool,
+        allows_read_replicas: bool,
     ) -> SliceChanges | None:
         """Return the changes of the service's rows of the slice table; None if there are none.
 
@@ -118,7 +129,7 @@
             rows: the agreed rows by first key; None before the first table.
             slice_count: the number of slices that the service has, or gets with its first table.
             worker_reports: the proxies' observations of the service's workers since the last call.
-            has_read_replicas: whether hot keys may have read replicas.
+            allows_read_replicas: whether hot keys may have read replicas.
         """
         self._settings.slices = slice_count
         current_rows = initial_rows(slice_count) if rows is None else rows
@@ -132,7 +143,7 @@
         else:
             self._adjust_zone_affinity(now)
         readers = {}
-        if has_read_replicas and rows:
+        if allows_read_replicas and rows:
             readers = replica_changes(rows, self._service_load.hot_keys, self._worker_loads)
         if assignments or splits or readers:
             return SliceChanges(assignments, splits, slice_count, readers)
--- a/bramblewood/controller/placement/slice_changes.py
+++ b/bramblewood/controller/placement/slice_changes.py
@@ -25,7 +25,7 @@
 from ..table_changes import ProposedTable, TableValue, empty_table
 
 MIN_SLICES = 32
-# enough that moving one slice is a small step, but few, as the lease of each keyed slice must be renewed
+# enough that one slice is a small share of a worker's load, but few, as each keyed slice has a lease to renew
 MIN_SLICES_PER_WORKER = 6
 
 
@@ -43,7 +43,7 @@
 
 
 class SliceSplit(NamedTuple):
-    """A slice to split off: the first key of the slice that it is part of, its own, and its assignment."""
+    """A slice to split off from the slice that begins at `parent`: its first key, and its assignment."""
 
     parent: int
     start: int
@@ -65,7 +65,7 @@
 
 
 def initial_slice_count(workers: int) -> int:
-    """Return the number of slices in the first table of a service with so many workers: a power of two."""
+    """Return the number of slices, a power of two, in the first table of a service with `workers` workers."""
     count = MIN_SLICES
     while count < MIN_SLICES_PER_WORKER * workers:
         count *= 2
@@ -81,7 +81,8 @@
     """Return the row with this assignment.
 
     If the worker changes, `version`, the version of the new table, becomes the fencing token. In a keyed
-    service, the old owner then becomes the previous owner, which must release the keys first.
+    service, the old owner then becomes the previous owner, unless the row has one already. The previous owner
+    must release the keys before they are granted to the new worker.
     """
     worker, second_worker, second_share = assignment
     entry = SliceEntry.decode(row)
@@ -190,7 +191,7 @@
 def raise_fencing_tokens(
     table: TableValue | None, service: str, starts: Iterable[int], fencing_token: int
 ) -> ProposedTable:
-    """Return the table with a new fencing token for those of these slices that still have `fencing_token`.
+    """Return the table with a higher fencing token for those of these slices that still have `fencing_token`.
 
     This is proposed after the slices' worker has rejected the token because it has received a higher one.
     """
--- a/bramblewood/controller/placement/worker_loads.py
+++ b/bramblewood/controller/placement/worker_loads.py
@@ -38,13 +38,14 @@
     def load_of(self, worker: Worker) -> float:
         """Return the larger of the load that the worker reports and the heat of its slices.
 
-        The load that a full worker reports does not show by how much its slices exceed its capacity.
+        The load that a worker with no free slot reports does not show by how much its slices exceed its
+        capacity.
         """
         planner = self._manager.planner
         return max(planner.loads[worker], planner.own_loads[worker])
 
     def load_per_slot(self, worker: Worker) -> float:
-        """Return the load divided by the worker's slots, by which workers are ranked."""
+        """Return the worker's load divided by its slots. Workers are ranked by this figure."""
         return self.load_of(worker) / worker.weight
 
     def least_loaded(self, heat: float, excluding: Worker) -> Worker | None:
@@ -61,7 +62,7 @@
         return min(candidates, key=lambda worker: (self.load_per_slot(worker), worker.name), default=None)
 
     def record_move(self, now: float, source: Worker, target: Worker, heat: float) -> None:
-        """Enter a move that the policy did not decide itself into the policy's load accounting."""
+        """Record in the policy's load accounting a move that the policy did not decide."""
         planner = self._manager.planner
         for loads in (planner.loads, planner.own_loads):
             loads[source] = max(loads[source] - heat, 0.0)
