--- a/bramblewood/controller/coordinator_loop.py
+++ b/bramblewood/controller/coordinator_loop.py
@@ -1,6 +1,6 @@
 """The work of the current coordinator: slice moves, lease grants, steps of drain plans, and ejections.
 
-Two coordinators at the same time do no harm: every change is agreed by a quorum, and each grant depends on
+Two coordinators at the same time are safe: every change is agreed by a quorum, and each grant depends on
 the quorum contact of the controller that sends it. The other controllers do none of this work.
 """
 
@@ -29,7 +29,7 @@
 class CoordinatorLoop:
     """The coordinator's work at this controller. At most one change of the table is proposed at a time."""
 
-    placement: PlacementPlanner
+    placement: PlacementPlanner  # `Controller.set_planner` sets it before the first step
 
     def __init__(
         self,
@@ -77,7 +77,7 @@
     def change_table(self, change: Callable[[Any], tuple[Any, Any]]) -> None:
         """Propose a change of the table.
 
-        Nothing changes if this controller is not current at the time at which the change is applied.
+        Nothing changes if this controller may no longer act for the cluster when the change is applied.
         """
         self.is_proposing = True
 
@@ -87,7 +87,7 @@
         self.quorum_io.propose(TABLE, change_if_current, self._proposal_finished, PROPOSAL_TIMEOUT)
 
     def _proposal_finished(self, outcome: Any) -> None:
-        """Handle the outcome of a proposal; None if it is unknown or this controller was not current."""
+        """Handle the outcome of a proposal; None if it is unknown, or if the change was not allowed."""
         self.is_proposing = False
         if outcome is None:
             self.placement.reset()  # the next plan starts from the agreed table
@@ -142,7 +142,7 @@
             self.change_table(lambda latest: with_ejections(latest, planned, expected))
 
     def _move_slices(self, now: float, services: Any, keyed_services: set[str], table: Any) -> None:
-        """Propose the moves, splits and readers that the placement plans."""
+        """Propose the moves, splits and readers that the planner decides on."""
         changes = self.placement.plan_changes(
             now,
             services,
--- a/bramblewood/controller/hot_keys.py
+++ b/bramblewood/controller/hot_keys.py
@@ -1,4 +1,4 @@
-"""Detection of hot keys, which are single keys with more requests than one worker can serve.
+"""Detects hot keys, which are single keys with more requests than one worker can serve.
 
 The coordinator keeps one `HotKeys` per service. Proxies count requests by ranges of `KEYS_PER_RANGE` keys. A
 range is watched once its rate reaches half of one worker's throughput in three reports in a row. Proxies
@@ -7,7 +7,7 @@
 threshold in more than ten reports in a row.
 
 Counts by key are exact, but they leave out the requests that arrive before the proxies have received the
-watched range. No key is counted while no range is busy. A proxy has at most as many counters as it has
+watched range. No key is counted while no range is watched. A proxy has at most as many counters as it has
 handled requests since its last report.
 
 If several proxies report a key, no proxy's count is taken as larger than the counts of all other proxies
@@ -23,10 +23,10 @@
 from ..common.slice_table import KEYS_PER_RANGE
 from ..policy.parameters import CAPACITY_LIMIT, REPORTS_AVERAGED, REPORTS_HELD
 
-WATCH_RATE_FRACTION = 0.5  # of one worker's throughput, at which a range is watched
+WATCH_RATE_FRACTION = 0.5  # fraction of one worker's throughput at which a range is watched
 MAX_WATCHED_RANGES = 8  # at once, which adds at most 64 counters at a proxy
-REMOVAL_RATE_FRACTION = 0.5  # of the threshold; reports below this count towards removal
-REMOVAL_REPORTS = 2 * REPORTS_AVERAGED  # a range or key is removed after more such reports in a row
+REMOVAL_RATE_FRACTION = 0.5  # fraction of the threshold; a report of a lower rate counts towards removal
+REMOVAL_REPORTS = 2 * REPORTS_AVERAGED  # a range or key is removed after more low reports than this in a row
 
 
 class HotKeyStatus(NamedTuple):
@@ -41,7 +41,7 @@
 
 
 class SustainedRates:
-    """The items, ranges or keys, whose rate is sustained.
+    """Finds the items whose rate is sustained. An item is a range or a key.
 
     An item is added once its rate has reached the threshold in each of `REPORTS_HELD` reports. It is removed
     once its rate has been below `REMOVAL_RATE_FRACTION` of the threshold in more than `REMOVAL_REPORTS`
@@ -50,7 +50,7 @@
 
     def __init__(self) -> None:
         self._recent_rates: deque[Counter] = deque(maxlen=REPORTS_HELD)
-        self._low_reports: dict[int, int] = {}  # by sustained item: reports below the fraction, in a row
+        self._low_reports: dict[int, int] = {}  # by sustained item: the latest low reports in a row
 
     def __contains__(self, item: int) -> bool:
         return item in self._low_reports
@@ -68,7 +68,7 @@
 
         Args:
             rates: requests per second, by item.
-            threshold: requests per second at which a rate counts as reached. No item is added while it is 0.
+            threshold: requests per second from which on an item is added. No item is added while it is 0.
         """
         self._recent_rates.append(rates)
         if len(self._recent_rates) == REPORTS_HELD and threshold > 0:
--- a/bramblewood/controller/load_reports.py
+++ b/bramblewood/controller/load_reports.py
@@ -20,11 +20,11 @@
         self.drain_progress, self.outlier_detection = drain_progress, outlier_detection
 
     def record(self, now: float, proxy: str, report: LoadReport) -> None:
-        """Record one report of this proxy. The rows of unregistered workers are ignored."""
+        """Record one report of this proxy. Counts for unregistered workers are ignored."""
         interval, range_counts, key_counts = report.seconds, report.heat, report.keys or {}
         if report.table_version is not None:
             self.drain_progress.record_report(proxy, report.table_version, report.in_flight or {})
-        # attributes are looked up once: hundreds of reports per second have rows of hundreds of workers each
+        # attributes are looked up once: there are hundreds of reports per second, each on hundreds of workers
         last_heard, registrations = self.registry.last_heard, self.registry.registrations
         record_attempts, interval_start = self.outlier_detection.record_attempts, now - interval
         by_service: dict[str, list] = {service: [] for service in {**range_counts, **key_counts}}
--- a/bramblewood/controller/outlier_detection.py
+++ b/bramblewood/controller/outlier_detection.py
@@ -28,23 +28,23 @@
 from ..policy_mechanisms.averages import median
 from .table_changes import ProposedTable, TableValue
 
-EJECTIONS_KEY = "h"  # in the table's value
-# failed fraction of a worker's attempts; lost and garbled answers stay below a tenth in the simulated runs
+EJECTIONS_KEY = "h"  # key of the ejections in the table's value
+# failed fraction of a worker's attempts; lost and corrupted answers alone stay below a tenth in simulations
 MIN_FAILURE_RATE = 0.25
 MEDIAN_RATE_FACTOR = 3.0  # multiple of the median failure rate of the service's workers
 MIN_ATTEMPTS = 10  # over the averaged cycles; a rate of fewer attempts is not significant
-MIN_FAILING_PROXIES = 2  # proxies that observed failures
+MIN_OBSERVING_PROXIES = 2  # proxies that observed failures
 MAX_EJECTED_FRACTION = 0.2  # of a service's workers; more failures at once point to a fault of the observers
 FIRST_EJECTION_DURATION = 4.0  # s, doubled with each further ejection
 MAX_DOUBLINGS = 3  # limits the duration to 32 s
-EJECTION_RETENTION = 60.0  # s in use after which the count of a worker's ejections starts again from 0
+EJECTION_RETENTION = 60.0  # s after an ejection's end; the worker's ejections are then counted from 0 again
 
 
 class EjectionRecord(NamedTuple):
     """The stored record of a worker's ejections.
 
     `ejection_count` is the number of ejections so far. `version` is the version of the table that started the
-    last ejection, or, negated, the version that ended it.
+    last ejection. After its end, it is the negated version of the table that ended it.
     """
 
     ejection_count: int
@@ -105,7 +105,7 @@
         counts.failures += failures
 
     def record_table(self, now: float, table: TableValue) -> None:
-        """Record when the ejections of a newer table become known here; called with each newer table."""
+        """Record when this controller first received each ejection; called with each newer table."""
         agreed = ejections_of(table).items()
         self._first_seen_at = {ejection: self._first_seen_at.get(ejection, now) for ejection in agreed}
 
@@ -130,18 +130,22 @@
     def _unhealthy_workers(self, instance_ids: Iterable[str]) -> set[str]:
         """Return those of one service's workers that are unhealthy over the past cycles."""
         failure_rates: dict[str, float] = {}
-        failing_proxies: dict[str, int] = {}
+        observing_proxies: dict[str, int] = {}  # by worker: how many proxies observed failures
         for instance_id in instance_ids:
-            counts = [item for cycle in self._past_cycles for item in cycle.get(instance_id, {}).items()]
-            attempts = sum(observed.attempts for _, observed in counts)
+            observations = [
+                item for cycle in self._past_cycles for item in cycle.get(instance_id, {}).items()
+            ]
+            attempts = sum(counts.attempts for _, counts in observations)
             if attempts >= MIN_ATTEMPTS:
-                failure_rates[instance_id] = sum(observed.failures for _, observed in counts) / attempts
-                failing_proxies[instance_id] = len({proxy for proxy, observed in counts if observed.failures})
+                failure_rates[instance_id] = sum(counts.failures for _, counts in observations) / attempts
+                observing_proxies[instance_id] = len(
+                    {proxy for proxy, counts in observations if counts.failures}
+                )
         threshold = max(MIN_FAILURE_RATE, MEDIAN_RATE_FACTOR * median(failure_rates.values()))
         return {
             instance_id
             for instance_id, rate in failure_rates.items()
-            if rate >= threshold and failing_proxies[instance_id] >= MIN_FAILING_PROXIES
+            if rate >= threshold and observing_proxies[instance_id] >= MIN_OBSERVING_PROXIES
         }
 
     def plan_ejections(
@@ -172,9 +176,10 @@
         return {instance_id: ejection for instance_id, ejection in planned.items() if instance_id in in_use}
 
     def _remaining_ejections(self, now: float, table: TableValue) -> dict[str, PlannedEjection]:
-        """Return the agreed ejections after the passage of time, by worker.
+        """Return the agreed ejections as they should be at the time `now`, by worker.
 
         An ejection ends after its duration. A worker's record is dropped `EJECTION_RETENTION` s after that.
+        Both times count from the moment at which this controller first received the record.
         """
         remaining = {}
         for instance_id, ejection in ejections_of(table).items():
--- a/bramblewood/controller/table_changes.py
+++ b/bramblewood/controller/table_changes.py
@@ -1,9 +1,10 @@
 """Types of the changes of the agreed slice table that placement, drain plans and ejections propose.
 
-A change is a function from the present table to the table to propose. It runs when its turn to be proposed
-comes, because other controllers may have changed the table by then. It never modifies the table that it gets.
-It returns the new table, or None if there is nothing to propose, together with the outcome that the proposer
-receives when the proposal has finished. This outcome is a truth value for the changes that nobody waits for.
+A change is a function from the present table to the table to propose. It is called with the table that
+is agreed when the proposal is made, because other controllers may change the table until then. It never
+modifies the table that it gets. It returns the new table, or None if there is nothing to propose, together
+with the outcome that the proposer receives when the proposal has finished. The outcome is a bool if no caller
+waits for a result.
 """
 
 from collections.abc import Callable
--- a/bramblewood/controller/zone_affinity.py
+++ b/bramblewood/controller/zone_affinity.py
@@ -1,10 +1,10 @@
-"""Zone affinity: which fraction of a zone's requests stays in the zone, for services without keys.
+"""Zone affinity decides which fraction of a zone's requests stays in the zone, for services without keys.
 
-Such a request is assigned to a slice by a hash of its id, so any worker may serve it. A proxy may therefore
-choose among the slices whose workers are in its own zone. This saves paid traffic between zones, but it
-overloads a zone whose share of the requests exceeds its share of the workers. Each zone's fraction therefore
-starts at 0. It increases while the zone's workers are not much busier than the average or are at most half
-busy. Otherwise it decreases, twice as fast.
+A request of such a service is assigned to a slice by a hash of its id, so any worker may serve it. A proxy
+may therefore choose among the slices whose workers are in its own zone. This saves paid traffic between
+zones, but it overloads a zone whose share of the requests exceeds its share of the workers. Each zone's
+fraction therefore starts at 0. It increases while the zone's workers are not much busier than the average or
+are at most half busy. Otherwise it decreases, twice as fast.
 
 The module does no I/O and reads no clock.
 """
@@ -12,10 +12,10 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-# change of a fraction per cycle; the increase from 0 to 1 takes twice as long as five reports
+# change of a fraction per cycle; an increase from 0 to 1 takes ten cycles, twice the span of the averages
 FRACTION_INCREASE, FRACTION_DECREASE = 0.1, 0.2
 MAX_UTILIZATION_RATIO = 1.1  # of a zone's utilization to the mean utilization of all zones
-LOW_UTILIZATION = 0.5  # no request waits below this, whatever the utilization of the other zones
+LOW_UTILIZATION = 0.5  # up to this, no request waits for a slot, whatever the other zones' utilization
 
 
 class WorkerUtilization(NamedTuple):
@@ -27,7 +27,7 @@
 
 
 class ZoneAffinity:
-    """The local fractions (0 to 1) of one service's zones."""
+    """The fraction (0 to 1) of its requests that each zone keeps local, for one service."""
 
     def __init__(self) -> None:
         self.local_fractions: dict[str, float] = {}  # by zone
