--- a/features/outlier_detection.feature
+++ b/features/outlier_detection.feature
@@ -1,4 +1,4 @@
-Feature: An unhealthy worker is ejected because of the failures that proxies observe
+Feature: A worker is ejected if several proxies observe that it fails
 
   Scenario: A worker that fails half of its requests at two proxies is ejected, twice as long the second time
     Given ten workers, and three proxies that make 4 attempts at each worker per report
--- a/features/steps/hot_keys.py
+++ b/features/steps/hot_keys.py
@@ -7,7 +7,7 @@
 from bramblewood.proxy.hot_key_queue import REJECTED_RATE_FACTOR, HotKeyQueue
 
 REPORT_INTERVAL = 0.5  # s between two reports of a proxy
-KEY_OFFSET = 256  # of a key in the middle of its slice of 512 keys
+KEY_OFFSET = 256  # from the first key of a slice to a key in its middle; slices have 512 keys
 
 
 @given("proxies d1 to d4, and workers that each serve {throughput:g} requests per second")
--- a/features/steps/outlier_detection.py
+++ b/features/steps/outlier_detection.py
@@ -18,17 +18,18 @@
     context.outlier_detection, context.slice_table = OutlierDetection(), {"n": 1, "s": {}}
 
 
-def run_cycle(context, failures, failing_proxies):
+def run_cycle(context, failures, observing_proxies):
     """Record one report of each proxy, and apply the ejections that follow from it.
 
-    failures: failed attempts by instance id. failing_proxies: the proxies that observe these failures.
+    failures: failed attempts at each observing proxy, by instance id. observing_proxies: the proxies that
+    observe these failures.
     """
     context.now += CYCLE
     detection, ejected = context.outlier_detection, ejected_workers(context.slice_table)
     for instance_id in context.instance_ids:
         for proxy in PROXIES:
             if instance_id not in ejected:
-                failed = failures.get(instance_id, 0) if proxy in failing_proxies else 0
+                failed = failures.get(instance_id, 0) if proxy in observing_proxies else 0
                 detection.record_attempts(proxy, instance_id, context.attempts, failed)
     services = {"s": context.instance_ids}
     outliers = detection.find_outliers(services)
--- a/features/steps/placement.py
+++ b/features/steps/placement.py
@@ -4,8 +4,8 @@
 from tests.simulation.placement import CYCLE, PlacementSimulation
 
 HOT_SLICE_START = 8192  # with 18 workers, the table has 128 slices of 512 keys
-KEY_OFFSET = 256  # of a key in the middle of its slice
-SETTLING_CYCLES = 16  # until the reports cover all moves of the first table
+KEY_OFFSET = 256  # from the first key of a slice to a key in its middle
+SETTLING_CYCLES = 16  # cycles after which the reports cover all moves that follow the first table
 
 
 @given("{workers:d} workers with their first table")
@@ -18,8 +18,8 @@
 
 
 @when(
-    "a full worker receives {hot_rate:d} requests per second on {key_count:d} adjacent keys of a slice "
-    "and {other_rate:d} on each of its other slices, in {count:d} reports"
+    "a worker without a free slot receives {hot_rate:d} requests per second on {key_count:d} adjacent keys "
+    "of one slice and {other_rate:d} on each of its other slices, in {count:d} reports"
 )
 def report_full_worker_with_hot_slice(context, count, hot_rate, key_count, other_rate):
     simulation = context.play
--- a/features/steps/zone_affinity.py
+++ b/features/steps/zone_affinity.py
@@ -73,4 +73,5 @@
     if expected.startswith("none"):
         assert local == 0, local
     else:
+        # half of the requests stay in the zone, and half of the others go there as well
         assert abs(local / count - 0.75) < 0.06, local
--- a/tests/simulation/placement.py
+++ b/tests/simulation/placement.py
@@ -1,4 +1,4 @@
-"""A simulation of the placement of one keyed service, without sockets, driven by reports of given rates."""
+"""A simulation of the placement of one keyed service, without sockets. The test sets the reported rates."""
 
 import random
 
@@ -26,7 +26,7 @@
 
 
 class PlacementSimulation:
-    """Workers, one proxy that reports every `CYCLE` s, and a table that takes every planned change."""
+    """Workers, one proxy that reports every `CYCLE` s, and a table that gets each planned change at once."""
 
     def __init__(self, seed: int, workers: int) -> None:
         self.random, self.now, self.registry, self.table = random.Random(seed), 100.0, WorkerRegistry(), None
@@ -56,7 +56,7 @@
             self.release_moved_slices()
 
     def report(self, rates: dict[int, float], full_workers: set[str]) -> None:
-        """Give the planner the proxy's report of one cycle; the arguments are those of `run_cycle`."""
+        """Pass the proxy's report of one cycle to the planner. The arguments are those of `run_cycle`."""
         range_counts: dict[str, int] = {}
         key_counts: dict[str, int] = {}
         status = self.planner.hot_keys().get("s")
--- a/tests/test_table_costs.py
+++ b/tests/test_table_costs.py
@@ -1,5 +1,5 @@
-"""`ReadReplicas` and `ProxyUpdates` process only the changed rows of a new slice table, with the result of
-processing the whole table.
+"""`ReadReplicas` and `ProxyUpdates` process only the changed rows of a new slice table. The result is the
+same as if they processed the whole table.
 """
 
 import random
@@ -18,8 +18,8 @@
 def changed_table(rng: random.Random, value: dict) -> dict:
     """Return a table with a few rows replaced, with and without readers.
 
-    With low probability, a service loses all its rows. With low probability, the result is a plain map, which
-    does not hold its difference to `value`.
+    With a probability of 0.1, the service loses all its rows. With a probability of 0.2, the result is a
+    plain map, which does not hold its difference to `value`, so that all rows must be compared.
     """
     service, services = rng.choice(SERVICES), dict(value["s"])
     rows = dict(services.get(service, {}))
@@ -42,7 +42,7 @@
     }
 
 
-def test_known_readers_equal_the_readers_in_the_whole_table() -> None:
+def test_after_each_change_known_readers_equal_the_readers_in_the_whole_table() -> None:
     rng, replicas, value, known_since = random.Random(7), ReadReplicas(), {"n": 1, "s": {}}, {}
     for now in range(ROUNDS):
         value = changed_table(rng, value)
