--- a/bramblewood/controller/placement/rebalancing.py
+++ b/bramblewood/controller/placement/rebalancing.py
@@ -1,7 +1,7 @@
 """Rebalancing splits hot slices and offloads overloaded workers, in addition to the policy's own moves.
 
 The policy moves whole slices, one small step per cycle. It has no remedy for a slice whose heat exceeds the
-limit of every worker, and it needs minutes to bring down a worker that becomes overloaded suddenly. Once per
+limit of every worker, and it needs minutes to relieve a worker that becomes overloaded suddenly. Once per
 cycle, the first of these steps that finds anything to do is taken:
 
 1. Each hot key gets a slice of its own, at its present worker.
--- a/bramblewood/controller/placement/service_placement.py
+++ b/bramblewood/controller/placement/service_placement.py
@@ -48,7 +48,7 @@
 
 
 class ServiceWorkers(NamedTuple):
-    """The status of all workers of a service by instance id, and the longest remaining warm-up of any (s)."""
+    """The status of each worker of a service by instance id, and the longest warm-up (s) that is left."""
 
     statuses: dict[str, WorkerStatus]
     longest_warm_up: float
--- a/bramblewood/controller/placement/worker_loads.py
+++ b/bramblewood/controller/placement/worker_loads.py
@@ -1,4 +1,4 @@
-"""The load of each worker of a service, as the policy accounts for it, and the choice of workers with spare
+"""Reads the load of each worker of a service from the policy's load accounting, and finds workers with spare
 capacity.
 """
 
--- a/features/hot_keys.feature
+++ b/features/hot_keys.feature
@@ -1,6 +1,6 @@
 Feature: A hot key is detected and isolated, so that requests for other keys do not wait
 
-  Scenario: A key is hot after a sustained high rate, and no longer after a sustained low rate
+  Scenario: A key is hot after a sustained high rate, and is no longer hot after a sustained low rate
     Given proxies d1 to d4, and workers that each serve 10 requests per second
     When 3 reports contain 12 requests per second for key 4001
     Then the range of key 4001 is watched, and no key is hot
--- a/features/outlier_detection.feature
+++ b/features/outlier_detection.feature
@@ -1,6 +1,6 @@
 Feature: A worker is ejected if several proxies observe that it fails
 
-  Scenario: A worker that fails half of its requests at two proxies is ejected, twice as long the second time
+  Scenario: A worker that fails half of its requests at two proxies is ejected, and for twice as long the second time
     Given ten workers, and three proxies that make 4 attempts at each worker per report
     When w3 fails 2 of 4 attempts at d1 and d2 in 2 reports
     Then no worker is ejected
