--- a/bramblewood/controller/consensus/__init__.py
+++ b/bramblewood/controller/consensus/__init__.py
@@ -1,7 +1,8 @@
 """Agreement among controllers: a majority of the voters chooses each version of a register's value.
 
 The same protocol changes the set of voters itself. The package performs no I/O: `controller/quorum_io.py`
-passes messages in, and carries out the effects that come back.
+passes messages in, and carries out the effects that come back. Modules in parentheses are parts of the
+module on the same line.
 
 replica           the registers at one controller; the interface of this package
 acceptor          what this disk has promised and accepted, by register
--- a/bramblewood/controller/consensus/acceptor.py
+++ b/bramblewood/controller/consensus/acceptor.py
@@ -52,7 +52,7 @@
         """Stores a value, whatever was promised.
 
         The caller may store a chosen value even if a higher number is promised. The majority that promised
-        the higher number includes a voter that has accepted the chosen value, so the higher proposal has the
-        chosen value as its base.
+        the higher number includes a voter that has accepted the chosen value, so the higher proposal is made
+        from the chosen value or from a newer one.
         """
         self.promised, self.accepted, self.value = max(self.promised, number), number, value
--- a/bramblewood/controller/consensus/effects.py
+++ b/bramblewood/controller/consensus/effects.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from .messages import Message
 
-# names of the facts, which are values stored on disk beside the registers
+# names of the facts, which are values that the disk holds in addition to the registers
 DISK_FACT = "disk"
 VOTER_SET_FACT = "members"
 ACTIVE_EPOCH_FACT = "held"
@@ -46,7 +46,7 @@
         self.sends.extend((peer, wire) for peer in peers)
 
     def answer(self, tag: Any, outcome: Any) -> None:
-        """Adds the answer to the proposal with this tag. An outcome of None means that it is unclear."""
+        """Adds the answer to the proposal with this tag. None stands for an unclear outcome."""
         self.answers.append((tag, outcome))
 
 
--- a/bramblewood/controller/consensus/epoch_messages.py
+++ b/bramblewood/controller/consensus/epoch_messages.py
@@ -1,8 +1,8 @@
 """The messages between controllers about the transition to another epoch, and their wire forms.
 
-The wire forms have these keys beside those of `messages`:
+The wire forms have these keys in addition to those of `messages`:
 
-again   true if the receiver answers only as an active voter
+again   true if the receiver answers only if it is active in the epoch
 e       the epoch that the receiver joins
 held    the newest epoch in which the sender's disk was active
 regs    by register, what the sender has accepted
@@ -43,8 +43,8 @@
     """A voter of this voter set asks for the state with which its epoch begins.
 
     held_numbers: by register, the newest proposal number whose value the sender holds.
-    active_only: the receiver answers only if it is active in the epoch, because the sender has its
-    answer as a sealed voter already.
+    active_only: whether the receiver answers only if it is active in the epoch, because the sender already
+    has the report that the receiver sent as a voter of the previous epoch.
     """
 
     voter_set: VoterSet
@@ -85,7 +85,7 @@
 class EpochState(NamedTuple):
     """A voter reports what its disk has accepted, in answer to JoinEpoch.
 
-    epoch: the epoch of the request.
+    epoch: the epoch that the receiver joins.
     active_epoch: the newest epoch in which the sender's disk was active, -1 for none.
     """
 
--- a/bramblewood/controller/consensus/epochs.py
+++ b/bramblewood/controller/consensus/epochs.py
@@ -2,13 +2,14 @@
 
 Three things happen when the voters of epoch e have chosen a voter set for epoch e + 1:
 
-- A voter of e that learns of e + 1 is sealed. It answers no proposal of e any more.
+- A voter of e that learns of e + 1 is sealed. It no longer answers proposals of e.
 - A voter of e + 1 joins. It asks the voters of both epochs for the state that they have accepted.
-- It becomes active, and votes in e + 1, once it has the state of a majority of sealed voters of e, or of one
-  active voter of e + 1. Either includes every value that e has chosen.
+- The joining voter becomes active, and votes in e + 1, once it has the state of a majority of the voters of
+  e, all of them sealed, or the state of one active voter of e + 1. Either includes every value that e has
+  chosen.
 
-The seal of a voter that was never active in e counts for the majority. Such a voter holds no state of e and
-accepts none later.
+A sealed voter that was never active in e counts towards this majority, although it holds no state of e. It
+accepts no value of e later.
 
 Invariant: nothing is chosen in e + 1 before a majority has sealed e, and no value that e chose is lost.
 """
@@ -56,7 +57,7 @@
 
 
 class EpochTransition:
-    """Follows chosen voter sets, joins their epochs, and reports this disk's state to others that join."""
+    """Adopts chosen voter sets, joins their epochs, and reports this disk's state to others that join."""
 
     def __init__(
         self, member: LocalMember, acceptors: dict[str, Acceptor], learner: Learner, proposer: Proposer
@@ -66,7 +67,7 @@
         self.join: EpochJoin | None = None  # while this controller joins an epoch
 
     def adopt_voter_set(self, now: float, voter_set: VoterSet, effects: Effects) -> None:
-        """Follows a newer voter set that is chosen. This controller then votes in no earlier epoch."""
+        """Adopts a chosen voter set if it is newer. This controller then votes in no earlier epoch."""
         if voter_set["n"] <= self.member.epoch:
             return
         self.member.voter_set, self.join = voter_set, EpochJoin()
@@ -84,7 +85,7 @@
     # --- becoming active
 
     def request_state(self, now: float, effects: Effects) -> None:
-        """Requests the state with which this epoch begins from the voters of the previous and this epoch.
+        """Asks the voters of the previous and the current epoch for the state with which this epoch begins.
 
         Becomes active instead if the reports suffice already. Sends nothing before the next request is due.
         """
@@ -102,7 +103,7 @@
         }
         request = JoinEpoch(self.member.voter_set, held_numbers)
         peers = {*self.member.voter_set["before"], *self.member.voters} - {self.member.address}
-        for peer in sorted(peers):  # a voter that has reported as sealed may be active by now
+        for peer in sorted(peers):  # a voter that reported while sealed may be active by now
             effects.send(peer, request._replace(active_only=peer in join.reports))
 
     def add_own_report(self, join: EpochJoin) -> None:
@@ -121,7 +122,7 @@
     def seat_state(self, voter_set: VoterSet) -> SeatState | None:
         """Returns the state of this disk's seat for the epoch of `voter_set`.
 
-        Returns None if the state of this disk does not help to begin that epoch.
+        Returns None if a report of this disk does not count for a voter that joins that epoch.
         """
         member, epoch, before = self.member, voter_set["n"], voter_set["before"]
         if member.active_epoch == epoch and is_voter(voter_set["voters"], member.address, member.disk):
@@ -148,7 +149,7 @@
             self.try_activate(now, effects)
 
     def fill_omitted_values(self, state: EpochState) -> dict[str, NumberedValue] | None:
-        """Returns the registers of a report, with the values that it omits filled in.
+        """Returns the registers of a report, and fills in the values that the report omits.
 
         Returns None if this controller no longer holds an omitted value. The next request states the
         numbers that it holds then, so the next report has the value.
@@ -156,7 +157,7 @@
         registers = {}
         for register, (accepted, value) in state.registers.items():
             if register not in self.acceptors:
-                continue  # a later release has further registers
+                continue  # a register that only a later release has
             if value is not OMITTED:
                 registers[register] = NumberedValue(accepted, value)
             elif accepted == self.acceptors[register].accepted:
@@ -180,14 +181,14 @@
             report.registers for report in reports if report.active_epoch >= member.epoch - 1
         ]
         if not reported_registers:
-            return False  # no voter that was active in the previous epoch, and chose this one, has reported
+            return False  # all reports are from voters without state of the previous epoch
         for register, acceptor in self.acceptors.items():
             candidates = [
                 *(registers[register] for registers in reported_registers),
                 self.learner.chosen[register],
             ]
-            newest, value = max(candidates, key=lambda candidate: candidate.proposal_number)
-            acceptor.promised, acceptor.accepted, acceptor.value = newest, newest, value
+            newest_number, value = max(candidates, key=lambda candidate: candidate.proposal_number)
+            acceptor.promised, acceptor.accepted, acceptor.value = newest_number, newest_number, value
             effects.write(register, acceptor)
         member.active_epoch, self.join = member.epoch, None
         effects.facts.update({VOTER_SET_FACT: member.voter_set, ACTIVE_EPOCH_FACT: member.active_epoch})
@@ -198,9 +199,9 @@
     def on_join_epoch(self, now: float, peer: str, request: JoinEpoch, effects: Effects) -> None:
         """Handles the request of a voter that joins an epoch.
 
-        Follows the voter set of the request if it is newer, which seals the previous epoch here. Sends the
-        newest voter set if the request has an older one. Reports the state of this disk if it helps to
-        begin the epoch.
+        Adopts the voter set of the request if it is newer, which seals the previous epoch here. Sends the
+        newest voter set if the request has an older one. Reports the state of this disk if the report counts
+        for a voter that joins the epoch.
         """
         member, epoch = self.member, request.voter_set["n"]
         self.adopt_voter_set(now, request.voter_set, effects)
@@ -210,7 +211,7 @@
         if seat is None or member.epoch < epoch or request.active_only and seat is not SeatState.ACTIVE:
             return
         registers = {} if seat is SeatState.UNUSED else self.accepted_states(request.held_numbers)
-        effects.facts[VOTER_SET_FACT] = member.voter_set  # the write of the seal may be in flight still
+        effects.facts[VOTER_SET_FACT] = member.voter_set  # an earlier write of it may not be durable yet
         effects.send(peer, EpochState(epoch, member.active_epoch, member.disk, registers))
 
     def accepted_states(self, held_numbers: dict[str, ProposalNumber]) -> dict[str, AcceptedState]:
@@ -235,10 +236,10 @@
         commitments: by register, the highest proposal that this voter has promised or accepted in that epoch,
         according to that controller.
 
-        A commitment above what this disk has promised proves a rollback, because a voter sends nothing before
-        it is on disk. The disk may be bound by promises that it has lost. It therefore continues empty under
-        the name `new_disk`, for which no seat exists. The effects have facts in that case, and are empty
-        otherwise.
+        A commitment above what this disk has promised proves a rollback, because a voter reports a promise or
+        an acceptance only after it is durable. The disk may be bound by promises that it has lost. It
+        therefore continues empty under the name `new_disk`, for which no seat exists. The effects have facts
+        in that case, and are empty otherwise.
         """
         effects = no_effects()
         if epoch != self.member.epoch or not self.member.holds_seat:
--- a/bramblewood/controller/consensus/learner.py
+++ b/bramblewood/controller/consensus/learner.py
@@ -41,7 +41,7 @@
         """Records that this voter has accepted a proposal and holds it on its disk.
 
         Returns whether the acceptance counts in the current epoch. It does not count if the proposal was
-        carried over from an earlier epoch, or if the sender is no voter of the current voter set.
+        carried over from an earlier epoch, or if the sender is not a voter of the current voter set.
         """
         acceptances = self.acceptances[register]
         if not self.member.is_current_voter(peer, disk) or number < acceptances.get(peer, NO_PROPOSAL):
@@ -104,6 +104,6 @@
         return max(self.acceptances[register].values(), default=NO_PROPOSAL)
 
     def clear_voter_records(self) -> None:
-        """Discards the acceptances and commitments of the voters, because another voter set takes over."""
+        """Discards the acceptances and commitments of the voters of an epoch that has ended."""
         for by_voter in (*self.acceptances.values(), *self.commitments.values()):
             by_voter.clear()
--- a/bramblewood/controller/consensus/local_member.py
+++ b/bramblewood/controller/consensus/local_member.py
@@ -1,4 +1,4 @@
-"""This controller's address and disk, the voter set that it follows, and whether it votes there."""
+"""This controller's address and disk, the newest voter set that it has learned, and whether it votes."""
 
 from .voter_set import NO_VOTERS, VoterSet, is_voter, majority
 
@@ -31,17 +31,17 @@
 
     @property
     def epoch(self) -> int:
-        """Returns the epoch of the newest voter set learned."""
+        """Returns the epoch of the current voter set, which is the newest one learned."""
         return self.voter_set["n"]
 
     @property
     def voters(self) -> dict[str, str]:
-        """Returns the name of each voter's disk in that epoch, by the voter's address."""
+        """Returns the name of each current voter's disk, by the voter's address."""
         return self.voter_set["voters"]
 
     @property
     def majority(self) -> int:
-        """Returns the smallest number of these voters that is more than half of them."""
+        """Returns the smallest number of current voters that is more than half of them."""
         return majority(self.voters)
 
     def is_current_voter(self, address: str, disk: str) -> bool:
@@ -50,7 +50,10 @@
 
     @property
     def is_member(self) -> bool:
-        """Returns whether the current voter set has a seat that this disk may match; see `holds_seat`."""
+        """Returns whether a seat of the current voter set names this disk, or belongs to any disk here.
+
+        The second case does not suffice to join the epoch; see `holds_seat`.
+        """
         return self.is_current_voter(self.address, self.disk)
 
     @property
@@ -58,8 +61,7 @@
         """Returns whether this disk may join the current epoch as a voter.
 
         It may if the seat names the disk. It may also if the seat belongs to any disk and this disk was
-        active in the previous epoch. A disk that came back empty was not, and has to wait for a seat that
-        names it.
+        active in the previous epoch. An empty disk was not active in it, and waits for a seat that names it.
         """
         if self.voters.get(self.address) == self.disk:
             return True
--- a/bramblewood/controller/consensus/membership.py
+++ b/bramblewood/controller/consensus/membership.py
@@ -1,4 +1,4 @@
-"""Finds the one change of the voter set that is due, if any. Pure.
+"""Finds the one change of the voter set that is due, if any. It performs no I/O and reads no clock.
 
 A change takes the seat of a voter that is lost, is leaving, or came back with another disk. It gives the seat
 to a controller or disk that has caught up. The change takes effect once a majority of the current voters has
@@ -10,7 +10,8 @@
 - A silent voter keeps its seat for half of `CatchUpS`, the time within which it is expected back.
 - A controller takes a seat only after a quarter of `CatchUpS` in which its heartbeats arrived without a gap.
 
-The sum is less than `CatchUpS`, so a second loss, which may occur after `CatchUpS`, meets the new voter set.
+The two waits add up to less than `CatchUpS`. A second loss is tolerated only after `CatchUpS`, and the new
+voter set is in effect by then.
 """
 
 from typing import NamedTuple
@@ -45,8 +46,8 @@
 class Membership:
     """Finds the change of the voter set that is due. It has no state except its settings.
 
-    Parameters named `peers` have the status of every known controller by address, including this one.
-    Parameters named `versions` have the chosen versions by register.
+    Parameters named `peers` hold the status of every known controller by address, including this one.
+    Parameters named `versions` hold the chosen versions by register.
     """
 
     def __init__(self, tolerance: Tolerance, regions: dict[str, str], catch_up: float) -> None:
@@ -87,7 +88,7 @@
     def founding_change(
         self, seeds: tuple[str, ...], peers: dict[str, PeerStatus], wait_is_over: bool
     ) -> VoterSetChange | None:
-        """Returns the change to the voters of epoch 1, or None while it is better to wait.
+        """Returns the change to the voters of epoch 1, or None while `select_first_voters` selects none.
 
         wait_is_over: as in `select_first_voters`.
         """
@@ -112,8 +113,8 @@
     def has_joining_voter(self, voter_set: VoterSet, peers: dict[str, PeerStatus]) -> bool:
         """Returns whether a reachable voter on the disk of its seat is about to become active.
 
-        A voter whose disk has failed for long does not count, as it will not become active. The majority that
-        a change needs does not include it either.
+        A voter whose disk has failed for so long that it may lose its seat does not count, because it is not
+        going to become active. The majority that chooses a change does not include such a voter either.
         """
         reachable = reachable_peers(peers)
         return any(
@@ -172,7 +173,7 @@
     ) -> list[str]:
         """Returns the controllers that may take a seat now, sorted."""
         voters = voter_set["voters"]
-        any_counts = any(peers[address].counts_for_tolerance for address in voters if address in peers)
+        any_voter_counts = any(peers[address].counts_for_tolerance for address in voters if address in peers)
         return sorted(
             address
             for address, peer in peers.items()
@@ -181,12 +182,12 @@
             and not peer.leaving
             and not peer.disk_failing_for
             and peer.epoch == voter_set["n"]
-            and (peer.counts_for_tolerance or not any_counts)
+            and (peer.counts_for_tolerance or not any_voter_counts)
             and peer.has_caught_up(versions)
         )
 
     def successors(self, voter_set: VoterSet, peers: dict[str, PeerStatus]) -> list[str]:
-        """Returns the controllers that may take a seat now or soon. A leaving voter waits for one of them."""
+        """Returns the controllers that may take a seat now or soon. A leaving voter waits for one."""
         voters = voter_set["voters"]
         return [
             address
@@ -262,7 +263,7 @@
         )
 
     def failure_margin(self, voter_set: VoterSet, peers: dict[str, PeerStatus]) -> int:
-        """Returns how many active voters may be lost with a majority left; below 0 if there is none."""
+        """Returns how many active voters may be lost with a majority left; below 0 without a majority."""
         voters = voter_set["voters"]
         return len(active_voters(voters, voter_set, peers)) - majority(voters)
 
@@ -283,16 +284,17 @@
     durable: dict[str, dict[str, tuple]],
     has_successor: bool,
 ) -> bool:
-    """Returns whether a controller that is shutting down may end without a risk to what is agreed.
+    """Returns whether a controller that is shutting down may exit without a risk to the chosen values.
 
-    If another controller or disk has its seat, it may once a majority of the current voters is active. If it
-    has its seat and no successor, it may once a majority of the other voters holds on disk all that it has
-    accepted. If it has its seat and a successor, it waits for the change.
+    - A controller whose disk has no seat may exit once a majority of the current voters is active.
+    - A controller that has a seat and no successor may exit once a majority of the other voters holds on disk
+      everything that the controller has accepted.
+    - A controller that has a seat and a successor waits for the change that gives the seat away.
 
-    address, disk: those of the controller itself.
-    accepted: by register, the number of the proposal that it accepted last.
+    address, disk: those of the controller that is shutting down.
+    accepted: by register, the number of the proposal that this controller accepted last.
     durable: by controller and register, the number of the proposal that is accepted and on disk there.
-    has_successor: whether a controller may take the seat now or soon.
+    has_successor: whether another controller may take the seat now or soon.
     """
     voters = voter_set["voters"]
     active = [voter for voter in voters if voter in peers and peers[voter].is_active_in(voter_set, voter)]
--- a/bramblewood/controller/consensus/membership_view.py
+++ b/bramblewood/controller/consensus/membership_view.py
@@ -13,20 +13,20 @@
     disk: str
     state: str  # voter, joining, leaving, silent, lost, other disk, disk fails, spare, new
     heard: float | None  # s since its last heartbeat, None if no heartbeat ever arrived
-    epoch: int | None  # that it reports, None if no heartbeat ever arrived
-    lag: dict[str, int] | None  # by register, by how many versions it is behind
+    epoch: int | None  # the epoch that it reports, None if no heartbeat ever arrived
+    lag: dict[str, int] | None  # by register, the number of versions by which it is behind
 
 
 class MembershipView(TypedDict):
-    """The view of all controllers that `me` has. Its keys are part of the `--json` output."""
+    """The view that one controller has of all controllers. Its keys are part of the `--json` output."""
 
     me: str  # the address of the controller that reports
     epoch: int
-    state: str  # of that controller, one of the states of `MemberView`
+    state: str  # the state of `me`, one of the states of `MemberView`
     members: dict[str, MemberView]  # the voters, by address
     others: dict[str, MemberView]  # the other controllers, by address
-    tolerance: int  # losses that the voters should tolerate
-    margin: int  # losses of active voters that leave a majority; below 0 if there is no majority
+    tolerance: int  # how many lost voters the voter set should tolerate
+    margin: int  # how many active voters may be lost with a majority left; below 0 without a majority
 
 
 def membership_view(
--- a/bramblewood/controller/consensus/peer_status.py
+++ b/bramblewood/controller/consensus/peer_status.py
@@ -1,4 +1,4 @@
-"""The status of each controller, as far as it decides who should vote."""
+"""The status of each controller, as needed to decide which controllers vote."""
 
 from typing import NamedTuple
 
@@ -11,10 +11,10 @@
 
     disk: str  # the name of its disk, "" if no heartbeat ever arrived
     zone: str
-    counts_for_tolerance: bool  # `Tolerance` bounds the loss of this controller
-    epoch: int
-    is_active_voter: bool  # it reports that it is an active voter of that epoch
-    leaving: bool  # it is shutting down
+    counts_for_tolerance: bool  # whether `Tolerance` limits how many controllers like this one may be lost
+    epoch: int  # the epoch that it reports
+    is_active_voter: bool  # whether it reports that it is an active voter of that epoch
+    leaving: bool  # whether it is shutting down
     silent_for: float  # time since its last heartbeat
     steady_for: float  # time for which its heartbeats have arrived without a gap, 0 while they do not
     versions: dict[str, int]  # by register, the newest version that it reports as chosen
@@ -34,10 +34,10 @@
         return self.is_active_voter and self.epoch == voter_set["n"] and matches_seat
 
     def has_caught_up(self, versions: dict[str, int]) -> bool:
-        """Returns whether it follows the data registers.
+        """Returns whether it reports a chosen version of each data register that has one.
 
-        versions: the chosen versions by register. The controller need not report the newest version, as its
-        heartbeats lag. It has to report some version of each data register that has one.
+        versions: the chosen versions by register. The controller need not report the newest version, because
+        its heartbeats arrive later than the versions are chosen.
         """
         return all(
             self.versions.get(register, 0) > 0 or not versions.get(register, 0)
--- a/bramblewood/controller/consensus/proposal_number.py
+++ b/bramblewood/controller/consensus/proposal_number.py
@@ -15,9 +15,9 @@
     """
 
     epoch: int
-    counter: int  # of proposals in the register; higher than every counter that the proposer has seen there
+    counter: int  # within the register; higher than every counter that the proposer has seen there
     proposer: str  # address of the controller that proposes
-    incarnation: int  # of that controller's process, so that no two processes use the same number
+    incarnation: int  # identifies that controller's process, so that no two processes use the same number
 
     @classmethod
     def from_wire(cls, fields: Sequence) -> "ProposalNumber":
--- a/bramblewood/controller/consensus/proposal_round.py
+++ b/bramblewood/controller/consensus/proposal_round.py
@@ -1,4 +1,4 @@
-"""One proposed change, and the round of the protocol that carries it."""
+"""A proposed change, and the round of promises and acceptances that carries it."""
 
 from collections.abc import Callable
 from enum import Enum
@@ -8,7 +8,8 @@
 from .messages import Accept, AcceptDifference
 from .proposal_number import NO_PROPOSAL, ProposalNumber
 
-# from the current value, which is None at first, to (next value or None to write nothing, outcome)
+# maps the current value, which is None at first, to (next value, outcome); no value is written if the next
+# value is None
 Change = Callable[[Any], tuple[Any, Any]]
 
 
@@ -37,9 +38,10 @@
         self.proposal_number = NO_PROPOSAL
         self.promises: dict[str, NumberedValue] = {}  # by voter, what it had accepted when it promised
         self.accepted_by: set[str] = set()
-        # the rounds whose changes this round carries; each change applies to the result of the one before it
+        # the queued rounds whose changes this round carries, including itself; each change applies to the
+        # result of the one before it
         self.batch: list[ProposalRound] = []
-        self.base: ProposalNumber = NO_PROPOSAL  # of the value from which the proposed value was made
+        self.base: ProposalNumber = NO_PROPOSAL  # number of the value from which the proposed one is made
         self.accept_difference: AcceptDifference | None = None  # for voters that hold the value of `base`
         self.accept_value: Accept | None = None  # for the other voters
 
@@ -67,6 +69,6 @@
         self.phase, self.next_attempt_at = Phase.WAITING, next_attempt_at
 
     def newest_accepted(self) -> NumberedValue:
-        """Returns the value with the highest number among those that the promising voters had accepted."""
-        newest = max(promise.proposal_number for promise in self.promises.values())
-        return next(promise for promise in self.promises.values() if promise.proposal_number == newest)
+        """Returns the value with the highest number among those that the promises report as accepted."""
+        newest_number = max(promise.proposal_number for promise in self.promises.values())
+        return next(promise for promise in self.promises.values() if promise.proposal_number == newest_number)
--- a/bramblewood/controller/consensus/proposer.py
+++ b/bramblewood/controller/consensus/proposer.py
@@ -33,8 +33,8 @@
 class Proposer:
     """The queues of changes proposed here, by register. The first round of a queue is the one in progress.
 
-    Invariant: every proposed value is made from the newest value that a majority of the epoch's voters had
-    accepted when it promised. No value that was chosen before is therefore lost.
+    Invariant: every proposed value is made from the newest value that any voter of a majority had accepted
+    when it promised. No value that was chosen before is therefore lost.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
             register: acceptor.promised.counter for register, acceptor in acceptors.items()
         }
         self.unfinished_since: dict[str, float] = {}
-        self.last_rejection: Rejection | None = None  # the newest one, until the caller takes it for its log
+        self.last_rejection: Rejection | None = None  # the newest one, until the caller takes it to log it
         self.jitter_draws = 0
 
     def jitter(self) -> float:
@@ -82,8 +82,9 @@
         if not queue or queue[0].phase is not Phase.WAITING or now < queue[0].next_attempt_at:
             return
         if not self.backoff.must_wait(now, register):
-            # The round carries all changes that wait now. It must not take later ones, because its promises
-            # may lack a value that is chosen before those are proposed. Voter sets change one at a time.
+            # The round carries the changes that are queued now, and no later ones. Its promises may lack a
+            # value that is chosen before a later change is queued, and that change must see the value. Voter
+            # sets change one at a time.
             queue[0].batch = queue[:1] if register == VOTER_SET else list(queue)
             self.start_round(now, queue[0], effects)
 
@@ -102,9 +103,9 @@
         proposal_round.wait_until(now + RETRY_BACKOFF_UNIT * (0.5 + self.jitter()) * units)
 
     def restart_rounds(self, now: float) -> None:
-        """Schedules the next attempt of each round in progress, as another epoch has begun.
+        """Schedules the next attempt of each round in progress, because another epoch has begun.
 
-        The voters of the previous epoch answer no longer. The short wait lets this controller learn whether
+        The voters of the previous epoch no longer answer. The short wait lets this controller learn whether
         the previous epoch has chosen what the round proposed.
         """
         for queue in self.rounds.values():
@@ -148,7 +149,7 @@
     def record_promise(self, peer: str, promise: Promise, proposal_round: ProposalRound) -> bool:
         """Records a promise together with the value that the voter had accepted.
 
-        Returns False if the promise omits a value that this controller holds no longer. The promise does
+        Returns False if the promise omits a value that this controller no longer holds. The promise does
         not count then, and the voter sends the value in the next round.
         """
         if promise.has_value:
@@ -161,7 +162,7 @@
         return True
 
     def on_majority_promised(self, now: float, proposal_round: ProposalRound, effects: Effects) -> None:
-        """Makes the next value from the newest one that the majority has accepted, and proposes it."""
+        """Makes the next value from the newest one that the promises report, and proposes it."""
         base = proposal_round.newest_accepted()
         changed, value = self.apply_changes(proposal_round, base.value)
         register_is_empty = base.proposal_number == NO_PROPOSAL
@@ -226,7 +227,7 @@
     def on_rejection(self, now: float, peer: str, rejected: Rejected) -> None:
         """Handles the rejection of a voter that has promised a higher number. The attempt has failed."""
         self.observe_counter(rejected.register, rejected.promised)
-        if self.member.is_member:  # other controllers are not sent what is chosen, so they would wait in vain
+        if self.member.is_member:  # without a seat, it is not told what is chosen and would wait in vain
             self.backoff.observe(now, rejected.register, rejected.promised)
         proposal_round = self.current_round(rejected.register, rejected.proposal_number)
         if proposal_round is not None and proposal_round.phase is not Phase.WAITING:
@@ -245,7 +246,7 @@
     # --- time
 
     def tick(self, now: float, register: str, effects: Effects) -> None:
-        """Retries a round whose phase has timed out, and completes rounds that other proposers left."""
+        """Retries a round whose phase has timed out, and completes unfinished rounds of other proposers."""
         for proposal_round in self.rounds[register][:1]:
             if proposal_round.phase is not Phase.WAITING and now >= proposal_round.phase_deadline:
                 self.schedule_retry(now, proposal_round)
@@ -271,9 +272,9 @@
             self.propose(now, register, keep_current_value, COMPLETION_TAG, COMPLETION_TIMEOUT, effects)
 
 
-COMPLETION_TAG = "settle"  # of changes that no caller waits for
+COMPLETION_TAG = "settle"  # the tag of changes that complete rounds; no caller waits for their answers
 
 
 def keep_current_value(value: Any) -> tuple[None, bool]:
-    """Writes no new value, so that the round of this change only completes the current value."""
+    """Writes no new value. The round of this change only makes a majority accept the current value."""
     return None, True
--- a/bramblewood/controller/consensus/proposer_backoff.py
+++ b/bramblewood/controller/consensus/proposer_backoff.py
@@ -1,6 +1,6 @@
-"""The wait for a round of another controller, so that proposers do not keep overtaking each other.
+"""Makes a proposer wait for rounds of other controllers, so that they do not keep making each other fail.
 
-It decides when rounds begin. The values that rounds choose do not depend on it. Pure.
+The wait decides when rounds begin. The values that rounds choose do not depend on it.
 """
 
 from typing import NamedTuple
@@ -16,7 +16,7 @@
 
 
 class ProposerBackoff:
-    """By register, the newest unfinished round of another controller, and how long to wait for it."""
+    """Holds, by register, the newest unfinished round of another controller, and how long to wait for it."""
 
     def __init__(self, address: str, phase_timeout: float) -> None:
         """Creates a backoff that waits for no round.
@@ -43,7 +43,10 @@
         self.competing[register] = CompetingRound(number, wait_until)
 
     def round_finished(self, register: str, number: ProposalNumber) -> None:
-        """Ends the wait for this proposal, which is chosen or wrote nothing, and for older ones."""
+        """Ends the wait for the round of this proposal and for older rounds.
+
+        The value of the proposal is chosen, or its round has ended without a write.
+        """
         competing = self.competing.get(register)
         if competing is not None and competing.proposal_number <= number:
             del self.competing[register]
--- a/bramblewood/controller/consensus/quorum.py
+++ b/bramblewood/controller/consensus/quorum.py
@@ -1,4 +1,4 @@
-"""Selects voters so that a majority is left after every loss that `Tolerance` allows for. Pure."""
+"""Selects voters so that a majority is left after every loss that `Tolerance` allows for."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -9,7 +9,7 @@
 
 
 class FailureDomain(NamedTuple):
-    """The zone and region of a controller, and whether `Tolerance` bounds its loss."""
+    """The zone and region of a controller, and whether `Tolerance` limits how many like it may be lost."""
 
     zone: str
     region: str
@@ -39,17 +39,17 @@
 
 
 def voters_needed(tolerance: Tolerance) -> int:
-    """Returns the number of voters of which a majority is left after the losses that are tolerated."""
+    """Returns the smallest number of voters of which a majority is left after the tolerated losses."""
     return 2 * tolerance.losses + 1
 
 
 def select_first_voters(
     domains: dict[str, FailureDomain], seeds: Iterable[str], tolerance: Tolerance, wait_is_over: bool
 ) -> tuple[str, ...] | None:
-    """Returns the addresses of the first voters, sorted, or None while it is better to wait.
+    """Returns the addresses of the first voters, sorted, or None to wait for further controllers.
 
     domains: the failure domain of every controller that is reachable.
-    wait_is_over: whether to select at once, even if a seed is not reachable or no selection keeps a majority.
+    wait_is_over: whether to select voters even if a seed is not reachable or no selection keeps a majority.
 
     Seeds are preferred. Controllers that do not count for `Tolerance` may be lost in any number, so they vote
     only if no controller counts.
--- a/bramblewood/controller/consensus/replica.py
+++ b/bramblewood/controller/consensus/replica.py
@@ -1,8 +1,8 @@
 """One controller's replica of the registers: Paxos among the voters of an epoch.
 
-Each register holds one value. To apply a change, a proposer reads the value that a majority of the voters
-holds, makes the next value from it, and asks the voters to accept that under a higher proposal number. There
-is no leader. Each version of a value is one instance of Paxos.
+Each register holds one value. To apply a change, a proposer reads the newest value that any voter of a
+majority has accepted, makes the next value from it, and asks the voters to accept that under a higher
+proposal number. There is no leader. Each version of a value is one instance of Paxos.
 
 The parts are state machines without I/O. Their inputs include the current time. They return Effects, which
 list what to write, send and answer. The caller sends and answers only once all writes of the same effects are
@@ -10,9 +10,9 @@
 
 A proposal number begins with its epoch, and counts only among the voters of that epoch. The voter set of
 epoch e + 1 is the value of the register VOTER_SET that the voters of e choose; `epochs` describes the
-transition. A voter is an address together with a disk. A controller whose disk came back empty is a new
-member. The promises of its old disk bind only the epochs in which the old disk was a voter. A value that was
-carried over from an earlier epoch counts as chosen once a proposal of the current epoch has chosen it.
+transition. A voter is an address together with a disk. A controller whose disk came back empty counts as
+another voter. The promises of its old disk bind only the epochs in which the old disk was a voter. A value
+that is carried over from an earlier epoch counts as chosen once a proposal of this epoch has chosen it.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -80,8 +80,8 @@
         self.member = self.member_class(address, disk, incarnation, voter_set, active_epoch)
         self.acceptors = {register: Acceptor(*stored.get(register, ())) for register in ALL_REGISTERS}
         self.durable_accepted = {register: acceptor.accepted for register, acceptor in self.acceptors.items()}
-        # raises an error if the value is not valid for the register; set by the caller, called with values
-        # that result from a difference
+        # The caller sets this function. It is called with values that result from a difference, and raises an
+        # error if the value is not valid for the register.
         self.require_value: Callable[[str, Any], None] = lambda register, value: None
         backoff = ProposerBackoff(address, PHASE_TIMEOUT)
         self.learner = self.learner_class(self.member, self.acceptors, backoff)
@@ -126,7 +126,7 @@
 
     @property
     def is_member(self) -> bool:
-        """Returns whether the current voter set has a seat that this controller and disk may match."""
+        """Returns whether a seat of the current voter set names this disk, or belongs to any disk here."""
         return self.member.is_member
 
     @property
@@ -165,10 +165,10 @@
 
         change: a function from the current value, which is None at first, to (next value, outcome). A next
         value of None writes nothing. The function may be called more than once; the last outcome counts.
-        timeout: the time after which the outcome is given up as unclear.
+        timeout: the time after which the outcome counts as unclear.
 
-        These or later effects have the answer, which is (tag, outcome), or (tag, None) if the outcome is
-        unclear.
+        The effects of this step or of a later one include the answer, which is (tag, outcome), or (tag, None)
+        if the outcome is unclear.
         """
         effects = no_effects()
         self.proposer.propose(now, register, change, tag, timeout, effects)
@@ -187,11 +187,11 @@
         self.durable_accepted[register] = accepted
 
     def stop_voting(self) -> None:
-        """Makes this controller answer no proposal as a voter from now on. This process is about to end."""
+        """Makes this controller answer no proposal from now on, because its process is about to exit."""
         self.member.active_epoch = NEVER_ACTIVE
 
     def adopt_voter_set(self, now: float, voter_set: VoterSet, effects: Effects) -> None:
-        """Follows a newer voter set that a peer reports as chosen."""
+        """Adopts a voter set that a peer reports as chosen, if it is newer."""
         self.epochs.adopt_voter_set(now, voter_set, effects)
 
     def check_disk_rollback(self, epoch: int, commitments: Mapping[str, Sequence], new_disk: str) -> Effects:
@@ -202,7 +202,7 @@
         numbers = {
             register: ProposalNumber.from_wire(number)
             for register, number in commitments.items()
-            if register in self.acceptors  # a later release has further registers
+            if register in self.acceptors  # else it is a register that only a later release has
         }
         effects = self.epochs.check_disk_rollback(epoch, numbers, new_disk)
         if effects.facts:
@@ -224,7 +224,7 @@
         """Handles a message of consensus, given in its wire form. Raises PeerMessageError."""
         effects = no_effects()
         if wire.get("r", VOTER_SET) not in self.acceptors:
-            return effects  # a later release has further registers
+            return effects  # the register is one that only a later release has
         message = decode(wire)
         match message:
             case EpochNotice():
@@ -278,7 +278,7 @@
                     self._accept(now, peer, register, number, value, effects)
                 case AcceptDifference(register, number, base, difference):
                     acceptor = self.acceptors[register]
-                    if base == acceptor.accepted:  # else the next round sends the whole value
+                    if base == acceptor.accepted:  # else the proposer sends the value in the next round
                         value = apply_difference(acceptor.value, difference)
                         self.require_value(register, value)
                         self._accept(now, peer, register, number, value, effects)
--- a/bramblewood/controller/consensus/voter_set.py
+++ b/bramblewood/controller/consensus/voter_set.py
@@ -31,7 +31,7 @@
 
 
 def founding_voters(seeds: tuple[str, ...]) -> VoterSet:
-    """Returns the voter set of epoch 0: the seeds of the first boot, each on any disk.
+    """Returns the voter set of epoch 0, in which each seed has a seat that belongs to any disk.
 
     Epoch 0 chooses the voter set of epoch 1 and nothing else.
     """
