--- a/bramblewood/controller/consensus/local_member.py
+++ b/bramblewood/controller/consensus/local_member.py
@@ -50,7 +50,7 @@
 
     @property
     def is_member(self) -> bool:
-        """Returns whether a seat of the current voter set names this disk, or belongs to any disk here.
+        """Returns whether a seat of the current voter set names this disk, or is open to any disk here.
 
         The second case does not suffice to join the epoch; see `holds_seat`.
         """
@@ -60,7 +60,7 @@
     def holds_seat(self) -> bool:
         """Returns whether this disk may join the current epoch as a voter.
 
-        It may if the seat names the disk. It may also if the seat belongs to any disk and this disk was
+        It may if the seat names the disk. It may also if the seat is open to any disk and this disk was
         active in the previous epoch. An empty disk was not active in it, and waits for a seat that names it.
         """
         if self.voters.get(self.address) == self.disk:
--- a/bramblewood/controller/consensus/replica.py
+++ b/bramblewood/controller/consensus/replica.py
@@ -126,7 +126,7 @@
 
     @property
     def is_member(self) -> bool:
-        """Returns whether a seat of the current voter set names this disk, or belongs to any disk here."""
+        """Returns whether a seat of the current voter set names this disk, or is open to any disk here."""
         return self.member.is_member
 
     @property
--- a/bramblewood/controller/consensus/voter_set.py
+++ b/bramblewood/controller/consensus/voter_set.py
@@ -27,11 +27,11 @@
 
 
 NO_VOTERS: VoterSet = {"n": 0, "voters": {}, "before": {}}
-ANY_DISK = ""  # in place of a disk's name: the seat belongs to any disk at the address
+ANY_DISK = ""  # in place of a disk's name: the seat is open to any disk at the address
 
 
 def founding_voters(seeds: tuple[str, ...]) -> VoterSet:
-    """Returns the voter set of epoch 0, in which each seed has a seat that belongs to any disk.
+    """Returns the voter set of epoch 0, in which each seed has a seat that is open to any disk.
 
     Epoch 0 chooses the voter set of epoch 1 and nothing else.
     """
--- a/features/consensus.feature
+++ b/features/consensus.feature
@@ -10,7 +10,7 @@
     Then the configuration "first" was acknowledged
     And at most one of two concurrent configurations is chosen, whichever message is lost
 
-  Scenario: A repeated configuration is acknowledged at any replica, also after others followed it
+  Scenario: A repeated configuration is acknowledged at any replica, even after another one has followed it
     Given three replicas with seed 2
     When the configuration "first" r1 after r0 is put at replica a
     And all replicas run without faults
@@ -42,15 +42,15 @@
     Then version r1 is "first"
 
   Scenario: A voter stores the value that was chosen while it was stopped
-    Then a voter stores what was chosen while it was stopped, and the check finds one that does not
+    Then a voter stores what was chosen while it was stopped, and the check finds a replica that does not
 
-  Scenario: An empty disk does not join by a seat of any disk
-    Then an empty disk does not join by a seat of any disk, and the check finds one that does
+  Scenario: An empty disk does not join through a seat open to any disk
+    Then an empty disk does not join through a seat open to any disk, and the check finds a replica that does
 
-  Scenario: Random runs lose no acknowledged configuration, and find each of three faults
+  Scenario: Random runs lose no acknowledged configuration, and detect each of three faults
     Given three replicas with seed 5
     Then 300 random runs with stops, lost messages and lost disks lose no acknowledged configuration
-    And 50 random runs from seats of any disk lose none either
+    And 50 random runs that start with seats open to any disk lose no acknowledged configuration
     And the fault "an empty disk reuses the name of the lost disk" breaks a rule within 300 random runs
-    And the fault "no disk joins by a seat of any disk" breaks a rule within 5 random runs
-    And the fault "an empty disk joins by a seat of any disk" breaks a rule within 150 random runs
+    And the fault "no disk joins through a seat open to any disk" breaks a rule within 5 random runs
+    And the fault "an empty disk joins through a seat open to any disk" breaks a rule within 150 random runs
--- a/features/steps/consensus.py
+++ b/features/steps/consensus.py
@@ -95,9 +95,7 @@
             past = (cluster.read_after_recovery() or {"past": {}})["past"]
             assert len(past) <= 1 and len(cluster.acknowledged) <= 1, (seed, lost, past)
             decided += len(cluster.acknowledged) == len(cluster.rejected) == 1
-    assert decided > 0.9 * 320, (
-        decided
-    )  # in the other runs an outcome stays unclear, as neither round ends in time
+    assert decided > 0.9 * 320, decided  # in the other runs an outcome is unclear, as no round ends in time
 
 
 @then("{count:d} random runs with stops, lost messages and lost disks lose no acknowledged configuration")
@@ -105,24 +103,26 @@
     acknowledged = 0
     for seed in range(count):
         acknowledged += len(storm(seed).acknowledged)
-    assert acknowledged > count, f"{acknowledged} configurations acknowledged in {count} runs prove nothing"
+    assert acknowledged > count, (
+        f"{count} runs prove nothing, because only {acknowledged} configurations were acknowledged"
+    )
 
 
-@then("{count:d} random runs from seats of any disk lose none either")
+@then("{count:d} random runs that start with seats open to any disk lose no acknowledged configuration")
 def check_random_runs_from_any_disk(context, count):
     for seed in range(count):
-        storm(seed, seats_of_any_disk=True)
+        storm(seed, seats_open_to_any_disk=True)
 
 
 FAULTS = {
     "an empty disk reuses the name of the lost disk": {"reuses_disk_name": True},
-    "no disk joins by a seat of any disk": {
+    "no disk joins through a seat open to any disk": {
         "replica_class": AnyDiskSeatNeverHeld,
-        "seats_of_any_disk": True,
+        "seats_open_to_any_disk": True,
     },
-    "an empty disk joins by a seat of any disk": {
+    "an empty disk joins through a seat open to any disk": {
         "replica_class": AnyDiskSeatAlwaysHeld,
-        "seats_of_any_disk": True,
+        "seats_open_to_any_disk": True,
     },
 }
 
@@ -142,12 +142,12 @@
     assert context.cluster.replicas[name].value(CONFIG) is None
 
 
-@then("a voter stores what was chosen while it was stopped, and the check finds one that does not")
+@then("a voter stores what was chosen while it was stopped, and the check finds a replica that does not")
 def check_missed_value_is_stored(context):
     assert stores_missed_value() and not stores_missed_value(LearnsWithoutAccepting)
     assert keeps_learned_value_when_joining()
 
 
-@then("an empty disk does not join by a seat of any disk, and the check finds one that does")
+@then("an empty disk does not join through a seat open to any disk, and the check finds a replica that does")
 def check_empty_disk_does_not_join(context):
     assert not empty_disk_joins() and empty_disk_joins(AnyDiskSeatAlwaysHeld)
--- a/tests/simulation/consensus.py
+++ b/tests/simulation/consensus.py
@@ -43,7 +43,7 @@
 
 
 class AnyDiskSeatNeverHeld(ConsensusReplica):
-    """A faulty replica that never joins by a seat of any disk, even if it was active before."""
+    """A faulty replica that never joins through a seat open to any disk, even if it was active before."""
 
     class member_class(LocalMember):
         @property
@@ -52,7 +52,7 @@
 
 
 class AnyDiskSeatAlwaysHeld(ConsensusReplica):
-    """A faulty replica that joins by a seat of any disk even with an empty disk."""
+    """A faulty replica that joins through a seat open to any disk even if its own disk is empty."""
 
     class member_class(LocalMember):
         @property
@@ -68,12 +68,12 @@
         seed: int,
         reuses_disk_name: bool = False,
         replica_class: type = ConsensusReplica,
-        seats_of_any_disk: bool = False,
+        seats_open_to_any_disk: bool = False,
     ) -> None:
         """Starts the replicas as active voters of epoch 1.
 
         reuses_disk_name: whether an empty disk gets the name and facts of the lost disk, which is a fault.
-        seats_of_any_disk: whether the seats of epoch 1 belong to any disk, as after an upgrade from a release
+        seats_open_to_any_disk: whether the seats of epoch 1 name no disk, as after an upgrade from a release
         without epochs.
         """
         self.rng, self.reuses_disk_name, self.now, self.incarnations = (
@@ -85,7 +85,7 @@
         self.replica_class = replica_class
         members = {
             "n": 1,
-            "voters": {name: "" if seats_of_any_disk else f"{name}0" for name in NAMES},
+            "voters": {name: "" if seats_open_to_any_disk else f"{name}0" for name in NAMES},
             "before": {},
         }
         self.disks: dict[str, dict] = {
@@ -96,7 +96,7 @@
         self.in_flight: list[tuple[str, str, dict]] = []
         self.acknowledged: dict[str, Configuration] = {}  # by digest, answered with status 200
         self.rejected: dict[str, Configuration] = {}  # by digest, answered with status 4xx, which is final
-        self.versions_seen: dict[str, str] = {}  # by number, the digest of each version ever learned
+        self.versions_seen: dict[str, str] = {}  # by version number, the digest that any replica has learned
         for name in NAMES:
             self.start(name)
 
@@ -127,7 +127,7 @@
         self.disks[name] = {fact: self.disks[name][fact] for fact in kept_facts}
 
     def apply(self, name: str, effects: Effects) -> None:
-        """Carries out the effects of a step at this machine, after its writes if there are any."""
+        """Dispatches the effects of a step at this machine. Effects with writes wait for `sync`."""
         if effects.writes or effects.facts:
             self.unsynced[name].append(effects)
         else:
@@ -198,7 +198,7 @@
                 self.apply(name, replica.propose(self.now, VOTER_SET, change, "members", 2.0))
 
     def run(self, steps: int, loss: float = 0.0, duplication: float = 0.0) -> None:
-        """Simulates so many steps, in an order drawn from the seed.
+        """Simulates this number of steps, in an order drawn from the seed.
 
         loss, duplication: the probability that a message is lost or duplicated.
         """
@@ -308,8 +308,8 @@
 
 
 def empty_disk_joins(replica_class: type = ConsensusReplica) -> bool:
-    """Returns whether a voter with an empty disk requests the state of an epoch by a seat of any disk."""
-    cluster = ReplicaCluster(1, replica_class=replica_class, seats_of_any_disk=True)
+    """Returns whether a voter with an empty disk asks to join an epoch through a seat open to any disk."""
+    cluster = ReplicaCluster(1, replica_class=replica_class, seats_open_to_any_disk=True)
     cluster.wipe("b")
     cluster.start("b")
     cluster.apply(
@@ -320,9 +320,10 @@
 
 
 def storm(seed: int, **options: Any) -> ReplicaCluster:
-    """Simulates operators that put conflicting configurations, with lost messages, stops and lost disks.
+    """Simulates operators that put conflicting configurations while messages and disks are lost.
 
-    Raises RuleViolation if a rule is broken. options: those of ReplicaCluster.
+    One machine at a time stops, and starts again before the next one stops. Raises RuleViolation if a rule is
+    broken. options: those of ReplicaCluster.
     """
     cluster = ReplicaCluster(seed, **options)
     rng, parent, revision = cluster.rng, 0, 0
@@ -332,13 +333,13 @@
         for prefix in ("left", "right"):
             revision += 1 + rng.randrange(2)
             requested = configuration(revision, parent, f"{prefix}{revision}")
-            for _ in range(1 + rng.randrange(2)):  # an operator repeats an unanswered call at any machine
+            for _ in range(1 + rng.randrange(2)):  # operators repeat unanswered calls at any machine
                 cluster.put(rng.choice(list(cluster.replicas)), requested)
                 cluster.run(rng.randrange(25), 0.1, 0.05)
 
     for _ in range(5):
         put_conflicting_configurations()
-        stopped = rng.choice(NAMES)  # one machine at a time; the next one only once this one votes again
+        stopped = rng.choice(NAMES)  # the next one stops only once this one votes again
         (cluster.wipe if rng.random() < 0.5 else cluster.stop)(stopped)
         if rng.random() < 0.5:
             cluster.run(rng.randrange(40), 0.1, 0.05)
--- a/tests/simulation/scripted_cluster.py
+++ b/tests/simulation/scripted_cluster.py
@@ -10,7 +10,7 @@
 
 
 class ScriptedCluster:
-    """Replicas whose messages stay in flight until the case delivers them. Every write is durable at once."""
+    """Replicas whose messages stay in flight until the case delivers them. All writes are durable at once."""
 
     def __init__(self, voters: str, spares: str = "") -> None:
         """Starts one replica for each letter of `voters` and `spares`. The voters are active in epoch 1."""
@@ -40,7 +40,7 @@
 
         names: one letter for each replica.
         kinds: the kinds to deliver, separated by spaces, or "" for all kinds.
-        rounds: how often to deliver what is in flight.
+        rounds: how many times to deliver the messages that are in flight at that time.
         """
         for _ in range(rounds):
             delivered = [
--- a/tests/test_consensus_messages.py
+++ b/tests/test_consensus_messages.py
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("text", WIRE_FORMS)
-def test_decoding_and_encoding_keeps_the_wire_form(text):
+def test_a_decoded_message_encodes_to_the_same_wire_form(text):
     message = decode(json.loads(text))
     assert json.dumps(message.to_wire(), separators=(",", ":")) == text
 
@@ -46,13 +46,13 @@
     assert {json.loads(text)["k"] for text in WIRE_FORMS} == messages.CONSENSUS_MESSAGE_KINDS
 
 
-def test_an_omitted_value_is_not_a_null_value():
+def test_a_promise_without_a_value_differs_from_one_with_null():
     omitted, null = (decode(json.loads(WIRE_FORMS[index])) for index in (1, 3))
     assert isinstance(omitted, Promise) and omitted.value is OMITTED and not omitted.has_value
     assert isinstance(null, Promise) and null.value is None and null.has_value
 
 
-def test_accept_with_a_base_decodes_to_a_difference():
+def test_an_accept_with_a_base_decodes_to_accept_difference():
     message = decode(json.loads(WIRE_FORMS[5]))
     assert isinstance(message, AcceptDifference)
     assert message.base == ProposalNumber(1, 3, "10.0.0.2", 9)
@@ -75,7 +75,7 @@
     assert sorted(reversed(numbers)) == numbers
 
 
-def test_proposal_number_is_a_list_in_wire_form_and_equals_its_tuple():
+def test_a_proposal_number_encodes_as_a_list_and_equals_its_tuple():
     number = ProposalNumber(2, 1, "10.0.0.1", 255)
     assert json.dumps(number) == '[2, 1, "10.0.0.1", 255]'
     assert ProposalNumber.from_wire(json.loads(json.dumps(number))) == number == (2, 1, "10.0.0.1", 255)
