--- a/bramblewood/controller/consensus/epochs.py
+++ b/bramblewood/controller/consensus/epochs.py
@@ -45,11 +45,11 @@
     def __init__(self) -> None:
         self.reports: dict[str, StateReport] = {}  # by voter
         self.next_request_at = 0.0
-        self.interval = PHASE_TIMEOUT / 2  # s between requests; each request doubles it
+        self.request_interval = PHASE_TIMEOUT / 2  # s; each request doubles it
 
 
 class SeatState(Enum):
-    """The state of this disk's seat, from the point of view of a given epoch."""
+    """The state of this disk's seat, relative to a given epoch."""
 
     ACTIVE = "active"  # the disk is an active voter of the epoch
     SEALED = "sealed"  # the disk was active in the previous epoch
@@ -95,8 +95,8 @@
             return
         if now < join.next_request_at:
             return
-        join.interval = min(2 * join.interval, MAX_JOIN_REQUEST_INTERVAL)
-        join.next_request_at = now + join.interval
+        join.request_interval = min(2 * join.request_interval, MAX_JOIN_REQUEST_INTERVAL)
+        join.next_request_at = now + join.request_interval
         held_numbers = {
             register: max(acceptor.accepted, self.learner.chosen[register].proposal_number)
             for register, acceptor in self.acceptors.items()
--- a/bramblewood/controller/consensus/membership.py
+++ b/bramblewood/controller/consensus/membership.py
@@ -24,8 +24,8 @@
 from .quorum import FailureDomain, keeps_majority, select_first_voters, voters_needed
 from .voter_set import VoterSet, is_voter, majority
 
-LOST_AFTER_FRACTION = 1 / 2  # of CatchUpS without a heartbeat, after which a voter may lose its seat
-STEADY_FRACTION = 1 / 4  # of CatchUpS with heartbeats, before a controller may take a seat
+LOST_AFTER_FRACTION = 1 / 2  # of CatchUpS; a voter that is silent or fails for longer may lose its seat
+STEADY_FRACTION = 1 / 4  # of CatchUpS; a controller whose heartbeats arrive for this long may take a seat
 
 
 class VoterSetChange(NamedTuple):
--- a/bramblewood/controller/consensus/proposer.py
+++ b/bramblewood/controller/consensus/proposer.py
@@ -264,8 +264,8 @@
         if highest <= self.learner.chosen[register].proposal_number and not carried_over:
             self.unfinished_since.pop(register, None)
             return
-        unfinished_at = self.unfinished_since.setdefault(register, now)
-        if now < unfinished_at + UNFINISHED_TIMEOUT * (1 + self.jitter()):
+        since = self.unfinished_since.setdefault(register, now)
+        if now < since + UNFINISHED_TIMEOUT * (1 + self.jitter()):
             return
         self.unfinished_since[register] = now
         if not self.rounds[register] and self.member.is_active_voter:
--- a/tests/simulation/consensus.py
+++ b/tests/simulation/consensus.py
@@ -19,7 +19,7 @@
 from bramblewood.controller.consensus.voter_set import next_voter_set
 from tests.simulation.digests import record_event
 
-NAMES = ("a", "b", "c")
+MACHINE_NAMES = ("a", "b", "c")
 
 
 def configuration(number: int, parent: int, digest: str) -> Configuration:
@@ -83,21 +83,21 @@
             0,
         )
         self.replica_class = replica_class
-        members = {
+        voter_set = {
             "n": 1,
-            "voters": {name: "" if seats_open_to_any_disk else f"{name}0" for name in NAMES},
+            "voters": {name: "" if seats_open_to_any_disk else f"{name}0" for name in MACHINE_NAMES},
             "before": {},
         }
         self.disks: dict[str, dict] = {
-            name: {"disk": f"{name}0", "members": members, "held": 1} for name in NAMES
+            name: {"disk": f"{name}0", "members": voter_set, "held": 1} for name in MACHINE_NAMES
         }
         self.replicas: dict[str, ConsensusReplica] = {}
-        self.unsynced: dict[str, list[Effects]] = {name: [] for name in NAMES}
+        self.unsynced: dict[str, list[Effects]] = {name: [] for name in MACHINE_NAMES}
         self.in_flight: list[tuple[str, str, dict]] = []
         self.acknowledged: dict[str, Configuration] = {}  # by digest, answered with status 200
         self.rejected: dict[str, Configuration] = {}  # by digest, answered with status 4xx, which is final
         self.versions_seen: dict[str, str] = {}  # by version number, the digest that any replica has learned
-        for name in NAMES:
+        for name in MACHINE_NAMES:
             self.start(name)
 
     # --- machines
@@ -203,7 +203,7 @@
         loss, duplication: the probability that a message is lost or duplicated.
         """
         for _ in range(steps):
-            writing = [name for name in NAMES if self.unsynced[name]]
+            writing = [name for name in MACHINE_NAMES if self.unsynced[name]]
             if writing and self.rng.random() < 0.3:
                 self.sync(self.rng.choice(writing))
             elif self.in_flight and self.rng.random() < 0.9:
@@ -220,7 +220,7 @@
     def run_without_faults(self) -> None:
         """Simulates 6 s in which no message is lost and every write is synced."""
         for _ in range(60):
-            for name in NAMES:
+            for name in MACHINE_NAMES:
                 while self.unsynced[name]:
                     self.sync(name)
             while self.in_flight:
@@ -229,7 +229,7 @@
 
     def read_after_recovery(self) -> Any:
         """Starts all machines, lets them run without faults, and returns the value that a read gets."""
-        for name in NAMES:
+        for name in MACHINE_NAMES:
             if name not in self.replicas:
                 self.start(name)
         values_read: list = []
@@ -239,7 +239,7 @@
         for _ in range(200):
             while self.in_flight:
                 self.deliver(0)
-            for name in NAMES:
+            for name in MACHINE_NAMES:
                 while self.unsynced[name]:
                     self.sync(name)
             self.tick(0.05)
@@ -291,7 +291,7 @@
 def keeps_learned_value_when_joining() -> bool:
     """Returns whether a voter accepts a version that it learned before it became active in the epoch."""
     before, proposal_number, value = (
-        {name: f"{name}0" for name in NAMES},
+        {name: f"{name}0" for name in MACHINE_NAMES},
         (2, 1, "a", 1),
         {"n": 1, "past": {}},
     )
@@ -339,7 +339,7 @@
 
     for _ in range(5):
         put_conflicting_configurations()
-        stopped = rng.choice(NAMES)  # the next one stops only once this one votes again
+        stopped = rng.choice(MACHINE_NAMES)  # the next one stops only once this one votes again
         (cluster.wipe if rng.random() < 0.5 else cluster.stop)(stopped)
         if rng.random() < 0.5:
             cluster.run(rng.randrange(40), 0.1, 0.05)
