--- a/bramblewood/controller/consensus/messages.py
+++ b/bramblewood/controller/consensus/messages.py
@@ -11,7 +11,7 @@
 base  the number of the proposal whose value a difference applies to
 d     a difference between two values
 disk  the name of the sender's disk
-have  the number or numbers whose values the sender holds
+have  the proposal number, or the proposal number of each register, whose value the sender holds
 m     a voter set
 
 `epoch_messages` has further keys. Controllers of different releases run side by side, so neither the keys nor
@@ -125,7 +125,7 @@
     """A proposer asks a voter to accept a value, which it sends as a difference.
 
     base: the number of the proposal that the voter accepted last, to whose value `difference` applies.
-    difference: in the form of `value_diff`.
+    difference: the changes from that value to the proposed one, in the form of `value_diff`.
     """
 
     register: str
--- a/tests/simulation/consensus.py
+++ b/tests/simulation/consensus.py
@@ -159,7 +159,7 @@
     # --- events
 
     def deliver(self, index: int) -> None:
-        """Delivers the message at this index of `in_flight`. A stopped machine loses it."""
+        """Delivers the message at this index of `in_flight`. It is lost if its receiver is stopped."""
         sender, peer, message = self.in_flight.pop(index)
         if peer in self.replicas:
             self.apply(peer, self.replicas[peer].receive(self.now, sender, message))
@@ -188,7 +188,7 @@
         self.in_flight += [(name, peer, {"k": "epoch", "m": voter_set}) for peer in outdated]
 
     def propose_new_disks(self, name: str) -> None:
-        """Proposes, as controllers do, to give the seat of a voter with a new disk to that disk."""
+        """Proposes, for each voter with a new disk, to give its seat to that disk, as controllers do."""
         replica = self.replicas[name]
         for peer, disk in replica.voters.items():
             if not replica.is_active_voter or peer not in self.replicas or replica.proposer.rounds[VOTER_SET]:
