--- a/bramblewood/controller/drain_plans.py
+++ b/bramblewood/controller/drain_plans.py
@@ -70,8 +70,8 @@
 class StepChange(NamedTuple):
     """A worker's next step, and the `WorkerDrain.version` of the step that it follows.
 
-    The change has no effect if the version of the worker's drain is another one when the change is applied.
-    The confirmations of the proxies are for that version, and do not hold for the step of a later plan.
+    The change has no effect if the worker's drain has another version when the change is applied. The proxies
+    have confirmed only the step that began in `after_version`, and not the step of a later plan.
     """
 
     step: str
@@ -193,7 +193,7 @@
 def advance_plans(
     value: TableValue | None, step_changes: Mapping[str, StepChange], plan_ends: Mapping[str, PlanEnd]
 ) -> ProposedTable:
-    """Return the table after these steps and ends of plans, or None if nothing changes.
+    """Return the table after these workers' steps and these ends of plans, or None if nothing changes.
 
     A step is left out if the worker's drain has changed since the step was planned. The end of a plan is left
     out if the plan is not running any more.
--- a/bramblewood/controller/drain_progress.py
+++ b/bramblewood/controller/drain_progress.py
@@ -3,13 +3,14 @@
 Each controller has one `DrainProgress`, so that every controller can continue the plans. The coordinator
 proposes the changes. A step requires the confirmations of all proxies, with two special cases:
 
-- A disconnected proxy counts as sending work until the longest key lease that it relies on has expired. The
-  proxy follows its last table until then. Afterwards the workers reject its requests.
+- A disconnected proxy still follows its last table. It counts as a sender of work until the longest key lease
+  on which it relies has expired. Afterwards the workers reject its requests.
 - A controller that has just started may not know all proxies. It waits for the same time before it plans any
   step, except the last step of a worker that has ended.
 
-A plan drains its workers in waves. The next wave begins when the remaining workers have enough capacity for
-the load, by the figures of the placement, and when the proxies have reported since the end of the last wave.
+A plan drains its workers in waves. The next wave begins when two conditions hold. By the figures of the
+placement, the remaining workers have enough capacity for the load. WAVE_INTERVAL s have passed since the last
+wave ended, so that the proxies have reported since.
 """
 
 from collections.abc import Collection, Mapping
@@ -39,7 +40,7 @@
 )
 from .table_changes import TableChange, TableValue
 
-# s between two waves: time for five reports of each proxy, one every 0.5 s, and for their transit
+# s between two waves; each proxy sends five reports in this time, one every 0.5 s, and the last one arrives
 WAVE_INTERVAL = 3.0
 # s for which a wave waits for capacity before its plan is stopped; long enough for a burst of load to pass
 MAX_CAPACITY_WAIT = 20.0
@@ -80,13 +81,15 @@
     """Collects the reports of the proxies, and plans the next change of the drain plans."""
 
     def __init__(self, disconnect_timeout: float) -> None:
-        """disconnect_timeout: s for which a disconnected proxy counts as sending work."""
+        """disconnect_timeout: s for which a disconnected proxy counts as a sender of work."""
         self._disconnect_timeout = disconnect_timeout
         self._observing_since: float | None = None
         self._last_connected_at: dict[str, float] = {}  # last time at which each proxy had a session
         self._reports: dict[str, ProxyReport] = {}
-        self._idle_since: dict[str, float] = {}  # by plan: since when none of its workers is being drained
-        self._waiting_since: dict[str, float] = {}  # by plan: since when its next wave lacks capacity
+        self._idle_since: dict[
+            str, float
+        ] = {}  # by plan: time since which none of its workers is being drained
+        self._waiting_since: dict[str, float] = {}  # by plan: time since which its next wave lacks capacity
 
     def record_connected_proxies(self, now: float, proxies: Collection[str]) -> None:
         """Record that these proxies have sessions now. Every controller calls this regularly."""
--- a/bramblewood/controller/key_leases.py
+++ b/bramblewood/controller/key_leases.py
@@ -13,16 +13,18 @@
 
 Invariant: two workers never hold a lease on the same key. Three bounds ensure it:
 
-- A controller sends grants only while its quorum contact is valid. QUORUM_CONTACT_VALIDITY s after a change
-  of the table is chosen, no controller sends a grant that is based on an older table any more.
+- A controller sends grants only while its quorum contact is valid. A grant that is based on an older table
+  is therefore sent at most QUORUM_CONTACT_VALIDITY s after a change of the table is chosen.
 - A call arrives within MAX_CALL_TRANSIT s, or it never arrives.
-- The clock of a worker is slow by a factor of at most CLOCK_DRIFT_FACTOR.
+- The clock of a worker runs slow by a factor of at most CLOCK_DRIFT_FACTOR.
 
 The worker registry alone does not prove that an instance has ended: a delayed registration of an older
-instance at the same address marks the newer instance as gone. An answer, however late, concerns its own call
-only: an acknowledged release frees only those slices whose entries still have the fencing token and the
-previous owner of the call. Fencing tokens rise with each move, and a worker rejects a grant whose token is
-lower than one that it has received before.
+instance at the same address marks the newer instance as gone.
+
+A late answer to a release cannot free a slice that has moved since. An acknowledged release frees only those
+slices whose entries still have the fencing token and the previous owner of the call. The fencing token of a
+slice increases with each move, and a worker rejects a grant whose token is lower than one that it has
+received before.
 """
 
 from collections.abc import Iterator
@@ -33,10 +35,10 @@
 from ..common.timeouts import lease_expiry
 from ..common.worker_registry import GONE, WorkerRegistry
 
-# Duration of a grant as a fraction of HoldMaxS. Grants survive a loss of quorum contact for some seconds. The
-# keys of a worker that has crashed wait as long for their next owner.
+# Duration of a grant as a fraction of HoldMaxS. With a larger fraction, workers keep their keys during a
+# longer loss of quorum contact, but the keys of a crashed worker also wait longer for their next owner.
 LEASE_FRACTION = 0.6
-# fraction of a lease after which it is renewed; time for two further attempts remains
+# Fraction of a lease after which it is renewed. The remaining time suffices for two further attempts.
 RENEWAL_FRACTION = 1 / 3
 RETRY_DELAY = 0.3  # s between the attempts of a failed call
 
@@ -67,7 +69,7 @@
 
 
 class ReleasedKeys(NamedTuple):
-    """Slices that their previous owner no longer holds. The agreed table does not show it yet."""
+    """Slices that their previous owner has released, while the agreed table still lists that owner."""
 
     service: str
     starts: tuple[int, ...]
@@ -87,8 +89,8 @@
 NEVER_GRANTED = GrantedLease("", 0, 0.0)
 
 
-class CallKey(NamedTuple):
-    """Identifies a call. All attempts of the same call have equal keys."""
+class CallId(NamedTuple):
+    """Identifies a call. All attempts of the same call have equal ids."""
 
     kind: str
     service: str
@@ -128,14 +130,14 @@
         """max_lease: s for which a worker may hold keys without a renewal (HoldMaxS)."""
         self.lease_duration = max_lease * LEASE_FRACTION
         self.granted: dict[tuple[str, int], GrantedLease] = {}  # by service and first key
-        # when the table with the pending release was first seen here
+        # by pending release: when this controller first received a table that contains it
         self.release_pending_since: dict[PendingRelease, float] = {}
-        self.retry_at: dict[CallKey, float] = {}  # earliest time of the next attempt, by failed call
-        self.calls_in_flight: set[CallKey] = set()
+        self.retry_at: dict[CallId, float] = {}  # earliest time of the next attempt, by failed call
+        self.calls_in_flight: set[CallId] = set()
 
     @property
     def expiry_wait(self) -> float:
-        """Time (s) after a change is known here until all grants based on an older table have expired."""
+        """Time (s) from learning of a change until all grants based on an older table have expired."""
         return lease_expiry(self.lease_duration)
 
     def next_calls(
@@ -205,10 +207,10 @@
             return None
         if registration.phase == GONE and kind == GRANT:
             return None
-        key = CallKey(kind, run.service, run.starts[0], run.last_key, run.entry.fencing_token)
-        if key in self.calls_in_flight or now < self.retry_at.get(key, 0.0):
+        call_id = CallId(kind, run.service, run.starts[0], run.last_key, run.entry.fencing_token)
+        if call_id in self.calls_in_flight or now < self.retry_at.get(call_id, 0.0):
             return None
-        self.calls_in_flight.add(key)
+        self.calls_in_flight.add(call_id)
         return LeaseCall(
             kind,
             run.service,
@@ -223,7 +225,7 @@
         )
 
     def is_first_grant(self, call: LeaseCall) -> bool:
-        """Whether this grant is not the renewal of an acknowledged grant."""
+        """Whether the worker has not acknowledged a grant with this fencing token before."""
         lease = self.granted.get((call.service, call.first_key), NEVER_GRANTED)
         return lease[:2] != (call.instance_id, call.fencing_token)
 
@@ -233,24 +235,24 @@
         """Record the result of a call, and return the slices that it frees, or None.
 
         sent_at: when the call was sent. status: an HTTP status, NO_ANSWER or CONNECTION_REFUSED. handover:
-        the data in the answer to a release. has_ended: the worker has deregistered, or its heartbeats are
-        missing.
+        the data in the answer to a release. has_ended: whether the worker has deregistered, or its
+        heartbeats are missing.
         """
-        key = CallKey(call.kind, call.service, call.first_key, call.last_key, call.fencing_token)
-        self.calls_in_flight.discard(key)
+        call_id = CallId(call.kind, call.service, call.first_key, call.last_key, call.fencing_token)
+        self.calls_in_flight.discard(call_id)
         self.retry_at = {other: at for other, at in self.retry_at.items() if at > now}
         if call.kind == GRANT:
             if status == HTTPStatus.OK:
                 self._record_grant(call, sent_at)
             else:
-                self.retry_at[key] = now + RETRY_DELAY
+                self.retry_at[call_id] = now + RETRY_DELAY
             return None
         if status in (HTTPStatus.OK, OTHER_INSTANCE) or status == CONNECTION_REFUSED and has_ended:
             valid_handover = handover if status == HTTPStatus.OK else ""
             return ReleasedKeys(
                 call.service, call.starts, call.fencing_token, call.instance_id, valid_handover
             )
-        self.retry_at[key] = now + RETRY_DELAY
+        self.retry_at[call_id] = now + RETRY_DELAY
         return None
 
     def _record_grant(self, call: LeaseCall, sent_at: float) -> None:
@@ -283,11 +285,11 @@
 
 
 def lease_terms(entry: SliceEntry) -> tuple[str, int, str, str]:
-    """The fields of an entry that must be equal for all slices of one call."""
+    """Return the fields of an entry that must be equal for all slices of one call."""
     return entry.worker, entry.fencing_token, entry.handover, entry.previous_owner
 
 
 def pending_release(run: SliceRun) -> PendingRelease:
-    """The identification of a run whose entry has a previous owner."""
+    """Return the identity of a run whose entry has a previous owner."""
     entry = run.entry
     return PendingRelease(run.service, run.starts[0], entry.fencing_token, entry.previous_owner)
--- a/bramblewood/controller/key_releases.py
+++ b/bramblewood/controller/key_releases.py
@@ -18,7 +18,7 @@
 
     def __init__(self, quorum_io: QuorumIO) -> None:
         self.quorum_io = quorum_io
-        # not in a proposal yet, by service, first keys and fencing token
+        # releases that no proposal contains yet, by service, first keys and fencing token
         self.pending: dict[tuple, ReleasedKeys] = {}
         self.is_proposing = False
         self.on_progress: Callable[[], None] = lambda: None  # called when a proposal has ended
@@ -26,7 +26,7 @@
         self.on_all_finished: Callable[[], None] = lambda: None
 
     def add(self, released: ReleasedKeys) -> None:
-        """Propose a release together with all pending ones, now or after the proposal in flight has ended."""
+        """Propose a release with all pending ones, as soon as no other proposal is in flight."""
         self.pending[released.service, released.starts, released.fencing_token] = released
         if self.is_proposing:
             return
--- a/bramblewood/controller/lease_calls.py
+++ b/bramblewood/controller/lease_calls.py
@@ -1,4 +1,4 @@
-"""Sends workers the calls that grant or release keys or lease read replicas, and handles their answers."""
+"""Sends the calls to workers that grant or release keys or lease read replicas, and handles the answers."""
 
 import asyncio
 import os
@@ -35,7 +35,7 @@
 
 
 class LeaseCalls:
-    """The calls in flight, their counts, and the connections that they use.
+    """The calls to workers in flight, the counts of calls, and the connections that the calls use.
 
     Invariant: a grant or replica lease is sent, and a release is started, only while the quorum contact on
     which it is based is valid.
@@ -113,8 +113,9 @@
         """Send a call, and return its status and the handover in its answer.
 
         The status is NO_ANSWER or CONNECTION_REFUSED if no answer arrived. A grant is sent by `send_by` or
-        not at all. A release is only started by then, which excludes a freeze of this process since the call
-        was planned. Its connection may open later, because its effect is agreed in the table.
+        not at all. A release must only be started by then, so that none is sent if this process was frozen
+        after it planned the call. Its connection may open later, because a release frees slices only through
+        a change of the agreed table.
         """
         if sent_at >= send_by:
             return NO_ANSWER, ""
@@ -193,8 +194,8 @@
         """Send a call to a worker, and return the status of its answer and the handover in it.
 
         The call is not sent after `send_by` (s of this controller's clock), even if its connection opens
-        later. The status is NO_ANSWER if no answer to this call arrived. Raises WorkerUnreachable, and
-        TimeoutError if the connection does not open in time.
+        later. The status is NO_ANSWER if no answer to this call arrived. Raises WorkerUnreachable if the
+        connection fails, and TimeoutError if it does not open in time.
 
         The answer to a release counts only if it has the attempt id of the call, or if the connection carried
         no call before. Otherwise it may be a second answer to an earlier call, and the release is sent again
--- a/bramblewood/controller/read_replicas.py
+++ b/bramblewood/controller/read_replicas.py
@@ -6,14 +6,14 @@
 only. A controller sends read leases only while its quorum contact is valid, and with the fencing token of the
 entry. A read lease is short. A reader that receives a lease and has no replica fetches it from the owner.
 
-Invariant: no answer to an idempotent request is older than the effect of a non-idempotent request that was
+Invariant: the answer to an idempotent request reflects every non-idempotent request for the key that was
 answered before. A proxy answers a non-idempotent request only after every reader has dropped its replica, or
 after the last lease of that reader has expired (`proxy/replica_invalidation.py`). The proxy must therefore
 know all readers. Two rules ensure it:
 
 - At least REPLICA_ANNOUNCEMENT_DELAY s pass between the choice of a reader and its first lease.
-- Before it answers, a proxy has its table confirmed by a controller with quorum contact, less than
-  REPLICA_ANNOUNCEMENT_DELAY - QUORUM_CONTACT_VALIDITY s ago.
+- A proxy answers a non-idempotent request only if a controller with quorum contact has confirmed the proxy's
+  table less than REPLICA_ANNOUNCEMENT_DELAY - QUORUM_CONTACT_VALIDITY s before.
 """
 
 import math
@@ -29,9 +29,10 @@
 from .table_changes import ProposedTable, TableValue
 from .value_diff import changed_keys
 
-# readers of one key; each costs a call per third of a lease, and one call per non-idempotent request
+# Maximum number of readers of a key. Each reader costs one call in each third of a lease, and one call for
+# each non-idempotent request.
 MAX_READERS = 8
-NO_LEASE_SENT_AT = -1e9  # s on the steady clock; stands for the send time of a reader without a lease
+NO_LEASE_SENT_AT = -1e9  # s on the steady clock; replaces the send time for a reader that has had no lease
 
 
 class Reader(NamedTuple):
@@ -88,7 +89,7 @@
             if entries is known:
                 continue
             changed = [*changed_keys(known, entries)]
-            if len(known) + len(changed) > len(entries):  # otherwise no slice was removed
+            if len(known) + len(changed) > len(entries):  # if equal, slices were only added
                 changed += known.keys() - entries.keys()
             for start in changed:
                 self._update_readers(now, service, start, entries.get(start))
@@ -164,7 +165,7 @@
 def with_changed_row(
     value: TableValue | None, service: str, key: int, change: Callable[[Row, int], Row]
 ) -> ProposedTable:
-    """Return the table with change(row, new version) in place of the row of a key.
+    """Return the table after the row of a key is replaced by change(row, version of the returned table).
 
     The proposed value is None if the row does not exist or does not change.
     """
@@ -179,7 +180,7 @@
 def without_readers(
     value: TableValue | None, service: str, key: int, instance_ids: set[str]
 ) -> ProposedTable:
-    """Return the table in which these workers are former readers of a key."""
+    """Return the table after these readers of a key have become former readers."""
 
     def change(row: Row, version: int) -> Row:
         remaining = [instance_id for instance_id in active_readers(row) if instance_id not in instance_ids]
--- a/bramblewood/controller/worker_client.py
+++ b/bramblewood/controller/worker_client.py
@@ -3,8 +3,8 @@
 Invariant: a call is sent at most once. Its answer is read completely, and the answer to another call is never
 returned for it (`common/connection_state.py`).
 
-A few idle connections per worker are kept for a short time, because the grants of a worker's runs of slices
-are renewed at the same moment.
+A few idle connections per worker are kept for a short time. A worker's grants, one for each run of adjacent
+slices, are renewed at the same moment and use these connections.
 """
 
 import asyncio
