--- a/bramblewood/controller/drain_plans.py
+++ b/bramblewood/controller/drain_plans.py
@@ -1,4 +1,6 @@
-"""Drain plans: which workers the controllers agree to take out of service. Pure.
+"""Drain plans: which workers the controllers agree to take out of service.
+
+This module does no I/O and reads no clock.
 
 The value of the slice table contains the plans, and the drain steps of their workers, under `PLANS_KEY`:
 
--- a/bramblewood/controller/drain_progress.py
+++ b/bramblewood/controller/drain_progress.py
@@ -1,4 +1,6 @@
-"""Progress of drain plans: when a worker's next step and a plan's next wave are due. Pure.
+"""Progress of drain plans: when a worker's next step and a plan's next wave are due.
+
+This module does no I/O and reads no clock.
 
 Each controller has one `DrainProgress`, so that every controller can continue the plans. The coordinator
 proposes the changes. A step requires the confirmations of all proxies, with two special cases:
--- a/bramblewood/controller/key_leases.py
+++ b/bramblewood/controller/key_leases.py
@@ -1,9 +1,11 @@
-"""Key leases: which worker may serve which keys, and until when. Pure: the caller sends the calls to the
-workers and passes their results in.
+"""Key leases: which worker may serve which keys, and until when.
 
-A keyed slice whose entry in the agreed table has no previous owner is granted to its worker, and the grant is
-renewed. For a slice with a previous owner, that owner is first called to release the keys. The previous owner
-is removed from the entry once one of these conditions holds:
+This module does no I/O and reads no clock. The caller sends the calls to the workers, and
+passes the results in.
+
+A slice of a keyed service is granted to its worker, and the grant is renewed, if the entry of the slice in
+the agreed table has no previous owner. If the entry has a previous owner, a controller first calls that owner
+to release the keys. The previous owner is removed from the entry once one of these conditions holds:
 
 - The previous owner has acknowledged the release.
 - Another instance answers at the address of the previous owner.
--- a/bramblewood/controller/key_releases.py
+++ b/bramblewood/controller/key_releases.py
@@ -49,9 +49,10 @@
 
 
 def without_previous_owners(table: Any, batch: list[ReleasedKeys]) -> tuple[Any, bool]:
-    """Return the table without the previous owners of these slices, and True.
+    """Return the table without the previous owners of these slices, and whether it differs from `table`.
 
-    Returns None and False if no slice has the previous owner and the fencing token of its release any more.
+    The returned table is None if it does not differ, because no slice has the previous owner and the fencing
+    token of its release any more.
     """
     changed_table, has_changed = table, False
     for released in batch:
--- a/bramblewood/controller/lease_calls.py
+++ b/bramblewood/controller/lease_calls.py
@@ -89,7 +89,7 @@
         registration = self.registry.registrations.get(call.instance_id)
         has_ended = self._worker_has_ended(now, call.instance_id, registration, status)
         self._log_lease_call(call, status)
-        if status == HTTPStatus.CONFLICT:
+        if status == HTTPStatus.CONFLICT:  # the worker has received a higher fencing token
             self.quorum_io.propose(
                 TABLE,
                 lambda table: raise_fencing_tokens(table, call.service, call.starts, call.fencing_token),
@@ -139,6 +139,7 @@
     def _worker_has_ended(
         self, now: float, instance_id: str, registration: WorkerRegistration | None, status: int
     ) -> bool:
+        # counts the refused connections in a row; any other result resets the count
         is_refused = status == CONNECTION_REFUSED
         self.consecutive_refusals[instance_id] = (
             self.consecutive_refusals.get(instance_id, 0) + 1 if is_refused else 0
@@ -210,6 +211,7 @@
         )
         if answer is None:
             return NO_ANSWER, ""
+        # the client never returns an answer that has the attempt id of another call
         is_own_answer = "X-Attempt-Id" in answer.headers or answer.is_first_on_connection
         if kind == RELEASE and not is_own_answer:
             return await self.send(kind, address, instance_id, body, send_by, True)
--- a/bramblewood/controller/read_replicas.py
+++ b/bramblewood/controller/read_replicas.py
@@ -1,4 +1,6 @@
-"""Read replicas: which workers may answer idempotent requests for a hot key, and until when. Pure.
+"""Read replicas: which workers may answer idempotent requests for a hot key, and until when.
+
+This module does no I/O and reads no clock.
 
 A reader is a worker that holds a replica of a key under a read lease, in addition to the key's owner.
 Replicas exist only for services whose configuration allows them (`ReadCopies`). The agreed table lists the
--- a/features/drain_plans.feature
+++ b/features/drain_plans.feature
@@ -14,13 +14,13 @@
     And plan c drains w3, plan a is started again, another plan a drains w1, and plan d drains no worker
     Then the answers to the plans are those of "plans"
 
-  Scenario: A wave waits until the remaining workers have enough capacity, and its plan stops after a time
+  Scenario: A wave waits for enough capacity of the remaining workers, and its plan is stopped after a time limit
     Given a service of w1, w2 and w3
     When plan a drains w1 and w2 while 5 of 6 slots are busy
     Then after 19 s no drain has begun, and after 24 s the plan is stopped: what stays would not carry the load
     And w1 stays in use
 
-  Scenario: Bound keys stay at a worker in a plan, and new non-idempotent requests go to other workers
+  Scenario: Keys bound to a worker in a plan stay there, and new non-idempotent requests go to other workers
     Given a service of w1 and w2, without keys
     When key 7 is bound to w1, and a plan drains w1
     Then key 7 is bound to w1 at 1 s, and no longer after 3 s
--- a/features/key_leases.feature
+++ b/features/key_leases.feature
@@ -1,15 +1,15 @@
 Feature: Two workers never hold leases on the same key
 
-  Scenario: Controllers move and renew leases; calls and answers are lost, late or doubled; workers restart
+  Scenario: Controllers move and renew leases; calls and answers are lost or late; some answers are sent twice; workers restart
     Then no key is leased to two workers in 60 simulations of one minute
 
   Scenario: All orders of the events of calls about one slice and two workers
     Then over 3500 states are reached with 6 events of one controller, and over 2500 with 5 events of two, and no key is leased to two workers
-    And over 1000 states are reached with 4 events after a release whose answer is late
+    And over 1000 states are reached with 4 events after a release whose answer is late, and no key is leased to two workers
     But without the check of attempt ids a key is leased to two workers within 7 events, and without the check of a late release's fencing token within 4
 
-  Scenario: The last grant on old quorum contact has the longest transit, and its worker answers no call
-    Then the grant expires before its keys are freed, but not with a transit that is 0.1 s longer
+  Scenario: The last grant on an older table has the longest transit, and its worker answers no call
+    Then the grant expires before its keys are freed, but after that if its transit takes 0.1 s longer
 
   Scenario Outline: Each guard is needed
     Then <fault> leases a key to two workers within <count> simulations of one minute
--- a/features/steps/drain_plans.py
+++ b/features/steps/drain_plans.py
@@ -31,7 +31,7 @@
 @then(
     "no connected proxy has work at a worker that is out of service in {count:d} simulations of {seconds:d} s"
 )
-def no_worker_is_out_too_soon(context, count, seconds):
+def no_worker_is_out_of_service_too_soon(context, count, seconds):
     finished = [Play(seed).run(seconds) for seed in range(count)]
     assert (
         min(
@@ -42,8 +42,8 @@
     )
 
 
-def is_out_too_soon(count, missing_guard=""):
-    """Whether a worker is out of service too soon in one of `count` simulations."""
+def is_out_of_service_too_soon(count, missing_guard=""):
+    """Whether a connected proxy has work at a worker that is out of service in one of `count` simulations."""
     for seed in range(count):
         try:
             Play(seed, missing_guard).run(SIMULATED_SECONDS)
@@ -57,12 +57,12 @@
     "within {count:d} simulations"
 )
 def confirmation_is_needed(context, count):
-    assert is_out_too_soon(count, "confirmation")
+    assert is_out_of_service_too_soon(count, "confirmation")
 
 
 @then("without the check for work in flight a worker is out of service too soon within {count:d} simulations")
-def check_for_work_is_needed(context, count):
-    assert is_out_too_soon(count, "work in flight")
+def check_for_work_in_flight_is_needed(context, count):
+    assert is_out_of_service_too_soon(count, "work in flight")
 
 
 @then(
@@ -71,7 +71,7 @@
 def version_check_is_needed(context, count):
     advance_plans = drain_progress.advance_plans
 
-    def advance_unfenced(value, step_changes, plan_ends):
+    def advance_without_version_check(value, step_changes, plan_ends):
         """Apply every change to a later step, whatever version it follows."""
         later_steps = {
             instance_id: StepChange(step_changes[instance_id].step, drain.version)
@@ -81,8 +81,8 @@
         }
         return advance_plans(value, later_steps, plan_ends)
 
-    with mock.patch.object(drain_progress, "advance_plans", advance_unfenced):
-        assert is_out_too_soon(count)
+    with mock.patch.object(drain_progress, "advance_plans", advance_without_version_check):
+        assert is_out_of_service_too_soon(count)
 
 
 @given("a service of w1, w2 and w3")
--- a/features/steps/key_leases.py
+++ b/features/steps/key_leases.py
@@ -29,12 +29,15 @@
     "over {states:d} states are reached with {depth:d} events of one controller, and over {states_of_two:d} "
     "with {depth_of_two:d} events of two, and no key is leased to two workers"
 )
-def all_orders_keep_leases_apart(context, states, depth, states_of_two, depth_of_two):
+def no_conflicting_leases_in_any_order(context, states, depth, states_of_two, depth_of_two):
     assert count_states(depth) > states and count_states(depth_of_two, sending="ab") > states_of_two
 
 
-@then("over {count:d} states are reached with {depth:d} events after a release whose answer is late")
-def all_orders_after_late_answer(context, count, depth):
+@then(
+    "over {count:d} states are reached with {depth:d} events after a release whose answer is late, "
+    "and no key is leased to two workers"
+)
+def no_conflicting_leases_after_late_answer(context, count, depth):
     assert count_states(depth, "", "ab", LATE_RELEASE_ANSWER) > count
 
 
@@ -67,7 +70,7 @@
     raise AssertionError("no simulation leased a key to two workers")
 
 
-@then("the grant expires before its keys are freed, but not with a transit that is {excess:g} s longer")
+@then("the grant expires before its keys are freed, but after that if its transit takes {excess:g} s longer")
 def grant_expires_before_release(context, excess):
     assert 0 <= expiry_margin(MAX_CALL_TRANSIT) <= STEP, expiry_margin(MAX_CALL_TRANSIT)
     assert expiry_margin(MAX_CALL_TRANSIT + excess) < 0
@@ -101,8 +104,11 @@
 @given("a worker that answers a grant twice, and answers the release only after its work on the key")
 def busy_worker(context):
     async def simulate(repeats_ids: bool) -> tuple:
-        """Return the status of the grant, the result of the release before the work on the key is finished
-        (None if there is none), the results of two releases and of a late grant, and the number of calls.
+        """Send a grant, two releases and a grant after its deadline, and return their results.
+
+        The returned tuple contains the status of the grant, the result that the first release has before the
+        work on the key is finished (None if it has none), the results of both releases and of the last grant,
+        and the number of calls that the worker received.
         """
         work_finished, release_received, kinds = asyncio.Event(), asyncio.Event(), []
         serving = []  # a task for each connection of the worker
@@ -175,7 +181,7 @@
 def listener_with_full_backlog(context):
     context.listener = socket.create_server(("127.0.0.1", 0), backlog=0)
     context.queued = [socket.socket() for _ in range(4)]
-    for connection in context.queued:  # these fill the backlog, so further SYN packets are dropped
+    for connection in context.queued:  # they fill the backlog, so the kernel drops further SYN packets
         connection.setblocking(False)
         connection.connect_ex(context.listener.getsockname())
 
--- a/tests/simulation/drain_plans.py
+++ b/tests/simulation/drain_plans.py
@@ -24,7 +24,7 @@
 from tests.simulation.digests import record_event
 
 STEP = 0.1  # s
-DISCONNECT_TIMEOUT = 7.4  # s; the longest key lease on which a disconnected proxy relies
+DISCONNECT_TIMEOUT = 7.4  # s for which a disconnected proxy may rely on a key lease
 WORKERS = tuple(f"w{i}" for i in range(6))
 
 
@@ -70,7 +70,7 @@
         self.controllers = {name: self.start_controller() for name in "ab"}
         self.proxies = {f"d{i}": Proxy(1) for i in range(3)}
         self.registry = WorkerRegistry()
-        # number of requests, of workers out of service over all steps, and of plans
+        # numbers of requests and plans, and the sum over all steps of the workers that are out of service
         self.request_count = self.out_of_service_count = self.plan_count = 0
         self.late_changes = []  # proposals of controllers that are slow or were frozen: (time, change)
         for name in WORKERS:
@@ -95,7 +95,7 @@
         return self.tables[max(len(self.tables) - 1 - self.rng.randrange(2), 0)]
 
     def apply_proposal(self, proposal):
-        """Choose a proposed value, if there is one."""
+        """Make the proposed value the agreed one, if there is one."""
         record_event("change", self.now, proposal)
         value, _ = proposal
         if value is not None:
@@ -162,7 +162,7 @@
         self.late_changes = [item for item in self.late_changes if item[0] > self.now]
 
     def move_keys(self):
-        """The placement moves the slices of draining workers, and these release them after some time."""
+        """The placement moves the slices of draining workers. The workers release them after some time."""
         entries = dict(self.value["s"]["s"])
         drain_steps = drain_steps_of(self.value)
         for start, entry in entries.items():
@@ -194,7 +194,7 @@
     def check_workers_out_of_service(self):
         """Raise OutOfServiceTooSoon if a connected proxy has work at a worker that is out of service.
 
-        Disconnected proxies are not checked, because the drain waits only for DISCONNECT_TIMEOUT for them.
+        Disconnected proxies are not checked, because the drain waits at most DISCONNECT_TIMEOUT s for them.
         """
         out_of_service = {
             worker for worker, step in drain_steps_of(self.value).items() if step == OUT_OF_SERVICE
--- a/tests/simulation/key_lease_orders.py
+++ b/tests/simulation/key_lease_orders.py
@@ -1,4 +1,4 @@
-"""All orders of events up to a depth, for the key leases of one slice and two workers."""
+"""Simulates all orders of a given number of events for the key leases of one slice and two workers."""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,6 +14,8 @@
     "call": ("deliver call", "lose"),
     "answer": ("deliver answer", "deliver answer twice", "lose"),
 }
+# Controller b sends the release and then the grant of a move, and receives their answers. These messages have
+# the index 1, because the late answer with the index 0 is still in transit.
 MOVE_BY_B: list[Event] = [("send calls", "b"), ("deliver call", 1), ("deliver answer", 1)] * 2
 # The answer to the release of w1 is late. Meanwhile the slice moves to w2 and back to w1, and its next move
 # to w2 begins.
@@ -28,7 +30,7 @@
 LATE_RELEASE_ANSWER += [*MOVE_BY_B, ("move", ""), *MOVE_BY_B, ("move", "")]
 
 
-class OneSlice(Play):
+class OneSliceSimulation(Play):
     """The simulation with one slice, in which the caller chooses each event instead of the seed."""
 
     def __init__(self, missing_guard: str = "", sending: str = "a") -> None:
@@ -36,17 +38,17 @@
         super().__init__(0, missing_guard)
         self.sending = sending
         self.messages: list[tuple] = []  # calls and answers in transit: ("call" or "answer", arguments ...)
-        self.pending_registrations: list[Callable] = []  # these have not reached the controllers
+        self.pending_registrations: list[Callable] = []  # they have not reached the controllers yet
         self.tables = [{"n": 1, "s": {SERVICE: {"0": ["w1", "", 0.0, 1, "", ""]}}}]
         del self.workers["w3"]
 
     def possible_events(self) -> list[Event]:
-        found: list[Event] = [("send calls", name) for name in self.sending]
-        found += [("move", ""), ("retry delay", ""), ("expiry wait", "")]
+        events: list[Event] = [("send calls", name) for name in self.sending]
+        events += [("move", ""), ("retry delay", ""), ("expiry wait", "")]
         for index, (kind, *_) in enumerate(self.messages):
-            found += [(event, index) for event in TRANSIT_EVENTS[kind]]
-        found += [("restart", address) for address in self.workers]
-        return found + [("register", "")] * bool(self.pending_registrations)
+            events += [(event, index) for event in TRANSIT_EVENTS[kind]]
+        events += [("restart", address) for address in self.workers]
+        return events + [("register", "")] * bool(self.pending_registrations)
 
     def apply_event(self, event: Event) -> None:
         match event:
@@ -59,7 +61,7 @@
                 self.move_slice(0, self.workers[other].instance_id, 1)
             case "retry delay", _:
                 self.now += RETRY_DELAY
-            case "expiry wait", _:  # longer than any transit, so everything in transit is lost
+            case "expiry wait", _:  # it exceeds any transit time, so all messages in transit are lost
                 self.now += self.controllers["a"].expiry_wait
                 for _, name, call, sent_at, *_ in self.messages:
                     self.deliver_answer(name, call, sent_at, NO_ANSWER)
@@ -70,10 +72,10 @@
                 self.pending_registrations.pop(0)()
             case "deliver call", index:
                 self.deliver_call(*self.messages.pop(index)[1:])
-            case kind, index:
+            case action, index:
                 _, name, call, sent_at, *status = self.messages.pop(index)
-                self.deliver_answer(name, call, sent_at, NO_ANSWER if kind == "lose" else status[0])
-                if kind == "deliver answer twice":
+                self.deliver_answer(name, call, sent_at, NO_ANSWER if action == "lose" else status[0])
+                if action == "deliver answer twice":
                     self.surplus_answers[name, call.address] = status[0]
         self.check_leases()
 
@@ -142,9 +144,9 @@
     return len(seen)
 
 
-def simulate(events: list[Event], missing_guard: str, sending: str) -> OneSlice:
+def simulate(events: list[Event], missing_guard: str, sending: str) -> OneSliceSimulation:
     """Return a new simulation after these events."""
-    simulation = OneSlice(missing_guard, sending)
+    simulation = OneSliceSimulation(missing_guard, sending)
     for event in events:
         simulation.apply_event(event)
     return simulation
--- a/tests/simulation/key_leases.py
+++ b/tests/simulation/key_leases.py
@@ -4,7 +4,7 @@
 may act at any time. A controller that is partitioned from the majority uses an old table until its quorum
 contact expires. Calls take up to their longest transit time. Their answers are lost, delayed, or sent twice:
 the second answer then stays on the connection, where the next call reads it. Workers answer some releases
-late, because they first finish the work in progress, and restart at their address.
+late, because they first finish the work in progress. Workers also restart at their address.
 
 After each step, the simulation checks that no two workers hold a valid lease on the same slice.
 """
@@ -34,9 +34,9 @@
 SERVICE = "s"
 ADDRESSES = ("w1", "w2", "w3")
 MAX_LEASE = 10.0  # s, HoldMaxS
-SLOW_CLOCK = 1.02  # factor by which the clocks of workers are slow
+SLOW_CLOCK = 1.02  # factor by which the clocks of workers run slow
 # Without the guard "expiry wait", leases last UNSHORTENED_LEASE s, but the wait of the controllers is shorter
-# by QUORUM_CONTACT_VALIDITY and by half of such a lease on a slow clock.
+# by QUORUM_CONTACT_VALIDITY (1 s) and by half of such a lease on a slow clock (6.12 s).
 UNSHORTENED_LEASE = 6.0
 SHORTENING_FACTOR = 0.5 - 1 / 6.12
 
@@ -95,11 +95,11 @@
         for address in ADDRESSES:
             self.registry.record(self.now, address, registration_at(address))
         self.in_transit: list[tuple] = []  # calls and answers: (time, function, arguments ...)
-        self.surplus_answers: dict[tuple[str, str], int] = {}  # status, by controller and address
+        self.surplus_answers: dict[tuple[str, str], int] = {}  # statuses, by controller and address
         self.moves = self.grants = self.restarts = self.late_answers = self.surplus_answers_read = 0
 
     def apply_proposal(self, proposed: tuple) -> None:
-        """Choose a proposed change of the table at once."""
+        """Make the proposed table the agreed one at once, if there is one."""
         if proposed[0] is not None:
             record_event("table", self.now, proposed[0])
             self.tables.append(proposed[0])
@@ -237,7 +237,7 @@
 def expiry_margin(transit: float) -> float:
     """Return the time (s) between the expiry of the last possible grant and the release of its keys.
 
-    The grant is sent at the last moment at which an older table allows it, takes `transit` s, and goes to a
+    The grant is sent at the last moment at which an older table allows it, and arrives after `transit` s at a
     worker with the slowest clock. The previous owner answers no call.
     """
     key_leases, registry, worker = KeyLeases(MAX_LEASE), WorkerRegistry(), Worker("w1")
--- a/tests/simulation/read_replicas.py
+++ b/tests/simulation/read_replicas.py
@@ -53,11 +53,12 @@
         replica that it had to drop while it fetched it.
         """
         self.rng, self.missing_guard, self.now = random.Random(seed), missing_guard, 100.0
-        self.value = self.newest_answered_value = 0
+        self.value = self.newest_answered_value = 0  # of the key at its owner, and in answered requests
         entry = ["h", "", 0.0, 1, "", ""]
         self.tables = [{"n": 1, "s": {"s": {str(KEY): entry}}}]
         self.controllers = {name: ReadReplicas() for name in "ab"}
         self.known_table, self.contact_at = dict.fromkeys("ab", 0), dict.fromkeys("ab", 100.0)
+        # by process: controllers a and b, proxies d1 and d2, and the readers
         self.partitioned = dict.fromkeys(("a", "b", "d1", "d2", *READERS), False)
         self.proxies, self.readers = {"d1": Proxy(), "d2": Proxy()}, {name: Reader() for name in READERS}
         self.registry, self.in_transit = WorkerRegistry(), []
@@ -79,7 +80,7 @@
     # --- controllers and readers
 
     def send_leases(self, name):
-        """A controller sends leases, as the coordinator or as one that does not know of its successor."""
+        """A controller sends leases. It may be a former coordinator that does not know its successor."""
         read_replicas, rng = self.controllers[name], self.rng
         if not self.partitioned[name] and rng.random() < 0.5:
             if self.known_table[name] != len(self.tables) - 1:
@@ -92,7 +93,8 @@
         leases, expired = read_replicas.due_leases(self.now, table, self.registry)
         if expired and not self.partitioned[name]:
             self.apply_proposal(without_expired_readers(self.tables[-1], expired)[0])
-        for lease in sorted(leases, key=lambda lease: lease.reader):  # they arise in the order of a set
+        # sorted, because the readers come from a set and have no defined order
+        for lease in sorted(leases, key=lambda lease: lease.reader):
             instance_id = lease.reader.instance_id
             record_event(
                 "lease", self.now, name, lease.reader, lease.address, lease.fencing_token, lease.owner_address
@@ -110,6 +112,7 @@
     def install(self, instance_id, name, lease, value, fetch_started_at, dropped_count):
         reader, status = self.readers[instance_id], 503
         if dropped_count == reader.dropped_count or self.missing_guard == "drop during fetch":
+            # READ_LEASE_DURATION on a clock that is 2% slow
             reader.value, reader.valid_until, status = value, fetch_started_at + 1.0 * 1.02, 200
             self.leases_installed += 1
         self.controllers[name].lease_finished(self.now, lease, status)
--- a/tests/test_lease_calls.py
+++ b/tests/test_lease_calls.py
@@ -33,7 +33,7 @@
     assert events == ["ended", "ended", "cancelled"]
 
 
-def test_finished_call_is_not_kept():
+def test_call_that_has_ended_is_removed_from_the_tasks():
     async def call():
         return None
 
--- a/tests/test_worker_client.py
+++ b/tests/test_worker_client.py
@@ -9,7 +9,7 @@
 from bramblewood.common.worker_connection import WorkerUnreachable
 from bramblewood.controller.worker_client import WorkerAnswer, WorkerClient
 
-ATTEMPT_ID = "X-Attempt-Id: {id}\r\n"
+ATTEMPT_ID_HEADER = "X-Attempt-Id: {id}\r\n"
 
 
 class StubWorker:
@@ -36,7 +36,7 @@
         writer.close()
 
 
-def response(headers: str = ATTEMPT_ID, status: int = 200) -> str:
+def response(headers: str = ATTEMPT_ID_HEADER, status: int = 200) -> str:
     return f"HTTP/1.1 {status} X\r\n{headers}Content-Length: 0\r\n\r\n"
 
 
@@ -63,7 +63,7 @@
     return asyncio.run(run())
 
 
-def test_second_call_reuses_the_connection_of_the_first() -> None:
+def test_call_after_an_answered_call_reuses_its_connection() -> None:
     worker = StubWorker(response(), response(status=409))
     answers = send_calls(worker, 2)
     assert [(answer.status, answer.is_first_on_connection) for answer in answers] == [
@@ -120,7 +120,7 @@
     "response_text",
     [
         None,
-        "HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\n\r\n",  # without a length, only a close would end it
+        "HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\n\r\n",  # no length, so only a closed connection ends it
         "HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nContent-Length: 0\r\nContent-Length: 1\r\n\r\n",
         "HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nTransfer-Encoding: chunked\r\n\r\nZ\r\n",
