--- a/bramblewood/controller/drain_progress.py
+++ b/bramblewood/controller/drain_progress.py
@@ -10,9 +10,10 @@
 - A controller that has just started may not know all proxies. It waits for the same time before it plans any
   step, except the last step of a worker that has ended.
 
-A plan drains its workers in waves. The next wave begins when two conditions hold. By the figures of the
-placement, the remaining workers have enough capacity for the load. WAVE_INTERVAL s have passed since the last
-wave ended, so that the proxies have reported since.
+A plan drains its workers in waves. The next wave begins when two conditions hold:
+
+- By the figures of the placement, the remaining workers have enough capacity for the load.
+- WAVE_INTERVAL s have passed since the last wave ended, so that the proxies have reported since.
 """
 
 from collections.abc import Collection, Mapping
@@ -88,9 +89,7 @@
         self._observing_since: float | None = None
         self._last_connected_at: dict[str, float] = {}  # last time at which each proxy had a session
         self._reports: dict[str, ProxyReport] = {}
-        self._idle_since: dict[
-            str, float
-        ] = {}  # by plan: time since which none of its workers is being drained
+        self._idle_since: dict[str, float] = {}  # by plan: time since which no worker of it is being drained
         self._waiting_since: dict[str, float] = {}  # by plan: time since which its next wave lacks capacity
 
     def record_connected_proxies(self, now: float, proxies: Collection[str]) -> None:
--- a/bramblewood/controller/key_leases.py
+++ b/bramblewood/controller/key_leases.py
@@ -1,7 +1,7 @@
 """Key leases: which worker may serve which keys, and until when.
 
-This module does no I/O and reads no clock. The caller sends the calls to the workers, and
-passes the results in.
+This module does no I/O and reads no clock. The caller sends the calls to the workers, and passes
+the results in.
 
 A slice of a keyed service is granted to its worker, and the grant is renewed, if the entry of the slice in
 the agreed table has no previous owner. If the entry has a previous owner, a controller first calls that owner
@@ -227,7 +227,7 @@
         )
 
     def is_first_grant(self, call: LeaseCall) -> bool:
-        """Whether the worker has not acknowledged a grant with this fencing token before."""
+        """Whether this controller knows of no acknowledged grant with this worker and fencing token."""
         lease = self.granted.get((call.service, call.first_key), NEVER_GRANTED)
         return lease[:2] != (call.instance_id, call.fencing_token)
 
