--- a/bramblewood/controller/lease_calls.py
+++ b/bramblewood/controller/lease_calls.py
@@ -1,4 +1,4 @@
-"""Sends workers the calls that grant or release keys or lease read replicas, and handles their answers."""
+"""Sends the calls to workers that grant or release keys or lease read replicas, and handles the answers."""
 
 import asyncio
 import os
@@ -35,7 +35,7 @@
 
 
 class LeaseCalls:
-    """The calls in flight, their counts, and the connections that they use.
+    """The calls to workers in flight, the counts of calls, and the connections that the calls use.
 
     Invariant: a grant or replica lease is sent, and a release is started, only while the quorum contact on
     which it is based is valid.
@@ -89,7 +89,7 @@
         registration = self.registry.registrations.get(call.instance_id)
         has_ended = self._worker_has_ended(now, call.instance_id, registration, status)
         self._log_lease_call(call, status)
-        if status == HTTPStatus.CONFLICT:
+        if status == HTTPStatus.CONFLICT:  # the worker has received a higher fencing token
             self.quorum_io.propose(
                 TABLE,
                 lambda table: raise_fencing_tokens(table, call.service, call.starts, call.fencing_token),
@@ -113,8 +113,9 @@
         """Send a call, and return its status and the handover in its answer.
 
         The status is NO_ANSWER or CONNECTION_REFUSED if no answer arrived. A grant is sent by `send_by` or
-        not at all. A release is only started by then, which excludes a freeze of this process since the call
-        was planned. Its connection may open later, because its effect is agreed in the table.
+        not at all. A release must only be started by then, so that none is sent if this process was frozen
+        after it planned the call. Its connection may open later, because a release frees slices only through
+        a change of the agreed table.
         """
         if sent_at >= send_by:
             return NO_ANSWER, ""
@@ -138,6 +139,7 @@
     def _worker_has_ended(
         self, now: float, instance_id: str, registration: WorkerRegistration | None, status: int
     ) -> bool:
+        # counts the refused connections in a row; any other result resets the count
         is_refused = status == CONNECTION_REFUSED
         self.consecutive_refusals[instance_id] = (
             self.consecutive_refusals.get(instance_id, 0) + 1 if is_refused else 0
@@ -193,8 +195,8 @@
         """Send a call to a worker, and return the status of its answer and the handover in it.
 
         The call is not sent after `send_by` (s of this controller's clock), even if its connection opens
-        later. The status is NO_ANSWER if no answer to this call arrived. Raises WorkerUnreachable, and
-        TimeoutError if the connection does not open in time.
+        later. The status is NO_ANSWER if no answer to this call arrived. Raises WorkerUnreachable if the
+        connection fails, and TimeoutError if it does not open in time.
 
         The answer to a release counts only if it has the attempt id of the call, or if the connection carried
         no call before. Otherwise it may be a second answer to an earlier call, and the release is sent again
@@ -209,6 +211,7 @@
         )
         if answer is None:
             return NO_ANSWER, ""
+        # the client never returns an answer that has the attempt id of another call
         is_own_answer = "X-Attempt-Id" in answer.headers or answer.is_first_on_connection
         if kind == RELEASE and not is_own_answer:
             return await self.send(kind, address, instance_id, body, send_by, True)
