--- a/bramblewood/controller/command_decoding.py
+++ b/bramblewood/controller/command_decoding.py
@@ -54,7 +54,7 @@
 class WorkerState(TypedDict):
     """The present state of a worker, and the sequence number of this call.
 
-    ColdLeftS: s for which the worker is still warming up.
+    ColdLeftS: the remaining s of the worker's warm-up.
     """
 
     Phase: Literal["ready", "draining"]
@@ -63,7 +63,10 @@
 
 
 class Heartbeat(TypedDict):
-    """The body of a worker's heartbeat. Address: host:port on which the worker serves requests."""
+    """The body of a worker's heartbeat.
+
+    Address: host:port on which the worker serves requests.
+    """
 
     Address: str
     Summary: WorkerProperties
@@ -142,7 +145,8 @@
 class DrainPlanCall(TypedDict):
     """The body of an operator's call about a drain plan.
 
-    Do: "plan" is a dry run of "start", and "back" cancels a plan and takes its workers into use again.
+    Do: "plan" is a dry run of "start". "stop" begins no further wave. "back" cancels a plan and takes its
+    workers into use again.
     """
 
     Do: Literal["start", "plan", "stop", "back"]
@@ -244,5 +248,8 @@
 
 
 def method_not_allowed(method: str, path: str, allow: str) -> Rejection:
-    """Returns the rejection of a method that the path does not support. allow: the supported methods."""
+    """Returns the rejection of a method that the path does not support.
+
+    allow: the methods that the path supports, as the header `Allow` lists them.
+    """
     return Rejection(405, f"{method:.20} is not for {path}", allow)
--- a/bramblewood/controller/commands.py
+++ b/bramblewood/controller/commands.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class DeregisterWorker:
-    """Records that a worker is gone. It is the last call of a worker."""
+    """Records that a worker is gone. The call for it is the last one of the worker."""
 
     instance_id: str
 
@@ -34,7 +34,7 @@
 class PutConfiguration:
     """Puts a configuration in force.
 
-    The configuration is valid by itself. Whether it follows the one in force is not checked yet.
+    The configuration is valid by itself. Whether it succeeds the one in force is not checked yet.
     """
 
     configuration: Configuration
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class StartDrainPlan:
-    """Takes workers of one service out of service, one wave at a time.
+    """Drains workers of one service and takes them out of use, one wave at a time.
 
     The plan selects the workers in use that match all of instance_ids, zone and revision. An empty value
     matches every worker.
@@ -105,4 +105,5 @@
     allow: str = ""  # the methods that the path supports, if the method was not one of them
 
 
+# The commands of the listener `Control`. The other commands come from the internal listener.
 Command = RegisterWorker | DeregisterWorker | PutConfiguration | GetConfiguration
--- a/bramblewood/controller/configuration_succession.py
+++ b/bramblewood/controller/configuration_succession.py
@@ -2,12 +2,12 @@
 
 This module does no input or output. The controllers agree on its decisions through the register CONFIG.
 
-Invariants: each revision has at most one successor. An answer other than 503 to a configuration never
-changes.
+Invariants: each revision has at most one successor. An answer to a configuration never changes, unless its
+status is 503.
 
 Revisions only increase. A configuration whose parent is older than the current revision can therefore never
 come into force. A configuration whose parent is newer than the current revision may still come into force
-later. It is rejected for good only after the rejection is agreed on, too.
+later. Its rejection is therefore final only after the controllers have agreed on the rejection, too.
 
 The value of the register is a JSON map:
 
@@ -26,8 +26,9 @@
 # Revisions whose digests are kept, so that a repeated call gets the same answer. They cover five days at the
 # planned 730 changes a day.
 MAX_DIGESTS = 3650
-# Recorded rejections of configurations with an unknown parent: eight rounds of eight concurrent calls.
-MAX_REJECTED = 64
+# Limit of the recorded rejections of configurations with an unknown parent. It suffices for eight rounds of
+# eight concurrent calls.
+MAX_RECORDED_REJECTIONS = 64
 
 RegisterValue = dict[str, Any]
 
@@ -43,19 +44,23 @@
 
 
 ACCEPTED = ConfigurationAnswer(STATUS_ACCEPTED)
-# returns the next value of the register, None to leave it unchanged, and the answer
+# A transition returns the next value of the register, or None to leave it unchanged, and the answer.
 Transition = Callable[[Configuration, RegisterValue | None], tuple[RegisterValue | None, tuple[int, str]]]
 
 
 def apply_configuration(
     configuration: Configuration, current: RegisterValue | None, max_digests: int = MAX_DIGESTS
 ) -> tuple[RegisterValue | None, ConfigurationAnswer]:
-    """Returns the next value of the register, None to leave it unchanged, and the answer.
+    """Returns the next value of the register, or None to leave it unchanged, and the answer.
 
-    Status 200: the configuration is in force, or was in force and has been succeeded. 412: its parent is not
-    the current revision, or it was rejected before. 400: its revision is not above that of its parent. After
-    412 and 400 it never was in force and never will be. 503: the outcome is unknown, because the digest that
-    would show it was discarded, or because the parent is unknown and the rejection cannot be recorded.
+    The statuses of the answers are:
+    200: the configuration is in force, or it was in force and has been succeeded.
+    400: its revision is not above that of its parent.
+    412: its parent is not the current revision, or it was rejected before.
+    503: the outcome is unknown. Either the digest that would show it was discarded, or the parent is unknown
+    and the rejection cannot be recorded.
+
+    A configuration with the answer 400 or 412 never was in force and never will be.
 
     max_digests: the number of past digests to keep.
     """
@@ -80,10 +85,10 @@
     """Rejects a configuration whose parent may still come into force.
 
     Returns the next value of the register, which records the rejection, and the answer. The value is None and
-    the status 503 if MAX_REJECTED rejections are recorded already, or if the register is empty.
+    the status 503 if MAX_RECORDED_REJECTIONS rejections are recorded already, or if the register is empty.
     """
     rejected = current.get("refused", {}) if current else {}
-    if current is None or len(rejected) >= MAX_REJECTED:
+    if current is None or len(rejected) >= MAX_RECORDED_REJECTIONS:
         return None, unknown_parent(configuration, current["n"] if current else 0)
     rejected = {**rejected, configuration.digest: configuration.parent_revision}
     return {**current, "refused": rejected}, revision_conflict(current["n"])
@@ -114,10 +119,10 @@
     current: RegisterValue | None,
     transition: Transition = apply_configuration,
 ) -> tuple[int, str] | None:
-    """Returns the answer that can be given without a proposal, None if there is none.
+    """Returns the answer that can be given without a proposal, or None if a proposal is needed.
 
-    current: a chosen value of the register, which later values may have replaced. It determines the answer
-    unless the configuration would change it, or names a parent that is newer than its revision.
+    current: a chosen value of the register. Later values may have replaced it. It determines the answer,
+    except where the configuration would change this value or has a parent above the revision of this value.
     """
     if current is None:
         return None
@@ -128,8 +133,8 @@
 def highest_discarded_revision(current: RegisterValue | None) -> int:
     """Returns the highest revision whose digest was discarded, 0 if none was.
 
-    Values that were stored by older releases lack this field. There, every revision below the oldest kept one
-    counts as discarded.
+    A value that an older release stored lacks the field "forgotten". Every revision below the oldest one in
+    its "past" then counts as discarded.
     """
     if current is None:
         return 0
--- a/bramblewood/controller/http_listener.py
+++ b/bramblewood/controller/http_listener.py
@@ -87,7 +87,7 @@
     async def execute(self, command: Command) -> web.Response:
         """Executes a command from the listener `Control`, and returns the response.
 
-        A command is acknowledged, or rejected for good, only with a quorum.
+        A command is acknowledged, or finally rejected, only with a quorum.
         """
         match command:
             case RegisterWorker():
--- a/bramblewood/controller/introspection.py
+++ b/bramblewood/controller/introspection.py
@@ -21,15 +21,15 @@
 from .sessions import Sessions
 from .voter_changes import VoterChanges
 
-EMPTY_TABLE = {"n": 0, "s": {}}
+EMPTY_TABLE = {"n": 0, "s": {}}  # the view before a table is chosen: version 0 without services
 
 
 class Introspection:
     """Serves the views, by path, and the metrics.
 
     The JSON keys of the views and the names of the metrics are fixed, because operators' tools rely on them.
-    They keep older terms: archives are controllers, desks are proxies, the scribe is the coordinator, and
-    holds are leases of keys.
+    They keep older terms: archives are controllers, desks are proxies, the scribe is the coordinator, holds
+    are leases of keys, a life is a worker's instance id, and a controller that is current is called whole.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         }
 
     def respond(self, path: str) -> web.Response:
-        """Returns the view or the metrics at this path, 404 if there are none.
+        """Returns the view or the metrics at this path, or a response with status 404 if there are none.
 
         The response does not need quorum contact. Its header `X-Local-View` names this controller and whether
         it is current.
@@ -74,7 +74,10 @@
         return response
 
     def _registry_view(self, now: float) -> dict[str, Any]:
-        """Returns all registrations, with the s since the last heartbeat and whether it has timed out."""
+        """Returns all registrations, with the seconds since the worker's last heartbeat.
+
+        "silent" is whether the heartbeats of the worker have timed out.
+        """
         timed_out = self.coordinator_loop.registry_exchange.timed_out_workers(now)
         return {
             instance_id: {
@@ -125,11 +128,11 @@
         }
 
     def _table_view(self, now: float) -> dict[str, Any]:
-        """Returns the chosen slice table, EMPTY_TABLE if none is chosen yet."""
+        """Returns the chosen slice table, or EMPTY_TABLE if none is chosen yet."""
         return self.quorum_io.consensus.value(TABLE) or EMPTY_TABLE
 
     def _leases_view(self, now: float) -> list[dict[str, Any]]:
-        """Returns the key leases that this controller granted, with the s that remain of each."""
+        """Returns the key leases that this controller granted, with the seconds that remain of each."""
         leases = self.coordinator_loop.key_leases
         return [
             {
@@ -143,7 +146,7 @@
         ]
 
     def _sessions_view(self, now: float) -> dict[str, Any]:
-        """Returns the state of this controller, of its sessions with other controllers, and all proxies."""
+        """Returns the state of this controller, its sessions with other controllers, and the proxies."""
         consensus = self.quorum_io.consensus
         return {
             "me": self.runtime.own_address,
--- a/bramblewood/controller/operator_api.py
+++ b/bramblewood/controller/operator_api.py
@@ -41,8 +41,9 @@
     async def put_configuration(self, call: PutConfiguration) -> web.Response:
         """Puts a configuration in force, and responds with the outcome.
 
-        A repeated call gets the same answer as the first one, if that was definite. No proposal is needed if
-        the chosen value that this controller holds determines the answer; see `final_answer`.
+        An answer is definite if its status is not 503. A repeated call gets the same definite answer as the
+        first one. No proposal is needed if the chosen value that this controller holds determines the answer;
+        see `final_answer`.
         """
         configuration, answer = call.configuration, None
         if self.quorum_contact.has_quorum_contact(self.runtime.now()):
@@ -117,8 +118,8 @@
     async def change_voter_set(self, command: ReplaceMember | RemoveMember | AddMember) -> web.Response:
         """Replaces, removes or adds a voter, and responds with the number of the resulting epoch.
 
-        A majority of the present voters has to agree. The response is 409 where the change is not possible,
-        and 412 where another change of the voter set was agreed first.
+        A majority of the present voters must agree to the change. The response is 409 if the change is not
+        possible, and 412 if another change of the voter set was agreed first.
         """
         voter_set, now = self.quorum_io.consensus.voter_set, self.runtime.now()
         old, new = getattr(command, "old", ""), getattr(command, "new", "")
@@ -147,7 +148,10 @@
 def _dry_run_response(
     command: StartDrainPlan, instance_ids: list[str], answer: tuple[int, str]
 ) -> web.Response:
-    """Returns the waves that the plan would have, and the reason why it could not start, "" if it could."""
+    """Returns the waves that the plan would have, and the reason why it could not start.
+
+    The reason is "" if the plan could start.
+    """
     status, reason = answer
     waves = [instance_ids[i : i + command.wave_size] for i in range(0, len(instance_ids), command.wave_size)]
     return web.json_response({"Waves": waves, "Failure": "" if status == 200 else reason})
--- a/bramblewood/controller/proxy_feed.py
+++ b/bramblewood/controller/proxy_feed.py
@@ -10,13 +10,16 @@
 from .quorum_io import QuorumIO
 from .runtime import Runtime
 
-# s from the choice of a table to its announcement, so that the grants for it can reach the workers first;
-# about one round trip to a worker
+# s between the choice of a table and its announcement. In this time, which is about one round trip to a
+# worker, the workers can receive the lease grants for the table.
 ANNOUNCEMENT_DELAY = 0.025
 
 
 class ProxyFeed:
-    """Holds the versions that proxies may follow, and sends the updates that lead to these versions."""
+    """Holds the versions that proxies may follow, and sends the values of these versions to subscribers.
+
+    A proxy follows a version of a register if it forwards requests by the value of this version.
+    """
 
     def __init__(self, runtime: Runtime, quorum_io: QuorumIO, proxy_sessions: ProxySessions) -> None:
         self.runtime, self.quorum_io, self.proxy_sessions = runtime, quorum_io, proxy_sessions
@@ -25,7 +28,7 @@
         self.on_configuration_announced: Callable[[], None] = lambda: None
 
     def announce_table_soon(self, version: int) -> None:
-        """Announces a new table after ANNOUNCEMENT_DELAY, so that the grants for it can arrive first."""
+        """Announces a new table after ANNOUNCEMENT_DELAY, so that its lease grants can arrive first."""
         self.runtime.loop.call_later(ANNOUNCEMENT_DELAY, self.announce, TABLE, version)
 
     def announce(self, register: str, version: int) -> None:
--- a/bramblewood/controller/proxy_heartbeats.py
+++ b/bramblewood/controller/proxy_heartbeats.py
@@ -41,7 +41,7 @@
         self.registry_exchange, self.announced_versions = registry_exchange, announced_versions
         self.was_current = False  # whether the last heartbeat reported this controller as current
         self.next_heartbeat_at = 0.0
-        # the encoded details, and how often they have changed
+        # The details as they are encoded at the end of a heartbeat, and how often they have changed.
         self.details_text, self.details_version = "", 0
 
     def send_due(self, now: float) -> None:
--- a/bramblewood/controller/proxy_sessions.py
+++ b/bramblewood/controller/proxy_sessions.py
@@ -2,8 +2,8 @@
 
 A proxy is connected to several controllers and subscribes to one of them, in its own zone if there is one.
 That controller pushes all updates to the proxy at once. The other controllers send the proxy heartbeats with
-version numbers, and the registrations of workers that drain or have gone. These must not depend on a single
-controller.
+version numbers, and the registrations of workers that drain or have gone. The proxy thus receives both even
+if the controller that it subscribes to is lost.
 """
 
 import json
--- a/bramblewood/controller/proxy_updates.py
+++ b/bramblewood/controller/proxy_updates.py
@@ -13,7 +13,7 @@
 from .table_changes import TableValue
 from .value_diff import changed_keys
 
-MAX_STEPS = 200  # version steps that are kept; a proxy with an older version gets the whole table
+MAX_VERSION_STEPS = 200  # version steps that are kept; a proxy with an older version gets the whole table
 
 
 class VersionStep(NamedTuple):
@@ -28,15 +28,15 @@
 
 
 class ProxyUpdates:
-    """Holds the newest known table, and the latest steps that led to it."""
+    """Holds the newest known table, and the latest version steps that led to it."""
 
     def __init__(self) -> None:
         self.version = 0
         self.services: dict[str, dict[str, Row]] = {}  # rows by first key, by service
-        # the steps of draining workers, by instance id; an ejected worker has the step DRAIN_IN_PROGRESS
+        # the drain steps of draining workers, by instance id; an ejected worker has DRAIN_IN_PROGRESS
         self.drain_steps: dict[str, str] = {}
         self.drain_steps_version = 0  # the version that last changed `drain_steps`
-        self.changes: deque[VersionStep] = deque(maxlen=MAX_STEPS)
+        self.changes: deque[VersionStep] = deque(maxlen=MAX_VERSION_STEPS)
 
     def learn_table(self, value: TableValue) -> None:
         """Takes over a newer table. A jump over several versions is recorded as one step."""
@@ -56,9 +56,9 @@
         self.version, self.services = value["n"], value["s"]
 
     def message_since(self, known_version: int) -> TableUpdate | None:
-        """Returns the update from a version to the newest one, None if it is the newest one.
+        """Returns the update from `known_version` to the newest version, or None if it is the newest version.
 
-        The update contains the whole table if some of the steps since `known_version` are no longer kept.
+        The update contains the whole table if some of the version steps since then are no longer kept.
         """
         if known_version >= self.version:
             return None
--- a/bramblewood/controller/runtime.py
+++ b/bramblewood/controller/runtime.py
@@ -12,7 +12,7 @@
 class Runtime:
     """The process-wide state of one controller.
 
-    loop and peer_connections are set by the program once they exist. Simulations set replacements for them.
+    `Controller` sets `loop` and `peer_connections` once they exist. Simulations set replacements for them.
     """
 
     loop: asyncio.AbstractEventLoop
--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -1,6 +1,6 @@
 """The controller program: it builds and connects the parts, and handles start, timers, signals and shutdown.
 
-All other decisions are made by the parts.
+A part is an object with one responsibility, for example `QuorumIO`. The parts contain all other logic.
 """
 
 import asyncio
@@ -187,7 +187,7 @@
         self.coordinator_loop.placement = self.proxy_heartbeats.placement = planner
 
     async def run(self) -> int:
-        """Runs the controller until a SIGTERM is handled or the storage is found damaged.
+        """Runs the controller until it may shut down after a SIGTERM, or until the storage is found damaged.
 
         Returns the exit code: 0 after a regular shutdown, 2 if the storage cannot be opened, and 3 if the
         storage was found damaged while the controller ran. After exit code 3 the controller must be started
@@ -210,7 +210,8 @@
             while self.damage.reason is None and not self.voter_changes.may_shut_down(runtime.now()):
                 self.tick(runtime.now())
                 await self._wait_for_next_tick()
-            # The vote is no longer needed, its retention time has passed, or the disk is damaged.
+            # The other voters no longer need the vote of this controller, the time for which it keeps its
+            # vote has passed, or its disk is damaged.
             self.quorum_io.consensus.stop_voting()
             runtime.log.info("stopped", step="end")
         return 0 if self.damage.reason is None else await self.damage.finish()
@@ -234,7 +235,7 @@
         self.controller_peers.next_seed_reread_at = runtime.started_at + SEED_REREAD_INTERVAL
 
     async def _open_resources(self, resources: AsyncExitStack) -> None:
-        """Starts the listeners, and registers all clients and servers to be closed in reverse order."""
+        """Starts the listeners, and registers what is closed at the shutdown, the last registered first."""
         calls = self.lease_calls
         resources.callback(calls.client.close)
         resources.push_async_callback(calls.cancel_all)
@@ -268,7 +269,7 @@
             pass
 
     def tick(self, now: float) -> None:
-        """Runs the work that is due, in the order of the calls below."""
+        """Runs all periodic work that is due. `run` calls it every TICK_INTERVAL."""
         self.quorum_io.execute(self.quorum_io.consensus.tick(now))
         self.quorum_io.probe_failing_disk(now)
         self.voter_changes.propose_due_change(now)
@@ -288,7 +289,7 @@
     def handle_epoch_change(self) -> None:
         """Connects to the voters of a new epoch, logs it, and sends heartbeats.
 
-        The caller calls it once the new epoch, or the active vote of this controller in it, is durable.
+        `QuorumIO` calls it once the new epoch, or the active vote of this controller in it, is durable.
         """
         consensus = self.quorum_io.consensus
         for peer in consensus.voters:
--- a/bramblewood/controller/worker_api.py
+++ b/bramblewood/controller/worker_api.py
@@ -14,16 +14,16 @@
 from .registry_exchange import RegistryExchange
 from .runtime import Runtime
 
-# Stands for the registration of a worker that is unknown here when its last call arrives. Other controllers
-# may have its registration.
+# Stands for the registration of a worker that is unknown here when its deregistration arrives. Other
+# controllers may have its registration.
 UNKNOWN_WORKER = WorkerRegistration("", "", "", 1, GONE, 0)
 
 
 class WorkerApi:
     """Executes workers' commands and responds to them.
 
-    Each call is recorded and forwarded at once. The response is 503 while this controller has no quorum
-    contact, so that the worker calls another controller, which can reach the others.
+    Each call is recorded and forwarded to the other controllers at once. The response is 503 while this
+    controller has no quorum contact. The worker then calls another controller, which may have it.
 
     Invariant: a deregistration is acknowledged only once a majority of the voters has it on disk.
     """
@@ -50,7 +50,7 @@
         return web.json_response({}) if has_contact else make_response(503, NO_QUORUM)
 
     async def deregister(self, call: DeregisterWorker) -> web.Response:
-        """Records that a worker is gone, and responds once a majority holds that or the wait times out."""
+        """Records that a worker is gone, and responds once a majority has stored it or the wait times out."""
         previous = self.registry_exchange.registry.registrations.get(call.instance_id) or UNKNOWN_WORKER
         registration = previous._replace(phase=GONE, call_sequence=previous.call_sequence + 1)
         return await self._deregister(call.instance_id, registration)
@@ -66,7 +66,7 @@
                 await confirmation
         except TimeoutError:
             pass
-        # Checked again, because the process may have been frozen since the confirmation was set.
+        # This is checked again, because the process may have been suspended since the confirmation was set.
         is_confirmed = self._is_confirmed(request_id)
         del self.confirmations[request_id]
         self.deregistrations.end(request_id)
