--- a/features/configuration_changes.feature
+++ b/features/configuration_changes.feature
@@ -44,11 +44,11 @@
       | 3      |
       | 5      |
 
-  Scenario: Each of hundreds of changes and their repeats is acknowledged
+  Scenario: Hundreds of successive changes and their repeats are all acknowledged
     Then 400 successive changes and their repeats are all acknowledged
     And with 50 kept digests older repeats get no definite answer and no request is rejected
 
-  Scenario: An isolated controller gives only the answers that its known revision settles
+  Scenario: An isolated controller gives only the answers that follow from the revision that it holds
     Given all controllers hold r2 as the successor of r1
     When one controller is isolated
     Then it acknowledges r1 and r2 again
@@ -56,10 +56,10 @@
     And it gives no definite answer to another configuration on r2
 
   Scenario Outline: Eight concurrent requests get definite answers in time
-    Then eight requests with <voters> voters and <site> are answered within half of AckS in 20 seeds
+    Then eight requests with <voters> voters and <links> are answered within half of AckS in 20 seeds
 
     Examples:
-      | voters | site                |
+      | voters | links               |
       | 3      | distant controllers |
       | 3      | one slow link       |
       | 5      | distant controllers |
--- a/features/steps/configuration_changes.py
+++ b/features/steps/configuration_changes.py
@@ -18,14 +18,15 @@
     build_replica,
     concurrent_orders,
     long_day,
-    readers,
+    run_distant_reader,
     start_simulation,
     storm,
 )
 from tests.simulation.consensus import RuleViolation, configuration
 
-DISTANT = {"delays": (0.055, 0.06)}
-SITES = {"distant controllers": DISTANT, "one slow link": {"slow": 0.25}}
+# fields of Site, in s
+DISTANT_CONTROLLERS = {"delays": (0.055, 0.06)}
+LINKS = {"distant controllers": DISTANT_CONTROLLERS, "one slow link": {"slow": 0.25}}
 REPLICAS_WITHOUT_GUARD = {
     "a quorum is a majority": configuration_change_guards.QuorumBelowMajority,
     "a value accepted by a minority is not chosen": configuration_change_guards.TreatsAcceptedAsChosen,
@@ -103,19 +104,19 @@
 def assert_reads_keep_invariants(context, count, voters):
     context.count, context.voters = count, voters
     for seed in range(count):
-        readers(seed, voters)
+        run_distant_reader(seed, voters)
 
 
 @then("the same runs without proposer backoff keep the invariants")
 def assert_reads_without_backoff_keep_invariants(context):
     for seed in range(context.count):
-        readers(seed, context.voters, replica_builder(configuration_change_guards.NoBackoff))
+        run_distant_reader(seed, context.voters, replica_builder(configuration_change_guards.NoBackoff))
 
 
 @then("adding changes to a started round violates an invariant within {count:d} of these runs")
 def assert_late_additions_violate_invariant(context, count):
     assert_violation_found(
-        lambda seed: readers(
+        lambda seed: run_distant_reader(
             seed, context.voters, replica_builder(configuration_change_guards.AddsChangesToStartedRound)
         ),
         count,
@@ -155,7 +156,7 @@
     """Returns the status of the isolated controller's answer to one call. The call is not repeated."""
     request = simulation.put(requested, simulation.names[0])
     simulation.run(simulation.now + 3.0, lambda: request.status or request.statuses)
-    request.current_call += 1  # makes a pending retry obsolete
+    request.current_call += 1  # The retry that is pending is then ignored.
     return request.status or request.statuses[0]
 
 
@@ -177,28 +178,34 @@
     assert first_status(context.simulation, configuration(3, 2, "third")) == 503
 
 
-@then("eight requests with {voters:d} voters and {site} are answered within half of AckS in {count:d} seeds")
-def assert_answers_in_time(context, voters, site, count):
+@then("eight requests with {voters:d} voters and {links} are answered within half of AckS in {count:d} seeds")
+def assert_answers_in_time(context, voters, links, count):
     for seed in range(count):
-        longest = max(concurrent_orders(seed, Site(voters, **SITES[site])))
+        longest = max(concurrent_orders(seed, Site(voters, **LINKS[links])))
         assert longest < Bounds.AckS / 2, (seed, longest)
 
 
 @then("without proposer backoff an answer takes more than half of AckS within {count:d} seeds")
 def assert_backoff_is_needed(context, count):
     make_replica = replica_builder(configuration_change_guards.NoBackoff)
-    site = Site(5, **DISTANT)
+    site = Site(5, **DISTANT_CONTROLLERS)
     longest = max(max(concurrent_orders(seed, site, make_replica=make_replica)) for seed in range(count))
     assert longest > Bounds.AckS / 2, longest
 
 
 def slowdown_at_one_controller(seed, replica_class=ConsensusReplica):
-    """Returns the longest time of eight concurrent requests at one controller over that of one request."""
-    single = start_simulation(seed, Site(3, **DISTANT)).requests[0].duration
+    """Returns the ratio of the longest time of eight concurrent requests to the time of a single one.
+
+    The concurrent requests are all sent to the same controller.
+    """
+    single = start_simulation(seed, Site(3, **DISTANT_CONTROLLERS)).requests[0].duration
     return (
         max(
             concurrent_orders(
-                seed, Site(3, **DISTANT), spread=False, make_replica=replica_builder(replica_class)
+                seed,
+                Site(3, **DISTANT_CONTROLLERS),
+                spread=False,
+                make_replica=replica_builder(replica_class),
             )
         )
         / single
--- a/features/steps/control_api.py
+++ b/features/steps/control_api.py
@@ -18,9 +18,10 @@
 
 
 def answer_to(context, method, path, body):
-    """Returns the answer to a call as text, or the decoded command where it has no answer of its own.
+    """Returns the answer to a call as text.
 
-    A configuration is applied to the register value of the context.
+    A configuration is applied to the register value of the context. No other command is executed; its text is
+    that of the decoded command.
     """
     decoded = decode(method, path, body)
     if decoded.is_err():
--- a/tests/simulation/catch_up.py
+++ b/tests/simulation/catch_up.py
@@ -39,7 +39,8 @@
             self.change(*((CONFIG, self.next_config) if number % 2 else (TABLE, self.next_table)))
         self.start("c")
         self.compressors = {name: zlib.compressobj(wbits=-zlib.MAX_WBITS) for name in ("a", "b")}
-        for register in DATA_REGISTERS:  # these messages have the effect of the first heartbeats
+        # These messages stand for the first heartbeats to c, which also list the accepted proposals.
+        for register in DATA_REGISTERS:
             for name in ("a", "b"):
                 accepted = {
                     "k": "accepted",
--- a/tests/simulation/configuration_change_guards.py
+++ b/tests/simulation/configuration_change_guards.py
@@ -73,17 +73,18 @@
             super().start_round(now, proposal_round, effects)
 
 
-# With few digests, a short simulated run discards digests as a real cluster does after thousands of changes.
+# Keeps few digests, so that a short simulated run discards digests as a real cluster does after thousands of
+# changes.
 short_memory = partial(apply_configuration, max_digests=6)
 
 
 def reject_discarded_revisions(requested: Configuration, current: dict | None) -> tuple:
-    """Rejects a configuration whose digest may have been discarded."""
+    """Rejects a configuration whose digest may have been discarded, instead of answering with status 503."""
     return short_memory(requested, {**current, "forgotten": 0} if current else None)
 
 
 def reject_repeats(requested: Configuration, current: dict | None) -> tuple:
-    """Rejects a repeated configuration."""
+    """Rejects a configuration that is put again, instead of acknowledging it again."""
     is_repeat = current and requested.digest in current["past"].values()
     return (None, (412, "")) if is_repeat else short_memory(requested, current)
 
--- a/tests/simulation/configuration_changes.py
+++ b/tests/simulation/configuration_changes.py
@@ -23,7 +23,7 @@
 
 PROPOSAL_TIMEOUT, TICK_INTERVAL = 0.85, 0.1  # s; as in the controller
 CALLER_TIMEOUT = 1.0  # s after which an operator calls another controller; PROTOCOL, "The operator"
-# s; the documentation only requires that they grow
+# s before an operator repeats a call; the documentation only requires that the delays grow
 RETRY_DELAYS = (0.05, 0.1, 0.2, 0.4, 0.8, 1.6)
 MAX_CONCURRENT_REQUESTS = 8
 SYNC_DURATION = (0.001, 0.008)  # s, shortest and longest time until a write is durable
@@ -47,10 +47,11 @@
     voters: int = 3
     spares: int = 2  # controllers that take calls but do not vote
     delays: tuple[float, float] = (0.0005, 0.06)  # s, shortest and longest one-way delay of a link
-    slow: float = 0.0  # s, one-way delay of one link between two voters; 0 for no such link
+    slow: float = 0.0  # s, one-way delay of one slow link between two voters; 0 for no such link
     distant_delay: float = 0.0  # s, one-way delay of all links of the last controller; 0 for the usual delays
     lost: float = 0.0
-    # in either case a second copy arrives up to 1 s later, possibly after newer messages
+    # For a duplicated message and for a late copy, a second copy arrives up to 1 s after the first one,
+    # possibly after newer messages.
     duplicated: float = 0.0
     late_copies: float = 0.0
     answers_lost: float = 0.0
@@ -76,7 +77,8 @@
 class ConfigurationChangeSimulation:
     """A cluster of controllers and the operators that call them.
 
-    make_replica and decide replace the replica class and the decisions on configurations, to remove a guard.
+    make_replica creates the replicas, and decide makes the decisions on configurations. A test passes others
+    than the defaults to remove a guard.
     """
 
     def __init__(
@@ -165,7 +167,7 @@
             self.call_later(TICK_INTERVAL, self.tick, name, replica)
 
     def apply(self, name: str, replica: ConsensusReplica, effects: Effects) -> None:
-        """Writes the effects to disk and dispatches them once they are durable, at once without writes."""
+        """Dispatches the effects once their writes are durable, or at once if there are no writes."""
         if not effects.writes and not effects.facts:
             return self.dispatch(name, replica, effects)
         self.write_done_at[name] = max(self.write_done_at[name], self.now) + self.rng.uniform(*SYNC_DURATION)
@@ -267,8 +269,8 @@
     def read(self, name: str) -> list:
         """Starts to read the configuration at a controller.
 
-        Returns a list to which the revision is appended once it is read. Raises RuleViolation then if the
-        revision is older than one that was acknowledged before the read started.
+        Returns a list. The revision is appended to it once it is read. The run raises RuleViolation at that
+        time if the revision is older than one that was acknowledged before the read started.
         """
         revisions, oldest_allowed = [], max((c.revision for c in self.acknowledged.values()), default=0)
         replica = self.replicas.get(name)
@@ -336,8 +338,8 @@
     def check_after_recovery(self, duration: float = 20.0) -> None:
         """Ends all faults, runs for `duration` s, and checks every request and every controller.
 
-        Each request must have a definite answer, unless its revision is too old to be known. A read at each
-        controller must succeed.
+        Each request must have a definite answer, unless the digest of its revision may have been discarded. A
+        read at each controller must succeed.
         """
         self.site = Site(self.site.voters, self.site.spares, self.site.delays)
         self.not_receiving, self.not_sending = set(), set()
@@ -389,12 +391,12 @@
     rng = simulation.rng
     for turn in range(10):
         newest = simulation.newest_revision()
-        early = [
+        requests_on_newest = [
             request.requested
             for request in simulation.requests
             if request.requested.parent_revision == newest
         ]
-        for requested in early[:1]:  # a request whose parent did not exist when it was sent
+        for requested in requests_on_newest[:1]:  # It may have been sent before its parent was in force.
             simulation.put(requested)
         for k in range(1 + rng.randrange(MAX_CONCURRENT_REQUESTS - 1)):
             draw, digest = rng.random(), f"{turn}.{k}"
@@ -422,14 +424,16 @@
     simulation = start_simulation(seed, site, decide=decide)
     for revision in range(2, changes + 2):
         request = simulation.put(configuration(revision, revision - 1, f"m{revision}"))
-        if sum(not one.status for one in simulation.requests) < MAX_CONCURRENT_REQUESTS:
+        if sum(not started.status for started in simulation.requests) < MAX_CONCURRENT_REQUESTS:
             simulation.put(simulation.rng.choice(simulation.requests).requested)
         simulation.run(simulation.now + 20.0, lambda: request.status)  # noqa: B023
     simulation.check_after_recovery()
     return simulation
 
 
-def readers(seed: int, voters: int, make_replica: Callable = build_replica) -> ConfigurationChangeSimulation:
+def run_distant_reader(
+    seed: int, voters: int, make_replica: Callable = build_replica
+) -> ConfigurationChangeSimulation:
     """Runs changes at controllers that are close to each other, and continuous reads at a distant one.
 
     A change may be acknowledged while the round of an earlier read is in flight. A read that starts after the
@@ -438,7 +442,7 @@
     simulation = start_simulation(seed, Site(voters, delays=(0.0005, 0.005), distant_delay=0.1), make_replica)
     for revision in range(2, 22):
         request = simulation.put(configuration(revision, revision - 1, f"m{revision}"), simulation.names[0])
-        # In the pause after the answer, rounds of the distant reader succeed.
+        # After the answer there is a pause, in which rounds of the distant reader succeed.
         pause_end = simulation.now + 0.3 * simulation.rng.random()
         while not request.status or simulation.now < pause_end:
             simulation.read(simulation.names[-1])
@@ -448,16 +452,16 @@
 
 
 def concurrent_orders(
-    seed: int, site: Site, slots: int = 4, spread: bool = True, make_replica: Callable = build_replica
+    seed: int, site: Site, turns: int = 4, spread: bool = True, make_replica: Callable = build_replica
 ) -> list[float]:
-    """Returns the s from the first call to the definite answer of every request.
+    """Returns the time in s from the first call to the definite answer of every request.
 
-    In each of `slots` turns, MAX_CONCURRENT_REQUESTS requests start at about the same time on the same
+    In each turn, MAX_CONCURRENT_REQUESTS requests start at about the same time on the same
     parent. spread: whether they are sent to all controllers in turn, or to one. Raises RuleViolation unless
     exactly one request of a turn is accepted and the others are rejected.
     """
     simulation = start_simulation(seed, site, make_replica)
-    for slot in range(slots):
+    for turn in range(turns):
         simulation.run(simulation.now + 1.0)
         newest, first, requests = (
             simulation.newest_revision(),
@@ -466,7 +470,7 @@
         )
         for k in range(MAX_CONCURRENT_REQUESTS):
             name = simulation.names[(first + k * spread) % len(simulation.names)]
-            requests.append(simulation.put(configuration(newest + 1 + k // 2, newest, f"{slot}.{k}"), name))
+            requests.append(simulation.put(configuration(newest + 1 + k // 2, newest, f"{turn}.{k}"), name))
             simulation.run(simulation.now + 0.02 * simulation.rng.random())
         simulation.run(
             simulation.now + 60.0,
--- a/tests/simulation/malformed_messages.py
+++ b/tests/simulation/malformed_messages.py
@@ -11,7 +11,8 @@
 from bramblewood.controller.consensus.messages import CONSENSUS_MESSAGE_KINDS, decode
 from bramblewood.controller.register_values import require_values
 
-# Replace the value of a field. Some of them are valid for some fields, for example the numbers.
+# Each of these values replaces that of a field in turn. Some are valid for some fields, for example the
+# numbers.
 REPLACEMENT_VALUES: tuple[Any, ...] = (
     None,
     True,
--- a/tests/test_malformed_messages.py
+++ b/tests/test_malformed_messages.py
@@ -31,7 +31,7 @@
 CONSENSUS_FORMS = [json.loads(text) for text in CONSENSUS_TEXTS]
 ALL_FORMS = [*COMMON_FORMS, *CONSENSUS_FORMS]
 ROW = ["register", "10.0.0.9:80", "here", 4, "ready", 7, 0.0, "v1"]
-# texts that are no JSON, no message, or a well-formed message with invalid content
+# Each text is not JSON, not a message, or a well-formed message with invalid content.
 UNUSABLE_TEXTS = [
     "{no JSON",
     "[]",
@@ -85,7 +85,7 @@
     assert json.loads(json.dumps(decode_message(report).to_wire())) == report
 
 
-def test_error_names_the_key_and_the_value() -> None:
+def test_error_for_malformed_message_names_the_invalid_or_missing_key() -> None:
     with pytest.raises(PeerMessageError, match="key have: expected versions, found 'x'"):
         decode_message({"k": kinds.SUBSCRIPTION, "on": True, "have": {"table": "x"}})
     with pytest.raises(PeerMessageError, match="no key r"):
