--- a/bramblewood/controller/commands.py
+++ b/bramblewood/controller/commands.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class DeregisterWorker:
-    """Records that a worker is gone. The call for it is the last one of the worker."""
+    """Records that a worker is gone. This is the last call that the worker sends."""
 
     instance_id: str
 
--- a/bramblewood/controller/operator_api.py
+++ b/bramblewood/controller/operator_api.py
@@ -1,6 +1,6 @@
 """Handlers of operators' calls: configurations, drain plans and changes of the voter set.
 
-Each change is agreed by a quorum, and each call is safe to repeat.
+A quorum agrees on each change, and each call is safe to repeat.
 """
 
 from typing import Any
--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -62,7 +62,7 @@
         self.sessions = Sessions(runtime.own_address)
         self.quorum_contact = QuorumContact(runtime, self.quorum_io, self.sessions)
         self.registry, self.proxy_sessions = WorkerRegistry(), ProxySessions()
-        self.damage = DamageResponse(runtime, self.quorum_io)
+        self.damage_response = DamageResponse(runtime, self.quorum_io)
         self.content_watch = ContentWatch(runtime, self.quorum_io)
         self.departures = Departures(runtime, self.quorum_io, self.registry)
         self.registry_exchange = RegistryExchange(runtime, self.registry, self.proxy_sessions)
@@ -171,7 +171,7 @@
             runtime.settings.bind_ip,
         )
         runtime.peer_connections.on_malformed = handlers.log_malformed
-        self.content_watch.on_divergence = self.damage.begin
+        self.content_watch.on_divergence = self.damage_response.begin
         self.quorum_io.on_progress = self.chosen_values.refresh
         self.quorum_io.on_epoch_changed = self.handle_epoch_change
         self.proxy_feed.on_configuration_announced = lambda: self.proxy_heartbeats.send(runtime.now())
@@ -207,20 +207,20 @@
             resources.callback(storage.close)
             await self._open_resources(resources)
             self._log_start()
-            while self.damage.reason is None and not self.voter_changes.may_shut_down(runtime.now()):
+            while self.damage_response.reason is None and not self.voter_changes.may_shut_down(runtime.now()):
                 self.tick(runtime.now())
                 await self._wait_for_next_tick()
             # The other voters no longer need the vote of this controller, the time for which it keeps its
             # vote has passed, or its disk is damaged.
             self.quorum_io.consensus.stop_voting()
             runtime.log.info("stopped", step="end")
-        return 0 if self.damage.reason is None else await self.damage.finish()
+        return 0 if self.damage_response.reason is None else await self.damage_response.finish()
 
     def _restore(self, stored_state: StoredState) -> None:
         """Restores the state of the parts from the disk, and starts the writer thread of the storage."""
         runtime, settings, loop = self.runtime, self.runtime.settings, self.runtime.loop
         storage = self.quorum_io.storage
-        storage.on_damage = lambda problem: loop.call_soon_threadsafe(self.damage.begin, problem)
+        storage.on_damage = lambda problem: loop.call_soon_threadsafe(self.damage_response.begin, problem)
         self.quorum_io.restore(stored_state.facts, stored_state.registers, storage.replaces_damaged)
         self.departures.restore(stored_state.facts)
         self.set_planner(
--- a/bramblewood/controller/worker_api.py
+++ b/bramblewood/controller/worker_api.py
@@ -23,7 +23,7 @@
     """Executes workers' commands and responds to them.
 
     Each call is recorded and forwarded to the other controllers at once. The response is 503 while this
-    controller has no quorum contact. The worker then calls another controller, which may have it.
+    controller has no quorum contact. The worker then calls another controller, which may have quorum contact.
 
     Invariant: a deregistration is acknowledged only once a majority of the voters has it on disk.
     """
--- a/features/steps/catch_up.py
+++ b/features/steps/catch_up.py
@@ -6,10 +6,10 @@
 
 @given(
     "a voter that missed {changes:d} changes with"
-    " {routes:d} routes, {slices:d} slices and {past:d} past revisions"
+    " {routes:d} routes, {slices:d} slices and {past_revisions:d} past revisions"
 )
-def run_catch_up(context, changes, routes, slices, past):
-    context.sizes = (routes, slices, past)
+def run_catch_up(context, changes, routes, slices, past_revisions):
+    context.sizes = (routes, slices, past_revisions)
     context.simulation = CatchUpAfterStop(changes, *context.sizes)
 
 
--- a/features/steps/configuration_changes.py
+++ b/features/steps/configuration_changes.py
@@ -18,7 +18,7 @@
     build_replica,
     concurrent_orders,
     long_day,
-    run_distant_reader,
+    readers,
     start_simulation,
     storm,
 )
@@ -104,19 +104,19 @@
 def assert_reads_keep_invariants(context, count, voters):
     context.count, context.voters = count, voters
     for seed in range(count):
-        run_distant_reader(seed, voters)
+        readers(seed, voters)
 
 
 @then("the same runs without proposer backoff keep the invariants")
 def assert_reads_without_backoff_keep_invariants(context):
     for seed in range(context.count):
-        run_distant_reader(seed, context.voters, replica_builder(configuration_change_guards.NoBackoff))
+        readers(seed, context.voters, replica_builder(configuration_change_guards.NoBackoff))
 
 
 @then("adding changes to a started round violates an invariant within {count:d} of these runs")
 def assert_late_additions_violate_invariant(context, count):
     assert_violation_found(
-        lambda seed: run_distant_reader(
+        lambda seed: readers(
             seed, context.voters, replica_builder(configuration_change_guards.AddsChangesToStartedRound)
         ),
         count,
--- a/tests/simulation/catch_up.py
+++ b/tests/simulation/catch_up.py
@@ -22,15 +22,15 @@
     Half of the missed changes are of the configuration, the other half are of the table.
     """
 
-    def __init__(self, changes: int, routes: int, slices: int, past: int) -> None:
-        """past: the number of past revisions of the configuration whose digests are kept."""
+    def __init__(self, changes: int, routes: int, slices: int, past_revisions: int) -> None:
+        """past_revisions: the number of past revisions of the configuration whose digests are kept."""
         super().__init__(1)
-        self.max_digests, self.revision, self.bytes_received = past, past, 0
+        self.max_digests, self.revision, self.bytes_received = past_revisions, past_revisions, 0
         self.compressors: dict = {}  # one for each link to c after its restart, by sender
         first_value = {
-            "n": past,
+            "n": past_revisions,
             "config": config(routes),
-            "past": {str(revision): digest_of(revision) for revision in range(1, past + 1)},
+            "past": {str(revision): digest_of(revision) for revision in range(1, past_revisions + 1)},
         }
         self.change(CONFIG, lambda _: first_value)
         self.change(TABLE, lambda _: table(slices))
--- a/tests/simulation/configuration_changes.py
+++ b/tests/simulation/configuration_changes.py
@@ -303,7 +303,7 @@
                 raise RuleViolation(
                     f"{digest} and {other} are both acknowledged on parent r{requested.parent_revision}"
                 )
-            self.check_in_force(requested.revision, digest)
+            self.record_in_force(requested.revision, digest)
         elif status != 503:
             self.rejected[digest] = requested
         if digest in self.rejected and (
@@ -311,7 +311,7 @@
         ):
             raise RuleViolation(f"{digest} was rejected, and was accepted as r{requested.revision}")
 
-    def check_in_force(self, revision: int, digest: str) -> None:
+    def record_in_force(self, revision: int, digest: str) -> None:
         if self.chosen_digests.setdefault(revision, digest) != digest:
             raise RuleViolation(f"r{revision} is both {digest} and {self.chosen_digests[revision]}")
         if digest in self.rejected:
@@ -324,7 +324,7 @@
             return
         self.checked_values[name], past = value, value["past"]
         for revision, digest in past.items():
-            self.check_in_force(int(revision), digest)
+            self.record_in_force(int(revision), digest)
         for digest, requested in self.acknowledged.items():
             if value.get("forgotten", 0) < requested.revision <= value["n"]:
                 if past.get(str(requested.revision)) != digest:
@@ -431,9 +431,7 @@
     return simulation
 
 
-def run_distant_reader(
-    seed: int, voters: int, make_replica: Callable = build_replica
-) -> ConfigurationChangeSimulation:
+def readers(seed: int, voters: int, make_replica: Callable = build_replica) -> ConfigurationChangeSimulation:
     """Runs changes at controllers that are close to each other, and continuous reads at a distant one.
 
     A change may be acknowledged while the round of an earlier read is in flight. A read that starts after the
--- a/tests/test_malformed_messages.py
+++ b/tests/test_malformed_messages.py
@@ -30,7 +30,7 @@
 COMMON_FORMS = [wire for _, wire in WIRE_FORMS]
 CONSENSUS_FORMS = [json.loads(text) for text in CONSENSUS_TEXTS]
 ALL_FORMS = [*COMMON_FORMS, *CONSENSUS_FORMS]
-ROW = ["register", "10.0.0.9:80", "here", 4, "ready", 7, 0.0, "v1"]
+REGISTRATION_ROW = ["register", "10.0.0.9:80", "here", 4, "ready", 7, 0.0, "v1"]
 # Each text is not JSON, not a message, or a well-formed message with invalid content.
 UNUSABLE_TEXTS = [
     "{no JSON",
@@ -40,9 +40,9 @@
     '{"k":7}',
     "[" * 100_000,
     json.dumps({"k": kinds.REGISTRY_UPDATE, "rows": {"w": []}}),
-    json.dumps({"k": kinds.REGISTRY_UPDATE, "rows": {"w": [*ROW, 1]}}),
-    json.dumps({"k": kinds.REGISTRY_UPDATE, "rows": {"w": [7, *ROW[1:]]}}),
-    json.dumps({"k": kinds.REGISTRY_UPDATE, "rows": {"w": [*ROW[:4], "asleep", 7]}}),
+    json.dumps({"k": kinds.REGISTRY_UPDATE, "rows": {"w": [*REGISTRATION_ROW, 1]}}),
+    json.dumps({"k": kinds.REGISTRY_UPDATE, "rows": {"w": [7, *REGISTRATION_ROW[1:]]}}),
+    json.dumps({"k": kinds.REGISTRY_UPDATE, "rows": {"w": [*REGISTRATION_ROW[:4], "asleep", 7]}}),
     json.dumps({"k": "prepare", "r": ["config"], "b": [1, 4, "a", 7], "have": [0, 0, "", 0]}),
 ]
 
@@ -95,9 +95,9 @@
 def test_update_with_one_malformed_registration_changes_nothing() -> None:
     registry = WorkerRegistry()
     with pytest.raises(PeerMessageError):
-        registry.record_all(1.0, {"good": ROW, "bad": ROW[:3]})
+        registry.record_all(1.0, {"good": REGISTRATION_ROW, "bad": REGISTRATION_ROW[:3]})
     assert not registry.registrations
-    assert WorkerRegistration.from_row(ROW[:6]).revision == ""
+    assert WorkerRegistration.from_row(REGISTRATION_ROW[:6]).revision == ""
 
 
 # --- connections to a peer that sends malformed messages
