--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -261,6 +261,7 @@
         )
 
     async def _wait_for_next_tick(self) -> None:
+        # The wait lasts TICK_INTERVAL. A shutdown request does not shorten it.
         try:
             async with asyncio.timeout(TICK_INTERVAL):
                 await self.runtime.shutdown_requested.wait()
