--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -1,6 +1,6 @@
 """The controller program: it builds and connects the parts, and handles start, timers, signals and shutdown.
 
-All other decisions are made by the parts.
+A part is an object with one responsibility, for example `QuorumIO`. The parts contain all other logic.
 """
 
 import asyncio
@@ -62,7 +62,7 @@
         self.sessions = Sessions(runtime.own_address)
         self.quorum_contact = QuorumContact(runtime, self.quorum_io, self.sessions)
         self.registry, self.proxy_sessions = WorkerRegistry(), ProxySessions()
-        self.damage = DamageResponse(runtime, self.quorum_io)
+        self.damage_response = DamageResponse(runtime, self.quorum_io)
         self.content_watch = ContentWatch(runtime, self.quorum_io)
         self.departures = Departures(runtime, self.quorum_io, self.registry)
         self.registry_exchange = RegistryExchange(runtime, self.registry, self.proxy_sessions)
@@ -171,7 +171,7 @@
             runtime.settings.bind_ip,
         )
         runtime.peer_connections.on_malformed = handlers.log_malformed
-        self.content_watch.on_divergence = self.damage.begin
+        self.content_watch.on_divergence = self.damage_response.begin
         self.quorum_io.on_progress = self.chosen_values.refresh
         self.quorum_io.on_epoch_changed = self.handle_epoch_change
         self.proxy_feed.on_configuration_announced = lambda: self.proxy_heartbeats.send(runtime.now())
@@ -187,7 +187,7 @@
         self.coordinator_loop.placement = self.proxy_heartbeats.placement = planner
 
     async def run(self) -> int:
-        """Runs the controller until a SIGTERM is handled or the storage is found damaged.
+        """Runs the controller until it may shut down after a SIGTERM, or until the storage is found damaged.
 
         Returns the exit code: 0 after a regular shutdown, 2 if the storage cannot be opened, and 3 if the
         storage was found damaged while the controller ran. After exit code 3 the controller must be started
@@ -207,19 +207,20 @@
             resources.callback(storage.close)
             await self._open_resources(resources)
             self._log_start()
-            while self.damage.reason is None and not self.voter_changes.may_shut_down(runtime.now()):
+            while self.damage_response.reason is None and not self.voter_changes.may_shut_down(runtime.now()):
                 self.tick(runtime.now())
                 await self._wait_for_next_tick()
-            # The vote is no longer needed, its retention time has passed, or the disk is damaged.
+            # The other voters no longer need the vote of this controller, the time for which it keeps its
+            # vote has passed, or its disk is damaged.
             self.quorum_io.consensus.stop_voting()
             runtime.log.info("stopped", step="end")
-        return 0 if self.damage.reason is None else await self.damage.finish()
+        return 0 if self.damage_response.reason is None else await self.damage_response.finish()
 
     def _restore(self, stored_state: StoredState) -> None:
         """Restores the state of the parts from the disk, and starts the writer thread of the storage."""
         runtime, settings, loop = self.runtime, self.runtime.settings, self.runtime.loop
         storage = self.quorum_io.storage
-        storage.on_damage = lambda problem: loop.call_soon_threadsafe(self.damage.begin, problem)
+        storage.on_damage = lambda problem: loop.call_soon_threadsafe(self.damage_response.begin, problem)
         self.quorum_io.restore(stored_state.facts, stored_state.registers, storage.replaces_damaged)
         self.departures.restore(stored_state.facts)
         self.set_planner(
@@ -234,7 +235,7 @@
         self.controller_peers.next_seed_reread_at = runtime.started_at + SEED_REREAD_INTERVAL
 
     async def _open_resources(self, resources: AsyncExitStack) -> None:
-        """Starts the listeners, and registers all clients and servers to be closed in reverse order."""
+        """Starts the listeners, and registers what is closed at the shutdown, the last registered first."""
         calls = self.lease_calls
         resources.callback(calls.client.close)
         resources.push_async_callback(calls.cancel_all)
@@ -260,6 +261,7 @@
         )
 
     async def _wait_for_next_tick(self) -> None:
+        # The wait lasts TICK_INTERVAL. A shutdown request does not shorten it.
         try:
             async with asyncio.timeout(TICK_INTERVAL):
                 await self.runtime.shutdown_requested.wait()
@@ -268,7 +270,7 @@
             pass
 
     def tick(self, now: float) -> None:
-        """Runs the work that is due, in the order of the calls below."""
+        """Runs all periodic work that is due. `run` calls it every TICK_INTERVAL."""
         self.quorum_io.execute(self.quorum_io.consensus.tick(now))
         self.quorum_io.probe_failing_disk(now)
         self.voter_changes.propose_due_change(now)
@@ -288,7 +290,7 @@
     def handle_epoch_change(self) -> None:
         """Connects to the voters of a new epoch, logs it, and sends heartbeats.
 
-        The caller calls it once the new epoch, or the active vote of this controller in it, is durable.
+        `QuorumIO` calls it once the new epoch, or the active vote of this controller in it, is durable.
         """
         consensus = self.quorum_io.consensus
         for peer in consensus.voters:
