--- a/bramblewood/common/configuration.py
+++ b/bramblewood/common/configuration.py
@@ -19,11 +19,11 @@
     priority: int  # 0 is the highest
     max_attempts: int
     targets: tuple[tuple[str, float], ...]
-    # whether requests with the same `X-Shard-Key` stay at one worker, if the service is not sharded
+    # whether requests with the same `X-Shard-Key` are sent to the same worker, if the service is not sharded
     pinned: bool = False
 
     def choose_service(self, request_id: str) -> str:
-        """Return a service for a request id. It is always the same for one id, and follows the shares."""
+        """Return the service for a request id. The id alone decides it, by the shares of the targets."""
         total_share = sum(share for _, share in self.targets)
         remaining = zlib.crc32(b"share" + request_id.encode()) / 2**32 * total_share
         for service, share in self.targets:
--- a/bramblewood/common/configuration_parser.py
+++ b/bramblewood/common/configuration_parser.py
@@ -14,7 +14,7 @@
 from .configuration import Configuration, Route, Service
 from .schema import SchemaViolation, check
 
-MAX_ROUTE_TIMEOUT = 600.0  # s; the maximum and the default of `TimeoutS`: PROTOCOL, "The operator"
+MAX_ROUTE_TIMEOUT = 600.0  # s; the maximum and the default of `TimeoutS`: see PROTOCOL, "The operator"
 PURE = "pure"  # the `RouteType` of idempotent requests
 DIGEST_LENGTH = 32  # hexadecimal digits
 
