--- a/bramblewood/common/connection_state.py
+++ b/bramblewood/common/connection_state.py
@@ -5,8 +5,8 @@
 returns the result of the exchange if the event ends it.
 
 Invariant: a connection carries one request at a time. Only the phase of the connection and the response's
-`X-Attempt-Id` decide which request a response belongs to. If they do not determine it, the connection is not
-used any more.
+`X-Attempt-Id` decide which request a response belongs to. If these two do not determine the request, the
+connection is not used any more.
 """
 
 from enum import Enum
@@ -24,7 +24,7 @@
     IDLE = "idle"  # no request has been sent yet
     AWAITING_RESPONSE = "awaiting response"  # a request is in flight, and the buffer is empty
     READING_RESPONSE = "reading response"  # a request is in flight, and part of a response has arrived
-    RESPONSE_COMPLETE = "response complete"  # no request is in flight, and no surplus bytes have arrived
+    RESPONSE_COMPLETE = "response complete"  # the last request was answered; no surplus bytes have arrived
     UNUSABLE = "unusable"  # closed or about to be closed; no request may be sent on it
 
 
@@ -96,13 +96,13 @@
         except MalformedResponse:
             return self._finish(AttemptOutcome.CONNECTION_BROKEN)
         if response is not None:
-            is_clean = not (
+            may_be_reused = not (
                 self.foreign_response_seen
                 or self.parser.is_mid_response
                 or response.closes_connection
                 or unsent_bytes
             )
-            self.phase = ConnectionPhase.RESPONSE_COMPLETE if is_clean else ConnectionPhase.UNUSABLE
+            self.phase = ConnectionPhase.RESPONSE_COMPLETE if may_be_reused else ConnectionPhase.UNUSABLE
             return ExchangeResult(AttemptOutcome.ANSWERED, response)
         if self.bytes_received > MAX_RESPONSE_BYTES:
             return self._finish(AttemptOutcome.CONNECTION_BROKEN)
@@ -113,8 +113,8 @@
     def _own_response(self) -> WorkerResponse | None:
         """Return the response to the request in flight, or None until it is complete.
 
-        Interim responses and responses to other requests are discarded. Raises `MalformedResponse`, also for
-        a response that lacks a required id.
+        Interim responses and responses to other requests are discarded. Raises `MalformedResponse` if the
+        bytes are not a valid response, or if a response lacks a required id.
         """
         while (response := self.parser.next_response()) is not None:
             if response.status < 200:
@@ -134,7 +134,7 @@
         return self._finish(AttemptOutcome.CONNECTION_BROKEN)
 
     def on_timeout(self) -> ExchangeResult | None:
-        """Process the end of the request's deadline. A request in flight ends as TIMED_OUT.
+        """Process the expiry of the request's deadline. A request in flight ends as TIMED_OUT.
 
         Its response may still arrive, so no other request is sent on the connection.
         """
