--- a/bramblewood/common/errors.py
+++ b/bramblewood/common/errors.py
@@ -1,7 +1,7 @@
 """The base classes of the gateway's own errors, so that callers can tell them from Python's errors.
 
-Each error states the problem, the step that failed and the peer concerned, as the log's keys `reason`, `step`
-and `peer` do. An error that belongs to one module is defined in that module as a subclass of
+Each error contains the problem, the step that failed and the peer concerned. They are logged under the keys
+`reason`, `step` and `peer`. An error that belongs to one module is defined in that module as a subclass of
 `BramblewoodError`. An error that corresponds to a built-in error also derives from the built-in class, so
 that `except ValueError` still catches it.
 """
--- a/bramblewood/common/logs.py
+++ b/bramblewood/common/logs.py
@@ -15,21 +15,21 @@
 
 
 class JsonLineHandler(logbook.Handler):
-    """Writes records as JSON lines, and counts the records beyond the limit of a second."""
+    """Writes records as JSON lines. Drops and counts the records beyond MAX_LINES_PER_SECOND."""
 
     def __init__(self, node: str) -> None:
         super().__init__(logbook.INFO)
         self.node = node
-        self.second = 0  # of the monotonic clock; the counts below are those of this second
-        self.written = self.dropped = 0
+        self.second = 0  # the current second of the monotonic clock, which the two counts below belong to
+        self.received = self.dropped = 0
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Write a record, or count it as dropped if the limit of this second is reached."""
+        """Write a record, or count it as dropped if MAX_LINES_PER_SECOND is exceeded in this second."""
         second = int(time.monotonic())
         if second != self.second:
             self._begin_second(second)
-        self.written += 1
-        if self.written > MAX_LINES_PER_SECOND:
+        self.received += 1
+        if self.received > MAX_LINES_PER_SECOND:
             self.dropped += 1
             return
         self._write_line(record.level_name.lower(), record.message, record.kwargs)
@@ -37,7 +37,7 @@
     def _begin_second(self, second: int) -> None:
         if self.dropped:
             self._write_line("warning", "lines dropped", {"count": self.dropped})
-        self.second, self.written, self.dropped = second, 0, 0
+        self.second, self.received, self.dropped = second, 0, 0
 
     def _write_line(self, level: str, event: str, fields: dict[str, object]) -> None:
         line = {"node": self.node, "level": level, "event": event, **fields}
