--- a/bramblewood/common/messages/__init__.py
+++ b/bramblewood/common/messages/__init__.py
@@ -1,4 +1,4 @@
-"""The messages between controllers and proxies, except those of the consensus, and their wire format.
+"""The messages between controllers and proxies and their wire format, except those of the consensus protocol.
 
 Each message on a connection is a JSON object whose key `k` contains its kind. The method `to_wire` of a
 message returns that object, and the class method `from_wire` decodes it. `Subscribe` and `Unsubscribe` share
@@ -6,11 +6,14 @@
 machines with different software versions communicate with each other. The key of an optional field is left
 out if the field is None.
 
-Some keys on the wire are older words than the field names: `archives` are controllers, `desks` are proxies,
-and `rows` are registrations by worker instance id, each in the list form of `WorkerRegistration`.
+Some keys on the wire differ from the field names, since they are older: `archives` are controllers, `desks`
+are proxies, and `rows` are registrations by worker instance id, each in the list form of
+`WorkerRegistration`.
+
+A register holds one value that the controllers agree on, such as the configuration or the slice table.
 
 `from_wire` raises PeerMessageError if a required key is missing or a value has the wrong type. Times are in s
-of the sender's steady clock.
+of the sender's monotonic clock.
 """
 
 from .between_controllers import ControllerHeartbeat, RegistryAcknowledgement
--- a/bramblewood/common/messages/between_controllers.py
+++ b/bramblewood/common/messages/between_controllers.py
@@ -12,7 +12,7 @@
 
     Proposal numbers are tuples in the fields and lists on the wire. Only the first heartbeat on a connection
     contains `bound`, and only some contain `worker_ages`. `members`, `zone`, `counted`, `controllers`,
-    `proxies` and `digests` are left out if they are those already sent on the connection.
+    `proxies` and `digests` are left out if they are unchanged since they were sent on the connection.
     """
 
     sent_at: float
@@ -30,7 +30,7 @@
     bound: dict[str, Any] | None = None
     members: Any = None  # the set of voters
     zone: str | None = None
-    counted: bool | None = None  # whether the loss of the sender's machine counts for the tolerance
+    counted: bool | None = None  # whether the loss of the sender's machine counts for `Tolerance`
     controllers: list[str] | None = None
     proxies: list[str] | None = None  # the names of the proxies that are connected to the sender
     # s since the last contact, by instance id, for workers with a recent contact
@@ -112,7 +112,7 @@
     """The sender holds the registrations of a RegistryUpdate, or newer ones."""
 
     request_id: int  # of the RegistryUpdate
-    newer: Registrations  # the sender's registrations of draining and gone workers, if they are newer
+    newer: Registrations  # the sender's newer registrations of workers that are draining or gone
     epoch: int  # the epoch in which the sender was an active voter when it sent this; -1 for none
 
     @classmethod
--- a/bramblewood/common/messages/fields.py
+++ b/bramblewood/common/messages/fields.py
@@ -9,7 +9,7 @@
 
 from ..errors import PeerMessageError
 
-MAX_MAGNITUDE = 1e18  # of a number; no time, count or version is larger
+MAX_MAGNITUDE = 1e18  # of a number in a message; no time, count or version is larger
 REQUIRED: Any = object()  # as a default: the key must be present
 
 
@@ -29,7 +29,7 @@
 
 
 def is_text(value: Any) -> bool:
-    """Return whether a value is a text."""
+    """Return whether a value is a text, which is a str in Python."""
     return type(value) is str
 
 
@@ -44,7 +44,7 @@
 
 
 def is_map(value: Any) -> bool:
-    """Return whether a value is a map."""
+    """Return whether a value is a map, which is an object in JSON."""
     return isinstance(value, dict)
 
 
@@ -88,19 +88,19 @@
         return value
 
     def text(self, key: str, default: Any = REQUIRED) -> Any:
-        """Return a text."""
+        """Return a value that is a text."""
         return self._field(key, is_text, "a text", default)
 
     def integer(self, key: str, default: Any = REQUIRED) -> Any:
-        """Return an integer."""
+        """Return a value that is an integer, such as a count or a version."""
         return self._field(key, is_integer, "an integer", default)
 
     def number(self, key: str, default: Any = REQUIRED) -> Any:
-        """Return a number, such as a time in s."""
+        """Return a value that is a number, such as a time in s."""
         return self._field(key, is_number, "a number", default)
 
     def flag(self, key: str, default: Any = REQUIRED) -> Any:
-        """Return True or False."""
+        """Return a value that is True or False."""
         return self._field(key, is_flag, "true or false", default)
 
     def list_of(self, key: str, is_valid: Any, expected: str, default: Any = REQUIRED) -> Any:
--- a/bramblewood/common/messages/kinds.py
+++ b/bramblewood/common/messages/kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of messages, which are the values of the key `k` on the wire. Some of them are older words."""
+"""The kinds of messages, which are the values of the key `k` on the wire. Some predate these names."""
 
 HELLO = "hello"
 HEARTBEAT = "pulse"
--- a/bramblewood/common/messages/shapes.py
+++ b/bramblewood/common/messages/shapes.py
@@ -8,7 +8,8 @@
 WORKER_ROW_LENGTHS = range(4, 7)  # the row of a worker in `LoadReport.workers`
 LOAD_INDEX = 3  # index of the load in such a row; the load is null if the worker stated none
 LOAD_FIELDS = 3  # running, waiting, slots
-WORK_IN_FLIGHT_FIELDS = 3  # idempotent requests, non-idempotent requests and bound keys, age in s
+# idempotent requests; non-idempotent requests plus keys that affinity binds to the worker; age in s
+WORK_IN_FLIGHT_FIELDS = 3
 
 
 def is_number_map(value: Any) -> bool:
--- a/bramblewood/common/messages/with_proxies.py
+++ b/bramblewood/common/messages/with_proxies.py
@@ -50,7 +50,7 @@
             fields.texts("silent", None),
             fields.text("zone", None),
             fields.texts("archives", None),
-            fields.map_of("near", is_number_map, "parts of requests by zone", None),
+            fields.map_of("near", is_number_map, "fractions of requests by zone", None),
             fields.map_of("crowds", is_hot_key_status, "ranges and keys", None),
         )
 
@@ -134,8 +134,9 @@
     workers: dict[str, list]
     keys: dict[str, Any] | None = None  # the number of requests, by service and key, in watched ranges
     table_version: int | None = None  # the version that the proxy follows; only during a drain plan
-    # by worker in a drain plan: the idempotent requests in flight, the non-idempotent requests and bound
-    # keys, and the age in s of the oldest request
+    # by worker in a drain plan: the number of idempotent requests in flight, the number of non-idempotent
+    # requests in flight plus that of the keys that affinity binds to the worker, and the age in s of the
+    # oldest request
     in_flight: dict[str, Any] | None = None
 
     @classmethod
