--- a/bramblewood/common/peer_connections.py
+++ b/bramblewood/common/peer_connections.py
@@ -67,7 +67,8 @@
 
     def __init__(self, peer: str, websocket: Any) -> None:
         self.peer, self.websocket = peer, websocket
-        # set by the owner of the connection: the peer's role, and the versions that were sent to the peer
+        # set by the owner of the connection: the peer's role, the version of the heartbeat details that were
+        # sent to the peer last, and the newest version sent to it by register
         self.role = ""
         self.details_version = -1
         self.sent_versions: dict[str, int] = {}
@@ -168,7 +169,7 @@
         receive_timeout: float | None,
         local_ip: str = "",
     ) -> None:
-        """Store the settings. `maintain` starts to dial.
+        """Store the arguments. `maintain` starts to dial.
 
         `first_message` returns the message that each new connection to a peer begins with. `on_change` is
         called with a peer and True when its connection is established, and with False when it is lost.
--- a/bramblewood/common/worker_connection.py
+++ b/bramblewood/common/worker_connection.py
@@ -18,7 +18,7 @@
 KEEP_ALIVE_FRACTION = 0.6  # of the time for which a worker states that it keeps an idle connection
 DEFAULT_KEEP_ALIVE = 0.8  # s, if the worker states no time; a stated time is in whole seconds
 # bounds of the time in s that a new connection is watched for a reset before a request is sent; the lower
-# bound is the usual lateness of a timer
+# bound is the usual delay of a timer
 MIN_RESET_WATCH, MAX_RESET_WATCH = 0.001, 0.02
 
 _connection_numbers = itertools.count(1)
@@ -39,8 +39,8 @@
     """A connection that carries one request at a time.
 
     `idle_since` is the time at which the last response was complete, or 0 before the first one.
-    `reusable_until` is the time at which the worker may close the connection. Both are seconds of the loop's
-    clock.
+    `reusable_until` is the time at which the worker may close the connection. Both are in s of the loop's
+    clock. `lost` is resolved when the connection is closed or reset.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
