--- a/bramblewood/common/response_parser.py
+++ b/bramblewood/common/response_parser.py
@@ -1,7 +1,7 @@
 """Parses workers' responses incrementally, from bytes as they arrive. The module does no I/O.
 
-The framing is that of RFC 9112, section 6, and the parser is stricter than a client of the open web: bytes
-that are not certain to be a complete response raise `MalformedResponse`. A response that ends only with the
+The framing is that of RFC 9112, section 6, but the parser is stricter than the RFC: bytes that are not
+certain to be a complete response raise `MalformedResponse`. A response that ends only with the
 close of its connection is malformed, since it cannot be distinguished from a truncated one. The exception is
 a response with the header `X-Not-Run`, whose meaning does not depend on its body.
 """
@@ -18,7 +18,7 @@
 STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([1-9]\d\d)(?: ([^\r\n\0]*))?")
 HEADER_FIELD = re.compile(rb"([!#$%&'*+\-.^_`|~0-9A-Za-z]+):[ \t]*([^\r\n\0]*?)[ \t]*")
 CHUNK_SIZE_LINE = re.compile(rb"([0-9A-Fa-f]{1,15})[ \t]*(?:;[^\r\n\0]*)?")
-# a status line within a head or a trailer: the response was truncated there, and the next one follows
+# a status line within a head or a trailer, where the response was truncated and the next one begins
 EMBEDDED_STATUS_LINE = re.compile(rb"HTTP/1\.[01] \d\d\d")
 SINGLE_VALUE_HEADERS = ("X-Attempt-Id", "Content-Length", "Transfer-Encoding")
 MAX_LENGTH_DIGITS = 15
@@ -86,7 +86,9 @@
     if head.status == 101:
         raise MalformedResponse("status 101 switches protocols")
     if coding is not None and (length is not None or coding.lower() != "chunked"):
-        raise MalformedResponse(f"Transfer-Encoding {coding!r:.60} with Content-Length {length!r:.60}")
+        raise MalformedResponse(
+            f"unsupported framing: Transfer-Encoding {coding!r:.60}, Content-Length {length!r:.60}"
+        )
     if length is None:
         return coding is not None, None
     if not (length.isascii() and length.isdigit() and len(length) <= MAX_LENGTH_DIGITS):
@@ -100,9 +102,9 @@
     """Parses the responses on one connection, in the order of their arrival.
 
     `head_request` states that the request's method is HEAD, so that its response has no body. `response_head`
-    is the head of the incomplete response, or None if its head is incomplete. `bytes_needed` is the length of
-    the body, or of the current chunk with its line end; it is None until the size of the chunk is known.
-    `chunks` contains the chunks received so far, or is None if the body is not chunked.
+    is the head of the response that is being read, or None until that head is complete. `bytes_needed` is the
+    length of the body, or of the current chunk with its line end; it is None until the size of the chunk is
+    known. `chunks` contains the chunks received so far, or is None if the body is not chunked.
     """
 
     def __init__(self) -> None:
@@ -121,7 +123,10 @@
         self.buffer += data
 
     def next_response(self) -> WorkerResponse | None:
-        """Return the next response, or None if it is incomplete. Raises `MalformedResponse`."""
+        """Return the next response, or None if it is incomplete.
+
+        Raises `MalformedResponse` if the bytes in the buffer are not a valid response.
+        """
         if self.response_head is None and not self._read_head():
             return None
         if self.chunks is None:
@@ -173,7 +178,9 @@
             self.bytes_needed, self.chunks = None, []
         elif length is None:
             if "X-Not-Run" not in head.headers_by_name:  # with it, the body does not matter
-                raise MalformedResponse("no length of the body")
+                raise MalformedResponse(
+                    "neither Content-Length nor Transfer-Encoding states the length of the body"
+                )
             head = head._replace(closes_connection=True)
         self.response_head = head
         return True
