--- a/bramblewood/common/settings.py
+++ b/bramblewood/common/settings.py
@@ -124,7 +124,7 @@
     bounds: Bounds
     tolerance: Tolerance = Tolerance()
     detect_hot_keys: bool = True
-    # the address to listen on for peers and to dial them from, if it is not the one that others use; else ""
+    # the local address of connections with peers, if it differs from the `ip` that peers dial; else ""
     bind_ip: str = ""
     counts_for_tolerance: bool = True  # whether the loss of this machine counts for `Tolerance`
     region_of_zone: dict[str, str] = field(default_factory=dict)
@@ -145,8 +145,8 @@
 def load(path: str | None = None) -> Result[Settings, SettingsError]:
     """Read the settings file, and return the settings or the first error.
 
-    If `path` is None, the environment variable SETTINGS_PATH_VARIABLE names the file, and otherwise it is
-    DEFAULT_SETTINGS_PATH.
+    If `path` is None, the path is the value of the environment variable SETTINGS_PATH_VARIABLE, or
+    DEFAULT_SETTINGS_PATH if that variable is not set.
     """
     path = path or os.environ.get(SETTINGS_PATH_VARIABLE) or DEFAULT_SETTINGS_PATH
     try:
--- a/bramblewood/common/slice_table.py
+++ b/bramblewood/common/slice_table.py
@@ -2,8 +2,8 @@
 
 Controllers agree on the table, and proxies follow it. It has the form
 `{"n": version, "s": {service: {first key: row}}}`. A slice contains the keys from its first key up to the
-next slice's first key. The last slice ends with the key space. The requests of a keyed service state their
-keys. For other services the key is a hash of the request id.
+next slice's first key. The last slice extends to the end of the key space. The requests of a sharded service
+state their keys. For other services the key is a hash of the request id.
 
 On the wire and on disk a row is a list of the following values:
 
@@ -82,7 +82,7 @@
 def active_readers(row: Row) -> list[str]:
     """Return the instance ids of the readers that are not removed.
 
-    Lookups of the slice's keys may be sent to them as well as to the slice's worker.
+    Idempotent requests for the slice's keys may be sent to them as well as to the slice's worker.
     """
     return [instance_id for instance_id, version in all_readers(row).items() if version > 0]
 
