--- a/bramblewood/common/timeouts.py
+++ b/bramblewood/common/timeouts.py
@@ -7,20 +7,22 @@
 
 # ms that sent bytes may stay unacknowledged before the system ends the connection (TCP_USER_TIMEOUT)
 UNACKNOWLEDGED_TIMEOUT_MS = 1000
-# how long an answer from a quorum stays valid; callers give a controller one second: PROTOCOL
+# how long an answer from a quorum stays valid; callers wait one second for a controller: see PROTOCOL
 QUORUM_CONTACT_VALIDITY = 1.0
-# a worker's clock may run 2% slow: PROTOCOL
+# a worker's clock may run 2% slow: see PROTOCOL
 CLOCK_DRIFT_FACTOR = 1.02
-# the longest transit of a call; the rules allow the same time after a freeze (`ThawSlackS`)
+# the longest transit of a call without retransmissions; `ThawSlackS` allows the same time after a freeze
 MAX_TRANSIT_TIME = 0.3
 # a worker is silent if no heartbeat of it arrives for this many of its heartbeat intervals
 MISSED_HEARTBEATS = 3.2
-# the longest time from sending a call to its arrival; TCP retransmits packets until the socket times out
+# the longest time from sending a call to its arrival, with retransmissions: TCP retransmits packets until
+# the socket times out
 MAX_CALL_TRANSIT = UNACKNOWLEDGED_TIMEOUT_MS / 1000 + MAX_TRANSIT_TIME
-# the lease of a read replica; an unreachable replica delays the response to a write by the time of a call
+# the duration of a read replica's lease; the response to a write waits until the lease of an unreachable
+# replica has expired
 READ_LEASE_DURATION = 1.0
-# from the announcement of a new reader to its first lease: the age of a quorum's answer, the transit of the
-# confirmation, and the time in which proxies use the confirmation
+# from the announcement of a new reader to its first lease; covers the age of a quorum's answer, the transit
+# of the confirmation, and the time in which proxies use the confirmation
 REPLICA_ANNOUNCEMENT_DELAY = 3.0
 # from the request for a confirmation to the end of the confirmation's use
 CONFIRMATION_VALIDITY = REPLICA_ANNOUNCEMENT_DELAY - QUORUM_CONTACT_VALIDITY - MAX_TRANSIT_TIME
@@ -33,8 +35,8 @@
     lease in s.
 
     A controller sends leases only while it has quorum contact. So the last lease of the older table is sent
-    while contact from before the change is still valid. It arrives after the longest transit of a call at the
-    latest. It then lasts for its duration on the slowest clock that a worker may have.
+    while contact from before the change is still valid. It arrives at most MAX_CALL_TRANSIT later. It then
+    lasts for its duration on the slowest clock that a worker may have.
     """
     return QUORUM_CONTACT_VALIDITY + MAX_CALL_TRANSIT + duration * CLOCK_DRIFT_FACTOR
 
--- a/bramblewood/common/worker_registry.py
+++ b/bramblewood/common/worker_registry.py
@@ -2,17 +2,17 @@
 
 Invariant: registries that have merged the same registrations agree, whatever the order in which the
 registrations arrived. Of two registrations of one instance, one with the phase "gone" takes precedence, then
-the one with the higher call number, then the one with the later phase (ready, draining, gone). "Gone" is
-final.
+the one with the higher call sequence number, then the one with the later phase (ready, draining, gone).
+"Gone" is final.
 
-The time of a worker's last contact is sent as an age, since the steady clocks of two machines differ.
+The time of a worker's last contact is sent as an age, since the monotonic clocks of two machines differ.
 
-The last call of an instance that a controller does not know creates a registration without an address, whose
-phase is "gone". It receives its missing fields from any other registration of that instance, whichever of the
-two arrives first.
+The last call of an instance deregisters it. If the controller does not know the instance, the call creates a
+registration without an address, whose phase is "gone". That registration receives its missing fields from any
+other registration of the instance, whichever of the two arrives first.
 
 On the wire and on disk a registration is the list of its fields, in their order. All times are in s of the
-steady clock.
+monotonic clock.
 """
 
 import zlib
