--- a/features/settings.feature
+++ b/features/settings.feature
@@ -1,6 +1,6 @@
 Feature: The settings file is parsed as documented
 
-  Scenario: Bounds, limits, tolerance and the parts of the rules
+  Scenario: Bounds, limits, tolerance and the parts of the rules are parsed, or rejected if they are invalid
     Then these settings are parsed as in the approved "settings"
       | case                     | lines                                                         |
       | documented example       |                                                               |
--- a/features/worker_connections.feature
+++ b/features/worker_connections.feature
@@ -1,9 +1,9 @@
 Feature: A client gets the response to its own request, and a non-idempotent request runs at most once
 
-  Scenario: All orders of up to four events at workers and connections, with two requests
+  Scenario: No order of up to four events at workers and connections breaks a rule for two requests
     Then more than 3500 states are reached with and without keys, and no rule is broken
 
-  Scenario: Random events with eight requests
+  Scenario: No random run of events breaks a rule for eight requests
     Then 2000 random runs of up to 80 events break no rule
 
   Scenario Outline: Without a guard, a rule is broken
@@ -19,7 +19,7 @@
       | unconfirmed not-run statuses replaced | 40   |
       | retries on another connection         | 100  |
 
-  Scenario: A response of each framing, truncated and split at each byte
+  Scenario: A response of each framing is complete at its last byte only, wherever it is truncated or split
     Then each response is complete at its last byte only, and its connection is reusable unless more bytes follow
       | response                                                                                                         | body  | method |
       | HTTP/1.1 200 OK\nX-Attempt-Id: r\nContent-Length: 5\n\nhello                                                     | hello | GET    |
@@ -31,7 +31,7 @@
       | HTTP/1.1 304 No\nX-Attempt-Id: r\nContent-Length: 5\n\n                                                          |       | GET    |
       | HTTP/1.1 100 Continue\n\nHTTP/1.1 103 Early\nLink: a\n\nHTTP/1.1 200 OK\nX-Attempt-Id: r\nContent-Length: 1\n\nx | x     | GET    |
 
-  Scenario: Responses after which a connection is not reused
+  Scenario: A connection is not reused after a response that closes it, or if it also carried other bytes
     Then each response is complete, and its connection is not reusable
       | response                                                                                                       |
       | HTTP/1.1 200 OK\nX-Attempt-Id: r\nConnection: x, Close\nContent-Length: 0\n\n                                  |
@@ -64,7 +64,7 @@
       | HTTP/2                                                                                         |
       | \nHTTP/1.1 200 OK\nX-Attempt-Id: r\nContent-Length: 0\n\n                                      |
 
-  Scenario: Requests with ambiguous headers or bodies, and what is forwarded of them
+  Scenario: Requests with ambiguous headers or bodies are rejected or forwarded as a single request
     Given a proxy in front of these workers
       | worker | script |
       | w1     |        |
@@ -87,7 +87,7 @@
       | /none/1  | Expect: 100-continue                                                 |                                                            |
     Then the transcript of those connections is "ambiguous-requests"
 
-  Scenario: Requests with an empty id or an incomplete body
+  Scenario: Requests with an empty id or an incomplete body are not forwarded
     Given a proxy in front of these workers
       | worker | script |
       | w1     |        |
@@ -101,14 +101,14 @@
       | w1     |        |
     Then a HEAD request gets status 200 with "Content-Length: 4" and no body, and its connection is reused
 
-  Scenario: A client that disconnects or closes its half of the connection before the response
+  Scenario: The request of a client that disconnects or closes its half of the connection still runs once
     Given a proxy in front of these workers
       | worker | script       |
       | w1     | held, answer |
     When a client disconnects while its non-idempotent request is at the worker
     Then its request runs once, and the next client gets its own response on that connection
 
-  Scenario: A response arrives while the body is still being sent
+  Scenario: A response that arrives while the body is being sent is forwarded, and its connection is not reused
     Given a proxy in front of these workers
       | worker | script        |
       | w1     | early, answer |
@@ -127,6 +127,6 @@
       | w1     | full twice, answer |
     Then a keyed idempotent request gets status 200 after attempts on 2 connections
 
-  Scenario: Connections that may carry surplus bytes, or are closing
+  Scenario: A connection that may carry surplus bytes is closed, and a closing connection sends no request
     Then a connection is closed after each of the worker steps "silent, noise, extra" and after unsolicited bytes
     And a closing connection sends no request
--- a/tests/simulation/worker_connections.py
+++ b/tests/simulation/worker_connections.py
@@ -39,7 +39,7 @@
     "effect": TESTED_CONFIGURATION.find_route("h.example", "/pay/1"),
     "lookup": TESTED_CONFIGURATION.find_route("h.example", "/look/1"),
 }
-MANY_REQUESTS = tuple(f"{kind}{place}" for place in range(4) for kind in TWO_REQUESTS)
+MANY_REQUESTS = tuple(f"{name}{number}" for number in range(4) for name in TWO_REQUESTS)
 # what a worker may do with a request that has arrived
 WORKER_ACTIONS = (
     "run",
@@ -65,7 +65,7 @@
 
 
 class RuleViolation(AssertionError):
-    """A rule of the module's docstring is broken."""
+    """One of the rules in the module's docstring is broken."""
 
 
 class SimulatedConnection(SimpleNamespace):
@@ -80,7 +80,7 @@
 
 
 class ExchangeSimulation:
-    """The requests, connections and workers. `removed_guard` names the guard that does not act, or is ""."""
+    """The requests, connections and workers. `removed_guard` names the disabled guard, or is ""."""
 
     def __init__(self, keyed: bool, removed_guard: str = "", names: tuple[str, ...] = TWO_REQUESTS) -> None:
         self.keyed, self.removed_guard, self.names = keyed, removed_guard, names
@@ -286,7 +286,7 @@
                 ):
                     raise RuleViolation("MIXED: a reply mixes the status and the headers of two responses")
             elif reply.status < 400:
-                raise RuleViolation("MIXED: the proxy replies with a success of its own")
+                raise RuleViolation("MIXED: the proxy replies with a success that no worker sent")
             promises_not_run = name.startswith("effect") and reply.status in (408, 421, 429, 503)
             if promises_not_run and name in self.executed:
                 raise RuleViolation(
@@ -379,7 +379,7 @@
 
 
 def without_guard(removed_guard: str):
-    """Return a context in which a guard that is a module's constant is removed."""
+    """Return a context in which a guard that depends on a module's constant is removed."""
     if removed_guard == "unconfirmed not-run statuses replaced":
         return patch.object(request_attempts, "STATUSES_PROMISING_NOT_RUN", ())
     if removed_guard == "embedded status lines rejected":
@@ -426,7 +426,7 @@
 
 
 def play_random(seed: int, steps: int, keyed: bool, removed_guard: str = "") -> int:
-    """Run up to `steps` random events on many requests.
+    """Run up to `steps` random events, with MANY_REQUESTS as the requests.
 
     Returns the number of events. Raises RuleViolation.
     """
