--- a/bramblewood/common/worker_connection.py
+++ b/bramblewood/common/worker_connection.py
@@ -78,9 +78,10 @@
         return self.is_open and not self.transport.is_closing() and self.state.is_reusable
 
     async def survives_round_trip(self, round_trip: float) -> bool:
-        """Wait for `round_trip` s, within the bounds above, and return whether the connection is still open.
+        """Wait for `round_trip` s, and return whether the connection is still open.
 
-        A worker without a slot for a new connection accepts it and resets it at once.
+        The wait is between MIN_RESET_WATCH and MAX_RESET_WATCH s. It ends early if the connection is lost. A
+        worker without a slot for a new connection accepts it and resets it at once.
         """
         watch_time = min(max(round_trip, MIN_RESET_WATCH), MAX_RESET_WATCH)
         await asyncio.wait([self.lost], timeout=watch_time)
--- a/tests/test_peer_connections.py
+++ b/tests/test_peer_connections.py
@@ -20,7 +20,7 @@
 
 
 class Acceptor:
-    """Accepts connections, and queues their first messages, further messages and ends."""
+    """Accepts connections, and queues their first messages, further messages and closed connections."""
 
     def __init__(self) -> None:
         self.first_messages, self.messages, self.closed = asyncio.Queue(), asyncio.Queue(), asyncio.Queue()
