--- a/bramblewood/common/worker_connection.py
+++ b/bramblewood/common/worker_connection.py
@@ -18,7 +18,7 @@
 KEEP_ALIVE_FRACTION = 0.6  # of the time for which a worker states that it keeps an idle connection
 DEFAULT_KEEP_ALIVE = 0.8  # s, if the worker states no time; a stated time is in whole seconds
 # bounds of the time in s that a new connection is watched for a reset before a request is sent; the lower
-# bound is the usual lateness of a timer
+# bound is the usual delay of a timer
 MIN_RESET_WATCH, MAX_RESET_WATCH = 0.001, 0.02
 
 _connection_numbers = itertools.count(1)
@@ -39,8 +39,8 @@
     """A connection that carries one request at a time.
 
     `idle_since` is the time at which the last response was complete, or 0 before the first one.
-    `reusable_until` is the time at which the worker may close the connection. Both are seconds of the loop's
-    clock.
+    `reusable_until` is the time at which the worker may close the connection. Both are in s of the loop's
+    clock. `lost` is resolved when the connection is closed or reset.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -78,9 +78,10 @@
         return self.is_open and not self.transport.is_closing() and self.state.is_reusable
 
     async def survives_round_trip(self, round_trip: float) -> bool:
-        """Wait for `round_trip` s, within the bounds above, and return whether the connection is still open.
+        """Wait for `round_trip` s, and return whether the connection is still open.
 
-        A worker without a slot for a new connection accepts it and resets it at once.
+        The wait is between MIN_RESET_WATCH and MAX_RESET_WATCH s. It ends early if the connection is lost. A
+        worker without a slot for a new connection accepts it and resets it at once.
         """
         watch_time = min(max(round_trip, MIN_RESET_WATCH), MAX_RESET_WATCH)
         await asyncio.wait([self.lost], timeout=watch_time)
