--- a/tests/simulation/membership_epochs.py
+++ b/tests/simulation/membership_epochs.py
@@ -343,7 +343,7 @@
             for digest, requested in acknowledged.items():
                 if past.get(str(requested.revision)) != digest:
                     raise RuleViolation(
-                        f"{digest} was acknowledged as r{requested.revision}, but a read returns {past}"
+                        f"{digest} was acknowledged as r{requested.revision}, but {name} reads {past}"
                     )
             answers.append(past)
 
@@ -397,7 +397,7 @@
         for number, digest in value["past"].items():
             if self.versions_seen.setdefault(number, digest) != digest:
                 raise RuleViolation(
-                    f"r{number} is {digest} at one controller and {self.versions_seen[number]} at another"
+                    f"r{number} is {digest} at {machine.name} and {self.versions_seen[number]} at another"
                 )
             if digest in self.rejected:
-                raise RuleViolation(f"{digest} was rejected, but is chosen")
+                raise RuleViolation(f"{digest} was rejected, but {machine.name} has learned it as chosen")
