--- a/features/membership_epoch_search.feature
+++ b/features/membership_epoch_search.feature
@@ -1,33 +1,33 @@
-Feature: Sets of voters, searched through: every order of events up to a depth
+Feature: An exhaustive search of all orders of events finds no broken rule in small clusters
 
-  Scenario Outline: Every order of what may happen, up to a depth
-    Then all <states> states or more of "<shape>" up to depth <depth> are sound
+  Scenario Outline: All orders of events up to a depth
+    Then the search of "<shape>" to depth <depth> visits at least <states> states, and none breaks a rule
 
     Examples:
-      | shape         | depth | states |
-      | lost disk     | 9     | 18000  |
-      | any disk      | 6     | 9800   |
-      | spare         | 8     | 43000  |
-      | power         | 7     | 28000  |
-      | amid a change | 10    | 16000  |
-      | chosen before | 9     | 37000  |
-      | two left over | 7     | 24000  |
-      | two changes   | 6     | 7000   |
-      | slow disks    | 10    | 39000  |
-      | late answers  | 9     | 43000  |
+      | shape                       | depth | states |
+      | lost disk                   | 9     | 18000  |
+      | any lost disk               | 6     | 9800   |
+      | spare                       | 8     | 43000  |
+      | power loss                  | 7     | 28000  |
+      | after a chosen change       | 10    | 16000  |
+      | change after a chosen value | 9     | 37000  |
+      | two unfinished proposals    | 7     | 24000  |
+      | two concurrent changes      | 6     | 7000   |
+      | slow disks                  | 10    | 39000  |
+      | late replies                | 9     | 43000  |
 
-  Scenario: From each state the core finds its way, also where a second change began too soon
-    Then in 3000 of the last states of "second change" at depth 7 a majority answers in the end
-    And without "seals of unused seats" in one of them it does not
+  Scenario: A majority answers in the end, also if a second change began too early
+    Then a majority answers in the end in 3000 of the last states of "second change" at depth 7
+    And without the guard "seals of unused seats count" it does not in one of them
 
-  Scenario Outline: A guard that is taken out is found out by the search
-    Then without "<guard>" something breaks within <states> states of "<shape>"
+  Scenario Outline: The search detects that a guard is missing
+    Then without the guard "<guard>", one of the first <states> states of "<shape>" breaks a rule
 
     Examples:
-      | guard                          | shape         | states |
-      | epochs of proposals              | amid a change | 15000  |
-      | disks of members               | lost disk     | 6000   |
-      | a majority of seals            | chosen before | 5000   |
-      | what was carried is not chosen | two left over | 1600   |
-      | seals on disk                  | amid a change | 19000  |
-      | voting once active             | chosen before | 2000   |
+      | guard                                      | shape                       | states |
+      | proposals count only in their epoch        | after a chosen change       | 15000  |
+      | seats belong to one disk                   | lost disk                   | 6000   |
+      | a voter needs a majority of seals          | change after a chosen value | 5000   |
+      | carried-over values do not count as chosen | two unfinished proposals    | 1600   |
+      | seals are durable before replies           | after a chosen change       | 19000  |
+      | members vote only once active              | change after a chosen value | 2000   |
--- a/features/membership_epochs.feature
+++ b/features/membership_epochs.feature
@@ -1,30 +1,30 @@
-Feature: Sets of voters change one at a time, and nothing acknowledged is lost on the way
+Feature: Voter sets change one at a time, and no acknowledged configuration is lost by a change
 
-  Scenario: Orders of events that once broke, or would without a guard
-    Then all directed plays keep what was acknowledged
+  Scenario: Scripted orders of events that once broke a rule, or that break one without a guard
+    Then no scripted case breaks a rule
 
-  Scenario Outline: A guard that is taken out is found out by a directed play
-    Then without "<guard>" the play "<play>" breaks
+  Scenario Outline: A scripted case detects that a guard is missing
+    Then without the guard "<guard>", the case "<case>" breaks a rule
 
     Examples:
-      | guard                       | play                                               |
-      | disks of members            | forgotten promise, three voters and a spare        |
-      | disks of members            | forgotten promise, five voters                     |
-      | epochs of proposals           | late promise of a sealed voter                     |
-      | voting once active          | joining from one active voter and from sealed ones |
-      | who counts as active        | a heartbeat of the epoch before                        |
-      | rows with their fact        | a refused write and the next                       |
-      | a rolled-back disk is detected      | an older disk, three voters                        |
-      | a rolled-back disk is detected      | an older disk, five voters                         |
+      | guard                                            | case                                                       |
+      | seats belong to one disk                         | forgotten promise, three voters and a spare                |
+      | seats belong to one disk                         | forgotten promise, five voters                             |
+      | proposals count only in their epoch              | late promise of a sealed voter                             |
+      | members vote only once active                    | joining by reports of one active voter or of sealed voters |
+      | only voters of the current epoch count as active | a heartbeat of the previous epoch                          |
+      | rows of a refused write are repeated             | a refused write and the next write                         |
+      | a disk rollback is detected                      | forgotten promise after a disk rollback, three voters      |
+      | a disk rollback is detected                      | forgotten promise after a disk rollback, five voters       |
 
-  Scenario: Days of faults within Tolerance
-    Then in 24 days by dice everything acknowledged stays, and a majority answers
-    And in 8 days in which older disks come back too
+  Scenario: Random runs with faults within Tolerance
+    Then in 24 random runs no acknowledged configuration is lost, and a majority answers
+    And the same holds in 8 random runs with disk rollbacks
 
-  Scenario Outline: A guard that is taken out is found out by the dice
-    Then without "<guard>" something breaks within <count> days
+  Scenario Outline: Random runs detect that a guard is missing
+    Then without the guard "<guard>", one of <count> random runs breaks a rule
 
     Examples:
-      | guard                       | count |
-      | leaving once others hold it | 8     |
-      | who counts as active        | 45    |
+      | guard                                                   | count |
+      | a leaving voter waits until others hold its acceptances | 8     |
+      | only voters of the current epoch count as active        | 45    |
--- a/features/steps/membership_epochs.py
+++ b/features/steps/membership_epochs.py
@@ -7,72 +7,74 @@
 from tests.simulation.membership_epoch_search import Search
 from tests.simulation.membership_epoch_shapes import SHAPES
 
-TRIED = 30  # of the last states of a search, for how many it is tried whether a majority answers in the end
+RECOVERY_SAMPLES = 30  # number of the last states of a search from which the recovery is checked
 
 
-@then('all {states:d} states or more of "{shape}" up to depth {depth:d} are sound')
-def searched(context, states, shape, depth):
-    found = Search(SHAPES[shape]).run(depth, tried=TRIED)
-    assert not found.broken, (found.broken, found.moves)
-    assert found.states >= states, found.states
+@then('the search of "{shape}" to depth {depth:d} visits at least {states:d} states, and none breaks a rule')
+def search_breaks_no_rule(context, states, shape, depth):
+    result = Search(SHAPES[shape]).run(depth, recovery_samples=RECOVERY_SAMPLES)
+    assert not result.violation, (result.violation, result.moves)
+    assert result.states >= states, result.states
 
 
-@then('in {tried:d} of the last states of "{shape}" at depth {depth:d} a majority answers in the end')
-def mended(context, tried, shape, depth):
-    context.search = SHAPES[shape], depth, tried
-    found = Search(SHAPES[shape]).run(depth, tried=tried)
-    assert not found.broken, (found.broken, found.moves)
+@then('a majority answers in the end in {samples:d} of the last states of "{shape}" at depth {depth:d}')
+def majority_answers_in_the_end(context, samples, shape, depth):
+    context.search = SHAPES[shape], depth, samples
+    result = Search(SHAPES[shape]).run(depth, recovery_samples=samples)
+    assert not result.violation, (result.violation, result.moves)
 
 
-@then('without "{guard}" in one of them it does not')
-def not_mended(context, guard):
-    shape, depth, tried = context.search
+@then('without the guard "{guard}" it does not in one of them')
+def no_majority_answers_in_one(context, guard):
+    shape, depth, samples = context.search
     with without_guard(guard):
-        found = Search(shape).run(depth, tried=tried)
-    assert found.broken == "no majority answers", found.broken
+        result = Search(shape).run(depth, recovery_samples=samples)
+    assert result.violation == "no majority answers", result.violation
 
 
-@then('without "{guard}" something breaks within {states:d} states of "{shape}"')
-def found_out(context, guard, states, shape):
+@then('without the guard "{guard}", one of the first {states:d} states of "{shape}" breaks a rule')
+def search_detects_missing_guard(context, guard, states, shape):
     with without_guard(guard):
-        found = Search(SHAPES[shape]).run(depth=12, most=states)
-    assert found.broken and found.states <= states, found.states
+        result = Search(SHAPES[shape]).run(depth=12, max_states=states)
+    assert result.violation and result.states <= states, result.states
 
 
-@then("all directed plays keep what was acknowledged")
-def directed(context):
-    for play in CASES.values():
-        play()
+@then("no scripted case breaks a rule")
+def no_case_breaks_a_rule(context):
+    for run_case in CASES.values():
+        run_case()
 
 
-@then('without "{guard}" the play "{play}" breaks')
-def broken(context, guard, play):
+@then('without the guard "{guard}", the case "{case}" breaks a rule')
+def case_detects_missing_guard(context, guard, case):
     with without_guard(guard):
         try:
-            CASES[play]()
+            CASES[case]()
         except RuleViolation:
             return
-    raise AssertionError("it does not break")
+    raise AssertionError("the case breaks no rule without the guard")
 
 
-@then("in {count:d} days by dice everything acknowledged stays, and a majority answers")
-def days(context, count):
-    made = [day(seed) for seed in range(count)]
-    assert sum(len(one.fleet.acknowledged) for one in made) > 40 * count, "hardly anything was acknowledged"
-    assert sum(max(one.fleet.voter_sets) for one in made) > 2 * count, "hardly any set changed"
+@then("in {count:d} random runs no acknowledged configuration is lost, and a majority answers")
+def random_runs_lose_nothing(context, count):
+    runs = [day(seed) for seed in range(count)]
+    assert sum(len(run.fleet.acknowledged) for run in runs) > 40 * count, (
+        "too few acknowledged configurations"
+    )
+    assert sum(max(run.fleet.voter_sets) for run in runs) > 2 * count, "too few changes of the voter set"
 
 
-@then("in {count:d} days in which older disks come back too")
-def older(context, count):
-    made = [day(seed, older=10) for seed in range(count)]
-    assert sum(one.counts.get("rollback", 0) for one in made) > count
+@then("the same holds in {count:d} random runs with disk rollbacks")
+def random_runs_with_rollbacks_lose_nothing(context, count):
+    runs = [day(seed, older=10) for seed in range(count)]
+    assert sum(run.counts.get("rollback", 0) for run in runs) > count
 
 
-@then('without "{guard}" something breaks within {count:d} days')
-def dice(context, guard, count):
+@then('without the guard "{guard}", one of {count:d} random runs breaks a rule')
+def random_runs_detect_missing_guard(context, guard, count):
     for seed in range(count):
         try:
             day(seed, guard=guard)
         except RuleViolation:
             return
-    raise AssertionError("no day found it")
+    raise AssertionError("no random run breaks a rule without the guard")
--- a/tests/simulation/membership_epoch_guards.py
+++ b/tests/simulation/membership_epoch_guards.py
@@ -1,4 +1,8 @@
-"""Guards of consensus and membership, each taken out by name, to see that a simulation finds that out."""
+"""Removes guards of consensus and membership by name, so that tests can show that a simulation detects it.
+
+`GUARDS` has, by the name of the guard, a function that returns a context manager. The guard is removed while
+the context is open.
+"""
 
 import contextlib
 from typing import Any
@@ -14,11 +18,11 @@
 from bramblewood.controller.consensus.replica import ConsensusReplica
 
 
-def without_epochs(play: Any) -> Any:
-    """Proposals of an earlier or later epoch count like those of one's own."""
+def accept_proposals_of_any_epoch(_unused: Any) -> Any:
+    """Lets a voter handle proposals of other epochs like those of its current epoch."""
     receive = ConsensusReplica.receive
 
-    def careless(self: ConsensusReplica, now: float, peer: str, message: dict) -> Any:
+    def unguarded(self: ConsensusReplica, now: float, peer: str, message: dict) -> Any:
         if message["k"] in ("prepare", "accept") and self.is_active_voter:
             member, voter_set = self.member, self.voter_set
             member.voter_set = {**voter_set, "n": tuple(message["b"])[0]}
@@ -28,11 +32,11 @@
             return effects
         return receive(self, now, peer, message)
 
-    return mock.patch.object(ConsensusReplica, "receive", careless)
+    return mock.patch.object(ConsensusReplica, "receive", unguarded)
 
 
-def without_disks(play: Any) -> Any:
-    """A member is known by its address alone, whatever disk came back there."""
+def accept_any_disk(_unused: Any) -> Any:
+    """Lets an address vote with any disk, also if the seat names another one."""
     stack = contextlib.ExitStack()
     for module in (local_member, epochs):
         by_address = lambda voters, address, disk: address in voters  # noqa: E731
@@ -42,19 +46,19 @@
     return stack
 
 
-def too_few_seals(play: Any) -> Any:
-    """One seal less than a majority makes a voter active."""
+def activate_with_too_few_seals(_unused: Any) -> Any:
+    """Lets a voter become active with one seal less than a majority."""
     try_activate = EpochTransition.try_activate
 
-    def careless(self: EpochTransition, now: float, effects: Any) -> bool:
+    def unguarded(self: EpochTransition, now: float, effects: Any) -> bool:
         with mock.patch.object(epochs, "majority", lambda voters: max(1, len(voters) // 2)):
             return try_activate(self, now, effects)
 
-    return mock.patch.object(EpochTransition, "try_activate", careless)
+    return mock.patch.object(EpochTransition, "try_activate", unguarded)
 
 
-def carried_counts_as_chosen(play: Any) -> Any:
-    """A value that all of a majority hold counts as chosen, also where it was only carried there."""
+def count_carried_over_as_chosen(_unused: Any) -> Any:
+    """Counts a value that a majority holds as chosen even if it was carried over from an earlier epoch."""
     return mock.patch.object(
         Proposer,
         "is_already_chosen",
@@ -64,72 +68,78 @@
     )
 
 
-def seal_only_in_memory(play: Any) -> Any:
-    """A seal's answer does not wait until the seal is on disk."""
+def report_before_seal_is_durable(_unused: Any) -> Any:
+    """Lets a sealed voter report its state before its seal is durable."""
     on_join_epoch = EpochTransition.on_join_epoch
 
-    def careless(self: EpochTransition, now: float, peer: str, request: Any, effects: Any) -> None:
+    def unguarded(self: EpochTransition, now: float, peer: str, request: Any, effects: Any) -> None:
         on_join_epoch(self, now, peer, request, effects)
         effects.facts.pop("members", None)
 
-    return mock.patch.object(EpochTransition, "on_join_epoch", careless)
+    return mock.patch.object(EpochTransition, "on_join_epoch", unguarded)
 
 
-def unused_seats_do_not_seal(play: Any) -> Any:
-    """The seal of a voter that was never active in the epoch before does not count."""
+def ignore_seals_of_unused_seats(_unused: Any) -> Any:
+    """Does not count the seal of a voter that was never active in the previous epoch."""
     try_activate = EpochTransition.try_activate
 
-    def careless(self: EpochTransition, now: float, effects: Any) -> bool:
-        reports, before = self.join.reports, self.member.epoch - 1
-        self.join.reports = {peer: one for peer, one in reports.items() if one.active_epoch >= before}
+    def unguarded(self: EpochTransition, now: float, effects: Any) -> bool:
+        reports, previous_epoch = self.join.reports, self.member.epoch - 1
+        self.join.reports = {
+            peer: report for peer, report in reports.items() if report.active_epoch >= previous_epoch
+        }
         return try_activate(self, now, effects)
 
-    return mock.patch.object(EpochTransition, "try_activate", careless)
+    return mock.patch.object(EpochTransition, "try_activate", unguarded)
 
 
-def votes_before_active(play: Any) -> Any:
-    """A member votes from the moment it knows that it is one."""
+def vote_before_active(_unused: Any) -> Any:
+    """Lets a member vote before it holds the state with which the epoch began."""
     return mock.patch.object(LocalMember, "is_active_voter", property(lambda self: self.is_member))
 
 
-def heard_counts_as_active(play: Any) -> Any:
-    """A voter that is heard counts as active, in whatever epoch: sets change, leavers go, too soon."""
+def count_reachable_as_active(_unused: Any) -> Any:
+    """Counts every voter whose heartbeats arrive as active, whatever its epoch.
+
+    Voter sets then change too early, and leaving voters shut down too early.
+    """
     return mock.patch.object(PeerStatus, "is_active_in", lambda peer, voter_set, address: True)
 
 
-def no_rollback_check(play: Any) -> Any:
-    """Nobody minds an older state of a disk."""
+def ignore_disk_rollback(_unused: Any) -> Any:
+    """Ignores that a disk was rolled back to an older state."""
     return mock.patch.object(ConsensusReplica, "check_disk_rollback", lambda *_: no_effects())
 
 
-def shuts_down_at_once(play: Any) -> Any:
-    """A controller ends on SIGTERM, whoever holds what it holds."""
+def shut_down_at_once(_unused: Any) -> Any:
+    """Lets a controller shut down at once, even if no other voter has on disk what it has accepted."""
     return mock.patch.object(voter_changes, "may_shut_down", lambda *_: True)
 
 
-def refused_rows_forgotten(play: Any) -> Any:
-    """A refused write's rows don't come again with the fact that speaks of them."""
+def forget_rows_of_refused_write(_unused: Any) -> Any:
+    """Repeats the facts of a refused write without the rows that belong to them."""
     return mock.patch.object(
         PendingWrites,
         "prepare_write",
-        lambda self, out: (self.facts.update(out.facts), (out.writes, dict(self.facts)))[1],
+        lambda self, effects: (self.facts.update(effects.facts), (effects.writes, dict(self.facts)))[1],
     )
 
 
 GUARDS = {
-    "epochs of proposals": without_epochs,
-    "disks of members": without_disks,
-    "a majority of seals": too_few_seals,
-    "what was carried is not chosen": carried_counts_as_chosen,
-    "seals on disk": seal_only_in_memory,
-    "seals of unused seats": unused_seats_do_not_seal,
-    "voting once active": votes_before_active,
-    "who counts as active": heard_counts_as_active,
-    "a rolled-back disk is detected": no_rollback_check,
-    "leaving once others hold it": shuts_down_at_once,
-    "rows with their fact": refused_rows_forgotten,
+    "proposals count only in their epoch": accept_proposals_of_any_epoch,
+    "seats belong to one disk": accept_any_disk,
+    "a voter needs a majority of seals": activate_with_too_few_seals,
+    "carried-over values do not count as chosen": count_carried_over_as_chosen,
+    "seals are durable before replies": report_before_seal_is_durable,
+    "seals of unused seats count": ignore_seals_of_unused_seats,
+    "members vote only once active": vote_before_active,
+    "only voters of the current epoch count as active": count_reachable_as_active,
+    "a disk rollback is detected": ignore_disk_rollback,
+    "a leaving voter waits until others hold its acceptances": shut_down_at_once,
+    "rows of a refused write are repeated": forget_rows_of_refused_write,
 }
 
 
 def without_guard(guard: str) -> contextlib.AbstractContextManager:
+    """Returns a context manager that removes this guard, or that does nothing if `guard` is ""."""
     return GUARDS[guard](None) if guard else contextlib.nullcontext()
--- a/tests/simulation/membership_epoch_search.py
+++ b/tests/simulation/membership_epoch_search.py
@@ -1,15 +1,20 @@
-"""Every order of what may happen to a few voters, breadth first, up to a depth: no dice.
+"""An exhaustive search of all orders of events in a small cluster, breadth first up to a depth.
 
-A state is each machine (its replica, its disk, its writes on their way), all messages ever sent, what is
-left of each kind of fault, and what judges have to remember. A message stays once it is sent and may be
-delivered at any time and any number of times, so lost, late and doubled ones are all there without moves of
-their own. Time stands still; one move, of which there are few, stands for a wait after which rounds begin
-anew. Two ways to cut down:
+A state consists of the machines, all messages ever sent, the events that may still occur, and the
+observations that the rules are checked against. A machine has a replica, a disk and writes in flight. A
+message that was sent may be delivered at any time and any number of times. Lost, late and duplicated messages
+therefore need no moves of their own. The time does not advance, except that the move "wait" lets all timeouts
+of a machine expire.
 
-prompt: what a machine says to itself, and an answer to the machine that asked, arrive with the question; that
-    others than its proposer hear an acceptance is left out. Without it each message is a move.
-instant: a write is safe as soon as it is asked for. Without it each write is a move, and power losses come
-    amid.
+Two settings of a shape reduce the number of states:
+
+- `delivers_replies_at_once`: The messages of a machine to itself, and replies to the machine that asked,
+  arrive in the same move. Acceptances are delivered to their proposer only. Without this setting, the
+  delivery of each message to another machine is a move.
+- `writes_at_once`: A write is durable at once. Without this setting, each write is a move, and power may be
+  lost before it.
+
+Run the search on its own, and print its results:
 
     python -m tests.simulation.membership_epoch_search [--depth N] [--seconds S] [--shape NAME]
 """
@@ -27,155 +32,173 @@
 from .membership_epoch_steps import Machine, MachineSteps
 from .replica_snapshot import replica_state, restore_replica
 
-REPLIES = {"promise", "refuse", "state", "fetch", "chosen"}  # "done" goes nowhere: it says when to begin
+# kinds of messages that are replies; "done" is none, as it only tells others when to begin a round
+REPLIES = {"promise", "refuse", "state", "fetch", "chosen"}
 
 
-class FaultsLeft(NamedTuple):
-    """What may still happen: how many of each fault, and a bit for each order that was not sent yet."""
+class EventsLeft(NamedTuple):
+    """The number of events of each kind that may still occur."""
 
-    wipes: int
-    powers: int
+    disk_losses: int
+    power_losses: int
     waits: int
     changes: int
-    orders: int
+    configurations: int  # a bit mask, with a bit for each configuration that has not been put
 
-    def less(self, kind: str) -> "FaultsLeft":
+    def decrement(self, kind: str) -> "EventsLeft":
         return self._replace(**{kind: getattr(self, kind) - 1})
 
 
 class SearchState(NamedTuple):
-    """machines: the number of each one's state, by name; in_flight, facts: a bit for each message, fact."""
+    """One state of the search. The numbers are those of `MachineSteps`."""
 
-    machines: tuple[int, ...]
-    in_flight: int
-    left: FaultsLeft
-    facts: int
+    machines: tuple[int, ...]  # the number of each machine's state, in the order of the machines' names
+    in_flight: int  # a bit mask of the messages ever sent
+    events_left: EventsLeft
+    observations: int  # a bit mask of the observations made
 
 
 class Search(MachineSteps):
-    """The states of one shape: all machines, messages sent, faults left, facts seen."""
+    """The search of one shape. A move is a tuple of its kind and a number, such as that of a message."""
 
     def initial_state(self) -> SearchState:
-        """The state after the moves that the shape begins with."""
+        """Returns the state after the first moves of the shape."""
         voters = {name: f"{name}0" for name in self.shape.voters}
-        members, machines = {"n": 1, "voters": voters, "before": {}}, []
+        voter_set, machines = {"n": 1, "voters": voters, "before": {}}, []
         for name in self.names:
-            held = 1 if name in voters else -1
-            replica = ConsensusReplica(name, f"{name}0", 1, {}, members, held)
-            facts = {"disk": replica.disk, "members": members, "held": held}
-            machine_after = Machine(
-                name, replica_state(replica, name in self.proposers), (facts, {}), ({}, {}), ()
-            )
-            machines.append(self.number(self.machines, machine_after))
-        epoch = {"k": "epoch", "m": members}
+            active_epoch = 1 if name in voters else -1
+            replica = ConsensusReplica(name, f"{name}0", 1, {}, voter_set, active_epoch)
+            facts = {"disk": replica.disk, "members": voter_set, "held": active_epoch}
+            machine = Machine(name, replica_state(replica, name in self.proposers), (facts, {}), ({}, {}), ())
+            machines.append(self.number_of(self.machines, machine))
+        notice = {"k": "epoch", "m": voter_set}
         in_flight = 0
-        for name in self.shape.wipes:
-            in_flight |= 1 << self.number(self.messages, ("", name, epoch))
-        left = FaultsLeft(*self.shape.most, orders=(1 << len(self.shape.orders)) - 1)
-        state = SearchState(tuple(machines), in_flight, left, 0)
-        for move in self.shape.begin:
+        for name in self.shape.disk_losses:
+            in_flight |= 1 << self.number_of(self.messages, ("", name, notice))
+        events_left = EventsLeft(*self.shape.limits, configurations=(1 << len(self.shape.configurations)) - 1)
+        state = SearchState(tuple(machines), in_flight, events_left, 0)
+        for move in self.shape.first_moves:
             state = self.after_move(state, self.named_move(state, *move.split()))
         return state
 
-    def named_move(self, state: SearchState, kind: str, what: str) -> tuple:
-        """A move as shapes write it: "order x", "change 0", "power a", or "accept a>b": b hears that."""
-        if kind == "order":
-            return kind, [digest for _, digest in self.shape.orders].index(what)
+    def named_move(self, state: SearchState, kind: str, operand: str) -> tuple:
+        """Returns the move that a shape writes as a kind and an operand.
+
+        Examples are "configuration x", "change 0" and "power_loss a". The move "accept a>b" delivers the
+        newest message of kind "accept" from a to b. Raises KeyError if there is no such message.
+        """
+        if kind == "configuration":
+            return kind, [digest for _, digest in self.shape.configurations].index(operand)
         if kind == "change":
-            return kind, int(what)
-        if kind in ("wipe", "power", "wait", "sync"):
-            return kind, self.names.index(what)
-        sender, peer = what.split(">")
+            return kind, int(operand)
+        if kind in ("disk_loss", "power_loss", "wait", "sync"):
+            return kind, self.names.index(operand)
+        sender, peer = operand.split(">")
         for move, number in reversed(self.possible_moves(state)):
-            if move == "hear" and self.messages[number][:2] == (sender, peer):
+            if move == "deliver" and self.messages[number][:2] == (sender, peer):
                 if self.messages[number][2]["k"] == kind:
                     return move, number
-        raise KeyError(f"{kind} {what}")
+        raise KeyError(f"{kind} {operand}")
 
     def arrives_at_once(self, message: tuple) -> bool:
-        """Whether it arrives with the question that it answers."""
-        sender, peer, what = message
+        """Returns whether a message arrives in the same move in which it is sent."""
+        sender, peer, wire = message
         if sender == peer:
             return True
-        asked = what["k"] in REPLIES or what["k"] == "accepted" and peer == what["b"][2]
-        return self.shape.prompt and asked
-
-    def after_step(self, state: SearchState, number: int, step: tuple) -> SearchState:
-        """The state after one machine's step, with all that arrives at once."""
-        machines, in_flight, facts = list(state.machines), state.in_flight, state.facts
-        todo = [(number, step)]
-        while todo:
-            number, (machine_after, sends, new_facts) = todo.pop(0)
-            machines[number] = machine_after
-            facts |= new_facts
+        is_reply = wire["k"] in REPLIES or wire["k"] == "accepted" and peer == wire["b"][2]
+        return self.shape.delivers_replies_at_once and is_reply
+
+    def after_step(self, state: SearchState, machine_index: int, step: tuple) -> SearchState:
+        """Returns the state after this step, including the steps of all messages that arrive at once.
+
+        machine_index: the index of the machine that takes the step.
+        """
+        machines, in_flight, observations = list(state.machines), state.in_flight, state.observations
+        queue = [(machine_index, step)]
+        while queue:
+            machine_index, (next_machine, sends, new_observations) = queue.pop(0)
+            machines[machine_index] = next_machine
+            observations |= new_observations
             for message in sends:
                 peer = self.messages[message][1]
                 if peer not in self.names:
                     continue
                 if self.arrives_at_once(self.messages[message]):
-                    place = self.names.index(peer)
-                    after = self.after_message(machines[place], message)
-                    if after[0] != machines[place] or after[1] or after[2]:
-                        machines[place] = after[0]
-                        todo.append((place, after))
+                    peer_index = self.names.index(peer)
+                    next_step = self.after_message(machines[peer_index], message)
+                    if next_step[0] != machines[peer_index] or next_step[1] or next_step[2]:
+                        machines[peer_index] = next_step[0]
+                        queue.append((peer_index, next_step))
                 elif not self.is_ignored(self.messages[message]):
                     in_flight |= 1 << message
-        return SearchState(tuple(machines), in_flight, state.left, facts)
+        return SearchState(tuple(machines), in_flight, state.events_left, observations)
 
     def is_ignored(self, message: tuple) -> bool:
-        """An acceptance to others than its proposer, unless each message is a move; sets spread by notice."""
-        what = message[2]
-        return self.shape.prompt and what["k"] == "accepted" and message[1] != what["b"][2]
+        """Returns whether the search never delivers a message, see `delivers_replies_at_once`."""
+        wire = message[2]
+        return self.shape.delivers_replies_at_once and wire["k"] == "accepted" and message[1] != wire["b"][2]
 
     def possible_moves(self, state: SearchState) -> list:
-        shape, left, in_flight, found = self.shape, state.left, state.in_flight, []
+        """Returns all moves from this state, also those that change nothing."""
+        shape, events_left, in_flight, moves = self.shape, state.events_left, state.in_flight, []
         while in_flight:
-            low = in_flight & -in_flight
-            in_flight ^= low
-            found.append(("hear", low.bit_length() - 1))
-        for place, here in enumerate(state.machines):
-            if self.machines[here].writes:
-                found.append(("sync", place))
-        found += [("order", place) for place in range(len(shape.orders)) if left.orders >> place & 1]
-        if left.changes:
-            found += [("change", place) for place in range(len(shape.changes))]
-        if left.wipes:
-            found += [("wipe", self.names.index(name)) for name in shape.wipes]
-        if left.powers:
-            found += [("power", self.names.index(name)) for name in shape.powers]
-        if left.waits:
-            found += [("wait", self.names.index(name)) for name in shape.waits]
-        return found
+            lowest_bit = in_flight & -in_flight
+            in_flight ^= lowest_bit
+            moves.append(("deliver", lowest_bit.bit_length() - 1))
+        for index, machine in enumerate(state.machines):
+            if self.machines[machine].writes:
+                moves.append(("sync", index))
+        moves += [
+            ("configuration", index)
+            for index in range(len(shape.configurations))
+            if events_left.configurations >> index & 1
+        ]
+        if events_left.changes:
+            moves += [("change", index) for index in range(len(shape.changes))]
+        if events_left.disk_losses:
+            moves += [("disk_loss", self.names.index(name)) for name in shape.disk_losses]
+        if events_left.power_losses:
+            moves += [("power_loss", self.names.index(name)) for name in shape.power_losses]
+        if events_left.waits:
+            moves += [("wait", self.names.index(name)) for name in shape.waits]
+        return moves
 
     def after_move(self, state: SearchState, move: tuple) -> SearchState | None:
-        """The state after this move; None where it changes nothing or can't be."""
+        """Returns the state after this move, or None if the move changes nothing or is impossible."""
         kind, number = move
-        left = state.left
+        events_left = state.events_left
         match kind:
-            case "hear":
-                return self.after_hearing(state, number)
-            case "order":
-                proposer, digest = self.shape.orders[number]
-                index, left = self.names.index(proposer), left._replace(orders=left.orders & ~(1 << number))
+            case "deliver":
+                return self.after_delivery(state, number)
+            case "configuration":
+                proposer, digest = self.shape.configurations[number]
+                index, events_left = (
+                    self.names.index(proposer),
+                    events_left._replace(configurations=events_left.configurations & ~(1 << number)),
+                )
                 step = self.after_proposal(state.machines[index], CONFIG, ("order", digest))
             case "change":
-                index, left = self.names.index(self.shape.changes[number][0]), left.less("changes")
+                index, events_left = (
+                    self.names.index(self.shape.changes[number][0]),
+                    events_left.decrement("changes"),
+                )
                 step = self.after_change(state, number)
             case "wait":
-                index, left = number, left.less("waits")
+                index, events_left = number, events_left.decrement("waits")
                 step = self.after_wait(state.machines[index])
             case "sync":
                 index = number
                 step = self.after_oldest_write(state.machines[index])
-            case "wipe":
-                index, left = number, left.less("wipes")
+            case "disk_loss":
+                index, events_left = number, events_left.decrement("disk_losses")
                 step = (self.after_restart(state.machines[index], True), (), 0)
-            case "power":
-                index, left = number, left.less("powers")
+            case "power_loss":
+                index, events_left = number, events_left.decrement("power_losses")
                 step = (self.after_restart(state.machines[index], False), (), 0)
-        return None if step is None else self.after_step(state._replace(left=left), index, step)
+        return None if step is None else self.after_step(state._replace(events_left=events_left), index, step)
 
-    def after_hearing(self, state: SearchState, message: int) -> SearchState | None:
+    def after_delivery(self, state: SearchState, message: int) -> SearchState | None:
+        """Returns the state after the delivery of a message, or None if the delivery changes nothing."""
         index = self.names.index(self.messages[message][1])
         step = self.after_message(state.machines[index], message)
         if step[0] == state.machines[index] and not step[1] and not step[2]:
@@ -183,92 +206,111 @@
         return self.after_step(state, index, step)
 
     def after_change(self, state: SearchState, number: int) -> tuple | None:
-        """The proposer's step; None where the seat is not there, is so already, or it was never active."""
+        """Returns the step in which the proposer of a change of the voter set proposes it.
+
+        Returns None if the proposer was never active, if the seat does not exist, or if the change is made
+        already.
+        """
         proposer, seat, successor = self.shape.changes[number]
         machine = state.machines[self.names.index(proposer)]
         replica = self.machines[machine].consensus
         current, new = replica.voter_set["voters"], successor or seat
         disk = self.machines[state.machines[self.names.index(new)]].consensus.disk
-        voters = {name: kept for name, kept in current.items() if name != seat}
+        voters = {name: kept_disk for name, kept_disk in current.items() if name != seat}
         voters[new] = disk
         if seat not in current or voters == current or not replica.active_epoch > 0:
             return None
         return self.after_proposal(machine, VOTER_SET, ("members", (replica.voter_set, voters)))
 
     def after_oldest_write(self, machine: int) -> tuple:
-        here = self.machines[machine]
-        replica, sends, facts = restore_replica(here.name, here.consensus), [], []
-        after = self.after_sync(here, replica, sends, facts)
-        after = after._replace(consensus=replica_state(replica, here.name in self.proposers))
+        """Returns the step in which the oldest write of this machine state becomes durable."""
+        current = self.machines[machine]
+        replica, sends, observations = restore_replica(current.name, current.consensus), [], []
+        next_machine = self.after_sync(current, replica, sends, observations)
+        next_machine = next_machine._replace(consensus=replica_state(replica, current.name in self.proposers))
         return (
-            self.number(self.machines, after),
-            tuple(self.number(self.messages, one) for one in sends),
-            self.mask(facts),
+            self.number_of(self.machines, next_machine),
+            tuple(self.number_of(self.messages, message) for message in sends),
+            self.mask(observations),
         )
 
-    # --- judges
+    # --- checks
 
     def recovers(self, state: SearchState) -> bool:
-        """Whether a majority answers once all are up and hear each other; of disks, none is lost any more."""
+        """Returns whether a majority answers a read after a time without further faults or lost messages."""
         machines, now = {}, 0.0
         for number in state.machines:
-            here = self.machines[number]
-            while here.writes:
-                here = self.after_sync(here, restore_replica(here.name, here.consensus), [], [])
-            machines[here.name] = replica = restore_replica(here.name, here.consensus)
-            for kept in replica.proposer.rounds.values():
-                kept.clear()
+            current = self.machines[number]
+            while current.writes:
+                current = self.after_sync(current, restore_replica(current.name, current.consensus), [], [])
+            machines[current.name] = replica = restore_replica(current.name, current.consensus)
+            for queue in replica.proposer.rounds.values():
+                queue.clear()
         answers, in_flight = [], []
 
-        def carry(name: str, effects: Effects) -> None:
+        def apply(name: str, effects: Effects) -> None:
             in_flight.extend((name, peer, message) for peer, message in effects.sends)
             answers.extend(effects.answers)
             for register, _, accepted, _ in effects.writes:
                 machines[name].mark_durable(register, accepted)
 
-        for turn in range(40):
+        for tick in range(40):
             now += 0.3
             for name, replica in machines.items():
-                newest = max((other.voter_set for other in machines.values()), key=lambda one: one["n"])
-                carry(name, replica.receive(now, "", {"k": "epoch", "m": newest}))
-                carry(name, replica.tick(now))
-                if turn % 5 == 4 and replica.is_active_voter and not any(replica.proposer.rounds.values()):
-                    carry(name, replica.propose(now, CONFIG, lambda current: (None, True), "read", 1.0))
+                newest = max(
+                    (other.voter_set for other in machines.values()), key=lambda voter_set: voter_set["n"]
+                )
+                apply(name, replica.receive(now, "", {"k": "epoch", "m": newest}))
+                apply(name, replica.tick(now))
+                if tick % 5 == 4 and replica.is_active_voter and not any(replica.proposer.rounds.values()):
+                    apply(name, replica.propose(now, CONFIG, lambda current: (None, True), "read", 1.0))
             while in_flight:
                 sender, peer, message = in_flight.pop(0)
                 if peer in machines:
-                    carry(peer, machines[peer].receive(now, sender, message))
+                    apply(peer, machines[peer].receive(now, sender, message))
             if ("read", True) in answers:
                 return True
         return False
 
-    def check_facts(self, before: int, facts: int) -> None:
-        new = facts & ~before
+    def check_observations(self, before: int, observations: int) -> None:
+        """Checks the new observations against all observations.
+
+        before, observations: bit masks of the observations before a move and after it.
+        Raises RuleViolation if two observations contradict each other.
+        """
+        new = observations & ~before
         while new:
-            low = new & -new
-            new ^= low
-            one, others = low.bit_length() - 1, facts
+            lowest_bit = new & -new
+            new ^= lowest_bit
+            number, others = lowest_bit.bit_length() - 1, observations
             while others:
                 bit = others & -others
                 others ^= bit
                 other = bit.bit_length() - 1
-                why = self.contradictions.get((one, other))
-                if why is None:
-                    why = contradiction(self.facts[one], self.facts[other]) or contradiction(
-                        self.facts[other], self.facts[one]
-                    )
-                    self.contradictions[one, other] = why
-                if why:
-                    raise RuleViolation(f"{why}: {self.facts[one]}, {self.facts[other]}")
-
-    def run(self, depth: int, until: float = 1e18, most: int = 10**9, tried: int = 0) -> "SearchResult":
-        """All states up to this depth, or as many as time and `most` allow; tried: of how many of the last,
-        evenly spread, it is tried whether a majority answers in the end.
+                problem = self.contradictions.get((number, other))
+                if problem is None:
+                    problem = contradiction(
+                        self.observations[number], self.observations[other]
+                    ) or contradiction(self.observations[other], self.observations[number])
+                    self.contradictions[number, other] = problem
+                if problem:
+                    raise RuleViolation(f"{problem}: {self.observations[number]}, {self.observations[other]}")
+
+    def run(
+        self, depth: int, deadline: float = 1e18, max_states: int = 10**9, recovery_samples: int = 0
+    ) -> "SearchResult":
+        """Visits all states up to this depth, and checks the rules in each of them.
+
+        Stops at the first broken rule, at the deadline, or once it has visited more than `max_states` states.
+
+        deadline: the time on the monotonic clock, in s.
+        recovery_samples: the number of states at the last depth, evenly spread, in which `recovers` is
+        checked.
         """
         first = self.initial_state()
-        seen, layer = {first: None}, [first]
+        seen, layer = {first: None}, [first]  # seen: by state, the state and move before it
         for level in range(1, depth + 1):
-            following = []
+            next_layer = []
             for state in layer:
                 for move in self.possible_moves(state):
                     after = self.after_move(state, move)
@@ -276,77 +318,88 @@
                         continue
                     seen[after] = (state, move)
                     try:
-                        if after.facts != state.facts:
-                            self.check_facts(state.facts, after.facts)
+                        if after.observations != state.observations:
+                            self.check_observations(state.observations, after.observations)
                     except RuleViolation as problem:
                         return SearchResult(len(seen), level, str(problem), self.path(seen, after))
-                    following.append(after)
-                if len(seen) > most or time.monotonic() > until:
+                    next_layer.append(after)
+                if len(seen) > max_states or time.monotonic() > deadline:
                     return SearchResult(len(seen), level - 1, "", [])
-            if not following:
+            if not next_layer:
                 break
-            layer = following
-        for state in layer[:: max(1, len(layer) // tried)] if tried else ():
+            layer = next_layer
+        for state in layer[:: max(1, len(layer) // recovery_samples)] if recovery_samples else ():
             if not self.recovers(state):
                 return SearchResult(len(seen), level, "no majority answers", self.path(seen, state))
-        return SearchResult(len(seen), level, "", [], not following)
+        return SearchResult(len(seen), level, "", [], not next_layer)
 
     def path(self, seen: dict, state: tuple) -> list:
+        """Returns the moves that lead to this state, with messages and machines in place of their numbers."""
         moves = []
         while seen[state] is not None:
             state, (kind, number) = seen[state]
-            where = (
-                self.messages[number] if kind == "hear" else self.names[number] if kind != "order" else number
+            operand = (
+                self.messages[number]
+                if kind == "deliver"
+                else self.names[number]
+                if kind != "configuration"
+                else number
             )
-            moves.append((kind, where))
+            moves.append((kind, operand))
         return moves[::-1]
 
 
 class SearchResult(NamedTuple):
-    """states: how many; depth: up to which all were seen; broken: what a judge said, and the moves to it."""
-
-    states: int
-    depth: int
-    broken: str
-    moves: list
-    whole: bool = False  # there are no more
-
-
-def contradiction(one: tuple, other: tuple) -> str:
-    """What is wrong with these two facts, if anything."""
-    if one[0] == other[0] == "answer" and one[1] == other[1] == 200 and one[2] != other[2]:
-        return "two on one parent acknowledged"
-    if one[0] == "answer" and one[1] == 412 and other[0] == "learned" and other[3] == one[2]:
-        return "refused and in force"
-    if one[0] == other[0] == "members" and one[1] == other[1] and one[2] != other[2]:
-        return "two sets of one epoch"
-    if one[0] == other[0] == "learned" and one[1] == other[1] == CONFIG and one[3] != other[3]:
-        return "two chosen"
-    if one[0] == "learned" and other[0] == "accept" and one[1] == other[1] and other[2] > one[2]:
-        old, new = one[3], other[3]
-        if one[1] == CONFIG and old != new:
-            return "proposed over what is chosen"
-        if one[1] == VOTER_SET and new["n"] <= old["n"] and new != old:
-            return "a set proposed over the chosen one"
+    """The result of a search."""
+
+    states: int  # number of states visited
+    depth: int  # all states up to this depth were visited, unless a rule is broken
+    violation: str  # the broken rule, "" if there is none
+    moves: list  # the moves that lead to the broken rule
+    is_complete: bool = False  # there are no further states
+
+
+def contradiction(first: tuple, second: tuple) -> str:
+    """Returns the rule that these two observations break in this order, or "".
+
+    An observation is one of ("answer", status, digest), ("voter set", epoch, voter set),
+    ("learned", register, proposal number, value) and ("accept", register, proposal number, value), which is
+    a request to accept a value.
+    """
+    if first[0] == second[0] == "answer" and first[1] == second[1] == 200 and first[2] != second[2]:
+        return "two configurations with one parent are acknowledged"
+    if first[0] == "answer" and first[1] == 412 and second[0] == "learned" and second[3] == first[2]:
+        return "a configuration is rejected and chosen"
+    if first[0] == second[0] == "voter set" and first[1] == second[1] and first[2] != second[2]:
+        return "two voter sets of one epoch"
+    if first[0] == second[0] == "learned" and first[1] == second[1] == CONFIG and first[3] != second[3]:
+        return "two configurations are chosen"
+    if first[0] == "learned" and second[0] == "accept" and first[1] == second[1] and second[2] > first[2]:
+        old, new = first[3], second[3]
+        if first[1] == CONFIG and old != new:
+            return "another configuration is proposed after one is chosen"
+        if first[1] == VOTER_SET and new["n"] <= old["n"] and new != old:
+            return "another voter set of the same or an earlier epoch is proposed after one is chosen"
     return ""
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--depth", type=int, default=12)
-    parser.add_argument("--seconds", type=float, default=60.0, help="for each shape")
+    parser.add_argument("--seconds", type=float, default=60.0, help="time limit for each shape")
     parser.add_argument("--shape", choices=SHAPES, action="append")
-    told = parser.parse_args()
-    for name in told.shape or SHAPES:
-        search, began = Search(SHAPES[name]), time.monotonic()
-        found = search.run(told.depth, until=began + told.seconds)
-        whole = "all there are" if found.whole else f"all up to depth {found.depth}"
+    arguments = parser.parse_args()
+    for name in arguments.shape or SHAPES:
+        search, started_at = Search(SHAPES[name]), time.monotonic()
+        result = search.run(arguments.depth, deadline=started_at + arguments.seconds)
+        extent = "no further states" if result.is_complete else f"all up to depth {result.depth}"
         print(
-            f"{name}: {found.states} states, {whole}, {len(search.machines)} states of machines,"
-            f" {len(search.messages)} messages, {time.monotonic() - began:.1f} s: {found.broken or 'sound'}",
+            f"{name}: {result.states} states, {extent}, {len(search.machines)} machine states,"
+            f" {len(search.messages)} messages, {time.monotonic() - started_at:.1f} s:"
+            f" {result.violation or 'no rule broken'}",
             flush=True,
         )
-        for move in found.moves:
+        for move in result.moves:
             print("   ", *move)
 
 
--- a/tests/simulation/membership_epoch_shapes.py
+++ b/tests/simulation/membership_epoch_shapes.py
@@ -1,91 +1,117 @@
-"""The small cases that are searched through: who votes, which orders, changes and faults may come."""
+"""The small clusters whose events are searched exhaustively, by the names that the features use."""
 
 from typing import NamedTuple
 
 
 class Shape(NamedTuple):
-    """A small case. orders: (proposer, mark); changes: (proposer, seat, successor), an empty successor
-    being the seat's own machine with its new disk; wipes, powers: which machines may lose a disk or power;
-    most: how many of each, of waits and of changes, at most.
+    """A cluster and the events that may occur in it. Strings of machines have one letter for each.
+
+    `delivers_replies_at_once` and `writes_at_once` reduce the number of states. `membership_epoch_search`
+    describes them.
     """
 
     voters: str
     spares: str
-    orders: tuple
+    configurations: tuple  # (proposer, digest) of each configuration that is put, all with the same parent
+    # (proposer, seat, successor) of each change of the voter set; the successor is "" if the seat goes to the
+    # new disk of its machine
     changes: tuple = ()
-    wipes: str = ""
-    powers: str = ""
-    waits: str = ""
-    most: tuple[int, int, int, int] = (1, 1, 1, 1)
-    prompt: bool = True
-    instant: bool = True
-    begin: tuple = ()  # moves that have happened already
+    disk_losses: str = ""  # machines that may lose their disks
+    power_losses: str = ""  # machines that may lose power
+    waits: str = ""  # machines whose timeouts may expire
+    limits: tuple[int, int, int, int] = (1, 1, 1, 1)  # of disk losses, power losses, waits and changes
+    delivers_replies_at_once: bool = True
+    writes_at_once: bool = True
+    first_moves: tuple = ()  # moves that have occurred in the initial state, see `Search.named_move`
 
 
-ORDERS = (("c", "x"), ("a", "y"))
+CONFIGURATIONS = (("c", "x"), ("a", "y"))
 SHAPES = {
-    # the forgotten promise: a spare's order, a lost disk, its seat anew
-    "lost disk": Shape("abc", "d", (("d", "x"), ("b", "y")), (("b", "a", ""),), wipes="a"),
-    # any one disk, and its seat given to its own machine or to the spare
-    "any disk": Shape(
+    # a spare puts a configuration, and a voter that has lost its disk gets its seat back
+    "lost disk": Shape("abc", "d", (("d", "x"), ("b", "y")), (("b", "a", ""),), disk_losses="a"),
+    # any voter loses its disk, and its seat goes to its new disk or to the spare
+    "any lost disk": Shape(
         "abc",
         "d",
         (("d", "x"), ("b", "y")),
         (("b", "a", ""), ("c", "b", ""), ("a", "c", ""), ("b", "a", "d")),
-        wipes="abc",
+        disk_losses="abc",
+    ),
+    # a spare gets the seat of a voter that continues in the old epoch
+    "spare": Shape("abc", "d", CONFIGURATIONS, (("a", "c", "d"),), limits=(0, 0, 0, 1)),
+    # the same, and the proposer of the change or another voter loses power
+    "power loss": Shape(
+        "abc", "d", CONFIGURATIONS, (("a", "c", "d"),), power_losses="ab", limits=(0, 1, 0, 1)
     ),
-    # a spare takes the seat of one that goes on in the old epoch
-    "spare": Shape("abc", "d", ORDERS, (("a", "c", "d"),), most=(0, 0, 0, 1)),
-    # the same, and a voter or the proposer of the change loses power
-    "power": Shape("abc", "d", ORDERS, (("a", "c", "d"),), powers="ab", most=(0, 1, 0, 1)),
-    # from the moment at which the set has been chosen and its proposer is active in it
-    "amid a change": Shape(
+    # the next voter set has been chosen, and its proposer is active in the new epoch
+    "after a chosen change": Shape(
         "abc",
         "d",
-        ORDERS,
+        CONFIGURATIONS,
         (("a", "c", "d"),),
-        powers="b",
-        most=(0, 1, 0, 1),
-        begin=("change 0", "prepare a>b", "accept a>b", "join a>b"),
+        power_losses="b",
+        limits=(0, 1, 0, 1),
+        first_moves=("change 0", "prepare a>b", "accept a>b", "join a>b"),
     ),
-    # two orders that one voter each accepted, and a change of the set on top of them
-    "two left over": Shape(
+    # two configurations that were accepted by one voter each, and a change of the voter set after them
+    "two unfinished proposals": Shape(
         "abc",
         "d",
         (("a", "x"), ("c", "z"), ("b", "y")),
         (("b", "c", "d"),),
         waits="a",
-        most=(0, 0, 1, 1),
-        begin=("order x", "prepare a>b", "order z", "prepare c>b", "change 0", "prepare b>a", "accept b>a"),
+        limits=(0, 0, 1, 1),
+        first_moves=(
+            "configuration x",
+            "prepare a>b",
+            "configuration z",
+            "prepare c>b",
+            "change 0",
+            "prepare b>a",
+            "accept b>a",
+        ),
     ),
-    # an order that is chosen, and a set of voters after it
-    "chosen before": Shape(
+    # a configuration that is chosen, and a change of the voter set after it
+    "change after a chosen value": Shape(
         "abc",
         "d",
-        ORDERS,
+        CONFIGURATIONS,
         (("a", "c", "d"),),
-        wipes="b",
-        most=(1, 0, 0, 1),
-        begin=("order x", "prepare c>b", "accept c>b"),
+        disk_losses="b",
+        limits=(1, 0, 0, 1),
+        first_moves=("configuration x", "prepare c>b", "accept c>b"),
     ),
-    # two changes at once, by two voters, and an order and a lost disk
-    "two changes": Shape(
-        "abc", "d", (("a", "x"),), (("a", "c", "d"), ("b", "a", "d")), wipes="a", most=(1, 0, 0, 2)
+    # two voters propose a change at the same time, with a configuration and a lost disk
+    "two concurrent changes": Shape(
+        "abc", "d", (("a", "x"),), (("a", "c", "d"), ("b", "a", "d")), disk_losses="a", limits=(1, 0, 0, 2)
     ),
-    # a second change right after the first is chosen, and a lost disk
+    # a second change right after the first one is chosen, with a lost disk
     "second change": Shape(
         "abc",
         "d",
         (("a", "x"),),
         (("a", "c", "d"), ("b", "a", "d")),
-        wipes="a",
-        most=(1, 0, 0, 2),
-        begin=("change 0", "prepare a>b", "accept a>b"),
+        disk_losses="a",
+        limits=(1, 0, 0, 2),
+        first_moves=("change 0", "prepare a>b", "accept a>b"),
     ),
-    # writes apart from what rests on them
+    # each write is a move of its own, after which the messages that wait for it are sent
     "slow disks": Shape(
-        "abc", "d", (("b", "x"),), (("a", "c", "d"),), powers="ab", most=(0, 1, 0, 1), instant=False
+        "abc",
+        "d",
+        (("b", "x"),),
+        (("a", "c", "d"),),
+        power_losses="ab",
+        limits=(0, 1, 0, 1),
+        writes_at_once=False,
+    ),
+    # the delivery of each message is a move of its own
+    "late replies": Shape(
+        "abc",
+        "d",
+        (("d", "x"), ("b", "y")),
+        (("b", "a", ""),),
+        disk_losses="a",
+        delivers_replies_at_once=False,
     ),
-    # each message by itself
-    "late answers": Shape("abc", "d", (("d", "x"), ("b", "y")), (("b", "a", ""),), wipes="a", prompt=False),
 }
--- a/tests/simulation/membership_epoch_steps.py
+++ b/tests/simulation/membership_epoch_steps.py
@@ -1,4 +1,8 @@
-"""The steps of single machines in the search of epochs: from one numbered state to the next."""
+"""The steps of single machines in the exhaustive search of membership epochs.
+
+A step leads from one machine state to the next. Its result is a tuple of three items: the number of the next
+machine state, the numbers of the messages sent, and the observations made, as a bit mask of their numbers.
+"""
 
 from typing import Any, NamedTuple
 
@@ -9,155 +13,187 @@
 from .membership_epoch_shapes import Shape
 from .replica_snapshot import ReplicaState, change_of, key, replica_state, restore_replica
 
-BEYOND_ALL_WAITS = 100.0  # s, beyond every wait
+AFTER_ALL_TIMEOUTS = 100.0  # s, longer than every timeout and backoff
 
 
 class Machine(NamedTuple):
+    """The state of one machine."""
+
     name: str
     consensus: ReplicaState
     disk: tuple[dict, dict]  # facts, rows
-    due: tuple[dict, dict]  # facts, rows
-    writes: tuple  # on their way: (rows, facts, what goes out after)
+    pending: tuple[dict, dict]  # facts and rows of `PendingWrites`
+    writes: tuple  # writes in flight: (rows, facts, effects that wait for the write)
 
 
 class MachineSteps:
-    """What one machine of a shape does. Machines, messages and facts are numbered, each named once."""
+    """The steps of the machines of one shape.
+
+    Machine states, messages and observations are numbered. Equal ones have the same number.
+    """
 
     def __init__(self, shape: Shape) -> None:
         self.shape, self.names = shape, sorted({*shape.voters, *shape.spares})
         self.machines: list[Machine] = []
         self.messages: list[tuple[str, str, dict]] = []
-        self.facts: list[tuple] = []
+        self.observations: list[tuple] = []
         self.numbers: dict[str, int] = {}
-        self.steps: dict[tuple, tuple] = {}  # what a machine does on a message
+        self.steps: dict[tuple, tuple] = {}  # by (machine state, message), the step of the delivery
         self.contradictions: dict[tuple[int, int], str] = {}
-        self.proposers = {who for who, *_ in (*shape.orders, *shape.changes)} | {*shape.waits}
+        self.proposers = {name for name, *_ in (*shape.configurations, *shape.changes)} | {*shape.waits}
         self.transitions = 0
 
-    def number(self, kept: list, thing: Any) -> int:
-        name = f"{id(kept)}{key(thing)}"
-        found = self.numbers.get(name)
-        if found is None:
-            found = self.numbers[name] = len(kept)
-            kept.append(thing)
-        return found
+    def number_of(self, numbered: list, item: Any) -> int:
+        """Returns the index of an item in one of the numbered lists, to which it is added if it is new."""
+        item_key = f"{id(numbered)}{key(item)}"
+        index = self.numbers.get(item_key)
+        if index is None:
+            index = self.numbers[item_key] = len(numbered)
+            numbered.append(item)
+        return index
 
     # --- one machine
 
     def after_effects(self, machine: Machine, replica: ConsensusReplica, all_effects: list[Effects]) -> tuple:
-        """The machine after these Outs: its number, and the messages, facts that come of it."""
-        due, disk, writes = PendingWrites(dict(machine.due[0])), machine.disk, list(machine.writes)
-        due.rows = dict(machine.due[1])
-        sends, facts = [], []
+        """Returns the step in which the replica has reached its present state with these effects."""
+        pending, disk, writes = PendingWrites(dict(machine.pending[0])), machine.disk, list(machine.writes)
+        pending.rows = dict(machine.pending[1])
+        sends, observations = [], []
         for effects in all_effects:
-            rows, new_facts = due.prepare_write(effects)
-            if rows or new_facts:
-                writes.append((tuple(rows), new_facts, effects))
+            rows, facts = pending.prepare_write(effects)
+            if rows or facts:
+                writes.append((tuple(rows), facts, effects))
             else:
-                self.collect(machine.name, replica, effects, sends, facts)
-        made = Machine(machine.name, (), disk, (due.facts, due.rows), tuple(writes))
-        if self.shape.instant:
-            while made.writes:
-                made = self.after_sync(made, replica, sends, facts)
+                self.collect(machine.name, replica, effects, sends, observations)
+        next_machine = Machine(machine.name, (), disk, (pending.facts, pending.rows), tuple(writes))
+        if self.shape.writes_at_once:
+            while next_machine.writes:
+                next_machine = self.after_sync(next_machine, replica, sends, observations)
         if replica.voter_set != machine.consensus.voter_set:
-            facts.append(("members", replica.epoch, key(replica.voter_set)))
+            observations.append(("voter set", replica.epoch, key(replica.voter_set)))
             sends += [
                 ("", peer, {"k": "epoch", "m": replica.voter_set})
                 for peer in self.names
                 if peer != replica.address
             ]
-        for number, name in enumerate(ALL_REGISTERS):
-            if replica.chosen[name] != machine.consensus.chosen[number]:
-                facts.append(("learned", name, *replica.chosen[name]))
-        made = made._replace(consensus=replica_state(replica, replica.address in self.proposers))
+        for index, register in enumerate(ALL_REGISTERS):
+            if replica.chosen[register] != machine.consensus.chosen[index]:
+                observations.append(("learned", register, *replica.chosen[register]))
+        next_machine = next_machine._replace(
+            consensus=replica_state(replica, replica.address in self.proposers)
+        )
         return (
-            self.number(self.machines, made),
-            tuple(self.number(self.messages, one) for one in sends),
-            self.mask(facts),
+            self.number_of(self.machines, next_machine),
+            tuple(self.number_of(self.messages, message) for message in sends),
+            self.mask(observations),
         )
 
-    def after_sync(self, machine: Machine, replica: ConsensusReplica, sends: list, facts: list) -> Machine:
-        """The oldest write is safe; what rests on it goes out."""
-        rows, new_facts, effects = machine.writes[0]
-        stored, kept = dict(machine.disk[1]), {**machine.disk[0], **new_facts}
-        due = PendingWrites(machine.due[0])
-        due.rows = machine.due[1]
-        due.mark_durable(list(rows), new_facts)
+    def after_sync(
+        self, machine: Machine, replica: ConsensusReplica, sends: list, observations: list
+    ) -> Machine:
+        """Returns the machine after its oldest write has become durable.
+
+        Adds the messages that waited for the write to `sends`, and what they show to `observations`.
+        """
+        rows, facts, effects = machine.writes[0]
+        stored_rows, stored_facts = dict(machine.disk[1]), {**machine.disk[0], **facts}
+        pending = PendingWrites(machine.pending[0])
+        pending.rows = machine.pending[1]
+        pending.mark_durable(list(rows), facts)
         for register, promised, accepted, value in rows:
-            stored[register] = (promised, accepted, value)
+            stored_rows[register] = (promised, accepted, value)
             replica.mark_durable(register, accepted)
-        self.collect(machine.name, replica, effects, sends, facts)
-        return machine._replace(disk=(kept, stored), due=(due.facts, due.rows), writes=machine.writes[1:])
+        self.collect(machine.name, replica, effects, sends, observations)
+        return machine._replace(
+            disk=(stored_facts, stored_rows),
+            pending=(pending.facts, pending.rows),
+            writes=machine.writes[1:],
+        )
 
     def collect(
-        self, name: str, replica: ConsensusReplica, effects: Effects, sends: list, facts: list
+        self, name: str, replica: ConsensusReplica, effects: Effects, sends: list, observations: list
     ) -> None:
+        """Adds the messages of these effects to `sends`, and what they show to `observations`."""
         for peer, message in effects.sends:
-            if message["k"] == "join":  # complete values are sent, also those that it has
+            if message["k"] == "join":  # the search always sends complete values
                 message = {**message, "have": {}}
             sends.append(("" if message["k"] == "epoch" else name, peer, message))
             if message["k"] == "accept":
-                whole = [
-                    r.accept_value
-                    for r in replica.proposer.rounds[message["r"]]
-                    if r.proposal_number == message["b"]
+                complete_requests = [
+                    proposal_round.accept_value
+                    for proposal_round in replica.proposer.rounds[message["r"]]
+                    if proposal_round.proposal_number == message["b"]
                 ]
-                facts += [("accept", *one) for one in whole]
-        facts += [("answer", *outcome) for tag, outcome in effects.answers if tag[0] == "order" and outcome]
-        if "held" in effects.facts:  # its heartbeats tell what it holds now
-            for register, kept in replica.durable_accepted.items():
-                if kept[0] == replica.epoch:
-                    new_facts = {"k": "accepted", "r": register, "b": kept, "disk": replica.disk}
-                    sends += [(name, peer, new_facts) for peer in self.names if peer != name]
+                observations += [("accept", *request) for request in complete_requests]
+        observations += [
+            ("answer", *outcome) for tag, outcome in effects.answers if tag[0] == "order" and outcome
+        ]
+        if "held" in effects.facts:  # the heartbeats of a voter that is now active report its acceptances
+            for register, accepted in replica.durable_accepted.items():
+                if accepted[0] == replica.epoch:
+                    acceptance = {"k": "accepted", "r": register, "b": accepted, "disk": replica.disk}
+                    sends += [(name, peer, acceptance) for peer in self.names if peer != name]
 
     def after_message(self, machine: int, message: int) -> tuple:
+        """Returns the step in which this machine state receives this message."""
         step = self.steps.get((machine, message))
         if step is None:
             self.transitions += 1
-            here = self.machines[machine]
-            replica, (sender, _, what) = restore_replica(here.name, here.consensus), self.messages[message]
+            current = self.machines[machine]
+            replica, (sender, _, wire) = (
+                restore_replica(current.name, current.consensus),
+                self.messages[message],
+            )
             step = self.steps[machine, message] = self.after_effects(
-                here, replica, [replica.receive(0.0, sender, what)]
+                current, replica, [replica.receive(0.0, sender, wire)]
             )
         return step
 
-    def mask(self, facts: list) -> int:
+    def mask(self, observations: list) -> int:
+        """Returns a bit mask of the numbers of these observations."""
         bits = 0
-        for fact in facts:
-            bits |= 1 << self.number(self.facts, fact)
+        for observation in observations:
+            bits |= 1 << self.number_of(self.observations, observation)
         return bits
 
     def after_proposal(self, machine: int, register: str, tag: tuple) -> tuple:
-        here = self.machines[machine]
-        replica = restore_replica(here.name, here.consensus)
-        return self.after_effects(here, replica, [replica.propose(0.0, register, change_of(tag), tag, 1e9)])
+        """Returns the step in which this machine state proposes the change of this tag, see `change_of`."""
+        current = self.machines[machine]
+        replica = restore_replica(current.name, current.consensus)
+        return self.after_effects(
+            current, replica, [replica.propose(0.0, register, change_of(tag), tag, 1e9)]
+        )
 
     def after_wait(self, machine: int) -> tuple:
-        """All its waits are over: a round that stands begins anew, or else what is unsettled is settled."""
-        here = self.machines[machine]
-        replica = restore_replica(here.name, here.consensus)
+        """Returns the step in which all timeouts of this machine state expire.
+
+        A round in progress is retried. If there is none, unfinished proposals are completed.
+        """
+        current = self.machines[machine]
+        replica = restore_replica(current.name, current.consensus)
         all_effects = [replica.tick(1.0)]
-        busy = any(replica.proposer.rounds.values())
+        has_round = any(replica.proposer.rounds.values())
         for rounds in replica.proposer.rounds.values():
-            for one in rounds:
-                one.next_attempt_at = 0.0
-        all_effects.append(replica.tick(1.0 if busy else BEYOND_ALL_WAITS))
-        return self.after_effects(here, replica, all_effects)
-
-    def after_restart(self, machine: int, lost: bool) -> int:
-        """Power lost, and the disk too or not; it has started again."""
-        here = self.machines[machine]
-        incarnation = here.consensus.incarnation + 1
-        facts, rows = ({"disk": f"{here.name}{incarnation}"}, {}) if lost else here.disk
-        if lost:
-            facts = self.facts_after_disk_loss(here, facts)
+            for proposal_round in rounds:
+                proposal_round.next_attempt_at = 0.0
+        all_effects.append(replica.tick(1.0 if has_round else AFTER_ALL_TIMEOUTS))
+        return self.after_effects(current, replica, all_effects)
+
+    def after_restart(self, machine: int, disk_lost: bool) -> int:
+        """Returns the number of the machine state after a restart, with its disk or with an empty one."""
+        current = self.machines[machine]
+        incarnation = current.consensus.incarnation + 1
+        facts, rows = ({"disk": f"{current.name}{incarnation}"}, {}) if disk_lost else current.disk
+        if disk_lost:
+            facts = self.facts_after_disk_loss(current, facts)
         replica = ConsensusReplica(
-            here.name, facts["disk"], incarnation, rows, facts.get("members"), facts.get("held", -1)
+            current.name, facts["disk"], incarnation, rows, facts.get("members"), facts.get("held", -1)
         )
-        made = Machine(
-            here.name, replica_state(replica, here.name in self.proposers), (facts, rows), ({}, {}), ()
+        restarted = Machine(
+            current.name, replica_state(replica, current.name in self.proposers), (facts, rows), ({}, {}), ()
         )
-        return self.number(self.machines, made)
+        return self.number_of(self.machines, restarted)
 
-    def facts_after_disk_loss(self, here: Machine, facts: dict) -> dict:
+    def facts_after_disk_loss(self, current: Machine, facts: dict) -> dict:
+        """Returns the facts on the new disk of a machine that has lost its disk, which are `facts`."""
         return facts
--- a/tests/simulation/membership_seat_cases.py
+++ b/tests/simulation/membership_seat_cases.py
@@ -25,7 +25,7 @@
     return PeerStatus(disk, "z", True, epoch, is_active_voter, leaving, 0.0, 9.0, {})
 
 
-def heartbeat_of_epoch_before() -> None:
+def heartbeat_of_previous_epoch() -> None:
     """A heartbeat of the previous epoch does not count its voter as active in the current one."""
     voter_set: VoterSet = {"n": 2, "voters": {"a": "a0", "b": "b0", "d": "d0"}, "before": {}}
     peers = {
@@ -90,8 +90,8 @@
         )
 
 
-def refused_answer() -> None:
-    """A change of the voter set whose write is refused ends as unclear, and a next one can be proposed."""
+def answer_after_refused_write() -> None:
+    """A change of the voter set whose write is refused ends as unclear, so another one can be proposed."""
     fleet = ControllerFleet(1)
     machine = next(iter(fleet.machines.values()))
     machine.voter_changes.is_changing = True
@@ -106,7 +106,10 @@
 
 
 def heartbeat_before_write() -> None:
-    """A heartbeat reports its sender as active only once that is on disk, as leaving voters rely on it."""
+    """A heartbeat reports its sender as active only once the disk of the sender has recorded that.
+
+    Leaving voters rely on such reports.
+    """
     fleet = ControllerFleet(1)
     fleet.advance(2.0)
     machine, sent = fleet.machines["m0"], []
