--- a/features/membership_commands.feature
+++ b/features/membership_commands.feature
@@ -1,7 +1,7 @@
-Feature: Who votes is shown and changed by command
+Feature: Operators show and change the voter set with commands
 
-  Scenario: An operator's calls are decoded, or refused with their fault
-    When the body of a call about members is
+  Scenario: A membership call is decoded, or rejected with a reason
+    When the body of a membership call is
       | body |
       | {"Do":"replace","Old":"10.0.0.5","New":"10.0.0.7"} |
       | {"Do":"remove","Old":"10.0.0.5","Later":1} |
@@ -12,10 +12,10 @@
       | {"Do":"add","New":"core-7"} |
       | {"Do":"force","New":"10.0.0.7"} |
       | {"Do": |
-    Then the membership is shown as "members-calls"
+    Then the output matches the approved membership output "members-calls"
 
-  Scenario: What is shown with and without a margin; orders that are taken, refused and redirected
-    When an operator calls a controller that shows three voters at epoch 3
+  Scenario: The output shows the failure margin, and accepted, rejected and redirected changes
+    When an operator calls a stub of a controller with three voters at epoch 3
       | command                      | change                                                  |
       | members                      |                                                         |
       | members --json show          |                                                         |
@@ -29,29 +29,29 @@
       | members add 10.0.0.7         | answer=[503, {"Failure":"no majority heard in time"}]   |
       | members add 10.0.0.7         | answer=[408, {}]                                        |
       | members add 10.0.0.7         | answer=[429, {}]                                        |
-    Then the membership is shown as "members"
+    Then the output matches the approved membership output "members"
 
-  Scenario: Real controllers: seats follow losses, a second loss right after is survived, and orders by command
-    Given three controllers that vote, with a configuration, and a spare
-    When controller 3 is killed and stays away
-    Then controller 4 has its seat, no sooner than its time is up
+  Scenario: Real controllers replace lost voters, survive a second loss, and follow commands
+    Given three voting controllers with a configuration, and a spare
+    When controller 3 is killed and does not return
+    Then controller 4 gets the seat after half of CatchUpS, not before
     When controller 2 is killed
-    Then the configuration is read back and a new one is taken
+    Then the configuration can be read, and a new one is acknowledged
     When controllers 2 and 3 return
     Then controller 3 is a spare
     When controller 2 receives SIGTERM
-    Then it has ended in order within GraceS and controller 3 has its seat
+    Then it completes its shutdown within GraceS, and controller 3 gets the seat
     When controller 4 is killed
-    Then the configuration is read back and a new one is taken
+    Then the configuration can be read, and a new one is acknowledged
     When controllers 2 and 4 return
     Then controller 2 is a spare
     When controller 3 is killed and returns with an empty disk
-    Then its new disk has the seat, and controller 2 is a spare
+    Then its new disk gets the seat, and controller 2 is a spare
     When controller 4 is killed
-    Then the configuration is read back and a new one is taken
+    Then the configuration can be read, and a new one is acknowledged
     When controller 4 returns
     Then controller 2 is a spare
-    When an operator orders
+    When an operator runs these commands
       | command                             |
       | members                             |
       | members --json                      |
@@ -66,15 +66,15 @@
       | members remove archive-9            |
       | members replace archive-4 archive-3 |
       | members add archive-9               |
-    Then the membership is shown as "members-live"
-    And the configuration is read back and a new one is taken
+    Then the output matches the approved membership output "members-live"
+    And the configuration can be read, and a new one is acknowledged
 
-  Scenario: Disks of form 1, which knew no epochs: all is kept, and each seat gets its disk's name
-    Given three controllers whose disks the program before epochs has written
-    Then they vote on them, each seat with its disk's name, with the configuration that lay there
-    When controller 3 receives SIGTERM, with nobody to take its seat
-    Then it has ended in order within GraceS
-    And the configuration is read back and a new one is taken
+  Scenario: Disks of schema version 1, without epochs, keep their data, and each seat gets the name of its disk
+    Given three controllers with disks from a release without epochs
+    Then all three vote, each seat names its disk, and the stored configuration can be read
+    When controller 3 receives SIGTERM without a successor
+    Then it completes its shutdown within GraceS
+    And the configuration can be read, and a new one is acknowledged
     When controller 3 returns
     And controller 2 is killed
-    Then the configuration is read back and a new one is taken
+    Then the configuration can be read, and a new one is acknowledged
--- a/features/steps/membership_commands.py
+++ b/features/steps/membership_commands.py
@@ -1,4 +1,4 @@
-"""Who votes, shown and changed by command: against a stub, and with real controllers."""
+"""Steps for the commands that show and change the voters, against a stub and against real controllers."""
 
 import asyncio
 import copy
@@ -17,9 +17,14 @@
 from tests.simulation.membership_commands import SEAT_KEPT_FOR, ControllerFleet
 
 
-def member(disk: str, state: str, heard: float | None, epoch: int | None, *lag: int) -> dict:
-    behind = dict(zip(("config", "table"), lag, strict=True)) if lag else None
-    return {"disk": disk, "state": state, "heard": heard, "epoch": epoch, "lag": behind}
+def member(disk: str, state: str, silent_for: float | None, epoch: int | None, *lag: int) -> dict:
+    """Returns one controller in the form of the membership view.
+
+    silent_for: the time since its last heartbeat in s. lag: the versions by which it lags behind the chosen
+    configuration and table.
+    """
+    lag_by_register = dict(zip(("config", "table"), lag, strict=True)) if lag else None
+    return {"disk": disk, "state": state, "heard": silent_for, "epoch": epoch, "lag": lag_by_register}
 
 
 MEMBERSHIP_VIEW = {
@@ -38,7 +43,7 @@
 }
 
 
-@when("the body of a call about members is")
+@when("the body of a membership call is")
 def decode_bodies(context):
     decoded = [(row["body"], decode_membership_call(row["body"].encode())) for row in context.table]
     context.lines = [
@@ -47,18 +52,21 @@
 
 
 async def transcript(command: str, change: str) -> list[str]:
-    """One command against a stub: what was asked of it, the output, the exit code.
+    """Runs a command against a stub. Returns its requests, its output and its exit code as lines.
 
-    change: fields of the stub that differ. `answer`: status and body of its answer to orders; `moved`: calls
-    that it answers with 307; `gone`: whether it has no view.
+    change: the fields of the stub that differ from the default, as "field=JSON" separated by "; ". Apart from
+    the fields of MEMBERSHIP_VIEW and the states of its members, they are:
+    answer: the status and body of the response to a change, or to any request without a view.
+    moved: the number of first requests to which the stub responds with a redirect to itself, status 307.
+    gone: whether the stub has no membership view.
     """
     stub = {**copy.deepcopy(MEMBERSHIP_VIEW), "answer": [404, {}], "moved": 0, "gone": False}
     requests = []
     for name, _, value in (part.partition("=") for part in change.split("; ") if part):
-        changed, field = (stub["members"][name], "state") if name in stub["members"] else (stub, name)
-        changed[field] = json.loads(value)
+        record, field = (stub["members"][name], "state") if name in stub["members"] else (stub, name)
+        record[field] = json.loads(value)
 
-    async def answer(request):
+    async def respond(request):
         requests.append(f"  {request.method} {request.path} {await request.text()}".rstrip())
         if len(requests) <= stub["moved"]:
             return web.Response(status=307, headers={"Location": f"http://{request.host}{request.path}"})
@@ -67,25 +75,25 @@
         return web.json_response(stub["answer"][1], status=stub["answer"][0])
 
     server = await asyncio.get_running_loop().create_server(
-        web.Server(answer, access_log=None), "127.0.0.1", 0
+        web.Server(respond, access_log=None), "127.0.0.1", 0
     )
     address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
     arguments = [*command.split(), "--controller", address]
     result = await asyncio.to_thread(CliRunner().invoke, gateway, arguments)
     server.close()
     output = result.output.replace(address, "HOST:PORT").splitlines()
-    first = f"$ {command}   # {change}".strip(" #")
-    return [first, *requests, *output, f"exit code {result.exit_code}", ""]
+    heading = f"$ {command}   # {change}".strip(" #")
+    return [heading, *requests, *output, f"exit code {result.exit_code}", ""]
 
 
-@when("an operator calls a controller that shows three voters at epoch 3")
+@when("an operator calls a stub of a controller with three voters at epoch 3")
 def call_stub(context):
     rows = [(row["command"], row["change"]) for row in context.table]
     context.lines = [line for row in rows for line in asyncio.run(transcript(*row))]
 
 
-@then('the membership is shown as "{name}"')
-def shown_as(context, name):
+@then('the output matches the approved membership output "{name}"')
+def output_is_approved(context, name):
     approve(name, context.lines)
 
 
@@ -95,118 +103,120 @@
     return context.fleet
 
 
-@given("three controllers that vote, with a configuration, and a spare")
-def three_and_a_spare(context):
+@given("three voting controllers with a configuration, and a spare")
+def start_three_voters_and_a_spare(context):
     fleet = new_fleet(context)
     fleet.write_settings(3, 4)
     for n in (1, 2, 3):
         fleet.start(n)
     fleet.put_configuration()
     fleet.wait_for_states({1: "voter", 2: "voter", 3: "voter"})
-    fleet.start(4)  # only now, as it would get the seat of a seed that is slow to start
+    fleet.start(4)  # only now, as it could get the seat of a seed that starts slowly
     fleet.wait_for_states({1: "voter", 2: "voter", 3: "voter", 4: "spare"})
 
 
 @when("controller {n:d} is killed")
-@when("controller {n:d} is killed and stays away")
-def killed(context, n):
+@when("controller {n:d} is killed and does not return")
+def kill(context, n):
     context.killed_at = time.monotonic()
     context.fleet.kill(n)
 
 
-@then("controller {n:d} has its seat, no sooner than its time is up")
-def seat_taken(context, n):
+@then("controller {n:d} gets the seat after half of CatchUpS, not before")
+def seat_is_replaced_in_time(context, n):
     context.fleet.wait_for_states({n: "voter"})
-    assert (
-        time.monotonic() - context.killed_at > SEAT_KEPT_FOR - HEARTBEAT_INTERVAL
-    )  # its last pulse may be so old
+    # The last heartbeat of the killed controller was sent up to one interval before the kill.
+    assert time.monotonic() - context.killed_at > SEAT_KEPT_FOR - HEARTBEAT_INTERVAL
 
 
-@then("the configuration is read back and a new one is taken")
-def read_and_put(context):
+@then("the configuration can be read, and a new one is acknowledged")
+def read_and_put_configuration(context):
     context.fleet.wait_until_read_back()
     context.fleet.put_configuration()
     context.fleet.wait_until_read_back()
 
 
 @when("controllers {n:d} and {m:d} return")
-def both_return(context, n, m):
+def start_both(context, n, m):
     context.fleet.start(n)
     context.fleet.start(m)
 
 
 @when("controller {n:d} returns")
-def returns(context, n):
+def start_again(context, n):
     context.fleet.start(n)
 
 
 @then("controller {n:d} is a spare")
-def stands_by(context, n):
+def is_a_spare(context, n):
     context.fleet.wait_for_spare(n)
 
 
 @when("controller {n:d} receives SIGTERM")
-@when("controller {n:d} receives SIGTERM, with nobody to take its seat")
-def told_to_end(context, n):
-    context.leaver, context.ended = n, context.fleet.terminate(n)
-
-
-@then("it has ended in order within GraceS")
-def ended(context):
-    code, took = context.ended
-    assert code == 0 and took < Bounds().GraceS, context.ended
-    last = [
-        context.fleet.log_events(context.leaver, event)[-1]["step"] for event in ("shutting down", "stopped")
+@when("controller {n:d} receives SIGTERM without a successor")
+def terminate(context, n):
+    context.terminated, context.exit = n, context.fleet.terminate(n)
+
+
+@then("it completes its shutdown within GraceS")
+def shutdown_is_complete(context):
+    code, seconds = context.exit
+    assert code == 0 and seconds < Bounds().GraceS, context.exit
+    last_steps = [
+        context.fleet.log_events(context.terminated, event)[-1]["step"]
+        for event in ("shutting down", "stopped")
     ]
-    assert last == ["end", "end"], last
+    assert last_steps == ["end", "end"], last_steps
 
 
-@then("it has ended in order within GraceS and controller {n:d} has its seat")
-def handed_on(context, n):
-    ended(context)
+@then("it completes its shutdown within GraceS, and controller {n:d} gets the seat")
+def shutdown_is_complete_with_successor(context, n):
+    shutdown_is_complete(context)
     fleet = context.fleet
     fleet.wait_for_states({n: "voter"})
-    said = [line["reason"] for one in fleet.running for line in fleet.log_events(one, "voter set change")]
-    assert f"{fleet.address_of(context.leaver)} leaves" in said, said
+    reasons = [
+        line["reason"] for other in fleet.running for line in fleet.log_events(other, "voter set change")
+    ]
+    assert f"{fleet.address_of(context.terminated)} leaves" in reasons, reasons
 
 
 @when("controller {n:d} is killed and returns with an empty disk")
-def emptied(context, n):
-    context.disk = context.fleet.membership_at(n)["disks"][n], n
+def restart_with_empty_disk(context, n):
+    context.replaced_disk = context.fleet.membership_at(n)["disks"][n], n
     context.fleet.kill(n)
     context.fleet.delete_disk(n)
     context.fleet.start(n)
 
 
-@then("its new disk has the seat, and controller {spare:d} is a spare")
-def new_disk(context, spare):
-    before, n = context.disk
+@then("its new disk gets the seat, and controller {spare:d} is a spare")
+def new_disk_has_seat(context, spare):
+    old_disk, n = context.replaced_disk
     context.fleet.wait_for_spare(spare)
-    assert context.fleet.membership_at(n)["disks"][n] != before
+    assert context.fleet.membership_at(n)["disks"][n] != old_disk
 
 
-@when("an operator orders")
-def orders(context):
+@when("an operator runs these commands")
+def run_commands(context):
     context.lines = []
     for row in context.table:
         context.fleet.wait_until_settled()
         context.lines += context.fleet.run_command(row["command"], 1)
 
 
-@given("three controllers whose disks the program before epochs has written")
-def old_disks(context):
+@given("three controllers with disks from a release without epochs")
+def start_from_schema_1_disks(context):
     fleet = new_fleet(context)
     fleet.write_settings(3, 3)
     fleet.revision = 1
     for n in (1, 2, 3):
-        fleet.write_form_1_disk(n, 3, fleet.configuration(1))
+        fleet.write_schema_1_disk(n, 3, fleet.configuration(1))
         fleet.start(n)
 
 
-@then("they vote on them, each seat with its disk's name, with the configuration that lay there")
-def named(context):
+@then("all three vote, each seat names its disk, and the stored configuration can be read")
+def old_disks_vote(context):
     fleet = context.fleet
-    named = lambda: fleet.membership_at(1)["epoch"] == 4 and all(fleet.membership_at(1)["disks"].values())  # noqa: E731
-    fleet.wait_until("three seats named", named)
+    all_named = lambda: fleet.membership_at(1)["epoch"] == 4 and all(fleet.membership_at(1)["disks"].values())  # noqa: E731
+    fleet.wait_until("epoch 4, in which each seat names its disk", all_named)
     fleet.wait_for_states({1: "voter", 2: "voter", 3: "voter"})
     fleet.wait_until_read_back()
