--- a/features/membership_commands.feature
+++ b/features/membership_commands.feature
@@ -16,19 +16,19 @@
 
   Scenario: The output shows the failure margin, and accepted, rejected and redirected changes
     When an operator calls a stub of a controller with three voters at epoch 3
-      | command                      | change                                                  |
-      | members                      |                                                         |
-      | members --json show          |                                                         |
-      | members show                 | 10.0.0.5="lost"; margin=0; change="10.0.0.7 for 10.0.0.5" |
-      | members show                 | 10.0.0.5="silent"; 10.0.0.6="other disk"; margin=-1     |
-      | members show                 | gone=true                                               |
-      | members replace 10.0.0.5 10.0.0.7 | answer=[200, {"Epoch":4}]                          |
-      | members remove 10.0.0.5      | answer=[409, {"Failure":"one change at a time"}]        |
-      | members add 10.0.0.7 --json  | answer=[200, {"Epoch":4}]; moved=2                      |
-      | members add 10.0.0.7         | answer=[200, {"Epoch":4}]; moved=3                      |
-      | members add 10.0.0.7         | answer=[503, {"Failure":"no majority heard in time"}]   |
-      | members add 10.0.0.7         | answer=[408, {}]                                        |
-      | members add 10.0.0.7         | answer=[429, {}]                                        |
+      | command                           | stub fields                                               |
+      | members                           |                                                           |
+      | members --json show               |                                                           |
+      | members show                      | 10.0.0.5="lost"; margin=0; change="10.0.0.7 for 10.0.0.5" |
+      | members show                      | 10.0.0.5="silent"; 10.0.0.6="other disk"; margin=-1       |
+      | members show                      | gone=true                                                 |
+      | members replace 10.0.0.5 10.0.0.7 | answer=[200, {"Epoch":4}]                                 |
+      | members remove 10.0.0.5           | answer=[409, {"Failure":"one change at a time"}]          |
+      | members add 10.0.0.7 --json       | answer=[200, {"Epoch":4}]; moved=2                        |
+      | members add 10.0.0.7              | answer=[200, {"Epoch":4}]; moved=3                        |
+      | members add 10.0.0.7              | answer=[503, {"Failure":"no majority heard in time"}]     |
+      | members add 10.0.0.7              | answer=[408, {}]                                          |
+      | members add 10.0.0.7              | answer=[429, {}]                                          |
     Then the output matches the approved membership output "members"
 
   Scenario: Real controllers replace lost voters, survive a second loss, and follow commands
--- a/features/membership_epoch_search.feature
+++ b/features/membership_epoch_search.feature
@@ -18,7 +18,7 @@
 
   Scenario: A majority answers in the end, also if a second change began too early
     Then a majority answers in the end in 3000 of the last states of "second change" at depth 7
-    And without the guard "seals of unused seats count" it does not in one of them
+    And without the guard "seals of unused seats count", no majority answers in one of them
 
   Scenario Outline: The search detects that a guard is missing
     Then without the guard "<guard>", one of the first <states> states of "<shape>" breaks a rule
--- a/features/steps/membership_commands.py
+++ b/features/steps/membership_commands.py
@@ -51,18 +51,18 @@
     ]
 
 
-async def transcript(command: str, change: str) -> list[str]:
+async def transcript(command: str, stub_fields: str) -> list[str]:
     """Runs a command against a stub. Returns its requests, its output and its exit code as lines.
 
-    change: the fields of the stub that differ from the default, as "field=JSON" separated by "; ". Apart from
-    the fields of MEMBERSHIP_VIEW and the states of its members, they are:
+    stub_fields: the fields of the stub that differ from the default, as "field=JSON" separated by "; ". Apart
+    from the fields of MEMBERSHIP_VIEW and the states of its members, they are:
     answer: the status and body of the response to a change, or to any request without a view.
     moved: the number of first requests to which the stub responds with a redirect to itself, status 307.
     gone: whether the stub has no membership view.
     """
     stub = {**copy.deepcopy(MEMBERSHIP_VIEW), "answer": [404, {}], "moved": 0, "gone": False}
     requests = []
-    for name, _, value in (part.partition("=") for part in change.split("; ") if part):
+    for name, _, value in (part.partition("=") for part in stub_fields.split("; ") if part):
         record, field = (stub["members"][name], "state") if name in stub["members"] else (stub, name)
         record[field] = json.loads(value)
 
@@ -82,13 +82,13 @@
     result = await asyncio.to_thread(CliRunner().invoke, gateway, arguments)
     server.close()
     output = result.output.replace(address, "HOST:PORT").splitlines()
-    heading = f"$ {command}   # {change}".strip(" #")
+    heading = f"$ {command}   # {stub_fields}".strip(" #")
     return [heading, *requests, *output, f"exit code {result.exit_code}", ""]
 
 
 @when("an operator calls a stub of a controller with three voters at epoch 3")
 def call_stub(context):
-    rows = [(row["command"], row["change"]) for row in context.table]
+    rows = [(row["command"], row["stub fields"]) for row in context.table]
     context.lines = [line for row in rows for line in asyncio.run(transcript(*row))]
 
 
--- a/features/steps/membership_epochs.py
+++ b/features/steps/membership_epochs.py
@@ -24,7 +24,7 @@
     assert not result.violation, (result.violation, result.moves)
 
 
-@then('without the guard "{guard}" it does not in one of them')
+@then('without the guard "{guard}", no majority answers in one of them')
 def no_majority_answers_in_one(context, guard):
     shape, depth, samples = context.search
     with without_guard(guard):
--- a/tests/simulation/membership_commands.py
+++ b/tests/simulation/membership_commands.py
@@ -50,7 +50,7 @@
 
     def __init__(self) -> None:
         pid = os.getpid()
-        self.net = f"127.{100 + pid // 250 % 100}.{pid % 250}"
+        self.network_prefix = f"127.{100 + pid // 250 % 100}.{pid % 250}"
         self.folder, self.loop = tempfile.TemporaryDirectory(), asyncio.new_event_loop()
         self.running: dict[int, asyncio.subprocess.Process] = {}
         self.paths: dict[int, str] = {}
@@ -69,7 +69,7 @@
     # --- machines
 
     def address_of(self, n: int) -> str:
-        return f"{self.net}.{n}"
+        return f"{self.network_prefix}.{n}"
 
     def write_settings(self, voters: int, controllers: int) -> None:
         """Writes the settings files of this many controllers, of which the first `voters` are seeds.
@@ -299,7 +299,7 @@
         )
         text = f"$ {command}\n{result.output}exit code {result.exit_code}\n"
         for pattern, mask in (
-            (rf"{re.escape(self.net)}\.(\d)", r"archive-\1"),
+            (rf"{re.escape(self.network_prefix)}\.(\d)", r"archive-\1"),
             (r"heard [\d.]+ s ago", "heard S s ago"),
             (r'"heard":[\d.]+', '"heard":S'),
             (r"disk [0-9a-f]{8}", "disk D"),
--- a/tests/simulation/membership_epoch_cases.py
+++ b/tests/simulation/membership_epoch_cases.py
@@ -152,7 +152,7 @@
         raise RuleViolation(f"two voter sets of epoch 1: {learned}")
 
 
-def late_promise_of_sealed() -> None:
+def late_promise_of_sealed_voter() -> None:
     """A promise that a voter gave before it was sealed does not count for a proposal afterwards."""
     cluster = ScriptedCluster("abc", "d")
     cluster.put("c", "old")
@@ -300,8 +300,8 @@
     cluster.put("a", "x")
     cluster.deliver("ad")
     # b has not been reached and is still at epoch 1
-    third = next_voter_set(voter_set, {"b": "b0", "c": "c0", "d": "d0"})
-    cluster.apply("d", cluster.replicas["d"].propose(0.0, VOTER_SET, third, "members", 99.0))
+    third_voter_set = next_voter_set(voter_set, {"b": "b0", "c": "c0", "d": "d0"})
+    cluster.apply("d", cluster.replicas["d"].propose(0.0, VOTER_SET, third_voter_set, "members", 99.0))
     cluster.deliver("ad", "prepare promise accept accepted")
     cluster.in_flight.clear()
     cluster.lose_disk("a")
@@ -351,7 +351,7 @@
     "late acceptance by a lost disk": late_acceptance,
     "a disk lost while an unfinished round is completed": disk_lost_during_completion,
     "a seed that forgets its promise during the founding": promise_lost_during_founding,
-    "late promise of a sealed voter": late_promise_of_sealed,
+    "late promise of a sealed voter": late_promise_of_sealed_voter,
     "joining by reports of one active voter or of sealed voters": join_by_active_or_sealed_reports,
     "a joining voter that repeats its request": repeated_join_request,
     "return after three epochs": returns_after_three_epochs,
--- a/tests/simulation/membership_epoch_days.py
+++ b/tests/simulation/membership_epoch_days.py
@@ -20,13 +20,13 @@
     A broken invariant of the fleet raises RuleViolation. `counts` has the number of faults by kind.
     """
 
-    def __init__(self, seed: int, voters: int, spares: int, founding: bool, older: int = 0) -> None:
+    def __init__(self, seed: int, voters: int, spares: int, founding: bool, rollback_weight: int = 0) -> None:
         """Starts the fleet. voters, spares, founding: as in ControllerFleet.
 
-        older: the weight, among the kinds of faults, of a disk that is rolled back to an older state. The
-        documented guarantees do not cover this fault. The other kinds have a weight of 11 in all.
+        rollback_weight: the weight, among the kinds of faults, of a disk that is rolled back to an older
+        state. The documented guarantees do not cover this fault. The other kinds have a weight of 11 in all.
         """
-        self.fleet, self.older = ControllerFleet(seed, voters, spares, founding), older
+        self.fleet, self.rollback_weight = ControllerFleet(seed, voters, spares, founding), rollback_weight
         self.rng, self.counts = self.fleet.rng, {}
         self.fleet.loss, self.fleet.duplication, self.fleet.lateness = 0.03, 0.03, 0.03
 
@@ -66,7 +66,7 @@
                 "out",
                 "freeze",
             )
-            + ("rollback",) * self.older
+            + ("rollback",) * self.rollback_weight
         )
         self.counts[kind] = self.counts.get(kind, 0) + 1
         if kind == "rollback":
@@ -87,7 +87,7 @@
             fleet.lose_disk(name)
             return self.add_controller
         if kind == "freeze":
-            fleet.frozen_until[name] = fleet.now + 1e9
+            fleet.frozen_until[name] = fleet.now + 1e9  # until `thaw` is called
             return lambda: self.thaw(name)
         fleet.cut_off(name, {"cut": "both"}.get(kind, kind))
         return lambda: fleet.cut_links.difference_update({link for link in fleet.cut_links if name in link})
@@ -96,13 +96,14 @@
         """Ends the freeze of a controller, and runs at once all events that waited for it."""
         fleet = self.fleet
         del fleet.frozen_until[name]
+        # Only events that wait for the end of the freeze are due so late.
         postponed = [event for event in fleet.events if event[0] >= 1e8]
         fleet.events = [event for event in fleet.events if event[0] < 1e8]
         heapq.heapify(fleet.events)
         for _, _, callback in postponed:
             fleet.call_after(0.0, callback)
 
-    def lose_one_at_start(self) -> None:
+    def lose_controller_at_start(self) -> None:
         """Stops a random controller during the start of the fleet, and starts it again within 1 s.
 
         Its disk may be lost too.
@@ -244,13 +245,13 @@
 def day(seed: int, rounds: int = 3, guard: str = "", older: int = 0) -> FaultRun:
     """Simulates the run of this seed, and returns it.
 
-    guard: the name of a guard to remove, or "" for none. older: as in FaultRun.
+    guard: the name of a guard to remove, or "" for none. older: the `rollback_weight` of FaultRun.
     Raises RuleViolation if an invariant is broken or no majority answers a read.
     """
     with without_guard(guard):
         run = FaultRun(seed, *FLEETS[seed % len(FLEETS)], older)
         if seed % 4 == 1:
-            run.lose_one_at_start()
+            run.lose_controller_at_start()
         run.put_configurations(BOUNDS.CatchUpS)
         run.fleet.check_reader_answered("at the start")
         for _ in range(rounds):
--- a/tests/simulation/membership_epoch_search.py
+++ b/tests/simulation/membership_epoch_search.py
@@ -119,18 +119,18 @@
             machine_index, (next_machine, sends, new_observations) = queue.pop(0)
             machines[machine_index] = next_machine
             observations |= new_observations
-            for message in sends:
-                peer = self.messages[message][1]
+            for message_number in sends:
+                peer = self.messages[message_number][1]
                 if peer not in self.names:
                     continue
-                if self.arrives_at_once(self.messages[message]):
+                if self.arrives_at_once(self.messages[message_number]):
                     peer_index = self.names.index(peer)
-                    next_step = self.after_message(machines[peer_index], message)
+                    next_step = self.after_message(machines[peer_index], message_number)
                     if next_step[0] != machines[peer_index] or next_step[1] or next_step[2]:
                         machines[peer_index] = next_step[0]
                         queue.append((peer_index, next_step))
-                elif not self.is_ignored(self.messages[message]):
-                    in_flight |= 1 << message
+                elif not self.is_ignored(self.messages[message_number]):
+                    in_flight |= 1 << message_number
         return SearchState(tuple(machines), in_flight, state.events_left, observations)
 
     def is_ignored(self, message: tuple) -> bool:
@@ -145,8 +145,8 @@
             lowest_bit = in_flight & -in_flight
             in_flight ^= lowest_bit
             moves.append(("deliver", lowest_bit.bit_length() - 1))
-        for index, machine in enumerate(state.machines):
-            if self.machines[machine].writes:
+        for index, machine_number in enumerate(state.machines):
+            if self.machines[machine_number].writes:
                 moves.append(("sync", index))
         moves += [
             ("configuration", index)
@@ -197,10 +197,10 @@
                 step = (self.after_restart(state.machines[index], False), (), 0)
         return None if step is None else self.after_step(state._replace(events_left=events_left), index, step)
 
-    def after_delivery(self, state: SearchState, message: int) -> SearchState | None:
+    def after_delivery(self, state: SearchState, message_number: int) -> SearchState | None:
         """Returns the state after the delivery of a message, or None if the delivery changes nothing."""
-        index = self.names.index(self.messages[message][1])
-        step = self.after_message(state.machines[index], message)
+        index = self.names.index(self.messages[message_number][1])
+        step = self.after_message(state.machines[index], message_number)
         if step[0] == state.machines[index] and not step[1] and not step[2]:
             return None
         return self.after_step(state, index, step)
@@ -212,19 +212,19 @@
         already.
         """
         proposer, seat, successor = self.shape.changes[number]
-        machine = state.machines[self.names.index(proposer)]
-        replica = self.machines[machine].consensus
+        machine_number = state.machines[self.names.index(proposer)]
+        replica = self.machines[machine_number].consensus
         current, new = replica.voter_set["voters"], successor or seat
         disk = self.machines[state.machines[self.names.index(new)]].consensus.disk
         voters = {name: kept_disk for name, kept_disk in current.items() if name != seat}
         voters[new] = disk
         if seat not in current or voters == current or not replica.active_epoch > 0:
             return None
-        return self.after_proposal(machine, VOTER_SET, ("members", (replica.voter_set, voters)))
+        return self.after_proposal(machine_number, VOTER_SET, ("members", (replica.voter_set, voters)))
 
-    def after_oldest_write(self, machine: int) -> tuple:
+    def after_oldest_write(self, machine_number: int) -> tuple:
         """Returns the step in which the oldest write of this machine state becomes durable."""
-        current = self.machines[machine]
+        current = self.machines[machine_number]
         replica, sends, observations = restore_replica(current.name, current.consensus), [], []
         next_machine = self.after_sync(current, replica, sends, observations)
         next_machine = next_machine._replace(consensus=replica_state(replica, current.name in self.proposers))
--- a/tests/simulation/membership_epoch_steps.py
+++ b/tests/simulation/membership_epoch_steps.py
@@ -37,8 +37,9 @@
         self.machines: list[Machine] = []
         self.messages: list[tuple[str, str, dict]] = []
         self.observations: list[tuple] = []
-        self.numbers: dict[str, int] = {}
-        self.steps: dict[tuple, tuple] = {}  # by (machine state, message), the step of the delivery
+        self.numbers: dict[str, int] = {}  # by the identity of a numbered list and the key of an item
+        # by the numbers of a machine state and a message, the step in which it receives the message
+        self.steps: dict[tuple, tuple] = {}
         self.contradictions: dict[tuple[int, int], str] = {}
         self.proposers = {name for name, *_ in (*shape.configurations, *shape.changes)} | {*shape.waits}
         self.transitions = 0
@@ -55,7 +56,10 @@
     # --- one machine
 
     def after_effects(self, machine: Machine, replica: ConsensusReplica, all_effects: list[Effects]) -> tuple:
-        """Returns the step in which the replica has reached its present state with these effects."""
+        """Returns the step that took the replica from the state of `machine` to its present state.
+
+        all_effects: the effects of the replica in this step.
+        """
         pending, disk, writes = PendingWrites(dict(machine.pending[0])), machine.disk, list(machine.writes)
         pending.rows = dict(machine.pending[1])
         sends, observations = [], []
@@ -134,17 +138,17 @@
                     acceptance = {"k": "accepted", "r": register, "b": accepted, "disk": replica.disk}
                     sends += [(name, peer, acceptance) for peer in self.names if peer != name]
 
-    def after_message(self, machine: int, message: int) -> tuple:
+    def after_message(self, machine_number: int, message_number: int) -> tuple:
         """Returns the step in which this machine state receives this message."""
-        step = self.steps.get((machine, message))
+        step = self.steps.get((machine_number, message_number))
         if step is None:
             self.transitions += 1
-            current = self.machines[machine]
+            current = self.machines[machine_number]
             replica, (sender, _, wire) = (
                 restore_replica(current.name, current.consensus),
-                self.messages[message],
+                self.messages[message_number],
             )
-            step = self.steps[machine, message] = self.after_effects(
+            step = self.steps[machine_number, message_number] = self.after_effects(
                 current, replica, [replica.receive(0.0, sender, wire)]
             )
         return step
@@ -156,20 +160,20 @@
             bits |= 1 << self.number_of(self.observations, observation)
         return bits
 
-    def after_proposal(self, machine: int, register: str, tag: tuple) -> tuple:
+    def after_proposal(self, machine_number: int, register: str, tag: tuple) -> tuple:
         """Returns the step in which this machine state proposes the change of this tag, see `change_of`."""
-        current = self.machines[machine]
+        current = self.machines[machine_number]
         replica = restore_replica(current.name, current.consensus)
         return self.after_effects(
             current, replica, [replica.propose(0.0, register, change_of(tag), tag, 1e9)]
         )
 
-    def after_wait(self, machine: int) -> tuple:
+    def after_wait(self, machine_number: int) -> tuple:
         """Returns the step in which all timeouts of this machine state expire.
 
         A round in progress is retried. If there is none, unfinished proposals are completed.
         """
-        current = self.machines[machine]
+        current = self.machines[machine_number]
         replica = restore_replica(current.name, current.consensus)
         all_effects = [replica.tick(1.0)]
         has_round = any(replica.proposer.rounds.values())
@@ -179,9 +183,9 @@
         all_effects.append(replica.tick(1.0 if has_round else AFTER_ALL_TIMEOUTS))
         return self.after_effects(current, replica, all_effects)
 
-    def after_restart(self, machine: int, disk_lost: bool) -> int:
+    def after_restart(self, machine_number: int, disk_lost: bool) -> int:
         """Returns the number of the machine state after a restart, with its disk or with an empty one."""
-        current = self.machines[machine]
+        current = self.machines[machine_number]
         incarnation = current.consensus.incarnation + 1
         facts, rows = ({"disk": f"{current.name}{incarnation}"}, {}) if disk_lost else current.disk
         if disk_lost:
--- a/tests/simulation/membership_epochs.py
+++ b/tests/simulation/membership_epochs.py
@@ -3,7 +3,8 @@
 The controllers run their production code on a simulated network, simulated disks and a simulated clock.
 Messages are delayed, duplicated and lost, and links fail in one or both directions. Machines lose power,
 lose their disks, shut down and are replaced, within what `Tolerance` allows. The fleet checks its invariants
-whenever a controller learns a value or answers an operator. A broken invariant raises RuleViolation.
+whenever a controller makes progress in consensus, and checks what reads return. A broken invariant raises
+RuleViolation.
 """
 
 import dataclasses
@@ -158,6 +159,7 @@
 
         founding: whether all disks are empty and the controllers found the voter set in their first boot.
         """
+        # `losses` is the number of controllers that may be lost at a time
         self.rng, self.now, self.losses = random.Random(seed), 0.0, voters // 2
         names = [f"m{number}" for number in range(voters + spares)]
         self.seeds = tuple(f"{name}:1" for name in names[:3])
@@ -169,9 +171,12 @@
             set(),
             {},
         )
-        self.dead_disks: set[str] = set()  # these refuse every write; `refusing_disks` refuse some
+        # Writes to `refusing_disks` are refused at random, those to `dead_disks` always.
+        self.dead_disks: set[str] = set()
         self.loss = self.duplication = self.lateness = 0.0  # probabilities for each message
+        # configurations by digest, voter sets by epoch, and the digests of chosen configurations by revision
         self.acknowledged, self.rejected, self.voter_sets, self.versions_seen = {}, {}, {}, {}
+        # `away` has the names of controllers that count as lost, from which no answer is expected
         self.last_revision, self.reads, self.next_number, self.away = 0, 0, len(names), {}
         voter_set = {"n": 1, "voters": {name: f"{name}.0" for name in names[:voters]}, "before": {}}
         for name in names:
@@ -234,7 +239,7 @@
                 return
         if (sender.name, peer) in self.cut_links:
             if message["k"] in ORDERED_KINDS and "members" in message:
-                sender.sessions.forget_sent_details(peer)  # they are sent again
+                sender.sessions.forget_sent_details(peer)  # the next heartbeat has them again
             return
         if peer in self.frozen_until:
             self.call_at(self.frozen_until[peer], lambda: self.deliver(sender, peer, message))
