--- a/features/steps/membership_epochs.py
+++ b/features/steps/membership_epochs.py
@@ -1,3 +1,5 @@
+"""Steps for the scripted cases, the random runs and the exhaustive search of voter set changes."""
+
 from behave import then
 
 from tests.simulation.consensus import RuleViolation
--- a/tests/simulation/membership_epochs.py
+++ b/tests/simulation/membership_epochs.py
@@ -402,7 +402,7 @@
         for number, digest in value["past"].items():
             if self.versions_seen.setdefault(number, digest) != digest:
                 raise RuleViolation(
-                    f"r{number} is {digest} at {machine.name} and {self.versions_seen[number]} at another"
+                    f"r{number} is {digest} at {machine.name} and {self.versions_seen[number]} elsewhere"
                 )
             if digest in self.rejected:
                 raise RuleViolation(f"{digest} was rejected, but {machine.name} has learned it as chosen")
