--- a/bramblewood/operator/__init__.py
+++ b/bramblewood/operator/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's own file: S-expressions, read and checked as one value."""
+"""Reads and validates the operator's file, which is written in S-expressions."""
--- a/bramblewood/operator/bylaws.py
+++ b/bramblewood/operator/bylaws.py
@@ -1,163 +1,199 @@
-"""The operator's own rules for a manager: every key of their file, its default, and when a change acts."""
+"""The settings in the operator's file: the keys, their defaults and whether a reload applies a change.
+
+The file is a sequence of sections such as `(store (folder "/var/lib/x") (hold 0.5))`.
+"""
 
 import difflib
 import math
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple
 
-from .expressions import Atom, Form, Unclear, Word, read
+from .expressions import Atom, ExpressionSyntaxError, ListExpression, Word, parse_expressions
 
 
 class Faulty(Exception):
-    """A file that can't be used; the text names file, line and key."""
+    """Raised for an operator's file that cannot be used. The message is one line with the file and the cause.
+
+    The message includes the line and the key where they are known.
+    """
 
 
 class StoreTerms(NamedTuple):
-    """How what must last is kept. Times in s."""
+    """The settings of the manager's durable store. Times are in s."""
 
     folder: str
-    flush: str  # "apart": by a process of its own; "in-loop"
-    must_exist: bool  # whether a missing store counts as one that was lost
-    background: float  # s of each turn for sealing and merging
-    hold: float  # s that orders wait at most for their promise; those that need none then go
-    keep: float  # s that a closed worker is remembered
+    flush: str  # "apart": a separate process flushes to disk; "in-loop": the event loop does
+    must_exist: bool  # whether a missing store counts as lost data
+    background: float  # s of each turn for sealing logs and merging tables
+    # s that orders wait for their records to be durable; orders that may be sent without are then sent
+    hold: float
+    keep: float  # s that the record of a closed worker is retained
 
 
 class Bylaws(NamedTuple):
+    """The validated content of an operator's file. store is None if the file has no store section."""
+
     path: str = ""
     store: StoreTerms | None = None
 
 
-class Key(NamedTuple):
-    kind: str  # in words, for messages
-    read: Callable[[Any], Any]  # raises ValueError
-    default: Any  # ... for one that must be there
-    at_once: bool  # whether SIGHUP lets a change act
+class KeySpec(NamedTuple):
+    """How the value of one key is validated."""
 
+    expected: str  # a description of the valid values, for error messages
+    parse: Callable[[Any], Any]  # returns the setting for the value of an atom; raises ValueError
+    default: Any  # ... for a required key
+    reloadable: bool  # whether a change applies on SIGHUP; otherwise it applies at the next start
 
-def text(value: Any) -> str:
+
+def parse_string(value: Any) -> str:
+    """Returns a non-empty quoted string. Raises ValueError for any other value."""
     if isinstance(value, Word) or not isinstance(value, str) or not value:
         raise ValueError
     return value
 
 
-def truth(value: Any) -> bool:
+def parse_yes_no(value: Any) -> bool:
+    """Returns True for the word yes and False for the word no. Raises ValueError for any other value."""
     if not isinstance(value, Word) or value not in ("yes", "no"):
         raise ValueError
     return value == "yes"
 
 
-def one_of(*words: str) -> Callable[[Any], str]:
-    def check(value: Any) -> str:
+def word_parser(*words: str) -> Callable[[Any], str]:
+    """Returns a parser that accepts only the given words."""
+
+    def parse_word(value: Any) -> str:
         if not isinstance(value, Word) or value not in words:
             raise ValueError
         return str(value)
 
-    return check
+    return parse_word
 
 
-def between(least: float, most: float) -> Callable[[Any], float]:
-    def check(value: Any) -> float:
-        if isinstance(value, str) or not math.isfinite(value) or not least <= value <= most:
+def range_parser(minimum: float, maximum: float) -> Callable[[Any], float]:
+    """Returns a parser that accepts only finite numbers from minimum to maximum, both included."""
+
+    def parse_number(value: Any) -> float:
+        if isinstance(value, str) or not math.isfinite(value) or not minimum <= value <= maximum:
             raise ValueError
         return float(value)
 
-    return check
+    return parse_number
 
 
-STORE = {
-    "folder": Key("a text, the path of a folder on a lasting disc", text, ..., False),
-    "flush": Key("apart or in-loop", one_of("apart", "in-loop"), "apart", False),
-    "must-exist": Key("yes or no", truth, False, False),
-    "background": Key("seconds from 0.0005 to 0.05", between(0.0005, 0.05), 0.001, True),
-    "hold": Key("seconds from 0 to 2", between(0.0, 2.0), 0.25, True),
-    "keep": Key("seconds from 60 to 2592000", between(60.0, 2592000.0), 86400.0, True),
+STORE_KEYS = {
+    "folder": KeySpec("a string, the path of a directory on a persistent disk", parse_string, ..., False),
+    "flush": KeySpec("apart or in-loop", word_parser("apart", "in-loop"), "apart", False),
+    "must-exist": KeySpec("yes or no", parse_yes_no, False, False),
+    "background": KeySpec("seconds from 0.0005 to 0.05", range_parser(0.0005, 0.05), 0.001, True),
+    "hold": KeySpec("seconds from 0 to 2", range_parser(0.0, 2.0), 0.25, True),
+    "keep": KeySpec("seconds from 60 to 2592000", range_parser(60.0, 2592000.0), 86400.0, True),
 }
-SECTIONS: dict[str, tuple[Mapping[str, Key], Callable[..., Any]]] = {"store": (STORE, StoreTerms)}
+# Each section's keys and the class of its settings. A key is a field of the class, with "_" in place of "-".
+SECTIONS: dict[str, tuple[Mapping[str, KeySpec], Callable[..., Any]]] = {"store": (STORE_KEYS, StoreTerms)}
 
 
-def nearest(word: str, known: Any) -> str:
-    close = difflib.get_close_matches(word, list(known), 1)
-    return f"; did you mean {close[0]}?" if close else f"; known are {', '.join(known)}"
+def suggestion(name: str, known: Any) -> str:
+    """Returns the end of an error message: the known name most like an unknown one, or all known names."""
+    close = difflib.get_close_matches(name, list(known), 1)
+    return f"; did you mean {close[0]}?" if close else f"; expected one of {', '.join(known)}"
 
 
 def load(path: str) -> Bylaws:
-    """The file at this path as one checked value; raises Faulty with one line."""
+    """Reads and validates the file at this path. Raises Faulty with a message of one line."""
     try:
         with open(path, encoding="utf-8") as file:
-            found = file.read()
-    except OSError as problem:
-        raise Faulty(f"{path}: {problem.strerror}") from None
+            text = file.read()
+    except OSError as error:
+        raise Faulty(f"{path}: {error.strerror}") from None
     except UnicodeDecodeError:
-        raise Faulty(f"{path}: not UTF-8") from None
+        raise Faulty(f"{path}: the file is not valid UTF-8") from None
     try:
-        return check(path, read(found))
-    except Unclear as problem:
-        raise Faulty(f"{path}: {problem}") from None
+        return parse_sections(path, parse_expressions(text))
+    except ExpressionSyntaxError as error:
+        raise Faulty(f"{path}: {error}") from None
 
 
-def check(path: str, forms: tuple) -> Bylaws:
+def parse_sections(path: str, expressions: tuple) -> Bylaws:
+    """Returns the settings in the top-level expressions of a file. Raises Faulty."""
     sections: dict[str, Any] = {}
-    for form in forms:
-        where = f"{path}: line {form.line}"
-        if not isinstance(form, Form) or form.head is None:
-            raise Faulty(f"{where}: expected a section such as (store ...)")
-        if form.head not in SECTIONS:
-            raise Faulty(f"{where}: {form.head}: no such section{nearest(form.head, SECTIONS)}")
-        if form.head in sections:
-            raise Faulty(f"{where}: {form.head}: it is there twice")
-        keys, kind = SECTIONS[form.head]
-        values = section(where, path, form, keys)
-        sections[form.head] = kind(**{name.replace("-", "_"): value for name, value in values.items()})
+    for expression in expressions:
+        location = f"{path}: line {expression.line}"
+        if not isinstance(expression, ListExpression) or expression.head is None:
+            raise Faulty(f"{location}: expected a section such as (store ...)")
+        if expression.head not in SECTIONS:
+            raise Faulty(
+                f"{location}: {expression.head}: unknown section{suggestion(expression.head, SECTIONS)}"
+            )
+        if expression.head in sections:
+            raise Faulty(f"{location}: {expression.head}: duplicate section")
+        keys, settings_class = SECTIONS[expression.head]
+        values = parse_section(location, path, expression, keys)
+        sections[expression.head] = settings_class(
+            **{name.replace("-", "_"): value for name, value in values.items()}
+        )
     return Bylaws(path, **sections)
 
 
-def section(where: str, path: str, form: Form, keys: Mapping[str, Key]) -> dict[str, Any]:
+def parse_section(
+    location: str, path: str, section: ListExpression, keys: Mapping[str, KeySpec]
+) -> dict[str, Any]:
+    """Returns the value of each key of a section, by name, with defaults for absent keys. Raises Faulty.
+
+    location: the path and the line of the section, for error messages.
+    """
     values = {name: key.default for name, key in keys.items()}
-    told = set()
-    for item in form.items[1:]:
-        if not isinstance(item, Form) or item.head is None:
-            raise Faulty(f"{path}: line {item.line}: {form.head}: expected (key value)")
-        name, at = item.head, f"{path}: line {item.line}: {form.head}.{item.head}"
+    seen = set()
+    for item in section.items[1:]:
+        if not isinstance(item, ListExpression) or item.head is None:
+            raise Faulty(f"{path}: line {item.line}: {section.head}: expected (key value)")
+        name, key_location = item.head, f"{path}: line {item.line}: {section.head}.{item.head}"
         if name not in keys:
-            raise Faulty(f"{at}: no such key{nearest(name, keys)}")
-        if name in told:
-            raise Faulty(f"{at}: it is there twice")
-        told.add(name)
+            raise Faulty(f"{key_location}: unknown key{suggestion(name, keys)}")
+        if name in seen:
+            raise Faulty(f"{key_location}: duplicate key")
+        seen.add(name)
         value = item.items[1] if len(item.items) == 2 else None
         try:
             if not isinstance(value, Atom):
                 raise ValueError
-            values[name] = keys[name].read(value.value)
+            values[name] = keys[name].parse(value.value)
         except ValueError:
             found = (
                 "nothing"
                 if len(item.items) < 2
                 else (repr(value.value)[:40] if isinstance(value, Atom) else "a list or more than one value")
             )
-            raise Faulty(f"{at}: expected {keys[name].kind}, found {found}") from None
+            raise Faulty(f"{key_location}: expected {keys[name].expected}, found {found}") from None
     for name, value in values.items():
         if value is ...:
-            raise Faulty(f"{where}: {form.head}.{name}: expected {keys[name].kind}, it is missing")
+            raise Faulty(
+                f"{location}: {section.head}.{name}: expected {keys[name].expected}, but the key is missing"
+            )
     return values
 
 
-def renewed(was: Bylaws, told: Bylaws) -> tuple[Bylaws, list[str], list[str]]:
-    """What holds after a SIGHUP, the keys that changed at once, and those that wait for the next start."""
-    now, later = [], []
-    held = was
-    for name, (keys, _) in SECTIONS.items():
-        old, new = getattr(was, name), getattr(told, name)
+def renewed(current: Bylaws, loaded: Bylaws) -> tuple[Bylaws, list[str], list[str]]:
+    """Returns the settings in effect after a reload and the names of the keys that changed.
+
+    The first list names the keys whose change applies at once, the second those whose change applies at the
+    next start. A section that is added or removed is in the second list under its own name.
+    """
+    at_once, at_next_start = [], []
+    effective = current
+    for section_name, (keys, _) in SECTIONS.items():
+        old, new = getattr(current, section_name), getattr(loaded, section_name)
         if old is None or new is None:
             if old != new:
-                later.append(name)
+                at_next_start.append(section_name)
             continue
-        acting = {}
-        for word, key in keys.items():
-            field = word.replace("-", "_")
+        changes = {}
+        for key_name, key in keys.items():
+            field = key_name.replace("-", "_")
             if getattr(old, field) != getattr(new, field):
-                (now if key.at_once else later).append(f"{name}.{word}")
-                if key.at_once:
-                    acting[field] = getattr(new, field)
-        held = held._replace(**{name: old._replace(**acting)})
-    return held, now, later
+                (at_once if key.reloadable else at_next_start).append(f"{section_name}.{key_name}")
+                if key.reloadable:
+                    changes[field] = getattr(new, field)
+        effective = effective._replace(**{section_name: old._replace(**changes)})
+    return effective, at_once, at_next_start
--- a/bramblewood/operator/expressions.py
+++ b/bramblewood/operator/expressions.py
@@ -1,4 +1,8 @@
-"""S-expressions with their places: lists, words, texts, numbers; `;` begins a comment."""
+"""A parser for S-expressions that records the line and column of each expression.
+
+An expression is a list in parentheses, a bare word, a string in double quotes or a number. A `;` outside a
+string begins a comment that ends with the line.
+"""
 
 from typing import NamedTuple, Union
 
@@ -18,78 +22,89 @@
 %ignore /\s+/
 """
 PARSER = Lark(GRAMMAR, parser="lalr", propagate_positions=True)
-ESCAPES = {"n": "\n", "t": "\t"}
+ESCAPES = {"n": "\n", "t": "\t"}  # any other character after a backslash stands for itself
 
 
-class Unclear(Exception):
-    """What is no S-expression, with its place."""
+class ExpressionSyntaxError(Exception):
+    """Raised for a text that is not a sequence of S-expressions. Lines and columns begin at 1."""
 
-    def __init__(self, line: int, column: int, what: str) -> None:
-        super().__init__(f"line {line}, column {column}: {what}")
-        self.line, self.column, self.what = line, column, what
+    def __init__(self, line: int, column: int, reason: str) -> None:
+        super().__init__(f"line {line}, column {column}: {reason}")
+        self.line, self.column, self.reason = line, column, reason
 
 
 class Word(str):
-    """A bare name, as against a text in quotes."""
+    """A word without quotes. A string in quotes is a plain str."""
 
 
 class Atom(NamedTuple):
+    """A word, a string or a number, and the position of its first character. Lines and columns begin at 1."""
+
     value: Union[Word, str, int, float]
     line: int
     column: int
 
 
-class Form(NamedTuple):
-    """A list in parentheses."""
+class ListExpression(NamedTuple):
+    """A list in parentheses, and the position of its opening parenthesis. Lines and columns begin at 1."""
 
-    items: tuple
+    items: tuple  # of Atom and ListExpression
     line: int
     column: int
 
     @property
     def head(self) -> str | None:
-        """The word that it begins with."""
+        """The first item if it is a word, otherwise None."""
         first = self.items[0] if self.items else None
         return first.value if isinstance(first, Atom) and isinstance(first.value, Word) else None
 
 
-def read(text: str) -> tuple:
-    """The expressions of a text; raises Unclear."""
+def parse_expressions(text: str) -> tuple:
+    """Returns the top-level expressions of a text in order. Raises ExpressionSyntaxError."""
     try:
         tree = PARSER.parse(text)
     except UnexpectedEOF:
-        raise Unclear(text.count("\n") + 1, 1, "the text ends inside a list that is still open") from None
-    except UnexpectedCharacters as problem:
-        raise Unclear(
-            problem.line,
-            problem.column,
-            f"expected a list, a word, a number or a text, found {problem.char!r}",
+        raise ExpressionSyntaxError(
+            text.count("\n") + 1, 1, "the text ends inside a list, before its closing parenthesis"
+        ) from None
+    except UnexpectedCharacters as error:
+        raise ExpressionSyntaxError(
+            error.line,
+            error.column,
+            f"expected a list, a word, a number or a string, found {error.char!r}",
         ) from None
-    except UnexpectedInput as problem:
-        token = getattr(problem, "token", "")
+    except UnexpectedInput as error:
+        token = getattr(error, "token", "")
         if getattr(token, "type", "") == "$END":
-            raise Unclear(text.count("\n") + 1, 1, "the text ends inside a list that is still open") from None
-        raise Unclear(
-            problem.line, problem.column, f"expected a list, a word or a number, found {str(token)!r:.20}"
+            raise ExpressionSyntaxError(
+                text.count("\n") + 1, 1, "the text ends inside a list, before its closing parenthesis"
+            ) from None
+        raise ExpressionSyntaxError(
+            error.line,
+            error.column,
+            f"expected a list, a word, a number or a string, found {str(token)!r:.20}",
         ) from None
-    return tuple(made(child) for child in tree.children)
+    return tuple(build_expression(child) for child in tree.children)
 
 
-def made(node: Tree) -> Form | Atom:
+def build_expression(node: Tree) -> ListExpression | Atom:
+    """Converts a node of the syntax tree, `list` or `atom`, to an expression."""
     if node.data == "list":
-        return Form(tuple(made(child) for child in node.children), node.meta.line, node.meta.column)
+        return ListExpression(
+            tuple(build_expression(child) for child in node.children), node.meta.line, node.meta.column
+        )
     token: Token = node.children[0]
     if token.type == "TEXT":
-        value, parts = str(token)[1:-1], []
-        pieces = iter(value)
-        for char in pieces:
+        content, unescaped = str(token)[1:-1], []
+        characters = iter(content)
+        for char in characters:
             if char == "\\":
-                char = next(pieces)
+                char = next(characters)
                 char = ESCAPES.get(char, char)
-            parts.append(char)
-        return Atom("".join(parts), token.line, token.column)
+            unescaped.append(char)
+        return Atom("".join(unescaped), token.line, token.column)
     if token.type == "NUMBER":
-        text = str(token)
-        whole = text.lstrip("+-").isdigit()
-        return Atom(int(text) if whole else float(text), token.line, token.column)
+        digits = str(token)
+        is_integer = digits.lstrip("+-").isdigit()
+        return Atom(int(digits) if is_integer else float(digits), token.line, token.column)
     return Atom(Word(token), token.line, token.column)
