--- a/bramblewood/work/__init__.py
+++ b/bramblewood/work/__init__.py
@@ -1,1 +1,1 @@
-"""Background work under a budget, and a timing wheel. The clock is handed in."""
+"""A scheduler for background work under a time budget, and a timing wheel. Callers supply the time."""
--- a/bramblewood/work/shares.py
+++ b/bramblewood/work/shares.py
@@ -1,97 +1,106 @@
-"""Which piece of background work runs next, and how much of a turn it may take. Pure; times are handed in.
+"""Chooses the background job that runs next and limits the time of a turn for background work.
 
-Fairness is by stride: each job has a pass that grows by the time it used over its weight, and the lowest
-goes first. A job with a deadline that its share would miss goes before all others. Under overload the budget
-shrinks to a floor and not to nothing, so that what is due does get done: a log that is never sealed grows for
-ever. What a turn leaves of its budget is saved, up to a full one, so that a step longer than the floor runs;
-what a step took beyond it is a debt that the next turns pay first.
+The module is pure, and the caller passes all times. Jobs are chosen by stride scheduling. Each job has a
+pass, which grows by the time that the job uses divided by its weight. The lowest pass runs first.
+A job that would miss its deadline with its share of the budget runs before all others.
+
+Under overload the budget shrinks to a floor and not to zero, because a log that is never sealed grows without
+bound. The budget that a turn leaves unused is saved, up to one full budget, so that a step longer than the
+floor can run. The time that a step takes beyond the budget is a debt, which the following turns pay first.
 """
 
 from typing import NamedTuple
 
-BUDGET = 0.001  # s of a turn for background work; with one step more it stays below 2 ms
-FLOOR = 0.0003  # s of a turn left to it under full overload: one short step
-BUSY = (0.3, 0.8)  # part of the time that turns take: below the first all of the budget, above the second
-# the floor
-LONGEST_PAUSE = 0.25  # s after which a step is run whatever the debt
-TYPICAL = 0.9  # part of a job's steps that are as short as the one expected
-DEBT = 25  # budgets that a step may take beyond its turn's and have paid back; one of 50 ms
-BINS = (0.00005, 0.0001, 0.0002, 0.0004, 0.0008, 0.0016, 0.0032, 0.0064, 0.0128)  # s, upper bounds
-HALVED = 256  # steps after which counts are halved: old times say little
-MEMORY = 0.9  # part that the busyness of earlier turns keeps
+DEFAULT_BUDGET = 0.001  # s of a turn for background work; with one step more the total stays below 2 ms
+BUDGET_FLOOR = 0.0003  # s of a turn for background work under full overload, enough for one short step
+# The busy fraction up to which the budget is full, and the one from which the budget is the floor.
+BUSY_RANGE = (0.3, 0.8)
+MAX_PAUSE = 0.25  # s without a step after which one runs even if the balance is negative
+STEP_QUANTILE = 0.9  # fraction of a job's steps that are no longer than its expected step
+MAX_DEBT = 25  # in full budgets; time beyond it is not paid back
+BIN_BOUNDS = (0.00005, 0.0001, 0.0002, 0.0004, 0.0008, 0.0016, 0.0032, 0.0064, 0.0128)  # s, upper bounds
+HALVING_COUNT = 256  # steps after which the counts are halved, because old durations predict little
+SMOOTHING = 0.9  # weight of earlier turns in the moving average of the busy fraction
 
 
-class Steps:
-    """How long the steps of a job take: a small histogram, halved now and then."""
+class StepDurations:
+    """A histogram of the durations of a job's steps. Halving the counts gives recent steps more weight."""
 
     def __init__(self) -> None:
-        self.counts, self.total, self.longest = [0] * (len(BINS) + 1), 0, 0.0
+        self.counts, self.total, self.longest = [0] * (len(BIN_BOUNDS) + 1), 0, 0.0
 
-    def note(self, seconds: float) -> None:
-        place = next((k for k, bound in enumerate(BINS) if seconds <= bound), len(BINS))
-        self.counts[place] += 1
+    def record(self, seconds: float) -> None:
+        """Adds the duration of one step."""
+        index = next((k for k, bound in enumerate(BIN_BOUNDS) if seconds <= bound), len(BIN_BOUNDS))
+        self.counts[index] += 1
         self.total += 1
         self.longest = max(self.longest, seconds)
-        if self.total >= HALVED:
+        if self.total >= HALVING_COUNT:
             self.counts = [count // 2 for count in self.counts]
             self.total = sum(self.counts)
 
     def expected(self) -> float:
-        """s that a typical step stays below; of none yet, nothing."""
-        below = 0
-        for place, count in enumerate(self.counts):
-            below += count
-            if below and below >= TYPICAL * self.total:
-                return BINS[place] if place < len(BINS) else self.longest
+        """Returns an upper bound, in s, of a typical step; 0 before the first step."""
+        cumulative = 0
+        for index, count in enumerate(self.counts):
+            cumulative += count
+            if cumulative and cumulative >= STEP_QUANTILE * self.total:
+                return BIN_BOUNDS[index] if index < len(BIN_BOUNDS) else self.longest
         return 0.0
 
 
-class Share(NamedTuple):
-    """What the choice between jobs knows of one."""
+class Candidate(NamedTuple):
+    """The values of a job from which the next one is chosen."""
 
-    order: int  # in which it was added; breaks ties
-    used: float  # its pass: s used over its weight
+    sequence: int  # number in order of addition; breaks ties
+    weighted_time: float  # the job's pass: s used, divided by its weight
     expected: float  # s of its next step
-    left: float  # s of work that it expects to need in all; 0 if it can't say
+    remaining: float  # expected s of work until the end; 0 if unknown
     deadline: float  # unix time, or infinity
     weight: float
-    ready: bool  # not waiting for a disc
+    ready: bool  # whether the job can continue in this turn
+
 
+def turn_budget(full: float, busy_fraction: float) -> float:
+    """Returns the s for background work in this turn.
 
-def budget(full: float, busy: float) -> float:
-    """s for background work in this turn, by the part of the time that turns took lately."""
-    low, high = BUSY
-    part = min(max((high - busy) / (high - low), 0.0), 1.0)
-    return max(full * part, min(FLOOR, full))
+    full: s if the loop is idle. busy_fraction: the recent fraction of time in which the loop was not waiting.
+    """
+    low, high = BUSY_RANGE
+    fraction = min(max((high - busy_fraction) / (high - low), 0.0), 1.0)
+    return max(full * fraction, min(BUDGET_FLOOR, full))
 
 
-def pressed(share: Share, now: float, weights: float) -> bool:
-    """Whether its deadline is missed if it only gets its part of the budget."""
-    return share.deadline < float("inf") and now + share.left * weights / share.weight >= share.deadline
+def would_miss_deadline(candidate: Candidate, now: float, total_weight: float) -> bool:
+    """Returns whether the job misses its deadline if it gets only its share of the time."""
+    return (
+        candidate.deadline < float("inf")
+        and now + candidate.remaining * total_weight / candidate.weight >= candidate.deadline
+    )
 
 
-def choose(shares: list[Share], now: float) -> Share | None:
-    """The job whose next step runs now, or None where all of them wait."""
-    able = [share for share in shares if share.ready]
-    weights = sum(share.weight for share in able)
+def choose(candidates: list[Candidate], now: float) -> Candidate | None:
+    """Returns the job whose next step runs now, or None if no job is ready."""
+    ready = [candidate for candidate in candidates if candidate.ready]
+    total_weight = sum(candidate.weight for candidate in ready)
     return min(
-        able,
+        ready,
         default=None,
-        key=lambda share: (
-            not pressed(share, now, weights),
-            share.deadline if pressed(share, now, weights) else 0.0,
-            share.used,
-            share.order,
+        key=lambda candidate: (
+            not would_miss_deadline(candidate, now, total_weight),
+            candidate.deadline if would_miss_deadline(candidate, now, total_weight) else 0.0,
+            candidate.weighted_time,
+            candidate.sequence,
         ),
     )
 
 
-def goes_on(expected: float, left: float, ran: bool, paused: float) -> bool:
-    """Whether another step runs in this turn.
+def may_run_step(expected: float, available: float, step_ran: bool, pause: float) -> bool:
+    """Returns whether another step runs in this turn.
 
-    expected: s of the step; left: s of the budget that remain, below 0 while a debt is paid; ran: whether one
-    has run in this turn; paused: s since the last one at all.
+    expected: s of the step. available: s of the budget that remain, negative while there is a debt. step_ran:
+    whether a step has run in this turn. pause: s since the last step of any turn.
     """
-    if paused >= LONGEST_PAUSE:
+    if pause >= MAX_PAUSE:
         return True
-    return left > 0 and (expected <= left or not ran)
+    return available > 0 and (expected <= available or not step_ran)
--- a/bramblewood/work/wheel.py
+++ b/bramblewood/work/wheel.py
@@ -1,112 +1,121 @@
-"""A hierarchical timing wheel: timers set, called off and run in time that does not grow with their number.
+"""A hierarchical timing wheel. The cost to add, cancel or expire a timer does not depend on how many are set.
 
-Four wheels of 64 slots; a slot of the next spans a whole wheel before it. Which slots hold anything stands in
-one whole number a wheel, so the next one due is found by its bits.
+There are four levels of 64 slots. A slot of one level covers as many ticks as the whole level below it. An
+integer for each level is a bitmap of the slots that may hold timers, which finds the next such slot quickly.
+All times are in s.
 """
 
 from collections.abc import Callable
 
-TICK = 0.001  # s; a timer runs in the tick after the one it falls in, never early
-BITS = 6
+TICK = 0.001  # s; due times are rounded up to whole ticks, so a timer never expires early
+BITS = 6  # bits of the tick number that select a slot of one level
 SLOTS = 1 << BITS
 MASK = SLOTS - 1
-WHEELS = 4  # 64 ** 4 ticks, four and a half hours; what is due later waits in a list of its own
-SPAN = 1 << BITS * WHEELS
+LEVELS = 4  # these cover 64 ** 4 ticks, about 4.7 hours; later timers wait in `overflow`
+WHEEL_TICKS = 1 << BITS * LEVELS
 
 
-class Entry:
-    """A timer that is set; `cancel` takes it off at once."""
+class Timer:
+    """A timer. `slot` is the dict that holds it, or None after it expires or is cancelled."""
 
-    __slots__ = ("at", "order", "call", "slot")
+    __slots__ = ("due_at", "sequence", "callback", "slot")
 
-    def __init__(self, at: float, order: int, call: Callable[[], None]) -> None:
-        self.at, self.order, self.call = at, order, call
+    def __init__(self, due_at: float, sequence: int, callback: Callable[[], None]) -> None:
+        self.due_at, self.sequence, self.callback = due_at, sequence, callback
         self.slot: dict | None = None
 
     def cancel(self) -> None:
-        self.call = None
+        """Removes the timer from the wheel and drops its callback."""
+        self.callback = None
         if self.slot is not None:
-            self.slot.pop(self.order, None)
+            self.slot.pop(self.sequence, None)
             self.slot = None
 
 
 class Wheel:
+    """The timers that are set, and the tick up to which they have expired."""
+
     def __init__(self, now: float) -> None:
         self.tick = int(now / TICK)
-        self.wheels: list[list[dict]] = [[{} for _ in range(SLOTS)] for _ in range(WHEELS)]
-        self.filled = [0] * WHEELS  # bit by slot that may hold something
-        self.far: dict[int, Entry] = {}
-        self.count = 0
-
-    def add(self, at: float, call: Callable[[], None]) -> Entry:
-        self.count += 1
-        entry = Entry(at, self.count, call)
-        self._place(entry)
-        return entry
-
-    def _place(self, entry: Entry) -> None:
-        tick = max(-int(-entry.at // TICK), self.tick + 1)  # rounded up
-        away, top = tick - self.tick, tick ^ self.tick
-        if away >= SPAN or top >> BITS * WHEELS:
-            slot = self.far
+        self.levels: list[list[dict]] = [[{} for _ in range(SLOTS)] for _ in range(LEVELS)]
+        self.occupied = [0] * LEVELS  # bitmaps of the slots that may hold timers
+        self.overflow: dict[int, Timer] = {}
+        self.last_sequence = 0
+
+    def add(self, due_at: float, callback: Callable[[], None]) -> Timer:
+        """Sets a timer. The caller of `due` calls the callback."""
+        self.last_sequence += 1
+        timer = Timer(due_at, self.last_sequence, callback)
+        self._insert(timer)
+        return timer
+
+    def _insert(self, timer: Timer) -> None:
+        tick = max(-int(-timer.due_at // TICK), self.tick + 1)  # rounded up, and later than the present tick
+        ticks_ahead, differing_bits = tick - self.tick, tick ^ self.tick
+        if ticks_ahead >= WHEEL_TICKS or differing_bits >> BITS * LEVELS:
+            slot = self.overflow
         else:
-            level = 0 if top < SLOTS else (top.bit_length() - 1) // BITS
-            place = tick >> BITS * level & MASK
-            slot = self.wheels[level][place]
-            self.filled[level] |= 1 << place
-        slot[entry.order] = entry
-        entry.slot = slot
+            level = 0 if differing_bits < SLOTS else (differing_bits.bit_length() - 1) // BITS
+            index = tick >> BITS * level & MASK
+            slot = self.levels[level][index]
+            self.occupied[level] |= 1 << index
+        slot[timer.sequence] = timer
+        timer.slot = slot
 
     def next_at(self) -> float | None:
-        """A time at or before the next timer is due, never after it; None where none is set."""
-        for level in range(WHEELS):
-            place = self.tick >> BITS * level & MASK
-            ahead = self.filled[level] >> place + 1 << place + 1
-            while ahead:
-                bit = (ahead & -ahead).bit_length() - 1
-                if self.wheels[level][bit]:
+        """Returns a time at which to call `due`, or None if no timer is set.
+
+        No timer expires before that time. It may be earlier than the next expiry.
+        """
+        for level in range(LEVELS):
+            index = self.tick >> BITS * level & MASK
+            occupied_ahead = self.occupied[level] >> index + 1 << index + 1
+            while occupied_ahead:
+                slot_index = (occupied_ahead & -occupied_ahead).bit_length() - 1
+                if self.levels[level][slot_index]:
                     base = self.tick >> BITS * (level + 1) << BITS * (level + 1)
-                    return (base + (bit << BITS * level)) * TICK
-                self.filled[level] &= ~(1 << bit)  # all in it were called off
-                ahead &= ahead - 1
-        return ((self.tick // SPAN + 1) * SPAN) * TICK if self.far else None
-
-    def due(self, now: float) -> list[Entry]:
-        """Take out what is due, in the order of its times."""
-        target, found = int(now / TICK), []
+                    return (base + (slot_index << BITS * level)) * TICK
+                self.occupied[level] &= ~(1 << slot_index)  # all timers in the slot were cancelled
+                occupied_ahead &= occupied_ahead - 1
+        return ((self.tick // WHEEL_TICKS + 1) * WHEEL_TICKS) * TICK if self.overflow else None
+
+    def due(self, now: float) -> list[Timer]:
+        """Removes and returns the timers that are due, in order of due time and then of addition."""
+        target, expired = int(now / TICK), []
         while self.tick < target:
-            following = self.next_at()
-            if following is None or round(following / TICK) > target:
+            next_time = self.next_at()
+            if next_time is None or round(next_time / TICK) > target:
                 self.tick = target
                 break
-            self.tick = round(following / TICK)
-            if not self.tick & SPAN - 1:
-                far, self.far = self.far, {}
-                for entry in far.values():
-                    self._again(entry, found)
-            for level in reversed(range(1, WHEELS)):
+            self.tick = round(next_time / TICK)
+            if not self.tick & WHEEL_TICKS - 1:
+                overflow, self.overflow = self.overflow, {}
+                for timer in overflow.values():
+                    self._expire_or_insert(timer, expired)
+            for level in reversed(range(1, LEVELS)):
                 if not self.tick & (1 << BITS * level) - 1:
-                    self._spill(level, found)
-            place = self.tick & MASK
-            slot = self.wheels[0][place]
-            self.filled[0] &= ~(1 << place)
-            found += slot.values()
+                    self._cascade(level, expired)
+            index = self.tick & MASK
+            slot = self.levels[0][index]
+            self.occupied[0] &= ~(1 << index)
+            expired += slot.values()
             slot.clear()
-        for entry in found:
-            entry.slot = None
-        return sorted(found, key=lambda entry: (entry.at, entry.order))
-
-    def _spill(self, level: int, found: list[Entry]) -> None:
-        place = self.tick >> BITS * level & MASK
-        slot = self.wheels[level][place]
+        for timer in expired:
+            timer.slot = None
+        return sorted(expired, key=lambda timer: (timer.due_at, timer.sequence))
+
+    def _cascade(self, level: int, expired: list[Timer]) -> None:
+        """Moves the timers of a level's present slot to lower levels, or to `expired` if they are due."""
+        index = self.tick >> BITS * level & MASK
+        slot = self.levels[level][index]
         if slot:
-            self.wheels[level][place] = {}
-            self.filled[level] &= ~(1 << place)
-            for entry in slot.values():
-                self._again(entry, found)
-
-    def _again(self, entry: Entry, found: list[Entry]) -> None:
-        if -int(-entry.at // TICK) <= self.tick:
-            found.append(entry)
+            self.levels[level][index] = {}
+            self.occupied[level] &= ~(1 << index)
+            for timer in slot.values():
+                self._expire_or_insert(timer, expired)
+
+    def _expire_or_insert(self, timer: Timer, expired: list[Timer]) -> None:
+        if -int(-timer.due_at // TICK) <= self.tick:
+            expired.append(timer)
         else:
-            self._place(entry)
+            self._insert(timer)
