--- a/bramblewood/operator/expressions.py
+++ b/bramblewood/operator/expressions.py
@@ -54,7 +54,7 @@
 
     @property
     def head(self) -> str | None:
-        """The first item if it is a word, otherwise None."""
+        """Returns the first item if it is a word, otherwise None."""
         first = self.items[0] if self.items else None
         return first.value if isinstance(first, Atom) and isinstance(first.value, Word) else None
 
@@ -88,7 +88,7 @@
 
 
 def build_expression(node: Tree) -> ListExpression | Atom:
-    """Converts a node of the syntax tree, `list` or `atom`, to an expression."""
+    """Returns the expression for a `list` or `atom` node of the syntax tree."""
     if node.data == "list":
         return ListExpression(
             tuple(build_expression(child) for child in node.children), node.meta.line, node.meta.column
@@ -104,7 +104,7 @@
             unescaped.append(char)
         return Atom("".join(unescaped), token.line, token.column)
     if token.type == "NUMBER":
-        digits = str(token)
-        is_integer = digits.lstrip("+-").isdigit()
-        return Atom(int(digits) if is_integer else float(digits), token.line, token.column)
+        number = str(token)
+        is_integer = number.lstrip("+-").isdigit()
+        return Atom(int(number) if is_integer else float(number), token.line, token.column)
     return Atom(Word(token), token.line, token.column)
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -77,7 +77,7 @@
 
 @pytest.fixture
 def populated_store(tmp_path):
-    """The directory of a closed store with 300 records in a table and one in the log, and all its pairs."""
+    """Returns the directory of a closed store, with 300 keys in a table and one in the log, and its pairs."""
     folder = tmp_path / "store"
     store, rng, pairs = Store(Folder(str(folder)), lambda: 1000.0), random.Random(1), {}
     for k in range(300):
@@ -93,7 +93,7 @@
 
 
 def run_command(*arguments):
-    """Runs a command in a process of its own. Returns its exit code, stdout and stderr."""
+    """Runs a command in a separate process. Returns its exit code, stdout and stderr."""
     process = subprocess.run(
         [sys.executable, "-m", "bramblewood", *map(str, arguments)],
         timeout=60,
@@ -109,8 +109,8 @@
 ):
     folder, pairs = populated_store
     code, out, _ = run_command("store", "info", folder, "--json")
-    found = json.loads(out)
-    assert code == 0 and found["tables"] == 1 and found["batch"] == 301 and len(found["files"]) >= 5
+    info = json.loads(out)
+    assert code == 0 and info["tables"] == 1 and info["batch"] == 301 and len(info["files"]) >= 5
     code, out, _ = run_command("store", "check", folder)
     assert code == 0 and out.endswith("sound\n") and "301 keys" in out
     assert run_command("store", "get", folder, "k0007") == (0, pairs[b"k0007"].decode() + "\n", "")
@@ -121,14 +121,14 @@
     assert run_command("store", "import", tmp_path / "out", tmp_path / "new")[0] == 0
     reopened = Store(Folder(str(tmp_path / "new")), lambda: 1000.0)
     assert dict(reopened.scan()) == pairs
-    assert run_command("store", "compact", tmp_path / "new")[0] == 2  # another process has it open
+    assert run_command("store", "compact", tmp_path / "new")[0] == 2  # the test has the store open
     reopened.close()
     assert run_command("store", "compact", tmp_path / "new", "--json")[0] == 0
     data = (tmp_path / "out").read_bytes()
     for length in (0, 50, 3000, len(data) - 1, len(data) - 25):
-        (tmp_path / "cut").write_bytes(data[:length])
-        code, _, err = run_command("store", "import", tmp_path / "cut", tmp_path / "never")
-        assert code == 2 and err.count("\n") == 1 and not (tmp_path / "never").exists()
+        (tmp_path / "truncated").write_bytes(data[:length])
+        code, _, err = run_command("store", "import", tmp_path / "truncated", tmp_path / "not_created")
+        assert code == 2 and err.count("\n") == 1 and not (tmp_path / "not_created").exists()
 
 
 def test_check_reports_damaged_record_and_repair_writes_intact_keys_to_new_directory(
@@ -172,9 +172,9 @@
     store.commit()
     store.close()
     code, out, _ = run_command("ledger", "show", folder, "--json")
-    found = json.loads(out)
-    assert code == 0 and found["closed"]["birch"]["version"] == 44 and found["life"]["number"] == 3
-    assert found["admitted"][0]["table"] == -1 and found["slices"] == {"4": {"alder": 1.0}}
+    shown = json.loads(out)
+    assert code == 0 and shown["closed"]["birch"]["version"] == 44 and shown["life"]["number"] == 3
+    assert shown["admitted"][0]["table"] == -1 and shown["slices"] == {"4": {"alder": 1.0}}
     code, out, _ = run_command("ledger", "explain", folder, "birch")
     assert code == 0 and "version 44" in out and "5.500" in out
     assert run_command("ledger", "explain", folder, "oak")[0] == 1
@@ -182,6 +182,7 @@
 
 @pytest.fixture
 def site_with_store(tmp_path, monkeypatch):
+    """A site whose service has a durable store, with flushes in the event loop."""
     from bramblewood.net.program import service as program
 
     service_class = program.Service
