--- a/features/membership_epoch_search.feature
+++ b/features/membership_epoch_search.feature
@@ -16,9 +16,9 @@
       | slow disks                  | 10    | 39000  |
       | late replies                | 9     | 43000  |
 
-  Scenario: A majority answers in the end, also if a second change began too early
-    Then a majority answers in the end in 3000 of the last states of "second change" at depth 7
-    And without the guard "seals of unused seats count", no majority answers in one of them
+  Scenario: A majority answers in the end even if a second change began too early
+    Then from 3000 states of "second change" at depth 7, a majority answers in the end
+    And without the guard "seals of unused seats count", no majority answers from one of them
 
   Scenario Outline: The search detects that a guard is missing
     Then without the guard "<guard>", one of the first <states> states of "<shape>" breaks a rule
--- a/features/steps/membership_epochs.py
+++ b/features/steps/membership_epochs.py
@@ -9,7 +9,7 @@
 from tests.simulation.membership_epoch_search import Search
 from tests.simulation.membership_epoch_shapes import SHAPES
 
-RECOVERY_SAMPLES = 30  # number of the last states of a search from which the recovery is checked
+RECOVERY_SAMPLES = 30  # number of states at the last depth of a search from which recovery is checked
 
 
 @then('the search of "{shape}" to depth {depth:d} visits at least {states:d} states, and none breaks a rule')
@@ -19,14 +19,14 @@
     assert result.states >= states, result.states
 
 
-@then('a majority answers in the end in {samples:d} of the last states of "{shape}" at depth {depth:d}')
+@then('from {samples:d} states of "{shape}" at depth {depth:d}, a majority answers in the end')
 def majority_answers_in_the_end(context, samples, shape, depth):
     context.search = SHAPES[shape], depth, samples
     result = Search(SHAPES[shape]).run(depth, recovery_samples=samples)
     assert not result.violation, (result.violation, result.moves)
 
 
-@then('without the guard "{guard}", no majority answers in one of them')
+@then('without the guard "{guard}", no majority answers from one of them')
 def no_majority_answers_in_one(context, guard):
     shape, depth, samples = context.search
     with without_guard(guard):
