--- a/features/steps/membership_commands.py
+++ b/features/steps/membership_commands.py
@@ -56,8 +56,8 @@
 
     stub_fields: the fields of the stub that differ from the default, as "field=JSON" separated by "; ". Apart
     from the fields of MEMBERSHIP_VIEW and the states of its members, they are:
-    answer: the status and body of the response to a change, or to any request without a view.
-    moved: the number of first requests to which the stub responds with a redirect to itself, status 307.
+    answer: the status and body of the response to a change, or to every request if the stub is `gone`.
+    moved: how many requests, from the first one on, the stub redirects to itself with status 307.
     gone: whether the stub has no membership view.
     """
     stub = {**copy.deepcopy(MEMBERSHIP_VIEW), "answer": [404, {}], "moved": 0, "gone": False}
--- a/tests/simulation/membership_commands.py
+++ b/tests/simulation/membership_commands.py
@@ -32,8 +32,8 @@
 SEAT_KEPT_FOR = Bounds().CatchUpS * LOST_AFTER_FRACTION  # s that a lost voter's seat is kept for it
 # s; a voter that is absent for a shorter time is certain to keep its seat
 MAX_SAFE_ABSENCE = SEAT_KEPT_FOR - 2 * HEARTBEAT_INTERVAL
-# The database of the releases before epochs. It has one row for each register. A proposal number consists of
-# a counter, the address of a controller and its incarnation.
+# The database schema of the releases without epochs. It has one row for each register. A proposal number
+# consists of a counter, the address of a controller and its incarnation.
 SCHEMA_VERSION_1 = (
     "create table facts (name text primary key, value text not null)",
     "create table registers (name text primary key, promised text not null, accepted text not null,"
@@ -45,7 +45,7 @@
 class ControllerFleet:
     """Controller processes, identified by numbers from 1.
 
-    Each has an address of its own. The network part differs between test processes that run at the same time.
+    Each has an address of its own. Test processes that run at the same time use different network prefixes.
     """
 
     def __init__(self) -> None:
@@ -74,7 +74,7 @@
     def write_settings(self, voters: int, controllers: int) -> None:
         """Writes the settings files of this many controllers, of which the first `voters` are seeds.
 
-        The seeds found the voter set in their first boot.
+        The seeds form the first voter set at their first boot.
         """
         seeds = [f"{self.address_of(n)}:{CONTROL}" for n in range(1, voters + 1)]
         for n in range(1, controllers + 1):
@@ -126,7 +126,10 @@
         shutil.rmtree(self.data_folder(n))
 
     def write_schema_1_disk(self, n: int, voters: int, config: dict) -> None:
-        """Creates the disk of a controller as a release before epochs leaves it, with this configuration."""
+        """Creates the disk of a controller in the format of a release without epochs.
+
+        The disk holds this configuration.
+        """
         os.makedirs(self.data_folder(n))
         database = sqlite3.connect(f"{self.data_folder(n)}/shelf.db")
         for sql in SCHEMA_VERSION_1:
@@ -158,24 +161,25 @@
         try:
             with urllib.request.urlopen(request, timeout=RESPONSE_TIMEOUT) as response:
                 return response.status, json.loads(response.read())
-        except urllib.error.HTTPError as problem:
-            return problem.code, {}
+        except urllib.error.HTTPError as error:
+            return error.code, {}
         except OSError:
             return 0, {}
 
     def membership_at(self, n: int) -> dict:
         """Returns the membership view of a controller.
 
-        The keys are "epoch", "states" and "disks", which are by number, and "behind", which has the addresses
-        of the controllers that have not reported the newest versions. All are empty or 0 without a response.
+        "states" and "disks" map the number of each controller to its state and to its disk. "behind" lists
+        the addresses of the controllers that have not reported the newest versions. Without a response,
+        "epoch" is 0 and the others are empty.
         """
         _, view = self.call(n, INNER, "/view/members")
         members = view.get("members", {}) | view.get("others", {})
-        number = lambda address: int(address.rpartition(".")[2])  # noqa: E731
+        number_of = lambda address: int(address.rpartition(".")[2])  # noqa: E731
         return {
             "epoch": view.get("epoch", 0),
-            "states": {number(address): member["state"] for address, member in members.items()},
-            "disks": {number(address): member["disk"] for address, member in members.items()},
+            "states": {number_of(address): member["state"] for address, member in members.items()},
+            "disks": {number_of(address): member["disk"] for address, member in members.items()},
             "behind": [
                 address
                 for address, member in members.items()
@@ -225,7 +229,7 @@
         return {n for n, state in states.items() if state == "spare"}
 
     def wait_for_spare(self, spare: int) -> None:
-        """Waits until this controller is the spare and all others vote.
+        """Waits until this controller is the spare and all others are voters.
 
         The time that a process takes to start depends on the load of the machine. A voter that returns too
         late has lost its seat to the spare (docs/members.md, "How the set grows and changes by itself"). An
@@ -236,7 +240,7 @@
             self.record_absences()
             return self.spares() is not None
 
-        self.wait_until(f"{spare} a spare, the others voters", is_met)
+        self.wait_until(f"{spare} is a spare and the others are voters", is_met)
         if self.spares() != {spare}:
             (late_voter,) = self.spares()
             assert self.absences.get(late_voter, 0.0) > MAX_SAFE_ABSENCE, (late_voter, self.absences)
@@ -270,13 +274,16 @@
         self.revision += 1
         body = self.configuration(self.revision)
         put = lambda n: self.call(n, CONTROL, "/bramblewood/config", body)[0]  # noqa: E731
-        self.wait_until(f"r{self.revision} acknowledged", lambda: any(put(n) == 200 for n in self.running))
+        self.wait_until(f"r{self.revision} is acknowledged", lambda: any(put(n) == 200 for n in self.running))
 
     def wait_until_read_back(self) -> None:
         """Waits until each controller that runs returns the newest configuration."""
         expected = (200, self.configuration(self.revision))
         get = lambda n: self.call(n, CONTROL, "/bramblewood/config")  # noqa: E731
-        self.wait_until(f"r{self.revision} read", lambda: all(get(n) == expected for n in self.running))
+        self.wait_until(
+            f"r{self.revision} is returned by every controller",
+            lambda: all(get(n) == expected for n in self.running),
+        )
 
     def log_events(self, n: int, event: str) -> list[dict]:
         """Returns the log lines of a controller with this event, in their order."""
@@ -287,7 +294,9 @@
     # --- operators
 
     def run_command(self, command: str, n: int) -> list[str]:
-        """Runs an operator's command against a controller. Returns the lines of its output and exit code.
+        """Runs an operator's command against a controller.
+
+        Returns the command, its output and its exit code as lines.
 
         "archive-N" in the command stands for the address of controller N. Addresses, times, names of disks
         and epochs differ between runs, so they are masked in the output.
