--- a/tests/simulation/membership_epoch_cases.py
+++ b/tests/simulation/membership_epoch_cases.py
@@ -1,7 +1,7 @@
 """Scripted cases about the change from one epoch to the next.
 
-Each case is an order of events that once broke a rule, or that breaks one without a guard. A broken rule
-raises RuleViolation. `CASES` has all cases by the names that the features use.
+Each case is an order of events that once broke a rule, or that breaks a rule when a guard is
+removed. A broken rule raises RuleViolation. `CASES` has all cases by the names that the features use.
 """
 
 from typing import Any
@@ -32,14 +32,15 @@
     """Returns a case in which voter a loses a promise together with its disk.
 
     Its promise for the configuration "late" has reached the proposer. Its new disk gets the seat, and the
-    configuration "first" is chosen with its vote. Then the old prepare reaches one more voter, `late_voter`.
+    configuration "first" is chosen with the vote of the new disk. Then the old prepare request reaches one
+    more voter, `late_voter`.
 
     The parameters have one letter for each replica.
     reached_by_change: the voters besides a that learn of the new voter set.
     second_quorum: the replicas that choose "first".
 
-    The case takes `rolled_back`: whether the disk is rolled back to its state from before the promise. By
-    default, an empty disk replaces it.
+    The returned case has the parameter `rolled_back`: whether the disk is rolled back to its state from
+    before the promise. By default, an empty disk replaces it.
     """
 
     def run_case(rolled_back: bool = False) -> None:
@@ -95,7 +96,7 @@
 
 
 def disk_lost_during_completion() -> None:
-    """A voter loses its disk while another one completes the unfinished round of a third."""
+    """No rule is broken if a voter loses its disk while another voter completes its unfinished round."""
     cluster = ScriptedCluster("abc")
     cluster.put("a", "left")
     cluster.deliver("ab", "prepare promise")
@@ -171,7 +172,7 @@
 
 
 def join_by_active_or_sealed_reports() -> None:
-    """The report of one active voter and those of a majority of sealed voters both include what is chosen."""
+    """A joining voter learns the chosen value from one active voter or from a majority of sealed voters."""
     for reporting in ("active", "sealed"):
         cluster = ScriptedCluster("abc", "d")
         cluster.put("b", "x")
@@ -187,7 +188,10 @@
 
 
 def repeated_join_request() -> None:
-    """A joining voter asks a sealed voter again, as that voter may be active now and the only one left."""
+    """A joining voter repeats its request to a sealed voter.
+
+    That voter may have become active since, and may be the only active voter that still runs.
+    """
     cluster = ScriptedCluster("abc", "d")
     cluster.change("a", "a", {"a": "a0", "b": "b0", "d": "d0"})
     cluster.deliver("ab", "prepare promise accept accepted")
@@ -249,7 +253,9 @@
 
 
 def lost_proposer(loss: str) -> Any:
-    """Returns a case in which the proposer of a voter set change is lost at one of 24 moments of the change.
+    """Returns a case that tries the loss of the proposer at each of 24 moments of a voter set change.
+
+    Each moment has a fleet of its own.
 
     loss: "disk" if the proposer loses its disk, or "power" if it loses power only. After the proposer has
     returned and `CatchUpS` has passed, a second controller loses its disk.
@@ -279,9 +285,7 @@
             fleet.lose_disk("m1")  # a second loss may occur after CatchUpS
             fleet.away["m1"] = None
             fleet.advance(2.0)
-            fleet.check_reader_answered(
-                f"after a second loss, the first of which was {4 * step} ms into a change"
-            )
+            fleet.check_reader_answered(f"after a second loss; the first one was {4 * step} ms into a change")
 
     return run_case
 
@@ -289,8 +293,8 @@
 def seal_of_unused_seat() -> None:
     """The seal of a voter that was never active in an epoch counts for the next epoch.
 
-    Such a voter accepts nothing in the epoch any more. The next epoch begins although a voter of the epoch
-    has lost its disk.
+    After its seal, such a voter accepts nothing more in that epoch. The next epoch therefore begins although
+    a voter of that epoch has lost its disk.
     """
     cluster = ScriptedCluster("abc", "d")
     cluster.change("a", "ac", {"a": "a0", "b": "b0", "d": "d0"})
@@ -318,9 +322,9 @@
 
 
 def seat_of_any_disk() -> None:
-    """A voter with an empty disk does not vote by a seat of any disk, but gets a seat that names its disk.
+    """A seat that names no disk gives no vote to an empty disk, but is replaced by a seat that names it.
 
-    Seats of any disk stem from releases without epochs.
+    Seats that name no disk stem from releases without epochs.
     """
     cluster = ScriptedCluster("abc")
     voter_set: VoterSet = {"n": 1, "voters": dict.fromkeys("abc", ""), "before": {}}
@@ -330,7 +334,7 @@
     cluster.notify("a", voter_set)
     cluster.deliver("abc")
     if cluster.replicas["a"].is_active_voter:
-        raise RuleViolation("an empty disk votes by a seat of any disk")
+        raise RuleViolation("an empty disk votes with a seat that names no disk")
     peers = {name: peer_status(f"{name}0") for name in "bc"} | {"a": peer_status("a9", is_active_voter=False)}
     change = Membership(Tolerance(1), {}, 4.0).due_change(voter_set, peers, {})
     if change is None or change.voters["a"] != "a9":
--- a/tests/simulation/membership_seat_cases.py
+++ b/tests/simulation/membership_seat_cases.py
@@ -1,7 +1,7 @@
 """Cases about the seats of voters, heartbeats and refused writes.
 
-Each case is an order of events that once broke a rule, or that breaks one without a guard. A broken rule
-raises RuleViolation.
+Each case is an order of events that once broke a rule, or that breaks a rule when a guard is
+removed. A broken rule raises RuleViolation.
 """
 
 from types import SimpleNamespace
@@ -41,7 +41,7 @@
 
 
 def early_shutdown() -> None:
-    """A controller shuts down only once its shutdown cannot lose what is agreed.
+    """A controller shuts down only once its shutdown cannot lose chosen values.
 
     A replaced controller waits until a majority of the new voter set reports that it is active in the
     current epoch. A voter without a successor waits until a majority of the other voters is active and has
@@ -91,7 +91,7 @@
 
 
 def answer_after_refused_write() -> None:
-    """A change of the voter set whose write is refused ends as unclear, so another one can be proposed."""
+    """A voter set change whose write is refused ends with an unclear outcome, so another can be proposed."""
     fleet = ControllerFleet(1)
     machine = next(iter(fleet.machines.values()))
     machine.voter_changes.is_changing = True
@@ -106,7 +106,7 @@
 
 
 def heartbeat_before_write() -> None:
-    """A heartbeat reports its sender as active only once the disk of the sender has recorded that.
+    """A heartbeat reports its sender as active only once the sender's disk has recorded that it is active.
 
     Leaving voters rely on such reports.
     """
