--- a/tests/simulation/membership_epoch_search.py
+++ b/tests/simulation/membership_epoch_search.py
@@ -32,7 +32,7 @@
 from .membership_epoch_steps import Machine, MachineSteps
 from .replica_snapshot import replica_state, restore_replica
 
-# kinds of messages that are replies; "done" is none, as it only tells others when to begin a round
+# kinds of messages that are replies; "done" is not one, as it only tells others when to begin a round
 REPLIES = {"promise", "refuse", "state", "fetch", "chosen"}
 
 
@@ -206,10 +206,10 @@
         return self.after_step(state, index, step)
 
     def after_change(self, state: SearchState, number: int) -> tuple | None:
-        """Returns the step in which the proposer of a change of the voter set proposes it.
+        """Returns the step in which the proposer of a voter set change proposes it.
 
-        Returns None if the proposer was never active, if the seat does not exist, or if the change is made
-        already.
+        Returns None if the proposer was never active, if the seat does not exist, or if the change has
+        already been made.
         """
         proposer, seat, successor = self.shape.changes[number]
         machine_number = state.machines[self.names.index(proposer)]
@@ -287,14 +287,16 @@
                 bit = others & -others
                 others ^= bit
                 other = bit.bit_length() - 1
-                problem = self.contradictions.get((number, other))
-                if problem is None:
-                    problem = contradiction(
+                broken_rule = self.contradictions.get((number, other))
+                if broken_rule is None:
+                    broken_rule = contradiction(
                         self.observations[number], self.observations[other]
                     ) or contradiction(self.observations[other], self.observations[number])
-                    self.contradictions[number, other] = problem
-                if problem:
-                    raise RuleViolation(f"{problem}: {self.observations[number]}, {self.observations[other]}")
+                    self.contradictions[number, other] = broken_rule
+                if broken_rule:
+                    raise RuleViolation(
+                        f"{broken_rule}: {self.observations[number]}, {self.observations[other]}"
+                    )
 
     def run(
         self, depth: int, deadline: float = 1e18, max_states: int = 10**9, recovery_samples: int = 0
@@ -308,7 +310,7 @@
         checked.
         """
         first = self.initial_state()
-        seen, layer = {first: None}, [first]  # seen: by state, the state and move before it
+        seen, layer = {first: None}, [first]  # seen: maps a state to its previous state and move
         for level in range(1, depth + 1):
             next_layer = []
             for state in layer:
@@ -320,8 +322,8 @@
                     try:
                         if after.observations != state.observations:
                             self.check_observations(state.observations, after.observations)
-                    except RuleViolation as problem:
-                        return SearchResult(len(seen), level, str(problem), self.path(seen, after))
+                    except RuleViolation as violation:
+                        return SearchResult(len(seen), level, str(violation), self.path(seen, after))
                     next_layer.append(after)
                 if len(seen) > max_states or time.monotonic() > deadline:
                     return SearchResult(len(seen), level - 1, "", [])
--- a/tests/simulation/membership_epoch_shapes.py
+++ b/tests/simulation/membership_epoch_shapes.py
@@ -4,7 +4,7 @@
 
 
 class Shape(NamedTuple):
-    """A cluster and the events that may occur in it. Strings of machines have one letter for each.
+    """A cluster and the events that may occur in it. A string of machines has one letter for each machine.
 
     `delivers_replies_at_once` and `writes_at_once` reduce the number of states. `membership_epoch_search`
     describes them.
@@ -19,7 +19,7 @@
     disk_losses: str = ""  # machines that may lose their disks
     power_losses: str = ""  # machines that may lose power
     waits: str = ""  # machines whose timeouts may expire
-    limits: tuple[int, int, int, int] = (1, 1, 1, 1)  # of disk losses, power losses, waits and changes
+    limits: tuple[int, int, int, int] = (1, 1, 1, 1)  # the most disk losses, power losses, waits, changes
     delivers_replies_at_once: bool = True
     writes_at_once: bool = True
     first_moves: tuple = ()  # moves that have occurred in the initial state, see `Search.named_move`
@@ -39,7 +39,7 @@
     ),
     # a spare gets the seat of a voter that continues in the old epoch
     "spare": Shape("abc", "d", CONFIGURATIONS, (("a", "c", "d"),), limits=(0, 0, 0, 1)),
-    # the same, and the proposer of the change or another voter loses power
+    # as in "spare"; the proposer of the change or another voter may also lose power
     "power loss": Shape(
         "abc", "d", CONFIGURATIONS, (("a", "c", "d"),), power_losses="ab", limits=(0, 1, 0, 1)
     ),
@@ -53,7 +53,7 @@
         limits=(0, 1, 0, 1),
         first_moves=("change 0", "prepare a>b", "accept a>b", "join a>b"),
     ),
-    # two configurations that were accepted by one voter each, and a change of the voter set after them
+    # two configurations have been accepted by one voter each, and then a voter set change is proposed
     "two unfinished proposals": Shape(
         "abc",
         "d",
@@ -71,7 +71,7 @@
             "accept b>a",
         ),
     ),
-    # a configuration that is chosen, and a change of the voter set after it
+    # a configuration has been chosen, after which the voter set may change
     "change after a chosen value": Shape(
         "abc",
         "d",
@@ -81,11 +81,11 @@
         limits=(1, 0, 0, 1),
         first_moves=("configuration x", "prepare c>b", "accept c>b"),
     ),
-    # two voters propose a change at the same time, with a configuration and a lost disk
+    # two voters may propose a change at the same time, a configuration is put, and a disk may be lost
     "two concurrent changes": Shape(
         "abc", "d", (("a", "x"),), (("a", "c", "d"), ("b", "a", "d")), disk_losses="a", limits=(1, 0, 0, 2)
     ),
-    # a second change right after the first one is chosen, with a lost disk
+    # a second change may follow right after the first one is chosen, and a disk may be lost
     "second change": Shape(
         "abc",
         "d",
--- a/tests/simulation/membership_epoch_steps.py
+++ b/tests/simulation/membership_epoch_steps.py
@@ -37,8 +37,8 @@
         self.machines: list[Machine] = []
         self.messages: list[tuple[str, str, dict]] = []
         self.observations: list[tuple] = []
-        self.numbers: dict[str, int] = {}  # by the identity of a numbered list and the key of an item
-        # by the numbers of a machine state and a message, the step in which it receives the message
+        self.numbers: dict[str, int] = {}  # maps the identity of a list and the key of an item to its index
+        # maps the numbers of a machine state and a message to the step in which the message is received
         self.steps: dict[tuple, tuple] = {}
         self.contradictions: dict[tuple[int, int], str] = {}
         self.proposers = {name for name, *_ in (*shape.configurations, *shape.changes)} | {*shape.waits}
@@ -97,7 +97,7 @@
     ) -> Machine:
         """Returns the machine after its oldest write has become durable.
 
-        Adds the messages that waited for the write to `sends`, and what they show to `observations`.
+        Adds the messages that waited for the write to `sends`. Adds the observations made to `observations`.
         """
         rows, facts, effects = machine.writes[0]
         stored_rows, stored_facts = dict(machine.disk[1]), {**machine.disk[0], **facts}
@@ -117,7 +117,7 @@
     def collect(
         self, name: str, replica: ConsensusReplica, effects: Effects, sends: list, observations: list
     ) -> None:
-        """Adds the messages of these effects to `sends`, and what they show to `observations`."""
+        """Adds the messages of these effects to `sends`, and the observations made to `observations`."""
         for peer, message in effects.sends:
             if message["k"] == "join":  # the search always sends complete values
                 message = {**message, "have": {}}
