--- a/tests/simulation/membership_epoch_days.py
+++ b/tests/simulation/membership_epoch_days.py
@@ -61,7 +61,7 @@
                 "replace",
                 "shutdown",
                 "shutdown",
-                "cut",
+                "cut",  # cuts the links in both directions, "in" and "out" in one direction only
                 "in",
                 "out",
                 "freeze",
@@ -168,10 +168,10 @@
         self.add_controller()
         self.put_configurations(BOUNDS.CatchUpS)
         fleet.away.clear()
-        fleet.check_reader_answered("after CatchUpS for the controllers to return")
+        fleet.check_reader_answered("after CatchUpS, in which the controllers returned")
 
     def run_round(self) -> None:
-        """Injects faults at as many controllers as `Tolerance` allows or fewer, and repairs them.
+        """Injects faults at one or more controllers, at most as many as `Tolerance` allows, and repairs them.
 
         Checks that a majority answers afterwards, and at times also before the repair.
         """
@@ -183,7 +183,7 @@
             self.replace_voter_by_command()
         fleet.away.update(dict.fromkeys(faulty))
         if rng.random() < 0.2:
-            fleet.refusing_disks.update(faulty)  # only theirs, as these controllers count as lost
+            fleet.refusing_disks.update(faulty)  # writes are refused only at controllers that count as lost
             self.put_configurations(rng.uniform(0.2, 2.0))
         repairs = []
         for name in faulty:
@@ -201,7 +201,7 @@
             self.put_configurations(rng.uniform(0.0, 1.0))
         self.put_configurations(BOUNDS.CatchUpS)
         fleet.away.clear()
-        fleet.check_reader_answered("after CatchUpS for the controllers to return")
+        fleet.check_reader_answered("after CatchUpS, in which the controllers returned")
 
     def restart_all_except(self, excluded: list[str]) -> None:
         """All other controllers lose power at the same time, and start again within 1 s."""
@@ -216,7 +216,7 @@
     def lose_disks_after_acknowledgement(self) -> None:
         """Loses as many disks as `Tolerance` allows right after a configuration is acknowledged.
 
-        At times, all other controllers lose power too. Checks that a majority answers twice afterwards.
+        At times, all other controllers lose power too. Checks twice afterwards that a majority answers.
         """
         fleet, count = self.fleet, len(self.fleet.acknowledged)
         deadline = fleet.now + BOUNDS.AckS
@@ -238,7 +238,7 @@
         fleet.check_reader_answered("at the end")
 
 
-# (voters, spares, founding) of a fleet, chosen by the seed
+# (voters, spares, founding) of each fleet; the seed of a run selects one
 FLEETS = ((3, 1, False), (3, 1, True), (5, 1, False), (3, 0, False), (3, 2, True), (5, 0, True))
 
 
--- a/tests/simulation/membership_epoch_guards.py
+++ b/tests/simulation/membership_epoch_guards.py
@@ -1,4 +1,4 @@
-"""Removes guards of consensus and membership by name, so that tests can show that a simulation detects it.
+"""Removes guards of consensus and membership by name. Tests show that a simulation detects their absence.
 
 `GUARDS` has, by the name of the guard, a function that returns a context manager. The guard is removed while
 the context is open.
@@ -36,7 +36,7 @@
 
 
 def accept_any_disk(_unused: Any) -> Any:
-    """Lets an address vote with any disk, also if the seat names another one."""
+    """Lets an address vote with any disk, even if the seat names another one."""
     stack = contextlib.ExitStack()
     for module in (local_member, epochs):
         by_address = lambda voters, address, disk: address in voters  # noqa: E731
@@ -47,7 +47,7 @@
 
 
 def activate_with_too_few_seals(_unused: Any) -> Any:
-    """Lets a voter become active with one seal less than a majority."""
+    """Lets a voter become active with one seal fewer than a majority."""
     try_activate = EpochTransition.try_activate
 
     def unguarded(self: EpochTransition, now: float, effects: Any) -> bool:
--- a/tests/simulation/membership_epochs.py
+++ b/tests/simulation/membership_epochs.py
@@ -157,7 +157,7 @@
     def __init__(self, seed: int, voters: int = 3, spares: int = 1, founding: bool = False) -> None:
         """Starts the controllers m0, m1 and so on, of which the first `voters` vote in epoch 1.
 
-        founding: whether all disks are empty and the controllers found the voter set in their first boot.
+        founding: whether all disks are empty and the controllers form the voter set at their first boot.
         """
         # `losses` is the number of controllers that may be lost at a time
         self.rng, self.now, self.losses = random.Random(seed), 0.0, voters // 2
@@ -373,7 +373,7 @@
             self.advance(0.9)
 
     def summary(self) -> dict:
-        """Returns the epoch, active epoch, vote and voters of each controller that runs, by name."""
+        """Maps each running controller to its epoch, its active epoch, whether it votes, and the voters."""
         return {
             name: (
                 machine.consensus.epoch,
