--- a/features/membership_epoch_search.feature
+++ b/features/membership_epoch_search.feature
@@ -1,6 +1,6 @@
 Feature: An exhaustive search of all orders of events finds no broken rule in small clusters
 
-  Scenario Outline: All orders of events up to a depth
+  Scenario Outline: No order of events up to a depth breaks a rule
     Then the search of "<shape>" to depth <depth> visits at least <states> states, and none breaks a rule
 
     Examples:
--- a/features/membership_epochs.feature
+++ b/features/membership_epochs.feature
@@ -1,6 +1,6 @@
 Feature: Voter sets change one at a time, and no acknowledged configuration is lost by a change
 
-  Scenario: Scripted orders of events that once broke a rule, or that break one without a guard
+  Scenario: No scripted order of events breaks a rule
     Then no scripted case breaks a rule
 
   Scenario Outline: A scripted case detects that a guard is missing
@@ -17,7 +17,7 @@
       | a disk rollback is detected                      | forgotten promise after a disk rollback, three voters      |
       | a disk rollback is detected                      | forgotten promise after a disk rollback, five voters       |
 
-  Scenario: Random runs with faults within Tolerance
+  Scenario: Random runs with faults within Tolerance lose no acknowledged configuration
     Then in 24 random runs no acknowledged configuration is lost, and a majority answers
     And the same holds in 8 random runs with disk rollbacks
 
--- a/tests/simulation/membership_epoch_days.py
+++ b/tests/simulation/membership_epoch_days.py
@@ -218,9 +218,9 @@
 
         At times, all other controllers lose power too. Checks twice afterwards that a majority answers.
         """
-        fleet, count = self.fleet, len(self.fleet.acknowledged)
+        fleet, acknowledged_before = self.fleet, len(self.fleet.acknowledged)
         deadline = fleet.now + BOUNDS.AckS
-        while len(fleet.acknowledged) == count and fleet.now < deadline:
+        while len(fleet.acknowledged) == acknowledged_before and fleet.now < deadline:
             fleet.put(self.rng.choice(list(fleet.machines)))
             fleet.advance(0.1)
         lost = self.rng.sample(sorted(fleet.machines), fleet.losses)
--- a/tests/simulation/membership_epoch_guards.py
+++ b/tests/simulation/membership_epoch_guards.py
@@ -1,5 +1,6 @@
 """Removes guards of consensus and membership by name. Tests show that a simulation detects their absence.
 
+A guard is a check or a step of the production code without which a rule can be broken.
 `GUARDS` has, by the name of the guard, a function that returns a context manager. The guard is removed while
 the context is open.
 """
--- a/tests/simulation/membership_epoch_search.py
+++ b/tests/simulation/membership_epoch_search.py
@@ -309,8 +309,8 @@
         recovery_samples: the number of states at the last depth, evenly spread, in which `recovers` is
         checked.
         """
-        first = self.initial_state()
-        seen, layer = {first: None}, [first]  # seen: maps a state to its previous state and move
+        initial = self.initial_state()
+        seen, layer = {initial: None}, [initial]  # seen: maps a state to its previous state and move
         for level in range(1, depth + 1):
             next_layer = []
             for state in layer:
