--- a/bramblewood/operator/bylaws.py
+++ b/bramblewood/operator/bylaws.py
@@ -24,13 +24,14 @@
     folder: str
     flush: str  # "apart": a separate process flushes to disk; "in-loop": the event loop does
     must_exist: bool  # whether a missing store counts as lost data
-    background: float  # s of each turn for sealing logs and merging tables
-    # s that orders wait for their records to be durable; orders that may be sent without are then sent
+    background: float  # s in each turn of the event loop for sealing logs and merging tables
+    # The longest time that orders wait until their records are durable. After it, the orders that do not
+    # require durable records are sent.
     hold: float
     keep: float  # s that the record of a closed worker is retained
 
 
-class Bylaws(NamedTuple):
+class OperatorSettings(NamedTuple):
     """The validated content of an operator's file. store is None if the file has no store section."""
 
     path: str = ""
@@ -42,7 +43,7 @@
 
     expected: str  # a description of the valid values, for error messages
     parse: Callable[[Any], Any]  # returns the setting for the value of an atom; raises ValueError
-    default: Any  # ... for a required key
+    default: Any  # the Ellipsis object marks a required key
     reloadable: bool  # whether a change applies on SIGHUP; otherwise it applies at the next start
 
 
@@ -100,7 +101,7 @@
     return f"; did you mean {close[0]}?" if close else f"; expected one of {', '.join(known)}"
 
 
-def load(path: str) -> Bylaws:
+def load(path: str) -> OperatorSettings:
     """Reads and validates the file at this path. Raises Faulty with a message of one line."""
     try:
         with open(path, encoding="utf-8") as file:
@@ -115,7 +116,7 @@
         raise Faulty(f"{path}: {error}") from None
 
 
-def parse_sections(path: str, expressions: tuple) -> Bylaws:
+def parse_sections(path: str, expressions: tuple) -> OperatorSettings:
     """Returns the settings in the top-level expressions of a file. Raises Faulty."""
     sections: dict[str, Any] = {}
     for expression in expressions:
@@ -133,7 +134,7 @@
         sections[expression.head] = settings_class(
             **{name.replace("-", "_"): value for name, value in values.items()}
         )
-    return Bylaws(path, **sections)
+    return OperatorSettings(path, **sections)
 
 
 def parse_section(
@@ -174,7 +175,9 @@
     return values
 
 
-def renewed(current: Bylaws, loaded: Bylaws) -> tuple[Bylaws, list[str], list[str]]:
+def renewed(
+    current: OperatorSettings, loaded: OperatorSettings
+) -> tuple[OperatorSettings, list[str], list[str]]:
     """Returns the settings in effect after a reload and the names of the keys that changed.
 
     The first list names the keys whose change applies at once, the second those whose change applies at the
--- a/bramblewood/work/scheduler.py
+++ b/bramblewood/work/scheduler.py
@@ -15,8 +15,8 @@
     """A background job and its accounting.
 
     steps: an iterator; each call of next() runs one short step. weight: the job's share of the budget,
-    relative to the weights of the other jobs. deadline: unix time. remaining: expected s of work until the
-    end.
+    relative to the weights of the other jobs. deadline: unix time. remaining: the work expected until the end
+    of the job, in s.
     """
 
     def __init__(self, name: str, steps: Iterator, weight: float, deadline: float, remaining: float) -> None:
@@ -36,11 +36,11 @@
         self.done = False
 
     def candidate(self) -> shares.Candidate:
-        """Returns the job's present values for the choice of the next step."""
+        """Returns the values from which `shares.choose` chooses the next job."""
         return shares.Candidate(
             self.sequence,
             self.weighted_time,
-            self.durations.expected(),
+            self.durations.expected_duration(),
             self.remaining,
             self.deadline,
             self.weight,
@@ -51,8 +51,8 @@
 class Scheduler:
     """Shares the time for background work among jobs.
 
-    clock: returns s at high resolution. on_error: called with the name and the exception of a job that
-    raises. Such a job is then removed. full: s of a turn for background work if the loop is idle.
+    clock: returns the time in s at high resolution. on_error: called with the name and the exception of a job
+    that raises. Such a job is then removed. full: the budget of a turn while the event loop is idle, in s.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
     ) -> Job:
         """Adds a job and returns it.
 
-        weight: above 0. deadline: unix time. remaining: expected s of work in total, 0 if unknown.
+        weight: above 0. deadline: unix time. remaining: the work expected in total, in s; 0 if unknown.
         """
         job = Job(name, steps, weight, deadline, remaining)
         self.last_sequence += 1
@@ -88,7 +88,7 @@
         return job
 
     def run(self, now: float, busy_fraction: float) -> float:
-        """Runs the background work of one turn and returns the s that it took.
+        """Runs the background work of one turn and returns the time that it took, in s.
 
         now: unix time, compared with the deadlines. busy_fraction: the fraction of the time since the last
         turn in which the loop was not waiting.
@@ -104,7 +104,7 @@
             job.waiting = False
         while chosen := shares.choose([job.candidate() for job in self.jobs], now):
             if not shares.may_run_step(
-                chosen.expected,
+                chosen.expected_duration,
                 available - (step_started - run_started),
                 step_started > run_started,
                 step_started - self.last_step_at,
--- a/bramblewood/work/shares.py
+++ b/bramblewood/work/shares.py
@@ -4,20 +4,21 @@
 pass, which grows by the time that the job uses divided by its weight. The lowest pass runs first.
 A job that would miss its deadline with its share of the budget runs before all others.
 
-Under overload the budget shrinks to a floor and not to zero, because a log that is never sealed grows without
-bound. The budget that a turn leaves unused is saved, up to one full budget, so that a step longer than the
-floor can run. The time that a step takes beyond the budget is a debt, which the following turns pay first.
+Under overload the budget shrinks to a floor and not to zero, because the store's log grows without bound if
+no job seals it. The budget that a turn leaves unused is saved, up to one full budget, so that a step longer
+than the floor can run. The time that a step takes beyond the budget is a debt, which the following turns pay
+first.
 """
 
 from typing import NamedTuple
 
-DEFAULT_BUDGET = 0.001  # s of a turn for background work; with one step more the total stays below 2 ms
-BUDGET_FLOOR = 0.0003  # s of a turn for background work under full overload, enough for one short step
+DEFAULT_BUDGET = 0.001  # s of background work in a turn; a turn with one step beyond it stays below 2 ms
+BUDGET_FLOOR = 0.0003  # s of background work in a turn under full overload, enough for one short step
 # The busy fraction up to which the budget is full, and the one from which the budget is the floor.
 BUSY_RANGE = (0.3, 0.8)
-MAX_PAUSE = 0.25  # s without a step after which one runs even if the balance is negative
-STEP_QUANTILE = 0.9  # fraction of a job's steps that are no longer than its expected step
-MAX_DEBT = 25  # in full budgets; time beyond it is not paid back
+MAX_PAUSE = 0.25  # s without any step after which a step runs even if the balance is negative
+STEP_QUANTILE = 0.9  # the quantile of a job's step durations that is expected for its next step
+MAX_DEBT = 25  # the largest debt, in full budgets; time beyond it is not paid back
 BIN_BOUNDS = (0.00005, 0.0001, 0.0002, 0.0004, 0.0008, 0.0016, 0.0032, 0.0064, 0.0128)  # s, upper bounds
 HALVING_COUNT = 256  # steps after which the counts are halved, because old durations predict little
 SMOOTHING = 0.9  # weight of earlier turns in the moving average of the busy fraction
@@ -39,8 +40,11 @@
             self.counts = [count // 2 for count in self.counts]
             self.total = sum(self.counts)
 
-    def expected(self) -> float:
-        """Returns an upper bound, in s, of a typical step; 0 before the first step."""
+    def expected_duration(self) -> float:
+        """Returns the quantile STEP_QUANTILE of the durations, in s, or 0 before the first step.
+
+        The value is the upper bound of the quantile's bin, or the longest duration if it is in the last bin.
+        """
         cumulative = 0
         for index, count in enumerate(self.counts):
             cumulative += count
@@ -54,7 +58,7 @@
 
     sequence: int  # number in order of addition; breaks ties
     weighted_time: float  # the job's pass: s used, divided by its weight
-    expected: float  # s of its next step
+    expected_duration: float  # s of the job's next step
     remaining: float  # expected s of work until the end; 0 if unknown
     deadline: float  # unix time, or infinity
     weight: float
@@ -62,9 +66,10 @@
 
 
 def turn_budget(full: float, busy_fraction: float) -> float:
-    """Returns the s for background work in this turn.
+    """Returns the time for background work in this turn, in s.
 
-    full: s if the loop is idle. busy_fraction: the recent fraction of time in which the loop was not waiting.
+    full: the budget while the event loop is idle, in s. busy_fraction: the recent fraction of time in which
+    the loop was not waiting.
     """
     low, high = BUSY_RANGE
     fraction = min(max((high - busy_fraction) / (high - low), 0.0), 1.0)
@@ -95,12 +100,12 @@
     )
 
 
-def may_run_step(expected: float, available: float, step_ran: bool, pause: float) -> bool:
+def may_run_step(expected_duration: float, available: float, step_ran: bool, pause: float) -> bool:
     """Returns whether another step runs in this turn.
 
-    expected: s of the step. available: s of the budget that remain, negative while there is a debt. step_ran:
-    whether a step has run in this turn. pause: s since the last step of any turn.
+    expected_duration: s of the step. available: s that remain of the budget, negative while there is a debt.
+    step_ran: whether a step has run in this turn. pause: s since the last step of any turn.
     """
     if pause >= MAX_PAUSE:
         return True
-    return available > 0 and (expected <= available or not step_ran)
+    return available > 0 and (expected_duration <= available or not step_ran)
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -59,7 +59,7 @@
         offset = rng.randrange(len(text))
         path.write_text(text[:offset] + rng.choice('()";9\\é\n') + text[offset + 1 :])
         try:
-            assert isinstance(bylaws.load(str(path)), bylaws.Bylaws)
+            assert isinstance(bylaws.load(str(path)), bylaws.OperatorSettings)
         except bylaws.Faulty as error:
             assert "\n" not in str(error)
 
@@ -72,12 +72,12 @@
     effective, at_once, at_next_start = bylaws.renewed(current, bylaws.load(str(path)))
     assert at_once == ["store.hold", "store.keep"] and at_next_start == ["store.folder"]
     assert effective.store == current.store._replace(hold=1.0, keep=90.0)
-    assert bylaws.renewed(current, bylaws.Bylaws(str(path)))[1:] == ([], ["store"])
+    assert bylaws.renewed(current, bylaws.OperatorSettings(str(path)))[1:] == ([], ["store"])
 
 
 @pytest.fixture
 def populated_store(tmp_path):
-    """Returns the directory of a closed store, with 300 keys in a table and one in the log, and its pairs."""
+    """Returns the directory of a closed store and its key-value pairs: 300 in a table and one in the log."""
     folder = tmp_path / "store"
     store, rng, pairs = Store(Folder(str(folder)), lambda: 1000.0), random.Random(1), {}
     for k in range(300):
@@ -182,12 +182,12 @@
 
 @pytest.fixture
 def site_with_store(tmp_path, monkeypatch):
-    """A site whose service has a durable store, with flushes in the event loop."""
+    """Yields a site whose service has a durable store and flushes it in the event loop."""
     from bramblewood.net.program import service as program
 
     service_class = program.Service
     terms = bylaws.StoreTerms(str(tmp_path / "st"), "in-loop", False, 0.001, 0.25, 86400.0)
-    settings = bylaws.Bylaws(str(tmp_path / "operator.sexp"), terms)
+    settings = bylaws.OperatorSettings(str(tmp_path / "operator.sexp"), terms)
     monkeypatch.setattr(program, "Service", lambda *arguments: service_class(*arguments, bylaws=settings))
     site = Site()
     yield site
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_scheduler_keeps_budget_weights_and_deadline_on_random_steps(seed):
-    """A turn exceeds its budget by at most one step. Shares follow weights. Overload leaves a floor."""
+    """A turn exceeds its budget by at most one step, and shares follow weights. Jobs run under overload."""
     rng, clock, log, errors = random.Random(seed), ManualClock(), [], []
     scheduler = Scheduler(clock, lambda name, error: errors.append(name))
     weights = {"seal": 3.0, "merge": 1.0, "scan": 1.0}
@@ -99,9 +99,9 @@
         for timer in wheel.due(now):
             timer.callback()
         while heap and heap[0][0] <= now - 2 * TICK:
-            due_at, number = heapq.heappop(heap)
-            if number in active:
-                assert number in expired
-        for number in [n for n in expired if n in active]:
-            assert active.pop(number)[0] <= now
+            due_at, timer_sequence = heapq.heappop(heap)
+            if timer_sequence in active:
+                assert timer_sequence in expired
+        for timer_sequence in [n for n in expired if n in active]:
+            assert active.pop(timer_sequence)[0] <= now
     assert len(expired) == len(set(expired))
