--- a/bramblewood/operator/bylaws.py
+++ b/bramblewood/operator/bylaws.py
@@ -95,10 +95,10 @@
 SECTIONS: dict[str, tuple[Mapping[str, KeySpec], Callable[..., Any]]] = {"store": (STORE_KEYS, StoreTerms)}
 
 
-def suggestion(name: str, known: Any) -> str:
+def suggestion(name: str, known_names: Any) -> str:
     """Returns the end of an error message: the known name most like an unknown one, or all known names."""
-    close = difflib.get_close_matches(name, list(known), 1)
-    return f"; did you mean {close[0]}?" if close else f"; expected one of {', '.join(known)}"
+    matches = difflib.get_close_matches(name, list(known_names), 1)
+    return f"; did you mean {matches[0]}?" if matches else f"; expected one of {', '.join(known_names)}"
 
 
 def load(path: str) -> OperatorSettings:
@@ -145,16 +145,16 @@
     location: the path and the line of the section, for error messages.
     """
     values = {name: key.default for name, key in keys.items()}
-    seen = set()
+    seen_names = set()
     for item in section.items[1:]:
         if not isinstance(item, ListExpression) or item.head is None:
             raise Faulty(f"{path}: line {item.line}: {section.head}: expected (key value)")
         name, key_location = item.head, f"{path}: line {item.line}: {section.head}.{item.head}"
         if name not in keys:
             raise Faulty(f"{key_location}: unknown key{suggestion(name, keys)}")
-        if name in seen:
+        if name in seen_names:
             raise Faulty(f"{key_location}: duplicate key")
-        seen.add(name)
+        seen_names.add(name)
         value = item.items[1] if len(item.items) == 2 else None
         try:
             if not isinstance(value, Atom):
@@ -178,7 +178,7 @@
 def renewed(
     current: OperatorSettings, loaded: OperatorSettings
 ) -> tuple[OperatorSettings, list[str], list[str]]:
-    """Returns the settings in effect after a reload and the names of the keys that changed.
+    """Returns the settings in effect after a reload and two lists of the keys that changed.
 
     The first list names the keys whose change applies at once, the second those whose change applies at the
     next start. A section that is added or removed is in the second list under its own name.
--- a/bramblewood/work/shares.py
+++ b/bramblewood/work/shares.py
@@ -85,7 +85,10 @@
 
 
 def choose(candidates: list[Candidate], now: float) -> Candidate | None:
-    """Returns the job whose next step runs now, or None if no job is ready."""
+    """Returns the job whose next step runs now, or None if no job is ready.
+
+    Jobs that would miss their deadline come first, by earliest deadline. Then the lowest pass decides.
+    """
     ready = [candidate for candidate in candidates if candidate.ready]
     total_weight = sum(candidate.weight for candidate in ready)
     return min(
--- a/bramblewood/work/wheel.py
+++ b/bramblewood/work/wheel.py
@@ -18,7 +18,8 @@
 class Timer:
     """A callback and its due time.
 
-    `slot` is the dict that holds the timer, or None after the timer expires or is cancelled.
+    `sequence` numbers the timers in order of addition and is the timer's key in its slot. `slot` is the dict
+    that holds the timer, or None after the timer expires or is cancelled.
     """
 
     __slots__ = ("due_at", "sequence", "callback", "slot")
@@ -119,7 +120,7 @@
                 self._expire_or_insert(timer, expired)
 
     def _expire_or_insert(self, timer: Timer, expired: list[Timer]) -> None:
-        if -int(-timer.due_at // TICK) <= self.tick:
+        if -int(-timer.due_at // TICK) <= self.tick:  # the due time, rounded up to a whole tick
             expired.append(timer)
         else:
             self._insert(timer)
