--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -30,7 +30,10 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_scheduler_keeps_budget_weights_and_deadline_on_random_steps(seed):
-    """A turn exceeds its budget by at most one step, and shares follow weights. Jobs run under overload."""
+    """A turn exceeds its budget by at most one step, and shares follow weights.
+
+    Under overload, the jobs still get the floor of the budget.
+    """
     rng, clock, log, errors = random.Random(seed), ManualClock(), [], []
     scheduler = Scheduler(clock, lambda name, error: errors.append(name))
     weights = {"seal": 3.0, "merge": 1.0, "scan": 1.0}
