--- a/bramblewood/controller/operator_api.py
+++ b/bramblewood/controller/operator_api.py
@@ -48,7 +48,7 @@
         configuration, answer = call.configuration, None
         if self.quorum_contact.has_quorum_contact(self.runtime.now()):
             answer = final_answer(configuration, self.quorum_io.consensus.value(CONFIG))
-        answer = answer or await self.quorum_io.agree(
+        answer = answer or await self.quorum_io.propose_and_wait(
             CONFIG, lambda value: apply_configuration(configuration, value)
         )
         self.runtime.log.info(
@@ -62,7 +62,7 @@
 
     async def get_configuration(self) -> web.Response:
         """Responds with the configuration in force, read through a quorum; 404 where there is none."""
-        outcome = await self.quorum_io.agree(CONFIG, lambda value: (None, [value]))
+        outcome = await self.quorum_io.propose_and_wait(CONFIG, lambda value: (None, [value]))
         if outcome is None:
             return make_response(503, NO_QUORUM_IN_TIME)
         (value,) = outcome
@@ -75,7 +75,7 @@
     async def change_drain_plan(self, command: StartDrainPlan | EndDrainPlan) -> web.Response:
         """Starts, stops or cancels a drain plan, or responds with the waves of a dry run."""
         if isinstance(command, EndDrainPlan):
-            answer = await self.quorum_io.agree(
+            answer = await self.quorum_io.propose_and_wait(
                 TABLE, lambda table: end_plan(table, command.name, command.state)
             )
         elif command.dry_run:
@@ -83,11 +83,13 @@
                 None,
                 (self._instance_ids_of_plan(command, table), self._start_plan(command, table)[1]),
             )
-            answer = await self.quorum_io.agree(TABLE, dry_run_change)
+            answer = await self.quorum_io.propose_and_wait(TABLE, dry_run_change)
             if answer is not None:
                 return _dry_run_response(command, *answer)
         else:
-            answer = await self.quorum_io.agree(TABLE, lambda table: self._start_plan(command, table))
+            answer = await self.quorum_io.propose_and_wait(
+                TABLE, lambda table: self._start_plan(command, table)
+            )
         self.runtime.log.info("drain plan", step="drain", name=command.name, answer=answer)
         return make_response(*answer) if answer else make_response(503, NO_QUORUM_IN_TIME)
 
@@ -132,7 +134,7 @@
         if voters == voter_set["voters"]:
             has_contact = self.quorum_contact.has_quorum_contact(now)
             return _epoch_response(voter_set["n"]) if has_contact else make_response(503, NO_QUORUM)
-        is_agreed = await self.quorum_io.agree(VOTER_SET, next_voter_set(voter_set, voters))
+        is_agreed = await self.quorum_io.propose_and_wait(VOTER_SET, next_voter_set(voter_set, voters))
         self.runtime.log.info(
             "voter set change", step="epoch", reason="by hand", old=old, new=new, agreed=is_agreed
         )
--- a/bramblewood/controller/peer_handlers.py
+++ b/bramblewood/controller/peer_handlers.py
@@ -165,13 +165,13 @@
                 continue  # a newer release may have more registers
             if proposal_number != NO_PROPOSAL and heartbeat.is_voting:
                 consensus.record_acceptance(now, peer, heartbeat.disk, register, proposal_number, effects)
-        self.quorum_io.execute(effects)
+        self.quorum_io.apply_effects(effects)
         rollback_effects = consensus.check_disk_rollback(
             heartbeat.epoch, heartbeat.bound or {}, new_disk_name()
         )
         if rollback_effects.facts:
             self.runtime.log.error("disk rolled back", step="epoch", peer=peer, disk=consensus.disk)
-            self.quorum_io.execute(rollback_effects)
+            self.quorum_io.apply_effects(rollback_effects)
 
     def handle_registry_update(self, connection: PeerConnection, message: dict) -> None:
         """Merge the registrations that a controller or a proxy forwards.
--- a/bramblewood/controller/quorum_io.py
+++ b/bramblewood/controller/quorum_io.py
@@ -55,7 +55,8 @@
         self.announced_epoch = (-1, False)  # as of the last call of on_epoch_changed: epoch, is_active_voter
         # called once a change of the epoch, or of the active vote of this controller, is durable
         self.on_epoch_changed: Callable[[], None] = lambda: None
-        self.on_progress: Callable[[], None] = lambda: None  # called after each step that may choose a value
+        # called after each step that may choose a value
+        self.on_consensus_step: Callable[[], None] = lambda: None
 
     def restore(
         self, facts: dict[str, Any], registers: dict[str, tuple], replaces_damaged: bool = False
@@ -121,9 +122,9 @@
         change(value) returns the next value, or None to leave it unchanged, and an outcome. on_outcome is
         called with that outcome, or with None where it is still unknown after `timeout` s.
         """
-        self.execute(self.consensus.propose(self.runtime.now(), register, change, on_outcome, timeout))
+        self.apply_effects(self.consensus.propose(self.runtime.now(), register, change, on_outcome, timeout))
 
-    async def agree(self, register: str, change: Callable) -> Any:
+    async def propose_and_wait(self, register: str, change: Callable) -> Any:
         """Propose a change as `propose` does, and return its outcome.
 
         Returns None where the outcome is unknown or arrives too late. The clock is checked again after the
@@ -153,7 +154,7 @@
             return
         require_values(message)
         consensus = self.consensus
-        self.execute(consensus.receive(self.runtime.now(), peer, message))
+        self.apply_effects(consensus.receive(self.runtime.now(), peer, message))
         rejection = consensus.take_last_rejection()
         if rejection is not None:
             rejecting_peer, proposal_number, promised = rejection
@@ -175,7 +176,7 @@
         effects.answer(lambda outcome: outcome and on_durable(), True)
         self._write(effects, [], facts)
 
-    def execute(self, effects: Effects) -> None:
+    def apply_effects(self, effects: Effects) -> None:
         """Write the rows and facts of these effects, then send their messages and report their outcomes."""
         rows, facts = self.pending_writes.prepare_write(effects)
         if not rows and not facts:
@@ -220,7 +221,7 @@
                 loop.call_soon(on_outcome, outcome)
         if effects.facts.keys() & EPOCH_FACTS:
             self._announce_epoch()
-        self.on_progress()
+        self.on_consensus_step()
 
     def _announce_epoch(self) -> None:
         epoch = (self.consensus.epoch, self.consensus.is_active_voter)
--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -172,7 +172,7 @@
         )
         runtime.peer_connections.on_malformed = handlers.log_malformed
         self.content_watch.on_divergence = self.damage_response.begin
-        self.quorum_io.on_progress = self.chosen_values.refresh
+        self.quorum_io.on_consensus_step = self.chosen_values.refresh
         self.quorum_io.on_epoch_changed = self.handle_epoch_change
         self.proxy_feed.on_configuration_announced = lambda: self.proxy_heartbeats.send(runtime.now())
         self.registry_exchange.on_departure = self.coordinator_loop.step
@@ -227,7 +227,7 @@
             PlacementPlanner(runtime.now(), settings.heartbeat_interval, settings.detect_hot_keys)
         )
         storage.start(lambda on_finished, problem: loop.call_soon_threadsafe(on_finished, problem))
-        self.quorum_io.execute(no_effects())
+        self.quorum_io.apply_effects(no_effects())
         known_controllers = stored_state.facts.get(KNOWN_CONTROLLERS_FACT, ())
         for peer in {*settings.seed_hosts(), *self.quorum_io.consensus.voters, *known_controllers}:
             self.controller_peers.add(peer)
@@ -271,7 +271,7 @@
 
     def tick(self, now: float) -> None:
         """Runs all periodic work that is due. `run` calls it every TICK_INTERVAL."""
-        self.quorum_io.execute(self.quorum_io.consensus.tick(now))
+        self.quorum_io.apply_effects(self.quorum_io.consensus.tick(now))
         self.quorum_io.probe_failing_disk(now)
         self.voter_changes.propose_due_change(now)
         self.controller_peers.reread_seeds_if_isolated(now)
--- a/features/steps/quorum_contact.py
+++ b/features/steps/quorum_contact.py
@@ -50,7 +50,7 @@
     return await deregister(self, call)
 
 
-async def agree_without_clock_check(self, register, change):
+async def propose_without_clock_check(self, register, change):
     outcome_future = self.runtime.loop.create_future()
     self.propose(
         register,
@@ -103,7 +103,7 @@
         *NO_STORED_DEPARTURES,
         *(WorkerRegistry, "departing_registrations", lambda self, since=0.0: {}),
     ),
-    "the clock check after a proposal": (QuorumIO, "agree", agree_without_clock_check),
+    "the clock check after a proposal": (QuorumIO, "propose_and_wait", propose_without_clock_check),
     "the check for workers unknown to all controllers": (
         RegistryFreshness,
         "registrations_received",
--- a/tests/simulation/membership_epochs.py
+++ b/tests/simulation/membership_epochs.py
@@ -93,9 +93,9 @@
         self.runtime.shutdown_requested = SimpleNamespace(is_set=lambda: self.shutdown_requested)
         self.runtime.started_at = fleet.now
         self.quorum_io.storage = self
-        self.chosen_values.refresh = self.quorum_io.on_progress = lambda: fleet.check_invariants(self)
+        self.chosen_values.refresh = self.quorum_io.on_consensus_step = lambda: fleet.check_invariants(self)
         self.proxy_heartbeats.send = lambda now: None  # there are no proxies
-        self.quorum_io.execute(no_effects())
+        self.quorum_io.apply_effects(no_effects())
         for peer in sorted(
             {*settings.seed_hosts(), *self.consensus.voters, *self.disk["facts"].get("archives", ())}
         ):
@@ -132,7 +132,7 @@
     def tick(self) -> None:
         now = self.fleet.now
         self.runtime.peer_connections.dial()
-        self.quorum_io.execute(self.consensus.tick(now))
+        self.quorum_io.apply_effects(self.consensus.tick(now))
         self.quorum_io.probe_failing_disk(now)
         self.voter_changes.propose_due_change(now)
         self.controller_peers.send_due_heartbeats(now)
--- a/tests/simulation/membership_seat_cases.py
+++ b/tests/simulation/membership_seat_cases.py
@@ -99,7 +99,7 @@
         [], [], [(machine.voter_changes.change_finished, True)], {"members": machine.consensus.voter_set}
     )
     machine.quorum_io.storage = SimpleNamespace(write=lambda rows, facts, on_finished: on_finished("refused"))
-    machine.quorum_io.execute(effects)
+    machine.quorum_io.apply_effects(effects)
     fleet.advance(0.01)
     if machine.voter_changes.is_changing:
         raise RuleViolation("the controller still counts the change as in progress, and proposes no other")
--- a/tests/simulation/storage_failures.py
+++ b/tests/simulation/storage_failures.py
@@ -368,7 +368,7 @@
         """Has the controller write and send a promise, and returns once the sync hangs."""
         self.now = now
         row = (CONFIG, (1, 7, "b", 1), (1, 3, "a", 1), {"n": 1})
-        self.controller.quorum_io.execute(Effects([row], [("b", PROMISE)], [], {}))
+        self.controller.quorum_io.apply_effects(Effects([row], [("b", PROMISE)], [], {}))
         # Without this wait, the checks that follow might run before the sync.
         assert self.sync_started.wait(WRITER_TIMEOUT)
 
