--- a/bramblewood/controller/introspection.py
+++ b/bramblewood/controller/introspection.py
@@ -97,7 +97,7 @@
             changes.peer_statuses(now),
             self.quorum_io.versions(),
         )
-        return {**view, "change": "a change is being agreed" if changes.is_changing else ""}
+        return {**view, "change": "a change is being agreed" if changes.is_proposal_in_flight else ""}
 
     def _drain_plans_view(self, now: float) -> dict[str, Any]:
         """Returns the drain plans, and for each of their workers what its next step waits for."""
--- a/bramblewood/controller/voter_changes.py
+++ b/bramblewood/controller/voter_changes.py
@@ -17,7 +17,7 @@
 from .sessions import Sessions
 
 FOUNDING_TIMEOUT = 3.0  # s that a first boot waits for controllers that start at about the same time
-UNKNOWN_VOTERS_PATIENCE = 10.0  # s after the start of the process until an unknown voter set is logged
+UNKNOWN_VOTERS_LOG_DELAY = 10.0  # s after the start of the process until an unknown voter set is logged
 UNKNOWN_VOTERS_LOG_INTERVAL = 30.0  # s between two log lines about an unknown voter set
 UNKNOWN_VOTERS_REMEDY = (
     "start a controller whose disk is intact; if none is left, start the seeds on empty folders"
@@ -45,7 +45,7 @@
         self.runtime, self.quorum_io, self.quorum_contact = runtime, quorum_io, quorum_contact
         self.sessions, self.controller_peers = sessions, controller_peers
         self.membership = Membership(settings.tolerance, settings.region_of_zone, settings.bounds.CatchUpS)
-        self.is_changing = False  # whether a proposal of this controller is in flight
+        self.is_proposal_in_flight = False  # whether a proposal of this controller is in flight
         self.shutdown_began_at: float | None = None
         self.next_unknown_voters_log_at = 0.0
 
@@ -78,7 +78,7 @@
         if consensus.epoch == 0 and not consensus.is_member:
             self._log_unknown_voters(now)
             return
-        if self.is_changing:
+        if self.is_proposal_in_flight:
             return
         change = None
         if consensus.epoch == 0:
@@ -91,7 +91,7 @@
             )
         if change is None:
             return
-        self.is_changing = True
+        self.is_proposal_in_flight = True
         self.runtime.log.info(
             "voter set change",
             step="epoch",
@@ -104,7 +104,7 @@
 
     def _log_unknown_voters(self, now: float) -> None:
         """Log an error with its remedy, as neither this disk nor a reachable controller holds a voter set."""
-        due_at = max(self.runtime.started_at + UNKNOWN_VOTERS_PATIENCE, self.next_unknown_voters_log_at)
+        due_at = max(self.runtime.started_at + UNKNOWN_VOTERS_LOG_DELAY, self.next_unknown_voters_log_at)
         if now >= due_at:
             self.next_unknown_voters_log_at = now + UNKNOWN_VOTERS_LOG_INTERVAL
             peers = sorted(self.controller_peers.known)
@@ -115,7 +115,7 @@
 
         The outcome is ignored, because `propose_due_change` reads the voter set that is actually chosen.
         """
-        self.is_changing = False
+        self.is_proposal_in_flight = False
 
     def may_shut_down(self, now: float) -> bool:
         """Whether a shutdown is requested and may proceed.
--- a/tests/simulation/membership_seat_cases.py
+++ b/tests/simulation/membership_seat_cases.py
@@ -94,14 +94,14 @@
     """A change of the voter set whose write is refused ends as unclear, so another one can be proposed."""
     fleet = ControllerFleet(1)
     machine = next(iter(fleet.machines.values()))
-    machine.voter_changes.is_changing = True
+    machine.voter_changes.is_proposal_in_flight = True
     effects = Effects(
         [], [], [(machine.voter_changes.change_finished, True)], {"members": machine.consensus.voter_set}
     )
     machine.quorum_io.storage = SimpleNamespace(write=lambda rows, facts, on_finished: on_finished("refused"))
     machine.quorum_io.apply_effects(effects)
     fleet.advance(0.01)
-    if machine.voter_changes.is_changing:
+    if machine.voter_changes.is_proposal_in_flight:
         raise RuleViolation("the controller still counts the change as in progress, and proposes no other")
 
 
--- a/tests/test_damaged_controllers.py
+++ b/tests/test_damaged_controllers.py
@@ -10,7 +10,7 @@
 from bramblewood.controller.damage_response import STORAGE_DAMAGED_EXIT_CODE
 from bramblewood.controller.storage import Storage
 from bramblewood.controller.storage_schema import DATABASE_FILE
-from bramblewood.controller.voter_changes import UNKNOWN_VOTERS_PATIENCE
+from bramblewood.controller.voter_changes import UNKNOWN_VOTERS_LOG_DELAY
 from tests.simulation.damaged_database import change_digit
 from tests.simulation.membership_commands import CONTROL, INNER, WAIT_TIMEOUT, ControllerFleet
 
@@ -170,7 +170,7 @@
     for number in numbers:
         damage_database(fleet.data_folder(number))
     start_all(fleet, numbers)
-    assert UNKNOWN_VOTERS_PATIENCE < WAIT_TIMEOUT
+    assert UNKNOWN_VOTERS_LOG_DELAY < WAIT_TIMEOUT
     fleet.wait_until(
         "unknown voters logged",
         lambda: all(fleet.log_events(number, "voters unknown") for number in numbers),
