--- a/bramblewood/controller/deregistration.py
+++ b/bramblewood/controller/deregistration.py
@@ -49,7 +49,7 @@
         self.pending[request_id] = PendingDeregistration(now)
         return request_id
 
-    def record_held_here(self, request_id: int) -> None:
+    def record_stored_locally(self, request_id: int) -> None:
         """Record that this controller has the registration on its own disk."""
         if request_id in self.pending:
             self.pending[request_id].is_stored_locally = True
--- a/bramblewood/controller/worker_api.py
+++ b/bramblewood/controller/worker_api.py
@@ -73,7 +73,7 @@
         return web.json_response({}) if is_confirmed else make_response(503, "no majority holds it in time")
 
     def _record_stored_locally(self, request_id: int) -> None:
-        self.deregistrations.record_held_here(request_id)
+        self.deregistrations.record_stored_locally(request_id)
         self.check_confirmations()
 
     def check_confirmations(self) -> None:
--- a/features/steps/quorum_contact.py
+++ b/features/steps/quorum_contact.py
@@ -260,7 +260,7 @@
 def deregistration_in_flight(context):
     context.deregistrations = Deregistrations("a")
     context.request_id = context.deregistrations.begin(10.0)
-    context.deregistrations.record_held_here(context.request_id)
+    context.deregistrations.record_stored_locally(context.request_id)
 
 
 @when("b acknowledges it as a voter of epoch 3, and c as a non-voter")
