--- a/bramblewood/controller/deregistration.py
+++ b/bramblewood/controller/deregistration.py
@@ -2,7 +2,7 @@
 
 This is a state machine without I/O. Each call starts a request of its own, even where a worker repeats a
 call. The registration is sent to all controllers, and each of them acknowledges it once its registry and its
-disk hold this registration or a newer one (`departures.py`). A controller that has acknowledged a
+disk hold this registration or a newer one (`deregistration_store.py`). A controller that has acknowledged a
 registration holds it from then on, also after a restart, and sends it to all proxies connected to it. A proxy
 therefore receives a deregistration from every holder that it is connected to.
 
--- a/bramblewood/controller/departures.py
+++ b/bramblewood/controller/deregistration_store.py
@@ -5,9 +5,9 @@
 acknowledged only after a majority of the voters has stored it. A controller that later contacts a majority
 reaches at least one of these voters.
 
-Invariant: a deregistration that `keep` reported as durable is in the registry of every later process on this
-disk, for at least DEREGISTRATION_RETENTION seconds on that process's own clock. The retention is many times
-the delay of a late call. It also bounds the number of stored rows.
+Invariant: a deregistration that `persist` reported as durable is in the registry of every later process on
+this disk, for at least DEREGISTRATION_RETENTION seconds on that process's own clock. The retention is many
+times the delay of a late call. It also bounds the number of stored rows.
 
 Each worker has a fact of its own, so that a deregistration changes one row. All waiting writes are committed
 in one transaction, so the release of hundreds of workers at once needs few transactions.
@@ -25,7 +25,7 @@
 EXPIRY_INTERVAL = 30.0  # s between two searches for expired deregistrations
 
 
-class Departures:
+class DeregistrationStore:
     """Stores deregistrations, and restores them to the registry at a start.
 
     durable_phases: the newest durable phase of each worker, by instance id. stored_at: the time of the last
@@ -47,7 +47,7 @@
                 self.registry.record(now, instance_id, registration)
                 self._mark_durable(instance_id, registration.phase)
 
-    def keep(self, instance_ids: Iterable[str], on_durable: Callable[[], None]) -> None:
+    def persist(self, instance_ids: Iterable[str], on_durable: Callable[[], None]) -> None:
         """Stores the registry's deregistrations of these workers, and calls on_durable once they are durable.
 
         If the write fails, on_durable is not called, and the worker repeats its call.
--- a/bramblewood/controller/peer_handlers.py
+++ b/bramblewood/controller/peer_handlers.py
@@ -30,7 +30,7 @@
 from .consensus.voter_set import voter_set_from
 from .content_watch import ContentWatch
 from .controller_peers import ControllerPeers
-from .departures import Departures
+from .deregistration_store import DeregistrationStore
 from .load_reports import LoadReports
 from .proxy_feed import ProxyFeed
 from .proxy_heartbeats import ProxyHeartbeats
@@ -63,7 +63,7 @@
         load_reports: LoadReports,
         worker_api: WorkerApi,
         content_watch: ContentWatch,
-        departures: Departures,
+        deregistration_store: DeregistrationStore,
     ) -> None:
         self.runtime, self.quorum_io, self.quorum_contact = runtime, quorum_io, quorum_contact
         self.sessions, self.controller_peers = sessions, controller_peers
@@ -71,7 +71,7 @@
         self.proxy_feed, self.proxy_sessions = proxy_feed, proxy_feed.proxy_sessions
         self.proxy_heartbeats, self.chosen_values = proxy_heartbeats, chosen_values
         self.load_reports, self.worker_api = load_reports, worker_api
-        self.content_watch, self.departures = content_watch, departures
+        self.content_watch, self.deregistration_store = content_watch, deregistration_store
         self.handlers = {
             kinds.HEARTBEAT: self.handle_heartbeat,
             kinds.REGISTRY_UPDATE: self.handle_registry_update,
@@ -183,7 +183,7 @@
         newer_rows = self.registry_exchange.record_all(update.registrations, peer)
         if update.request_id is not None:
             request_id = update.request_id
-            self.departures.keep(
+            self.deregistration_store.persist(
                 update.registrations, lambda: self._acknowledge_registrations(peer, request_id, newer_rows)
             )
         elif newer_rows:
--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -21,7 +21,7 @@
 from .coordinator_loop import CoordinatorLoop
 from .damage_response import DamageResponse
 from .damaged_storage import open_or_replace
-from .departures import Departures
+from .deregistration_store import DeregistrationStore
 from .drain_progress import DrainProgress
 from .http_listener import HttpListener
 from .introspection import Introspection
@@ -64,7 +64,7 @@
         self.registry, self.proxy_sessions = WorkerRegistry(), ProxySessions()
         self.damage_response = DamageResponse(runtime, self.quorum_io)
         self.content_watch = ContentWatch(runtime, self.quorum_io)
-        self.departures = Departures(runtime, self.quorum_io, self.registry)
+        self.deregistration_store = DeregistrationStore(runtime, self.quorum_io, self.registry)
         self.registry_exchange = RegistryExchange(runtime, self.registry, self.proxy_sessions)
         self._build_peer_parts()
         self._build_coordinator()
@@ -130,7 +130,7 @@
     def _build_apis(self) -> None:
         runtime, quorum_io, quorum_contact = self.runtime, self.quorum_io, self.quorum_contact
         self.worker_api = WorkerApi(
-            runtime, quorum_io, quorum_contact, self.registry_exchange, self.departures
+            runtime, quorum_io, quorum_contact, self.registry_exchange, self.deregistration_store
         )
         self.operator_api = OperatorApi(runtime, quorum_io, quorum_contact, self.registry, self.voter_changes)
         self.introspection = Introspection(
@@ -155,7 +155,7 @@
             LoadReports(self.coordinator_loop, self.drain_progress, self.outlier_detection),
             self.worker_api,
             self.content_watch,
-            self.departures,
+            self.deregistration_store,
         )
         self.http_listener = HttpListener(
             runtime, self.peer_handlers, self.worker_api, self.operator_api, self.introspection
@@ -222,7 +222,7 @@
         storage = self.quorum_io.storage
         storage.on_damage = lambda problem: loop.call_soon_threadsafe(self.damage_response.begin, problem)
         self.quorum_io.restore(stored_state.facts, stored_state.registers, storage.replaces_damaged)
-        self.departures.restore(stored_state.facts)
+        self.deregistration_store.restore(stored_state.facts)
         self.set_planner(
             PlacementPlanner(runtime.now(), settings.heartbeat_interval, settings.detect_hot_keys)
         )
@@ -282,7 +282,7 @@
             self.next_housekeeping_at = now + HOUSEKEEPING_INTERVAL
             self.registry.remove_expired(now)
             self.content_watch.check()
-            self.departures.remove_expired(now)
+            self.deregistration_store.remove_expired(now)
             proxies = self.sessions.all_proxies(now, list(self.proxy_sessions.connected))
             self.drain_progress.record_connected_proxies(now, proxies)
         self.coordinator_loop.step(now)
--- a/bramblewood/controller/worker_api.py
+++ b/bramblewood/controller/worker_api.py
@@ -6,8 +6,8 @@
 
 from ..common.worker_registry import GONE, WorkerRegistration
 from .commands import DeregisterWorker, RegisterWorker
-from .departures import Departures
 from .deregistration import CONFIRMATION_TIMEOUT, Deregistrations
+from .deregistration_store import DeregistrationStore
 from .http_responses import NO_QUORUM, make_response
 from .quorum_contact import QuorumContact
 from .quorum_io import QuorumIO
@@ -34,10 +34,10 @@
         quorum_io: QuorumIO,
         quorum_contact: QuorumContact,
         registry_exchange: RegistryExchange,
-        departures: Departures,
+        deregistration_store: DeregistrationStore,
     ) -> None:
         self.runtime, self.quorum_io, self.quorum_contact = runtime, quorum_io, quorum_contact
-        self.registry_exchange, self.departures = registry_exchange, departures
+        self.registry_exchange, self.deregistration_store = registry_exchange, deregistration_store
         self.deregistrations = Deregistrations(runtime.own_address)
         self.confirmations: dict[int, asyncio.Future] = {}  # by request id
 
@@ -60,7 +60,7 @@
         request_id = self.deregistrations.begin(self.runtime.now())
         confirmation = self.confirmations[request_id] = self.runtime.loop.create_future()
         self.registry_exchange.record(instance_id, registration, request_id)
-        self.departures.keep([instance_id], lambda: self._record_stored_locally(request_id))
+        self.deregistration_store.persist([instance_id], lambda: self._record_stored_locally(request_id))
         try:
             async with asyncio.timeout(CONFIRMATION_TIMEOUT):
                 await confirmation
--- a/features/steps/quorum_contact.py
+++ b/features/steps/quorum_contact.py
@@ -12,8 +12,8 @@
 from bramblewood.common.worker_registry import GONE, WorkerRegistration, WorkerRegistry
 from bramblewood.controller.consensus.proposal_number import NO_PROPOSAL
 from bramblewood.controller.consensus.registers import TABLE
-from bramblewood.controller.departures import Departures
 from bramblewood.controller.deregistration import Deregistrations
+from bramblewood.controller.deregistration_store import DeregistrationStore
 from bramblewood.controller.http_responses import make_response
 from bramblewood.controller.key_leases import KeyLeases
 from bramblewood.controller.lease_calls import LeaseCalls
@@ -78,7 +78,7 @@
     return heartbeat_received(self, now, peer, heartbeat, known_versions)
 
 
-NO_STORED_DEPARTURES = (Departures, "restore", lambda self, facts: None)
+NO_STORED_DEREGISTRATIONS = (DeregistrationStore, "restore", lambda self, facts: None)
 # by guard: one or more sequences of owner, attribute and replacement
 GUARDS = {
     "the majority check for deregistrations": (Deregistrations, "is_confirmed", confirm_with_one_holder),
@@ -98,9 +98,9 @@
         record_without_forwarding,
     ),
     "deregistration of unknown workers": (WorkerApi, "deregister", deregister_known_workers_only),
-    "deregistrations on disk": NO_STORED_DEPARTURES,
+    "deregistrations on disk": NO_STORED_DEREGISTRATIONS,
     "deregistrations on disk and from proxies": (
-        *NO_STORED_DEPARTURES,
+        *NO_STORED_DEREGISTRATIONS,
         *(WorkerRegistry, "departing_registrations", lambda self, since=0.0: {}),
     ),
     "the clock check after a proposal": (QuorumIO, "propose_and_wait", propose_without_clock_check),
--- a/tests/simulation/fleet/machine.py
+++ b/tests/simulation/fleet/machine.py
@@ -110,7 +110,7 @@
         controller.quorum_io.incarnation = 1000 * self.start_count + ord(self.name)
         controller.quorum_io.storage = self
         controller.quorum_io.restore(dict(self.facts), dict(self.registers))
-        controller.departures.restore(self.facts)
+        controller.deregistration_store.restore(self.facts)
         controller.controller_peers.known = set(self.fleet.controllers) - {self.name}
         controller.controller_peers.next_seed_reread_at = 1e9
         controller.lease_calls.client = SimulatedWorkerClient(self)
