--- a/bramblewood/controller/content_agreement.py
+++ b/bramblewood/controller/content_comparison.py
@@ -67,7 +67,7 @@
     peers: list[str]
 
 
-class ContentAgreement:
+class ContentComparison:
     """Compares the digests that the other controllers sent with those of this controller.
 
     own: the digests of this controller. by_peer: the newest digests of each peer, by peer and register.
--- a/bramblewood/controller/content_watch.py
+++ b/bramblewood/controller/content_watch.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Mapping
 
 from .consensus.proposal_number import format_proposal_number
-from .content_agreement import Digest, Divergence, ProposalNumber
+from .content_comparison import Digest, Divergence, ProposalNumber
 from .quorum_io import QuorumIO
 from .runtime import Runtime
 
@@ -21,7 +21,7 @@
 
     def __init__(self, runtime: Runtime, quorum_io: QuorumIO) -> None:
         self.runtime, self.quorum_io = runtime, quorum_io
-        self.agreement = quorum_io.content_agreement
+        self.agreement = quorum_io.content_comparison
         self.logged: dict[str, list[str]] = {}
         self.on_divergence: Callable[[str], None] = lambda reason: None
 
--- a/bramblewood/controller/controller_peers.py
+++ b/bramblewood/controller/controller_peers.py
@@ -123,7 +123,7 @@
             settings.counts_for_tolerance,
             sorted({self.runtime.own_address, *self.known}),
             sorted(self.proxy_sessions.connected),
-            dict(self.quorum_io.content_agreement.own.newest) or None,
+            dict(self.quorum_io.content_comparison.own.newest) or None,
         )
 
     def _heartbeat_for_peer(
--- a/bramblewood/controller/quorum_contact.py
+++ b/bramblewood/controller/quorum_contact.py
@@ -32,7 +32,7 @@
         consensus = self.quorum_io.consensus
         chosen = {register: consensus.chosen[register][0] for register in registers}
         accepted = {register: acceptor.accepted for register, acceptor in consensus.acceptors.items()}
-        agreement = self.quorum_io.content_agreement
+        agreement = self.quorum_io.content_comparison
         return self.sessions.quorum_contact_until(
             now,
             consensus.voters,
--- a/bramblewood/controller/quorum_io.py
+++ b/bramblewood/controller/quorum_io.py
@@ -17,7 +17,7 @@
 from .consensus.registers import DATA_REGISTERS
 from .consensus.replica import ConsensusReplica
 from .consensus.voter_set import founding_voters
-from .content_agreement import ContentAgreement
+from .content_comparison import ContentComparison
 from .register_values import require_register_value, require_values
 from .runtime import TICK_INTERVAL, Runtime
 from .storage import Storage
@@ -36,14 +36,14 @@
 
     Invariants: no message or outcome that depends on a write leaves before the write is durable. Where a
     write fails, the outcome of its proposals is unknown, and their callbacks receive None. Consensus messages
-    from a controller whose content differs from the content held here are dropped (`content_agreement.py`).
+    from a controller whose content differs from the content held here are dropped (`content_comparison.py`).
     """
 
     consensus: ConsensusReplica
 
     def __init__(self, runtime: Runtime, storage: Storage) -> None:
         self.runtime, self.storage = runtime, storage
-        self.content_agreement = ContentAgreement(storage.digests)
+        self.content_comparison = ContentComparison(storage.digests)
         self.incarnation = int.from_bytes(os.urandom(4), "big")
         self.pending_writes = PendingWrites({})
         self.writes_in_flight = 0
@@ -150,7 +150,7 @@
 
         Raises PeerMessageError for a malformed message.
         """
-        if self.content_agreement.differs_from(peer):
+        if self.content_comparison.differs_from(peer):
             return
         require_values(message)
         consensus = self.consensus
--- a/bramblewood/controller/storage.py
+++ b/bramblewood/controller/storage.py
@@ -31,7 +31,7 @@
 
 from result import Err, Ok, Result
 
-from .content_agreement import StoredDigests
+from .content_comparison import StoredDigests
 from .row_encoding import row_operations, to_json
 from .storage_checksums import RowSetSum, StoredChecksums
 from .storage_errors import (
--- a/bramblewood/controller/storage_checksums.py
+++ b/bramblewood/controller/storage_checksums.py
@@ -6,7 +6,7 @@
 
 The parts of a register are the rows that encode its value. The sum over them depends only on the value and
 not on the sequence of writes that produced it. Two controllers that hold the same value therefore hold the
-same sum. `content_agreement.py` compares these sums.
+same sum. `content_comparison.py` compares these sums.
 """
 
 from typing import NamedTuple
