--- a/bramblewood/controller/content_watch.py
+++ b/bramblewood/controller/divergence_monitor.py
@@ -12,7 +12,7 @@
 from .runtime import Runtime
 
 
-class ContentWatch:
+class DivergenceMonitor:
     """Compares the digests in the heartbeats of the other controllers with those of this controller.
 
     logged: the differing registers that were logged last, by peer. on_divergence: called with the reason by
@@ -21,24 +21,24 @@
 
     def __init__(self, runtime: Runtime, quorum_io: QuorumIO) -> None:
         self.runtime, self.quorum_io = runtime, quorum_io
-        self.agreement = quorum_io.content_comparison
+        self.comparison = quorum_io.content_comparison
         self.logged: dict[str, list[str]] = {}
         self.on_divergence: Callable[[str], None] = lambda reason: None
 
     def record(self, peer: str, digests: Mapping[str, tuple[ProposalNumber, Digest]]) -> None:
         """Records the digests of all durable registers of a peer and repeats the comparison."""
-        self.agreement.record(peer, digests)
+        self.comparison.record(peer, digests)
         self.check()
 
     def check(self) -> None:
         """Logs each change of the differing registers. Calls `on_divergence` if the content changed here."""
-        for peer in self.agreement.by_peer:
-            differing = self.agreement.differing_registers(peer)
+        for peer in self.comparison.by_peer:
+            differing = self.comparison.differing_registers(peer)
             if differing != self.logged.get(peer, []):
                 self.logged[peer] = differing
                 event = "content differs" if differing else "content agrees again"
                 self.runtime.log.error(event, step="content", peer=peer, registers=differing)
-        divergence = self.agreement.divergence(self.quorum_io.consensus.voters)
+        divergence = self.comparison.divergence(self.quorum_io.consensus.voters)
         if divergence is not None:
             self.on_divergence(format_divergence(divergence))
 
--- a/bramblewood/controller/peer_handlers.py
+++ b/bramblewood/controller/peer_handlers.py
@@ -28,9 +28,9 @@
 from .consensus.proposal_number import NO_PROPOSAL
 from .consensus.registers import ALL_REGISTERS, DATA_REGISTERS, TABLE
 from .consensus.voter_set import voter_set_from
-from .content_watch import ContentWatch
 from .controller_peers import ControllerPeers
 from .deregistration_store import DeregistrationStore
+from .divergence_monitor import DivergenceMonitor
 from .load_reports import LoadReports
 from .proxy_feed import ProxyFeed
 from .proxy_heartbeats import ProxyHeartbeats
@@ -62,7 +62,7 @@
         chosen_values: ChosenValues,
         load_reports: LoadReports,
         worker_api: WorkerApi,
-        content_watch: ContentWatch,
+        divergence_monitor: DivergenceMonitor,
         deregistration_store: DeregistrationStore,
     ) -> None:
         self.runtime, self.quorum_io, self.quorum_contact = runtime, quorum_io, quorum_contact
@@ -71,7 +71,7 @@
         self.proxy_feed, self.proxy_sessions = proxy_feed, proxy_feed.proxy_sessions
         self.proxy_heartbeats, self.chosen_values = proxy_heartbeats, chosen_values
         self.load_reports, self.worker_api = load_reports, worker_api
-        self.content_watch, self.deregistration_store = content_watch, deregistration_store
+        self.divergence_monitor, self.deregistration_store = divergence_monitor, deregistration_store
         self.handlers = {
             kinds.HEARTBEAT: self.handle_heartbeat,
             kinds.REGISTRY_UPDATE: self.handle_registry_update,
@@ -143,7 +143,7 @@
         is_first_on_connection = heartbeat.zone is not None
         # The digests are compared first, because `_learn_from_heartbeat` ignores peers whose content differs.
         if heartbeat.digests is not None or is_first_on_connection:
-            self.content_watch.record(peer, heartbeat.digests or {})
+            self.divergence_monitor.record(peer, heartbeat.digests or {})
         self.registry.record_last_heard(now, heartbeat.worker_ages or {})
         self._learn_from_heartbeat(now, peer, heartbeat)
         self.chosen_values.refresh()
@@ -156,7 +156,7 @@
     def _learn_from_heartbeat(self, now: float, peer: str, heartbeat: ControllerHeartbeat) -> None:
         """Pass the consensus state in a heartbeat to the replica, unless the sender's content differs."""
         consensus, effects = self.quorum_io.consensus, no_effects()
-        if self.content_watch.agreement.differs_from(peer):
+        if self.divergence_monitor.comparison.differs_from(peer):
             return
         if heartbeat.members is not None:
             consensus.adopt_voter_set(now, heartbeat.members, effects)
--- a/bramblewood/controller/quorum_contact.py
+++ b/bramblewood/controller/quorum_contact.py
@@ -32,14 +32,14 @@
         consensus = self.quorum_io.consensus
         chosen = {register: consensus.chosen[register][0] for register in registers}
         accepted = {register: acceptor.accepted for register, acceptor in consensus.acceptors.items()}
-        agreement = self.quorum_io.content_comparison
+        comparison = self.quorum_io.content_comparison
         return self.sessions.quorum_contact_until(
             now,
             consensus.voters,
             consensus.epoch,
             chosen,
             accepted if consensus.is_active_voter else None,
-            [peer for peer in consensus.voters if agreement.differs_from(peer)],
+            [peer for peer in consensus.voters if comparison.differs_from(peer)],
         )
 
     def has_quorum_contact(self, now: float) -> bool:
--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -16,12 +16,12 @@
 from ..common.worker_registry import WorkerRegistry
 from .chosen_values import ChosenValues
 from .consensus.effects import no_effects
-from .content_watch import ContentWatch
 from .controller_peers import KNOWN_CONTROLLERS_FACT, ControllerPeers
 from .coordinator_loop import CoordinatorLoop
 from .damage_response import DamageResponse
 from .damaged_storage import open_or_replace
 from .deregistration_store import DeregistrationStore
+from .divergence_monitor import DivergenceMonitor
 from .drain_progress import DrainProgress
 from .http_listener import HttpListener
 from .introspection import Introspection
@@ -63,7 +63,7 @@
         self.quorum_contact = QuorumContact(runtime, self.quorum_io, self.sessions)
         self.registry, self.proxy_sessions = WorkerRegistry(), ProxySessions()
         self.damage_response = DamageResponse(runtime, self.quorum_io)
-        self.content_watch = ContentWatch(runtime, self.quorum_io)
+        self.divergence_monitor = DivergenceMonitor(runtime, self.quorum_io)
         self.deregistration_store = DeregistrationStore(runtime, self.quorum_io, self.registry)
         self.registry_exchange = RegistryExchange(runtime, self.registry, self.proxy_sessions)
         self._build_peer_parts()
@@ -154,7 +154,7 @@
             self.chosen_values,
             LoadReports(self.coordinator_loop, self.drain_progress, self.outlier_detection),
             self.worker_api,
-            self.content_watch,
+            self.divergence_monitor,
             self.deregistration_store,
         )
         self.http_listener = HttpListener(
@@ -171,7 +171,7 @@
             runtime.settings.bind_ip,
         )
         runtime.peer_connections.on_malformed = handlers.log_malformed
-        self.content_watch.on_divergence = self.damage_response.begin
+        self.divergence_monitor.on_divergence = self.damage_response.begin
         self.quorum_io.on_consensus_step = self.chosen_values.refresh
         self.quorum_io.on_epoch_changed = self.handle_epoch_change
         self.proxy_feed.on_configuration_announced = lambda: self.proxy_heartbeats.send(runtime.now())
@@ -281,7 +281,7 @@
         if now >= self.next_housekeeping_at:
             self.next_housekeeping_at = now + HOUSEKEEPING_INTERVAL
             self.registry.remove_expired(now)
-            self.content_watch.check()
+            self.divergence_monitor.check()
             self.deregistration_store.remove_expired(now)
             proxies = self.sessions.all_proxies(now, list(self.proxy_sessions.connected))
             self.drain_progress.record_connected_proxies(now, proxies)
