--- a/bramblewood/controller/damage_response.py
+++ b/bramblewood/controller/damage_response.py
@@ -2,9 +2,9 @@
 
 import asyncio
 
-from .damaged_storage import mark_damaged
 from .quorum_io import QuorumIO
 from .runtime import Runtime
+from .storage_quarantine import mark_damaged
 
 STORAGE_DAMAGED_EXIT_CODE = 3  # the next start quarantines the damaged database
 
--- a/bramblewood/controller/quorum_io.py
+++ b/bramblewood/controller/quorum_io.py
@@ -59,22 +59,22 @@
         self.on_consensus_step: Callable[[], None] = lambda: None
 
     def restore(
-        self, facts: dict[str, Any], registers: dict[str, tuple], replaces_damaged: bool = False
+        self, facts: dict[str, Any], registers: dict[str, tuple], has_quarantined_database: bool = False
     ) -> None:
         """Create the replica from the contents of the disk.
 
         An empty disk counts as new and gets a new name, even where it replaces an earlier disk.
 
-        replaces_damaged: whether a damaged database was set aside. Other controllers may hold values that
-        were acknowledged since the first boot, so this controller does not help to found the first voter set,
-        whatever the value of `FirstBoot`.
+        has_quarantined_database: whether a damaged database was quarantined. Other controllers may hold
+        values that were acknowledged since the first boot, so this controller does not help to found the
+        first voter set, whatever the value of `FirstBoot`.
         """
         settings = self.runtime.settings
         voter_set, active_epoch = facts.get(VOTER_SET_FACT), facts.get(ACTIVE_EPOCH_FACT, -1)
         if voter_set is None and "voters" in facts:  # schema version 1 has no epochs
             voter_set = {"n": 1, "voters": dict.fromkeys(facts["voters"], ""), "before": {}}
             active_epoch = 1 if "born" in facts else -1
-        elif voter_set is None and not replaces_damaged and self._is_founding_seed():
+        elif voter_set is None and not has_quarantined_database and self._is_founding_seed():
             voter_set, active_epoch = founding_voters(settings.seed_hosts()), 0
         disk = facts.get(DISK_FACT) or new_disk_name()
         self.consensus = ConsensusReplica(
--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -19,7 +19,6 @@
 from .controller_peers import KNOWN_CONTROLLERS_FACT, ControllerPeers
 from .coordinator_loop import CoordinatorLoop
 from .damage_response import DamageResponse
-from .damaged_storage import open_or_replace
 from .deregistration_store import DeregistrationStore
 from .divergence_monitor import DivergenceMonitor
 from .drain_progress import DrainProgress
@@ -43,6 +42,7 @@
 from .runtime import TICK_INTERVAL, Runtime
 from .sessions import Sessions
 from .storage import Storage
+from .storage_quarantine import open_or_quarantine
 from .storage_reader import StoredState
 from .voter_changes import VoterChanges
 from .worker_api import WorkerApi
@@ -196,7 +196,7 @@
         runtime, loop = self.runtime, asyncio.get_running_loop()
         runtime.loop = loop
         storage = self.quorum_io.storage
-        opened = await asyncio.to_thread(open_or_replace, storage, runtime.log)
+        opened = await asyncio.to_thread(open_or_quarantine, storage, runtime.log)
         if isinstance(opened, Err):
             runtime.log.error("storage unusable", step="open", problem=str(opened.err_value))
             return STORAGE_UNUSABLE
@@ -221,7 +221,7 @@
         runtime, settings, loop = self.runtime, self.runtime.settings, self.runtime.loop
         storage = self.quorum_io.storage
         storage.on_damage = lambda problem: loop.call_soon_threadsafe(self.damage_response.begin, problem)
-        self.quorum_io.restore(stored_state.facts, stored_state.registers, storage.replaces_damaged)
+        self.quorum_io.restore(stored_state.facts, stored_state.registers, storage.has_quarantined_database)
         self.deregistration_store.restore(stored_state.facts)
         self.set_planner(
             PlacementPlanner(runtime.now(), settings.heartbeat_interval, settings.detect_hot_keys)
--- a/bramblewood/controller/storage.py
+++ b/bramblewood/controller/storage.py
@@ -104,8 +104,8 @@
     notify: see `start`. stored_values: the value of each register in the last durable commit. checksums: the
     checksums of all rows in the last durable commit. digests: the digests of the registers in the last
     durable commits. on_damage: called in the writer thread with the problem when a write finds the file
-    damaged. replaces_damaged: whether a damaged database was quarantined in this folder, at this start or at
-    an earlier one.
+    damaged. has_quarantined_database: whether a damaged database was quarantined in this folder, at this
+    start or at an earlier one.
     """
 
     def __init__(self, folder: str, connect: Callable[[str], Any] | None = None) -> None:
@@ -120,7 +120,7 @@
         self.checksums = StoredChecksums({}, {})
         self.digests = StoredDigests()
         self.on_damage: Callable[[str], None] = lambda problem: None
-        self.replaces_damaged = False
+        self.has_quarantined_database = False
 
     def open(self) -> Result[StoredState, StorageError]:
         """Opens the database, upgrades an older schema version, and returns the stored content.
--- a/bramblewood/controller/damaged_storage.py
+++ b/bramblewood/controller/storage_quarantine.py
@@ -96,7 +96,7 @@
     quarantine_folder.rmdir()
 
 
-def open_or_replace(storage: Storage, log: logbook.Logger) -> Result[StoredState, StorageError]:
+def open_or_quarantine(storage: Storage, log: logbook.Logger) -> Result[StoredState, StorageError]:
     """Opens a controller's database and returns its content.
 
     A database that is marked as damaged, or turns out to be damaged, is quarantined and replaced by an empty
@@ -111,7 +111,7 @@
             mark_damaged(storage.folder, reason)
             quarantine(storage, reason, log)
             opened = storage.open()
-        storage.replaces_damaged = bool(quarantine_folders(storage.folder))
+        storage.has_quarantined_database = bool(quarantine_folders(storage.folder))
     except OSError as error:
         return Err(StorageError(storage.path, error))
     return opened
--- a/tests/test_damaged_storage.py
+++ b/tests/test_storage_quarantine.py
@@ -9,18 +9,18 @@
 
 import pytest
 
-from bramblewood.controller import damaged_storage
-from bramblewood.controller.damaged_storage import (
+from bramblewood.controller import storage_quarantine
+from bramblewood.controller.storage import Storage
+from bramblewood.controller.storage_errors import StorageDamagedError, is_damage_on_read, is_damage_on_write
+from bramblewood.controller.storage_quarantine import (
     MAX_QUARANTINE_FOLDERS,
     QUARANTINE_FOLDER_PREFIX,
     mark_damaged,
     marked_reason,
     move_to_quarantine,
-    open_or_replace,
+    open_or_quarantine,
     quarantine_folders,
 )
-from bramblewood.controller.storage import Storage
-from bramblewood.controller.storage_errors import StorageDamagedError, is_damage_on_read, is_damage_on_write
 from bramblewood.controller.storage_reader import RowsDamagedError
 from bramblewood.controller.storage_schema import DATABASE_FILE
 from tests.simulation.damaged_database import (
@@ -152,9 +152,9 @@
     # The header is not compared, because SQLite counts transactions there.
     damaged = Path(folder, DATABASE_FILE).read_bytes()[HEADER_SIZE:]
     storage = Storage(folder)
-    stored_state = open_or_replace(storage, log).unwrap()
+    stored_state = open_or_quarantine(storage, log).unwrap()
     assert (stored_state.facts, stored_state.registers) == ({}, {})
-    assert storage.replaces_damaged
+    assert storage.has_quarantined_database
     assert (
         storage.commit([([("config", *PROPOSAL_NUMBERS, make_config_value(1))], {"disk": "77a00002"}, None)])
         is None
@@ -167,14 +167,15 @@
         event == "storage damaged" and fields["kept"] == str(quarantined) and "checksum" in fields["problem"]
     )
     reopened = Storage(folder)
-    assert open_or_replace(reopened, log).unwrap().facts == {"disk": "77a00002"}
-    assert reopened.replaces_damaged  # set at every later start, so the controller founds no voter set
+    assert open_or_quarantine(reopened, log).unwrap().facts == {"disk": "77a00002"}
+    # set at every later start, so the controller founds no voter set
+    assert reopened.has_quarantined_database
     reopened.database.close()
 
 
 def test_intact_database_is_not_replaced(intact: IntactDatabase, tmp_path: Path) -> None:
     storage = Storage(str(shutil.copytree(intact.folder, tmp_path / "sound")))
-    assert open_or_replace(storage, RecordingLog()).is_ok() and not storage.replaces_damaged
+    assert open_or_quarantine(storage, RecordingLog()).is_ok() and not storage.has_quarantined_database
     storage.database.close()
 
 
@@ -195,12 +196,12 @@
         shutil.move(source, target)
 
     with monkeypatch.context() as patched:
-        patched.setattr(damaged_storage.os, "replace", replace_until_cut)
+        patched.setattr(storage_quarantine.os, "replace", replace_until_cut)
         with pytest.raises(OSError, match="power"):
             move_to_quarantine(folder)
     storage = Storage(folder)
     assert marked_reason(folder) == "for a test"
-    assert open_or_replace(storage, RecordingLog()).unwrap().registers == {}
+    assert open_or_quarantine(storage, RecordingLog()).unwrap().registers == {}
     storage.database.close()
     assert marked_reason(folder) is None
     [quarantined] = quarantine_folders(folder)
