--- a/bramblewood/controller/damage_response.py
+++ b/bramblewood/controller/damage_response.py
@@ -20,14 +20,14 @@
         self.runtime, self.quorum_io = runtime, quorum_io
         self.reason: str | None = None
 
-    def begin(self, reason: str) -> None:
+    def report_damage(self, reason: str) -> None:
         """Stops voting and records the reason. Later calls have no effect."""
         if self.reason is None:
             self.reason = reason
             self.quorum_io.consensus.stop_voting()
             self.runtime.log.error("storage damaged", step="run", problem=reason)
 
-    async def finish(self) -> int:
+    async def mark_for_quarantine(self) -> int:
         """Marks the database as damaged, so that the next start quarantines it. Returns the exit code."""
         try:
             await asyncio.to_thread(mark_damaged, self.quorum_io.storage.folder, self.reason)
--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -171,7 +171,7 @@
             runtime.settings.bind_ip,
         )
         runtime.peer_connections.on_malformed = handlers.log_malformed
-        self.divergence_monitor.on_divergence = self.damage_response.begin
+        self.divergence_monitor.on_divergence = self.damage_response.report_damage
         self.quorum_io.on_consensus_step = self.chosen_values.refresh
         self.quorum_io.on_epoch_changed = self.handle_epoch_change
         self.proxy_feed.on_configuration_announced = lambda: self.proxy_heartbeats.send(runtime.now())
@@ -214,13 +214,15 @@
             # vote has passed, or its disk is damaged.
             self.quorum_io.consensus.stop_voting()
             runtime.log.info("stopped", step="end")
-        return 0 if self.damage_response.reason is None else await self.damage_response.finish()
+        return 0 if self.damage_response.reason is None else await self.damage_response.mark_for_quarantine()
 
     def _restore(self, stored_state: StoredState) -> None:
         """Restores the state of the parts from the disk, and starts the writer thread of the storage."""
         runtime, settings, loop = self.runtime, self.runtime.settings, self.runtime.loop
         storage = self.quorum_io.storage
-        storage.on_damage = lambda problem: loop.call_soon_threadsafe(self.damage_response.begin, problem)
+        storage.on_damage = lambda problem: loop.call_soon_threadsafe(
+            self.damage_response.report_damage, problem
+        )
         self.quorum_io.restore(stored_state.facts, stored_state.registers, storage.has_quarantined_database)
         self.deregistration_store.restore(stored_state.facts)
         self.set_planner(
