--- a/bramblewood/controller/controller_peers.py
+++ b/bramblewood/controller/controller_peers.py
@@ -5,11 +5,11 @@
 from ..common.settings import SEED_REREAD_INTERVAL, reread_seeds
 from ..common.worker_registry import WorkerRegistry
 from .consensus.registers import ALL_REGISTERS
+from .peer_sessions import HEARTBEAT_INTERVAL, PeerDetails, PeerSessions
 from .proxy_sessions import ProxySessions
 from .quorum_contact import QuorumContact
 from .quorum_io import QuorumIO
 from .runtime import Runtime
-from .sessions import HEARTBEAT_INTERVAL, PeerDetails, Sessions
 
 KNOWN_CONTROLLERS_FACT = "archives"  # name of a fact on disk
 NO_ECHO = -1e9  # s; sent in place of an echo to a peer from which no heartbeat has arrived
@@ -28,7 +28,7 @@
         runtime: Runtime,
         quorum_io: QuorumIO,
         quorum_contact: QuorumContact,
-        sessions: Sessions,
+        sessions: PeerSessions,
         registry: WorkerRegistry,
         proxy_sessions: ProxySessions,
     ) -> None:
--- a/bramblewood/controller/introspection.py
+++ b/bramblewood/controller/introspection.py
@@ -14,11 +14,11 @@
 from .coordinator_loop import CoordinatorLoop
 from .drain_plans import plans_of, worker_drains_of
 from .http_responses import make_response
+from .peer_sessions import PeerSessions
 from .proxy_sessions import ProxySessions
 from .quorum_contact import QuorumContact
 from .quorum_io import QuorumIO
 from .runtime import Runtime
-from .sessions import Sessions
 from .voter_changes import VoterChanges
 
 EMPTY_TABLE = {"n": 0, "s": {}}  # the view before a table is chosen: version 0 without services
@@ -37,7 +37,7 @@
         runtime: Runtime,
         quorum_io: QuorumIO,
         quorum_contact: QuorumContact,
-        sessions: Sessions,
+        sessions: PeerSessions,
         proxy_sessions: ProxySessions,
         voter_changes: VoterChanges,
         coordinator_loop: CoordinatorLoop,
--- a/bramblewood/controller/peer_handlers.py
+++ b/bramblewood/controller/peer_handlers.py
@@ -32,6 +32,7 @@
 from .deregistration_store import DeregistrationStore
 from .divergence_monitor import DivergenceMonitor
 from .load_reports import LoadReports
+from .peer_sessions import PeerSessions
 from .proxy_feed import ProxyFeed
 from .proxy_heartbeats import ProxyHeartbeats
 from .quorum_contact import QuorumContact
@@ -39,7 +40,6 @@
 from .read_replicas import without_readers
 from .registry_exchange import RegistryExchange
 from .runtime import Runtime
-from .sessions import Sessions
 from .worker_api import WorkerApi
 
 
@@ -54,7 +54,7 @@
         runtime: Runtime,
         quorum_io: QuorumIO,
         quorum_contact: QuorumContact,
-        sessions: Sessions,
+        sessions: PeerSessions,
         controller_peers: ControllerPeers,
         registry_exchange: RegistryExchange,
         proxy_feed: ProxyFeed,
--- a/bramblewood/controller/sessions.py
+++ b/bramblewood/controller/peer_sessions.py
@@ -58,7 +58,7 @@
 NOTHING_SENT = PeerDetails(None, None, None, None, None, None)
 
 
-class Sessions:
+class PeerSessions:
     """The sessions of one controller with all peers, by the peers' addresses."""
 
     def __init__(self, own_address: str) -> None:
--- a/bramblewood/controller/proxy_heartbeats.py
+++ b/bramblewood/controller/proxy_heartbeats.py
@@ -6,12 +6,12 @@
 
 from ..common.messages import ProxyHeartbeat, Versions
 from .controller_peers import ControllerPeers
+from .peer_sessions import PeerSessions
 from .placement import PlacementPlanner
 from .proxy_sessions import ProxySessions, encode_message
 from .quorum_contact import QuorumContact
 from .registry_exchange import RegistryExchange
 from .runtime import Runtime
-from .sessions import Sessions
 
 PROXY_HEARTBEAT_INTERVAL = 0.5  # s; after two lost heartbeats in a row, a proxy's CONNECTION_TIMEOUT expires
 
@@ -29,7 +29,7 @@
         self,
         runtime: Runtime,
         quorum_contact: QuorumContact,
-        sessions: Sessions,
+        sessions: PeerSessions,
         proxy_sessions: ProxySessions,
         controller_peers: ControllerPeers,
         registry_exchange: RegistryExchange,
--- a/bramblewood/controller/quorum_contact.py
+++ b/bramblewood/controller/quorum_contact.py
@@ -1,9 +1,9 @@
 """Decides from the quorum contact of this controller whether it may act for the cluster."""
 
 from .consensus.registers import DATA_REGISTERS
+from .peer_sessions import PeerSessions
 from .quorum_io import QuorumIO
 from .runtime import Runtime
-from .sessions import Sessions
 
 
 class QuorumContact:
@@ -12,7 +12,7 @@
     The data come from the sessions and the consensus replica. This class keeps no state of its own.
     """
 
-    def __init__(self, runtime: Runtime, quorum_io: QuorumIO, sessions: Sessions) -> None:
+    def __init__(self, runtime: Runtime, quorum_io: QuorumIO, sessions: PeerSessions) -> None:
         self.runtime, self.quorum_io, self.sessions = runtime, quorum_io, sessions
 
     def is_current(self, now: float) -> bool:
--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -31,6 +31,7 @@
 from .operator_api import OperatorApi
 from .outlier_detection import OutlierDetection
 from .peer_handlers import PeerHandlers
+from .peer_sessions import PeerSessions
 from .placement import PlacementPlanner
 from .proxy_feed import ProxyFeed
 from .proxy_heartbeats import ProxyHeartbeats
@@ -40,7 +41,6 @@
 from .read_replicas import ReadReplicas
 from .registry_exchange import RegistryExchange
 from .runtime import TICK_INTERVAL, Runtime
-from .sessions import Sessions
 from .storage import Storage
 from .storage_quarantine import open_or_quarantine
 from .storage_reader import StoredState
@@ -59,7 +59,7 @@
     def __init__(self, settings: Settings) -> None:
         runtime = self.runtime = Runtime(settings)
         self.quorum_io = QuorumIO(runtime, Storage(settings.data_directory or DEFAULT_DATA_DIRECTORY))
-        self.sessions = Sessions(runtime.own_address)
+        self.sessions = PeerSessions(runtime.own_address)
         self.quorum_contact = QuorumContact(runtime, self.quorum_io, self.sessions)
         self.registry, self.proxy_sessions = WorkerRegistry(), ProxySessions()
         self.damage_response = DamageResponse(runtime, self.quorum_io)
--- a/bramblewood/controller/voter_changes.py
+++ b/bramblewood/controller/voter_changes.py
@@ -11,10 +11,10 @@
 from .consensus.registers import VOTER_SET
 from .consensus.voter_set import next_voter_set
 from .controller_peers import ControllerPeers
+from .peer_sessions import PeerSessions
 from .quorum_contact import QuorumContact
 from .quorum_io import PROPOSAL_TIMEOUT, QuorumIO
 from .runtime import Runtime
-from .sessions import Sessions
 
 FOUNDING_TIMEOUT = 3.0  # s that a first boot waits for controllers that start at about the same time
 UNKNOWN_VOTERS_LOG_DELAY = 10.0  # s after the start of the process until an unknown voter set is logged
@@ -38,7 +38,7 @@
         runtime: Runtime,
         quorum_io: QuorumIO,
         quorum_contact: QuorumContact,
-        sessions: Sessions,
+        sessions: PeerSessions,
         controller_peers: ControllerPeers,
     ) -> None:
         settings = runtime.settings
--- a/features/steps/membership_commands.py
+++ b/features/steps/membership_commands.py
@@ -12,7 +12,7 @@
 from bramblewood.cli.gateway import gateway
 from bramblewood.common.settings import Bounds
 from bramblewood.controller.command_decoding import decode_membership_call
-from bramblewood.controller.sessions import HEARTBEAT_INTERVAL
+from bramblewood.controller.peer_sessions import HEARTBEAT_INTERVAL
 from tests.approved import approve
 from tests.simulation.membership_commands import SEAT_KEPT_FOR, ControllerFleet
 
--- a/features/steps/quorum_contact.py
+++ b/features/steps/quorum_contact.py
@@ -17,10 +17,10 @@
 from bramblewood.controller.http_responses import make_response
 from bramblewood.controller.key_leases import KeyLeases
 from bramblewood.controller.lease_calls import LeaseCalls
+from bramblewood.controller.peer_sessions import PeerSessions
 from bramblewood.controller.quorum_contact import QuorumContact
 from bramblewood.controller.quorum_io import QuorumIO
 from bramblewood.controller.registry_exchange import RegistryExchange
-from bramblewood.controller.sessions import Sessions
 from bramblewood.controller.worker_api import WorkerApi
 from bramblewood.proxy.controller_selection import ControllerSelection
 from bramblewood.proxy.registry_freshness import RegistryFreshness
@@ -29,7 +29,7 @@
 from tests.simulation.quorum_contact import DIRECTED_RUNS
 
 # the original methods, which replacements of guards call
-quorum_contact_until, deregister = Sessions.quorum_contact_until, WorkerApi.deregister
+quorum_contact_until, deregister = PeerSessions.quorum_contact_until, WorkerApi.deregister
 grant_or_release = LeaseCalls.grant_or_release
 heartbeat_received = ControllerSelection.heartbeat_received
 
@@ -115,7 +115,7 @@
         grant_or_release_with_expired_contact,
     ),
     "the check of the controller's own acceptances": (
-        Sessions,
+        PeerSessions,
         "quorum_contact_until",
         contact_without_own_acceptances,
     ),
--- a/features/steps/sessions.py
+++ b/features/steps/sessions.py
@@ -4,14 +4,14 @@
 from bramblewood.common.worker_registry import GONE, READY, WorkerRegistration, WorkerRegistry
 from bramblewood.controller.consensus.proposal_number import NO_PROPOSAL
 from bramblewood.controller.consensus.registers import TABLE
-from bramblewood.controller.sessions import PeerDetails, Sessions
+from bramblewood.controller.peer_sessions import PeerDetails, PeerSessions
 
 DETAILS = PeerDetails({"n": 1}, "z", True, ["a", "b", "c"], ["d1"])
 
 
 @given("one of three controllers")
 def controller_among_three(context):
-    context.sessions = Sessions("a")
+    context.sessions = PeerSessions("a")
 
 
 @when("it has sent {peer} its details")
--- a/tests/simulation/key_leases.py
+++ b/tests/simulation/key_leases.py
@@ -24,9 +24,9 @@
     LeaseCall,
     ReleasedKeys,
 )
+from bramblewood.controller.peer_sessions import QUORUM_CONTACT_VALIDITY
 from bramblewood.controller.placement import SliceChanges, apply_slice_changes, clear_previous_owner
 from bramblewood.controller.placement.slice_changes import Assignment
-from bramblewood.controller.sessions import QUORUM_CONTACT_VALIDITY
 from tests.simulation.digests import record_event
 
 STEP = 0.05  # s
--- a/tests/simulation/membership_commands.py
+++ b/tests/simulation/membership_commands.py
@@ -19,7 +19,7 @@
 from bramblewood.cli.gateway import gateway
 from bramblewood.common.settings import Bounds
 from bramblewood.controller.consensus.membership import LOST_AFTER_FRACTION
-from bramblewood.controller.sessions import HEARTBEAT_INTERVAL
+from bramblewood.controller.peer_sessions import HEARTBEAT_INTERVAL
 from bramblewood.emulator.operator import configuration
 from bramblewood.emulator.processes import start
 from bramblewood.emulator.processes import write_settings as write_settings_file
--- a/tests/simulation/membership_seat_cases.py
+++ b/tests/simulation/membership_seat_cases.py
@@ -15,7 +15,7 @@
 from bramblewood.controller.consensus.proposal_number import NO_PROPOSAL
 from bramblewood.controller.consensus.registers import CONFIG, TABLE, VOTER_SET
 from bramblewood.controller.consensus.voter_set import VoterSet
-from bramblewood.controller.sessions import Sessions
+from bramblewood.controller.peer_sessions import PeerSessions
 from tests.simulation.consensus import RuleViolation
 from tests.simulation.membership_epochs import ControllerFleet
 
@@ -163,7 +163,7 @@
         "t": 0.0,
     }
     for disk, epoch in (("b0", 2), ("b9", 1)):
-        sessions = Sessions("a")
+        sessions = PeerSessions("a")
         wire = {**heartbeat, "ep": epoch, "disk": disk}
         sessions.record_heartbeat(10.0, "b", ControllerHeartbeat.from_wire(wire))
         if sessions.quorum_contact_until(10.0, voters, 2, {TABLE: (1, 1, "a", 1)}, {TABLE: NO_PROPOSAL}):
--- a/tests/simulation/read_replicas.py
+++ b/tests/simulation/read_replicas.py
@@ -10,8 +10,8 @@
 
 from bramblewood.common.slice_table import all_readers, with_readers
 from bramblewood.common.worker_registry import WorkerRegistration, WorkerRegistry
+from bramblewood.controller.peer_sessions import QUORUM_CONTACT_VALIDITY
 from bramblewood.controller.read_replicas import ReadReplicas, without_expired_readers, without_readers
-from bramblewood.controller.sessions import QUORUM_CONTACT_VALIDITY
 from bramblewood.proxy import replica_invalidation
 from bramblewood.proxy.replica_invalidation import (
     ConfirmTable,
