--- a/bramblewood/controller/controller_peers.py
+++ b/bramblewood/controller/controller_peers.py
@@ -34,16 +34,16 @@
     ) -> None:
         self.runtime, self.quorum_io, self.quorum_contact = runtime, quorum_io, quorum_contact
         self.sessions, self.registry, self.proxy_sessions = sessions, registry, proxy_sessions
-        self.known: set[str] = set()  # addresses of the other controllers
+        self.known_addresses: set[str] = set()  # addresses of the other controllers
         self.connection_changed_at: dict[str, float] = {}  # when a connection came up or was lost, by address
         self.next_heartbeat_at = 0.0
         self.next_seed_reread_at = 0.0
 
     def add(self, peer: str) -> None:
         """Keep a connection to this controller from now on, and store its address with the next write."""
-        if peer != self.runtime.own_address and peer not in self.known:
-            self.known.add(peer)
-            self.quorum_io.pending_writes.facts[KNOWN_CONTROLLERS_FACT] = sorted(self.known)
+        if peer != self.runtime.own_address and peer not in self.known_addresses:
+            self.known_addresses.add(peer)
+            self.quorum_io.pending_writes.facts[KNOWN_CONTROLLERS_FACT] = sorted(self.known_addresses)
             self.runtime.peer_connections.maintain(peer, self.runtime.settings.peer_port)
 
     def reread_seeds(self) -> None:
@@ -121,7 +121,7 @@
             self.quorum_io.consensus.voter_set,
             settings.zone,
             settings.counts_for_tolerance,
-            sorted({self.runtime.own_address, *self.known}),
+            sorted({self.runtime.own_address, *self.known_addresses}),
             sorted(self.proxy_sessions.connected),
             dict(self.quorum_io.content_comparison.own.newest) or None,
         )
--- a/bramblewood/controller/proxy_heartbeats.py
+++ b/bramblewood/controller/proxy_heartbeats.py
@@ -77,7 +77,7 @@
         own_address, is_coordinator = self.runtime.own_address, heartbeat.is_coordinator
         return heartbeat._replace(
             zone=self.runtime.settings.zone,
-            controllers=sorted({own_address, *self.controller_peers.known}),
+            controllers=sorted({own_address, *self.controller_peers.known_addresses}),
             zone_affinity=self.placement.zone_shares() if is_coordinator else None,
             hot_keys=(self.placement.hot_keys() or None) if is_coordinator else None,
         )
--- a/bramblewood/controller/voter_changes.py
+++ b/bramblewood/controller/voter_changes.py
@@ -69,7 +69,7 @@
             self.quorum_io.versions(),
             self.quorum_io.disk_failing_for(now),
         )
-        all_known = dict.fromkeys({*self.controller_peers.known, *consensus.voters}, never_heard)
+        all_known = dict.fromkeys({*self.controller_peers.known_addresses, *consensus.voters}, never_heard)
         return {**all_known, **self.sessions.peer_statuses(now), self.runtime.own_address: own}
 
     def propose_due_change(self, now: float) -> None:
@@ -107,7 +107,7 @@
         due_at = max(self.runtime.started_at + UNKNOWN_VOTERS_LOG_DELAY, self.next_unknown_voters_log_at)
         if now >= due_at:
             self.next_unknown_voters_log_at = now + UNKNOWN_VOTERS_LOG_INTERVAL
-            peers = sorted(self.controller_peers.known)
+            peers = sorted(self.controller_peers.known_addresses)
             self.runtime.log.error("voters unknown", step="epoch", peer=peers, way_out=UNKNOWN_VOTERS_REMEDY)
 
     def change_finished(self, outcome: Any) -> None:
--- a/tests/simulation/fleet/machine.py
+++ b/tests/simulation/fleet/machine.py
@@ -111,7 +111,7 @@
         controller.quorum_io.storage = self
         controller.quorum_io.restore(dict(self.facts), dict(self.registers))
         controller.deregistration_store.restore(self.facts)
-        controller.controller_peers.known = set(self.fleet.controllers) - {self.name}
+        controller.controller_peers.known_addresses = set(self.fleet.controllers) - {self.name}
         controller.controller_peers.next_seed_reread_at = 1e9
         controller.lease_calls.client = SimulatedWorkerClient(self)
         controller.set_planner(PlacementPlanner(now, WORKER_HEARTBEAT, False))
