--- a/bramblewood/controller/consensus/epoch_messages.py
+++ b/bramblewood/controller/consensus/epoch_messages.py
@@ -12,7 +12,7 @@
 
 from ...common.messages.fields import Fields
 from .proposal_number import ProposalNumber
-from .voter_set import VoterSet, voter_set_from
+from .voter_set import VoterSet, parse_voter_set
 
 # kinds, the values of the wire key `k`
 EPOCH_NOTICE = "epoch"
@@ -32,7 +32,7 @@
     @classmethod
     def from_wire(cls, wire: dict) -> "EpochNotice":
         """Decodes the wire form."""
-        return cls(voter_set_from(wire["m"]))
+        return cls(parse_voter_set(wire["m"]))
 
     def to_wire(self) -> dict:
         """Returns the wire form."""
@@ -58,7 +58,7 @@
             register: parse_proposal_number(number)
             for register, number in Fields(wire).mapping("have").items()
         }
-        return cls(voter_set_from(wire["m"]), held_numbers, "again" in wire)
+        return cls(parse_voter_set(wire["m"]), held_numbers, "again" in wire)
 
     def to_wire(self) -> dict:
         """Returns the wire form."""
--- a/bramblewood/controller/consensus/epochs.py
+++ b/bramblewood/controller/consensus/epochs.py
@@ -26,7 +26,7 @@
 from .proposer import Proposer
 from .registers import ALL_REGISTERS
 from .timing import MAX_JOIN_REQUEST_INTERVAL, PHASE_TIMEOUT
-from .voter_set import VoterSet, is_voter, majority
+from .voter_set import VoterSet, is_voter, majority_size
 
 
 class StateReport(NamedTuple):
@@ -175,7 +175,7 @@
         """
         member, reports = self.member, self.join.reports.values()
         has_active_report = any(report.active_epoch == member.epoch for report in reports)
-        if not has_active_report and len(reports) < majority(member.voter_set["before"]):
+        if not has_active_report and len(reports) < majority_size(member.voter_set["before"]):
             return False
         reported_registers = [
             report.registers for report in reports if report.active_epoch >= member.epoch - 1
--- a/bramblewood/controller/consensus/local_member.py
+++ b/bramblewood/controller/consensus/local_member.py
@@ -1,6 +1,6 @@
 """This controller's address and disk, the newest voter set that it has learned, and whether it votes."""
 
-from .voter_set import NO_VOTERS, VoterSet, is_voter, majority
+from .voter_set import NO_VOTERS, VoterSet, is_voter, majority_size
 
 NEVER_ACTIVE = -1  # in place of an epoch
 
@@ -42,7 +42,7 @@
     @property
     def majority(self) -> int:
         """Returns the smallest number of current voters that is more than half of them."""
-        return majority(self.voters)
+        return majority_size(self.voters)
 
     def is_current_voter(self, address: str, disk: str) -> bool:
         """Returns whether the current voter set has a seat for this address with this disk."""
--- a/bramblewood/controller/consensus/membership.py
+++ b/bramblewood/controller/consensus/membership.py
@@ -22,7 +22,7 @@
 from .membership_view import MembershipView, membership_view
 from .peer_status import PeerStatus, active_voters, reachable_peers
 from .quorum import FailureDomain, keeps_majority, select_first_voters, voters_needed
-from .voter_set import VoterSet, is_voter, majority
+from .voter_set import VoterSet, is_voter, majority_size
 
 LOST_AFTER_FRACTION = 1 / 2  # of CatchUpS; a voter that is silent or fails for longer may lose its seat
 STEADY_FRACTION = 1 / 4  # of CatchUpS; a controller whose heartbeats arrive for this long may take a seat
@@ -244,7 +244,7 @@
                 f"{len(requested)} voters are too few for Tolerance: replace the voter, or add one first"
             )
         active = active_voters(requested, voter_set, peers)
-        if len(active) + (1 if new else 0) < majority(requested):
+        if len(active) + (1 if new else 0) < majority_size(requested):
             return Err("no majority of the requested voters is reachable and active")
         return Ok(VoterSetChange(requested, "by hand"))
 
@@ -265,7 +265,7 @@
     def failure_margin(self, voter_set: VoterSet, peers: dict[str, PeerStatus]) -> int:
         """Returns how many active voters may be lost with a majority left; below 0 without a majority."""
         voters = voter_set["voters"]
-        return len(active_voters(voters, voter_set, peers)) - majority(voters)
+        return len(active_voters(voters, voter_set, peers)) - majority_size(voters)
 
     def view(
         self, address: str, voter_set: VoterSet, peers: dict[str, PeerStatus], versions: dict[str, int]
@@ -299,7 +299,7 @@
     voters = voter_set["voters"]
     active = [voter for voter in voters if voter in peers and peers[voter].is_active_in(voter_set, voter)]
     if not is_voter(voters, address, disk):
-        return len(active) >= majority(voters)
+        return len(active) >= majority_size(voters)
     if has_successor:
         return False
     others = [voter for voter in voters if voter != address]
--- a/bramblewood/controller/consensus/voter_set.py
+++ b/bramblewood/controller/consensus/voter_set.py
@@ -17,7 +17,7 @@
     before: dict[str, str]  # the voters of the previous epoch, in the same form
 
 
-def voter_set_from(wire: Any) -> VoterSet:
+def parse_voter_set(wire: Any) -> VoterSet:
     """Validates the wire form of a voter set and returns it. Raises PeerMessageError."""
     fields = Fields(wire)
     fields.integer("n")
@@ -30,7 +30,7 @@
 ANY_DISK = ""  # in place of a disk's name: the seat is open to any disk at the address
 
 
-def founding_voters(seeds: tuple[str, ...]) -> VoterSet:
+def founding_voter_set(seeds: tuple[str, ...]) -> VoterSet:
     """Returns the voter set of epoch 0, in which each seed has a seat that is open to any disk.
 
     Epoch 0 chooses the voter set of epoch 1 and nothing else.
@@ -38,7 +38,7 @@
     return {"n": 0, "voters": dict.fromkeys(seeds, ANY_DISK), "before": {}}
 
 
-def majority(voters: dict[str, str]) -> int:
+def majority_size(voters: dict[str, str]) -> int:
     """Returns the smallest number of these voters that is more than half of them."""
     return len(voters) // 2 + 1
 
@@ -48,7 +48,7 @@
     return voters.get(address) in (ANY_DISK, disk)
 
 
-def next_voter_set(
+def voter_set_change(
     current: VoterSet, voters: dict[str, str]
 ) -> Callable[[VoterSet | None], tuple[VoterSet | None, bool]]:
     """Returns a change that makes `voters` the voters of the epoch after `current`.
--- a/bramblewood/controller/content_comparison.py
+++ b/bramblewood/controller/content_comparison.py
@@ -18,7 +18,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from .consensus.voter_set import majority
+from .consensus.voter_set import majority_size
 
 # A proposal number (`consensus/proposal_number.py`) as a plain tuple.
 ProposalNumber = tuple
@@ -109,6 +109,6 @@
                 if peer in voters and number == accepted and peer_digest != digest:
                     peers_by_digest.setdefault(peer_digest, []).append(peer)
             for agreeing_peers in peers_by_digest.values():
-                if len(agreeing_peers) >= majority(voters):
+                if len(agreeing_peers) >= majority_size(voters):
                     return Divergence(register, accepted, sorted(agreeing_peers))
         return None
--- a/bramblewood/controller/operator_api.py
+++ b/bramblewood/controller/operator_api.py
@@ -12,7 +12,7 @@
 from .commands import AddMember, EndDrainPlan, PutConfiguration, RemoveMember, ReplaceMember, StartDrainPlan
 from .configuration_succession import apply_configuration, final_answer
 from .consensus.registers import CONFIG, TABLE, VOTER_SET
-from .consensus.voter_set import next_voter_set
+from .consensus.voter_set import voter_set_change
 from .drain_plans import end_plan, plans_of, start_plan, worker_drains_of, workers_in_use
 from .http_responses import NO_QUORUM, NO_QUORUM_IN_TIME, make_response
 from .quorum_contact import QuorumContact
@@ -134,7 +134,7 @@
         if voters == voter_set["voters"]:
             has_contact = self.quorum_contact.has_quorum_contact(now)
             return _epoch_response(voter_set["n"]) if has_contact else make_response(503, NO_QUORUM)
-        is_agreed = await self.quorum_io.propose_and_wait(VOTER_SET, next_voter_set(voter_set, voters))
+        is_agreed = await self.quorum_io.propose_and_wait(VOTER_SET, voter_set_change(voter_set, voters))
         self.runtime.log.info(
             "voter set change", step="epoch", reason="by hand", old=old, new=new, agreed=is_agreed
         )
--- a/bramblewood/controller/peer_handlers.py
+++ b/bramblewood/controller/peer_handlers.py
@@ -27,7 +27,7 @@
 from .consensus.messages import CONSENSUS_MESSAGE_KINDS
 from .consensus.proposal_number import NO_PROPOSAL
 from .consensus.registers import ALL_REGISTERS, DATA_REGISTERS, TABLE
-from .consensus.voter_set import voter_set_from
+from .consensus.voter_set import parse_voter_set
 from .controller_peers import ControllerPeers
 from .deregistration_store import DeregistrationStore
 from .divergence_monitor import DivergenceMonitor
@@ -134,7 +134,7 @@
         """Process the heartbeat of another controller, and act on everything that depends on it."""
         now, peer, heartbeat = self.runtime.now(), connection.peer, ControllerHeartbeat.from_wire(message)
         if heartbeat.members is not None:
-            voter_set_from(heartbeat.members)
+            parse_voter_set(heartbeat.members)
         self.sessions.record_heartbeat(now, peer, heartbeat)
         # The peer has no heartbeat to echo yet. It gets one at once, so that quorum contact need not wait for
         # the next interval.
--- a/bramblewood/controller/peer_sessions.py
+++ b/bramblewood/controller/peer_sessions.py
@@ -22,7 +22,7 @@
 from ..common.timeouts import QUORUM_CONTACT_VALIDITY
 from .consensus.peer_status import PeerStatus
 from .consensus.proposal_number import NO_PROPOSAL, ProposalNumber
-from .consensus.voter_set import VoterSet, is_voter, majority
+from .consensus.voter_set import VoterSet, is_voter, majority_size
 
 HEARTBEAT_INTERVAL = 0.25  # s between heartbeats; three intervals fit into QUORUM_CONTACT_VALIDITY
 PEER_TIMEOUT = 0.9  # s without a heartbeat until a peer counts as absent: three intervals and a transit time
@@ -154,7 +154,7 @@
             is_active = is_voter(voters, peer, session.disk) and session.is_voting and session.epoch == epoch
             if is_active and has_nothing_newer and peer not in excluded:
                 contact_times.append(session.echo)
-        needed = majority(voters)
+        needed = majority_size(voters)
         if not voters or len(contact_times) < needed:
             return 0.0
         return sorted(contact_times, reverse=True)[needed - 1] + QUORUM_CONTACT_VALIDITY
--- a/bramblewood/controller/quorum_io.py
+++ b/bramblewood/controller/quorum_io.py
@@ -16,7 +16,7 @@
 from .consensus.proposal_number import format_proposal_number
 from .consensus.registers import DATA_REGISTERS
 from .consensus.replica import ConsensusReplica
-from .consensus.voter_set import founding_voters
+from .consensus.voter_set import founding_voter_set
 from .content_comparison import ContentComparison
 from .register_values import require_register_value, require_values
 from .runtime import TICK_INTERVAL, Runtime
@@ -75,7 +75,7 @@
             voter_set = {"n": 1, "voters": dict.fromkeys(facts["voters"], ""), "before": {}}
             active_epoch = 1 if "born" in facts else -1
         elif voter_set is None and not has_quarantined_database and self._is_founding_seed():
-            voter_set, active_epoch = founding_voters(settings.seed_hosts()), 0
+            voter_set, active_epoch = founding_voter_set(settings.seed_hosts()), 0
         disk = facts.get(DISK_FACT) or new_disk_name()
         self.consensus = ConsensusReplica(
             settings.ip, disk, self.incarnation, registers, voter_set, active_epoch
--- a/bramblewood/controller/register_values.py
+++ b/bramblewood/controller/register_values.py
@@ -7,7 +7,7 @@
 
 from ..common.messages.fields import Fields
 from .consensus.registers import VOTER_SET
-from .consensus.voter_set import voter_set_from
+from .consensus.voter_set import parse_voter_set
 
 
 def require_register_value(register: str, value: Any) -> None:
@@ -18,7 +18,7 @@
     if value is None:
         return
     if register == VOTER_SET:
-        voter_set_from(value)
+        parse_voter_set(value)
     else:
         Fields(value).integer("n")
 
--- a/bramblewood/controller/voter_changes.py
+++ b/bramblewood/controller/voter_changes.py
@@ -9,7 +9,7 @@
 from .consensus.membership import Membership, may_shut_down
 from .consensus.peer_status import PeerStatus
 from .consensus.registers import VOTER_SET
-from .consensus.voter_set import next_voter_set
+from .consensus.voter_set import voter_set_change
 from .controller_peers import ControllerPeers
 from .peer_sessions import PeerSessions
 from .quorum_contact import QuorumContact
@@ -99,7 +99,7 @@
             reason=change.reason,
             voters=change.voters,
         )
-        register_change = next_voter_set(consensus.voter_set, change.voters)
+        register_change = voter_set_change(consensus.voter_set, change.voters)
         self.quorum_io.propose(VOTER_SET, register_change, self.change_finished, PROPOSAL_TIMEOUT)
 
     def _log_unknown_voters(self, now: float) -> None:
--- a/tests/simulation/consensus.py
+++ b/tests/simulation/consensus.py
@@ -16,7 +16,7 @@
 from bramblewood.controller.consensus.proposal_number import NO_PROPOSAL
 from bramblewood.controller.consensus.registers import ALL_REGISTERS, CONFIG, VOTER_SET
 from bramblewood.controller.consensus.replica import ConsensusReplica
-from bramblewood.controller.consensus.voter_set import next_voter_set
+from bramblewood.controller.consensus.voter_set import voter_set_change
 from tests.simulation.digests import record_event
 
 MACHINE_NAMES = ("a", "b", "c")
@@ -194,7 +194,7 @@
             if not replica.is_active_voter or peer not in self.replicas or replica.proposer.rounds[VOTER_SET]:
                 continue
             if (new_disk := self.replicas[peer].disk) != disk and self.replicas[peer].epoch == replica.epoch:
-                change = next_voter_set(replica.voter_set, {**replica.voters, peer: new_disk})
+                change = voter_set_change(replica.voter_set, {**replica.voters, peer: new_disk})
                 self.apply(name, replica.propose(self.now, VOTER_SET, change, "members", 2.0))
 
     def run(self, steps: int, loss: float = 0.0, duplication: float = 0.0) -> None:
--- a/tests/simulation/membership_epoch_cases.py
+++ b/tests/simulation/membership_epoch_cases.py
@@ -10,7 +10,7 @@
 from bramblewood.controller.consensus.membership import Membership
 from bramblewood.controller.consensus.registers import CONFIG, VOTER_SET
 from bramblewood.controller.consensus.replica import ConsensusReplica
-from bramblewood.controller.consensus.voter_set import VoterSet, founding_voters, next_voter_set
+from bramblewood.controller.consensus.voter_set import VoterSet, founding_voter_set, voter_set_change
 from tests.simulation.consensus import RuleViolation
 from tests.simulation.membership_epochs import BOUNDS, ControllerFleet
 from tests.simulation.membership_seat_cases import (
@@ -125,19 +125,19 @@
     proposed.
     """
     cluster = ScriptedCluster("abc", "d")
-    seeds = founding_voters(("a", "b", "c"))
+    seeds = founding_voter_set(("a", "b", "c"))
     for name in "abc":
         cluster.replicas[name] = ConsensusReplica(name, f"{name}0", 1, {}, seeds, 0)
     proposed_voters = ({"a": "a0", "b": "b0", "c": "c0"}, {"a": "a9", "b": "b0", "d": "d0"})
     c = cluster.replicas["c"]
-    cluster.apply("c", c.propose(0.0, VOTER_SET, next_voter_set(seeds, proposed_voters[0]), "first", 99.0))
+    cluster.apply("c", c.propose(0.0, VOTER_SET, voter_set_change(seeds, proposed_voters[0]), "first", 99.0))
     cluster.deliver("ac", "prepare promise", rounds=1)
     held_back = list(cluster.in_flight)
     cluster.in_flight = []
     cluster.replicas["a"] = ConsensusReplica("a", "a9", 9)  # a boot after the first one, so without the seeds
     cluster.notify("a", seeds)
     b = cluster.replicas["b"]
-    cluster.apply("b", b.propose(0.0, VOTER_SET, next_voter_set(seeds, proposed_voters[1]), "second", 99.0))
+    cluster.apply("b", b.propose(0.0, VOTER_SET, voter_set_change(seeds, proposed_voters[1]), "second", 99.0))
     cluster.deliver("ab")
     if cluster.replicas["a"].is_active_voter or any(tag == "second" for tag, _ in cluster.answers):
         raise RuleViolation("a seed whose disk was lost votes in epoch 0, the epoch of the seeds")
@@ -265,7 +265,7 @@
             del voters["m2"]
             new = f"m{len(voters) + 1}"
             voters[new] = fleet.machines[new].consensus.disk
-            change = next_voter_set(machine.consensus.voter_set, voters)
+            change = voter_set_change(machine.consensus.voter_set, voters)
             machine.quorum_io.propose(VOTER_SET, change, lambda outcome: None, 1.0)
             fleet.advance(0.004 * step)
             (fleet.lose_disk if loss == "disk" else fleet.lose_power)("m0")
@@ -300,7 +300,7 @@
     cluster.put("a", "x")
     cluster.deliver("ad")
     # b has not been reached and is still at epoch 1
-    third_voter_set = next_voter_set(voter_set, {"b": "b0", "c": "c0", "d": "d0"})
+    third_voter_set = voter_set_change(voter_set, {"b": "b0", "c": "c0", "d": "d0"})
     cluster.apply("d", cluster.replicas["d"].propose(0.0, VOTER_SET, third_voter_set, "members", 99.0))
     cluster.deliver("ad", "prepare promise accept accepted")
     cluster.in_flight.clear()
--- a/tests/simulation/membership_epoch_days.py
+++ b/tests/simulation/membership_epoch_days.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from bramblewood.controller.consensus.registers import CONFIG, VOTER_SET
-from bramblewood.controller.consensus.voter_set import next_voter_set
+from bramblewood.controller.consensus.voter_set import voter_set_change
 from tests.simulation.membership_epoch_guards import without_guard
 from tests.simulation.membership_epochs import BOUNDS, ControllerFleet
 
@@ -139,7 +139,7 @@
             )
             if new and requested.is_ok():
                 self.counts["replaced by command"] = self.counts.get("replaced by command", 0) + 1
-                change = next_voter_set(voter_set, requested.ok_value.voters)
+                change = voter_set_change(voter_set, requested.ok_value.voters)
                 machine.quorum_io.propose(VOTER_SET, change, lambda outcome: None, 1.0)
         fleet.advance(rng.uniform(0.0, 0.15))
 
--- a/tests/simulation/membership_epoch_guards.py
+++ b/tests/simulation/membership_epoch_guards.py
@@ -51,7 +51,7 @@
     try_activate = EpochTransition.try_activate
 
     def unguarded(self: EpochTransition, now: float, effects: Any) -> bool:
-        with mock.patch.object(epochs, "majority", lambda voters: max(1, len(voters) // 2)):
+        with mock.patch.object(epochs, "majority_size", lambda voters: max(1, len(voters) // 2)):
             return try_activate(self, now, effects)
 
     return mock.patch.object(EpochTransition, "try_activate", unguarded)
--- a/tests/simulation/replica_snapshot.py
+++ b/tests/simulation/replica_snapshot.py
@@ -13,7 +13,7 @@
 from bramblewood.controller.consensus.proposal_round import Phase, ProposalRound
 from bramblewood.controller.consensus.registers import ALL_REGISTERS
 from bramblewood.controller.consensus.replica import ConsensusReplica
-from bramblewood.controller.consensus.voter_set import VoterSet, next_voter_set
+from bramblewood.controller.consensus.voter_set import VoterSet, voter_set_change
 
 
 def key(value: Any) -> str:
@@ -161,4 +161,4 @@
     if tag == "settle":
         return lambda current: (None, True)
     kind, content = tag
-    return order(content) if kind == "order" else next_voter_set(*content)
+    return order(content) if kind == "order" else voter_set_change(*content)
--- a/tests/simulation/scripted_cluster.py
+++ b/tests/simulation/scripted_cluster.py
@@ -4,7 +4,7 @@
 from bramblewood.controller.consensus.proposal_number import NO_PROPOSAL
 from bramblewood.controller.consensus.registers import CONFIG, VOTER_SET
 from bramblewood.controller.consensus.replica import ConsensusReplica
-from bramblewood.controller.consensus.voter_set import VoterSet, next_voter_set
+from bramblewood.controller.consensus.voter_set import VoterSet, voter_set_change
 from tests.simulation.consensus import RuleViolation
 from tests.simulation.replica_snapshot import order
 
@@ -57,7 +57,7 @@
     def change(self, proposer: str, names: str, voters: dict[str, str]) -> None:
         """Proposes `voters` as the next voter set, and delivers the messages between those in `names`."""
         replica = self.replicas[proposer]
-        change = next_voter_set(replica.voter_set, voters)
+        change = voter_set_change(replica.voter_set, voters)
         self.apply(proposer, replica.propose(0.0, VOTER_SET, change, "members", 99.0))
         self.deliver(names)
 
