--- a/bramblewood/controller/consensus/local_member.py
+++ b/bramblewood/controller/consensus/local_member.py
@@ -49,7 +49,7 @@
         return is_voter(self.voters, address, disk)
 
     @property
-    def is_member(self) -> bool:
+    def matches_seat(self) -> bool:
         """Returns whether a seat of the current voter set names this disk, or is open to any disk here.
 
         The second case does not suffice to join the epoch; see `holds_seat`.
@@ -65,9 +65,9 @@
         """
         if self.voters.get(self.address) == self.disk:
             return True
-        return self.is_member and 0 <= self.active_epoch == self.epoch - 1
+        return self.matches_seat and 0 <= self.active_epoch == self.epoch - 1
 
     @property
     def is_active_voter(self) -> bool:
         """Returns whether this controller votes. It then holds the state with which the epoch began."""
-        return self.is_member and self.active_epoch == self.epoch
+        return self.matches_seat and self.active_epoch == self.epoch
--- a/bramblewood/controller/consensus/proposer.py
+++ b/bramblewood/controller/consensus/proposer.py
@@ -227,7 +227,7 @@
     def on_rejection(self, now: float, peer: str, rejected: Rejected) -> None:
         """Handles the rejection of a voter that has promised a higher number. The attempt has failed."""
         self.observe_counter(rejected.register, rejected.promised)
-        if self.member.is_member:  # without a seat, it is not told what is chosen and would wait in vain
+        if self.member.matches_seat:  # without a seat, it is not told what is chosen and would wait in vain
             self.backoff.observe(now, rejected.register, rejected.promised)
         proposal_round = self.current_round(rejected.register, rejected.proposal_number)
         if proposal_round is not None and proposal_round.phase is not Phase.WAITING:
--- a/bramblewood/controller/consensus/replica.py
+++ b/bramblewood/controller/consensus/replica.py
@@ -125,9 +125,9 @@
         return self.member.active_epoch
 
     @property
-    def is_member(self) -> bool:
+    def matches_seat(self) -> bool:
         """Returns whether a seat of the current voter set names this disk, or is open to any disk here."""
-        return self.member.is_member
+        return self.member.matches_seat
 
     @property
     def is_active_voter(self) -> bool:
--- a/bramblewood/controller/voter_changes.py
+++ b/bramblewood/controller/voter_changes.py
@@ -75,7 +75,7 @@
     def propose_due_change(self, now: float) -> None:
         """Propose the voter set change that is due, if any, unless a proposal is in flight."""
         consensus = self.quorum_io.consensus
-        if consensus.epoch == 0 and not consensus.is_member:
+        if consensus.epoch == 0 and not consensus.matches_seat:
             self._log_unknown_voters(now)
             return
         if self.is_proposal_in_flight:
--- a/tests/simulation/consensus.py
+++ b/tests/simulation/consensus.py
@@ -57,7 +57,7 @@
     class member_class(LocalMember):
         @property
         def holds_seat(self) -> bool:
-            return self.is_member
+            return self.matches_seat
 
 
 class ReplicaCluster:
--- a/tests/simulation/membership_epoch_guards.py
+++ b/tests/simulation/membership_epoch_guards.py
@@ -95,7 +95,7 @@
 
 def vote_before_active(_unused: Any) -> Any:
     """Lets a member vote before it holds the state with which the epoch began."""
-    return mock.patch.object(LocalMember, "is_active_voter", property(lambda self: self.is_member))
+    return mock.patch.object(LocalMember, "is_active_voter", property(lambda self: self.matches_seat))
 
 
 def count_reachable_as_active(_unused: Any) -> Any:
