--- a/bramblewood/controller/consensus/membership.py
+++ b/bramblewood/controller/consensus/membership.py
@@ -275,7 +275,7 @@
         return membership_view(address, voter_set, peers, versions, self.is_lost, losses, margin)
 
 
-def may_shut_down(
+def is_vote_dispensable(
     address: str,
     disk: str,
     voter_set: VoterSet,
--- a/bramblewood/controller/voter_changes.py
+++ b/bramblewood/controller/voter_changes.py
@@ -6,7 +6,7 @@
 
 from typing import Any
 
-from .consensus.membership import Membership, may_shut_down
+from .consensus.membership import Membership, is_vote_dispensable
 from .consensus.peer_status import PeerStatus
 from .consensus.registers import VOTER_SET
 from .consensus.voter_set import voter_set_change
@@ -136,7 +136,7 @@
         if now >= self.shutdown_began_at + vote_retention or consensus.active_epoch < 0:
             return True
         peers = self.peer_statuses(now)
-        return may_shut_down(
+        return is_vote_dispensable(
             self.runtime.own_address,
             consensus.disk,
             consensus.voter_set,
--- a/tests/simulation/membership_epoch_guards.py
+++ b/tests/simulation/membership_epoch_guards.py
@@ -113,7 +113,7 @@
 
 def shut_down_at_once(_unused: Any) -> Any:
     """Lets a controller shut down at once, even if no other voter has on disk what it has accepted."""
-    return mock.patch.object(voter_changes, "may_shut_down", lambda *_: True)
+    return mock.patch.object(voter_changes, "is_vote_dispensable", lambda *_: True)
 
 
 def forget_rows_of_refused_write(_unused: Any) -> Any:
--- a/tests/simulation/membership_seat_cases.py
+++ b/tests/simulation/membership_seat_cases.py
@@ -10,7 +10,7 @@
 from bramblewood.common.messages import ControllerHeartbeat
 from bramblewood.common.settings import Tolerance
 from bramblewood.controller.consensus.effects import Effects, PendingWrites
-from bramblewood.controller.consensus.membership import Membership, may_shut_down
+from bramblewood.controller.consensus.membership import Membership, is_vote_dispensable
 from bramblewood.controller.consensus.peer_status import PeerStatus
 from bramblewood.controller.consensus.proposal_number import NO_PROPOSAL
 from bramblewood.controller.consensus.registers import CONFIG, TABLE, VOTER_SET
@@ -49,16 +49,16 @@
     """
     voter_set: VoterSet = {"n": 2, "voters": {"a": "a0", "b": "b0", "d": "d0"}, "before": {}}
     peers = {"a": peer_status("a0", 1), "b": peer_status("b0", 1), "d": peer_status("d0", 2, False)}
-    if may_shut_down("c", "c0", voter_set, peers, {}, {}, False):
+    if is_vote_dispensable("c", "c0", voter_set, peers, {}, {}, False):
         raise RuleViolation("the replaced controller shuts down on heartbeats of the previous epoch")
-    if not may_shut_down(
+    if not is_vote_dispensable(
         "c", "c0", voter_set, peers | {"a": peer_status("a0", 2), "b": peer_status("b0", 2)}, {}, {}, False
     ):
         raise RuleViolation("the replaced controller does not shut down although a majority is active")
     accepted = {CONFIG: (2, 5, "a", 1)}
     durable = {"b": accepted, "d": accepted}
     peers = {"b": peer_status("b9", 2, False), "d": peer_status("d0", 2)}
-    if may_shut_down("a", "a0", voter_set, peers, accepted, durable, False):
+    if is_vote_dispensable("a", "a0", voter_set, peers, accepted, durable, False):
         raise RuleViolation("a voter shuts down although only a lost disk held what it has accepted")
 
 
