--- a/bramblewood/controller/consensus/replica.py
+++ b/bramblewood/controller/consensus/replica.py
@@ -82,7 +82,7 @@
         self.durable_accepted = {register: acceptor.accepted for register, acceptor in self.acceptors.items()}
         # The caller sets this function. It is called with values that result from a difference, and raises an
         # error if the value is not valid for the register.
-        self.require_value: Callable[[str, Any], None] = lambda register, value: None
+        self.validate_value: Callable[[str, Any], None] = lambda register, value: None
         backoff = ProposerBackoff(address, PHASE_TIMEOUT)
         self.learner = self.learner_class(self.member, self.acceptors, backoff)
         self.proposer = self.proposer_class(self.member, self.acceptors, self.learner, backoff)
@@ -280,7 +280,7 @@
                     acceptor = self.acceptors[register]
                     if base == acceptor.accepted:  # else the proposer sends the value in the next round
                         value = apply_difference(acceptor.value, difference)
-                        self.require_value(register, value)
+                        self.validate_value(register, value)
                         self._accept(now, peer, register, number, value, effects)
 
     def _on_prepare(self, now: float, peer: str, prepare: Prepare, effects: Effects) -> None:
--- a/bramblewood/controller/quorum_io.py
+++ b/bramblewood/controller/quorum_io.py
@@ -18,7 +18,7 @@
 from .consensus.replica import ConsensusReplica
 from .consensus.voter_set import founding_voter_set
 from .content_comparison import ContentComparison
-from .register_values import require_register_value, require_values
+from .register_values import validate_message_values, validate_register_value
 from .runtime import TICK_INTERVAL, Runtime
 from .storage import Storage
 
@@ -80,7 +80,7 @@
         self.consensus = ConsensusReplica(
             settings.ip, disk, self.incarnation, registers, voter_set, active_epoch
         )
-        self.consensus.require_value = require_register_value
+        self.consensus.validate_value = validate_register_value
         self.pending_writes.facts = {DISK_FACT: disk, ACTIVE_EPOCH_FACT: active_epoch}
         if voter_set is not None:
             self.pending_writes.facts[VOTER_SET_FACT] = voter_set
@@ -152,7 +152,7 @@
         """
         if self.content_comparison.differs_from(peer):
             return
-        require_values(message)
+        validate_message_values(message)
         consensus = self.consensus
         self.apply_effects(consensus.receive(self.runtime.now(), peer, message))
         rejection = consensus.take_last_rejection()
--- a/bramblewood/controller/register_values.py
+++ b/bramblewood/controller/register_values.py
@@ -10,7 +10,7 @@
 from .consensus.voter_set import parse_voter_set
 
 
-def require_register_value(register: str, value: Any) -> None:
+def validate_register_value(register: str, value: Any) -> None:
     """Check that a value is None, a voter set in the register VOTER_SET, or else a map with a version.
 
     Raises PeerMessageError for any other value.
@@ -23,12 +23,12 @@
         Fields(value).integer("n")
 
 
-def require_values(wire: dict) -> None:
+def validate_message_values(wire: dict) -> None:
     """Check the register values in a consensus message, which is given in its wire form.
 
     Raises PeerMessageError for an invalid value.
     """
     if "v" in wire:
-        require_register_value(wire.get("r", ""), wire["v"])
+        validate_register_value(wire.get("r", ""), wire["v"])
     for register, state in Fields(wire).mapping("regs", {}).items():
-        require_register_value(register, Fields(state).message.get("v"))
+        validate_register_value(register, Fields(state).message.get("v"))
--- a/tests/simulation/malformed_messages.py
+++ b/tests/simulation/malformed_messages.py
@@ -9,7 +9,7 @@
 from bramblewood.common.errors import PeerMessageError
 from bramblewood.common.messages import kinds
 from bramblewood.controller.consensus.messages import CONSENSUS_MESSAGE_KINDS, decode
-from bramblewood.controller.register_values import require_values
+from bramblewood.controller.register_values import validate_message_values
 
 # Each of these values replaces that of a field in turn. Some are valid for some fields, for example the
 # numbers.
@@ -57,7 +57,7 @@
     """
     kind = wire["k"]
     if kind in CONSENSUS_MESSAGE_KINDS:
-        require_values(wire)
+        validate_message_values(wire)
         return decode(wire)
     if kind == kinds.HEARTBEAT:
         return (messages.ControllerHeartbeat if "acc" in wire else messages.ProxyHeartbeat).from_wire(wire)
