--- a/bramblewood/controller/consensus/membership.py
+++ b/bramblewood/controller/consensus/membership.py
@@ -132,7 +132,7 @@
         voters, reachable = voter_set["voters"], reachable_peers(peers)
         for address, disk in voters.items():
             peer = reachable.get(address)
-            if peer is None or peer.disk == disk or peer.epoch != voter_set["n"] or peer.leaving:
+            if peer is None or peer.disk == disk or peer.epoch != voter_set["n"] or peer.is_leaving:
                 continue
             if not disk or peer.has_caught_up(versions):
                 reason = (
@@ -166,7 +166,7 @@
 
     def is_leaving(self, peer: PeerStatus | None) -> bool:
         """Returns whether a reachable controller is shutting down."""
-        return peer is not None and peer.is_reachable and peer.leaving
+        return peer is not None and peer.is_reachable and peer.is_leaving
 
     def eligible_spares(
         self, voter_set: VoterSet, peers: dict[str, PeerStatus], versions: dict[str, int]
@@ -178,8 +178,8 @@
             address
             for address, peer in peers.items()
             if address not in voters
-            and peer.steady_for >= self.steady_after
-            and not peer.leaving
+            and peer.uninterrupted_for >= self.steady_after
+            and not peer.is_leaving
             and not peer.disk_failing_for
             and peer.epoch == voter_set["n"]
             and (peer.counts_for_tolerance or not any_voter_counts)
@@ -192,7 +192,7 @@
         return [
             address
             for address, peer in reachable_peers(peers).items()
-            if address not in voters and not peer.leaving
+            if address not in voters and not peer.is_leaving
         ]
 
     def assign_to_best_spare(
--- a/bramblewood/controller/consensus/membership_view.py
+++ b/bramblewood/controller/consensus/membership_view.py
@@ -91,7 +91,7 @@
     voters, has_seat = voter_set["voters"], address in voter_set["voters"]
     if not peer.is_reachable:
         return "lost" if has_seat and is_lost(peer) else "silent"
-    if peer.leaving:
+    if peer.is_leaving:
         return "leaving"
     if peer.disk_failing_for:
         return "disk fails"
--- a/bramblewood/controller/consensus/peer_status.py
+++ b/bramblewood/controller/consensus/peer_status.py
@@ -14,16 +14,16 @@
     counts_for_tolerance: bool  # whether `Tolerance` limits how many controllers like this one may be lost
     epoch: int  # the epoch that it reports
     is_active_voter: bool  # whether it reports that it is an active voter of that epoch
-    leaving: bool  # whether it is shutting down
+    is_leaving: bool  # whether it is shutting down
     silent_for: float  # time since its last heartbeat
-    steady_for: float  # time for which its heartbeats have arrived without a gap, 0 while they do not
+    uninterrupted_for: float  # time for which its heartbeats have arrived without a gap, 0 while they do not
     versions: dict[str, int]  # by register, the newest version that it reports as chosen
     disk_failing_for: float = 0.0  # time for which its disk has refused every write or left one unanswered
 
     @property
     def is_reachable(self) -> bool:
         """Returns whether its heartbeats arrive."""
-        return self.steady_for > 0
+        return self.uninterrupted_for > 0
 
     def is_active_in(self, voter_set: VoterSet, address: str) -> bool:
         """Returns whether it reports that it is an active voter of this epoch, on the disk of its seat.
--- a/tests/simulation/membership_seat_cases.py
+++ b/tests/simulation/membership_seat_cases.py
@@ -20,9 +20,11 @@
 from tests.simulation.membership_epochs import ControllerFleet
 
 
-def peer_status(disk: str, epoch: int = 1, is_active_voter: bool = True, leaving: bool = False) -> PeerStatus:
+def peer_status(
+    disk: str, epoch: int = 1, is_active_voter: bool = True, is_leaving: bool = False
+) -> PeerStatus:
     """Returns the status of a reachable controller with this disk."""
-    return PeerStatus(disk, "z", True, epoch, is_active_voter, leaving, 0.0, 9.0, {})
+    return PeerStatus(disk, "z", True, epoch, is_active_voter, is_leaving, 0.0, 9.0, {})
 
 
 def heartbeat_of_previous_epoch() -> None:
@@ -34,7 +36,7 @@
         "d": peer_status("d0", 2),
         "e": peer_status("e0", 2, False),
     }
-    peers["a"] = peers["a"]._replace(leaving=True)
+    peers["a"] = peers["a"]._replace(is_leaving=True)
     change = Membership(Tolerance(1), {}, 4.0).due_change(voter_set, peers, {})
     if change is not None:
         raise RuleViolation(f"{change} is due although b has not reported that it is active")
--- a/tests/test_failing_disk.py
+++ b/tests/test_failing_disk.py
@@ -36,7 +36,7 @@
 
 
 def test_spare_with_a_failing_disk_replaces_no_voter() -> None:
-    peers = peers_with(c={"silent_for": 99.0, "steady_for": 0.0}, d={"disk_failing_for": 0.1})
+    peers = peers_with(c={"silent_for": 99.0, "uninterrupted_for": 0.0}, d={"disk_failing_for": 0.1})
     assert due_change(peers) is None
     requested = Membership(Tolerance(1), {}, CATCH_UP).requested_change(VOTER_SET, peers, {}, "c", "d")
     assert requested.err_value == "the disk of d refuses writes, or does not answer"
@@ -44,7 +44,7 @@
 
 def test_joining_voter_with_a_failing_disk_does_not_block_a_change() -> None:
     joining = {"is_active_voter": False}
-    leaving = {"a": {"leaving": True}}
+    leaving = {"a": {"is_leaving": True}}
     assert due_change(peers_with(c=joining, **leaving)) is None
     change = due_change(peers_with(c={**joining, "disk_failing_for": LOST_AFTER + 0.1}, **leaving))
     assert change.reason == "a leaves"
