--- a/bramblewood/controller/consensus/effects.py
+++ b/bramblewood/controller/consensus/effects.py
@@ -29,7 +29,7 @@
 
     writes: list[RegisterRow]
     sends: list[tuple[str, dict]]  # (address, message in its wire form)
-    answers: list[tuple[Any, Any]]  # (tag of a proposal, outcome; None if the outcome is unclear)
+    outcomes: list[tuple[Any, Any]]  # (tag of a proposal, outcome; None if the outcome is unclear)
     facts: dict[str, Any]  # further values to write, by name
 
     def write(self, register: str, acceptor: Acceptor) -> None:
@@ -45,9 +45,9 @@
         wire = message.to_wire()
         self.sends.extend((peer, wire) for peer in peers)
 
-    def answer(self, tag: Any, outcome: Any) -> None:
-        """Adds the answer to the proposal with this tag. None stands for an unclear outcome."""
-        self.answers.append((tag, outcome))
+    def report_outcome(self, tag: Any, outcome: Any) -> None:
+        """Adds the outcome of the proposal with this tag. None stands for an unclear outcome."""
+        self.outcomes.append((tag, outcome))
 
 
 def no_effects() -> Effects:
--- a/bramblewood/controller/consensus/proposer.py
+++ b/bramblewood/controller/consensus/proposer.py
@@ -76,7 +76,7 @@
         """Answers the changes whose deadline has passed, and starts a round for the others if one is due."""
         queue = self.rounds[register]
         while queue and now >= queue[0].deadline:
-            effects.answer(queue.pop(0).tag, None)
+            effects.report_outcome(queue.pop(0).tag, None)
         if not self.member.voters or self.member.epoch == 0 and register != VOTER_SET:
             return  # no voter set has been learned that may choose a value of this register
         if not queue or queue[0].phase is not Phase.WAITING or now < queue[0].next_attempt_at:
@@ -240,7 +240,7 @@
         for queued_round in proposal_round.batch:
             if queued_round in queue:
                 queue.remove(queued_round)
-                effects.answer(queued_round.tag, queued_round.outcome)
+                effects.report_outcome(queued_round.tag, queued_round.outcome)
         self.start_next_round(now, proposal_round.register, effects)
 
     # --- time
--- a/bramblewood/controller/quorum_io.py
+++ b/bramblewood/controller/quorum_io.py
@@ -173,14 +173,14 @@
         is not retried.
         """
         effects = no_effects()
-        effects.answer(lambda outcome: outcome and on_durable(), True)
+        effects.report_outcome(lambda outcome: outcome and on_durable(), True)
         self._write(effects, [], facts)
 
     def apply_effects(self, effects: Effects) -> None:
         """Write the rows and facts of these effects, then send their messages and report their outcomes."""
         rows, facts = self.pending_writes.prepare_write(effects)
         if not rows and not facts:
-            if effects.sends or effects.answers:
+            if effects.sends or effects.outcomes:
                 self._send_and_answer(effects)
             return
         self._write(effects, rows, facts)
@@ -200,8 +200,8 @@
             if self.writes_failing_since is None:
                 self.writes_failing_since = self.runtime.now()
             self.runtime.log.error("write failed", step="write", problem=problem)
-            unknown_outcomes = [(on_outcome, None) for on_outcome, _ in effects.answers]
-            self._send_and_answer(no_effects()._replace(answers=unknown_outcomes))
+            unknown_outcomes = [(on_outcome, None) for on_outcome, _ in effects.outcomes]
+            self._send_and_answer(no_effects()._replace(outcomes=unknown_outcomes))
             return
         self.writes_failing_since = None
         self.pending_writes.mark_durable(rows, facts)
@@ -216,7 +216,7 @@
                 loop.call_soon(self.handle_consensus_message, own_address, message)
             else:
                 self.runtime.peer_connections.send(peer, message)
-        for on_outcome, outcome in effects.answers:
+        for on_outcome, outcome in effects.outcomes:
             if callable(on_outcome):
                 loop.call_soon(on_outcome, outcome)
         if effects.facts.keys() & EPOCH_FACTS:
--- a/tests/simulation/configuration_changes.py
+++ b/tests/simulation/configuration_changes.py
@@ -185,7 +185,7 @@
     def dispatch(self, name: str, replica: ConsensusReplica, effects: Effects) -> None:
         for peer, message in effects.sends:
             self.send(name, peer, message)
-        for tag, outcome in effects.answers:
+        for tag, outcome in effects.outcomes:
             if callable(tag):
                 tag(outcome)
         self.check_invariants(name, replica)
--- a/tests/simulation/consensus.py
+++ b/tests/simulation/consensus.py
@@ -150,7 +150,7 @@
         self.in_flight += [(name, peer, message) for peer, message in effects.sends]
         for peer, message in effects.sends:
             record_event("message", self.now, name, peer, message)
-        for tag, outcome in effects.answers:
+        for tag, outcome in effects.outcomes:
             record_event("answer", self.now, name, outcome)
             if isinstance(tag, Configuration) and outcome is not None:
                 (self.acknowledged if outcome[0] == 200 else self.rejected)[tag.digest] = tag
--- a/tests/simulation/membership_epoch_cases.py
+++ b/tests/simulation/membership_epoch_cases.py
@@ -68,7 +68,7 @@
         cluster.in_flight = [sent for sent in held_back if sent[1] == late_voter]
         cluster.deliver(voters + spares)
         cluster.check_invariants()
-        if not any(outcome == (200, "first") for _, outcome in cluster.answers):
+        if not any(outcome == (200, "first") for _, outcome in cluster.outcomes):
             raise AssertionError('the configuration "first" was not chosen, so the case proves nothing')
 
     return run_case
@@ -139,7 +139,7 @@
     b = cluster.replicas["b"]
     cluster.apply("b", b.propose(0.0, VOTER_SET, voter_set_change(seeds, proposed_voters[1]), "second", 99.0))
     cluster.deliver("ab")
-    if cluster.replicas["a"].is_active_voter or any(tag == "second" for tag, _ in cluster.answers):
+    if cluster.replicas["a"].is_active_voter or any(tag == "second" for tag, _ in cluster.outcomes):
         raise RuleViolation("a seed whose disk was lost votes in epoch 0, the epoch of the seeds")
     cluster.in_flight += held_back
     cluster.deliver("abcd")
--- a/tests/simulation/membership_epoch_search.py
+++ b/tests/simulation/membership_epoch_search.py
@@ -250,7 +250,7 @@
 
         def apply(name: str, effects: Effects) -> None:
             in_flight.extend((name, peer, message) for peer, message in effects.sends)
-            answers.extend(effects.answers)
+            answers.extend(effects.outcomes)
             for register, _, accepted, _ in effects.writes:
                 machines[name].mark_durable(register, accepted)
 
--- a/tests/simulation/membership_epoch_steps.py
+++ b/tests/simulation/membership_epoch_steps.py
@@ -130,7 +130,7 @@
                 ]
                 observations += [("accept", *request) for request in complete_requests]
         observations += [
-            ("answer", *outcome) for tag, outcome in effects.answers if tag[0] == "order" and outcome
+            ("answer", *outcome) for tag, outcome in effects.outcomes if tag[0] == "order" and outcome
         ]
         if "held" in effects.facts:  # the heartbeats of a voter that is now active report its acceptances
             for register, accepted in replica.durable_accepted.items():
--- a/tests/simulation/scripted_cluster.py
+++ b/tests/simulation/scripted_cluster.py
@@ -22,14 +22,14 @@
             for position, name in enumerate(voters + spares)
         }
         self.in_flight: list[tuple[str, str, dict]] = []
-        self.answers: list[tuple] = []
+        self.outcomes: list[tuple] = []
 
     def apply(self, name: str, effects: Effects) -> None:
         """Carries out the effects of a step at this replica at once."""
         for register, _, accepted, _ in effects.writes:
             self.replicas[name].mark_durable(register, accepted)
         self.in_flight += [(name, peer, message) for peer, message in effects.sends]
-        self.answers += effects.answers
+        self.outcomes += effects.outcomes
 
     def put(self, name: str, digest: str) -> None:
         """Proposes the configuration with this digest at this replica."""
@@ -74,7 +74,7 @@
     def check_invariants(self) -> None:
         """Raises RuleViolation if more than one configuration was acknowledged or learned as chosen."""
         acknowledged = {
-            outcome[1] for _, outcome in self.answers if isinstance(outcome, tuple) and outcome[0] == 200
+            outcome[1] for _, outcome in self.outcomes if isinstance(outcome, tuple) and outcome[0] == 200
         }
         learned = {
             replica.chosen[CONFIG][1]
