--- a/bramblewood/controller/consensus/messages.py
+++ b/bramblewood/controller/consensus/messages.py
@@ -253,7 +253,7 @@
 CONSENSUS_MESSAGE_KINDS = frozenset(MESSAGE_TYPES)
 
 
-def decode(wire: dict) -> RegisterMessage | EpochMessage:
+def decode_message(wire: dict) -> RegisterMessage | EpochMessage:
     """Decodes the wire form of any message of consensus.
 
     Raises KeyError if the kind is unknown, and PeerMessageError if a key is missing or its value has
--- a/bramblewood/controller/consensus/replica.py
+++ b/bramblewood/controller/consensus/replica.py
@@ -38,7 +38,7 @@
     RoundDone,
     VoterReply,
     VoterRequest,
-    decode,
+    decode_message,
 )
 from .proposal_number import NO_PROPOSAL, ProposalNumber
 from .proposal_round import Change
@@ -225,7 +225,7 @@
         effects = no_effects()
         if wire.get("r", VOTER_SET) not in self.acceptors:
             return effects  # the register is one that only a later release has
-        message = decode(wire)
+        message = decode_message(wire)
         match message:
             case EpochNotice():
                 self.adopt_voter_set(now, message.voter_set, effects)
--- a/tests/simulation/malformed_messages.py
+++ b/tests/simulation/malformed_messages.py
@@ -8,7 +8,7 @@
 from bramblewood.common import messages
 from bramblewood.common.errors import PeerMessageError
 from bramblewood.common.messages import kinds
-from bramblewood.controller.consensus.messages import CONSENSUS_MESSAGE_KINDS, decode
+from bramblewood.controller.consensus import messages as consensus_messages
 from bramblewood.controller.register_values import validate_message_values
 
 # Each of these values replaces that of a field in turn. Some are valid for some fields, for example the
@@ -56,9 +56,9 @@
     Controllers and proxies share the kind of heartbeats. Only a controller's heartbeat has the key "acc".
     """
     kind = wire["k"]
-    if kind in CONSENSUS_MESSAGE_KINDS:
+    if kind in consensus_messages.CONSENSUS_MESSAGE_KINDS:
         validate_message_values(wire)
-        return decode(wire)
+        return consensus_messages.decode_message(wire)
     if kind == kinds.HEARTBEAT:
         return (messages.ControllerHeartbeat if "acc" in wire else messages.ProxyHeartbeat).from_wire(wire)
     return DECODERS[kind](wire)
--- a/tests/test_consensus_messages.py
+++ b/tests/test_consensus_messages.py
@@ -5,7 +5,7 @@
 import pytest
 
 from bramblewood.controller.consensus import messages
-from bramblewood.controller.consensus.messages import OMITTED, AcceptDifference, Promise, decode
+from bramblewood.controller.consensus.messages import OMITTED, AcceptDifference, Promise, decode_message
 from bramblewood.controller.consensus.proposal_number import (
     NO_PROPOSAL,
     ProposalNumber,
@@ -38,7 +38,7 @@
 
 @pytest.mark.parametrize("text", WIRE_FORMS)
 def test_a_decoded_message_encodes_to_the_same_wire_form(text):
-    message = decode(json.loads(text))
+    message = decode_message(json.loads(text))
     assert json.dumps(message.to_wire(), separators=(",", ":")) == text
 
 
@@ -47,20 +47,20 @@
 
 
 def test_a_promise_without_a_value_differs_from_one_with_null():
-    omitted, null = (decode(json.loads(WIRE_FORMS[index])) for index in (1, 3))
+    omitted, null = (decode_message(json.loads(WIRE_FORMS[index])) for index in (1, 3))
     assert isinstance(omitted, Promise) and omitted.value is OMITTED and not omitted.has_value
     assert isinstance(null, Promise) and null.value is None and null.has_value
 
 
 def test_an_accept_with_a_base_decodes_to_accept_difference():
-    message = decode(json.loads(WIRE_FORMS[5]))
+    message = decode_message(json.loads(WIRE_FORMS[5]))
     assert isinstance(message, AcceptDifference)
     assert message.base == ProposalNumber(1, 3, "10.0.0.2", 9)
 
 
 def test_an_unknown_kind_raises_key_error():
     with pytest.raises(KeyError):
-        decode({"k": "pulse"})
+        decode_message({"k": "pulse"})
 
 
 def test_proposal_numbers_compare_field_by_field():
