--- a/bramblewood/controller/consensus/proposer.py
+++ b/bramblewood/controller/consensus/proposer.py
@@ -22,7 +22,7 @@
 )
 
 
-class Rejection(NamedTuple):
+class RoundRejection(NamedTuple):
     """The rejection that ended a round of this controller."""
 
     peer: str
@@ -50,7 +50,8 @@
             register: acceptor.promised.counter for register, acceptor in acceptors.items()
         }
         self.unfinished_since: dict[str, float] = {}
-        self.last_rejection: Rejection | None = None  # the newest one, until the caller takes it to log it
+        # the newest one, until the caller takes it to log it
+        self.last_rejection: RoundRejection | None = None
         self.jitter_draws = 0
 
     def jitter(self) -> float:
@@ -231,7 +232,7 @@
             self.backoff.observe(now, rejected.register, rejected.promised)
         proposal_round = self.current_round(rejected.register, rejected.proposal_number)
         if proposal_round is not None and proposal_round.phase is not Phase.WAITING:
-            self.last_rejection = Rejection(peer, proposal_round.proposal_number, rejected.promised)
+            self.last_rejection = RoundRejection(peer, proposal_round.proposal_number, rejected.promised)
             self.schedule_retry(now, proposal_round)
 
     def finish_round(self, now: float, proposal_round: ProposalRound, effects: Effects) -> None:
--- a/bramblewood/controller/consensus/replica.py
+++ b/bramblewood/controller/consensus/replica.py
@@ -42,7 +42,7 @@
 )
 from .proposal_number import NO_PROPOSAL, ProposalNumber
 from .proposal_round import Change
-from .proposer import Proposer, Rejection
+from .proposer import Proposer, RoundRejection
 from .proposer_backoff import ProposerBackoff
 from .registers import ALL_REGISTERS, VOTER_SET
 from .timing import PHASE_TIMEOUT
@@ -144,7 +144,7 @@
         """Returns, by register and voter, the highest proposal of this epoch promised or accepted there."""
         return self.learner.commitments
 
-    def take_last_rejection(self) -> Rejection | None:
+    def take_last_rejection(self) -> RoundRejection | None:
         """Returns the newest rejection of a proposal of this controller, for the log, and forgets it."""
         rejection, self.proposer.last_rejection = self.proposer.last_rejection, None
         return rejection
