--- a/bramblewood/controller/commands.py
+++ b/bramblewood/controller/commands.py
@@ -15,7 +15,7 @@
     registration: WorkerRegistration
 
     @property
-    def is_leaving(self) -> bool:
+    def is_draining(self) -> bool:
         """Whether the worker is draining.
 
         Such a registration is a deregistration. A majority of the voters must hold it before the response.
--- a/bramblewood/controller/worker_api.py
+++ b/bramblewood/controller/worker_api.py
@@ -43,7 +43,7 @@
 
     async def register(self, call: RegisterWorker) -> web.Response:
         """Records the heartbeat of a worker. One with the phase `draining` is also a deregistration."""
-        if call.is_leaving:
+        if call.is_draining:
             return await self._deregister(call.instance_id, call.registration)
         self.registry_exchange.record(call.instance_id, call.registration)
         has_contact = self.quorum_contact.has_quorum_contact(self.runtime.now())
--- a/tests/simulation/fleet/rules.py
+++ b/tests/simulation/fleet/rules.py
@@ -129,7 +129,7 @@
             )
         if isinstance(command, GetConfiguration):
             self.check_read(machine, response, newest_before)
-        if isinstance(command, DeregisterWorker) or is_from_worker and command.is_leaving:
+        if isinstance(command, DeregisterWorker) or is_from_worker and command.is_draining:
             self.check_deregistration(machine, command.instance_id)
 
     def check_read(self, machine, response, newest_before):
