--- a/benchmarks/controller_storage.py
+++ b/benchmarks/controller_storage.py
@@ -96,7 +96,7 @@
     row: dict = {"slices": slices, "json": len(json.dumps(value))}
     row["round_ms"], row["round_cpu_ms"] = median_times(lambda index: moved(value, 7919 * index))
     updates = ProxyUpdates()
-    row["feed_ms"], row["feed_cpu_ms"] = median_times(lambda index: updates.learn_table(values[index]))
+    row["feed_ms"], row["feed_cpu_ms"] = median_times(lambda index: updates.record_table(values[index]))
     row["move_ms"], row["move_cpu_ms"] = median_times(lambda index: commit(index + 1))
     values[:] = [json.loads(json.dumps(moved(value, index))) for index in range(RUNS)]
     row["fresh_ms"], row["fresh_cpu_ms"] = median_times(commit)
--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -136,7 +136,7 @@
         table = apply_slice_changes(self.table, changes, {"keyed"})[0] if changes else None
         update = None
         if table is not None:
-            self.updates.learn_table(table)
+            self.updates.record_table(table)
             update = self.updates.message_since(self.table["n"]) if self.table else None
         self.costs.controller_time += time.process_time() - began
         if table is not None:
--- a/bramblewood/controller/chosen_values.py
+++ b/bramblewood/controller/chosen_values.py
@@ -53,8 +53,8 @@
     def _learn_table(self, version: int) -> None:
         if version > self.proxy_feed.proxy_updates.version:
             table, now = self.quorum_io.consensus.value(TABLE), self.runtime.now()
-            self.proxy_feed.proxy_updates.learn_table(table)
-            self.read_replicas.learn_table(now, table)
+            self.proxy_feed.proxy_updates.record_table(table)
+            self.read_replicas.record_table(now, table)
             self.outlier_detection.record_table(now, table)
 
     def _log_version(self, register: str, version: int) -> None:
--- a/bramblewood/controller/proxy_updates.py
+++ b/bramblewood/controller/proxy_updates.py
@@ -38,7 +38,7 @@
         self.drain_steps_version = 0  # the version that last changed `drain_steps`
         self.changes: deque[VersionStep] = deque(maxlen=MAX_VERSION_STEPS)
 
-    def learn_table(self, value: TableValue) -> None:
+    def record_table(self, value: TableValue) -> None:
         """Takes over a newer table. A jump over several versions is recorded as one step."""
         changed_starts = {}
         for service, rows in value["s"].items():
--- a/bramblewood/controller/read_replicas.py
+++ b/bramblewood/controller/read_replicas.py
@@ -80,7 +80,7 @@
         self.last_lease_at: dict[Reader, float] = {}  # send time of the last lease
         self.calls_in_flight: set[Reader] = set()
 
-    def learn_table(self, now: float, table: dict[str, Any]) -> None:
+    def record_table(self, now: float, table: dict[str, Any]) -> None:
         """Update the readers from a newer table.
 
         Every controller calls this, even one that is not the coordinator and sends no leases.
--- a/tests/simulation/read_replicas.py
+++ b/tests/simulation/read_replicas.py
@@ -85,7 +85,7 @@
         if not self.partitioned[name] and rng.random() < 0.5:
             if self.known_table[name] != len(self.tables) - 1:
                 self.known_table[name] = len(self.tables) - 1
-                read_replicas.learn_table(self.now, self.tables[-1])
+                read_replicas.record_table(self.now, self.tables[-1])
             self.contact_at[name] = self.now
         if self.now >= self.contact_at[name] + QUORUM_CONTACT_VALIDITY:
             return
--- a/tests/test_table_costs.py
+++ b/tests/test_table_costs.py
@@ -46,7 +46,7 @@
     rng, replicas, value, known_since = random.Random(7), ReadReplicas(), {"n": 1, "s": {}}, {}
     for now in range(ROUNDS):
         value = changed_table(rng, value)
-        replicas.learn_table(float(now), value)
+        replicas.record_table(float(now), value)
         known_since = {reader: known_since.get(reader, float(now)) for reader in readers_in(value)}
         assert replicas.known_since == known_since
     assert len(known_since) > 5
@@ -56,7 +56,7 @@
     rng, updates, value = random.Random(8), ProxyUpdates(), {"n": 1, "s": {}}
     for _ in range(ROUNDS):
         before, value = value, changed_table(rng, value)
-        updates.learn_table(value)
+        updates.record_table(value)
         changed = updates.changes[-1].changed_starts
         expected = {
             service: {start for start, row in rows.items() if before["s"].get(service, {}).get(start) != row}
@@ -76,14 +76,14 @@
         return keys
 
     value, replicas, updates = table(3000), ReadReplicas(), ProxyUpdates()
-    replicas.learn_table(0.0, value)
-    updates.learn_table(value)
+    replicas.record_table(0.0, value)
+    updates.record_table(value)
     monkeypatch.setattr(read_replicas, "changed_keys", recording_changed_keys)
     monkeypatch.setattr(proxy_updates, "changed_keys", recording_changed_keys)
     rows = {**value["s"]["service-0"], "3": ["w", "", 0.0, 9, "", "", {"r": 9}]}
     changed = {**value, "n": 2, "s": {**value["s"], "service-0": rows}}
     patched = apply_difference(value, difference(value, changed))
-    replicas.learn_table(1.0, patched)
-    updates.learn_table(patched)
+    replicas.record_table(1.0, patched)
+    updates.record_table(patched)
     assert processed == ["3", "3"]
     assert replicas.known_since == {Reader("service-0", 3, "r", 9): 1.0}
