--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -137,7 +137,7 @@
         update = None
         if table is not None:
             self.updates.record_table(table)
-            update = self.updates.message_since(self.table["n"]) if self.table else None
+            update = self.updates.update_since(self.table["n"]) if self.table else None
         self.costs.controller_time += time.process_time() - began
         if table is not None:
             self.costs.versions += 1
--- a/bramblewood/controller/proxy_feed.py
+++ b/bramblewood/controller/proxy_feed.py
@@ -49,7 +49,7 @@
         An update of the table contains only what changed since the version sent last, if that is known.
         """
         if register == TABLE:
-            if message := self.proxy_updates.message_since(connection.sent_versions.get(TABLE, 0)):
+            if message := self.proxy_updates.update_since(connection.sent_versions.get(TABLE, 0)):
                 connection.sent_versions[TABLE] = message.version
                 connection.send(message.to_wire())
             return
--- a/bramblewood/controller/proxy_updates.py
+++ b/bramblewood/controller/proxy_updates.py
@@ -36,7 +36,7 @@
         # the drain steps of draining workers, by instance id; an ejected worker has DRAIN_IN_PROGRESS
         self.drain_steps: dict[str, str] = {}
         self.drain_steps_version = 0  # the version that last changed `drain_steps`
-        self.changes: deque[VersionStep] = deque(maxlen=MAX_VERSION_STEPS)
+        self.recent_steps: deque[VersionStep] = deque(maxlen=MAX_VERSION_STEPS)
 
     def record_table(self, value: TableValue) -> None:
         """Takes over a newer table. A jump over several versions is recorded as one step."""
@@ -52,17 +52,17 @@
         drain_steps = {**ejected, **drain_steps_of(value)}
         if drain_steps != self.drain_steps:
             self.drain_steps, self.drain_steps_version = drain_steps, value["n"]
-        self.changes.append(VersionStep(self.version, value["n"], changed_starts))
+        self.recent_steps.append(VersionStep(self.version, value["n"], changed_starts))
         self.version, self.services = value["n"], value["s"]
 
-    def message_since(self, known_version: int) -> TableUpdate | None:
+    def update_since(self, known_version: int) -> TableUpdate | None:
         """Returns the update from `known_version` to the newest version, or None if it is the newest version.
 
         The update contains the whole table if some of the version steps since then are no longer kept.
         """
         if known_version >= self.version:
             return None
-        steps = [step for step in self.changes if step.to_version > known_version]
+        steps = [step for step in self.recent_steps if step.to_version > known_version]
         if known_version <= 0 or not steps or steps[0].from_version > known_version:
             return TableUpdate(self.version, self.services, leaving=self.drain_steps)
         starts_by_service: dict[str, set[str]] = {}
--- a/tests/test_table_costs.py
+++ b/tests/test_table_costs.py
@@ -57,7 +57,7 @@
     for _ in range(ROUNDS):
         before, value = value, changed_table(rng, value)
         updates.record_table(value)
-        changed = updates.changes[-1].changed_starts
+        changed = updates.recent_steps[-1].changed_starts
         expected = {
             service: {start for start, row in rows.items() if before["s"].get(service, {}).get(start) != row}
             for service, rows in value["s"].items()
