--- a/bramblewood/controller/proxy_sessions.py
+++ b/bramblewood/controller/proxy_sessions.py
@@ -52,15 +52,15 @@
         message = encode_message(RegistryUpdate(rows).to_wire())
         for connection in list(self.subscribers.values()):
             connection.send(message)
-        leaving = leaving_rows(rows)
-        if leaving:
-            message = encode_message(RegistryUpdate(leaving).to_wire())
+        departing = departing_rows(rows)
+        if departing:
+            message = encode_message(RegistryUpdate(departing).to_wire())
             for proxy, connection in list(self.connected.items()):
                 if proxy not in self.subscribers:
                     connection.send(message)
 
 
-def leaving_rows(rows: dict[str, list]) -> dict[str, list]:
+def departing_rows(rows: dict[str, list]) -> dict[str, list]:
     """Returns the rows of workers that drain or have gone. A row is a registration in its wire form."""
     return {instance_id: row for instance_id, row in rows.items() if WorkerRegistration(*row).phase != READY}
 
--- a/bramblewood/controller/registry_exchange.py
+++ b/bramblewood/controller/registry_exchange.py
@@ -5,7 +5,7 @@
 from ..common.messages import RegistryUpdate
 from ..common.timeouts import MISSED_HEARTBEATS
 from ..common.worker_registry import READY, WorkerRegistration, WorkerRegistry
-from .proxy_sessions import ProxySessions, leaving_rows
+from .proxy_sessions import ProxySessions, departing_rows
 from .runtime import Runtime
 
 
@@ -55,8 +55,8 @@
         changed_rows, newer_rows = self.registry.record_all(self.runtime.now(), rows, ages)
         if changed_rows:
             self.proxy_sessions.send_registrations(changed_rows)
-        if leaving := leaving_rows(changed_rows):
-            self.send_to_controllers(leaving, excluding=sender)
+        if departing := departing_rows(changed_rows):
+            self.send_to_controllers(departing, excluding=sender)
         return newer_rows
 
     def send_to_controllers(
