--- a/bramblewood/controller/placement/planner.py
+++ b/bramblewood/controller/placement/planner.py
@@ -123,7 +123,7 @@
         """Return the busy slots and the slots of usable workers, by service."""
         return {name: placement.capacity() for name, placement in self._services.items()}
 
-    def zone_shares(self) -> dict[str, dict[str, float]]:
+    def local_fractions(self) -> dict[str, dict[str, float]]:
         """Return the fraction (0 to 1) of a zone's requests that stays in the zone, by service and zone.
 
         Services without such a fraction are left out.
--- a/bramblewood/controller/proxy_heartbeats.py
+++ b/bramblewood/controller/proxy_heartbeats.py
@@ -78,6 +78,6 @@
         return heartbeat._replace(
             zone=self.runtime.settings.zone,
             controllers=sorted({own_address, *self.controller_peers.known_addresses}),
-            zone_affinity=self.placement.zone_shares() if is_coordinator else None,
+            zone_affinity=self.placement.local_fractions() if is_coordinator else None,
             hot_keys=(self.placement.hot_keys() or None) if is_coordinator else None,
         )
