--- a/bramblewood/controller/placement/replica_placement.py
+++ b/bramblewood/controller/placement/replica_placement.py
@@ -7,7 +7,7 @@
 
 from ...common.slice_table import Row, SliceEntry, active_readers
 from ..hot_keys import HotKeys
-from ..read_replicas import reader_count as target_reader_count
+from ..read_replicas import target_reader_count
 from .worker_loads import WorkerLoads
 
 
--- a/bramblewood/controller/read_replicas.py
+++ b/bramblewood/controller/read_replicas.py
@@ -57,7 +57,7 @@
     owner_address: str  # from which the reader fetches its replica
 
 
-def reader_count(request_rate: float, worker_throughput: float) -> int:
+def target_reader_count(request_rate: float, worker_throughput: float) -> int:
     """Return how many readers a key needs in addition to its owner.
 
     request_rate: requests per second for the key. worker_throughput: requests per second that one worker can
