--- a/bramblewood/controller/key_releases.py
+++ b/bramblewood/controller/key_releases.py
@@ -21,9 +21,9 @@
         # releases that no proposal contains yet, by service, first keys and fencing token
         self.pending: dict[tuple, ReleasedKeys] = {}
         self.is_proposing = False
-        self.on_progress: Callable[[], None] = lambda: None  # called when a proposal has ended
-        # called after on_progress when no release is pending any more
-        self.on_all_finished: Callable[[], None] = lambda: None
+        self.on_proposal_finished: Callable[[], None] = lambda: None  # called when a proposal has ended
+        # called after on_proposal_finished when no release is pending any more
+        self.on_all_released: Callable[[], None] = lambda: None
 
     def add(self, released: ReleasedKeys) -> None:
         """Propose a release with all pending ones, as soon as no other proposal is in flight."""
@@ -41,11 +41,11 @@
 
     def _proposal_finished(self, outcome: Any) -> None:
         self.is_proposing = False
-        self.on_progress()
+        self.on_proposal_finished()
         if self.pending:
             self.add(next(iter(self.pending.values())))
         else:
-            self.on_all_finished()
+            self.on_all_released()
 
 
 def without_previous_owners(table: Any, batch: list[ReleasedKeys]) -> tuple[Any, bool]:
--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -176,8 +176,8 @@
         self.quorum_io.on_epoch_changed = self.handle_epoch_change
         self.proxy_feed.on_configuration_announced = lambda: self.proxy_heartbeats.send(runtime.now())
         self.registry_exchange.on_departure = self.coordinator_loop.step
-        self.key_releases.on_progress = self.chosen_values.refresh
-        self.key_releases.on_all_finished = lambda: self.coordinator_loop.step(runtime.now())
+        self.key_releases.on_proposal_finished = self.chosen_values.refresh
+        self.key_releases.on_all_released = lambda: self.coordinator_loop.step(runtime.now())
 
     def set_planner(self, planner: PlacementPlanner) -> None:
         """Gives the placement planner to the parts that use it.
