--- a/bramblewood/common/messages/between_controllers.py
+++ b/bramblewood/common/messages/between_controllers.py
@@ -11,8 +11,9 @@
     """The state of a controller, which it sends to each other controller several times a second.
 
     Proposal numbers are tuples in the fields and lists on the wire. Only the first heartbeat on a connection
-    contains `bound`, and only some contain `worker_ages`. `members`, `zone`, `counted`, `controllers`,
-    `proxies` and `digests` are left out if they are unchanged since they were sent on the connection.
+    contains `peer_commitments`, and only some contain `worker_ages`. `voter_set`, `zone`,
+    `counts_for_tolerance`, `controllers`, `proxies` and `digests` are left out if they are unchanged since
+    they were sent on the connection.
     """
 
     sent_at: float
@@ -27,10 +28,11 @@
     echo: float  # `sent_at` of the newest heartbeat from the receiver to the sender; negative for none
     # by register the proposal number that the receiver is known to have promised or accepted, so that the
     # receiver can detect a rollback of its disk
-    bound: dict[str, Any] | None = None
-    members: Any = None  # the set of voters
+    peer_commitments: dict[str, Any] | None = None
+    voter_set: Any = None  # the set of voters
     zone: str | None = None
-    counted: bool | None = None  # whether the loss of the sender's machine counts for `Tolerance`
+    # whether the loss of the sender's machine counts for `Tolerance`
+    counts_for_tolerance: bool | None = None
     controllers: list[str] | None = None
     proxies: list[str] | None = None  # the names of the proxies that are connected to the sender
     # s since the last contact, by instance id, for workers with a recent contact
@@ -82,10 +84,10 @@
             "e": self.echo,
         }
         for key, value in (
-            ("bound", self.bound),
-            ("members", self.members),
+            ("bound", self.peer_commitments),
+            ("members", self.voter_set),
             ("zone", self.zone),
-            ("counted", self.counted),
+            ("counted", self.counts_for_tolerance),
             ("archives", self.controllers),
             ("desks", self.proxies),
             ("heard", self.worker_ages),
--- a/bramblewood/controller/controller_peers.py
+++ b/bramblewood/controller/controller_peers.py
@@ -146,10 +146,10 @@
             worker_ages = self.registry.seconds_since_heard(now, MAX_REPORTED_WORKER_AGE)
         return heartbeat._replace(
             echo=self.sessions.times_to_echo.get(peer, NO_ECHO),
-            bound=peer_commitments,
-            members=unsent.voter_set,
+            peer_commitments=peer_commitments,
+            voter_set=unsent.voter_set,
             zone=unsent.zone,
-            counted=unsent.counts_for_tolerance,
+            counts_for_tolerance=unsent.counts_for_tolerance,
             controllers=unsent.controllers,
             proxies=unsent.proxies,
             worker_ages=worker_ages,
--- a/bramblewood/controller/peer_handlers.py
+++ b/bramblewood/controller/peer_handlers.py
@@ -133,8 +133,8 @@
     def handle_heartbeat(self, connection: PeerConnection, message: dict) -> None:
         """Process the heartbeat of another controller, and act on everything that depends on it."""
         now, peer, heartbeat = self.runtime.now(), connection.peer, ControllerHeartbeat.from_wire(message)
-        if heartbeat.members is not None:
-            parse_voter_set(heartbeat.members)
+        if heartbeat.voter_set is not None:
+            parse_voter_set(heartbeat.voter_set)
         self.sessions.record_heartbeat(now, peer, heartbeat)
         # The peer has no heartbeat to echo yet. It gets one at once, so that quorum contact need not wait for
         # the next interval.
@@ -158,8 +158,8 @@
         consensus, effects = self.quorum_io.consensus, no_effects()
         if self.divergence_monitor.comparison.differs_from(peer):
             return
-        if heartbeat.members is not None:
-            consensus.adopt_voter_set(now, heartbeat.members, effects)
+        if heartbeat.voter_set is not None:
+            consensus.adopt_voter_set(now, heartbeat.voter_set, effects)
         for register, proposal_number in heartbeat.durable.items():
             if register not in ALL_REGISTERS:
                 continue  # a newer release may have more registers
@@ -167,7 +167,7 @@
                 consensus.record_acceptance(now, peer, heartbeat.disk, register, proposal_number, effects)
         self.quorum_io.apply_effects(effects)
         rollback_effects = consensus.check_disk_rollback(
-            heartbeat.epoch, heartbeat.bound or {}, new_disk_name()
+            heartbeat.epoch, heartbeat.peer_commitments or {}, new_disk_name()
         )
         if rollback_effects.facts:
             self.runtime.log.error("disk rolled back", step="epoch", peer=peer, disk=consensus.disk)
--- a/bramblewood/controller/peer_sessions.py
+++ b/bramblewood/controller/peer_sessions.py
@@ -110,7 +110,7 @@
         if heartbeat.proxies is not None:
             self.proxies_by_peer[peer] = heartbeat.proxies
         if heartbeat.zone is not None:
-            self.zones[peer] = (heartbeat.zone, bool(heartbeat.counted))
+            self.zones[peer] = (heartbeat.zone, bool(heartbeat.counts_for_tolerance))
 
     def quorum_contact_until(
         self,
