--- a/bramblewood/common/messages/with_proxies.py
+++ b/bramblewood/common/messages/with_proxies.py
@@ -127,12 +127,12 @@
 class LoadReport(NamedTuple):
     """The requests that a proxy has counted and its observations of workers since its last report."""
 
-    seconds: float  # the length of the interval that the report covers
-    heat: dict[str, Any]  # the number of requests, by service and range of keys
+    interval: float  # the length in s of the interval that the report covers
+    range_counts: dict[str, Any]  # the number of requests, by service and range of keys
     # by worker: attempts, attempts without a response, mean response time in s, the load that the worker
     # stated or None, and the number of server errors if there are any
     workers: dict[str, list]
-    keys: dict[str, Any] | None = None  # the number of requests, by service and key, in watched ranges
+    key_counts: dict[str, Any] | None = None  # the number of requests, by service and key, in watched ranges
     table_version: int | None = None  # the version that the proxy follows; only during a drain plan
     # by worker in a drain plan: the number of idempotent requests in flight, the number of non-idempotent
     # requests in flight plus that of the keys that affinity binds to the worker, and the age in s of the
@@ -154,8 +154,13 @@
 
     def to_wire(self) -> dict[str, Any]:
         """Return the JSON object of the message."""
-        wire_form = {"k": kinds.LOAD_REPORT, "over": self.seconds, "heat": self.heat, "met": self.workers}
-        for key, value in (("n", self.table_version), ("left", self.in_flight), ("keys", self.keys)):
+        wire_form = {
+            "k": kinds.LOAD_REPORT,
+            "over": self.interval,
+            "heat": self.range_counts,
+            "met": self.workers,
+        }
+        for key, value in (("n", self.table_version), ("left", self.in_flight), ("keys", self.key_counts)):
             if value is not None:
                 wire_form[key] = value
         return wire_form
--- a/bramblewood/controller/load_reports.py
+++ b/bramblewood/controller/load_reports.py
@@ -21,7 +21,7 @@
 
     def record(self, now: float, proxy: str, report: LoadReport) -> None:
         """Record one report of this proxy. Counts for unregistered workers are ignored."""
-        interval, range_counts, key_counts = report.seconds, report.heat, report.keys or {}
+        interval, range_counts, key_counts = report.interval, report.range_counts, report.key_counts or {}
         if report.table_version is not None:
             self.drain_progress.record_report(proxy, report.table_version, report.in_flight or {})
         # attributes are looked up once: there are hundreds of reports per second, each on hundreds of workers
