--- a/bramblewood/common/messages/with_proxies.py
+++ b/bramblewood/common/messages/with_proxies.py
@@ -265,7 +265,7 @@
     services: dict[str, Any]  # rows by service and first key: see `common.slice_table`
     base: int | None = None  # the version that the changes apply to; None for the whole table
     # the steps of workers in their drain plans, by instance id; None if they are those of the base
-    leaving: dict[str, str] | None = None
+    drain_steps: dict[str, str] | None = None
 
     @classmethod
     def from_wire(cls, message: dict) -> "TableUpdate":
@@ -279,6 +279,6 @@
         """Return the JSON object of the message."""
         wire_form: dict[str, Any] = {"k": kinds.TABLE_UPDATE, "n": self.version}
         wire_form |= {"s": self.services} if self.base is None else {"base": self.base, "d": self.services}
-        if self.leaving is not None:
-            wire_form["w"] = self.leaving
+        if self.drain_steps is not None:
+            wire_form["w"] = self.drain_steps
         return wire_form
--- a/bramblewood/controller/proxy_updates.py
+++ b/bramblewood/controller/proxy_updates.py
@@ -64,7 +64,7 @@
             return None
         steps = [step for step in self.recent_steps if step.to_version > known_version]
         if known_version <= 0 or not steps or steps[0].from_version > known_version:
-            return TableUpdate(self.version, self.services, leaving=self.drain_steps)
+            return TableUpdate(self.version, self.services, drain_steps=self.drain_steps)
         starts_by_service: dict[str, set[str]] = {}
         for step in steps:
             for service, changed in step.changed_starts.items():
--- a/bramblewood/proxy/slice_lookup.py
+++ b/bramblewood/proxy/slice_lookup.py
@@ -40,8 +40,8 @@
             for service, changes in update.services.items():
                 self._update_entries(service, changes)
         self.version = update.version
-        if update.leaving is not None:
-            self.drain_steps = update.leaving
+        if update.drain_steps is not None:
+            self.drain_steps = update.drain_steps
         return True
 
     def _update_entries(self, service: str, changes: dict[str, list]) -> None:
--- a/features/steps/drain_plans.py
+++ b/features/steps/drain_plans.py
@@ -145,7 +145,7 @@
 def apply_step(context, step):
     """The proxy receives a table in which w1 has this step."""
     slices = context.load_balancer.slices
-    slices.apply(TableUpdate(slices.version + 1, {}, base=slices.version, leaving={"w1": step}))
+    slices.apply(TableUpdate(slices.version + 1, {}, base=slices.version, drain_steps={"w1": step}))
 
 
 def choose_workers(context, count, idempotent):
