--- a/bramblewood/common/worker_registry.py
+++ b/bramblewood/common/worker_registry.py
@@ -82,7 +82,7 @@
     def __init__(self) -> None:
         self.registrations: dict[str, WorkerRegistration] = {}
         # the time of the last contact of any controller or proxy with an instance
-        self.last_heard: dict[str, float] = {}
+        self.last_contact_at: dict[str, float] = {}
         # the time at which an instance's phase, address or slots last changed in this registry
         self.changed_at: dict[str, float] = {}
         self.warm_at: dict[str, float] = {}  # the time at which an instance's warm-up ends
@@ -99,7 +99,7 @@
         """
         known = self.registrations.get(instance_id)
         if registration.phase != GONE:
-            self._update_last_heard(instance_id, now - age)
+            self._update_last_contact(instance_id, now - age)
         if known is not None and registration.precedence() <= known.precedence():
             if registration.address and not known.address:
                 self.registrations[instance_id] = registration._replace(
@@ -118,8 +118,8 @@
             self._assign_address(now, instance_id, registration.address)
         return True
 
-    def _update_last_heard(self, instance_id: str, heard_at: float) -> None:
-        self.last_heard[instance_id] = max(self.last_heard.get(instance_id, 0.0), heard_at)
+    def _update_last_contact(self, instance_id: str, contact_at: float) -> None:
+        self.last_contact_at[instance_id] = max(self.last_contact_at.get(instance_id, 0.0), contact_at)
 
     def _assign_address(self, now: float, instance_id: str, address: str) -> None:
         """Record the instance at its address. Of two instances at one address, the older one is set to gone.
@@ -129,7 +129,7 @@
         other_id = self.instance_by_address.get(address)
         other = self.registrations.get(other_id) if other_id not in (None, instance_id) else None
         if other is not None and other.phase != GONE:
-            other_is_newer = self.last_heard.get(other_id, 0.0) > self.last_heard[instance_id]
+            other_is_newer = self.last_contact_at.get(other_id, 0.0) > self.last_contact_at[instance_id]
             older_id = instance_id if other_is_newer else other_id
             self.registrations[older_id] = self.registrations[older_id]._replace(phase=GONE)
             self.changed_at[older_id] = now
@@ -172,18 +172,18 @@
             if registration.phase != READY and self.changed_at.get(instance_id, 0.0) >= since
         }
 
-    def record_last_heard(self, now: float, ages: dict[str, float]) -> None:
+    def record_last_contacts(self, now: float, ages: dict[str, float]) -> None:
         """Merge the ages in s of another controller's last contacts. Unregistered instances are ignored."""
         for instance_id, age in ages.items():
             if instance_id in self.registrations:
-                self._update_last_heard(instance_id, now - age)
+                self._update_last_contact(instance_id, now - age)
 
-    def seconds_since_heard(self, now: float, max_age: float) -> dict[str, float]:
+    def contact_ages(self, now: float, max_age: float) -> dict[str, float]:
         """Return the ages in s of the last contacts by instance id, as far as they are at most `max_age`."""
         return {
-            instance_id: round(now - heard_at, 2)
-            for instance_id, heard_at in self.last_heard.items()
-            if now - heard_at <= max_age
+            instance_id: round(now - contact_at, 2)
+            for instance_id, contact_at in self.last_contact_at.items()
+            if now - contact_at <= max_age
         }
 
     def timed_out(self, now: float, timeout: float) -> set[str]:
@@ -191,7 +191,7 @@
         return {
             instance_id
             for instance_id, registration in self.registrations.items()
-            if registration.phase != GONE and now - self.last_heard.get(instance_id, 0.0) > timeout
+            if registration.phase != GONE and now - self.last_contact_at.get(instance_id, 0.0) > timeout
         }
 
     def live_instances(self) -> list[str]:
@@ -231,7 +231,7 @@
             if registration.phase == GONE and now - self.changed_at.get(instance_id, 0.0) > GONE_RETENTION
         ]
         for instance_id in expired:
-            for state in (self.registrations, self.last_heard, self.changed_at, self.warm_at):
+            for state in (self.registrations, self.last_contact_at, self.changed_at, self.warm_at):
                 state.pop(instance_id, None)
 
 
--- a/bramblewood/controller/controller_peers.py
+++ b/bramblewood/controller/controller_peers.py
@@ -143,7 +143,7 @@
         unsent = self.sessions.take_unsent_details(peer, details)
         worker_ages = None
         if int(now / HEARTBEAT_INTERVAL) % HEARTBEATS_PER_WORKER_AGES == 0:
-            worker_ages = self.registry.seconds_since_heard(now, MAX_REPORTED_WORKER_AGE)
+            worker_ages = self.registry.contact_ages(now, MAX_REPORTED_WORKER_AGE)
         return heartbeat._replace(
             echo=self.sessions.times_to_echo.get(peer, NO_ECHO),
             peer_commitments=peer_commitments,
--- a/bramblewood/controller/introspection.py
+++ b/bramblewood/controller/introspection.py
@@ -82,7 +82,7 @@
         return {
             instance_id: {
                 **registration.to_view(),
-                "heard": round(now - self.registry.last_heard.get(instance_id, 0.0), 2),
+                "heard": round(now - self.registry.last_contact_at.get(instance_id, 0.0), 2),
                 "silent": instance_id in timed_out,
             }
             for instance_id, registration in self.registry.registrations.items()
--- a/bramblewood/controller/lease_calls.py
+++ b/bramblewood/controller/lease_calls.py
@@ -144,7 +144,7 @@
         self.consecutive_refusals[instance_id] = (
             self.consecutive_refusals.get(instance_id, 0) + 1 if is_refused else 0
         )
-        heartbeat_age = now - self.registry.last_heard.get(instance_id, 0.0)
+        heartbeat_age = now - self.registry.last_contact_at.get(instance_id, 0.0)
         return (
             registration is None
             or registration.phase == GONE
--- a/bramblewood/controller/load_reports.py
+++ b/bramblewood/controller/load_reports.py
@@ -25,7 +25,7 @@
         if report.table_version is not None:
             self.drain_progress.record_report(proxy, report.table_version, report.in_flight or {})
         # attributes are looked up once: there are hundreds of reports per second, each on hundreds of workers
-        last_heard, registrations = self.registry.last_heard, self.registry.registrations
+        last_contact_at, registrations = self.registry.last_contact_at, self.registry.registrations
         record_attempts, interval_start = self.outlier_detection.record_attempts, now - interval
         by_service: dict[str, list] = {service: [] for service in {**range_counts, **key_counts}}
         for instance_id, (attempts, unanswered, mean_time, load, *failures) in report.workers.items():
@@ -34,7 +34,7 @@
                 continue
             record_attempts(proxy, instance_id, attempts, sum(failures))
             if attempts > unanswered:
-                last_heard[instance_id] = max(last_heard.get(instance_id, 0.0), interval_start)
+                last_contact_at[instance_id] = max(last_contact_at.get(instance_id, 0.0), interval_start)
             by_service.setdefault(registration.service, []).append(
                 worker_report(instance_id, attempts, unanswered, mean_time, interval, load)
             )
--- a/bramblewood/controller/peer_handlers.py
+++ b/bramblewood/controller/peer_handlers.py
@@ -86,7 +86,7 @@
 
     def greeting(self, peer: str) -> dict[str, Any]:
         """The first message on each connection that this controller dials, in its wire form."""
-        ages = self.registry.seconds_since_heard(self.runtime.now(), math.inf)
+        ages = self.registry.contact_ages(self.runtime.now(), math.inf)
         rows = self.registry_exchange.all_rows()
         return Hello(ROLE_CONTROLLER, self.runtime.own_address, rows, ages).to_wire()
 
@@ -144,7 +144,7 @@
         # The digests are compared first, because `_learn_from_heartbeat` ignores peers whose content differs.
         if heartbeat.digests is not None or is_first_on_connection:
             self.divergence_monitor.record(peer, heartbeat.digests or {})
-        self.registry.record_last_heard(now, heartbeat.worker_ages or {})
+        self.registry.record_last_contacts(now, heartbeat.worker_ages or {})
         self._learn_from_heartbeat(now, peer, heartbeat)
         self.chosen_values.refresh()
         self.worker_api.check_confirmations()
--- a/features/steps/sessions.py
+++ b/features/steps/sessions.py
@@ -80,7 +80,7 @@
     sent = {}
     for name, registry in (("partitioned", partitioned), ("connected", connected)):
         rows = {instance_id: [*row] for instance_id, row in registry.registrations.items()}
-        sent[name] = (rows, registry.seconds_since_heard(12.0, 60.0))
+        sent[name] = (rows, registry.contact_ages(12.0, 60.0))
     changed_rows, _ = connected.record_all(12.0, *sent["partitioned"])
     partitioned.record_all(12.0, *sent["connected"])
     for registry in (partitioned, connected):
