--- a/bramblewood/common/connection_state.py
+++ b/bramblewood/common/connection_state.py
@@ -42,7 +42,7 @@
     """The outcome of one exchange. `answer` is the response if the outcome is `ANSWERED`, otherwise None."""
 
     outcome: AttemptOutcome
-    answer: WorkerResponse | None = None
+    response: WorkerResponse | None = None
 
 
 class WorkerConnectionState:
--- a/bramblewood/common/worker_connection.py
+++ b/bramblewood/common/worker_connection.py
@@ -122,9 +122,9 @@
                 self.state.on_timeout()
             if not self.is_reusable:
                 self.close()
-        if result.answer is not None:
+        if result.response is not None:
             self.idle_since = self.loop.time()
-            keep_alive = result.answer.headers_by_name.get("Keep-Alive", "")
+            keep_alive = result.response.headers_by_name.get("Keep-Alive", "")
             self.reusable_until = self.idle_since + keep_alive_seconds(keep_alive)
         return result
 
--- a/bramblewood/controller/worker_client.py
+++ b/bramblewood/controller/worker_client.py
@@ -70,9 +70,9 @@
             accepts_unnamed=True,
         )
         self._keep_or_close(address, connection)
-        if result.answer is None:
+        if result.response is None:
             return None
-        return WorkerAnswer(result.answer.status, result.answer.headers_by_name, is_first)
+        return WorkerAnswer(result.response.status, result.response.headers_by_name, is_first)
 
     def _take_idle(self, address: str, now: float) -> WorkerConnection | None:
         connections = self.idle_connections.get(address, [])
--- a/bramblewood/proxy/forwarding.py
+++ b/bramblewood/proxy/forwarding.py
@@ -73,7 +73,7 @@
             return attempts.fail(now, "no answer in time")
         self.attempts_by_outcome[result.outcome] += 1
         if result.outcome is AttemptOutcome.ANSWERED:
-            self._record_answer(now, instance_id, result.answer, now - started_at)
+            self._record_response(now, instance_id, result.response, now - started_at)
         else:
             self._record_failure(now, instance_id, result.outcome, attempts)
         return await self._final_reply(now, instance_id, result, attempts)
@@ -134,11 +134,11 @@
         proxy_count = self.retry_budget.proxy_count
         return idle_connection_quota(max_connections, proxy_count, self.proxy_name, instance_id, now)
 
-    def _record_answer(
+    def _record_response(
         self, now: float, instance_id: str, answer: WorkerResponse, response_time: float
     ) -> None:
         observation = self.load_balancer.observation(instance_id)
-        observation.record_answer(response_time)
+        observation.record_response(response_time)
         observation.answered_at = now
         observation.record_load(now, answer.headers_by_name.get("X-Server-Load", ""))
         if answer.status in (429, 503):
@@ -181,11 +181,11 @@
         from_replica = key is not None and instance_id in self.load_balancer.slices.replica_holders(
             service, key
         )
-        reply = attempts.attempt_finished(now, instance_id, result.outcome, result.answer, from_replica)
+        reply = attempts.attempt_finished(now, instance_id, result.outcome, result.response, from_replica)
         if key is None or not attempts.non_idempotent or result.outcome is not AttemptOutcome.ANSWERED:
             return reply
         replicated = self.sessions.configuration.services[service].read_replicas
-        succeeded = 200 <= result.answer.status < 300
+        succeeded = 200 <= result.response.status < 300
         if replicated and succeeded and not await self.invalidator.invalidate(attempts):
             return INVALIDATION_FAILED
         return reply
--- a/bramblewood/proxy/replica_invalidation_calls.py
+++ b/bramblewood/proxy/replica_invalidation_calls.py
@@ -97,4 +97,4 @@
             return False
         result = await connection.exchange(request, request_id, loop.time() + DROP_TIMEOUT)
         connection.close()
-        return result.outcome is AttemptOutcome.ANSWERED and result.answer.status == 200
+        return result.outcome is AttemptOutcome.ANSWERED and result.response.status == 200
--- a/bramblewood/proxy/worker_observations.py
+++ b/bramblewood/proxy/worker_observations.py
@@ -98,7 +98,7 @@
         else:
             self.hot_key_queue.raise_rate(now)
 
-    def record_answer(self, response_time: float) -> None:
+    def record_response(self, response_time: float) -> None:
         """Record a response, which ends the backoff. response_time: s."""
         self.attempts += 1
         self.response_time += response_time
--- a/features/steps/worker_connections.py
+++ b/features/steps/worker_connections.py
@@ -60,7 +60,9 @@
                 cut,
             )
             connection, result = receive_response(data, (cut,), is_head)
-            assert result.outcome is AttemptOutcome.ANSWERED and result.answer.body == row["body"].encode(), (
+            assert (
+                result.outcome is AttemptOutcome.ANSWERED and result.response.body == row["body"].encode()
+            ), (
                 data,
                 cut,
             )
@@ -69,11 +71,11 @@
                 cut,
             )
         connection, result = receive_response(data, tuple(range(1, len(data))), is_head)
-        assert result.answer.body == row["body"].encode() and connection.is_reusable
+        assert result.response.body == row["body"].encode() and connection.is_reusable
         for surplus_length in range(1, len(surplus) + 1):
             connection, result = receive_response(data + surplus[:surplus_length], (), is_head)
             assert (
-                result.answer.body == row["body"].encode() and connection.phase is ConnectionPhase.UNUSABLE
+                result.response.body == row["body"].encode() and connection.phase is ConnectionPhase.UNUSABLE
             ), surplus_length
             connection, result = receive_response(data + surplus[:surplus_length], (len(data),), is_head)
             assert connection.phase is ConnectionPhase.UNUSABLE, surplus_length
--- a/tests/simulation/worker_connections.py
+++ b/tests/simulation/worker_connections.py
@@ -172,7 +172,7 @@
         ):
             attempts.route = attempts.route._replace(pure=True)
         reply = attempts.attempt_finished(
-            self.now[name], connection.instance_id, result.outcome, result.answer
+            self.now[name], connection.instance_id, result.outcome, result.response
         )
         recorded_reply = reply and (reply.status, reply.response and reply.response.body)
         record_event("reply", self.now[name], name, connection.number, recorded_reply)
--- a/tests/test_malformed_messages.py
+++ b/tests/test_malformed_messages.py
@@ -69,7 +69,7 @@
     balancer.slices.drain_steps = {"w1": "told", "w3": "closing"}
     for number, load in enumerate(("", "1,0,4", "7,12,4", "9" * 30 + ",1,1", "none")):
         observation = balancer.observation(f"w{number}")
-        observation.record_answer(0.5)
+        observation.record_response(0.5)
         observation.record_failure(1.0, number == 1)
         observation.record_load(1.5, load)
         observation.request_started(1.5, number == 3)
