--- a/bramblewood/cli/explain.py
+++ b/bramblewood/cli/explain.py
@@ -71,7 +71,7 @@
         write_result(found, as_json, [f"{revision}: no route of {host} begins {path}: 404"])
         sys.exit(PROBLEM_FOUND)
     service = route.choose_service(request)
-    keyed = configuration.services[service].sharded
+    keyed = configuration.services[service].keyed
     registrations = get_view(controller, boot, WORKERS_VIEW)
     load_balancer = load_balancer_from(registrations, get_view(controller, boot, "table"))
     slice_key = key if keyed else load_balancer.hash_request_id(request)
--- a/bramblewood/common/configuration.py
+++ b/bramblewood/common/configuration.py
@@ -13,14 +13,14 @@
     label: str
     host: str
     path_prefix: str
-    pure: bool  # whether its requests are idempotent
+    is_idempotent: bool  # whether its requests are idempotent
     timeout: float
     latency_target: float
     priority: int  # 0 is the highest
     max_attempts: int
     targets: tuple[tuple[str, float], ...]
-    # whether requests with the same `X-Shard-Key` are sent to the same worker, if the service is not sharded
-    pinned: bool = False
+    # whether requests with the same `X-Shard-Key` are sent to the same worker, if the service is not keyed
+    has_client_affinity: bool = False
 
     def choose_service(self, request_id: str) -> str:
         """Return the service for a request id. The id alone decides it, by the shares of the targets."""
@@ -39,7 +39,7 @@
     label: str
     health_path: str
     max_connections: int  # to each worker, from all proxies together; 0 for no limit
-    sharded: bool  # whether requests are assigned to slices by their `X-Shard-Key`
+    keyed: bool  # whether requests are assigned to slices by their `X-Shard-Key`
     warm_up_seconds: float  # how long a worker is slow for keys that it received without a handover
     read_replicas: bool = False  # whether replicas may serve reads
 
--- a/bramblewood/common/configuration_parser.py
+++ b/bramblewood/common/configuration_parser.py
@@ -148,7 +148,7 @@
             label=record["Label"],
             health_path=record.get("HealthPath", "/health"),
             max_connections=record.get("MaxConns", 100),
-            sharded=record.get("Sharded", False),
+            keyed=record.get("Sharded", False),
             warm_up_seconds=record.get("WarmS", 0.0),
             read_replicas=record.get("ReadCopies", False),
         )
@@ -219,13 +219,13 @@
             label=record["Label"],
             host=record["Hostname"].lower(),
             path_prefix=path_prefix,
-            pure=record["RouteType"] == PURE,
+            is_idempotent=record["RouteType"] == PURE,
             timeout=timeout,
             latency_target=record.get("TargetLatencyS", timeout),
             priority=record.get("Priority", 0),
             max_attempts=record.get("MaxAttempts", 1),
             targets=targets.ok_value,
-            pinned=record.get("Pinned", False),
+            has_client_affinity=record.get("Pinned", False),
         )
     )
 
--- a/bramblewood/common/slice_table.py
+++ b/bramblewood/common/slice_table.py
@@ -2,7 +2,7 @@
 
 Controllers agree on the table, and proxies follow it. It has the form
 `{"n": version, "s": {service: {first key: row}}}`. A slice contains the keys from its first key up to the
-next slice's first key. The last slice extends to the end of the key space. The requests of a sharded service
+next slice's first key. The last slice extends to the end of the key space. The requests of a keyed service
 state their keys. For other services the key is a hash of the request id.
 
 On the wire and on disk a row is a list of the following values:
--- a/bramblewood/controller/coordinator_loop.py
+++ b/bramblewood/controller/coordinator_loop.py
@@ -63,7 +63,7 @@
             return
         table = self.quorum_io.consensus.value(TABLE)
         services = configuration.services
-        keyed_services = {name for name, service in services.items() if service.sharded}
+        keyed_services = {name for name, service in services.items() if service.keyed}
         if table is not None:
             self._renew_leases(now, table, keyed_services)
             if worker_drains_of(table) and not self.is_proposing:
--- a/bramblewood/controller/placement/__init__.py
+++ b/bramblewood/controller/placement/__init__.py
@@ -5,7 +5,7 @@
 table.
 
 A slice is a range of keys and is identified by its first key. The heat of a slice is the policy's estimate
-of the requests per second that it receives. A keyed service (`Service.sharded`) is sliced by the keys of its
+of the requests per second that it receives. A keyed service (`Service.keyed`) is sliced by the keys of its
 requests, and each of its slices has one owner at a time. Other services are sliced by a hash of the request
 id.
 
--- a/bramblewood/controller/placement/planner.py
+++ b/bramblewood/controller/placement/planner.py
@@ -101,7 +101,7 @@
             if not self._can_plan(now, name, rows, ready_count, registry):
                 continue
             slice_count = len(rows) if rows else initial_slice_count(ready_count)
-            placement = self._get_or_create_placement(name, service.sharded, slice_count, latency_targets)
+            placement = self._get_or_create_placement(name, service.keyed, slice_count, latency_targets)
             workers = _service_workers(registrations, timed_out, out_of_use, registry.warm_at)
             worker_reports = self._worker_reports.pop(name, [])
             service_changes = placement.plan_changes(
--- a/bramblewood/proxy/request_attempts.py
+++ b/bramblewood/proxy/request_attempts.py
@@ -91,7 +91,7 @@
     @property
     def non_idempotent(self) -> bool:
         """Whether the request must not run twice."""
-        return not self.route.pure
+        return not self.route.is_idempotent
 
     def next_step(
         self, now: float, load_balancer: LoadBalancer, retry_budget: RetryBudget
@@ -127,7 +127,7 @@
             if instance_id:
                 return instance_id
         return load_balancer.choose_worker(
-            now, self.service, self.key, self.request_id, self.tried, self.route.pure
+            now, self.service, self.key, self.request_id, self.tried, self.route.is_idempotent
         )
 
     def _wait_for_worker(self, now: float, load_balancer: LoadBalancer) -> WaitUntil | FinalReply:
@@ -160,7 +160,7 @@
                 queue.record_arrival(now)
         if queue is None:
             return None
-        if self.route.pure:
+        if self.route.is_idempotent:
             latest = min(self.started_at + HOT_KEY_WAIT_FRACTION * self.route.latency_target, self.deadline)
             send_at = queue.turn_at(now, self.request_id, (self.route.priority, self.started_at), latest)
             if send_at is None:
@@ -238,8 +238,8 @@
             return None
         if 200 <= response.status < 300 and not is_valid_success_response(response):
             self.may_have_run = True  # an intermediary may have generated or changed the response
-            return None if self.route.pure else self.fail(now, "the worker's answer is not whole")
-        if response.status >= 500 and self.route.pure:
+            return None if self.route.is_idempotent else self.fail(now, "the worker's answer is not whole")
+        if response.status >= 500 and self.route.is_idempotent:
             self.last_response = response
             return None
         if response.status in STATUSES_PROMISING_NOT_RUN and self.non_idempotent:
--- a/bramblewood/proxy/request_handler.py
+++ b/bramblewood/proxy/request_handler.py
@@ -110,7 +110,7 @@
         attempts = RequestAttempts(
             started_at, routed.route, routed.service, routed.key, routed.request_id, routed.time_left
         )
-        if routed.route.pinned and routed.key is None:
+        if routed.route.has_client_affinity and routed.key is None:
             attempts.affinity_key = request.headers.get("X-Shard-Key", "")
         try:
             reply = await self._attempt_until_answered(request, body, attempts)
@@ -152,7 +152,7 @@
         request_id = request_id or f"{self.settings.name}-{os.urandom(8).hex()}"
         service = route.choose_service(request_id)
         key = None
-        if configuration.services[service].sharded:
+        if configuration.services[service].keyed:
             key = parse_integer(headers.get("X-Shard-Key", ""))
             if key is None or key >= KEY_SPACE_SIZE:
                 expected = f"X-Shard-Key: expected a number from 0 to {KEY_SPACE_SIZE - 1}"
--- a/tests/simulation/worker_connections.py
+++ b/tests/simulation/worker_connections.py
@@ -170,7 +170,7 @@
             self.removed_guard == "non-idempotent requests not retried"
             and result.outcome is AttemptOutcome.CONNECTION_BROKEN
         ):
-            attempts.route = attempts.route._replace(pure=True)
+            attempts.route = attempts.route._replace(is_idempotent=True)
         reply = attempts.attempt_finished(
             self.now[name], connection.instance_id, result.outcome, result.response
         )
