--- a/bramblewood/common/connection_state.py
+++ b/bramblewood/common/connection_state.py
@@ -52,7 +52,8 @@
         self.phase, self.parser = ConnectionPhase.IDLE, ResponseParser()
         self.request_id, self.bytes_received = "", 0
         self.foreign_response_seen = False  # a response to another request arrived on this connection
-        self.accepts_unnamed = False  # whether a response without an id is accepted for the request in flight
+        # whether a response without an id is accepted for the request in flight
+        self.accepts_missing_id = False
         self.requests_sent = 0
 
     @property
@@ -65,17 +66,17 @@
         """Whether a request is in flight on the connection."""
         return self.phase in (ConnectionPhase.AWAITING_RESPONSE, ConnectionPhase.READING_RESPONSE)
 
-    def begin_request(self, request_id: str, head_request: bool, accepts_unnamed: bool = False) -> bool:
+    def begin_request(self, request_id: str, is_head_request: bool, accepts_missing_id: bool = False) -> bool:
         """Start an exchange. Returns False if the request must not be sent on this connection.
 
-        `request_id` is the request's `X-Attempt-Id`. `head_request` states that its method is HEAD, so that
-        its response has no body. `accepts_unnamed` states that a response without an id is accepted too. The
-        caller must then check that such a response is not the response to an earlier request.
+        `request_id` is the request's `X-Attempt-Id`. `is_head_request` states that its method is HEAD, so
+        that its response has no body. `accepts_missing_id` states that a response without an id is accepted
+        too. The caller must then check that such a response is not the response to an earlier request.
         """
         if not self.is_reusable:
             return False
         self.phase, self.request_id, self.bytes_received = ConnectionPhase.AWAITING_RESPONSE, request_id, 0
-        self.parser.head_request, self.accepts_unnamed = head_request, accepts_unnamed
+        self.parser.is_head_request, self.accepts_missing_id = is_head_request, accepts_missing_id
         self.requests_sent += 1
         return True
 
@@ -122,7 +123,7 @@
             response_id = response.headers_by_name.get(ATTEMPT_ID_HEADER)
             if response_id == self.request_id:
                 return response
-            if response_id is None and self.accepts_unnamed:
+            if response_id is None and self.accepts_missing_id:
                 return response
             if response_id is None:
                 raise MalformedResponse("response without X-Attempt-Id")
--- a/bramblewood/common/response_parser.py
+++ b/bramblewood/common/response_parser.py
@@ -101,14 +101,15 @@
 class ResponseParser:
     """Parses the responses on one connection, in the order of their arrival.
 
-    `head_request` states that the request's method is HEAD, so that its response has no body. `response_head`
-    is the head of the response that is being read, or None until that head is complete. `bytes_needed` is the
-    length of the body, or of the current chunk with its line end; it is None until the size of the chunk is
-    known. `chunks` contains the chunks received so far, or is None if the body is not chunked.
+    `is_head_request` states that the request's method is HEAD, so that its response has no body.
+    `response_head` is the head of the response that is being read, or None until that head is complete.
+    `bytes_needed` is the length of the body, or of the current chunk with its line end; it is None until the
+    size of the chunk is known. `chunks` contains the chunks received so far, or is None if the body is not
+    chunked.
     """
 
     def __init__(self) -> None:
-        self.buffer, self.head_request = bytearray(), False
+        self.buffer, self.is_head_request = bytearray(), False
         self.response_head: WorkerResponse | None = None
         self.bytes_needed: int | None = 0
         self.chunks: list[bytes] | None = None
@@ -172,7 +173,7 @@
         head = parse_head(text)
         is_chunked, length = check_framing(head)
         self.bytes_needed, self.chunks = length or 0, None
-        if self.head_request or head.status < 200 or head.status in (204, 304):
+        if self.is_head_request or head.status < 200 or head.status in (204, 304):
             self.bytes_needed = 0
         elif is_chunked:
             self.bytes_needed, self.chunks = None, []
--- a/bramblewood/common/worker_connection.py
+++ b/bramblewood/common/worker_connection.py
@@ -99,15 +99,17 @@
         request: bytes,
         request_id: str,
         deadline: float,
-        head_request: bool = False,
-        accepts_unnamed: bool = False,
+        is_head_request: bool = False,
+        accepts_missing_id: bool = False,
     ) -> ExchangeResult:
         """Send a request once, and return the result of the exchange.
 
-        `deadline` is in s of the loop's clock. `head_request` and `accepts_unnamed` are those of
+        `deadline` is in s of the loop's clock. `is_head_request` and `accepts_missing_id` are those of
         `WorkerConnectionState.begin_request`.
         """
-        if not self.is_reusable or not self.state.begin_request(request_id, head_request, accepts_unnamed):
+        if not self.is_reusable or not self.state.begin_request(
+            request_id, is_head_request, accepts_missing_id
+        ):
             return ExchangeResult(AttemptOutcome.NOT_SENT)
         pending = self.pending_exchange = self.loop.create_future()
         self.transport.write(request)
--- a/bramblewood/controller/worker_client.py
+++ b/bramblewood/controller/worker_client.py
@@ -67,7 +67,7 @@
             encode_request(address, path, headers, body),
             headers["X-Attempt-Id"],
             loop.time() + ANSWER_TIMEOUT,
-            accepts_unnamed=True,
+            accepts_missing_id=True,
         )
         self._keep_or_close(address, connection)
         if result.response is None:
--- a/bramblewood/proxy/forwarding.py
+++ b/bramblewood/proxy/forwarding.py
@@ -105,8 +105,8 @@
         attempts.used_connections.add(connection.number)
         idle_time = now - connection.idle_since if connection.idle_since else 0.0
         message = request_head(request, body, attempts, instance_id, now) + body
-        head_request = request.method == "HEAD"
-        result = await connection.exchange(message, attempts.request_id, attempts.deadline, head_request)
+        is_head_request = request.method == "HEAD"
+        result = await connection.exchange(message, attempts.request_id, attempts.deadline, is_head_request)
         if result.outcome is AttemptOutcome.CONNECTION_BROKEN and idle_time:
             self._check_dead_connection(now, instance_id, idle_time, loop.time() - now)
         self._release(now, attempts.service, instance_id, connection)
--- a/tests/simulation/worker_connections.py
+++ b/tests/simulation/worker_connections.py
@@ -444,14 +444,14 @@
 
 
 def receive_response(
-    data: bytes, cuts: tuple[int, ...] = (), head_request: bool = False
+    data: bytes, cuts: tuple[int, ...] = (), is_head_request: bool = False
 ) -> tuple[WorkerConnectionState, ExchangeResult | None]:
     """Receive these bytes, in pieces that begin at the indexes `cuts`, as the response to the request "r".
 
     Returns the state of the connection, and the result of the exchange or None.
     """
     connection, result = WorkerConnectionState(), None
-    connection.begin_request("r", head_request)
+    connection.begin_request("r", is_head_request)
     for start, end in zip((0, *cuts), (*cuts, len(data)), strict=True):
         result = connection.on_data(data[start:end]) or result
     return connection, result
