--- a/bramblewood/common/timeouts.py
+++ b/bramblewood/common/timeouts.py
@@ -28,7 +28,7 @@
 CONFIRMATION_VALIDITY = REPLICA_ANNOUNCEMENT_DELAY - QUORUM_CONTACT_VALIDITY - MAX_TRANSIT_TIME
 
 
-def lease_expiry(duration: float) -> float:
+def lease_expiry_delay(duration: float) -> float:
     """Return the time in s after which every lease that rests on an older table has expired.
 
     The time runs from the moment at which a change of the table is known. `duration` is the duration of each
@@ -41,4 +41,5 @@
     return QUORUM_CONTACT_VALIDITY + MAX_CALL_TRANSIT + duration * CLOCK_DRIFT_FACTOR
 
 
-READ_LEASE_EXPIRY = lease_expiry(READ_LEASE_DURATION)  # s until no replica of a removed reader can be read
+# s until no replica of a removed reader can be read
+READ_LEASE_EXPIRY_DELAY = lease_expiry_delay(READ_LEASE_DURATION)
--- a/bramblewood/controller/key_leases.py
+++ b/bramblewood/controller/key_leases.py
@@ -11,7 +11,7 @@
 - Another instance answers at the address of the previous owner.
 - The port of the previous owner refuses connections, and its deregistration or missing heartbeats confirm
   that it has ended.
-- The longest grant that any controller can have sent has expired (`KeyLeases.expiry_wait`).
+- The longest grant that any controller can have sent has expired (`KeyLeases.lease_expiry_delay`).
 
 Invariant: two workers never hold a lease on the same key. Three bounds ensure it:
 
@@ -34,7 +34,7 @@
 from typing import Any, Literal, NamedTuple
 
 from ..common.slice_table import KEY_SPACE_SIZE, Row, SliceEntry, sorted_starts
-from ..common.timeouts import lease_expiry
+from ..common.timeouts import lease_expiry_delay
 from ..common.worker_registry import GONE, WorkerRegistry
 
 # Duration of a grant as a fraction of HoldMaxS. With a larger fraction, workers keep their keys during a
@@ -138,9 +138,9 @@
         self.calls_in_flight: set[CallId] = set()
 
     @property
-    def expiry_wait(self) -> float:
+    def lease_expiry_delay(self) -> float:
         """Time (s) from learning of a change until all grants based on an older table have expired."""
-        return lease_expiry(self.lease_duration)
+        return lease_expiry_delay(self.lease_duration)
 
     def next_calls(
         self, now: float, table: dict[str, Any], keyed: set[str], registry: WorkerRegistry
@@ -164,7 +164,7 @@
                     pending = pending_release(run)
                     pending_releases.add(pending)
                     pending_since = self.release_pending_since.setdefault(pending, now)
-                    if now >= pending_since + self.expiry_wait:
+                    if now >= pending_since + self.lease_expiry_delay:
                         released.append(
                             ReleasedKeys(
                                 service, run.starts, pending.fencing_token, pending.previous_owner, ""
--- a/bramblewood/controller/lease_calls.py
+++ b/bramblewood/controller/lease_calls.py
@@ -120,7 +120,7 @@
         if sent_at >= send_by:
             return NO_ANSWER, ""
         body = {"Source": call.first_key, "TargetVersion": call.last_key, "fence": call.fencing_token}
-        timeout = self.key_leases.expiry_wait
+        timeout = self.key_leases.lease_expiry_delay
         if call.kind == GRANT:
             body["HoldS"] = call.duration
             if call.handover:
--- a/bramblewood/controller/read_replicas.py
+++ b/bramblewood/controller/read_replicas.py
@@ -24,7 +24,7 @@
 from typing import Any, NamedTuple
 
 from ..common.slice_table import READERS, Row, SliceEntry, active_readers, all_readers, with_readers
-from ..common.timeouts import READ_LEASE_DURATION, READ_LEASE_EXPIRY, REPLICA_ANNOUNCEMENT_DELAY
+from ..common.timeouts import READ_LEASE_DURATION, READ_LEASE_EXPIRY_DELAY, REPLICA_ANNOUNCEMENT_DELAY
 from ..common.worker_registry import READY, WorkerRegistry
 from ..policy.parameters import CAPACITY_LIMIT
 from .key_leases import RENEWAL_FRACTION, RETRY_DELAY
@@ -125,7 +125,7 @@
             if row is None:
                 continue
             if reader.version < 0:
-                if now >= since + READ_LEASE_EXPIRY:
+                if now >= since + READ_LEASE_EXPIRY_DELAY:
                     expired.append(reader)
                 continue
             lease = self._lease_for(reader, SliceEntry.decode(row), registry)
--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -99,7 +99,7 @@
         runtime, quorum_io = self.runtime, self.quorum_io
         self.key_leases = KeyLeases(runtime.settings.bounds.HoldMaxS)
         self.read_replicas, self.outlier_detection = ReadReplicas(), OutlierDetection()
-        self.drain_progress = DrainProgress(self.key_leases.expiry_wait)
+        self.drain_progress = DrainProgress(self.key_leases.lease_expiry_delay)
         self.chosen_values = ChosenValues(
             runtime, quorum_io, self.proxy_feed, self.read_replicas, self.outlier_detection
         )
--- a/bramblewood/proxy/replica_invalidation.py
+++ b/bramblewood/proxy/replica_invalidation.py
@@ -13,7 +13,7 @@
 
 from typing import NamedTuple
 
-from ..common.timeouts import CONFIRMATION_VALIDITY, READ_LEASE_EXPIRY
+from ..common.timeouts import CONFIRMATION_VALIDITY, READ_LEASE_EXPIRY_DELAY
 
 
 class ConfirmTable(NamedTuple):
@@ -75,4 +75,4 @@
 
     def readers_removed(self, now: float, instance_ids: tuple[str, ...]) -> None:
         """Record that the controllers have agreed to remove these readers from the slice."""
-        self.lease_expiry.update(dict.fromkeys(instance_ids, now + READ_LEASE_EXPIRY))
+        self.lease_expiry.update(dict.fromkeys(instance_ids, now + READ_LEASE_EXPIRY_DELAY))
--- a/features/steps/read_replicas.py
+++ b/features/steps/read_replicas.py
@@ -40,7 +40,7 @@
     "within {count:d} simulations"
 )
 def stale_read_without_lease_expiry(context, count):
-    with mock.patch.object(replica_invalidation, "READ_LEASE_EXPIRY", 0.0):
+    with mock.patch.object(replica_invalidation, "READ_LEASE_EXPIRY_DELAY", 0.0):
         assert has_stale_read(count)
 
 
--- a/tests/simulation/key_lease_orders.py
+++ b/tests/simulation/key_lease_orders.py
@@ -62,7 +62,7 @@
             case "retry delay", _:
                 self.now += RETRY_DELAY
             case "expiry wait", _:  # it exceeds any transit time, so all messages in transit are lost
-                self.now += self.controllers["a"].expiry_wait
+                self.now += self.controllers["a"].lease_expiry_delay
                 for _, name, call, sent_at, *_ in self.messages:
                     self.deliver_answer(name, call, sent_at, NO_ANSWER)
                 self.messages = []
--- a/tests/simulation/key_leases.py
+++ b/tests/simulation/key_leases.py
@@ -206,7 +206,7 @@
             return
         is_late = call.kind == RELEASE and self.occurs(0.2)
         self.late_answers += is_late
-        max_delay = self.controllers[name].expiry_wait if is_late else 2 * STEP
+        max_delay = self.controllers[name].lease_expiry_delay if is_late else 2 * STEP
         self.schedule(max_delay, self.deliver_answer, name, call, sent_at, status)
 
     def deliver_answer(self, name: str, call: LeaseCall, sent_at: float, status: int) -> None:
