--- a/bramblewood/common/timeouts.py
+++ b/bramblewood/common/timeouts.py
@@ -14,7 +14,7 @@
 # the longest transit of a call without retransmissions; `ThawSlackS` allows the same time after a freeze
 MAX_TRANSIT_TIME = 0.3
 # a worker is silent if no heartbeat of it arrives for this many of its heartbeat intervals
-MISSED_HEARTBEATS = 3.2
+HEARTBEATS_UNTIL_SILENT = 3.2
 # the longest time from sending a call to its arrival, with retransmissions: TCP retransmits packets until
 # the socket times out
 MAX_CALL_TRANSIT = UNACKNOWLEDGED_TIMEOUT_MS / 1000 + MAX_TRANSIT_TIME
--- a/bramblewood/controller/registry_exchange.py
+++ b/bramblewood/controller/registry_exchange.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from ..common.messages import RegistryUpdate
-from ..common.timeouts import MISSED_HEARTBEATS
+from ..common.timeouts import HEARTBEATS_UNTIL_SILENT
 from ..common.worker_registry import READY, WorkerRegistration, WorkerRegistry
 from .proxy_sessions import ProxySessions, departing_rows
 from .runtime import Runtime
@@ -73,8 +73,10 @@
         return {instance_id: [*row] for instance_id, row in self.registry.registrations.items()}
 
     def timed_out_workers(self, now: float) -> set[str]:
-        """The instance ids of workers that no controller has heard for MISSED_HEARTBEATS heartbeat intervals.
+        """The ids of workers that no controller has heard for HEARTBEATS_UNTIL_SILENT heartbeat intervals.
 
         Workers whose phase is GONE are left out.
         """
-        return self.registry.timed_out(now, MISSED_HEARTBEATS * self.runtime.settings.heartbeat_interval)
+        return self.registry.timed_out(
+            now, HEARTBEATS_UNTIL_SILENT * self.runtime.settings.heartbeat_interval
+        )
--- a/bramblewood/proxy/registry_freshness.py
+++ b/bramblewood/proxy/registry_freshness.py
@@ -17,7 +17,7 @@
 from collections.abc import Collection
 
 from ..common.messages import ProxyHeartbeat
-from ..common.timeouts import MISSED_HEARTBEATS
+from ..common.timeouts import HEARTBEATS_UNTIL_SILENT
 from ..common.worker_registry import WorkerRegistry
 
 MISMATCH_TOLERANCE = 2.0  # s for which registries may differ while updates are in transit
@@ -31,7 +31,7 @@
     def __init__(self, registry: WorkerRegistry, heartbeat_interval: float) -> None:
         """heartbeat_interval: s between heartbeats of a worker."""
         self.registry = registry
-        self.heartbeat_timeout = MISSED_HEARTBEATS * heartbeat_interval
+        self.heartbeat_timeout = HEARTBEATS_UNTIL_SILENT * heartbeat_interval
         self.unconfirmed: set[str] = set()  # registered as live here, but at no controller
         self.absent_since: dict[str, float] = {}  # by instance id: when a complete registry first lacked it
         self.differing_since: float | None = None  # when the digests began to differ
