--- a/bramblewood/common/messages/with_proxies.py
+++ b/bramblewood/common/messages/with_proxies.py
@@ -169,7 +169,7 @@
 class ConfirmationRequest(NamedTuple):
     """A proxy asks a controller which versions are the newest."""
 
-    asked_at: float  # on the proxy's clock; the Confirmation contains it again
+    requested_at: float  # on the proxy's clock; the Confirmation contains it again
 
     @classmethod
     def from_wire(cls, message: dict) -> "ConfirmationRequest":
@@ -178,13 +178,13 @@
 
     def to_wire(self) -> dict[str, Any]:
         """Return the JSON object of the message."""
-        return {"k": kinds.CONFIRMATION_REQUEST, "t": self.asked_at}
+        return {"k": kinds.CONFIRMATION_REQUEST, "t": self.requested_at}
 
 
 class Confirmation(NamedTuple):
     """A current controller states which versions are the newest."""
 
-    asked_at: float  # that of the ConfirmationRequest
+    requested_at: float  # that of the ConfirmationRequest
     versions: Versions
 
     @classmethod
@@ -195,7 +195,7 @@
 
     def to_wire(self) -> dict[str, Any]:
         """Return the JSON object of the message."""
-        return {"k": kinds.CONFIRMATION, "t": self.asked_at, "n": self.versions}
+        return {"k": kinds.CONFIRMATION, "t": self.requested_at, "n": self.versions}
 
 
 class RemoveReaders(NamedTuple):
--- a/bramblewood/controller/peer_handlers.py
+++ b/bramblewood/controller/peer_handlers.py
@@ -231,7 +231,7 @@
         """Send a proxy the newest chosen versions, if this controller is current; otherwise send nothing."""
         if self.quorum_contact.is_current(self.runtime.now()):
             request = ConfirmationRequest.from_wire(message)
-            connection.send(Confirmation(request.asked_at, self.quorum_io.versions()).to_wire())
+            connection.send(Confirmation(request.requested_at, self.quorum_io.versions()).to_wire())
 
     def handle_remove_readers(self, connection: PeerConnection, message: dict) -> None:
         """Propose to remove unresponsive workers from the read replicas of a key, as a proxy requests.
--- a/bramblewood/proxy/controller_selection.py
+++ b/bramblewood/proxy/controller_selection.py
@@ -157,11 +157,11 @@
         The slice table is confirmed if it is the newest. The proxy becomes ready if all its versions are the
         newest, if the controller is the source of its registry and if the confirmation is still valid.
         """
-        newest, asked_at = confirmation.versions, confirmation.asked_at
+        newest, requested_at = confirmation.versions, confirmation.requested_at
         if newest.get("table", math.inf) <= known_versions["table"]:
-            self.table_confirmed_at = max(self.table_confirmed_at, asked_at)
+            self.table_confirmed_at = max(self.table_confirmed_at, requested_at)
         has_newest = all(known_versions.values()) and all(
             newest.get(register, math.inf) <= version for register, version in known_versions.items()
         )
-        if has_newest and peer == self.registry_source and now < asked_at + CONFIRMATION_VALIDITY:
+        if has_newest and peer == self.registry_source and now < requested_at + CONFIRMATION_VALIDITY:
             self.is_ready = True
