--- a/bramblewood/common/slice_table.py
+++ b/bramblewood/common/slice_table.py
@@ -24,7 +24,7 @@
 
 from typing import Any, NamedTuple
 
-WORKER, SECOND, SECOND_SHARE, FENCING_TOKEN, HANDOVER, PREVIOUS_OWNER = range(6)  # indexes in a row
+WORKER, SECOND_WORKER, SECOND_SHARE, FENCING_TOKEN, HANDOVER, PREVIOUS_OWNER = range(6)  # indexes in a row
 READERS = 6  # index of the readers, in a row that has them
 ROW_LENGTHS = (READERS, READERS + 1)
 # the steps of a worker in a drain plan, as they are stored and sent
--- a/bramblewood/proxy/load_balancing.py
+++ b/bramblewood/proxy/load_balancing.py
@@ -14,8 +14,8 @@
     DRAIN_ANNOUNCED,
     KEY_SPACE_SIZE,
     PREVIOUS_OWNER,
-    SECOND,
     SECOND_SHARE,
+    SECOND_WORKER,
     WORKER,
     active_readers,
 )
@@ -222,7 +222,7 @@
         """
         candidates = [
             instance_id
-            for instance_id in (entry[WORKER], entry[SECOND])
+            for instance_id in (entry[WORKER], entry[SECOND_WORKER])
             if instance_id and instance_id not in excluded and self.is_available(now, instance_id)
         ]
         drain_steps = self.slices.drain_steps
