--- a/bramblewood/common/slice_table.py
+++ b/bramblewood/common/slice_table.py
@@ -29,7 +29,7 @@
 ROW_LENGTHS = (READERS, READERS + 1)
 # the steps of a worker in a drain plan, as they are stored and sent
 DRAIN_ANNOUNCED, DRAIN_IN_PROGRESS, DRAINED, OUT_OF_SERVICE = "told", "closing", "closed", "out"
-UNASSIGNED = ["", "", 0.0, 0, "", ""]  # the row of a slice that is not assigned to a worker
+UNASSIGNED_ROW = ["", "", 0.0, 0, "", ""]  # the row of a slice that is not assigned to a worker
 KEY_SPACE_SIZE = 65536
 KEYS_PER_RANGE = 8  # keys in a range; requests are counted by range, except in ranges that are watched
 NO_READERS: dict[str, int] = {}  # shared by all entries without readers, so it must not be modified
--- a/bramblewood/controller/placement/slice_changes.py
+++ b/bramblewood/controller/placement/slice_changes.py
@@ -16,7 +16,7 @@
     FENCING_TOKEN,
     KEY_SPACE_SIZE,
     READERS,
-    UNASSIGNED,
+    UNASSIGNED_ROW,
     Row,
     SliceEntry,
     active_readers,
@@ -74,7 +74,7 @@
 
 def initial_rows(count: int) -> dict[str, Row]:
     """Return the rows of `count` equal slices without a worker, by first key."""
-    return {str(i * KEY_SPACE_SIZE // count): UNASSIGNED for i in range(count)}
+    return {str(i * KEY_SPACE_SIZE // count): UNASSIGNED_ROW for i in range(count)}
 
 
 def with_assignment(row: Row, assignment: Assignment, keyed: bool, version: int) -> Row:
