--- a/bramblewood/cli/leases.py
+++ b/bramblewood/cli/leases.py
@@ -2,7 +2,7 @@
 
 import click
 
-from ..common.slice_table import SliceEntry, sorted_starts
+from ..common.slice_table import SliceEntry, sorted_first_keys
 from .controller_client import get_view
 from .options import BOOT, CONTROLLER, JSON
 from .output import write_result
@@ -16,7 +16,7 @@
     expiry = {(grant["service"], grant["from"], grant["life"]): grant["until"] for grant in grants}
     rows = []
     for service, entries in sorted(table["s"].items()):
-        for start in sorted_starts(entries):
+        for start in sorted_first_keys(entries):
             entry = SliceEntry.decode(entries[str(start)])
             rows.append(
                 {
--- a/bramblewood/common/slice_table.py
+++ b/bramblewood/common/slice_table.py
@@ -103,6 +103,6 @@
     return [*row[:READERS], *([versions] if versions else [])]
 
 
-def sorted_starts(entries: dict[str, Row]) -> list[int]:
+def sorted_first_keys(entries: dict[str, Row]) -> list[int]:
     """Return the first keys of a service's slices as integers, in ascending order."""
     return sorted(map(int, entries))
--- a/bramblewood/controller/key_leases.py
+++ b/bramblewood/controller/key_leases.py
@@ -33,7 +33,7 @@
 from http import HTTPStatus
 from typing import Any, Literal, NamedTuple
 
-from ..common.slice_table import KEY_SPACE_SIZE, Row, SliceEntry, sorted_starts
+from ..common.slice_table import KEY_SPACE_SIZE, Row, SliceEntry, sorted_first_keys
 from ..common.timeouts import lease_expiry_delay
 from ..common.worker_registry import GONE, WorkerRegistry
 
@@ -274,7 +274,7 @@
     """
     starts: list[int] = []
     first: SliceEntry | None = None
-    for start in sorted_starts(entries):
+    for start in sorted_first_keys(entries):
         entry = SliceEntry.decode(entries[str(start)])
         if first is not None and lease_terms(entry) != lease_terms(first):
             yield SliceRun(service, tuple(starts), start - 1, first)
--- a/bramblewood/proxy/slice_lookup.py
+++ b/bramblewood/proxy/slice_lookup.py
@@ -6,7 +6,7 @@
 from bisect import bisect_right
 
 from ..common.messages import TableUpdate
-from ..common.slice_table import FENCING_TOKEN, all_readers, sorted_starts
+from ..common.slice_table import FENCING_TOKEN, all_readers, sorted_first_keys
 
 
 class SliceLookup:
@@ -33,7 +33,7 @@
             return True
         if update.base is None:
             self.table = update.services
-            self.starts = {service: sorted_starts(entries) for service, entries in self.table.items()}
+            self.starts = {service: sorted_first_keys(entries) for service, entries in self.table.items()}
         elif update.base > self.version:
             return False
         else:
@@ -49,7 +49,7 @@
         new_slices = changes.keys() - entries.keys()
         entries.update(changes)
         if new_slices:
-            self.starts[service] = sorted_starts(entries)
+            self.starts[service] = sorted_first_keys(entries)
 
     def entry(self, service: str, key: int) -> list | None:
         """Return the entry of the slice that contains a key, or None if the service has no slices yet."""
--- a/features/steps/hot_keys.py
+++ b/features/steps/hot_keys.py
@@ -2,7 +2,7 @@
 
 from behave import given, then, when
 
-from bramblewood.common.slice_table import KEYS_PER_RANGE, WORKER, sorted_starts
+from bramblewood.common.slice_table import KEYS_PER_RANGE, WORKER, sorted_first_keys
 from bramblewood.controller.hot_keys import HotKeys
 from bramblewood.proxy.hot_key_queue import REJECTED_RATE_FACTOR, HotKeyQueue
 
@@ -110,7 +110,7 @@
 @then("key {key:d} has a slice of its own, and its worker has no other slice that receives requests")
 def key_is_isolated(context, key):
     simulation, worker = context.play, context.play.owner(key)
-    assert {key, key + 1} <= set(sorted_starts(simulation.table["s"]["s"]))
+    assert {key, key + 1} <= set(sorted_first_keys(simulation.table["s"]["s"]))
     other_keys = [other for other in context.rates if other != key and simulation.owner(other) == worker]
     assert not other_keys, other_keys
 
--- a/tests/simulation/placement.py
+++ b/tests/simulation/placement.py
@@ -8,7 +8,7 @@
     KEYS_PER_RANGE,
     PREVIOUS_OWNER,
     WORKER,
-    sorted_starts,
+    sorted_first_keys,
 )
 from bramblewood.common.worker_registry import WorkerRegistration, WorkerRegistry
 from bramblewood.controller.placement import (
@@ -86,5 +86,5 @@
     def owner(self, key: int) -> str:
         """Return the worker of the slice that contains this key."""
         rows = self.table["s"]["s"]
-        start = max(s for s in sorted_starts(rows) if s <= key)
+        start = max(s for s in sorted_first_keys(rows) if s <= key)
         return rows[str(start)][WORKER]
