--- a/bramblewood/common/slice_table.py
+++ b/bramblewood/common/slice_table.py
@@ -71,7 +71,7 @@
     )
 
 
-def all_readers(row: Row) -> dict[str, int]:
+def readers_with_versions(row: Row) -> dict[str, int]:
     """Return the table version by instance id of all readers, including the removed ones.
 
     Each of them may hold read replicas of the slice's keys.
@@ -84,7 +84,7 @@
 
     Idempotent requests for the slice's keys may be sent to them as well as to the slice's worker.
     """
-    return [instance_id for instance_id, version in all_readers(row).items() if version > 0]
+    return [instance_id for instance_id, version in readers_with_versions(row).items() if version > 0]
 
 
 def with_readers(row: Row, readers: list[str], version: int) -> Row:
@@ -97,7 +97,7 @@
     """
     versions = {
         instance_id: recorded_version if recorded_version < 0 or instance_id in readers else -version
-        for instance_id, recorded_version in all_readers(row).items()
+        for instance_id, recorded_version in readers_with_versions(row).items()
     }
     versions |= {instance_id: version for instance_id in readers if instance_id not in versions}
     return [*row[:READERS], *([versions] if versions else [])]
--- a/bramblewood/controller/read_replicas.py
+++ b/bramblewood/controller/read_replicas.py
@@ -23,7 +23,7 @@
 from http import HTTPStatus
 from typing import Any, NamedTuple
 
-from ..common.slice_table import READERS, Row, SliceEntry, active_readers, all_readers, with_readers
+from ..common.slice_table import READERS, Row, SliceEntry, active_readers, readers_with_versions, with_readers
 from ..common.timeouts import READ_LEASE_DURATION, READ_LEASE_EXPIRY_DELAY, REPLICA_ANNOUNCEMENT_DELAY
 from ..common.worker_registry import READY, WorkerRegistry
 from ..policy.parameters import CAPACITY_LIMIT
@@ -99,7 +99,7 @@
 
     def _update_readers(self, now: float, service: str, start: str, row: Row | None) -> None:
         """Update the readers of a slice from its new row, which is None if the slice was removed."""
-        versions = all_readers(row) if row is not None else {}
+        versions = readers_with_versions(row) if row is not None else {}
         readers = {
             Reader(service, int(start), instance_id, version) for instance_id, version in versions.items()
         }
@@ -199,7 +199,7 @@
         def change(row: Row, _version: int, reader: Reader = reader) -> Row:
             remaining = {
                 instance_id: version
-                for instance_id, version in all_readers(row).items()
+                for instance_id, version in readers_with_versions(row).items()
                 if (instance_id, version) != (reader.instance_id, reader.version)
             }
             return [*row[:READERS], *([remaining] if remaining else [])]
--- a/bramblewood/proxy/slice_lookup.py
+++ b/bramblewood/proxy/slice_lookup.py
@@ -6,7 +6,7 @@
 from bisect import bisect_right
 
 from ..common.messages import TableUpdate
-from ..common.slice_table import FENCING_TOKEN, all_readers, sorted_first_keys
+from ..common.slice_table import FENCING_TOKEN, readers_with_versions, sorted_first_keys
 
 
 class SliceLookup:
@@ -64,4 +64,4 @@
     def replica_holders(self, service: str, key: int) -> set[str]:
         """Return the workers that may hold read replicas of a key according to this table."""
         entry = self.entry(service, key)
-        return set(all_readers(entry)) if entry else set()
+        return set(readers_with_versions(entry)) if entry else set()
--- a/tests/simulation/read_replicas.py
+++ b/tests/simulation/read_replicas.py
@@ -8,7 +8,7 @@
 
 import random
 
-from bramblewood.common.slice_table import all_readers, with_readers
+from bramblewood.common.slice_table import readers_with_versions, with_readers
 from bramblewood.common.worker_registry import WorkerRegistration, WorkerRegistry
 from bramblewood.controller.peer_sessions import QUORUM_CONTACT_VALIDITY
 from bramblewood.controller.read_replicas import ReadReplicas, without_expired_readers, without_readers
@@ -137,7 +137,8 @@
     def apply_table(self, proxy, table_index):
         table = self.tables[max(table_index, 0)]
         if table["n"] >= proxy.table_version:
-            proxy.table_version, proxy.readers = table["n"], set(all_readers(table["s"]["s"][str(KEY)]))
+            proxy.table_version = table["n"]
+            proxy.readers = set(readers_with_versions(table["s"]["s"][str(KEY)]))
 
     def advance_invalidation(self, name, proxy, invalidation, value, client_deadline):
         confirmed_at = self.now if self.missing_guard == "confirmation" else proxy.confirmed_at
--- a/tests/test_table_costs.py
+++ b/tests/test_table_costs.py
@@ -5,7 +5,7 @@
 import random
 
 from benchmarks.controller_storage import table
-from bramblewood.common.slice_table import all_readers
+from bramblewood.common.slice_table import readers_with_versions
 from bramblewood.controller import proxy_updates, read_replicas
 from bramblewood.controller.proxy_updates import ProxyUpdates
 from bramblewood.controller.read_replicas import Reader, ReadReplicas
@@ -38,7 +38,7 @@
         Reader(service, int(start), instance_id, version)
         for service, rows in value["s"].items()
         for start, row in rows.items()
-        for instance_id, version in all_readers(row).items()
+        for instance_id, version in readers_with_versions(row).items()
     }
 
 
