--- a/bramblewood/common/configuration_parser.py
+++ b/bramblewood/common/configuration_parser.py
@@ -12,7 +12,7 @@
 from result import Err, Ok, Result
 
 from .configuration import Configuration, Route, Service
-from .schema import SchemaViolation, check
+from .schema import SchemaViolation, check_schema
 
 MAX_ROUTE_TIMEOUT = 600.0  # s; the maximum and the default of `TimeoutS`: see PROTOCOL, "The operator"
 PURE = "pure"  # the `RouteType` of idempotent requests
@@ -100,7 +100,7 @@
     If there are violations, the configuration is incomplete and must not be used. It is None if the fields do
     not match ConfigurationFields.
     """
-    checked = check(raw, ConfigurationFields)
+    checked = check_schema(raw, ConfigurationFields)
     if isinstance(checked, Err):
         return None, [checked.err_value]
     fields, violations = checked.ok_value, []
@@ -191,7 +191,7 @@
             violations.append(SchemaViolation(path, f"{len(columns)} values", str(len(values))))
             continue
         pairs = zip(columns, values, strict=True)
-        record = check({column: value for column, value in pairs if value is not None}, schema, path)
+        record = check_schema({column: value for column, value in pairs if value is not None}, schema, path)
         if isinstance(record, Err):
             violations.append(record.err_value)
         else:
--- a/bramblewood/common/schema.py
+++ b/bramblewood/common/schema.py
@@ -58,7 +58,7 @@
     required: bool
 
 
-def check(value: Any, schema: Any, path: str = "") -> Result[Any, SchemaViolation]:
+def check_schema(value: Any, schema: Any, path: str = "") -> Result[Any, SchemaViolation]:
     """Return the value without its unknown fields, or the first violation.
 
     `path` is the path of the value in the file or message. The path of a violation begins with it. Raises
--- a/bramblewood/common/settings.py
+++ b/bramblewood/common/settings.py
@@ -12,7 +12,7 @@
 from result import Err, Ok, Result
 
 from .errors import SettingsError, SettingsUnreadableError
-from .schema import check
+from .schema import check_schema
 from .settings_path import DEFAULT_SETTINGS_PATH, SETTINGS_PATH_VARIABLE
 
 # s without a connected peer after which the file is read again, since its seeds may have changed
@@ -178,7 +178,7 @@
         table = tomllib.loads(content.decode())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         return Err(SettingsError(f"invalid TOML: {error}"))
-    checked = check(table, SettingsFile)
+    checked = check_schema(table, SettingsFile)
     if isinstance(checked, Err):
         return Err(SettingsError(checked.err_value))
     try:
--- a/bramblewood/controller/command_decoding.py
+++ b/bramblewood/controller/command_decoding.py
@@ -12,7 +12,7 @@
 from result import Err, Ok, Result
 
 from ..common.configuration_parser import decode_configuration
-from ..common.schema import check
+from ..common.schema import check_schema
 from ..common.worker_registry import DRAINING, READY, WorkerRegistration
 from .commands import (
     AddMember,
@@ -241,7 +241,7 @@
 def decode_body(body: bytes, body_type: type) -> Result[Any, Rejection]:
     """Decodes a JSON body and keeps the declared fields. The rejection names the first invalid field."""
     try:
-        checked = check(json.loads(body), body_type)
+        checked = check_schema(json.loads(body), body_type)
     except (ValueError, RecursionError):
         return Err(Rejection(400, "the body is no JSON"))
     return checked.map_err(lambda violation: Rejection(400, str(violation)))
--- a/bramblewood/emulator/scenario.py
+++ b/bramblewood/emulator/scenario.py
@@ -10,7 +10,7 @@
 
 from result import Err, Ok, Result
 
-from ..common.schema import check
+from ..common.schema import check_schema
 
 DEFAULT_CONTROLLERS = 3
 DEFAULT_PROXIES = 2
@@ -151,7 +151,7 @@
 def scenario_of(data: bytes) -> Result[Scenario, str]:
     """The scenario, or one line that names what is wrong."""
     try:
-        checked = check(tomllib.loads(data.decode()), Scenario)
+        checked = check_schema(tomllib.loads(data.decode()), Scenario)
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as problem:
         return Err(f"not TOML: {problem}")
     if isinstance(checked, Err):
