--- a/bramblewood/cli/options.py
+++ b/bramblewood/cli/options.py
@@ -25,7 +25,7 @@
 
 def load_settings(path: str | None, *listeners: str) -> settings.Settings:
     """The settings; ends the command with what is wrong. listeners: names that `BindMap` must have."""
-    loaded = settings.load(path)
+    loaded = settings.load_settings(path)
     if isinstance(loaded, Err):
         fail(loaded.err_value)
     for name in listeners:
--- a/bramblewood/cli/settings_check.py
+++ b/bramblewood/cli/settings_check.py
@@ -25,7 +25,7 @@
     """
     faults = []
     if boot or not config:
-        loaded = settings.load(boot)
+        loaded = settings.load_settings(boot)
         if isinstance(loaded, Err) and isinstance(loaded.err_value, SettingsUnreadableError):
             fail(loaded.err_value)
         faults += [str(loaded.err_value)] if isinstance(loaded, Err) else []
--- a/bramblewood/common/listeners.py
+++ b/bramblewood/common/listeners.py
@@ -3,7 +3,7 @@
 Clients that connect during the imports wait in the backlog, and their connections are not rejected.
 
 This module imports only the standard library and `settings_path`, so that its own import is fast. If the
-settings file is invalid, no socket is opened here, and `settings.load` reports the fault later.
+settings file is invalid, no socket is opened here, and `settings.load_settings` reports the fault later.
 """
 
 import os
--- a/bramblewood/common/settings.py
+++ b/bramblewood/common/settings.py
@@ -142,7 +142,7 @@
         return tuple(address.rpartition(":")[0] for address in self.seed_addresses)
 
 
-def load(path: str | None = None) -> Result[Settings, SettingsError]:
+def load_settings(path: str | None = None) -> Result[Settings, SettingsError]:
     """Read the settings file, and return the settings or the first error.
 
     If `path` is None, the path is the value of the environment variable SETTINGS_PATH_VARIABLE, or
@@ -164,7 +164,7 @@
     If the file is invalid, log the error and return (). Changes of other fields take effect at the next
     start.
     """
-    reread_settings = load(settings.path)
+    reread_settings = load_settings(settings.path)
     if isinstance(reread_settings, Err):
         log.warning("settings file invalid", **reread_settings.err_value.log_fields())
         return ()
