--- a/bramblewood/common/settings.py
+++ b/bramblewood/common/settings.py
@@ -77,7 +77,7 @@
     regions: int = 0
 
     @property
-    def losses(self) -> int:
+    def tolerated_losses(self) -> int:
         """The number of voters that may be lost at once.
 
         It assumes that a zone or region whose loss is tolerated contains one voter at most.
--- a/bramblewood/controller/consensus/membership.py
+++ b/bramblewood/controller/consensus/membership.py
@@ -271,7 +271,7 @@
         self, address: str, voter_set: VoterSet, peers: dict[str, PeerStatus], versions: dict[str, int]
     ) -> MembershipView:
         """Returns the view of all controllers that the controller at `address` shows to operators."""
-        margin, losses = self.failure_margin(voter_set, peers), self.tolerance.losses
+        margin, losses = self.failure_margin(voter_set, peers), self.tolerance.tolerated_losses
         return membership_view(address, voter_set, peers, versions, self.is_lost, losses, margin)
 
 
--- a/bramblewood/controller/consensus/quorum.py
+++ b/bramblewood/controller/consensus/quorum.py
@@ -40,7 +40,7 @@
 
 def voters_needed(tolerance: Tolerance) -> int:
     """Returns the smallest number of voters of which a majority is left after the tolerated losses."""
-    return 2 * tolerance.losses + 1
+    return 2 * tolerance.tolerated_losses + 1
 
 
 def select_first_voters(
--- a/features/steps/settings.py
+++ b/features/steps/settings.py
@@ -42,7 +42,7 @@
     fields = {
         "bounds": bounds,
         "tolerance": vars(settings.tolerance),
-        "losses": settings.tolerance.losses,
+        "losses": settings.tolerance.tolerated_losses,
         "counted": settings.counts_for_tolerance,
         "seeds": settings.seed_addresses,
         "unsupported": settings.unsupported,
