--- a/bramblewood/common/peer_connections.py
+++ b/bramblewood/common/peer_connections.py
@@ -185,7 +185,7 @@
         # called with the error of each message that cannot be handled, before its connection is closed
         self.on_malformed: Callable[[PeerMessageError], None] = lambda error: None
 
-    def maintain(self, peer: str, port: int) -> None:
+    def keep_connected(self, peer: str, port: int) -> None:
         """Dial a peer now, and again whenever the connection is lost, until `close`."""
         if peer not in self.tasks:
             self.tasks[peer] = asyncio.ensure_future(self._maintain(peer, port))
--- a/bramblewood/controller/controller_peers.py
+++ b/bramblewood/controller/controller_peers.py
@@ -44,7 +44,7 @@
         if peer != self.runtime.own_address and peer not in self.known_addresses:
             self.known_addresses.add(peer)
             self.quorum_io.pending_writes.facts[KNOWN_CONTROLLERS_FACT] = sorted(self.known_addresses)
-            self.runtime.peer_connections.maintain(peer, self.runtime.settings.peer_port)
+            self.runtime.peer_connections.keep_connected(peer, self.runtime.settings.peer_port)
 
     def reread_seeds(self) -> None:
         """Read the seeds in the settings and the seed file again, and add the controllers that they name."""
--- a/bramblewood/proxy/controller_sessions.py
+++ b/bramblewood/proxy/controller_sessions.py
@@ -96,12 +96,12 @@
     def connect(self) -> None:
         """Maintain a connection to each controller in the seeds of the settings."""
         for peer in self.settings.seed_hosts():
-            self.peer_connections.maintain(peer, self.settings.peer_port)
+            self.peer_connections.keep_connected(peer, self.settings.peer_port)
 
     def reread_seeds(self) -> None:
         """Read the seeds again from the settings file and maintain a connection to each of them."""
         for peer in reread_seeds(self.settings, self.log):
-            self.peer_connections.maintain(peer, self.settings.peer_port)
+            self.peer_connections.keep_connected(peer, self.settings.peer_port)
 
     async def close(self) -> None:
         """Close all connections to controllers."""
@@ -144,7 +144,7 @@
             self._silent_workers = set(heartbeat.silent_workers or ())
             self.retry_budget.proxy_count = max(heartbeat.proxy_count, 1)
         for controller in heartbeat.controllers or ():
-            self.peer_connections.maintain(controller, self.settings.peer_port)
+            self.peer_connections.keep_connected(controller, self.settings.peer_port)
         versions = self.known_versions()
         self._send_all(self.selection.heartbeat_received(now, connection.peer, heartbeat, versions))
         if connection.peer == self.selection.upstream:
--- a/features/steps/listeners.py
+++ b/features/steps/listeners.py
@@ -86,7 +86,7 @@
             "bramblewood.common.peer_connections.asyncio.sleep", side_effect=asyncio.sleep
         ) as sleep:
             for ip in ("127.0.0.2", "127.0.0.3"):
-                peer_connections.maintain(ip, port)
+                peer_connections.keep_connected(ip, port)
             while sleep.call_count < 2:  # until the first dial of each peer has failed
                 await asyncio.wait(peer_connections.tasks.values(), timeout=0.01)
 
--- a/tests/simulation/fleet/machine.py
+++ b/tests/simulation/fleet/machine.py
@@ -77,7 +77,7 @@
             self.handlers = ProxyHandlers(server)
         for peer in fleet.controllers:
             if peer != self.name:
-                self.peer_connections.maintain(peer, 1)
+                self.peer_connections.keep_connected(peer, 1)
         self.server = server
         self.loop.start(self.run_ticks(server))
 
--- a/tests/simulation/fleet/network.py
+++ b/tests/simulation/fleet/network.py
@@ -121,7 +121,7 @@
     def __init__(self, machine):
         self.machine, self.connected, self.next_dial_at = machine, {}, {}
 
-    def maintain(self, peer, port):
+    def keep_connected(self, peer, port):
         self.next_dial_at.setdefault(peer, 0.0)
 
     def send(self, peer, message):
--- a/tests/simulation/membership_epochs.py
+++ b/tests/simulation/membership_epochs.py
@@ -40,7 +40,7 @@
     def __init__(self, fleet: "ControllerFleet", controller: "SimulatedController") -> None:
         self.fleet, self.controller, self.connected, self.next_dial_at = fleet, controller, {}, {}
 
-    def maintain(self, peer: str, port: int) -> None:
+    def keep_connected(self, peer: str, port: int) -> None:
         self.next_dial_at.setdefault(peer, 0.0)
 
     def send(self, peer: str, message: dict) -> None:
--- a/tests/test_malformed_messages.py
+++ b/tests/test_malformed_messages.py
@@ -113,7 +113,7 @@
 
             connections = PeerConnections(lambda peer: {"k": "hello"}, handle, lambda *_: None, None)
             connections.on_malformed = errors.append
-            connections.maintain(HOST, port)
+            connections.keep_connected(HOST, port)
             started_at, connected_after = asyncio.get_running_loop().time(), []
             for text in ('{"k":"pulse"}', "[]", "{no JSON", '{"k":"roll"}'):
                 connection, _ = await acceptor.first_messages.get()
--- a/tests/test_peer_connections.py
+++ b/tests/test_peer_connections.py
@@ -66,7 +66,7 @@
         async with asyncio.timeout(5), listening(acceptor) as port:
             earlier_tasks = other_tasks()
             connections = create_connections(changes)
-            connections.maintain(HOST, port)
+            connections.keep_connected(HOST, port)
             assert await changes.get() == (HOST, True)
             _, first = await acceptor.first_messages.get()
             assert first == {"k": "hello", "to": HOST}
@@ -87,7 +87,7 @@
         acceptor, changes = Acceptor(), asyncio.Queue()
         async with asyncio.timeout(5), listening(acceptor) as port:
             connections = create_connections(changes)
-            connections.maintain(HOST, port)
+            connections.keep_connected(HOST, port)
             connection, _ = await acceptor.first_messages.get()
             connection.close()
             assert [await changes.get() for _ in range(3)] == [(HOST, True), (HOST, False), (HOST, True)]
