--- a/bramblewood/proxy/hot_key_queue.py
+++ b/bramblewood/proxy/hot_key_queue.py
@@ -28,13 +28,13 @@
 class HotKeyQueue:
     """The rate limit of one worker at this proxy, and the requests that wait for it.
 
-    next_slot_at: earliest time at which the next request may be sent. reduced_at: time of the last reduction
+    next_send_at: earliest time at which the next request may be sent. reduced_at: time of the last reduction
     of the rate. raised_at: time of the last change of the rate.
     """
 
     def __init__(self) -> None:
         self.rate = math.inf  # requests per second; infinite if there is no limit
-        self.next_slot_at = self.reduced_at = self.raised_at = -1e9
+        self.next_send_at = self.reduced_at = self.raised_at = -1e9
         self.arrival_count, self.counted_at = 0.0, 0.0  # a count that decays over ARRIVAL_RATE_WINDOW
         self.waiting: dict[str, Priority] = {}  # by request id
 
@@ -75,7 +75,7 @@
         if self.rate > UNLIMITED_RATE_FACTOR * max(self.arrival_rate(now), MIN_RATE):
             self.rate = math.inf
 
-    def turn_at(self, now: float, request_id: str, priority: Priority, latest: float) -> float | None:
+    def send_time(self, now: float, request_id: str, priority: Priority, latest: float) -> float | None:
         """Return `now` if the request may be sent now, otherwise the time at which to call again.
 
         Returns None if the request cannot be sent by `latest`. While the result is a later time, the
@@ -85,13 +85,13 @@
             self.waiting.pop(request_id, None)
             return now
         ahead = sum(other < priority for other in self.waiting.values())
-        turn_at = max(self.next_slot_at, now) + ahead / self.rate
-        if turn_at > latest:
+        send_at = max(self.next_send_at, now) + ahead / self.rate
+        if send_at > latest:
             self.waiting.pop(request_id, None)
             return None
-        if turn_at > now:
+        if send_at > now:
             self.waiting[request_id] = priority
-            return min(turn_at, latest)
+            return min(send_at, latest)
         self.waiting.pop(request_id, None)
         return now
 
@@ -99,7 +99,7 @@
         """Remove a request from the queue, if it is waiting."""
         self.waiting.pop(request_id, None)
 
-    def record_passage(self, now: float) -> None:
+    def record_sent(self, now: float) -> None:
         """Record that a request is sent to the worker."""
         if self.is_limiting:
-            self.next_slot_at = max(self.next_slot_at, now) + 1 / self.rate
+            self.next_send_at = max(self.next_send_at, now) + 1 / self.rate
--- a/bramblewood/proxy/request_attempts.py
+++ b/bramblewood/proxy/request_attempts.py
@@ -162,12 +162,12 @@
             return None
         if self.route.is_idempotent:
             latest = min(self.started_at + HOT_KEY_WAIT_FRACTION * self.route.latency_target, self.deadline)
-            send_at = queue.turn_at(now, self.request_id, (self.route.priority, self.started_at), latest)
+            send_at = queue.send_time(now, self.request_id, (self.route.priority, self.started_at), latest)
             if send_at is None:
                 return self.fail(now, "a crowd at its record", long_retry_after=True)
             if send_at > now:
                 return WaitUntil(send_at)
-        queue.record_passage(now)
+        queue.record_sent(now)
         return None
 
     def leave_queue(self) -> None:
--- a/features/steps/hot_keys.py
+++ b/features/steps/hot_keys.py
@@ -129,31 +129,31 @@
     sent_count = 0
     for i in range(2000):  # the queue is polled once per millisecond
         now = context.now + i / 1000
-        if context.hot_key_queue.turn_at(now, f"r{i}", (1, now), now) == now:
+        if context.hot_key_queue.send_time(now, f"r{i}", (1, now), now) == now:
             sent_count += 1
-            context.hot_key_queue.record_passage(now)
+            context.hot_key_queue.record_sent(now)
     context.now += 2.0
     assert abs(sent_count - 2 * rate) <= 2, sent_count
 
 
 @then("a non-idempotent request is sent at once, and delays the next idempotent request")
 def non_idempotent_request_is_sent(context):
-    before = context.hot_key_queue.next_slot_at
-    context.hot_key_queue.record_passage(context.now)
-    assert context.hot_key_queue.next_slot_at > max(before, context.now)
+    before = context.hot_key_queue.next_send_at
+    context.hot_key_queue.record_sent(context.now)
+    assert context.hot_key_queue.next_send_at > max(before, context.now)
 
 
 @then("of two waiting requests, the one with the higher priority is sent first")
 def higher_priority_is_first(context):
-    low = context.hot_key_queue.turn_at(context.now, "low", (2, 1.0), context.now + 1)
-    high = context.hot_key_queue.turn_at(context.now, "high", (0, 2.0), context.now + 1)
-    low_again = context.hot_key_queue.turn_at(context.now, "low", (2, 1.0), context.now + 1)
+    low = context.hot_key_queue.send_time(context.now, "low", (2, 1.0), context.now + 1)
+    high = context.hot_key_queue.send_time(context.now, "high", (0, 2.0), context.now + 1)
+    low_again = context.hot_key_queue.send_time(context.now, "low", (2, 1.0), context.now + 1)
     assert high <= low < low_again
 
 
 @then("a request whose turn would come too late is refused at once")
 def late_request_is_refused(context):
-    assert context.hot_key_queue.turn_at(context.now, "late", (3, 3.0), context.now + 0.01) is None
+    assert context.hot_key_queue.send_time(context.now, "late", (3, 3.0), context.now + 0.01) is None
     assert "late" not in context.hot_key_queue.waiting
 
 
