--- a/bramblewood/proxy/request_attempts.py
+++ b/bramblewood/proxy/request_attempts.py
@@ -65,9 +65,9 @@
 
     deadline: the time at which the request fails. It is the client's deadline less DEADLINE_MARGIN, or the
     end of the route's time-out if that is earlier. affinity_key: the client's key on a route with session
-    affinity, otherwise "". tried: workers that are excluded from further attempts. used_connections: numbers
-    of the connections on which the request was sent. may_have_run: whether a worker may have run the request
-    without a usable response.
+    affinity, otherwise "". excluded_workers: workers that are excluded from further attempts.
+    used_connections: numbers of the connections on which the request was sent. may_have_run: whether a worker
+    may have run the request without a usable response.
     """
 
     def __init__(
@@ -79,7 +79,7 @@
         self.affinity_key = ""
         self.deadline = now + min(time_left - DEADLINE_MARGIN, route.timeout)
         self.no_worker_wait_until = now + NO_WORKER_WAIT_FRACTION * route.latency_target
-        self.tried: set[str] = set()
+        self.excluded_workers: set[str] = set()
         self.used_connections: set[int] = set()
         self.sent_count = self.unsent_count = 0
         self.last_response: WorkerResponse | None = None  # newest error response of a worker
@@ -127,7 +127,7 @@
             if instance_id:
                 return instance_id
         return load_balancer.choose_worker(
-            now, self.service, self.key, self.request_id, self.tried, self.route.is_idempotent
+            now, self.service, self.key, self.request_id, self.excluded_workers, self.route.is_idempotent
         )
 
     def _wait_for_worker(self, now: float, load_balancer: LoadBalancer) -> WaitUntil | FinalReply:
@@ -207,7 +207,7 @@
             return self._record_not_sent(now, instance_id, outcome)
         self.sent_count += 1
         if self.key is None:
-            self.tried.add(instance_id)
+            self.excluded_workers.add(instance_id)
         if outcome is AttemptOutcome.ANSWERED:
             return self._handle_response(now, instance_id, response, from_replica)
         self.may_have_run = True
@@ -222,7 +222,7 @@
         if outcome is AttemptOutcome.CONNECTION_REJECTED and self.key is not None:
             self._back_off(now, instance_id, CONNECTION_REJECTED_BACKOFF_FRACTION)
         else:
-            self.tried.add(instance_id)
+            self.excluded_workers.add(instance_id)
         if self.unsent_count >= MAX_UNSENT_ATTEMPTS:
             return self.fail(now, "no worker could be reached")
         return None
@@ -232,7 +232,7 @@
     ) -> FinalReply | None:
         if indicates_not_run(response):
             if from_replica:
-                self.tried.add(instance_id)  # its replica is gone, but the owner has the record
+                self.excluded_workers.add(instance_id)  # its replica is gone, but the owner has the record
             else:
                 self._back_off(now, instance_id, SAME_WORKER_BACKOFF_FRACTION)
             return None
--- a/tests/simulation/worker_connections.py
+++ b/tests/simulation/worker_connections.py
@@ -316,7 +316,7 @@
         attempt_states = [
             (
                 attempts.sent_count,
-                sorted(attempts.tried),
+                sorted(attempts.excluded_workers),
                 sorted(attempts.used_connections),
                 attempts.may_have_run,
             )
