--- a/bramblewood/proxy/replica_invalidation.py
+++ b/bramblewood/proxy/replica_invalidation.py
@@ -7,7 +7,7 @@
 The request has run at the key's owner. Outdated replicas under read leases may remain. `next_step` returns
 the next action: confirm that the slice table here, and so its set of readers, is the newest
 (`ConfirmTable`), have each reader drop its replica (`DropReplicas`), have unresponsive readers removed from
-the slice table (`RemoveReaders`), wait until their leases expire (`WaitUntil`), or send the response
+the slice table (`RemoveReaders`), wait until their leases expire (`WaitForLeaseExpiry`), or send the response
 (`ALL_CLEAR`).
 """
 
@@ -32,14 +32,14 @@
     instance_ids: tuple[str, ...]
 
 
-class WaitUntil(NamedTuple):
+class WaitForLeaseExpiry(NamedTuple):
     """Wait until this time: a read lease may be valid until then."""
 
     until: float
 
 
 ALL_CLEAR = "clear"  # the response may be sent
-InvalidationStep = ConfirmTable | DropReplicas | RemoveReaders | WaitUntil | str
+InvalidationStep = ConfirmTable | DropReplicas | RemoveReaders | WaitForLeaseExpiry | str
 
 
 class ReplicaInvalidation:
@@ -64,7 +64,7 @@
         if pending := (self.unresponsive & readers) - self.lease_expiry.keys():
             return RemoveReaders(tuple(sorted(pending)))
         expired_at = max(self.lease_expiry.values(), default=now)
-        return WaitUntil(expired_at) if expired_at > now else ALL_CLEAR
+        return WaitForLeaseExpiry(expired_at) if expired_at > now else ALL_CLEAR
 
     def drop_finished(self, instance_id: str, dropped: bool) -> None:
         """Record the result of a request to drop a replica.
--- a/tests/simulation/read_replicas.py
+++ b/tests/simulation/read_replicas.py
@@ -18,7 +18,7 @@
     DropReplicas,
     RemoveReaders,
     ReplicaInvalidation,
-    WaitUntil,
+    WaitForLeaseExpiry,
 )
 from tests.simulation.digests import record_event
 
@@ -169,7 +169,7 @@
                 if not self.partitioned[name]:
                     self.apply_proposal(without_readers(self.tables[-1], "s", KEY, set(instance_ids))[0])
                     invalidation.readers_removed(self.now, instance_ids)
-            case WaitUntil():
+            case WaitForLeaseExpiry():
                 pass
 
     def apply_confirmation(self, proxy, requested_at, table_index):
