--- a/bramblewood/proxy/replica_invalidation.py
+++ b/bramblewood/proxy/replica_invalidation.py
@@ -35,7 +35,7 @@
 class WaitForLeaseExpiry(NamedTuple):
     """Wait until this time: a read lease may be valid until then."""
 
-    until: float
+    deadline: float
 
 
 ALL_CLEAR = "clear"  # the response may be sent
--- a/bramblewood/proxy/replica_invalidation_calls.py
+++ b/bramblewood/proxy/replica_invalidation_calls.py
@@ -57,7 +57,7 @@
                 if await self.sessions.remove_readers(service, key, step.instance_ids, deadline):
                     invalidation.readers_removed(loop.time(), step.instance_ids)
             else:
-                await asyncio.sleep(min(step.until, deadline) - now)
+                await asyncio.sleep(min(step.deadline, deadline) - now)
         return False
 
     async def _drop_replicas(
--- a/bramblewood/proxy/request_attempts.py
+++ b/bramblewood/proxy/request_attempts.py
@@ -48,7 +48,7 @@
 class WaitUntil(NamedTuple):
     """Wait until this time, or until an update from a controller arrives, and call `next_step` again."""
 
-    until: float
+    deadline: float
 
 
 class FinalReply(NamedTuple):
--- a/bramblewood/proxy/request_handler.py
+++ b/bramblewood/proxy/request_handler.py
@@ -201,7 +201,7 @@
             step = attempts.next_step(loop.time(), load_balancer, self.retry_budget)
             if isinstance(step, WaitUntil):
                 async with self.disconnects.watch(request):
-                    await self.sessions.wait_for_update(step.until)
+                    await self.sessions.wait_for_update(step.deadline)
                 continue
             if isinstance(step, FinalReply):
                 return step
--- a/tests/simulation/worker_connections.py
+++ b/tests/simulation/worker_connections.py
@@ -116,7 +116,7 @@
             attempts = self.request_attempts[name]
             step = attempts.next_step(self.now[name], self.load_balancer, self.retry_budget)
             if isinstance(step, WaitUntil):
-                self.now[name] = step.until
+                self.now[name] = step.deadline
             elif isinstance(step, SendToWorker):
                 self.send_attempt(name, step.instance_id)
             else:
