--- a/bramblewood/proxy/request_attempts.py
+++ b/bramblewood/proxy/request_attempts.py
@@ -33,7 +33,7 @@
 # s: upper bound of `Retry-After`, unless no worker is available or a hot key gets too many requests
 MAX_SHORT_RETRY_AFTER = 0.25
 # Clients take these statuses as a guarantee that the request has not run and never will run.
-STATUSES_PROMISING_NOT_RUN = (408, 429, 503)
+STATUSES_GUARANTEEING_NOT_RUN = (408, 429, 503)
 MAX_UNSENT_ATTEMPTS = 4  # limit on attempts that send no byte, as each one opens a connection
 FULL_WORKER_POLL_INTERVAL = 0.04  # s between checks of a full worker: a fraction of its response time
 DEADLINE_MARGIN = 0.012  # s reserved before the client's deadline for the transit of the response
@@ -242,7 +242,7 @@
         if response.status >= 500 and self.route.is_idempotent:
             self.last_response = response
             return None
-        if response.status in STATUSES_PROMISING_NOT_RUN and self.non_idempotent:
+        if response.status in STATUSES_GUARANTEEING_NOT_RUN and self.non_idempotent:
             self.may_have_run = True  # the response has no `X-Not-Run`
             return self.fail(now, "the worker did not say whether it ran")
         return FinalReply(response.status, response.reason, None, response)
--- a/tests/simulation/worker_connections.py
+++ b/tests/simulation/worker_connections.py
@@ -381,7 +381,7 @@
 def without_guard(removed_guard: str):
     """Return a context in which a guard that depends on a module's constant is removed."""
     if removed_guard == "unconfirmed not-run statuses replaced":
-        return patch.object(request_attempts, "STATUSES_PROMISING_NOT_RUN", ())
+        return patch.object(request_attempts, "STATUSES_GUARANTEEING_NOT_RUN", ())
     if removed_guard == "embedded status lines rejected":
         return patch.object(response_parser, "EMBEDDED_STATUS_LINE", NEVER_MATCHES)
     return contextlib.nullcontext()
