--- a/bramblewood/proxy/replica_invalidation.py
+++ b/bramblewood/proxy/replica_invalidation.py
@@ -8,7 +8,7 @@
 the next action: confirm that the slice table here, and so its set of readers, is the newest
 (`ConfirmTable`), have each reader drop its replica (`DropReplicas`), have unresponsive readers removed from
 the slice table (`RemoveReaders`), wait until their leases expire (`WaitForLeaseExpiry`), or send the response
-(`ALL_CLEAR`).
+(`INVALIDATION_COMPLETE`).
 """
 
 from typing import NamedTuple
@@ -38,7 +38,7 @@
     deadline: float
 
 
-ALL_CLEAR = "clear"  # the response may be sent
+INVALIDATION_COMPLETE = "clear"  # the response may be sent
 InvalidationStep = ConfirmTable | DropReplicas | RemoveReaders | WaitForLeaseExpiry | str
 
 
@@ -64,7 +64,7 @@
         if pending := (self.unresponsive & readers) - self.lease_expiry.keys():
             return RemoveReaders(tuple(sorted(pending)))
         expired_at = max(self.lease_expiry.values(), default=now)
-        return WaitForLeaseExpiry(expired_at) if expired_at > now else ALL_CLEAR
+        return WaitForLeaseExpiry(expired_at) if expired_at > now else INVALIDATION_COMPLETE
 
     def drop_finished(self, instance_id: str, dropped: bool) -> None:
         """Record the result of a request to drop a replica.
--- a/bramblewood/proxy/replica_invalidation_calls.py
+++ b/bramblewood/proxy/replica_invalidation_calls.py
@@ -11,7 +11,7 @@
 from .controller_sessions import ControllerSessions
 from .load_balancing import LoadBalancer
 from .replica_invalidation import (
-    ALL_CLEAR,
+    INVALIDATION_COMPLETE,
     ConfirmTable,
     DropReplicas,
     RemoveReaders,
@@ -47,7 +47,7 @@
         while (now := loop.time()) < deadline:
             confirmed_at = self.sessions.selection.table_confirmed_at
             step = invalidation.next_step(now, confirmed_at, slices.replica_holders(service, key))
-            if step == ALL_CLEAR:
+            if step == INVALIDATION_COMPLETE:
                 return True
             if isinstance(step, ConfirmTable):
                 await self.sessions.confirm_table(deadline)
--- a/tests/simulation/read_replicas.py
+++ b/tests/simulation/read_replicas.py
@@ -143,7 +143,7 @@
     def advance_invalidation(self, name, proxy, invalidation, value, client_deadline):
         confirmed_at = self.now if self.missing_guard == "confirmation" else proxy.confirmed_at
         match invalidation.next_step(self.now, confirmed_at, proxy.readers):
-            case replica_invalidation.ALL_CLEAR:
+            case replica_invalidation.INVALIDATION_COMPLETE:
                 record_event("answer", self.now, name, value)
                 self.newest_answered_value = max(self.newest_answered_value, value)
                 self.answered_requests += 1
