--- a/bramblewood/adapter/wire.py
+++ b/bramblewood/adapter/wire.py
@@ -163,7 +163,7 @@
             return "sleep", {"delay": delay * MS, "nonce": token}
         case events.CheckHealth(worker):
             return "touch", {"worker": worker}
-        case events.TellPeer(manager, payload):
+        case events.SendPeerMessage(manager, payload):
             return "say", {"peer": manager, "msg": payload.hex()}
         case events.RequestWorkerList():
             return "query_all", {}
--- a/bramblewood/events.py
+++ b/bramblewood/events.py
@@ -249,7 +249,7 @@
     worker: str
 
 
-class TellPeer(NamedTuple):
+class SendPeerMessage(NamedTuple):
     """Send a message to one manager, or to all managers if `manager` is None."""
 
     manager: int | None
@@ -292,7 +292,7 @@
     RequestAcknowledgement,
     SetTimer,
     CheckHealth,
-    TellPeer,
+    SendPeerMessage,
     RequestWorkerList,
     WatchWorkerList,
     WorkerEjected,
--- a/bramblewood/net/program/service.py
+++ b/bramblewood/net/program/service.py
@@ -329,7 +329,7 @@
                     self.discovery.request_list()
                 case events.CheckHealth():
                     self.health_checks.send(order)
-                case events.TellPeer():
+                case events.SendPeerMessage():
                     if self.peers:
                         self.peers.send(order)
                     else:
--- a/bramblewood/net/routing/peers.py
+++ b/bramblewood/net/routing/peers.py
@@ -28,7 +28,7 @@
         self.numbers = {address: number for number, address in enumerate(peers)}
         self.datagrams = Datagrams(loop, listen, self.received)
 
-    def send(self, order: events.TellPeer) -> None:
+    def send(self, order: events.SendPeerMessage) -> None:
         """Send a message to one manager or to all; one that can't be sent is logged."""
         if order.manager is None:
             to = self.broadcast
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -892,10 +892,10 @@
     a = peers.Peers(edge.loop, first, [("127.0.0.1", 9), at], at, 4, edge.notices, edge.tell)
     b.numbers = {a.datagrams.sock.getsockname(): 4}
     for order in (
-        events.TellPeer(1, b"one"),
-        events.TellPeer(None, b"all"),
-        events.TellPeer(1, b"x" * 257),
-        events.TellPeer(8, b"nobody"),
+        events.SendPeerMessage(1, b"one"),
+        events.SendPeerMessage(None, b"all"),
+        events.SendPeerMessage(1, b"x" * 257),
+        events.SendPeerMessage(8, b"nobody"),
     ):
         a.send(order)
     edge.loop.turn(1.0)
@@ -903,9 +903,9 @@
         edge.news() == [events.PeerMessageReceived(4, b"one"), events.PeerMessageReceived(4, b"all")]
         and len(edge.said) == 1
     )
-    b.send(events.TellPeer(None, b"to no one"))
+    b.send(events.SendPeerMessage(None, b"to no one"))
     b.numbers = {}
-    a.send(events.TellPeer(1, b"from a stranger"))
+    a.send(events.SendPeerMessage(1, b"from a stranger"))
     edge.loop.turn(1.0)
     assert edge.news() == []
     for end in (a, b):
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -417,7 +417,9 @@
 
 def test_an_order_without_a_message_is_logged_once(site):
     for _ in range(9):
-        site.service.carry_out([events.BindProxy(1, 2), events.TellPeer(None, b"x"), events.Log("kept")])
+        site.service.carry_out(
+            [events.BindProxy(1, 2), events.SendPeerMessage(None, b"x"), events.Log("kept")]
+        )
     assert [what for what, _ in site.lines].count("order without a message") == 2
     assert [what for what, _ in site.lines].count("kept") == 9
 
