--- a/bramblewood/adapter/wire.py
+++ b/bramblewood/adapter/wire.py
@@ -167,7 +167,7 @@
             return "say", {"peer": manager, "msg": payload.hex()}
         case events.RequestWorkerList():
             return "query_all", {}
-        case events.WatchWorkerList(on):
+        case events.SubscribeWorkerList(on):
             return "follow", {"flag": on}
         case events.Log(text):
             return "trace", {"what": text}
--- a/bramblewood/events.py
+++ b/bramblewood/events.py
@@ -260,7 +260,7 @@
     """Request the complete worker list once."""
 
 
-class WatchWorkerList(NamedTuple):
+class SubscribeWorkerList(NamedTuple):
     """Subscribe to the changes of the worker list, or unsubscribe."""
 
     on: bool = True
@@ -294,7 +294,7 @@
     CheckHealth,
     SendPeerMessage,
     RequestWorkerList,
-    WatchWorkerList,
+    SubscribeWorkerList,
     WorkerEjected,
     Log,
 ]
--- a/bramblewood/net/program/service.py
+++ b/bramblewood/net/program/service.py
@@ -323,7 +323,7 @@
                     self.loop.after(after, lambda token=token: self.inbox.append(events.TimerFired(token)))
                 case events.Log(text):
                     self.log.info(text)
-                case events.WatchWorkerList(on):
+                case events.SubscribeWorkerList(on):
                     self.discovery.watch(on)
                 case events.RequestWorkerList():
                     self.discovery.request_list()
--- a/bramblewood/policy/worker_list.py
+++ b/bramblewood/policy/worker_list.py
@@ -1,6 +1,6 @@
 """The subscription to the worker list: applies lists and repeats failed calls with backoff."""
 
-from ..events import DEREGISTERED, ListedWorker, WatchWorkerList, WorkersListed
+from ..events import DEREGISTERED, ListedWorker, SubscribeWorkerList, WorkersListed
 from . import parameters
 
 
@@ -34,5 +34,5 @@
     def turn(self) -> None:
         """Order a new subscription if it is due."""
         if not self.subscribed and self.manager.now >= self.next_call_at:
-            self.manager.orders.append(WatchWorkerList(True))
+            self.manager.orders.append(SubscribeWorkerList(True))
             self.next_call_at, self.call_pending = self.manager.now + parameters.LIST_TIMEOUT, True
