--- a/bramblewood/adapter/wire.py
+++ b/bramblewood/adapter/wire.py
@@ -116,7 +116,7 @@
             return events.ProxyJoined(
                 proxy=fields["edge"],
                 zone=fields.get("rack_zone", ""),
-                rate=fields.get("w", 0),
+                weight=fields.get("w", 0),
                 fresh=fields.get("flag", False),
             )
         case "handed":
--- a/bramblewood/events.py
+++ b/bramblewood/events.py
@@ -111,7 +111,7 @@
 
     proxy: int
     zone: str
-    rate: float
+    weight: float
     fresh: bool = False
 
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -565,7 +565,7 @@
 
 def stand(line, truth, dice):
     """A connection comes up and tells all that stands, in pieces."""
-    lines = ["OK", *(f"* SUBSCRIBE {p.proxy} {p.zone} {p.rate} 0" for p in truth.proxies.values())]
+    lines = ["OK", *(f"* SUBSCRIBE {p.proxy} {p.zone} {p.weight} 0" for p in truth.proxies.values())]
     for number, table in truth.slices.items():
         lines += [f"* GRANT {number} 1", *(f"* ROW {number} {w} {part}" for w, part in table.items())]
     line.open()
