--- a/bramblewood/controller/placement/service_placement.py
+++ b/bramblewood/controller/placement/service_placement.py
@@ -71,7 +71,7 @@
         self._settings = StartupSettings(
             slices=slice_count,
             managers=1,
-            pick="pair",
+            load_balancing="pair",
             single_owner=keyed,
             cycle=REPORT_CYCLE,
             load_fields=["utilization", "queued"],
--- a/bramblewood/startup_settings.py
+++ b/bramblewood/startup_settings.py
@@ -67,7 +67,7 @@
     load_fields: list[str] = field(default_factory=list)
     slow_start_window: float = 0.0  # duration of slow start
     slow_start_minimum: float = 1.0  # share of its capacity that a worker has at its start
-    pick: str | None = None  # how proxies choose among routes: weighted, even, pair and others
+    load_balancing: str | None = None  # how proxies choose among routes: weighted, even, pair and others
     default_retry: float | None = None  # initial retry mode of the proxies
     # the channel to the proxies; a line is one order to one proxy
     lines_per_second: float = 0.0
@@ -168,7 +168,7 @@
     Source("default_retry", "specifics", "usual_how", finite_number),
     Source("retry_wait", "specifics", "try_aims", finite_number),
     Source("intake", "specifics", "intake_per_s", finite_number),
-    Source("pick", "specifics", "lb_method", renamed(lottery="weighted", wheel="even")),
+    Source("load_balancing", "specifics", "lb_method", renamed(lottery="weighted", wheel="even")),
     Source("levels", "specifics", "throttle_by", renamed(ratio="share", rps="rate", silent="none")),
     Source("standing_lines", "specifics", "default_size", finite_number),
     Source("home_only", "specifics", "home_only", unchanged),
--- a/tests/policy/test_slices.py
+++ b/tests/policy/test_slices.py
@@ -44,7 +44,7 @@
 
     The mean covers five reports, but three if each spans several cycles, because five would react too late.
     """
-    site = SimulatedSite(slices=8, pick="pair")
+    site = SimulatedSite(slices=8, load_balancing="pair")
     normal = {name: {"load": {"utilization": utilization}} for name in ("w0", "w1", "w2", "w3")}
     overloaded = {
         **normal,
