--- a/bramblewood/controller/hot_keys.py
+++ b/bramblewood/controller/hot_keys.py
@@ -21,7 +21,7 @@
 from typing import NamedTuple
 
 from ..common.slice_table import KEYS_PER_RANGE
-from ..policy.parameters import CAPACITY_LIMIT, REPORTS_AVERAGED, REPORTS_HELD
+from ..policy.parameters import CAPACITY_LIMIT, REPORTS_AVERAGED, REPORTS_NEEDED
 
 WATCH_RATE_FRACTION = 0.5  # fraction of one worker's throughput at which a range is watched
 MAX_WATCHED_RANGES = 8  # at once, which adds at most 64 counters at a proxy
@@ -43,13 +43,13 @@
 class SustainedRates:
     """Finds the items whose rate is sustained. An item is a range or a key.
 
-    An item is added once its rate has reached the threshold in each of `REPORTS_HELD` reports. It is removed
-    once its rate has been below `REMOVAL_RATE_FRACTION` of the threshold in more than `REMOVAL_REPORTS`
-    reports in a row.
+    An item is added once its rate has reached the threshold in each of `REPORTS_NEEDED` reports. It is
+    removed once its rate has been below `REMOVAL_RATE_FRACTION` of the threshold in more than
+    `REMOVAL_REPORTS` reports in a row.
     """
 
     def __init__(self) -> None:
-        self._recent_rates: deque[Counter] = deque(maxlen=REPORTS_HELD)
+        self._recent_rates: deque[Counter] = deque(maxlen=REPORTS_NEEDED)
         self._low_reports: dict[int, int] = {}  # by sustained item: the latest low reports in a row
 
     def __contains__(self, item: int) -> bool:
@@ -71,7 +71,7 @@
             threshold: requests per second from which on an item is added. No item is added while it is 0.
         """
         self._recent_rates.append(rates)
-        if len(self._recent_rates) == REPORTS_HELD and threshold > 0:
+        if len(self._recent_rates) == REPORTS_NEEDED and threshold > 0:
             for item in rates:
                 if all(report[item] >= threshold for report in self._recent_rates):
                     self._low_reports[item] = 0
--- a/bramblewood/controller/outlier_detection.py
+++ b/bramblewood/controller/outlier_detection.py
@@ -24,7 +24,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from ..policy.parameters import REPORTS_AVERAGED, REPORTS_HELD
+from ..policy.parameters import REPORTS_AVERAGED, REPORTS_NEEDED
 from ..policy_mechanisms.averages import median
 from .table_changes import ProposedTable, TableValue
 
@@ -110,7 +110,7 @@
         self._first_seen_at = {ejection: self._first_seen_at.get(ejection, now) for ejection in agreed}
 
     def find_outliers(self, services: Mapping[str, list[str]]) -> set[str]:
-        """End a cycle, and return the workers that have been unhealthy for `REPORTS_HELD` cycles in a row.
+        """End a cycle, and return the workers that have been unhealthy for `REPORTS_NEEDED` cycles in a row.
 
         Args:
             services: the workers in use, by service.
@@ -124,7 +124,7 @@
             {instance_id: self._unhealthy_cycles[instance_id] + 1 for instance_id in unhealthy}
         )
         return {
-            instance_id for instance_id in unhealthy if self._unhealthy_cycles[instance_id] >= REPORTS_HELD
+            instance_id for instance_id in unhealthy if self._unhealthy_cycles[instance_id] >= REPORTS_NEEDED
         }
 
     def _unhealthy_workers(self, instance_ids: Iterable[str]) -> set[str]:
--- a/bramblewood/controller/placement/rebalancing.py
+++ b/bramblewood/controller/placement/rebalancing.py
@@ -19,7 +19,7 @@
 
 from ...common.slice_table import KEY_SPACE_SIZE, PREVIOUS_OWNER, Row
 from ...policy.manager import Manager
-from ...policy.parameters import CAPACITY_LIMIT, LONG_AGO, REPORT_LAG, REPORTS_HELD
+from ...policy.parameters import CAPACITY_LIMIT, LONG_AGO, REPORT_LAG, REPORTS_NEEDED
 from ...policy.slices import Slice
 from ...policy.workers import Worker
 from .service_load import REPORT_CYCLE, ServiceLoad
@@ -86,7 +86,7 @@
     def _split_hot_slices(
         self, now: float, starts: list[int], rows: Mapping[str, Row], reassigned: Collection[int]
     ) -> list[SliceSplit]:
-        """Return splits of the slices whose last `REPORTS_HELD` estimates exceed their worker's limit."""
+        """Return splits of the slices whose last `REPORTS_NEEDED` estimates exceed their worker's limit."""
         splits: list[SliceSplit] = []
         candidates = [
             own_slice
@@ -98,8 +98,8 @@
         ]
         for candidate in candidates:
             limit = CAPACITY_LIMIT * self._worker_loads.capacity(candidate.primary)
-            recent_heat = [*candidate.estimates][-REPORTS_HELD:]
-            if not limit or len(recent_heat) < REPORTS_HELD or min(recent_heat) <= limit:
+            recent_heat = [*candidate.estimates][-REPORTS_NEEDED:]
+            if not limit or len(recent_heat) < REPORTS_NEEDED or min(recent_heat) <= limit:
                 continue
             start, end = _slice_bounds(starts, candidate.number)
             # enough parts for each to have less than half of the limit, if their heat is equal
@@ -130,7 +130,7 @@
     def _offload_overloaded_workers(self, now: float, rows: Mapping[str, Row]) -> dict[int, Assignment]:
         """Return moves of the hottest slices away from overloaded workers.
 
-        A worker is overloaded if its last `REPORTS_HELD` reports state that all its slots are busy, and its
+        A worker is overloaded if its last `REPORTS_NEEDED` reports state that all its slots are busy, and its
         load exceeds its capacity. The policy would move only its smallest slice each cycle, and so would need
         minutes.
         """
@@ -142,12 +142,12 @@
         return assignments
 
     def _is_fully_utilized(self, now: float, worker: Worker) -> bool:
-        """Whether the worker is usable, and its last `REPORTS_HELD` reports state full utilization.
+        """Whether the worker is usable, and its last `REPORTS_NEEDED` reports state full utilization.
 
         The result is False until reports can show the effect of the worker's last offload.
         """
-        utilizations = [*worker.loads][-REPORTS_HELD:]
-        if len(utilizations) < REPORTS_HELD or min(utilizations) < FULL_UTILIZATION or not worker.usable:
+        utilizations = [*worker.loads][-REPORTS_NEEDED:]
+        if len(utilizations) < REPORTS_NEEDED or min(utilizations) < FULL_UTILIZATION or not worker.usable:
             return False
         # reports show the effect of the last offload only after REPORT_LAG
         return now >= self._last_offload_at.get(worker.name, LONG_AGO) + REPORT_LAG
--- a/bramblewood/policy/load_accounting.py
+++ b/bramblewood/policy/load_accounting.py
@@ -98,7 +98,7 @@
         self.loads[target] += heat
         self.recent_moves.append((self.manager.now, source, target, heat))
         target.last_slice_at = self.manager.now
-        known = sum(rate > 0 for rate in self.answered_rates) >= parameters.REPORTS_HELD
+        known = sum(rate > 0 for rate in self.answered_rates) >= parameters.REPORTS_NEEDED
         if urgent and known:  # directly after a start no capacity is known yet
             self.manager.schedule(target.cut_early, self.loads[target] / (self.safe_capacity(target) or 1.0))
         keeps = slice.standby and slice.standby is not target and slice.standby.usable
--- a/bramblewood/policy/parameters.py
+++ b/bramblewood/policy/parameters.py
@@ -2,7 +2,7 @@
 
 # Ordinary moves, which balance the load; urgent moves replace unusable workers
 REPORTS_AVERAGED = 5  # reports; source: docs/design.md
-REPORTS_HELD = 3  # consecutive reports that must confirm an overload; source: docs/design.md
+REPORTS_NEEDED = 3  # consecutive reports that must confirm an overload; source: docs/design.md
 CAPACITY_LIMIT = 0.75  # share of capacity above which a worker is overloaded; middle of the paper's 0.70-0.80
 FLUCTUATION_BOUND = 1.4  # highest over lowest load, above which slices move; middle of the paper's 1.3-1.5
 SLOW_FACTOR = 1.5  # times the median response time, or the latency objective; source: docs/design.md
--- a/bramblewood/policy/planner.py
+++ b/bramblewood/policy/planner.py
@@ -63,18 +63,18 @@
                 self.over_limit_cycles[source] = 0  # the next move waits for reports that show this one
 
     def overloaded_workers(self, ranked: list[Worker]) -> list[Worker]:
-        """Return the workers that were overloaded for REPORTS_HELD consecutive cycles, least loaded first."""
+        """Return the workers that were overloaded for REPORTS_NEEDED cycles in a row, least loaded first."""
         median_time = median(mean(w.response_times) for w in ranked if w.response_times)
         lowest = self.relative_load(ranked[0]) if ranked else 0.0
         over = [w for w in ranked if self.relative_load(w) > parameters.FLUCTUATION_BOUND * lowest]
         over = [w for w in over if w in self.by_primary and self.is_overloaded(w, median_time)]
         self.over_limit_cycles = Counter({worker: self.over_limit_cycles[worker] + 1 for worker in over})
-        return [worker for worker in over if self.over_limit_cycles[worker] >= parameters.REPORTS_HELD]
+        return [worker for worker in over if self.over_limit_cycles[worker] >= parameters.REPORTS_NEEDED]
 
     def is_overloaded(self, worker: Worker, median_time: float) -> bool:
         """Return whether the load exceeds the limit, or the response time SLOW_FACTOR times the median."""
         times = worker.response_times
-        slow = len(times) >= parameters.REPORTS_HELD and mean(times) > parameters.SLOW_FACTOR * median_time
+        slow = len(times) >= parameters.REPORTS_NEEDED and mean(times) > parameters.SLOW_FACTOR * median_time
         return self.loads[worker] > parameters.CAPACITY_LIMIT * self.capacity(worker) or slow
 
     def underused_new_workers(self, ranked: list[Worker]) -> list[Worker]:
--- a/bramblewood/policy/slices.py
+++ b/bramblewood/policy/slices.py
@@ -64,7 +64,7 @@
         spare = standby and standby.usable and not standby.retries_off and standby.is_warm
         if not (spare and primary and primary.retries_off and self.manager.settings.load_balancing == "pair"):
             return parameters.STANDBY_WEIGHT
-        reports = parameters.REPORTS_HELD if primary.report_gap > 1 else parameters.REPORTS_AVERAGED
+        reports = parameters.REPORTS_NEEDED if primary.report_gap > 1 else parameters.REPORTS_AVERAGED
         return parameters.OVERFLOW_WEIGHT if primary.is_over_limit(reports) else parameters.STANDBY_WEIGHT
 
     def table_changes(self, expedited: bool) -> tuple[dict, list | None, list]:
--- a/tests/policy/test_rebalancing.py
+++ b/tests/policy/test_rebalancing.py
@@ -5,7 +5,7 @@
 import pytest
 
 from bramblewood import events
-from bramblewood.policy.parameters import COOLDOWN_BOUNDS, FLUCTUATION_BOUND, REPORTS_HELD
+from bramblewood.policy.parameters import COOLDOWN_BOUNDS, FLUCTUATION_BOUND, REPORTS_NEEDED
 
 from .simulation import SimulatedSite, entry
 
@@ -20,7 +20,7 @@
 def test_smallest_slice_of_the_most_loaded_worker_moves_to_the_least_loaded():
     site = SimulatedSite()
     heat = {0: 3, 4: 2, 8: 1, 3: 0.2, 7: 0.2, 11: 0.2}  # w0 is overloaded, w3 is nearly idle
-    site.run_seconds(REPORTS_HELD)
+    site.run_seconds(REPORTS_NEEDED)
     assert site.primary(8) == "w0"
     site.run_seconds(8, heat=lambda n: heat.get(n, 1.0))
     assert site.primary(8) == "w3" and site.primary(0) == "w0" and site.primary(4) == "w0"
