--- a/bramblewood/controller/placement/rebalancing.py
+++ b/bramblewood/controller/placement/rebalancing.py
@@ -136,7 +136,7 @@
         """
         assignments: dict[int, Assignment] = {}
         planner = self._manager.planner
-        for worker, slices in planner.by_primary.items():
+        for worker, slices in planner.primary_slices.items():
             if worker is not None and self._is_fully_utilized(now, worker):
                 assignments |= self._offload_worker(now, worker, slices, rows)
         return assignments
--- a/bramblewood/policy/load_accounting.py
+++ b/bramblewood/policy/load_accounting.py
@@ -14,7 +14,7 @@
     def __init__(self, manager):
         self.manager = manager
         self.loads, self.own_loads = Counter(), Counter()  # heat by worker: from all managers, from this one
-        self.standby_counts, self.over_limit_cycles, self.by_primary = Counter(), Counter(), {}
+        self.standby_counts, self.over_limit_cycles, self.primary_slices = Counter(), Counter(), {}
         self.recent_moves, self.answered_rates = deque(), deque(maxlen=parameters.REPORTS_AVERAGED)
         self.own_heat = self.total_heat = self.total_load = self.median_load = self.throttled_count = 0.0
         self.total_weight, self.usual_total_load, self.typical_heat = 1.0, 1.0, 1.0
@@ -25,10 +25,10 @@
         manager, slices = self.manager, self.manager.own_slices()
         ready = manager.ready_workers()
         self.typical_heat = mean([s.estimate() for s in slices if s.estimates]) or self.typical_heat
-        self.own_loads, self.by_primary = Counter(), {}
+        self.own_loads, self.primary_slices = Counter(), {}
         for slice in slices:
             self.own_loads[slice.primary] += slice.estimate()
-            self.by_primary.setdefault(slice.primary, []).append(slice)
+            self.primary_slices.setdefault(slice.primary, []).append(slice)
         self.own_heat = sum(slice.estimate() for slice in slices)
         self.total_heat = self.own_heat * max(manager.settings.slices, len(slices)) / max(len(slices), 1)
         self.total_weight = sum(worker.weight for worker in ready) or 1.0
--- a/bramblewood/policy/planner.py
+++ b/bramblewood/policy/planner.py
@@ -48,7 +48,7 @@
         for source in sources[::-1][: 1 + len(new_workers)]:  # one more move per underused new worker
             over_limit = source.is_over_limit()  # else a cooldown saves cache hits and routes at all proxies
             movable = [
-                s for s in self.by_primary[source] if over_limit or s.cooldown_until <= self.manager.now
+                s for s in self.primary_slices[source] if over_limit or s.cooldown_until <= self.manager.now
             ]
             slice = min(movable, key=lambda s: (s.estimate(), s.number), default=None)
             target = self.least_loaded(slice.estimate(), source) if slice else None
@@ -67,7 +67,7 @@
         median_time = median(mean(w.response_times) for w in ranked if w.response_times)
         lowest = self.relative_load(ranked[0]) if ranked else 0.0
         over = [w for w in ranked if self.relative_load(w) > parameters.FLUCTUATION_BOUND * lowest]
-        over = [w for w in over if w in self.by_primary and self.is_overloaded(w, median_time)]
+        over = [w for w in over if w in self.primary_slices and self.is_overloaded(w, median_time)]
         self.over_limit_cycles = Counter({worker: self.over_limit_cycles[worker] + 1 for worker in over})
         return [worker for worker in over if self.over_limit_cycles[worker] >= parameters.REPORTS_NEEDED]
 
