--- a/bramblewood/controller/placement/rebalancing.py
+++ b/bramblewood/controller/placement/rebalancing.py
@@ -146,7 +146,7 @@
 
         The result is False until reports can show the effect of the worker's last offload.
         """
-        utilizations = [*worker.loads][-REPORTS_NEEDED:]
+        utilizations = [*worker.recent_loads][-REPORTS_NEEDED:]
         if len(utilizations) < REPORTS_NEEDED or min(utilizations) < FULL_UTILIZATION or not worker.usable:
             return False
         # reports show the effect of the last offload only after REPORT_LAG
--- a/bramblewood/controller/placement/service_placement.py
+++ b/bramblewood/controller/placement/service_placement.py
@@ -110,7 +110,7 @@
         A worker in slow start counts with the fraction of its slots that it can already use.
         """
         ready = self._manager.ready_workers()
-        busy_slots = sum(mean(worker.loads) * worker.weight for worker in ready)
+        busy_slots = sum(mean(worker.recent_loads) * worker.weight for worker in ready)
         slots = {worker.name: worker.weight * worker.warmth() for worker in ready if worker.usable}
         return ServiceCapacity(busy_slots, slots)
 
@@ -211,9 +211,9 @@
             return
         self._zone_affinity_adjusted_at = now
         self.zone_affinity.adjust(
-            WorkerUtilization(worker.zone, worker.weight, mean(worker.loads))
+            WorkerUtilization(worker.zone, worker.weight, mean(worker.recent_loads))
             for worker in self._manager.usable_workers()
-            if worker.loads
+            if worker.recent_loads
         )
 
 
--- a/bramblewood/policy/failover.py
+++ b/bramblewood/policy/failover.py
@@ -20,7 +20,7 @@
         growth = sum(s.estimates[-1] for s in slices) / (sum(s.estimate() for s in slices) or math.inf)
         if growth > parameters.SURGE_FACTOR:
             for worker in dict.fromkeys(s.primary for s in slices if s.primary):
-                self.manager.schedule(worker.cut_early, mean(worker.loads) * growth)
+                self.manager.schedule(worker.cut_early, mean(worker.recent_loads) * growth)
 
     def eject_failing_workers(self) -> None:
         """Eject workers that leave attempts unanswered; if they are slow, only while others have capacity."""
--- a/bramblewood/policy/load_accounting.py
+++ b/bramblewood/policy/load_accounting.py
@@ -34,9 +34,9 @@
         self.total_weight = sum(worker.weight for worker in ready) or 1.0
         usual_load = min(max(self.median_load, parameters.WORKING_POINT), parameters.MAX_LOAD_FACTOR)
         self.usual_total_load = usual_load * sum(worker.weight * worker.warmth() for worker in ready) or 1.0
-        self.total_load = sum(mean(worker.loads) * worker.weight for worker in ready)
+        self.total_load = sum(mean(worker.recent_loads) * worker.weight for worker in ready)
         scale = self.total_heat / (self.total_load or 1.0)
-        self.loads = Counter({w: scale * w.weight * mean(w.loads) for w in manager.workers.values()})
+        self.loads = Counter({w: scale * w.weight * mean(w.recent_loads) for w in manager.workers.values()})
         self.add_recent_moves()
 
     def add_recent_moves(self) -> None:
--- a/bramblewood/policy/workers.py
+++ b/bramblewood/policy/workers.py
@@ -29,7 +29,7 @@
 
     def is_over_limit(self, reports: int = parameters.REPORTS_AVERAGED) -> bool:
         """Return whether the mean of the last reports exceeds the limit; True if utilization is unknown."""
-        average = mean([*self.loads][-reports:])
+        average = mean([*self.recent_loads][-reports:])
         return not self.manager.utilization_known or average > parameters.CAPACITY_LIMIT
 
     def update(self, entry: ListedWorker) -> None:
@@ -79,11 +79,11 @@
         if self.new_loads:  # without the bound, one long queue would make all other workers look idle
             self.report_gap, self.cycles_without_report = self.cycles_without_report + 1, 0
             self.load = mean(self.new_loads)
-            self.loads.append(min(self.load, parameters.MAX_LOAD_FACTOR * median_load or math.inf))
+            self.recent_loads.append(min(self.load, parameters.MAX_LOAD_FACTOR * median_load or math.inf))
         else:
             self.cycles_without_report += 1
             if self.cycles_without_report >= parameters.STALE_CYCLES:  # assumes little traffic, not overload
-                self.loads.append(expected_load)
+                self.recent_loads.append(expected_load)
         self.new_loads, self.answered = [], 0.0
         self.adjust_admission()
 
--- a/bramblewood/policy_mechanisms/state.py
+++ b/bramblewood/policy_mechanisms/state.py
@@ -25,7 +25,7 @@
 
     def reset_measurements(self) -> None:
         """Discard all measurements, and admit all operations in full."""
-        self.loads: deque[float] = deque(maxlen=REPORTS_AVERAGED)  # load over capacity, one per cycle
+        self.recent_loads: deque[float] = deque(maxlen=REPORTS_AVERAGED)  # load over capacity, one per cycle
         self.response_times: deque[float] = deque(maxlen=REPORTS_AVERAGED)  # s, one per evaluation
         self.new_loads: list[float] = []  # reported since the last cycle
         self.response_samples: list[tuple[float, float]] = []  # not yet evaluated: (mean in s, responses)
