--- a/bramblewood/adapter/host.py
+++ b/bramblewood/adapter/host.py
@@ -8,7 +8,7 @@
 
 from .. import events
 from ..policy.manager import Manager
-from ..startup_settings import MS, parse_settings
+from ..startup_settings import MS_PER_SECOND, parse_settings
 from .wire import (
     Fields,
     MalformedInput,
@@ -96,7 +96,7 @@
         elif header is None:
             raise MalformedInput(f"{message.location}: {message.name} outside a batch")
         elif message.name == "eof_batch":
-            out.writelines(host.handle_batch(header["t"] / MS, messages))
+            out.writelines(host.handle_batch(header["t"] / MS_PER_SECOND, messages))
             out.write(encode("ack", {"round": header["round"]}))
             out.flush()
             header = None
--- a/bramblewood/adapter/wire.py
+++ b/bramblewood/adapter/wire.py
@@ -8,7 +8,7 @@
 from typing import Any, NamedTuple
 
 from .. import events
-from ..startup_settings import LOAD_FIELDS, MS
+from ..startup_settings import LOAD_FIELDS, MS_PER_SECOND
 
 ALL_SLICES_TABLE = 65535  # the table number on the wire that stands for all slices
 STATES = {2: events.READY, 0: events.DRAINING, 1: events.DEREGISTERED}  # worker states by their number
@@ -74,7 +74,7 @@
         zone=item.get("rack_zone", ""),
         pool=item.get("cluster", 0),
         kind=item.get("class_of_host", ""),
-        started=started and started / MS,
+        started=started and started / MS_PER_SECOND,
     )
 
 
@@ -82,15 +82,17 @@
     """Parse a message to a manager; raises KeyError for an unknown name or a missing field."""
     match name:
         case "installed":
-            return events.MessageAcknowledged(fields["edge"], fields["gen"], fields["time_taken"] / MS)
+            return events.MessageAcknowledged(
+                fields["edge"], fields["gen"], fields["time_taken"] / MS_PER_SECOND
+            )
         case "heard":
             return events.WorkerReported(
                 worker=fields["worker"],
                 zone=fields.get("rack_zone", ""),
                 attempts=fields["n"],
                 unanswered=fields.get("bad", 0),
-                mean_response_time=fields.get("time_taken", 0) / MS,
-                interval=fields["over"] / MS,
+                mean_response_time=fields.get("time_taken", 0) / MS_PER_SECOND,
+                interval=fields["over"] / MS_PER_SECOND,
                 load=parse_load(fields),
             )
         case "wakeup":
@@ -101,7 +103,7 @@
             return events.HealthCheckFinished(
                 worker=fields["worker"],
                 outcome=OUTCOMES.get(fields["how"], "unknown"),
-                elapsed=fields.get("time_taken", 0) / MS,
+                elapsed=fields.get("time_taken", 0) / MS_PER_SECOND,
                 load=parse_load(fields),
             )
         case "weight_seen":
@@ -126,7 +128,7 @@
 
 def parse_traffic(fields: Fields) -> tuple[str, int, int, float]:
     """Return operation, invocations, unanswered invocations and interval in s of a traffic report."""
-    return fields["class"], fields["n"], fields.get("bad", 0), fields["over"] / MS
+    return fields["class"], fields["n"], fields.get("bad", 0), fields["over"] / MS_PER_SECOND
 
 
 def format_order(order: events.Order) -> tuple[str, Fields] | None:
@@ -160,7 +162,7 @@
     """Format an order that does not change tables, as `format_order` does."""
     match order:
         case events.SetTimer(delay, token):
-            return "sleep", {"delay": delay * MS, "nonce": token}
+            return "sleep", {"delay": delay * MS_PER_SECOND, "nonce": token}
         case events.CheckHealth(worker):
             return "touch", {"worker": worker}
         case events.SendPeerMessage(manager, payload):
--- a/bramblewood/net/protocol/fields.py
+++ b/bramblewood/net/protocol/fields.py
@@ -4,7 +4,7 @@
 
 from ... import events
 from ...startup_settings import LOAD_FIELDS as SETTINGS_LOAD_FIELDS
-from ...startup_settings import MS
+from ...startup_settings import MS_PER_SECOND
 
 MAX_NUMBER = 1e15  # a figure above is a fault: as a time it is ages, and as a whole number soon no float
 MAX_UNKNOWN_NAMES = 16  # unknown names kept for the log; a stranger may send new ones without end
@@ -15,7 +15,7 @@
     "util": ("utilization", 1.0),
     "queue": ("queued", 1.0),
     "inflight": ("in_flight", 1.0),
-    "latency_ms": ("mean_response_time", 1 / MS),
+    "latency_ms": ("mean_response_time", 1 / MS_PER_SECOND),
     "qps": ("request_rate", 1.0),
     "eps": ("error_rate", 1.0),
 }
--- a/bramblewood/net/protocol/frames.py
+++ b/bramblewood/net/protocol/frames.py
@@ -7,7 +7,7 @@
 
 from ... import events
 from ..transport.buffer import Buffer
-from .fields import MS, InvalidMessage, ProtocolError, number, parse_load, text, whole_number
+from .fields import MS_PER_SECOND, InvalidMessage, ProtocolError, number, parse_load, text, whole_number
 
 MAX_MESSAGE_BYTES = 1 << 20  # bytes of one message; the protocol's
 MAX_UNJOINED_BYTES = 4096  # bytes of a question or a joining; what is longer is neither
@@ -74,7 +74,7 @@
     attempts, failed, interval = (
         whole_number(message, "tries"),
         whole_number(message, "failed"),
-        number(message, "span_ms") / MS,
+        number(message, "span_ms") / MS_PER_SECOND,
     )
     if max(attempts, failed) > MAX_ATTEMPTS or not 0 < interval <= MAX_INTERVAL:
         raise InvalidMessage(f"{failed} failed of {attempts} tries in {interval} s")
@@ -86,7 +86,7 @@
     kind = message.get("t")
     if kind == "LOAD":
         attempts, failed, interval = parse_attempts(message)
-        mean_time = number(message, "mean_ms", 0 if failed >= attempts else None) / MS
+        mean_time = number(message, "mean_ms", 0 if failed >= attempts else None) / MS_PER_SECOND
         if mean_time > MAX_INTERVAL:
             raise InvalidMessage(f"a mean time of {mean_time} s")
         return events.WorkerReported(
--- a/bramblewood/net/protocol/relay.py
+++ b/bramblewood/net/protocol/relay.py
@@ -3,7 +3,7 @@
 from collections.abc import Hashable, Iterable
 
 from ... import events
-from .fields import MS, InvalidMessage, number, whole_number
+from .fields import MS_PER_SECOND, InvalidMessage, number, whole_number
 
 MAX_CALL_BYTES = 60_000  # bytes of orders in one call; the protocol's
 MAX_CALL_ORDERS = MAX_CALL_BYTES // 6  # the shortest order and its number, ten bytes, come close
@@ -81,7 +81,9 @@
             return events.ProxyLeft(whole_number(fields, "proxy"))
         case "ACK":
             return events.MessageAcknowledged(
-                whole_number(fields, "proxy"), whole_number(fields, "mark"), number(fields, "took_ms") / MS
+                whole_number(fields, "proxy"),
+                whole_number(fields, "mark"),
+                number(fields, "took_ms") / MS_PER_SECOND,
             )
         case "GRANT":
             return events.SliceAssigned(whole_number(fields, "slice"), number(fields, "on") > 0)
--- a/bramblewood/net/protocol/worker_list.py
+++ b/bramblewood/net/protocol/worker_list.py
@@ -3,7 +3,7 @@
 import json
 
 from ... import events
-from .fields import MS, STATES, InvalidMessage, ProtocolError, number, text
+from .fields import MS_PER_SECOND, STATES, InvalidMessage, ProtocolError, number, text
 
 LIST_PATH = "/catalog/members"
 
@@ -25,7 +25,7 @@
         text(item, "zone", ""),
         cell if isinstance(cell, int) else 0,
         text(item, "kind", ""),
-        started / MS if started else None,
+        started / MS_PER_SECOND if started else None,
     )
     return entry, text(item, "addr", "")
 
--- a/bramblewood/startup_settings.py
+++ b/bramblewood/startup_settings.py
@@ -11,7 +11,7 @@
 
 from .events import IDEMPOTENT, IDEMPOTENT_WITH_KEY, SIDE_EFFECTING
 
-MS = 1000.0  # milliseconds per second
+MS_PER_SECOND = 1000.0  # milliseconds per second
 OPERATION_KINDS = {  # by the platform's name of an operation's effect
     "read_like": IDEMPOTENT,
     "idempotency_key": IDEMPOTENT_WITH_KEY,
@@ -22,7 +22,7 @@
     "cpu": ("utilization", 1.0),
     "waiting": ("queued", 1.0),
     "active": ("in_flight", 1.0),
-    "avg_ms": ("mean_response_time", 1 / MS),
+    "avg_ms": ("mean_response_time", 1 / MS_PER_SECOND),
     "rps": ("request_rate", 1.0),
     "err_rps": ("error_rate", 1.0),
 }
@@ -106,7 +106,7 @@
 
 def milliseconds_to_seconds(value: Any) -> float:
     """Convert milliseconds to seconds; raises TypeError unless the value is a finite number."""
-    return finite_number(value) / MS
+    return finite_number(value) / MS_PER_SECOND
 
 
 def string_list(value: Any) -> Any:
@@ -221,7 +221,7 @@
             billed_value=finite_number(entry["importance"]),
             late_value=entry.get("late_worth", 0.0),
             deduplication_scope={"cell": "pool"}.get(entry.get("dedup_scope"), entry.get("dedup_scope", "")),
-            deduplication_window=entry.get("window", 0.0) / MS,
+            deduplication_window=entry.get("window", 0.0) / MS_PER_SECOND,
             writes=writes,
         )
     except KeyError as error:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -225,7 +225,8 @@
     told = configuration.read({"EDGE_CONFIG": str(path), "EDGE_LISTEN": "127.0.0.9:81"})
     assert told.listen == ("127.0.0.9", 81) and told.relay == ("127.0.0.1", 6400)
     assert (
-        told.settings == startup_settings.parse_settings(OPTIONS) and wire.MS == startup_settings.MS
+        told.settings == startup_settings.parse_settings(OPTIONS)
+        and wire.MS_PER_SECOND == startup_settings.MS_PER_SECOND
     )  # one translation for both roads
     path.write_text("{")
     for environment in ({}, {"EDGE_CONFIG": str(tmp_path / "none")}, {"EDGE_CONFIG": str(path)}):
