--- a/features/steps/key_leases.py
+++ b/features/steps/key_leases.py
@@ -9,14 +9,14 @@
 from bramblewood.controller.key_leases import KeyLeases
 from bramblewood.controller.lease_calls import LeaseCalls
 from tests.simulation.key_lease_orders import LATE_RELEASE_ANSWER, count_states
-from tests.simulation.key_leases import STEP, ConflictingLeases, Play, expiry_margin
+from tests.simulation.key_leases import STEP, ConflictingLeases, KeyLeaseSimulation, expiry_margin
 
 CONNECTION_END_TIMEOUT = 2.0  # s
 
 
 @then("no key is leased to two workers in {count:d} simulations of one minute")
 def no_conflicting_leases(context, count):
-    simulations = [Play(seed).run(60) for seed in range(count)]
+    simulations = [KeyLeaseSimulation(seed).run(60) for seed in range(count)]
     counts = {
         event: sum(getattr(simulation, event) for simulation in simulations)
         for event in ("moves", "grants", "restarts", "late_answers", "surplus_answers_read")
@@ -64,7 +64,7 @@
     }[fault]
     for seed in range(count):
         try:
-            Play(seed, guard).run(60)
+            KeyLeaseSimulation(seed, guard).run(60)
         except ConflictingLeases:
             return
     raise AssertionError("no simulation leased a key to two workers")
--- a/tests/simulation/key_lease_orders.py
+++ b/tests/simulation/key_lease_orders.py
@@ -5,7 +5,7 @@
 
 from bramblewood.controller.key_leases import NO_ANSWER, RETRY_DELAY
 
-from .key_leases import SERVICE, Play
+from .key_leases import SERVICE, KeyLeaseSimulation
 
 Event = tuple[str, Any]
 
@@ -30,11 +30,11 @@
 LATE_RELEASE_ANSWER += [*MOVE_BY_B, ("move", ""), *MOVE_BY_B, ("move", "")]
 
 
-class OneSliceSimulation(Play):
+class OneSliceSimulation(KeyLeaseSimulation):
     """The simulation with one slice, in which the caller chooses each event instead of the seed."""
 
     def __init__(self, missing_guard: str = "", sending: str = "a") -> None:
-        """missing_guard: as for `Play`. sending: the names of the controllers that send calls."""
+        """missing_guard: as for `KeyLeaseSimulation`. sending: the controllers that send calls, by name."""
         super().__init__(0, missing_guard)
         self.sending = sending
         self.messages: list[tuple] = []  # calls and answers in transit: ("call" or "answer", arguments ...)
--- a/tests/simulation/key_leases.py
+++ b/tests/simulation/key_leases.py
@@ -72,7 +72,7 @@
         return 200
 
 
-class Play:
+class KeyLeaseSimulation:
     def __init__(self, seed: int, missing_guard: str = "") -> None:
         """missing_guard: the guard that is removed, or "" for none.
 
@@ -228,7 +228,7 @@
             if len(holders) > 1:
                 raise ConflictingLeases(f"slice {index} is leased to {' and '.join(holders)}")
 
-    def run(self, seconds: float) -> "Play":
+    def run(self, seconds: float) -> "KeyLeaseSimulation":
         for _ in range(int(seconds / STEP)):
             self.step()
         return self
