--- a/features/steps/read_replicas.py
+++ b/features/steps/read_replicas.py
@@ -5,12 +5,12 @@
 from bramblewood.common.slice_table import active_readers
 from bramblewood.controller import read_replicas
 from bramblewood.proxy import replica_invalidation
-from tests.simulation.read_replicas import Play, StaleRead
+from tests.simulation.read_replicas import ReadReplicaSimulation, StaleRead
 
 
 @then("no readable replica is older than an answered request in {count:d} simulations of {seconds:d} s")
 def no_stale_read(context, count, seconds):
-    finished = [Play(seed).run(seconds) for seed in range(count)]
+    finished = [ReadReplicaSimulation(seed).run(seconds) for seed in range(count)]
     assert (
         min(
             sum(simulation.answered_requests for simulation in finished),
@@ -23,7 +23,7 @@
 def has_stale_read(count, missing_guard=""):
     for seed in range(count):
         try:
-            Play(seed, missing_guard).run(60)
+            ReadReplicaSimulation(seed, missing_guard).run(60)
         except StaleRead:
             return True
     return False
--- a/tests/simulation/read_replicas.py
+++ b/tests/simulation/read_replicas.py
@@ -45,7 +45,7 @@
         self.invalidations = []  # (invalidation, value that the request wrote, deadline of the client)
 
 
-class Play:
+class ReadReplicaSimulation:
     def __init__(self, seed, missing_guard=""):
         """missing_guard: the guard that is removed, or "" for none.
 
