--- a/features/steps/drain_plans.py
+++ b/features/steps/drain_plans.py
@@ -21,7 +21,7 @@
 from bramblewood.controller.drain_progress import DrainProgress, ServiceCapacity
 from bramblewood.proxy.load_report import remaining_work
 from tests.approved import approve
-from tests.simulation.drain_plans import OutOfServiceTooSoon, Play
+from tests.simulation.drain_plans import DrainPlanSimulation, OutOfServiceTooSoon
 
 STEPS = [DRAIN_ANNOUNCED, DRAIN_IN_PROGRESS, DRAINED, OUT_OF_SERVICE]
 DISCONNECT_TIMEOUT = 7.4  # s
@@ -32,7 +32,7 @@
     "no connected proxy has work at a worker that is out of service in {count:d} simulations of {seconds:d} s"
 )
 def no_worker_is_out_of_service_too_soon(context, count, seconds):
-    finished = [Play(seed).run(seconds) for seed in range(count)]
+    finished = [DrainPlanSimulation(seed).run(seconds) for seed in range(count)]
     assert (
         min(
             sum(simulation.out_of_service_count for simulation in finished),
@@ -46,7 +46,7 @@
     """Whether a connected proxy has work at a worker that is out of service in one of `count` simulations."""
     for seed in range(count):
         try:
-            Play(seed, missing_guard).run(SIMULATED_SECONDS)
+            DrainPlanSimulation(seed, missing_guard).run(SIMULATED_SECONDS)
         except OutOfServiceTooSoon:
             return True
     return False
--- a/tests/simulation/drain_plans.py
+++ b/tests/simulation/drain_plans.py
@@ -55,7 +55,7 @@
         return now >= self.disconnected_until
 
 
-class Play:
+class DrainPlanSimulation:
     """Two controllers, three proxies, six workers of one service, and an operator."""
 
     def __init__(self, seed, missing_guard=""):
--- a/tests/simulation/recorded_runs.py
+++ b/tests/simulation/recorded_runs.py
@@ -59,7 +59,7 @@
     "contact, forgotten leave": (quorum_contact.restart_of_all_after_deregistration, range(1)),
     "holds": (lambda seed: key_leases.KeyLeaseSimulation(seed).run(300.0), range(4)),
     "copies": (lambda seed: read_replicas.ReadReplicaSimulation(seed).run(120.0), range(4)),
-    "withdrawal": (lambda seed: drain_plans.Play(seed).run(300.0), range(4)),
+    "withdrawal": (lambda seed: drain_plans.DrainPlanSimulation(seed).run(300.0), range(4)),
     "lines, keyed": (lambda seed: worker_connections.play_random(seed, 300, True), range(12)),
     "lines, unkeyed": (lambda seed: worker_connections.play_random(seed, 300, False), range(12)),
 }
