--- a/features/steps/consensus.py
+++ b/features/steps/consensus.py
@@ -10,8 +10,8 @@
     configuration,
     empty_disk_joins,
     keeps_learned_value_when_joining,
+    run_random_faults,
     stores_missed_value,
-    storm,
 )
 
 
@@ -102,7 +102,7 @@
 def check_random_runs(context, count):
     acknowledged = 0
     for seed in range(count):
-        acknowledged += len(storm(seed).acknowledged)
+        acknowledged += len(run_random_faults(seed).acknowledged)
     assert acknowledged > count, (
         f"{count} runs prove nothing, because only {acknowledged} configurations were acknowledged"
     )
@@ -111,7 +111,7 @@
 @then("{count:d} random runs that start with seats open to any disk lose no acknowledged configuration")
 def check_random_runs_from_any_disk(context, count):
     for seed in range(count):
-        storm(seed, seats_open_to_any_disk=True)
+        run_random_faults(seed, seats_open_to_any_disk=True)
 
 
 FAULTS = {
@@ -131,7 +131,7 @@
 def check_fault_is_found(context, fault, count):
     for seed in range(count):
         try:
-            storm(seed, **FAULTS[fault])
+            run_random_faults(seed, **FAULTS[fault])
         except RuleViolation:
             return
     raise AssertionError(f"none of {count} random runs breaks a rule with the fault: {fault}")
--- a/tests/simulation/consensus.py
+++ b/tests/simulation/consensus.py
@@ -319,7 +319,7 @@
     return any(sender == "b" and message["k"] == "join" for sender, _, message in cluster.in_flight)
 
 
-def storm(seed: int, **options: Any) -> ReplicaCluster:
+def run_random_faults(seed: int, **options: Any) -> ReplicaCluster:
     """Simulates operators that put conflicting configurations while messages and disks are lost.
 
     One machine at a time stops, and starts again before the next one stops. Raises RuleViolation if a rule is
--- a/tests/simulation/recorded_runs.py
+++ b/tests/simulation/recorded_runs.py
@@ -47,7 +47,7 @@
 # by name in play_digests.json: the function that runs one seed, and the recorded seeds. The names are those
 # under which the digests were first recorded, and some of them use earlier terms.
 RUNS: dict[str, tuple[Callable[[int], Any], Iterable[int]]] = {
-    "core": (consensus.storm, range(6)),
+    "core": (consensus.run_random_faults, range(6)),
     "epochs": (partial(membership_epoch_days.day, rounds=1), range(6)),
     "epochs, older disks": (partial(membership_epoch_days.day, rounds=1, older=3), range(6, 8)),
     "orders": (random_configuration_changes, range(4)),
