--- a/features/steps/configuration_changes.py
+++ b/features/steps/configuration_changes.py
@@ -18,9 +18,9 @@
     build_replica,
     concurrent_orders,
     long_day,
+    random_concurrent_requests,
     readers,
     start_simulation,
-    storm,
 )
 from tests.simulation.consensus import RuleViolation, configuration
 
@@ -56,7 +56,9 @@
 @then("{count:d} random runs with {voters:d} voters keep the invariants")
 def assert_random_runs_keep_invariants(context, count, voters):
     requests = [
-        request for seed in range(count) for request in storm(seed, voters, decide=short_memory).requests
+        request
+        for seed in range(count)
+        for request in random_concurrent_requests(seed, voters, decide=short_memory).requests
     ]
     for status in (200, 412):
         assert sum(request.status == status for request in requests) > 5 * count, "too few of these answers"
@@ -69,7 +71,10 @@
         assert guard in {**REPLICAS_WITHOUT_GUARD, **DECISIONS_WITHOUT_GUARD}, guard
         make_replica = replica_builder(REPLICAS_WITHOUT_GUARD.get(guard, ConsensusReplica))
         decide = DECISIONS_WITHOUT_GUARD.get(guard, short_memory)
-        assert_violation_found(lambda seed: storm(seed, voters, make_replica, decide), count)  # noqa: B023
+        assert_violation_found(
+            lambda seed: random_concurrent_requests(seed, voters, make_replica, decide),  # noqa: B023
+            count,
+        )
 
 
 @given("the register value of an older release that holds r9 after r7")
--- a/tests/simulation/configuration_changes.py
+++ b/tests/simulation/configuration_changes.py
@@ -372,7 +372,7 @@
     return simulation
 
 
-def storm(
+def random_concurrent_requests(
     seed: int, voters: int, make_replica: Callable = build_replica, decide: Callable = apply_configuration
 ) -> ConfigurationChangeSimulation:
     """Runs random concurrent requests under faults.
