--- a/features/steps/configuration_changes.py
+++ b/features/steps/configuration_changes.py
@@ -17,10 +17,10 @@
     Site,
     build_replica,
     concurrent_orders,
-    long_day,
     random_concurrent_requests,
     readers,
     start_simulation,
+    successive_changes,
 )
 from tests.simulation.consensus import RuleViolation, configuration
 
@@ -131,14 +131,14 @@
 @then("{count:d} successive changes and their repeats are all acknowledged")
 def assert_successive_changes_acknowledged(context, count):
     context.changes = count
-    simulation = long_day(1, 3, count)
+    simulation = successive_changes(1, 3, count)
     assert len(simulation.acknowledged) == count + 1
     assert {request.status for request in simulation.requests} == {200}
 
 
 @then("with {digests:d} kept digests older repeats get no definite answer and no request is rejected")
 def assert_older_repeats_get_no_definite_answer(context, digests):
-    simulation = long_day(2, 5, context.changes, partial(apply_configuration, max_digests=digests))
+    simulation = successive_changes(2, 5, context.changes, partial(apply_configuration, max_digests=digests))
     assert len(simulation.acknowledged) == context.changes + 1 and not simulation.rejected
     assert {request.status for request in simulation.requests} == {200, 0}
 
--- a/tests/simulation/configuration_changes.py
+++ b/tests/simulation/configuration_changes.py
@@ -416,7 +416,7 @@
     return simulation
 
 
-def long_day(
+def successive_changes(
     seed: int, voters: int, changes: int, decide: Callable = apply_configuration
 ) -> ConfigurationChangeSimulation:
     """Runs many changes, each on the one before, with lost answers and repeats of random earlier requests."""
--- a/tests/simulation/recorded_runs.py
+++ b/tests/simulation/recorded_runs.py
@@ -37,7 +37,7 @@
 
 
 def many_configuration_changes(seed: int) -> Any:
-    return configuration_changes.long_day(seed, voters=3, changes=150)
+    return configuration_changes.successive_changes(seed, voters=3, changes=150)
 
 
 def isolated_minority(seed: int) -> Any:
