--- a/features/steps/configuration_changes.py
+++ b/features/steps/configuration_changes.py
@@ -18,7 +18,7 @@
     build_replica,
     concurrent_orders,
     random_concurrent_requests,
-    readers,
+    reads_at_distant_controller,
     start_simulation,
     successive_changes,
 )
@@ -109,19 +109,21 @@
 def assert_reads_keep_invariants(context, count, voters):
     context.count, context.voters = count, voters
     for seed in range(count):
-        readers(seed, voters)
+        reads_at_distant_controller(seed, voters)
 
 
 @then("the same runs without proposer backoff keep the invariants")
 def assert_reads_without_backoff_keep_invariants(context):
     for seed in range(context.count):
-        readers(seed, context.voters, replica_builder(configuration_change_guards.NoBackoff))
+        reads_at_distant_controller(
+            seed, context.voters, replica_builder(configuration_change_guards.NoBackoff)
+        )
 
 
 @then("adding changes to a started round violates an invariant within {count:d} of these runs")
 def assert_late_additions_violate_invariant(context, count):
     assert_violation_found(
-        lambda seed: readers(
+        lambda seed: reads_at_distant_controller(
             seed, context.voters, replica_builder(configuration_change_guards.AddsChangesToStartedRound)
         ),
         count,
--- a/tests/simulation/configuration_changes.py
+++ b/tests/simulation/configuration_changes.py
@@ -431,7 +431,9 @@
     return simulation
 
 
-def readers(seed: int, voters: int, make_replica: Callable = build_replica) -> ConfigurationChangeSimulation:
+def reads_at_distant_controller(
+    seed: int, voters: int, make_replica: Callable = build_replica
+) -> ConfigurationChangeSimulation:
     """Runs changes at controllers that are close to each other, and continuous reads at a distant one.
 
     A change may be acknowledged while the round of an earlier read is in flight. A read that starts after the
--- a/tests/simulation/recorded_runs.py
+++ b/tests/simulation/recorded_runs.py
@@ -52,7 +52,7 @@
     "epochs, older disks": (partial(membership_epoch_days.day, rounds=1, older=3), range(6, 8)),
     "orders": (random_configuration_changes, range(4)),
     "orders, long": (many_configuration_changes, range(1)),
-    "orders, far reader": (partial(configuration_changes.readers, voters=3), range(2)),
+    "orders, far reader": (partial(configuration_changes.reads_at_distant_controller, voters=3), range(2)),
     "contact": (partial(quorum_contact.random_faults, seconds=10.0), range(2)),
     "contact, five and a spare": (isolated_minority, range(4)),
     "contact, frozen scribe": (quorum_contact.freeze_before_grants, range(1)),
