--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -9,7 +9,7 @@
 import json
 import statistics
 
-from tests.simulation.configuration_changes import Site, concurrent_orders
+from tests.simulation.configuration_changes import Site, concurrent_requests
 
 NEAR, WIDE, FAR = (0.0005, 0.003), (0.0005, 0.06), (0.055, 0.06)  # s one way
 SITES = {
@@ -30,7 +30,9 @@
     for voters in (3, 5):
         for name, site in SITES.items():
             for spread in (True, False):
-                took = [concurrent_orders(seed, Site(voters, **site), spread=spread) for seed in range(seeds)]
+                took = [
+                    concurrent_requests(seed, Site(voters, **site), spread=spread) for seed in range(seeds)
+                ]
                 row = {
                     "voters": voters,
                     "site": name,
--- a/features/steps/configuration_changes.py
+++ b/features/steps/configuration_changes.py
@@ -16,7 +16,7 @@
     ConfigurationChangeSimulation,
     Site,
     build_replica,
-    concurrent_orders,
+    concurrent_requests,
     random_concurrent_requests,
     reads_at_distant_controller,
     start_simulation,
@@ -188,7 +188,7 @@
 @then("eight requests with {voters:d} voters and {links} are answered within half of AckS in {count:d} seeds")
 def assert_answers_in_time(context, voters, links, count):
     for seed in range(count):
-        longest = max(concurrent_orders(seed, Site(voters, **LINKS[links])))
+        longest = max(concurrent_requests(seed, Site(voters, **LINKS[links])))
         assert longest < Bounds.AckS / 2, (seed, longest)
 
 
@@ -196,7 +196,7 @@
 def assert_backoff_is_needed(context, count):
     make_replica = replica_builder(configuration_change_guards.NoBackoff)
     site = Site(5, **DISTANT_CONTROLLERS)
-    longest = max(max(concurrent_orders(seed, site, make_replica=make_replica)) for seed in range(count))
+    longest = max(max(concurrent_requests(seed, site, make_replica=make_replica)) for seed in range(count))
     assert longest > Bounds.AckS / 2, longest
 
 
@@ -208,7 +208,7 @@
     single = start_simulation(seed, Site(3, **DISTANT_CONTROLLERS)).requests[0].duration
     return (
         max(
-            concurrent_orders(
+            concurrent_requests(
                 seed,
                 Site(3, **DISTANT_CONTROLLERS),
                 spread=False,
--- a/tests/simulation/configuration_changes.py
+++ b/tests/simulation/configuration_changes.py
@@ -451,7 +451,7 @@
     return simulation
 
 
-def concurrent_orders(
+def concurrent_requests(
     seed: int, site: Site, turns: int = 4, spread: bool = True, make_replica: Callable = build_replica
 ) -> list[float]:
     """Returns the time in s from the first call to the definite answer of every request.
