--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -9,7 +9,7 @@
 import json
 import statistics
 
-from tests.simulation.configuration_changes import Site, concurrent_requests
+from tests.simulation.configuration_changes import SimulatedSite, concurrent_requests
 
 NEAR, WIDE, FAR = (0.0005, 0.003), (0.0005, 0.06), (0.055, 0.06)  # s one way
 SITES = {
@@ -31,7 +31,8 @@
         for name, site in SITES.items():
             for spread in (True, False):
                 took = [
-                    concurrent_requests(seed, Site(voters, **site), spread=spread) for seed in range(seeds)
+                    concurrent_requests(seed, SimulatedSite(voters, **site), spread=spread)
+                    for seed in range(seeds)
                 ]
                 row = {
                     "voters": voters,
--- a/features/steps/configuration_changes.py
+++ b/features/steps/configuration_changes.py
@@ -14,7 +14,7 @@
 from tests.simulation.configuration_change_guards import short_memory
 from tests.simulation.configuration_changes import (
     ConfigurationChangeSimulation,
-    Site,
+    SimulatedSite,
     build_replica,
     concurrent_requests,
     random_concurrent_requests,
@@ -24,7 +24,7 @@
 )
 from tests.simulation.consensus import RuleViolation, configuration
 
-# fields of Site, in s
+# fields of SimulatedSite, in s
 DISTANT_CONTROLLERS = {"delays": (0.055, 0.06)}
 LINKS = {"distant controllers": DISTANT_CONTROLLERS, "one slow link": {"slow": 0.25}}
 REPLICAS_WITHOUT_GUARD = {
@@ -147,7 +147,7 @@
 
 @given("all controllers hold r2 as the successor of r1")
 def put_two_revisions(context):
-    simulation = context.simulation = start_simulation(1, Site(3))
+    simulation = context.simulation = start_simulation(1, SimulatedSite(3))
     context.first, context.second = simulation.requests[0].requested, configuration(2, 1, "second")
     request = simulation.put(context.second, simulation.names[1])
     simulation.run(simulation.now + 5.0, lambda: request.status)
@@ -188,14 +188,14 @@
 @then("eight requests with {voters:d} voters and {links} are answered within half of AckS in {count:d} seeds")
 def assert_answers_in_time(context, voters, links, count):
     for seed in range(count):
-        longest = max(concurrent_requests(seed, Site(voters, **LINKS[links])))
+        longest = max(concurrent_requests(seed, SimulatedSite(voters, **LINKS[links])))
         assert longest < Bounds.AckS / 2, (seed, longest)
 
 
 @then("without proposer backoff an answer takes more than half of AckS within {count:d} seeds")
 def assert_backoff_is_needed(context, count):
     make_replica = replica_builder(configuration_change_guards.NoBackoff)
-    site = Site(5, **DISTANT_CONTROLLERS)
+    site = SimulatedSite(5, **DISTANT_CONTROLLERS)
     longest = max(max(concurrent_requests(seed, site, make_replica=make_replica)) for seed in range(count))
     assert longest > Bounds.AckS / 2, longest
 
@@ -205,12 +205,12 @@
 
     The concurrent requests are all sent to the same controller.
     """
-    single = start_simulation(seed, Site(3, **DISTANT_CONTROLLERS)).requests[0].duration
+    single = start_simulation(seed, SimulatedSite(3, **DISTANT_CONTROLLERS)).requests[0].duration
     return (
         max(
             concurrent_requests(
                 seed,
-                Site(3, **DISTANT_CONTROLLERS),
+                SimulatedSite(3, **DISTANT_CONTROLLERS),
                 spread=False,
                 make_replica=replica_builder(replica_class),
             )
--- a/tests/simulation/configuration_changes.py
+++ b/tests/simulation/configuration_changes.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True)
-class Site:
+class SimulatedSite:
     """The number of controllers, the delays of the links between them, and the faults that occur.
 
     Fields without a unit are probabilities for each message or answer.
@@ -84,7 +84,7 @@
     def __init__(
         self,
         seed: int,
-        site: Site = Site(),
+        site: SimulatedSite = SimulatedSite(),
         make_replica: Callable = build_replica,
         decide: Callable = apply_configuration,
     ) -> None:
@@ -341,7 +341,7 @@
         Each request must have a definite answer, unless the digest of its revision may have been discarded. A
         read at each controller must succeed.
         """
-        self.site = Site(self.site.voters, self.site.spares, self.site.delays)
+        self.site = SimulatedSite(self.site.voters, self.site.spares, self.site.delays)
         self.not_receiving, self.not_sending = set(), set()
         for name in self.names:
             if name not in self.replicas:
@@ -361,7 +361,10 @@
 
 
 def start_simulation(
-    seed: int, site: Site, make_replica: Callable = build_replica, decide: Callable = apply_configuration
+    seed: int,
+    site: SimulatedSite,
+    make_replica: Callable = build_replica,
+    decide: Callable = apply_configuration,
 ) -> ConfigurationChangeSimulation:
     """Returns a simulation in which the configuration "first" is in force as r1."""
     simulation = ConfigurationChangeSimulation(seed, site, make_replica, decide)
@@ -387,7 +390,7 @@
         "answers_lost": 0.2,
         "mean_stop_interval": 1.5,
     }
-    simulation = start_simulation(seed, Site(voters, **faults), make_replica, decide)
+    simulation = start_simulation(seed, SimulatedSite(voters, **faults), make_replica, decide)
     rng = simulation.rng
     for turn in range(10):
         newest = simulation.newest_revision()
@@ -420,7 +423,7 @@
     seed: int, voters: int, changes: int, decide: Callable = apply_configuration
 ) -> ConfigurationChangeSimulation:
     """Runs many changes, each on the one before, with lost answers and repeats of random earlier requests."""
-    site = Site(voters, delays=(0.0005, 0.005), answers_lost=0.1)
+    site = SimulatedSite(voters, delays=(0.0005, 0.005), answers_lost=0.1)
     simulation = start_simulation(seed, site, decide=decide)
     for revision in range(2, changes + 2):
         request = simulation.put(configuration(revision, revision - 1, f"m{revision}"))
@@ -439,7 +442,9 @@
     A change may be acknowledged while the round of an earlier read is in flight. A read that starts after the
     acknowledgement must return the change.
     """
-    simulation = start_simulation(seed, Site(voters, delays=(0.0005, 0.005), distant_delay=0.1), make_replica)
+    simulation = start_simulation(
+        seed, SimulatedSite(voters, delays=(0.0005, 0.005), distant_delay=0.1), make_replica
+    )
     for revision in range(2, 22):
         request = simulation.put(configuration(revision, revision - 1, f"m{revision}"), simulation.names[0])
         # After the answer there is a pause, in which rounds of the distant reader succeed.
@@ -452,7 +457,11 @@
 
 
 def concurrent_requests(
-    seed: int, site: Site, turns: int = 4, spread: bool = True, make_replica: Callable = build_replica
+    seed: int,
+    site: SimulatedSite,
+    turns: int = 4,
+    spread: bool = True,
+    make_replica: Callable = build_replica,
 ) -> list[float]:
     """Returns the time in s from the first call to the definite answer of every request.
 
