--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -16,7 +16,7 @@
     "near": {"delays": NEAR},
     "wide": {"delays": WIDE},
     "far": {"delays": FAR},
-    "wide, one link of 250 ms": {"delays": WIDE, "slow": 0.25},
+    "wide, one link of 250 ms": {"delays": WIDE, "slow_link_delay": 0.25},
     "wide, a voter that hears none": {"delays": WIDE, "not_receiving": True},
     "wide, a voter that none hears": {"delays": WIDE, "not_sending": True},
     "wide, accidents": {"delays": WIDE, "lost": 0.03, "answers_lost": 0.2},
--- a/features/steps/configuration_changes.py
+++ b/features/steps/configuration_changes.py
@@ -26,7 +26,7 @@
 
 # fields of SimulatedSite, in s
 DISTANT_CONTROLLERS = {"delays": (0.055, 0.06)}
-LINKS = {"distant controllers": DISTANT_CONTROLLERS, "one slow link": {"slow": 0.25}}
+LINKS = {"distant controllers": DISTANT_CONTROLLERS, "one slow link": {"slow_link_delay": 0.25}}
 REPLICAS_WITHOUT_GUARD = {
     "a quorum is a majority": configuration_change_guards.QuorumBelowMajority,
     "a value accepted by a minority is not chosen": configuration_change_guards.TreatsAcceptedAsChosen,
--- a/tests/simulation/configuration_changes.py
+++ b/tests/simulation/configuration_changes.py
@@ -47,7 +47,7 @@
     voters: int = 3
     spares: int = 2  # controllers that take calls but do not vote
     delays: tuple[float, float] = (0.0005, 0.06)  # s, shortest and longest one-way delay of a link
-    slow: float = 0.0  # s, one-way delay of one slow link between two voters; 0 for no such link
+    slow_link_delay: float = 0.0  # s, one-way delay of one slow link between two voters; 0 for no such link
     distant_delay: float = 0.0  # s, one-way delay of all links of the last controller; 0 for the usual delays
     lost: float = 0.0
     # For a duplicated message and for a late copy, a second copy arrives up to 1 s after the first one,
@@ -94,8 +94,8 @@
         self.voters = self.names[: site.voters]
         pairs = [(a, b) for a in self.names for b in self.names if a < b]
         self.link_delays = {pair: self.rng.uniform(*site.delays) for pair in pairs}
-        if site.slow:
-            self.link_delays[tuple(sorted(self.rng.sample(self.voters, 2)))] = site.slow
+        if site.slow_link_delay:
+            self.link_delays[tuple(sorted(self.rng.sample(self.voters, 2)))] = site.slow_link_delay
         if site.distant_delay:
             self.link_delays |= dict.fromkeys(
                 [(a, b) for a, b in pairs if b == self.names[-1]], site.distant_delay
