--- a/features/steps/configuration_changes.py
+++ b/features/steps/configuration_changes.py
@@ -11,7 +11,7 @@
 from bramblewood.controller.configuration_succession import apply_configuration
 from bramblewood.controller.consensus.replica import ConsensusReplica
 from tests.simulation import configuration_change_guards
-from tests.simulation.configuration_change_guards import short_memory
+from tests.simulation.configuration_change_guards import apply_with_few_digests
 from tests.simulation.configuration_changes import (
     ConfigurationChangeSimulation,
     SimulatedSite,
@@ -58,7 +58,7 @@
     requests = [
         request
         for seed in range(count)
-        for request in random_concurrent_requests(seed, voters, decide=short_memory).requests
+        for request in random_concurrent_requests(seed, voters, decide=apply_with_few_digests).requests
     ]
     for status in (200, 412):
         assert sum(request.status == status for request in requests) > 5 * count, "too few of these answers"
@@ -70,7 +70,7 @@
         guard = row["guard"]
         assert guard in {**REPLICAS_WITHOUT_GUARD, **DECISIONS_WITHOUT_GUARD}, guard
         make_replica = replica_builder(REPLICAS_WITHOUT_GUARD.get(guard, ConsensusReplica))
-        decide = DECISIONS_WITHOUT_GUARD.get(guard, short_memory)
+        decide = DECISIONS_WITHOUT_GUARD.get(guard, apply_with_few_digests)
         assert_violation_found(
             lambda seed: random_concurrent_requests(seed, voters, make_replica, decide),  # noqa: B023
             count,
--- a/tests/simulation/configuration_change_guards.py
+++ b/tests/simulation/configuration_change_guards.py
@@ -75,33 +75,35 @@
 
 # Keeps few digests, so that a short simulated run discards digests as a real cluster does after thousands of
 # changes.
-short_memory = partial(apply_configuration, max_digests=6)
+apply_with_few_digests = partial(apply_configuration, max_digests=6)
 
 
 def reject_discarded_revisions(requested: Configuration, current: dict | None) -> tuple:
     """Rejects a configuration whose digest may have been discarded, instead of answering with status 503."""
-    return short_memory(requested, {**current, "forgotten": 0} if current else None)
+    return apply_with_few_digests(requested, {**current, "forgotten": 0} if current else None)
 
 
 def reject_repeats(requested: Configuration, current: dict | None) -> tuple:
     """Rejects a configuration that is put again, instead of acknowledging it again."""
     is_repeat = current and requested.digest in current["past"].values()
-    return (None, (412, "")) if is_repeat else short_memory(requested, current)
+    return (None, (412, "")) if is_repeat else apply_with_few_digests(requested, current)
 
 
 def match_repeats_by_revision(requested: Configuration, current: dict | None) -> tuple:
     """Acknowledges any configuration whose revision was in force, whatever its digest."""
     is_known_revision = current and str(requested.revision) in current["past"]
-    return (None, (200, "")) if is_known_revision else short_memory(requested, current)
+    return (None, (200, "")) if is_known_revision else apply_with_few_digests(requested, current)
 
 
 def leave_rejections_unrecorded(requested: Configuration, current: dict | None) -> tuple:
     """Rejects a configuration with an unknown parent without recording that in the register."""
-    next_value, answer = short_memory(requested, current)
+    next_value, answer = apply_with_few_digests(requested, current)
     return (next_value if answer[0] == 200 else None), answer
 
 
 def ignore_parent(requested: Configuration, current: dict | None) -> tuple:
     """Accepts any configuration with a newer revision, whatever its parent."""
     is_newer = current and requested.revision > current["n"]
-    return short_memory(requested._replace(parent_revision=current["n"]) if is_newer else requested, current)
+    return apply_with_few_digests(
+        requested._replace(parent_revision=current["n"]) if is_newer else requested, current
+    )
--- a/tests/simulation/recorded_runs.py
+++ b/tests/simulation/recorded_runs.py
@@ -32,7 +32,7 @@
 
 def random_configuration_changes(seed: int) -> Any:
     return configuration_changes.random_concurrent_requests(
-        seed, voters=3 + 2 * (seed % 2), decide=configuration_change_guards.short_memory
+        seed, voters=3 + 2 * (seed % 2), decide=configuration_change_guards.apply_with_few_digests
     )
 
 
