--- a/tests/simulation/membership_epoch_steps.py
+++ b/tests/simulation/membership_epoch_steps.py
@@ -11,7 +11,7 @@
 from bramblewood.controller.consensus.replica import ConsensusReplica
 
 from .membership_epoch_shapes import Shape
-from .replica_snapshot import ReplicaState, change_of, key, replica_state, restore_replica
+from .replica_snapshot import ReplicaState, change_from_tag, replica_state, restore_replica, state_key
 
 AFTER_ALL_TIMEOUTS = 100.0  # s, longer than every timeout and backoff
 
@@ -46,7 +46,7 @@
 
     def number_of(self, numbered: list, item: Any) -> int:
         """Returns the index of an item in one of the numbered lists, to which it is added if it is new."""
-        item_key = f"{id(numbered)}{key(item)}"
+        item_key = f"{id(numbered)}{state_key(item)}"
         index = self.numbers.get(item_key)
         if index is None:
             index = self.numbers[item_key] = len(numbered)
@@ -74,7 +74,7 @@
             while next_machine.writes:
                 next_machine = self.after_sync(next_machine, replica, sends, observations)
         if replica.voter_set != machine.consensus.voter_set:
-            observations.append(("voter set", replica.epoch, key(replica.voter_set)))
+            observations.append(("voter set", replica.epoch, state_key(replica.voter_set)))
             sends += [
                 ("", peer, {"k": "epoch", "m": replica.voter_set})
                 for peer in self.names
@@ -161,11 +161,11 @@
         return bits
 
     def after_proposal(self, machine_number: int, register: str, tag: tuple) -> tuple:
-        """Returns the step in which this machine state proposes the change of this tag, see `change_of`."""
+        """Returns the step in which this machine state proposes the tag's change, see `change_from_tag`."""
         current = self.machines[machine_number]
         replica = restore_replica(current.name, current.consensus)
         return self.after_effects(
-            current, replica, [replica.propose(0.0, register, change_of(tag), tag, 1e9)]
+            current, replica, [replica.propose(0.0, register, change_from_tag(tag), tag, 1e9)]
         )
 
     def after_wait(self, machine_number: int) -> tuple:
--- a/tests/simulation/replica_snapshot.py
+++ b/tests/simulation/replica_snapshot.py
@@ -16,7 +16,7 @@
 from bramblewood.controller.consensus.voter_set import VoterSet, voter_set_change
 
 
-def key(value: Any) -> str:
+def state_key(value: Any) -> str:
     """A string that is equal for equal values, for use as a dictionary key."""
     return repr(value)
 
@@ -123,7 +123,7 @@
 
 def restore_round(state: RoundState) -> ProposalRound:
     """A new round in this state, with an empty batch."""
-    proposal_round = ProposalRound(state.register, change_of(state.tag), state.tag, 1e9)
+    proposal_round = ProposalRound(state.register, change_from_tag(state.tag), state.tag, 1e9)
     proposal_round.proposal_number, proposal_round.phase, proposal_round.outcome, proposal_round.base = (
         state.proposal_number,
         state.phase,
@@ -151,14 +151,14 @@
         return False
 
 
-def order(digest: str) -> Any:
+def propose_configuration(digest: str) -> Any:
     """A change that sets an empty register to this digest. It fails with 412 where another value is set."""
     return lambda current: (digest, (200, digest)) if current in (None, digest) else (None, (412, digest))
 
 
-def change_of(tag: tuple) -> Any:
+def change_from_tag(tag: tuple) -> Any:
     """The change that belongs to the tag of a proposal."""
     if tag == "settle":
         return lambda current: (None, True)
     kind, content = tag
-    return order(content) if kind == "order" else voter_set_change(*content)
+    return propose_configuration(content) if kind == "order" else voter_set_change(*content)
--- a/tests/simulation/scripted_cluster.py
+++ b/tests/simulation/scripted_cluster.py
@@ -6,7 +6,7 @@
 from bramblewood.controller.consensus.replica import ConsensusReplica
 from bramblewood.controller.consensus.voter_set import VoterSet, voter_set_change
 from tests.simulation.consensus import RuleViolation
-from tests.simulation.replica_snapshot import order
+from tests.simulation.replica_snapshot import propose_configuration
 
 
 class ScriptedCluster:
@@ -33,7 +33,9 @@
 
     def put(self, name: str, digest: str) -> None:
         """Proposes the configuration with this digest at this replica."""
-        self.apply(name, self.replicas[name].propose(0.0, CONFIG, order(digest), digest, 99.0))
+        self.apply(
+            name, self.replicas[name].propose(0.0, CONFIG, propose_configuration(digest), digest, 99.0)
+        )
 
     def deliver(self, names: str, kinds: str = "", rounds: int = 12) -> None:
         """Delivers the messages in flight between the replicas in `names`, and the replies to them.
