--- a/benchmarks/controller_storage.py
+++ b/benchmarks/controller_storage.py
@@ -34,7 +34,7 @@
 PROPOSAL_NUMBER = (1, "a", 1)
 
 
-def table(slices: int, number: int = 1) -> dict:
+def make_slice_table(slices: int, number: int = 1) -> dict:
     """Returns a slice table with this number of slices and version `number`.
 
     The slices of each service start at the keys 0, 1, 2 and so on (`common/slice_table.py`).
@@ -53,7 +53,7 @@
     return {"n": number, "s": services}
 
 
-def moved(value: dict, index: int) -> dict:
+def move_slice(value: dict, index: int) -> dict:
     """Returns the table with one slice moved to another worker, patched as a voter patches it.
 
     index: selects the slice (modulo the number of slices of the service) and the worker.
@@ -79,7 +79,7 @@
 
 def measure(slices: int, folder: str) -> dict:
     """Returns the measured row for one table size, with the database in an empty folder."""
-    value = table(slices)
+    value = make_slice_table(slices)
     storage = Storage(folder)
     storage.open().unwrap()
     values: list[dict] = []
@@ -92,13 +92,13 @@
     commit(0)
     # 7919 is a prime, so the moves are spread over the slices of the service.
     for index in range(RUNS):
-        values.append(moved(values[-1], 7919 * index))
+        values.append(move_slice(values[-1], 7919 * index))
     row: dict = {"slices": slices, "json": len(json.dumps(value))}
-    row["round_ms"], row["round_cpu_ms"] = median_times(lambda index: moved(value, 7919 * index))
+    row["round_ms"], row["round_cpu_ms"] = median_times(lambda index: move_slice(value, 7919 * index))
     updates = ProxyUpdates()
     row["feed_ms"], row["feed_cpu_ms"] = median_times(lambda index: updates.record_table(values[index]))
     row["move_ms"], row["move_cpu_ms"] = median_times(lambda index: commit(index + 1))
-    values[:] = [json.loads(json.dumps(moved(value, index))) for index in range(RUNS)]
+    values[:] = [json.loads(json.dumps(move_slice(value, index))) for index in range(RUNS)]
     row["fresh_ms"], row["fresh_cpu_ms"] = median_times(commit)
     row["base"], row["log"] = (os.path.getsize(storage.path + ending) for ending in ("", "-wal"))
     storage.database.close()
--- a/tests/simulation/catch_up.py
+++ b/tests/simulation/catch_up.py
@@ -4,7 +4,7 @@
 import json
 import zlib
 
-from benchmarks.controller_storage import moved, table
+from benchmarks.controller_storage import make_slice_table, move_slice
 from benchmarks.gateway import config
 from bramblewood.controller.consensus.registers import CONFIG, DATA_REGISTERS, TABLE
 from tests.simulation.consensus import ReplicaCluster
@@ -33,7 +33,7 @@
             "past": {str(revision): digest_of(revision) for revision in range(1, past_revisions + 1)},
         }
         self.change(CONFIG, lambda _: first_value)
-        self.change(TABLE, lambda _: table(slices))
+        self.change(TABLE, lambda _: make_slice_table(slices))
         self.stop("c")
         for number in range(changes):
             self.change(*((CONFIG, self.next_config) if number % 2 else (TABLE, self.next_table)))
@@ -66,7 +66,7 @@
         return {"n": self.revision, "config": {**value["config"], "RouteList": routes}, "past": kept}
 
     def next_table(self, value: dict) -> dict:
-        return moved(value, value["n"] * 7919)
+        return move_slice(value, value["n"] * 7919)
 
     def change(self, register, next_value) -> None:
         """Changes a register through a, and delivers all messages that follow from it."""
--- a/tests/simulation/damaged_database.py
+++ b/tests/simulation/damaged_database.py
@@ -15,7 +15,7 @@
 
 from click.testing import CliRunner, Result
 
-from benchmarks.controller_storage import moved, table
+from benchmarks.controller_storage import make_slice_table, move_slice
 from bramblewood.cli.storage import storage as storage_commands
 from bramblewood.controller.storage import Storage
 from bramblewood.controller.storage_errors import StorageDamagedError
@@ -56,7 +56,7 @@
     """
     storage = Storage(folder)
     storage.open().unwrap()
-    value = table(SLICE_COUNT)
+    value = make_slice_table(SLICE_COUNT)
     facts = {"disk": "5e210001", "held": 2, "members": {"n": 2, "voters": {"10.0.0.1": "5e210001"}}}
     storage.commit(
         [
@@ -68,7 +68,7 @@
         ]
     )
     for index in range(40):
-        value = moved(value, 17 * index)
+        value = move_slice(value, 17 * index)
         storage.commit([([("table", *PROPOSAL_NUMBERS, value)], {"seen": index}, None)])
     services = {**value["s"], "service-2": {}}
     storage.commit([([("table", *PROPOSAL_NUMBERS, {**value, "s": services})], {"seen": None}, None)])
--- a/tests/simulation/storage_failures.py
+++ b/tests/simulation/storage_failures.py
@@ -12,7 +12,7 @@
 import types
 from unittest import mock
 
-from benchmarks.controller_storage import moved, table
+from benchmarks.controller_storage import make_slice_table, move_slice
 from bramblewood.common.settings import Bounds, Settings
 from bramblewood.controller.consensus.effects import Effects
 from bramblewood.controller.consensus.registers import CONFIG
@@ -283,7 +283,7 @@
     """
 
     def __init__(self, slices: int) -> None:
-        self.disk, self.rng, self.value = SimulatedDisk(), random.Random(1), table(slices)
+        self.disk, self.rng, self.value = SimulatedDisk(), random.Random(1), make_slice_table(slices)
         self.start()
         self.commit(self.value)
 
@@ -303,7 +303,7 @@
         0 for never.
         """
         for number in range(count):
-            self.commit(moved(self.value, self.rng.randrange(10**6)))
+            self.commit(move_slice(self.value, self.rng.randrange(10**6)))
             if emptying_interval and number % emptying_interval == 0:
                 services, name = self.value["s"], self.rng.choice([*self.value["s"]])
                 self.commit({**self.value, "s": {**services, name: {}}})
--- a/tests/test_table_costs.py
+++ b/tests/test_table_costs.py
@@ -4,7 +4,7 @@
 
 import random
 
-from benchmarks.controller_storage import table
+from benchmarks.controller_storage import make_slice_table
 from bramblewood.common.slice_table import readers_with_versions
 from bramblewood.controller import proxy_updates, read_replicas
 from bramblewood.controller.proxy_updates import ProxyUpdates
@@ -75,7 +75,7 @@
         processed.extend(keys)
         return keys
 
-    value, replicas, updates = table(3000), ReadReplicas(), ProxyUpdates()
+    value, replicas, updates = make_slice_table(3000), ReadReplicas(), ProxyUpdates()
     replicas.record_table(0.0, value)
     updates.record_table(value)
     monkeypatch.setattr(read_replicas, "changed_keys", recording_changed_keys)
