--- a/features/steps/storage.py
+++ b/features/steps/storage.py
@@ -210,7 +210,7 @@
 
 @when("the power is cut")
 def cut_power(context):
-    context.hanging.disk.power_cut_at = context.hanging.disk.calls - 1
+    context.hanging.disk.power_cut_at = context.hanging.disk.call_count - 1
 
 
 @then("no message was sent, and the content from before the write is still stored")
--- a/tests/simulation/simulated_disk.py
+++ b/tests/simulation/simulated_disk.py
@@ -36,9 +36,10 @@
     syncs_own_name = False
 
     def __init__(self, rng=None):
-        self.dice = rng or random.Random(0)
+        self.rng = rng or random.Random(0)
         self.names, self.durable_names, self.unsynced_names = {}, {}, []
-        self.calls, self.power_cut_at, self.errors, self.locked, self.free_bytes = 0, None, {}, False, None
+        self.call_count, self.power_cut_at, self.errors = 0, None, {}
+        self.locked, self.free_bytes = False, None
 
     # --- faults
 
@@ -99,14 +100,14 @@
 
     def count_call(self, kind):
         """Counts a file call. Raises PowerCut after the power cut, and OSError where `errors` gives one."""
-        self.calls += 1
-        if self.power_cut_at is not None and self.calls > self.power_cut_at:
+        self.call_count += 1
+        if self.power_cut_at is not None and self.call_count > self.power_cut_at:
             raise PowerCut
         error_source = self.errors.get(kind)
         if error_source and (error := error_source()):
             raise OSError(error, errno.errorcode[error])
 
-    def entries(self):
+    def file_names(self):
         return sorted(self.names)
 
     def port(self):
@@ -121,7 +122,7 @@
 
     def names(self):
         self.disk.count_call("names")
-        return self.disk.entries()
+        return self.disk.file_names()
 
     def open(self, name, create=False):
         disk = self.disk
--- a/tests/simulation/sqlite_on_simulated_disk.py
+++ b/tests/simulation/sqlite_on_simulated_disk.py
@@ -125,10 +125,10 @@
         try:
             result = call()
         except (apsw.Error, OSError, PowerCut) as error:
-            if self.disk.power_cut_at is not None and self.disk.calls > self.disk.power_cut_at:
+            if self.disk.power_cut_at is not None and self.disk.call_count > self.disk.power_cut_at:
                 raise PowerCut from None
             raise sqlite3.OperationalError(str(error)) from None
-        if self.disk.power_cut_at is not None and self.disk.calls > self.disk.power_cut_at:
+        if self.disk.power_cut_at is not None and self.disk.call_count > self.disk.power_cut_at:
             raise PowerCut
         return result
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -64,7 +64,7 @@
         batch.append(events.WorkersListed(tuple(entries), True, True, version))
         self.heard_version = version
         if self.with_ledger:
-            store = Store(self.disk.port(), self.clock, new_id=lambda: self.disk.dice.randbytes(16))
+            store = Store(self.disk.port(), self.clock, new_id=lambda: self.disk.rng.randbytes(16))
             self.stage = Ledger(TERMS, self.settings, str(self.life), self.clock, self.log, store)
             batch += self.stage.start()
         batch += [events.ProxyJoined(p, "a", 5.0) for p in range(2)]
@@ -472,7 +472,7 @@
     town.step(1.0)
     town.kill(False)
     lost = cases = 0
-    for name in town.disk.entries():
+    for name in town.disk.file_names():
         size = len(town.disk.names[name].contents)
         for at in range(zlib.crc32(name.encode()) % step if first is None else first, size, step):
             for kind in ("cut", "changed"):
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -32,7 +32,7 @@
 
 
 def opened(disk, clock=None, **more):
-    return Store(disk.port(), clock or Clock(), new_id=lambda: disk.dice.randbytes(16), **more)
+    return Store(disk.port(), clock or Clock(), new_id=lambda: disk.rng.randbytes(16), **more)
 
 
 def finish(steps):
@@ -145,7 +145,7 @@
     whole = SimulatedDisk()
     workload(whole, [{}], [0])
     met = 0
-    for cut in range(whole.calls):
+    for cut in range(whole.call_count):
         disk, history, promised = SimulatedDisk(), [{}], [0]
         disk.power_cut_at = cut
         with pytest.raises(PowerCut):
@@ -169,7 +169,7 @@
             store.close()
             again = opened(back)
             assert dict(again.scan()) == {**found, b"after": b"1"} and not again.dropped
-    assert whole.calls > 250 and met > 100
+    assert whole.call_count > 250 and met > 100
 
 
 @pytest.mark.parametrize("seed", range(30))
@@ -303,7 +303,7 @@
     """Guards against a cut at a record's exact end, which looks like a clean shorter log."""
     disk, history = lived()
     assert {name.rpartition(".")[2] for name in disk.names} == {"log", "table", "manifest", "witness"}
-    for name in disk.entries():
+    for name in disk.file_names():
         size = len(disk.names[name].contents)
         step = 1 if name != recovery.WITNESS else 7
         for at in range(0, size, step):
@@ -327,7 +327,7 @@
     disk, history = lived()
     older, _ = lived(batches=25)
     other, _ = lived(seed=9)
-    for name in disk.entries():
+    for name in disk.file_names():
         lost = disk.copy()
         del lost.names[name]
         judge(lost, history, (name, "lost"))
@@ -348,7 +348,7 @@
 
 def test_a_file_of_a_later_version_is_refused_and_nothing_is_touched():
     disk, _ = lived()
-    for name in disk.entries():
+    for name in disk.file_names():
         data = bytearray(disk.names[name].contents)
         data[8:10] = (frames.VERSION + 1).to_bytes(2, "little")
         data[12:16] = frames.crc32c(bytes(data[:12])).to_bytes(4, "little")
