--- a/features/steps/worker_connections.py
+++ b/features/steps/worker_connections.py
@@ -12,7 +12,12 @@
 from bramblewood.common.worker_connection import WorkerConnection
 from tests.approved import approve
 from tests.simulation.proxy import ProxySimulation
-from tests.simulation.worker_connections import RuleViolation, play_random, receive_response, run_all_orders
+from tests.simulation.worker_connections import (
+    RuleViolation,
+    receive_response,
+    run_all_orders,
+    run_random_events,
+)
 
 LOOKUP_REQUEST = (
     "GET /look/9 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: after\r\nX-Deadline-Ms: 900\r\n\r\n"
@@ -33,14 +38,14 @@
 
 @then("{seeds:d} random runs of up to {steps:d} events break no rule")
 def random_runs_break_no_rule(context, seeds, steps):
-    assert sum(play_random(seed, steps, seed % 2 == 1) for seed in range(seeds)) > 20 * seeds
+    assert sum(run_random_events(seed, steps, seed % 2 == 1) for seed in range(seeds)) > 20 * seeds
 
 
 @then('without "{guard}" a rule is broken within {seeds:d} random runs')
 def rule_is_broken_without_guard(context, guard, seeds):
     for seed in range(seeds):
         try:
-            play_random(seed, 80, seed % 2 == 1, guard)
+            run_random_events(seed, 80, seed % 2 == 1, guard)
         except RuleViolation:
             return
     raise AssertionError("no rule is broken in any of the random runs")
--- a/tests/simulation/recorded_runs.py
+++ b/tests/simulation/recorded_runs.py
@@ -60,8 +60,8 @@
     "holds": (lambda seed: key_leases.KeyLeaseSimulation(seed).run(300.0), range(4)),
     "copies": (lambda seed: read_replicas.ReadReplicaSimulation(seed).run(120.0), range(4)),
     "withdrawal": (lambda seed: drain_plans.DrainPlanSimulation(seed).run(300.0), range(4)),
-    "lines, keyed": (lambda seed: worker_connections.play_random(seed, 300, True), range(12)),
-    "lines, unkeyed": (lambda seed: worker_connections.play_random(seed, 300, False), range(12)),
+    "lines, keyed": (lambda seed: worker_connections.run_random_events(seed, 300, True), range(12)),
+    "lines, unkeyed": (lambda seed: worker_connections.run_random_events(seed, 300, False), range(12)),
 }
 
 
--- a/tests/simulation/worker_connections.py
+++ b/tests/simulation/worker_connections.py
@@ -425,7 +425,7 @@
     return len(seen_states), event_count
 
 
-def play_random(seed: int, steps: int, keyed: bool, removed_guard: str = "") -> int:
+def run_random_events(seed: int, steps: int, keyed: bool, removed_guard: str = "") -> int:
     """Run up to `steps` random events, with MANY_REQUESTS as the requests.
 
     Returns the number of events. Raises RuleViolation.
