--- a/tests/test_malformed_messages.py
+++ b/tests/test_malformed_messages.py
@@ -25,7 +25,7 @@
 from tests.simulation.membership_commands import INNER, ControllerFleet
 from tests.test_consensus_messages import WIRE_FORMS as CONSENSUS_TEXTS
 from tests.test_messages import WIRE_FORMS
-from tests.test_peer_connections import HOST, Acceptor, listening
+from tests.test_peer_connections import HOST, RecordingServer, serving
 
 COMMON_FORMS = [wire for _, wire in WIRE_FORMS]
 CONSENSUS_FORMS = [json.loads(text) for text in CONSENSUS_TEXTS]
@@ -105,8 +105,8 @@
 
 def test_peer_that_sends_malformed_messages_is_dialled_again_with_backoff() -> None:
     async def run() -> None:
-        acceptor, errors = Acceptor(), []
-        async with asyncio.timeout(5), listening(acceptor) as port:
+        acceptor, errors = RecordingServer(), []
+        async with asyncio.timeout(5), serving(acceptor) as port:
 
             def handle(connection: object, message: dict) -> None:
                 raise KeyError("missing")
--- a/tests/test_peer_connections.py
+++ b/tests/test_peer_connections.py
@@ -19,7 +19,7 @@
 HOST = "127.0.0.1"
 
 
-class Acceptor:
+class RecordingServer:
     """Accepts connections, and queues their first messages, further messages and closed connections."""
 
     def __init__(self) -> None:
@@ -35,7 +35,7 @@
 
 
 @contextlib.asynccontextmanager
-async def listening(acceptor: Acceptor):
+async def serving(acceptor: RecordingServer):
     """Serve connections with the acceptor. Yields the port on which it listens."""
     with socket.socket() as sock:
         sock.bind((HOST, 0))
@@ -62,8 +62,8 @@
 
 def test_close_ends_all_tasks_of_the_connections() -> None:
     async def scenario() -> None:
-        acceptor, changes = Acceptor(), asyncio.Queue()
-        async with asyncio.timeout(5), listening(acceptor) as port:
+        acceptor, changes = RecordingServer(), asyncio.Queue()
+        async with asyncio.timeout(5), serving(acceptor) as port:
             earlier_tasks = other_tasks()
             connections = create_connections(changes)
             connections.keep_connected(HOST, port)
@@ -84,8 +84,8 @@
 
 def test_lost_connection_is_dialled_again() -> None:
     async def scenario() -> None:
-        acceptor, changes = Acceptor(), asyncio.Queue()
-        async with asyncio.timeout(5), listening(acceptor) as port:
+        acceptor, changes = RecordingServer(), asyncio.Queue()
+        async with asyncio.timeout(5), serving(acceptor) as port:
             connections = create_connections(changes)
             connections.keep_connected(HOST, port)
             connection, _ = await acceptor.first_messages.get()
@@ -98,8 +98,8 @@
 
 def test_malformed_first_message_closes_the_connection() -> None:
     async def scenario() -> None:
-        acceptor = Acceptor()
-        async with asyncio.timeout(5), listening(acceptor) as port, aiohttp.ClientSession() as session:
+        acceptor = RecordingServer()
+        async with asyncio.timeout(5), serving(acceptor) as port, aiohttp.ClientSession() as session:
             async with session.ws_connect(f"http://{HOST}:{port}/link") as websocket:
                 await websocket.send_str("{no JSON")
                 await acceptor.closed.get()
