--- a/tests/policy/simulation.py
+++ b/tests/policy/simulation.py
@@ -40,7 +40,7 @@
 )
 
 
-def entry(name, state=events.READY, zone="a", started=None, weight=1.0):
+def list_entry(name, state=events.READY, zone="a", started=None, weight=1.0):
     """Return an entry of the worker list."""
     return events.ListedWorker(name, state, weight, zone, 0, "", started)
 
@@ -76,7 +76,7 @@
         ]
         self.step(
             0.0,
-            self.list_event([entry(f"w{k}", zone="ab"[k % 2]) for k in range(workers)], True),
+            self.list_event([list_entry(f"w{k}", zone="ab"[k % 2]) for k in range(workers)], True),
             *[events.ProxyJoined(p, "a", 5.0) for p in sorted(self.joined_proxies)],
             *stored_events,
         )
@@ -218,7 +218,7 @@
                 before, others = site.states[name], [s for n, s in site.states.items() if n != name]
                 if state == events.READY or events.READY in others:
                     started = site.now if state == events.READY != before else None
-                    batch.append(site.list_event([entry(name, state, started=started)]))
+                    batch.append(site.list_event([list_entry(name, state, started=started)]))
         if rng.random() < 0.05:
             proxy = rng.randrange(4)
             batch += [events.ProxyLeft(proxy), events.ProxyJoined(proxy, "a", 5.0)]
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -2,7 +2,7 @@
 
 from bramblewood import events
 
-from .simulation import SimulatedSite, entry
+from .simulation import SimulatedSite, list_entry
 
 
 def test_overload_cuts_retries_then_levels_without_ejection_until_it_ends():
@@ -31,12 +31,12 @@
 def test_urgent_moves_beyond_the_capacity_of_a_worker_cut_its_level_early():
     site = SimulatedSite(workers=3)
     site.run_seconds(6)
-    site.step(0.1, site.list_event([entry("w1", events.DEREGISTERED)]))
+    site.step(0.1, site.list_event([list_entry("w1", events.DEREGISTERED)]))
     moved = {number for number in site.tables if number % 3 == 1}
     site.run_seconds(1)
     levels = [site.admission.get((number, 0), (1.0,))[0] for number in moved]
     assert min(levels) == 1.0  # two workers have enough capacity
-    site.step(0.1, site.list_event([entry("w2", events.DEREGISTERED)]))
+    site.step(0.1, site.list_event([list_entry("w2", events.DEREGISTERED)]))
     site.run_seconds(1)
     assert all(site.admission[number, 0][0] < 1.0 for number in site.slices_of("w0"))  # one worker does not
     site.check_invariants()
--- a/tests/policy/test_failover.py
+++ b/tests/policy/test_failover.py
@@ -5,14 +5,14 @@
 from bramblewood import events
 from bramblewood.policy.manager import Manager
 
-from .simulation import SimulatedSite, entry
+from .simulation import SimulatedSite, list_entry
 
 
 def test_slices_of_a_draining_or_deregistered_worker_move_at_once():
     for state in (events.DRAINING, events.DEREGISTERED):
         site = SimulatedSite()
         site.run_seconds(4)
-        site.step(0.1, site.list_event([entry("w1", state)]))
+        site.step(0.1, site.list_event([list_entry("w1", state)]))
         site.run_seconds(1)
         assert not site.slices_of("w1") or "w1" in site.excluded
         site.check_invariants()
@@ -26,7 +26,7 @@
     site.run_seconds(30, heat=0.3)
     slices = site.slices_of("w5")
     assert {min(site.tables[n], key=site.tables[n].get) for n in slices} == {"w4"}
-    site.step(0.1, site.list_event([entry("w5", events.DRAINING)]))
+    site.step(0.1, site.list_event([list_entry("w5", events.DRAINING)]))
     primaries = [site.manager.slices[n].primary.name for n in slices]
     # the slices beyond its capacity go to the least loaded workers
     assert primaries[0] == "w4" and 1 <= primaries.count("w4") < len(slices)
@@ -38,7 +38,7 @@
     site = SimulatedSite(workers=4, slices=90, max_waiting_lines=400, slow_start_window=0.0)
     site.run_seconds(30)
     for state in (events.DEREGISTERED, events.READY):
-        site.step(0.1, site.list_event([entry("w1", state, started=site.now)]))
+        site.step(0.1, site.list_event([list_entry("w1", state, started=site.now)]))
         site.step(1.0)
     worker, planner = site.manager.workers["w1"], site.manager.planner
     slices_with_old_route = [
@@ -103,7 +103,9 @@
     site.timers.clear()
     site.step(
         0.1,
-        site.list_event([entry("w0", events.DEREGISTERED), *(entry(f"w{k}") for k in (1, 2, 3))], True),
+        site.list_event(
+            [list_entry("w0", events.DEREGISTERED), *(list_entry(f"w{k}") for k in (1, 2, 3))], True
+        ),
         *[events.ProxyJoined(p, "a", 5.0) for p in range(4)],
         *stored_events,
     )
@@ -115,7 +117,7 @@
     site = SimulatedSite()
     site.run_seconds(3)
     restarted = Manager(9, site.settings)
-    entries = [entry(f"w{k}", events.DEREGISTERED if k == 1 else events.READY) for k in range(4)]
+    entries = [list_entry(f"w{k}", events.DEREGISTERED if k == 1 else events.READY) for k in range(4)]
     batch = [events.WorkersListed(tuple(entries), True, True)]
     for number, table in site.tables.items():
         batch.append(events.SliceAssigned(number, True))
@@ -132,7 +134,7 @@
     standbys = [min(table, key=table.get) for table in site.tables.values()]
     assert all(standbys.count(f"w{k}") == 6 for k in range(4))
     # slices whose standby was w3 get another
-    site.step(0.1, site.list_event([entry("w3", events.DEREGISTERED)]))
+    site.step(0.1, site.list_event([list_entry("w3", events.DEREGISTERED)]))
     site.run_seconds(8)
     standbys = [min(table, key=table.get) for table in site.tables.values()]
     assert max(standbys.count(f"w{k}") for k in range(3)) <= 16
--- a/tests/policy/test_publishing.py
+++ b/tests/policy/test_publishing.py
@@ -5,7 +5,7 @@
 from bramblewood import events
 from bramblewood.policy.parameters import STANDBY_WEIGHT
 
-from .simulation import SimulatedSite, entry
+from .simulation import SimulatedSite, list_entry
 
 
 def test_a_tenth_of_the_ordinary_tables_goes_out_each_turn_as_changes():
@@ -26,7 +26,7 @@
     for worker in site.manager.workers.values():
         site.manager.schedule(worker.eject, "a test")
     site.manager.run_queue()
-    site.step(0.1, site.list_event([entry("w1", events.DEREGISTERED)]))
+    site.step(0.1, site.list_event([list_entry("w1", events.DEREGISTERED)]))
     site.step(1.0)
     assert "w1" in site.excluded
     site.run_seconds(16)
@@ -40,7 +40,7 @@
     for slice in site.manager.slices.values():  # levels of all slices are queued
         slice.admission = [(0.5, events.NO_RETRY)] * 3
         site.manager.publisher.enqueue(slice, True)
-    orders = site.step(0.05, site.list_event([entry("w1", events.DEREGISTERED)]))
+    orders = site.step(0.05, site.list_event([list_entry("w1", events.DEREGISTERED)]))
     sent = {o.table for o in orders if isinstance(o, events.SetRoute | events.SetAdmission)}
     assert sent and sent <= routed and len(sent) < 30
 
@@ -60,14 +60,14 @@
 def test_draining_workers_are_excluded_and_readmitted_with_their_first_route():
     site = SimulatedSite(workers=6, slices=90, max_waiting_lines=400, slow_start_window=2.0)
     site.run_seconds(6)
-    site.step(0.1, site.list_event([entry(f"w{k}", events.DRAINING) for k in range(4)]))
+    site.step(0.1, site.list_event([list_entry(f"w{k}", events.DRAINING) for k in range(4)]))
     site.run_seconds(1)
     assert site.excluded == {"w0", "w1", "w2", "w3"}
     assert any(name in site.excluded for table in site.tables.values() for name in table)
     site.step(0.1, events.ProxyJoined(0, "a", 5.0, True))
     # the proxy may lack the exclusions
     assert [o for o in site.step(1.0) if isinstance(o, events.ExcludeWorker) and o.excluded]
-    site.step(0.1, site.list_event([entry(f"w{k}", started=site.now) for k in range(4)]))
+    site.step(0.1, site.list_event([list_entry(f"w{k}", started=site.now) for k in range(4)]))
     site.run_seconds(30, after_second=SimulatedSite.check_invariants)
     assert not site.excluded and site.slices_of("w0")
 
@@ -77,7 +77,7 @@
     site.run_seconds(30)
     routed = {number: set(table) for number, table in site.tables.items()}
     deregistered = sorted(routed[0])
-    site.step(0.1, site.list_event([entry(name, events.DEREGISTERED) for name in deregistered]))
+    site.step(0.1, site.list_event([list_entry(name, events.DEREGISTERED) for name in deregistered]))
     unserved = {number for number, names in routed.items() if names <= set(deregistered)}
     first = [o.table for o in site.step(1.0) + site.step(1.0) if isinstance(o, events.SetRoute)]
     assert unserved and set(first[: len(unserved)]) <= unserved
@@ -99,7 +99,7 @@
         site.manager.schedule(
             site.manager.slices[number].assign_workers, site.manager.workers["w2"], None, True
         )
-    site.step(0.05, site.list_event([entry("w1", started=site.now)]))
+    site.step(0.05, site.list_event([list_entry("w1", started=site.now)]))
     moved = []
     while not moved:
         moved = [o.table for o in site.step(0.05) if isinstance(o, events.SetRoute) and o.weight == 1.0]
@@ -136,7 +136,7 @@
     assert site.acknowledgements
     site.acknowledgements.clear()
     site.step(2.6, *[events.ProxyJoined(p, "a", 5.0) for p in range(4)])  # the stream opens again
-    site.step(0.1, site.list_event([entry("w1", events.DRAINING)]))
+    site.step(0.1, site.list_event([list_entry("w1", events.DRAINING)]))
     site.step(0.6)
     assert "w1" in site.excluded
 
@@ -175,7 +175,7 @@
     """Guards restarts: proxies keep an earlier run's exclusions. Workers that appear later need no order."""
     site = SimulatedSite(workers=3)
     site.run_seconds(uptime)
-    site.step(0.0, site.list_event([entry("w9", started=site.now - 1)]))
+    site.step(0.0, site.list_event([list_entry("w9", started=site.now - 1)]))
     site.orders.clear()
     site.run_seconds(40, heat=lambda number: 1.0 + number)
     assert site.slices_of("w9") and (events.ExcludeWorker("w9", False) in site.orders) == readmitted
--- a/tests/policy/test_rebalancing.py
+++ b/tests/policy/test_rebalancing.py
@@ -7,7 +7,7 @@
 from bramblewood import events
 from bramblewood.policy.parameters import COOLDOWN_BOUNDS, FLUCTUATION_BOUND, REPORTS_NEEDED
 
-from .simulation import SimulatedSite, entry
+from .simulation import SimulatedSite, list_entry
 
 
 def test_even_load_causes_no_move():
@@ -37,7 +37,7 @@
         site = SimulatedSite(workers=6, slices=60, slow_start_window=4.0)
         heat = {n: 3.0 if n % 6 < 3 else 0.5 for n in range(60)}  # three of six workers have most of the heat
         site.run_seconds(3, heat=heat.get)
-        site.step(0.1, site.list_event([entry(f"x{k}", started=site.now) for k in range(new_workers)]))
+        site.step(0.1, site.list_event([list_entry(f"x{k}", started=site.now) for k in range(new_workers)]))
         site.run_seconds(4, heat=heat.get)
         moved = [
             sum(
@@ -53,7 +53,7 @@
 def test_worker_stops_counting_as_new_once_its_reports_are_averaged():
     """Guards against needless moves: replaced workers counted as new for ever."""
     site = SimulatedSite(workers=6, slices=60, slow_start_window=4.0)
-    site.step(0.1, site.list_event([entry(f"x{k}", started=site.now) for k in range(6)]))
+    site.step(0.1, site.list_event([list_entry(f"x{k}", started=site.now) for k in range(6)]))
     site.run_seconds(20, heat=0.01)
     heat = {n: 3.0 if n % 6 < 3 else 0.5 for n in range(60)}
     moved = [
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -2,7 +2,7 @@
 
 from bramblewood import events
 
-from .simulation import SimulatedSite, entry
+from .simulation import SimulatedSite, list_entry
 
 
 def test_new_worker_receives_at_most_one_slice_a_cycle():
@@ -10,8 +10,8 @@
     site.run_seconds(4)
     site.step(
         0.1,
-        site.list_event([entry("w9", started=site.now)]),
-        site.list_event([entry("w1", events.DEREGISTERED), entry("w2", events.DEREGISTERED)]),
+        site.list_event([list_entry("w9", started=site.now)]),
+        site.list_event([list_entry("w1", events.DEREGISTERED), list_entry("w2", events.DEREGISTERED)]),
     )
     assert len(site.slices_of("w9")) <= 1
     site.run_seconds(2)
@@ -21,7 +21,7 @@
 def test_restarted_worker_keeps_only_slices_within_its_budget():
     site = SimulatedSite()
     site.run_seconds(5)
-    site.step(0.1, site.list_event([entry("w1", started=site.now)]))
+    site.step(0.1, site.list_event([list_entry("w1", started=site.now)]))
     site.run_seconds(1)
     assert len(site.slices_of("w1")) < 3
 
@@ -34,7 +34,8 @@
     site.step(
         0.1,
         site.list_event(
-            [entry("w1", started=site.now)] + [entry(name, events.DEREGISTERED) for name in standbys]
+            [list_entry("w1", started=site.now)]
+            + [list_entry(name, events.DEREGISTERED) for name in standbys]
         ),
     )
     kept = [slice for slice in slices if slice.primary.name == "w1"]
@@ -45,7 +46,7 @@
     site = SimulatedSite()
     site.run_seconds(8)
     planner, warming = site.manager.planner, site.manager.worker("w9")
-    site.step(0.1, site.list_event([entry("w9", started=site.now)]))
+    site.step(0.1, site.list_event([list_entry("w9", started=site.now)]))
     before = planner.safe_capacity(warming)
     overloaded = {"attempts": 12, "unanswered": 9, "load": {"utilization": 1.0}}
     site.run_seconds(6, heat=lambda n: 4.0, observed={f"w{k}": overloaded for k in range(4)})
@@ -56,7 +57,7 @@
 def test_overloaded_worker_in_slow_start_receives_no_slice():
     site = SimulatedSite()
     site.run_seconds(6)
-    site.step(0.1, site.list_event([entry("w9", started=site.now - 2)]))
+    site.step(0.1, site.list_event([list_entry("w9", started=site.now - 2)]))
     warming, planner = site.manager.worker("w9"), site.manager.planner
     assert planner.can_take(warming, 0.1)
     warming.retries_off = True
@@ -68,6 +69,6 @@
     site.run_seconds(6)
     planner = site.manager.planner
     before, worker = planner.safe_capacity(site.manager.workers["w0"]), site.manager.workers["w0"]
-    site.step(0.1, site.list_event([entry(f"x{k}", started=site.now) for k in range(8)]))
+    site.step(0.1, site.list_event([list_entry(f"x{k}", started=site.now) for k in range(8)]))
     site.run_seconds(2)
     assert planner.safe_capacity(worker) > 0.6 * before  # with their full weights, it would be a third
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -20,7 +20,7 @@
 from bramblewood.store.port import Folder
 from bramblewood.store.store import Store
 
-from .policy.simulation import OPERATIONS, SETTINGS, entry
+from .policy.simulation import OPERATIONS, SETTINGS, list_entry
 from .simulation.simulated_disk import SimulatedDisk
 
 TERMS = StoreTerms("", "in-loop", False, 0.002, 0.25, 86400.0)
@@ -45,7 +45,7 @@
             replace(SETTINGS, **{"slices": 6, "lease": 30.0, **settings}),
             ledger,
         )
-        self.states = {f"w{k}": entry(f"w{k}", zone="ab"[k % 2]) for k in range(5)}
+        self.states = {f"w{k}": list_entry(f"w{k}", zone="ab"[k % 2]) for k in range(5)}
         self.version, self.told, self.out = 41, {}, {}  # out: told closed to the manager, in some life
         self.known = (41, list(self.states.values()))  # as the configuration was written, long ago
         self.tables = {n: {f"w{n % 5}": 1.0} for n in range(6)}
@@ -144,7 +144,7 @@
 
     def change(self, name, state, started=None):
         self.version += 1
-        self.states[name] = entry(name, state, self.states[name].zone, started)
+        self.states[name] = list_entry(name, state, self.states[name].zone, started)
         self.told[name] = self.version
 
     def step(self, seconds=0.25):
@@ -254,8 +254,8 @@
     first.hear(
         1000.0,
         [
-            listed(41, entry("a"), entry("b"), entry("c"), complete=True),
-            listed(45, entry("a", events.DRAINING, started=500.0)),
+            listed(41, list_entry("a"), list_entry("b"), list_entry("c"), complete=True),
+            listed(45, list_entry("a", events.DRAINING, started=500.0)),
         ],
     )
     first.alive(1001.0)
@@ -264,16 +264,16 @@
 
 def test_whom_a_new_life_believes():
     """The configuration's list is old; only a later version, a later start, or insisting opens one again."""
-    old = listed(41, entry("a", started=500.0), entry("b"), complete=True, cached=True)
+    old = listed(41, list_entry("a", started=500.0), list_entry("b"), complete=True, cached=True)
     second, _ = memory(1010.0, drained().items())
     assert states(second, 1010.0, old) == {"a": events.DRAINING, "b": events.READY}
-    assert states(second, 1011.0, listed(45, entry("a", started=500.0))) == {"a": events.DRAINING}
+    assert states(second, 1011.0, listed(45, list_entry("a", started=500.0))) == {"a": events.DRAINING}
     assert second.insisting(1011.0 + rules.INSISTING - 1) is None
     assert [e.worker for e in second.insisting(1011.0 + rules.INSISTING).workers] == ["a"]
     for event in (
-        listed(46, entry("a", started=500.0)),
-        listed(3, entry("a", started=501.0)),
-        listed(41, entry("a", started=900.0), cached=True),
+        listed(46, list_entry("a", started=500.0)),
+        listed(3, list_entry("a", started=501.0)),
+        listed(41, list_entry("a", started=900.0), cached=True),
     ):  # also an id that is used again
         third, _ = memory(1010.0, drained().items())
         third.hear(1010.0, [old])
@@ -284,10 +284,12 @@
 
 def test_nobody_is_left_without_a_worker_for_what_is_remembered():
     second, _ = memory(1010.0, drained().items())
-    assert states(second, 1010.0, listed(41, entry("a", started=500.0), cached=True)) == {"a": events.READY}
+    assert states(second, 1010.0, listed(41, list_entry("a", started=500.0), cached=True)) == {
+        "a": events.READY
+    }
     second, _ = memory(1010.0, drained().items())
-    second.hear(1010.0, [listed(41, entry("a", started=500.0), entry("b"), cached=True)])
-    found = states(second, 1011.0, listed(47, entry("b", events.DEREGISTERED)))
+    second.hear(1010.0, [listed(41, list_entry("a", started=500.0), list_entry("b"), cached=True)])
+    found = states(second, 1011.0, listed(47, list_entry("b", events.DEREGISTERED)))
     assert found == {"b": events.DEREGISTERED, "a": events.READY}
 
 
@@ -308,7 +310,7 @@
     manager.handle(
         1000.0,
         [
-            listed(41, entry("a"), entry("b"), complete=True),
+            listed(41, list_entry("a"), list_entry("b"), complete=True),
             events.EjectionRestored("a", 1005.0, 2),
             events.ExclusionRestored("b"),
             events.ProxyJoined(0, "a", 1.0),
@@ -340,7 +342,7 @@
     found.hear(
         1000.0,
         [
-            listed(41, entry("b"), entry("c"), complete=True, cached=True),
+            listed(41, list_entry("b"), list_entry("c"), complete=True, cached=True),
             events.SliceAssigned(0, True),
             events.RouteStored(0, "b", 1.0),
         ],
@@ -358,7 +360,7 @@
     assert found.weigh(1000.0, [events.SetRoute(1, "c", 1.0)]).free  # an empty table: somebody has to serve
     found.spoke, found.proved = True, {"b"}
     assert found.weigh(1001.0, [events.SetRoute(0, "c", 1.0), events.SetRoute(0, "b", 0)]).free == []
-    found.hear(1001.5, [listed(50, entry("c"))])
+    found.hear(1001.5, [listed(50, list_entry("c"))])
     assert found.due(1001.5) == [events.SetRoute(0, "c", 1.0), events.SetRoute(0, "b", 0)]
     later = [order for order in found.due(1000.0 + found.timeout) if isinstance(order, events.SetAdmission)]
     assert later == [
@@ -528,7 +530,7 @@
     found, _ = memory()
     for k in range(400):
         now = 1000.0 + 10 * k
-        found.hear(now, [listed(42 + k, entry(f"w{k}", events.DRAINING))])
+        found.hear(now, [listed(42 + k, list_entry(f"w{k}", events.DRAINING))])
         found.weigh(
             now,
             [
