--- a/tests/adapter_days.py
+++ b/tests/adapter_recordings.py
@@ -1,10 +1,10 @@
 """Recorded runs of several managers in the adapter: their input and their output.
 
 A run simulates discovery, proxies, workers under load and the managers' timers from a seed. The recordings
-are stored under tests/data, and `tests/test_adapter_days.py` compares the output byte for byte. After an
-intended change of decisions, record the runs again:
+are stored under tests/data, and `tests/test_adapter_recordings.py` compares the output byte for byte. After
+an intended change of decisions, record the runs again:
 
-    PYTHONHASHSEED=0 python -m tests.adapter_days
+    PYTHONHASHSEED=0 python -m tests.adapter_recordings
 """
 
 import io
--- a/tests/test_adapter_days.py
+++ b/tests/test_adapter_recordings.py
@@ -8,7 +8,7 @@
 import pytest
 
 from bramblewood.adapter import host
-from tests.adapter_days import SITES, AdapterRun, Site, recording_paths
+from tests.adapter_recordings import SITES, AdapterRun, Site, recording_paths
 
 ROOT = Path(__file__).parent.parent
 RUN_TIMEOUT = 120.0  # s for one run, which takes a few seconds
