--- a/features/steps/membership_commands.py
+++ b/features/steps/membership_commands.py
@@ -14,7 +14,7 @@
 from bramblewood.controller.command_decoding import decode_membership_call
 from bramblewood.controller.peer_sessions import HEARTBEAT_INTERVAL
 from tests.approved import approve
-from tests.simulation.membership_commands import SEAT_KEPT_FOR, ControllerFleet
+from tests.simulation.membership_commands import SEAT_KEPT_FOR, ControllerProcesses
 
 
 def member(disk: str, state: str, silent_for: float | None, epoch: int | None, *lag: int) -> dict:
@@ -97,8 +97,8 @@
     approve(name, context.lines)
 
 
-def new_fleet(context) -> ControllerFleet:
-    context.fleet = ControllerFleet()
+def new_fleet(context) -> ControllerProcesses:
+    context.fleet = ControllerProcesses()
     context.add_cleanup(context.fleet.close)
     return context.fleet
 
--- a/tests/simulation/membership_commands.py
+++ b/tests/simulation/membership_commands.py
@@ -42,7 +42,7 @@
 )
 
 
-class ControllerFleet:
+class ControllerProcesses:
     """Controller processes, identified by numbers from 1.
 
     Each has an address of its own. The network part differs between test processes that run at the same time.
--- a/tests/test_damaged_controllers.py
+++ b/tests/test_damaged_controllers.py
@@ -12,25 +12,25 @@
 from bramblewood.controller.storage_schema import DATABASE_FILE
 from bramblewood.controller.voter_changes import UNKNOWN_VOTERS_LOG_DELAY
 from tests.simulation.damaged_database import change_digit
-from tests.simulation.membership_commands import CONTROL, INNER, WAIT_TIMEOUT, ControllerFleet
+from tests.simulation.membership_commands import CONTROL, INNER, WAIT_TIMEOUT, ControllerProcesses
 
 CHANGED_TIMEOUT = 9  # s; the timeout of the route is 2 s
 CONFIG_PATH = "/bramblewood/config"
 
 
 @pytest.fixture
-def fleet() -> Iterator[ControllerFleet]:
-    controllers = ControllerFleet()
+def fleet() -> Iterator[ControllerProcesses]:
+    controllers = ControllerProcesses()
     yield controllers
     controllers.close()
 
 
-def start_all(fleet: ControllerFleet, numbers: range) -> None:
+def start_all(fleet: ControllerProcesses, numbers: range) -> None:
     for number in numbers:
         fleet.start(number)
 
 
-def create_cluster_and_stop(fleet: ControllerFleet, count: int) -> None:
+def create_cluster_and_stop(fleet: ControllerProcesses, count: int) -> None:
     """Creates a cluster of `count` voters, stores a configuration there, and ends all controllers."""
     fleet.write_settings(count, count)
     for number in range(1, count + 1):
@@ -68,7 +68,7 @@
     path.write_bytes(data)
 
 
-def statuses_without_changed_content(fleet: ControllerFleet, numbers: range) -> dict[int, int]:
+def statuses_without_changed_content(fleet: ControllerProcesses, numbers: range) -> dict[int, int]:
     """Returns the HTTP status of each controller's answer, by number.
 
     Fails where a controller answers with another configuration than the one that was stored.
@@ -80,7 +80,7 @@
     return statuses
 
 
-def restart_ended_controllers(fleet: ControllerFleet, exit_codes: dict[int, int]) -> None:
+def restart_ended_controllers(fleet: ControllerProcesses, exit_codes: dict[int, int]) -> None:
     """Restarts the controllers that have ended, as their machines do, and records their exit codes."""
     for number, process in list(fleet.running.items()):
         fleet.loop.run_until_complete(asyncio.sleep(0.01))
@@ -89,7 +89,7 @@
             fleet.start(number)
 
 
-def assert_changed_controllers_recover(fleet: ControllerFleet, voters: int, changed: set[int]) -> None:
+def assert_changed_controllers_recover(fleet: ControllerProcesses, voters: int, changed: set[int]) -> None:
     """Changes the content of some controllers, and checks that they restart with an empty database."""
     create_cluster_and_stop(fleet, voters)
     numbers, exit_codes = range(1, voters + 1), {}
@@ -116,17 +116,17 @@
         )
 
 
-def test_one_of_three_controllers_with_changed_content_recovers(fleet: ControllerFleet) -> None:
+def test_one_of_three_controllers_with_changed_content_recovers(fleet: ControllerProcesses) -> None:
     assert_changed_controllers_recover(fleet, 3, {2})
     events = [event for number in (1, 2, 3) for event in fleet.log_events(number, "content differs")]
     assert events and all(event["registers"] == ["config"] for event in events)
 
 
-def test_two_of_five_controllers_with_changed_content_recover(fleet: ControllerFleet) -> None:
+def test_two_of_five_controllers_with_changed_content_recover(fleet: ControllerProcesses) -> None:
     assert_changed_controllers_recover(fleet, 5, {1, 4})
 
 
-def test_no_controller_answers_until_a_majority_agrees(fleet: ControllerFleet) -> None:
+def test_no_controller_answers_until_a_majority_agrees(fleet: ControllerProcesses) -> None:
     """Two of three controllers run and differ. Only the third one reveals which of the two changed."""
     create_cluster_and_stop(fleet, 3)
     change_content(fleet.data_folder(1))
@@ -148,7 +148,7 @@
     assert exit_codes == {1: STORAGE_DAMAGED_EXIT_CODE}
 
 
-def test_controller_with_a_damaged_database_becomes_a_voter_again(fleet: ControllerFleet) -> None:
+def test_controller_with_a_damaged_database_becomes_a_voter_again(fleet: ControllerProcesses) -> None:
     create_cluster_and_stop(fleet, 3)
     damage_database(fleet.data_folder(3))
     start_all(fleet, range(1, 4))
@@ -164,7 +164,7 @@
     fleet.wait_until_read_back()
 
 
-def test_controllers_refuse_to_answer_if_all_databases_are_damaged(fleet: ControllerFleet) -> None:
+def test_controllers_refuse_to_answer_if_all_databases_are_damaged(fleet: ControllerProcesses) -> None:
     create_cluster_and_stop(fleet, 3)
     numbers = range(1, 4)
     for number in numbers:
--- a/tests/test_malformed_messages.py
+++ b/tests/test_malformed_messages.py
@@ -22,7 +22,7 @@
     malformed_texts,
     mutations,
 )
-from tests.simulation.membership_commands import INNER, ControllerFleet
+from tests.simulation.membership_commands import INNER, ControllerProcesses
 from tests.test_consensus_messages import WIRE_FORMS as CONSENSUS_TEXTS
 from tests.test_messages import WIRE_FORMS
 from tests.test_peer_connections import HOST, RecordingServer, serving
@@ -136,8 +136,8 @@
 
 
 @pytest.fixture
-def fleet() -> Iterator[ControllerFleet]:
-    fleet = ControllerFleet()
+def fleet() -> Iterator[ControllerProcesses]:
+    fleet = ControllerProcesses()
     fleet.write_settings(3, 3)
     for number in range(1, 4):
         fleet.start(number)
@@ -171,7 +171,7 @@
 
 @pytest.mark.parametrize("role", ["archive", "desk"])
 def test_controllers_close_connections_with_malformed_messages_and_keep_running(
-    role: str, fleet: ControllerFleet
+    role: str, fleet: ControllerProcesses
 ) -> None:
     hello = {"k": kinds.HELLO, "role": role, "from": fleet.address_of(2), "rows": {}}
     common_forms = [wire for wire in COMMON_FORMS if wire["k"] in controller_kinds(role)]
--- a/tests/test_old_disks.py
+++ b/tests/test_old_disks.py
@@ -19,7 +19,7 @@
 from bramblewood.store.store import Store
 from tests.policy.simulation import SETTINGS
 from tests.simulation.digests import canonical
-from tests.simulation.membership_commands import CONTROL, INNER, ControllerFleet
+from tests.simulation.membership_commands import CONTROL, INNER, ControllerProcesses
 from tests.test_ledger import Log
 
 ROOT = Path(__file__).parent.parent
@@ -132,9 +132,9 @@
 
 
 @pytest.fixture
-def controller() -> Iterator[ControllerFleet]:
+def controller() -> Iterator[ControllerProcesses]:
     """A controller process that has the recorded address and listens on an address of this test run."""
-    fleet = ControllerFleet()
+    fleet = ControllerProcesses()
     path, listen = f"{fleet.folder.name}/controller.toml", {"Control": f"{fleet.address_of(1)}:{CONTROL}"}
     fleet.paths[1] = write_settings(
         path, ADDRESS, [f"{ADDRESS}:{CONTROL}"], INNER, listen, bind=fleet.address_of(1), first=False
@@ -143,7 +143,7 @@
     fleet.close()
 
 
-def test_controller_continues_from_the_folder_of_a_killed_controller(controller: ControllerFleet) -> None:
+def test_controller_continues_from_the_folder_of_a_killed_controller(controller: ControllerProcesses) -> None:
     shutil.copytree(RECORDED_FOLDER / "controller-process", controller.data_folder(1))
     controller.revision = 3
     controller.start(1)
@@ -155,7 +155,7 @@
     controller.wait_until_read_back()
 
 
-def test_controller_continues_from_a_folder_of_schema_version_1(controller: ControllerFleet) -> None:
+def test_controller_continues_from_a_folder_of_schema_version_1(controller: ControllerProcesses) -> None:
     shutil.copytree(RECORDED_FOLDER / "controller-form-1", controller.data_folder(1))
     config = CONTROLLERS["controller-form-1"]["registers"]["config"]["value"]["config"]
     controller.start(1)
