--- a/tests/simulation/membership_commands.py
+++ b/tests/simulation/membership_commands.py
@@ -24,7 +24,7 @@
 from bramblewood.emulator.processes import start
 from bramblewood.emulator.processes import write_settings as write_settings_file
 
-INNER, CONTROL = 17640, 18644  # ports for peers and for operators
+PEER_PORT, CONTROL_PORT = 17640, 18644  # ports for peers and for operators
 WAIT_TIMEOUT = 20.0  # s for each wait
 POLL_INTERVAL = 0.05  # s
 RESPONSE_TIMEOUT = 2.0  # s for each HTTP call
@@ -76,14 +76,14 @@
 
         The seeds found the voter set in their first boot.
         """
-        seeds = [f"{self.address_of(n)}:{CONTROL}" for n in range(1, voters + 1)]
+        seeds = [f"{self.address_of(n)}:{CONTROL_PORT}" for n in range(1, voters + 1)]
         for n in range(1, controllers + 1):
             path, listeners = (
                 f"{self.folder.name}/archive-{n}.toml",
-                {"Control": f"{self.address_of(n)}:{CONTROL}"},
+                {"Control": f"{self.address_of(n)}:{CONTROL_PORT}"},
             )
             self.paths[n] = write_settings_file(
-                path, self.address_of(n), seeds, INNER, listeners, first=n <= voters
+                path, self.address_of(n), seeds, PEER_PORT, listeners, first=n <= voters
             )
 
     def start(self, n: int) -> None:
@@ -169,7 +169,7 @@
         The keys are "epoch", "states" and "disks", which are by number, and "behind", which has the addresses
         of the controllers that have not reported the newest versions. All are empty or 0 without a response.
         """
-        _, view = self.call(n, INNER, "/view/members")
+        _, view = self.call(n, PEER_PORT, "/view/members")
         members = view.get("members", {}) | view.get("others", {})
         number = lambda address: int(address.rpartition(".")[2])  # noqa: E731
         return {
@@ -247,7 +247,9 @@
     def replace_voter(self, old: int, new: int) -> None:
         """Gives the seat of one controller to another with an operator's command."""
         command = ["members", "replace", self.address_of(old), self.address_of(new)]
-        result = self.cli_runner.invoke(gateway, [*command, "--controller", f"{self.address_of(1)}:{INNER}"])
+        result = self.cli_runner.invoke(
+            gateway, [*command, "--controller", f"{self.address_of(1)}:{PEER_PORT}"]
+        )
         assert result.exit_code == 0, result.output
 
     def wait_until_settled(self) -> None:
@@ -269,13 +271,13 @@
         """Puts the next configuration, and repeats the call until a controller acknowledges it."""
         self.revision += 1
         body = self.configuration(self.revision)
-        put = lambda n: self.call(n, CONTROL, "/bramblewood/config", body)[0]  # noqa: E731
+        put = lambda n: self.call(n, CONTROL_PORT, "/bramblewood/config", body)[0]  # noqa: E731
         self.wait_until(f"r{self.revision} acknowledged", lambda: any(put(n) == 200 for n in self.running))
 
     def wait_until_read_back(self) -> None:
         """Waits until each controller that runs returns the newest configuration."""
         expected = (200, self.configuration(self.revision))
-        get = lambda n: self.call(n, CONTROL, "/bramblewood/config")  # noqa: E731
+        get = lambda n: self.call(n, CONTROL_PORT, "/bramblewood/config")  # noqa: E731
         self.wait_until(f"r{self.revision} read", lambda: all(get(n) == expected for n in self.running))
 
     def log_events(self, n: int, event: str) -> list[dict]:
@@ -295,7 +297,7 @@
         self.epoch = self.epoch or self.membership_at(n)["epoch"]
         command = re.sub(r"\barchive-(\d)", lambda match: self.address_of(int(match[1])), command)
         result = self.cli_runner.invoke(
-            gateway, [*command.split(), "--controller", f"{self.address_of(n)}:{INNER}"]
+            gateway, [*command.split(), "--controller", f"{self.address_of(n)}:{PEER_PORT}"]
         )
         text = f"$ {command}\n{result.output}exit code {result.exit_code}\n"
         for pattern, mask in (
--- a/tests/test_damaged_controllers.py
+++ b/tests/test_damaged_controllers.py
@@ -12,7 +12,7 @@
 from bramblewood.controller.storage_schema import DATABASE_FILE
 from bramblewood.controller.voter_changes import UNKNOWN_VOTERS_LOG_DELAY
 from tests.simulation.damaged_database import change_digit
-from tests.simulation.membership_commands import CONTROL, INNER, WAIT_TIMEOUT, ControllerProcesses
+from tests.simulation.membership_commands import CONTROL_PORT, PEER_PORT, WAIT_TIMEOUT, ControllerProcesses
 
 CHANGED_TIMEOUT = 9  # s; the timeout of the route is 2 s
 CONFIG_PATH = "/bramblewood/config"
@@ -75,7 +75,7 @@
     """
     expected, statuses = fleet.configuration(fleet.revision), {}
     for number in numbers:
-        statuses[number], body = fleet.call(number, CONTROL, CONFIG_PATH)
+        statuses[number], body = fleet.call(number, CONTROL_PORT, CONFIG_PATH)
         assert statuses[number] != 200 or body == expected, (number, body)
     return statuses
 
@@ -157,7 +157,7 @@
     [event] = fleet.log_events(3, "storage damaged")
     assert Path(event["kept"], DATABASE_FILE).exists()
     fleet.kill(1)  # the cluster survives a second loss, because the new disk of controller 3 votes
-    sessions = lambda: fleet.call(2, INNER, "/view/sessions")[1]["archives"]  # noqa: E731
+    sessions = lambda: fleet.call(2, PEER_PORT, "/view/sessions")[1]["archives"]  # noqa: E731
     # The next change must not rely on the last messages of controller 1.
     fleet.wait_until("controller 1 is silent", lambda: not sessions()[fleet.address_of(1)]["whole"])
     fleet.put_configuration()
--- a/tests/test_malformed_messages.py
+++ b/tests/test_malformed_messages.py
@@ -22,7 +22,7 @@
     malformed_texts,
     mutations,
 )
-from tests.simulation.membership_commands import INNER, ControllerProcesses
+from tests.simulation.membership_commands import PEER_PORT, ControllerProcesses
 from tests.test_consensus_messages import WIRE_FORMS as CONSENSUS_TEXTS
 from tests.test_messages import WIRE_FORMS
 from tests.test_peer_connections import HOST, RecordingServer, serving
@@ -177,7 +177,7 @@
     common_forms = [wire for wire in COMMON_FORMS if wire["k"] in controller_kinds(role)]
     forms = [*common_forms, *(CONSENSUS_FORMS if role == "archive" else [])]
     texts, closed = [*malformed_texts(forms), *UNUSABLE_TEXTS], []
-    url = f"http://{fleet.address_of(1)}:{INNER}/link"
+    url = f"http://{fleet.address_of(1)}:{PEER_PORT}/link"
     fleet.loop.run_until_complete(send_each(url, hello, texts, closed))
     left_open = [text[:200] for text, was_closed in zip(texts, closed, strict=True) if not was_closed]
     assert len(texts) > 100 and not left_open
--- a/tests/test_old_disks.py
+++ b/tests/test_old_disks.py
@@ -19,7 +19,7 @@
 from bramblewood.store.store import Store
 from tests.policy.simulation import SETTINGS
 from tests.simulation.digests import canonical
-from tests.simulation.membership_commands import CONTROL, INNER, ControllerProcesses
+from tests.simulation.membership_commands import CONTROL_PORT, PEER_PORT, ControllerProcesses
 from tests.test_ledger import Log
 
 ROOT = Path(__file__).parent.parent
@@ -135,9 +135,12 @@
 def controller() -> Iterator[ControllerProcesses]:
     """A controller process that has the recorded address and listens on an address of this test run."""
     fleet = ControllerProcesses()
-    path, listen = f"{fleet.folder.name}/controller.toml", {"Control": f"{fleet.address_of(1)}:{CONTROL}"}
+    path, listen = (
+        f"{fleet.folder.name}/controller.toml",
+        {"Control": f"{fleet.address_of(1)}:{CONTROL_PORT}"},
+    )
     fleet.paths[1] = write_settings(
-        path, ADDRESS, [f"{ADDRESS}:{CONTROL}"], INNER, listen, bind=fleet.address_of(1), first=False
+        path, ADDRESS, [f"{ADDRESS}:{CONTROL_PORT}"], PEER_PORT, listen, bind=fleet.address_of(1), first=False
     )
     yield fleet
     fleet.close()
@@ -159,7 +162,7 @@
     shutil.copytree(RECORDED_FOLDER / "controller-form-1", controller.data_folder(1))
     config = CONTROLLERS["controller-form-1"]["registers"]["config"]["value"]["config"]
     controller.start(1)
-    read_configuration = lambda: controller.call(1, CONTROL, "/bramblewood/config")  # noqa: E731
+    read_configuration = lambda: controller.call(1, CONTROL_PORT, "/bramblewood/config")  # noqa: E731
     controller.wait_until("configuration read", lambda: read_configuration() == (200, config))
     controller.revision = 4
     controller.put_configuration()
