--- a/tests/simulation/membership_commands.py
+++ b/tests/simulation/membership_commands.py
@@ -34,7 +34,7 @@
 MAX_SAFE_ABSENCE = SEAT_KEPT_FOR - 2 * HEARTBEAT_INTERVAL
 # The database of the releases before epochs. It has one row for each register. A proposal number consists of
 # a counter, the address of a controller and its incarnation.
-SCHEMA_VERSION_1 = (
+SCHEMA_1_STATEMENTS = (
     "create table facts (name text primary key, value text not null)",
     "create table registers (name text primary key, promised text not null, accepted text not null,"
     " value text not null)",
@@ -129,7 +129,7 @@
         """Creates the disk of a controller as a release before epochs leaves it, with this configuration."""
         os.makedirs(self.data_folder(n))
         database = sqlite3.connect(f"{self.data_folder(n)}/shelf.db")
-        for sql in SCHEMA_VERSION_1:
+        for sql in SCHEMA_1_STATEMENTS:
             database.execute(sql)
         voter_addresses = [self.address_of(voter) for voter in range(1, voters + 1)]
         proposal_number, value = [4, self.address_of(1), 7], {"n": 1, "config": config, "past": {"1": "0"}}
