--- a/tests/simulation/membership_epochs.py
+++ b/tests/simulation/membership_epochs.py
@@ -121,7 +121,7 @@
 
     def finish_write(self, on_finished: Any) -> None:
         write = self.writes_in_flight.pop(0)
-        if self.name in self.fleet.dead_disks:
+        if self.name in self.fleet.failing_disks:
             on_finished("refused")
             return
         is_refused = self.name in self.fleet.refusing_disks and self.fleet.rng.random() < 0.4
@@ -171,8 +171,8 @@
             set(),
             {},
         )
-        # Writes to `refusing_disks` are refused at random, those to `dead_disks` always.
-        self.dead_disks: set[str] = set()
+        # Writes to `refusing_disks` are refused at random, those to `failing_disks` always.
+        self.failing_disks: set[str] = set()
         self.loss = self.duplication = self.lateness = 0.0  # probabilities for each message
         # configurations by digest, voter sets by epoch, and the digests of chosen configurations by revision
         self.acknowledged, self.rejected, self.voter_sets, self.versions_seen = {}, {}, {}, {}
--- a/tests/test_failing_disk.py
+++ b/tests/test_failing_disk.py
@@ -61,7 +61,7 @@
         fleet = ControllerFleet(seed, voters, 1)
         fleet.advance(3.0)
         failing = f"m{seed % voters}"
-        fleet.dead_disks.add(failing)
+        fleet.failing_disks.add(failing)
         for _ in range(3):
             fleet.put(f"m{(seed + 1) % voters}")
             fleet.advance(0.9)
@@ -75,7 +75,7 @@
         fleet.lose_power(f"m{(seed + 1) % voters}")
         fleet.away[f"m{(seed + 1) % voters}"] = None
         fleet.check_reader_answered("after a second loss")
-        fleet.dead_disks.clear()
+        fleet.failing_disks.clear()
         fleet.advance(CATCH_UP)
         assert fleet.machines[failing].quorum_io.disk_failing_for(fleet.now) == 0.0  # detected by the probe
         fleet.check_reader_answered("after the disk has recovered")
