--- a/tests/simulation/membership_epoch_cases.py
+++ b/tests/simulation/membership_epoch_cases.py
@@ -269,15 +269,15 @@
             machine.quorum_io.propose(VOTER_SET, change, lambda outcome: None, 1.0)
             fleet.advance(0.004 * step)
             (fleet.lose_disk if loss == "disk" else fleet.lose_power)("m0")
-            fleet.away["m0"] = None
+            fleet.lost_machines["m0"] = None
             fleet.put("m1")
             fleet.advance(2.0)
             fleet.check_reader_answered(f"after the proposer of a change was lost {4 * step} ms into it")
             fleet.start("m0")
             fleet.advance(BOUNDS.CatchUpS)
-            fleet.away.clear()
+            fleet.lost_machines.clear()
             fleet.lose_disk("m1")  # a second loss may occur after CatchUpS
-            fleet.away["m1"] = None
+            fleet.lost_machines["m1"] = None
             fleet.advance(2.0)
             fleet.check_reader_answered(
                 f"after a second loss, the first of which was {4 * step} ms into a change"
--- a/tests/simulation/membership_epoch_days.py
+++ b/tests/simulation/membership_epoch_days.py
@@ -161,13 +161,13 @@
             fleet.advance(rng.uniform(0.01, 0.1))
         fleet.lose_disk(leaving)
         fleet.lose_disk(lost)
-        fleet.away.update(dict.fromkeys((leaving, lost)))
+        fleet.lost_machines.update(dict.fromkeys((leaving, lost)))
         self.put_configurations(BOUNDS.ContactS)
         fleet.check_reader_answered("after a voter shut down and another was lost")
         fleet.start(lost)
         self.add_controller()
         self.put_configurations(BOUNDS.CatchUpS)
-        fleet.away.clear()
+        fleet.lost_machines.clear()
         fleet.check_reader_answered("after CatchUpS for the controllers to return")
 
     def run_round(self) -> None:
@@ -181,7 +181,7 @@
         faulty = rng.sample(sorted(fleet.machines), 1 + rng.randrange(fleet.losses))
         if rng.random() < 0.5:
             self.replace_voter_by_command()
-        fleet.away.update(dict.fromkeys(faulty))
+        fleet.lost_machines.update(dict.fromkeys(faulty))
         if rng.random() < 0.2:
             fleet.refusing_disks.update(faulty)  # only theirs, as these controllers count as lost
             self.put_configurations(rng.uniform(0.2, 2.0))
@@ -200,7 +200,7 @@
             repair()
             self.put_configurations(rng.uniform(0.0, 1.0))
         self.put_configurations(BOUNDS.CatchUpS)
-        fleet.away.clear()
+        fleet.lost_machines.clear()
         fleet.check_reader_answered("after CatchUpS for the controllers to return")
 
     def restart_all_except(self, excluded: list[str]) -> None:
@@ -230,11 +230,11 @@
             self.restart_all_except(lost)
         for name in lost:
             fleet.start(name)
-        fleet.away.update(dict.fromkeys(lost))
+        fleet.lost_machines.update(dict.fromkeys(lost))
         fleet.advance(BOUNDS.CatchUpS)
         fleet.check_reader_answered("after the loss of disks")
         fleet.advance(BOUNDS.CatchUpS)
-        fleet.away.clear()
+        fleet.lost_machines.clear()
         fleet.check_reader_answered("at the end")
 
 
--- a/tests/simulation/membership_epochs.py
+++ b/tests/simulation/membership_epochs.py
@@ -176,8 +176,8 @@
         self.loss = self.duplication = self.lateness = 0.0  # probabilities for each message
         # configurations by digest, voter sets by epoch, and the digests of chosen configurations by revision
         self.acknowledged, self.rejected, self.voter_sets, self.versions_seen = {}, {}, {}, {}
-        # `away` has the names of controllers that count as lost, from which no answer is expected
-        self.last_revision, self.reads, self.next_number, self.away = 0, 0, len(names), {}
+        # `lost_machines` has the names of controllers that count as lost, from which no answer is expected
+        self.last_revision, self.reads, self.next_number, self.lost_machines = 0, 0, len(names), {}
         voter_set = {"n": 1, "voters": {name: f"{name}.0" for name in names[:voters]}, "before": {}}
         for name in names:
             facts = {
@@ -356,17 +356,17 @@
         return answers
 
     def check_reader_answered(self, situation: str) -> None:
-        """Checks that a controller outside `away` answers a read within `READ_TIMEOUT`.
+        """Checks that a controller outside `lost_machines` answers a read within `READ_TIMEOUT`.
 
         situation: when the check takes place, for the message of the RuleViolation.
         """
-        names = [name for name in self.machines if name not in self.away]
+        names = [name for name in self.machines if name not in self.lost_machines]
         self.reads += 1
         deadline, answers = self.now + READ_TIMEOUT, []
         while not answers:
             if self.now >= deadline:
                 raise RuleViolation(
-                    f"no majority answers {situation}; away {sorted(self.away)}; {self.summary()}"
+                    f"no majority answers {situation}; away {sorted(self.lost_machines)}; {self.summary()}"
                 )
             if names := [name for name in names if name in self.machines]:
                 answers = self.read(self.rng.choice(names))
--- a/tests/test_failing_disk.py
+++ b/tests/test_failing_disk.py
@@ -73,7 +73,7 @@
         fleet.check_reader_answered("after the change of the voter set")
         # The new voter set survives a second loss.
         fleet.lose_power(f"m{(seed + 1) % voters}")
-        fleet.away[f"m{(seed + 1) % voters}"] = None
+        fleet.lost_machines[f"m{(seed + 1) % voters}"] = None
         fleet.check_reader_answered("after a second loss")
         fleet.failing_disks.clear()
         fleet.advance(CATCH_UP)
