--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -9,14 +9,14 @@
 import json
 import statistics
 
-from tests.simulation.configuration_changes import Site, concurrent_orders
+from tests.simulation.configuration_changes import SimulatedSite, concurrent_requests
 
 NEAR, WIDE, FAR = (0.0005, 0.003), (0.0005, 0.06), (0.055, 0.06)  # s one way
 SITES = {
     "near": {"delays": NEAR},
     "wide": {"delays": WIDE},
     "far": {"delays": FAR},
-    "wide, one link of 250 ms": {"delays": WIDE, "slow": 0.25},
+    "wide, one link of 250 ms": {"delays": WIDE, "slow_link_delay": 0.25},
     "wide, a voter that hears none": {"delays": WIDE, "not_receiving": True},
     "wide, a voter that none hears": {"delays": WIDE, "not_sending": True},
     "wide, accidents": {"delays": WIDE, "lost": 0.03, "answers_lost": 0.2},
@@ -30,7 +30,10 @@
     for voters in (3, 5):
         for name, site in SITES.items():
             for spread in (True, False):
-                took = [concurrent_orders(seed, Site(voters, **site), spread=spread) for seed in range(seeds)]
+                took = [
+                    concurrent_requests(seed, SimulatedSite(voters, **site), spread=spread)
+                    for seed in range(seeds)
+                ]
                 row = {
                     "voters": voters,
                     "site": name,
--- a/bramblewood/common/configuration_parser.py
+++ b/bramblewood/common/configuration_parser.py
@@ -12,7 +12,7 @@
 from result import Err, Ok, Result
 
 from .configuration import Configuration, Route, Service
-from .schema import SchemaViolation, check
+from .schema import SchemaViolation, check_schema
 
 MAX_ROUTE_TIMEOUT = 600.0  # s; the maximum and the default of `TimeoutS`: see PROTOCOL, "The operator"
 PURE = "pure"  # the `RouteType` of idempotent requests
@@ -100,7 +100,7 @@
     If there are violations, the configuration is incomplete and must not be used. It is None if the fields do
     not match ConfigurationFields.
     """
-    checked = check(raw, ConfigurationFields)
+    checked = check_schema(raw, ConfigurationFields)
     if isinstance(checked, Err):
         return None, [checked.err_value]
     fields, violations = checked.ok_value, []
@@ -148,7 +148,7 @@
             label=record["Label"],
             health_path=record.get("HealthPath", "/health"),
             max_connections=record.get("MaxConns", 100),
-            sharded=record.get("Sharded", False),
+            keyed=record.get("Sharded", False),
             warm_up_seconds=record.get("WarmS", 0.0),
             read_replicas=record.get("ReadCopies", False),
         )
@@ -191,7 +191,7 @@
             violations.append(SchemaViolation(path, f"{len(columns)} values", str(len(values))))
             continue
         pairs = zip(columns, values, strict=True)
-        record = check({column: value for column, value in pairs if value is not None}, schema, path)
+        record = check_schema({column: value for column, value in pairs if value is not None}, schema, path)
         if isinstance(record, Err):
             violations.append(record.err_value)
         else:
@@ -219,13 +219,13 @@
             label=record["Label"],
             host=record["Hostname"].lower(),
             path_prefix=path_prefix,
-            pure=record["RouteType"] == PURE,
+            is_idempotent=record["RouteType"] == PURE,
             timeout=timeout,
             latency_target=record.get("TargetLatencyS", timeout),
             priority=record.get("Priority", 0),
             max_attempts=record.get("MaxAttempts", 1),
             targets=targets.ok_value,
-            pinned=record.get("Pinned", False),
+            has_client_affinity=record.get("Pinned", False),
         )
     )
 
--- a/bramblewood/common/messages/with_proxies.py
+++ b/bramblewood/common/messages/with_proxies.py
@@ -127,12 +127,12 @@
 class LoadReport(NamedTuple):
     """The requests that a proxy has counted and its observations of workers since its last report."""
 
-    seconds: float  # the length of the interval that the report covers
-    heat: dict[str, Any]  # the number of requests, by service and range of keys
+    interval: float  # the length in s of the interval that the report covers
+    range_counts: dict[str, Any]  # the number of requests, by service and range of keys
     # by worker: attempts, attempts without a response, mean response time in s, the load that the worker
     # stated or None, and the number of server errors if there are any
     workers: dict[str, list]
-    keys: dict[str, Any] | None = None  # the number of requests, by service and key, in watched ranges
+    key_counts: dict[str, Any] | None = None  # the number of requests, by service and key, in watched ranges
     table_version: int | None = None  # the version that the proxy follows; only during a drain plan
     # by worker in a drain plan: the number of idempotent requests in flight, the number of non-idempotent
     # requests in flight plus that of the keys that affinity binds to the worker, and the age in s of the
@@ -154,8 +154,13 @@
 
     def to_wire(self) -> dict[str, Any]:
         """Return the JSON object of the message."""
-        wire_form = {"k": kinds.LOAD_REPORT, "over": self.seconds, "heat": self.heat, "met": self.workers}
-        for key, value in (("n", self.table_version), ("left", self.in_flight), ("keys", self.keys)):
+        wire_form = {
+            "k": kinds.LOAD_REPORT,
+            "over": self.interval,
+            "heat": self.range_counts,
+            "met": self.workers,
+        }
+        for key, value in (("n", self.table_version), ("left", self.in_flight), ("keys", self.key_counts)):
             if value is not None:
                 wire_form[key] = value
         return wire_form
@@ -164,7 +169,7 @@
 class ConfirmationRequest(NamedTuple):
     """A proxy asks a controller which versions are the newest."""
 
-    asked_at: float  # on the proxy's clock; the Confirmation contains it again
+    requested_at: float  # on the proxy's clock; the Confirmation contains it again
 
     @classmethod
     def from_wire(cls, message: dict) -> "ConfirmationRequest":
@@ -173,13 +178,13 @@
 
     def to_wire(self) -> dict[str, Any]:
         """Return the JSON object of the message."""
-        return {"k": kinds.CONFIRMATION_REQUEST, "t": self.asked_at}
+        return {"k": kinds.CONFIRMATION_REQUEST, "t": self.requested_at}
 
 
 class Confirmation(NamedTuple):
     """A current controller states which versions are the newest."""
 
-    asked_at: float  # that of the ConfirmationRequest
+    requested_at: float  # that of the ConfirmationRequest
     versions: Versions
 
     @classmethod
@@ -190,7 +195,7 @@
 
     def to_wire(self) -> dict[str, Any]:
         """Return the JSON object of the message."""
-        return {"k": kinds.CONFIRMATION, "t": self.asked_at, "n": self.versions}
+        return {"k": kinds.CONFIRMATION, "t": self.requested_at, "n": self.versions}
 
 
 class RemoveReaders(NamedTuple):
@@ -260,7 +265,7 @@
     services: dict[str, Any]  # rows by service and first key: see `common.slice_table`
     base: int | None = None  # the version that the changes apply to; None for the whole table
     # the steps of workers in their drain plans, by instance id; None if they are those of the base
-    leaving: dict[str, str] | None = None
+    drain_steps: dict[str, str] | None = None
 
     @classmethod
     def from_wire(cls, message: dict) -> "TableUpdate":
@@ -274,6 +279,6 @@
         """Return the JSON object of the message."""
         wire_form: dict[str, Any] = {"k": kinds.TABLE_UPDATE, "n": self.version}
         wire_form |= {"s": self.services} if self.base is None else {"base": self.base, "d": self.services}
-        if self.leaving is not None:
-            wire_form["w"] = self.leaving
+        if self.drain_steps is not None:
+            wire_form["w"] = self.drain_steps
         return wire_form
--- a/bramblewood/common/settings.py
+++ b/bramblewood/common/settings.py
@@ -12,7 +12,7 @@
 from result import Err, Ok, Result
 
 from .errors import SettingsError, SettingsUnreadableError
-from .schema import check
+from .schema import check_schema
 from .settings_path import DEFAULT_SETTINGS_PATH, SETTINGS_PATH_VARIABLE
 
 # s without a connected peer after which the file is read again, since its seeds may have changed
@@ -77,7 +77,7 @@
     regions: int = 0
 
     @property
-    def losses(self) -> int:
+    def tolerated_losses(self) -> int:
         """The number of voters that may be lost at once.
 
         It assumes that a zone or region whose loss is tolerated contains one voter at most.
@@ -142,7 +142,7 @@
         return tuple(address.rpartition(":")[0] for address in self.seed_addresses)
 
 
-def load(path: str | None = None) -> Result[Settings, SettingsError]:
+def load_settings(path: str | None = None) -> Result[Settings, SettingsError]:
     """Read the settings file, and return the settings or the first error.
 
     If `path` is None, the path is the value of the environment variable SETTINGS_PATH_VARIABLE, or
@@ -164,7 +164,7 @@
     If the file is invalid, log the error and return (). Changes of other fields take effect at the next
     start.
     """
-    reread_settings = load(settings.path)
+    reread_settings = load_settings(settings.path)
     if isinstance(reread_settings, Err):
         log.warning("settings file invalid", **reread_settings.err_value.log_fields())
         return ()
@@ -178,7 +178,7 @@
         table = tomllib.loads(content.decode())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         return Err(SettingsError(f"invalid TOML: {error}"))
-    checked = check(table, SettingsFile)
+    checked = check_schema(table, SettingsFile)
     if isinstance(checked, Err):
         return Err(SettingsError(checked.err_value))
     try:
--- a/bramblewood/common/slice_table.py
+++ b/bramblewood/common/slice_table.py
@@ -2,7 +2,7 @@
 
 Controllers agree on the table, and proxies follow it. It has the form
 `{"n": version, "s": {service: {first key: row}}}`. A slice contains the keys from its first key up to the
-next slice's first key. The last slice extends to the end of the key space. The requests of a sharded service
+next slice's first key. The last slice extends to the end of the key space. The requests of a keyed service
 state their keys. For other services the key is a hash of the request id.
 
 On the wire and on disk a row is a list of the following values:
@@ -24,12 +24,12 @@
 
 from typing import Any, NamedTuple
 
-WORKER, SECOND, SECOND_SHARE, FENCING_TOKEN, HANDOVER, PREVIOUS_OWNER = range(6)  # indexes in a row
+WORKER, SECOND_WORKER, SECOND_SHARE, FENCING_TOKEN, HANDOVER, PREVIOUS_OWNER = range(6)  # indexes in a row
 READERS = 6  # index of the readers, in a row that has them
 ROW_LENGTHS = (READERS, READERS + 1)
 # the steps of a worker in a drain plan, as they are stored and sent
 DRAIN_ANNOUNCED, DRAIN_IN_PROGRESS, DRAINED, OUT_OF_SERVICE = "told", "closing", "closed", "out"
-UNASSIGNED = ["", "", 0.0, 0, "", ""]  # the row of a slice that is not assigned to a worker
+UNASSIGNED_ROW = ["", "", 0.0, 0, "", ""]  # the row of a slice that is not assigned to a worker
 KEY_SPACE_SIZE = 65536
 KEYS_PER_RANGE = 8  # keys in a range; requests are counted by range, except in ranges that are watched
 NO_READERS: dict[str, int] = {}  # shared by all entries without readers, so it must not be modified
@@ -71,7 +71,7 @@
     )
 
 
-def all_readers(row: Row) -> dict[str, int]:
+def readers_with_versions(row: Row) -> dict[str, int]:
     """Return the table version by instance id of all readers, including the removed ones.
 
     Each of them may hold read replicas of the slice's keys.
@@ -84,7 +84,7 @@
 
     Idempotent requests for the slice's keys may be sent to them as well as to the slice's worker.
     """
-    return [instance_id for instance_id, version in all_readers(row).items() if version > 0]
+    return [instance_id for instance_id, version in readers_with_versions(row).items() if version > 0]
 
 
 def with_readers(row: Row, readers: list[str], version: int) -> Row:
@@ -97,12 +97,12 @@
     """
     versions = {
         instance_id: recorded_version if recorded_version < 0 or instance_id in readers else -version
-        for instance_id, recorded_version in all_readers(row).items()
+        for instance_id, recorded_version in readers_with_versions(row).items()
     }
     versions |= {instance_id: version for instance_id in readers if instance_id not in versions}
     return [*row[:READERS], *([versions] if versions else [])]
 
 
-def sorted_starts(entries: dict[str, Row]) -> list[int]:
+def sorted_first_keys(entries: dict[str, Row]) -> list[int]:
     """Return the first keys of a service's slices as integers, in ascending order."""
     return sorted(map(int, entries))
--- a/bramblewood/common/timeouts.py
+++ b/bramblewood/common/timeouts.py
@@ -14,7 +14,7 @@
 # the longest transit of a call without retransmissions; `ThawSlackS` allows the same time after a freeze
 MAX_TRANSIT_TIME = 0.3
 # a worker is silent if no heartbeat of it arrives for this many of its heartbeat intervals
-MISSED_HEARTBEATS = 3.2
+HEARTBEATS_UNTIL_SILENT = 3.2
 # the longest time from sending a call to its arrival, with retransmissions: TCP retransmits packets until
 # the socket times out
 MAX_CALL_TRANSIT = UNACKNOWLEDGED_TIMEOUT_MS / 1000 + MAX_TRANSIT_TIME
@@ -28,7 +28,7 @@
 CONFIRMATION_VALIDITY = REPLICA_ANNOUNCEMENT_DELAY - QUORUM_CONTACT_VALIDITY - MAX_TRANSIT_TIME
 
 
-def lease_expiry(duration: float) -> float:
+def lease_expiry_delay(duration: float) -> float:
     """Return the time in s after which every lease that rests on an older table has expired.
 
     The time runs from the moment at which a change of the table is known. `duration` is the duration of each
@@ -41,4 +41,5 @@
     return QUORUM_CONTACT_VALIDITY + MAX_CALL_TRANSIT + duration * CLOCK_DRIFT_FACTOR
 
 
-READ_LEASE_EXPIRY = lease_expiry(READ_LEASE_DURATION)  # s until no replica of a removed reader can be read
+# s until no replica of a removed reader can be read
+READ_LEASE_EXPIRY_DELAY = lease_expiry_delay(READ_LEASE_DURATION)
--- a/bramblewood/controller/consensus/local_member.py
+++ b/bramblewood/controller/consensus/local_member.py
@@ -1,6 +1,6 @@
 """This controller's address and disk, the newest voter set that it has learned, and whether it votes."""
 
-from .voter_set import NO_VOTERS, VoterSet, is_voter, majority
+from .voter_set import NO_VOTERS, VoterSet, is_voter, majority_size
 
 NEVER_ACTIVE = -1  # in place of an epoch
 
@@ -42,14 +42,14 @@
     @property
     def majority(self) -> int:
         """Returns the smallest number of current voters that is more than half of them."""
-        return majority(self.voters)
+        return majority_size(self.voters)
 
     def is_current_voter(self, address: str, disk: str) -> bool:
         """Returns whether the current voter set has a seat for this address with this disk."""
         return is_voter(self.voters, address, disk)
 
     @property
-    def is_member(self) -> bool:
+    def matches_seat(self) -> bool:
         """Returns whether a seat of the current voter set names this disk, or is open to any disk here.
 
         The second case does not suffice to join the epoch; see `holds_seat`.
@@ -65,9 +65,9 @@
         """
         if self.voters.get(self.address) == self.disk:
             return True
-        return self.is_member and 0 <= self.active_epoch == self.epoch - 1
+        return self.matches_seat and 0 <= self.active_epoch == self.epoch - 1
 
     @property
     def is_active_voter(self) -> bool:
         """Returns whether this controller votes. It then holds the state with which the epoch began."""
-        return self.is_member and self.active_epoch == self.epoch
+        return self.matches_seat and self.active_epoch == self.epoch
--- a/bramblewood/controller/consensus/membership.py
+++ b/bramblewood/controller/consensus/membership.py
@@ -22,7 +22,7 @@
 from .membership_view import MembershipView, membership_view
 from .peer_status import PeerStatus, active_voters, reachable_peers
 from .quorum import FailureDomain, keeps_majority, select_first_voters, voters_needed
-from .voter_set import VoterSet, is_voter, majority
+from .voter_set import VoterSet, is_voter, majority_size
 
 LOST_AFTER_FRACTION = 1 / 2  # of CatchUpS; a voter that is silent or fails for longer may lose its seat
 STEADY_FRACTION = 1 / 4  # of CatchUpS; a controller whose heartbeats arrive for this long may take a seat
@@ -132,7 +132,7 @@
         voters, reachable = voter_set["voters"], reachable_peers(peers)
         for address, disk in voters.items():
             peer = reachable.get(address)
-            if peer is None or peer.disk == disk or peer.epoch != voter_set["n"] or peer.leaving:
+            if peer is None or peer.disk == disk or peer.epoch != voter_set["n"] or peer.is_leaving:
                 continue
             if not disk or peer.has_caught_up(versions):
                 reason = (
@@ -166,7 +166,7 @@
 
     def is_leaving(self, peer: PeerStatus | None) -> bool:
         """Returns whether a reachable controller is shutting down."""
-        return peer is not None and peer.is_reachable and peer.leaving
+        return peer is not None and peer.is_reachable and peer.is_leaving
 
     def eligible_spares(
         self, voter_set: VoterSet, peers: dict[str, PeerStatus], versions: dict[str, int]
@@ -178,8 +178,8 @@
             address
             for address, peer in peers.items()
             if address not in voters
-            and peer.steady_for >= self.steady_after
-            and not peer.leaving
+            and peer.uninterrupted_for >= self.steady_after
+            and not peer.is_leaving
             and not peer.disk_failing_for
             and peer.epoch == voter_set["n"]
             and (peer.counts_for_tolerance or not any_voter_counts)
@@ -192,7 +192,7 @@
         return [
             address
             for address, peer in reachable_peers(peers).items()
-            if address not in voters and not peer.leaving
+            if address not in voters and not peer.is_leaving
         ]
 
     def assign_to_best_spare(
@@ -244,7 +244,7 @@
                 f"{len(requested)} voters are too few for Tolerance: replace the voter, or add one first"
             )
         active = active_voters(requested, voter_set, peers)
-        if len(active) + (1 if new else 0) < majority(requested):
+        if len(active) + (1 if new else 0) < majority_size(requested):
             return Err("no majority of the requested voters is reachable and active")
         return Ok(VoterSetChange(requested, "by hand"))
 
@@ -265,17 +265,17 @@
     def failure_margin(self, voter_set: VoterSet, peers: dict[str, PeerStatus]) -> int:
         """Returns how many active voters may be lost with a majority left; below 0 without a majority."""
         voters = voter_set["voters"]
-        return len(active_voters(voters, voter_set, peers)) - majority(voters)
+        return len(active_voters(voters, voter_set, peers)) - majority_size(voters)
 
     def view(
         self, address: str, voter_set: VoterSet, peers: dict[str, PeerStatus], versions: dict[str, int]
     ) -> MembershipView:
         """Returns the view of all controllers that the controller at `address` shows to operators."""
-        margin, losses = self.failure_margin(voter_set, peers), self.tolerance.losses
+        margin, losses = self.failure_margin(voter_set, peers), self.tolerance.tolerated_losses
         return membership_view(address, voter_set, peers, versions, self.is_lost, losses, margin)
 
 
-def may_shut_down(
+def is_vote_dispensable(
     address: str,
     disk: str,
     voter_set: VoterSet,
@@ -299,7 +299,7 @@
     voters = voter_set["voters"]
     active = [voter for voter in voters if voter in peers and peers[voter].is_active_in(voter_set, voter)]
     if not is_voter(voters, address, disk):
-        return len(active) >= majority(voters)
+        return len(active) >= majority_size(voters)
     if has_successor:
         return False
     others = [voter for voter in voters if voter != address]
--- a/bramblewood/controller/consensus/proposer.py
+++ b/bramblewood/controller/consensus/proposer.py
@@ -22,7 +22,7 @@
 )
 
 
-class Rejection(NamedTuple):
+class RoundRejection(NamedTuple):
     """The rejection that ended a round of this controller."""
 
     peer: str
@@ -50,7 +50,8 @@
             register: acceptor.promised.counter for register, acceptor in acceptors.items()
         }
         self.unfinished_since: dict[str, float] = {}
-        self.last_rejection: Rejection | None = None  # the newest one, until the caller takes it to log it
+        # the newest one, until the caller takes it to log it
+        self.last_rejection: RoundRejection | None = None
         self.jitter_draws = 0
 
     def jitter(self) -> float:
@@ -76,7 +77,7 @@
         """Answers the changes whose deadline has passed, and starts a round for the others if one is due."""
         queue = self.rounds[register]
         while queue and now >= queue[0].deadline:
-            effects.answer(queue.pop(0).tag, None)
+            effects.report_outcome(queue.pop(0).tag, None)
         if not self.member.voters or self.member.epoch == 0 and register != VOTER_SET:
             return  # no voter set has been learned that may choose a value of this register
         if not queue or queue[0].phase is not Phase.WAITING or now < queue[0].next_attempt_at:
@@ -227,11 +228,11 @@
     def on_rejection(self, now: float, peer: str, rejected: Rejected) -> None:
         """Handles the rejection of a voter that has promised a higher number. The attempt has failed."""
         self.observe_counter(rejected.register, rejected.promised)
-        if self.member.is_member:  # without a seat, it is not told what is chosen and would wait in vain
+        if self.member.matches_seat:  # without a seat, it is not told what is chosen and would wait in vain
             self.backoff.observe(now, rejected.register, rejected.promised)
         proposal_round = self.current_round(rejected.register, rejected.proposal_number)
         if proposal_round is not None and proposal_round.phase is not Phase.WAITING:
-            self.last_rejection = Rejection(peer, proposal_round.proposal_number, rejected.promised)
+            self.last_rejection = RoundRejection(peer, proposal_round.proposal_number, rejected.promised)
             self.schedule_retry(now, proposal_round)
 
     def finish_round(self, now: float, proposal_round: ProposalRound, effects: Effects) -> None:
@@ -240,7 +241,7 @@
         for queued_round in proposal_round.batch:
             if queued_round in queue:
                 queue.remove(queued_round)
-                effects.answer(queued_round.tag, queued_round.outcome)
+                effects.report_outcome(queued_round.tag, queued_round.outcome)
         self.start_next_round(now, proposal_round.register, effects)
 
     # --- time
--- a/bramblewood/controller/consensus/replica.py
+++ b/bramblewood/controller/consensus/replica.py
@@ -38,11 +38,11 @@
     RoundDone,
     VoterReply,
     VoterRequest,
-    decode,
+    decode_message,
 )
 from .proposal_number import NO_PROPOSAL, ProposalNumber
 from .proposal_round import Change
-from .proposer import Proposer, Rejection
+from .proposer import Proposer, RoundRejection
 from .proposer_backoff import ProposerBackoff
 from .registers import ALL_REGISTERS, VOTER_SET
 from .timing import PHASE_TIMEOUT
@@ -82,7 +82,7 @@
         self.durable_accepted = {register: acceptor.accepted for register, acceptor in self.acceptors.items()}
         # The caller sets this function. It is called with values that result from a difference, and raises an
         # error if the value is not valid for the register.
-        self.require_value: Callable[[str, Any], None] = lambda register, value: None
+        self.validate_value: Callable[[str, Any], None] = lambda register, value: None
         backoff = ProposerBackoff(address, PHASE_TIMEOUT)
         self.learner = self.learner_class(self.member, self.acceptors, backoff)
         self.proposer = self.proposer_class(self.member, self.acceptors, self.learner, backoff)
@@ -125,9 +125,9 @@
         return self.member.active_epoch
 
     @property
-    def is_member(self) -> bool:
+    def matches_seat(self) -> bool:
         """Returns whether a seat of the current voter set names this disk, or is open to any disk here."""
-        return self.member.is_member
+        return self.member.matches_seat
 
     @property
     def is_active_voter(self) -> bool:
@@ -144,7 +144,7 @@
         """Returns, by register and voter, the highest proposal of this epoch promised or accepted there."""
         return self.learner.commitments
 
-    def take_last_rejection(self) -> Rejection | None:
+    def take_last_rejection(self) -> RoundRejection | None:
         """Returns the newest rejection of a proposal of this controller, for the log, and forgets it."""
         rejection, self.proposer.last_rejection = self.proposer.last_rejection, None
         return rejection
@@ -225,7 +225,7 @@
         effects = no_effects()
         if wire.get("r", VOTER_SET) not in self.acceptors:
             return effects  # the register is one that only a later release has
-        message = decode(wire)
+        message = decode_message(wire)
         match message:
             case EpochNotice():
                 self.adopt_voter_set(now, message.voter_set, effects)
@@ -280,7 +280,7 @@
                     acceptor = self.acceptors[register]
                     if base == acceptor.accepted:  # else the proposer sends the value in the next round
                         value = apply_difference(acceptor.value, difference)
-                        self.require_value(register, value)
+                        self.validate_value(register, value)
                         self._accept(now, peer, register, number, value, effects)
 
     def _on_prepare(self, now: float, peer: str, prepare: Prepare, effects: Effects) -> None:
--- a/bramblewood/controller/controller_peers.py
+++ b/bramblewood/controller/controller_peers.py
@@ -5,11 +5,11 @@
 from ..common.settings import SEED_REREAD_INTERVAL, reread_seeds
 from ..common.worker_registry import WorkerRegistry
 from .consensus.registers import ALL_REGISTERS
+from .peer_sessions import HEARTBEAT_INTERVAL, PeerDetails, PeerSessions
 from .proxy_sessions import ProxySessions
 from .quorum_contact import QuorumContact
 from .quorum_io import QuorumIO
 from .runtime import Runtime
-from .sessions import HEARTBEAT_INTERVAL, PeerDetails, Sessions
 
 KNOWN_CONTROLLERS_FACT = "archives"  # name of a fact on disk
 NO_ECHO = -1e9  # s; sent in place of an echo to a peer from which no heartbeat has arrived
@@ -28,23 +28,23 @@
         runtime: Runtime,
         quorum_io: QuorumIO,
         quorum_contact: QuorumContact,
-        sessions: Sessions,
+        sessions: PeerSessions,
         registry: WorkerRegistry,
         proxy_sessions: ProxySessions,
     ) -> None:
         self.runtime, self.quorum_io, self.quorum_contact = runtime, quorum_io, quorum_contact
         self.sessions, self.registry, self.proxy_sessions = sessions, registry, proxy_sessions
-        self.known: set[str] = set()  # addresses of the other controllers
+        self.known_addresses: set[str] = set()  # addresses of the other controllers
         self.connection_changed_at: dict[str, float] = {}  # when a connection came up or was lost, by address
         self.next_heartbeat_at = 0.0
         self.next_seed_reread_at = 0.0
 
     def add(self, peer: str) -> None:
         """Keep a connection to this controller from now on, and store its address with the next write."""
-        if peer != self.runtime.own_address and peer not in self.known:
-            self.known.add(peer)
-            self.quorum_io.pending_writes.facts[KNOWN_CONTROLLERS_FACT] = sorted(self.known)
-            self.runtime.peer_connections.maintain(peer, self.runtime.settings.peer_port)
+        if peer != self.runtime.own_address and peer not in self.known_addresses:
+            self.known_addresses.add(peer)
+            self.quorum_io.pending_writes.facts[KNOWN_CONTROLLERS_FACT] = sorted(self.known_addresses)
+            self.runtime.peer_connections.keep_connected(peer, self.runtime.settings.peer_port)
 
     def reread_seeds(self) -> None:
         """Read the seeds in the settings and the seed file again, and add the controllers that they name."""
@@ -121,9 +121,9 @@
             self.quorum_io.consensus.voter_set,
             settings.zone,
             settings.counts_for_tolerance,
-            sorted({self.runtime.own_address, *self.known}),
+            sorted({self.runtime.own_address, *self.known_addresses}),
             sorted(self.proxy_sessions.connected),
-            dict(self.quorum_io.content_agreement.own.newest) or None,
+            dict(self.quorum_io.content_comparison.own.newest) or None,
         )
 
     def _heartbeat_for_peer(
@@ -143,13 +143,13 @@
         unsent = self.sessions.take_unsent_details(peer, details)
         worker_ages = None
         if int(now / HEARTBEAT_INTERVAL) % HEARTBEATS_PER_WORKER_AGES == 0:
-            worker_ages = self.registry.seconds_since_heard(now, MAX_REPORTED_WORKER_AGE)
+            worker_ages = self.registry.contact_ages(now, MAX_REPORTED_WORKER_AGE)
         return heartbeat._replace(
             echo=self.sessions.times_to_echo.get(peer, NO_ECHO),
-            bound=peer_commitments,
-            members=unsent.voter_set,
+            peer_commitments=peer_commitments,
+            voter_set=unsent.voter_set,
             zone=unsent.zone,
-            counted=unsent.counts_for_tolerance,
+            counts_for_tolerance=unsent.counts_for_tolerance,
             controllers=unsent.controllers,
             proxies=unsent.proxies,
             worker_ages=worker_ages,
--- a/bramblewood/controller/introspection.py
+++ b/bramblewood/controller/introspection.py
@@ -14,11 +14,11 @@
 from .coordinator_loop import CoordinatorLoop
 from .drain_plans import plans_of, worker_drains_of
 from .http_responses import make_response
+from .peer_sessions import PeerSessions
 from .proxy_sessions import ProxySessions
 from .quorum_contact import QuorumContact
 from .quorum_io import QuorumIO
 from .runtime import Runtime
-from .sessions import Sessions
 from .voter_changes import VoterChanges
 
 EMPTY_TABLE = {"n": 0, "s": {}}  # the view before a table is chosen: version 0 without services
@@ -37,7 +37,7 @@
         runtime: Runtime,
         quorum_io: QuorumIO,
         quorum_contact: QuorumContact,
-        sessions: Sessions,
+        sessions: PeerSessions,
         proxy_sessions: ProxySessions,
         voter_changes: VoterChanges,
         coordinator_loop: CoordinatorLoop,
@@ -82,7 +82,7 @@
         return {
             instance_id: {
                 **registration.to_view(),
-                "heard": round(now - self.registry.last_heard.get(instance_id, 0.0), 2),
+                "heard": round(now - self.registry.last_contact_at.get(instance_id, 0.0), 2),
                 "silent": instance_id in timed_out,
             }
             for instance_id, registration in self.registry.registrations.items()
@@ -97,7 +97,7 @@
             changes.peer_statuses(now),
             self.quorum_io.versions(),
         )
-        return {**view, "change": "a change is being agreed" if changes.is_changing else ""}
+        return {**view, "change": "a change is being agreed" if changes.is_proposal_in_flight else ""}
 
     def _drain_plans_view(self, now: float) -> dict[str, Any]:
         """Returns the drain plans, and for each of their workers what its next step waits for."""
--- a/bramblewood/controller/lease_calls.py
+++ b/bramblewood/controller/lease_calls.py
@@ -120,7 +120,7 @@
         if sent_at >= send_by:
             return NO_ANSWER, ""
         body = {"Source": call.first_key, "TargetVersion": call.last_key, "fence": call.fencing_token}
-        timeout = self.key_leases.expiry_wait
+        timeout = self.key_leases.lease_expiry_delay
         if call.kind == GRANT:
             body["HoldS"] = call.duration
             if call.handover:
@@ -144,7 +144,7 @@
         self.consecutive_refusals[instance_id] = (
             self.consecutive_refusals.get(instance_id, 0) + 1 if is_refused else 0
         )
-        heartbeat_age = now - self.registry.last_heard.get(instance_id, 0.0)
+        heartbeat_age = now - self.registry.last_contact_at.get(instance_id, 0.0)
         return (
             registration is None
             or registration.phase == GONE
--- a/bramblewood/controller/peer_handlers.py
+++ b/bramblewood/controller/peer_handlers.py
@@ -27,11 +27,12 @@
 from .consensus.messages import CONSENSUS_MESSAGE_KINDS
 from .consensus.proposal_number import NO_PROPOSAL
 from .consensus.registers import ALL_REGISTERS, DATA_REGISTERS, TABLE
-from .consensus.voter_set import voter_set_from
-from .content_watch import ContentWatch
+from .consensus.voter_set import parse_voter_set
 from .controller_peers import ControllerPeers
-from .departures import Departures
+from .deregistration_store import DeregistrationStore
+from .divergence_monitor import DivergenceMonitor
 from .load_reports import LoadReports
+from .peer_sessions import PeerSessions
 from .proxy_feed import ProxyFeed
 from .proxy_heartbeats import ProxyHeartbeats
 from .quorum_contact import QuorumContact
@@ -39,7 +40,6 @@
 from .read_replicas import without_readers
 from .registry_exchange import RegistryExchange
 from .runtime import Runtime
-from .sessions import Sessions
 from .worker_api import WorkerApi
 
 
@@ -54,7 +54,7 @@
         runtime: Runtime,
         quorum_io: QuorumIO,
         quorum_contact: QuorumContact,
-        sessions: Sessions,
+        sessions: PeerSessions,
         controller_peers: ControllerPeers,
         registry_exchange: RegistryExchange,
         proxy_feed: ProxyFeed,
@@ -62,8 +62,8 @@
         chosen_values: ChosenValues,
         load_reports: LoadReports,
         worker_api: WorkerApi,
-        content_watch: ContentWatch,
-        departures: Departures,
+        divergence_monitor: DivergenceMonitor,
+        deregistration_store: DeregistrationStore,
     ) -> None:
         self.runtime, self.quorum_io, self.quorum_contact = runtime, quorum_io, quorum_contact
         self.sessions, self.controller_peers = sessions, controller_peers
@@ -71,7 +71,7 @@
         self.proxy_feed, self.proxy_sessions = proxy_feed, proxy_feed.proxy_sessions
         self.proxy_heartbeats, self.chosen_values = proxy_heartbeats, chosen_values
         self.load_reports, self.worker_api = load_reports, worker_api
-        self.content_watch, self.departures = content_watch, departures
+        self.divergence_monitor, self.deregistration_store = divergence_monitor, deregistration_store
         self.handlers = {
             kinds.HEARTBEAT: self.handle_heartbeat,
             kinds.REGISTRY_UPDATE: self.handle_registry_update,
@@ -86,7 +86,7 @@
 
     def greeting(self, peer: str) -> dict[str, Any]:
         """The first message on each connection that this controller dials, in its wire form."""
-        ages = self.registry.seconds_since_heard(self.runtime.now(), math.inf)
+        ages = self.registry.contact_ages(self.runtime.now(), math.inf)
         rows = self.registry_exchange.all_rows()
         return Hello(ROLE_CONTROLLER, self.runtime.own_address, rows, ages).to_wire()
 
@@ -133,8 +133,8 @@
     def handle_heartbeat(self, connection: PeerConnection, message: dict) -> None:
         """Process the heartbeat of another controller, and act on everything that depends on it."""
         now, peer, heartbeat = self.runtime.now(), connection.peer, ControllerHeartbeat.from_wire(message)
-        if heartbeat.members is not None:
-            voter_set_from(heartbeat.members)
+        if heartbeat.voter_set is not None:
+            parse_voter_set(heartbeat.voter_set)
         self.sessions.record_heartbeat(now, peer, heartbeat)
         # The peer has no heartbeat to echo yet. It gets one at once, so that quorum contact need not wait for
         # the next interval.
@@ -143,8 +143,8 @@
         is_first_on_connection = heartbeat.zone is not None
         # The digests are compared first, because `_learn_from_heartbeat` ignores peers whose content differs.
         if heartbeat.digests is not None or is_first_on_connection:
-            self.content_watch.record(peer, heartbeat.digests or {})
-        self.registry.record_last_heard(now, heartbeat.worker_ages or {})
+            self.divergence_monitor.record(peer, heartbeat.digests or {})
+        self.registry.record_last_contacts(now, heartbeat.worker_ages or {})
         self._learn_from_heartbeat(now, peer, heartbeat)
         self.chosen_values.refresh()
         self.worker_api.check_confirmations()
@@ -156,22 +156,22 @@
     def _learn_from_heartbeat(self, now: float, peer: str, heartbeat: ControllerHeartbeat) -> None:
         """Pass the consensus state in a heartbeat to the replica, unless the sender's content differs."""
         consensus, effects = self.quorum_io.consensus, no_effects()
-        if self.content_watch.agreement.differs_from(peer):
+        if self.divergence_monitor.comparison.differs_from(peer):
             return
-        if heartbeat.members is not None:
-            consensus.adopt_voter_set(now, heartbeat.members, effects)
+        if heartbeat.voter_set is not None:
+            consensus.adopt_voter_set(now, heartbeat.voter_set, effects)
         for register, proposal_number in heartbeat.durable.items():
             if register not in ALL_REGISTERS:
                 continue  # a newer release may have more registers
             if proposal_number != NO_PROPOSAL and heartbeat.is_voting:
                 consensus.record_acceptance(now, peer, heartbeat.disk, register, proposal_number, effects)
-        self.quorum_io.execute(effects)
+        self.quorum_io.apply_effects(effects)
         rollback_effects = consensus.check_disk_rollback(
-            heartbeat.epoch, heartbeat.bound or {}, new_disk_name()
+            heartbeat.epoch, heartbeat.peer_commitments or {}, new_disk_name()
         )
         if rollback_effects.facts:
             self.runtime.log.error("disk rolled back", step="epoch", peer=peer, disk=consensus.disk)
-            self.quorum_io.execute(rollback_effects)
+            self.quorum_io.apply_effects(rollback_effects)
 
     def handle_registry_update(self, connection: PeerConnection, message: dict) -> None:
         """Merge the registrations that a controller or a proxy forwards.
@@ -183,7 +183,7 @@
         newer_rows = self.registry_exchange.record_all(update.registrations, peer)
         if update.request_id is not None:
             request_id = update.request_id
-            self.departures.keep(
+            self.deregistration_store.persist(
                 update.registrations, lambda: self._acknowledge_registrations(peer, request_id, newer_rows)
             )
         elif newer_rows:
@@ -231,7 +231,7 @@
         """Send a proxy the newest chosen versions, if this controller is current; otherwise send nothing."""
         if self.quorum_contact.is_current(self.runtime.now()):
             request = ConfirmationRequest.from_wire(message)
-            connection.send(Confirmation(request.asked_at, self.quorum_io.versions()).to_wire())
+            connection.send(Confirmation(request.requested_at, self.quorum_io.versions()).to_wire())
 
     def handle_remove_readers(self, connection: PeerConnection, message: dict) -> None:
         """Propose to remove unresponsive workers from the read replicas of a key, as a proxy requests.
--- a/bramblewood/controller/quorum_io.py
+++ b/bramblewood/controller/quorum_io.py
@@ -16,9 +16,9 @@
 from .consensus.proposal_number import format_proposal_number
 from .consensus.registers import DATA_REGISTERS
 from .consensus.replica import ConsensusReplica
-from .consensus.voter_set import founding_voters
-from .content_agreement import ContentAgreement
-from .register_values import require_register_value, require_values
+from .consensus.voter_set import founding_voter_set
+from .content_comparison import ContentComparison
+from .register_values import validate_message_values, validate_register_value
 from .runtime import TICK_INTERVAL, Runtime
 from .storage import Storage
 
@@ -36,14 +36,14 @@
 
     Invariants: no message or outcome that depends on a write leaves before the write is durable. Where a
     write fails, the outcome of its proposals is unknown, and their callbacks receive None. Consensus messages
-    from a controller whose content differs from the content held here are dropped (`content_agreement.py`).
+    from a controller whose content differs from the content held here are dropped (`content_comparison.py`).
     """
 
     consensus: ConsensusReplica
 
     def __init__(self, runtime: Runtime, storage: Storage) -> None:
         self.runtime, self.storage = runtime, storage
-        self.content_agreement = ContentAgreement(storage.digests)
+        self.content_comparison = ContentComparison(storage.digests)
         self.incarnation = int.from_bytes(os.urandom(4), "big")
         self.pending_writes = PendingWrites({})
         self.writes_in_flight = 0
@@ -55,31 +55,32 @@
         self.announced_epoch = (-1, False)  # as of the last call of on_epoch_changed: epoch, is_active_voter
         # called once a change of the epoch, or of the active vote of this controller, is durable
         self.on_epoch_changed: Callable[[], None] = lambda: None
-        self.on_progress: Callable[[], None] = lambda: None  # called after each step that may choose a value
+        # called after each step that may choose a value
+        self.on_consensus_step: Callable[[], None] = lambda: None
 
     def restore(
-        self, facts: dict[str, Any], registers: dict[str, tuple], replaces_damaged: bool = False
+        self, facts: dict[str, Any], registers: dict[str, tuple], has_quarantined_database: bool = False
     ) -> None:
         """Create the replica from the contents of the disk.
 
         An empty disk counts as new and gets a new name, even where it replaces an earlier disk.
 
-        replaces_damaged: whether a damaged database was set aside. Other controllers may hold values that
-        were acknowledged since the first boot, so this controller does not help to found the first voter set,
-        whatever the value of `FirstBoot`.
+        has_quarantined_database: whether a damaged database was quarantined. Other controllers may hold
+        values that were acknowledged since the first boot, so this controller does not help to found the
+        first voter set, whatever the value of `FirstBoot`.
         """
         settings = self.runtime.settings
         voter_set, active_epoch = facts.get(VOTER_SET_FACT), facts.get(ACTIVE_EPOCH_FACT, -1)
         if voter_set is None and "voters" in facts:  # schema version 1 has no epochs
             voter_set = {"n": 1, "voters": dict.fromkeys(facts["voters"], ""), "before": {}}
             active_epoch = 1 if "born" in facts else -1
-        elif voter_set is None and not replaces_damaged and self._is_founding_seed():
-            voter_set, active_epoch = founding_voters(settings.seed_hosts()), 0
+        elif voter_set is None and not has_quarantined_database and self._is_founding_seed():
+            voter_set, active_epoch = founding_voter_set(settings.seed_hosts()), 0
         disk = facts.get(DISK_FACT) or new_disk_name()
         self.consensus = ConsensusReplica(
             settings.ip, disk, self.incarnation, registers, voter_set, active_epoch
         )
-        self.consensus.require_value = require_register_value
+        self.consensus.validate_value = validate_register_value
         self.pending_writes.facts = {DISK_FACT: disk, ACTIVE_EPOCH_FACT: active_epoch}
         if voter_set is not None:
             self.pending_writes.facts[VOTER_SET_FACT] = voter_set
@@ -121,9 +122,9 @@
         change(value) returns the next value, or None to leave it unchanged, and an outcome. on_outcome is
         called with that outcome, or with None where it is still unknown after `timeout` s.
         """
-        self.execute(self.consensus.propose(self.runtime.now(), register, change, on_outcome, timeout))
+        self.apply_effects(self.consensus.propose(self.runtime.now(), register, change, on_outcome, timeout))
 
-    async def agree(self, register: str, change: Callable) -> Any:
+    async def propose_and_wait(self, register: str, change: Callable) -> Any:
         """Propose a change as `propose` does, and return its outcome.
 
         Returns None where the outcome is unknown or arrives too late. The clock is checked again after the
@@ -149,11 +150,11 @@
 
         Raises PeerMessageError for a malformed message.
         """
-        if self.content_agreement.differs_from(peer):
+        if self.content_comparison.differs_from(peer):
             return
-        require_values(message)
+        validate_message_values(message)
         consensus = self.consensus
-        self.execute(consensus.receive(self.runtime.now(), peer, message))
+        self.apply_effects(consensus.receive(self.runtime.now(), peer, message))
         rejection = consensus.take_last_rejection()
         if rejection is not None:
             rejecting_peer, proposal_number, promised = rejection
@@ -172,14 +173,14 @@
         is not retried.
         """
         effects = no_effects()
-        effects.answer(lambda outcome: outcome and on_durable(), True)
+        effects.report_outcome(lambda outcome: outcome and on_durable(), True)
         self._write(effects, [], facts)
 
-    def execute(self, effects: Effects) -> None:
+    def apply_effects(self, effects: Effects) -> None:
         """Write the rows and facts of these effects, then send their messages and report their outcomes."""
         rows, facts = self.pending_writes.prepare_write(effects)
         if not rows and not facts:
-            if effects.sends or effects.answers:
+            if effects.sends or effects.outcomes:
                 self._send_and_answer(effects)
             return
         self._write(effects, rows, facts)
@@ -199,8 +200,8 @@
             if self.writes_failing_since is None:
                 self.writes_failing_since = self.runtime.now()
             self.runtime.log.error("write failed", step="write", problem=problem)
-            unknown_outcomes = [(on_outcome, None) for on_outcome, _ in effects.answers]
-            self._send_and_answer(no_effects()._replace(answers=unknown_outcomes))
+            unknown_outcomes = [(on_outcome, None) for on_outcome, _ in effects.outcomes]
+            self._send_and_answer(no_effects()._replace(outcomes=unknown_outcomes))
             return
         self.writes_failing_since = None
         self.pending_writes.mark_durable(rows, facts)
@@ -215,12 +216,12 @@
                 loop.call_soon(self.handle_consensus_message, own_address, message)
             else:
                 self.runtime.peer_connections.send(peer, message)
-        for on_outcome, outcome in effects.answers:
+        for on_outcome, outcome in effects.outcomes:
             if callable(on_outcome):
                 loop.call_soon(on_outcome, outcome)
         if effects.facts.keys() & EPOCH_FACTS:
             self._announce_epoch()
-        self.on_progress()
+        self.on_consensus_step()
 
     def _announce_epoch(self) -> None:
         epoch = (self.consensus.epoch, self.consensus.is_active_voter)
--- a/bramblewood/controller/read_replicas.py
+++ b/bramblewood/controller/read_replicas.py
@@ -23,8 +23,8 @@
 from http import HTTPStatus
 from typing import Any, NamedTuple
 
-from ..common.slice_table import READERS, Row, SliceEntry, active_readers, all_readers, with_readers
-from ..common.timeouts import READ_LEASE_DURATION, READ_LEASE_EXPIRY, REPLICA_ANNOUNCEMENT_DELAY
+from ..common.slice_table import READERS, Row, SliceEntry, active_readers, readers_with_versions, with_readers
+from ..common.timeouts import READ_LEASE_DURATION, READ_LEASE_EXPIRY_DELAY, REPLICA_ANNOUNCEMENT_DELAY
 from ..common.worker_registry import READY, WorkerRegistry
 from ..policy.parameters import CAPACITY_LIMIT
 from .key_leases import RENEWAL_FRACTION, RETRY_DELAY
@@ -57,7 +57,7 @@
     owner_address: str  # from which the reader fetches its replica
 
 
-def reader_count(request_rate: float, worker_throughput: float) -> int:
+def target_reader_count(request_rate: float, worker_throughput: float) -> int:
     """Return how many readers a key needs in addition to its owner.
 
     request_rate: requests per second for the key. worker_throughput: requests per second that one worker can
@@ -80,7 +80,7 @@
         self.last_lease_at: dict[Reader, float] = {}  # send time of the last lease
         self.calls_in_flight: set[Reader] = set()
 
-    def learn_table(self, now: float, table: dict[str, Any]) -> None:
+    def record_table(self, now: float, table: dict[str, Any]) -> None:
         """Update the readers from a newer table.
 
         Every controller calls this, even one that is not the coordinator and sends no leases.
@@ -99,7 +99,7 @@
 
     def _update_readers(self, now: float, service: str, start: str, row: Row | None) -> None:
         """Update the readers of a slice from its new row, which is None if the slice was removed."""
-        versions = all_readers(row) if row is not None else {}
+        versions = readers_with_versions(row) if row is not None else {}
         readers = {
             Reader(service, int(start), instance_id, version) for instance_id, version in versions.items()
         }
@@ -125,7 +125,7 @@
             if row is None:
                 continue
             if reader.version < 0:
-                if now >= since + READ_LEASE_EXPIRY:
+                if now >= since + READ_LEASE_EXPIRY_DELAY:
                     expired.append(reader)
                 continue
             lease = self._lease_for(reader, SliceEntry.decode(row), registry)
@@ -199,7 +199,7 @@
         def change(row: Row, _version: int, reader: Reader = reader) -> Row:
             remaining = {
                 instance_id: version
-                for instance_id, version in all_readers(row).items()
+                for instance_id, version in readers_with_versions(row).items()
                 if (instance_id, version) != (reader.instance_id, reader.version)
             }
             return [*row[:READERS], *([remaining] if remaining else [])]
--- a/bramblewood/controller/registry_exchange.py
+++ b/bramblewood/controller/registry_exchange.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable
 
 from ..common.messages import RegistryUpdate
-from ..common.timeouts import MISSED_HEARTBEATS
+from ..common.timeouts import HEARTBEATS_UNTIL_SILENT
 from ..common.worker_registry import READY, WorkerRegistration, WorkerRegistry
-from .proxy_sessions import ProxySessions, leaving_rows
+from .proxy_sessions import ProxySessions, departing_rows
 from .runtime import Runtime
 
 
@@ -55,8 +55,8 @@
         changed_rows, newer_rows = self.registry.record_all(self.runtime.now(), rows, ages)
         if changed_rows:
             self.proxy_sessions.send_registrations(changed_rows)
-        if leaving := leaving_rows(changed_rows):
-            self.send_to_controllers(leaving, excluding=sender)
+        if departing := departing_rows(changed_rows):
+            self.send_to_controllers(departing, excluding=sender)
         return newer_rows
 
     def send_to_controllers(
@@ -73,8 +73,10 @@
         return {instance_id: [*row] for instance_id, row in self.registry.registrations.items()}
 
     def timed_out_workers(self, now: float) -> set[str]:
-        """The instance ids of workers that no controller has heard for MISSED_HEARTBEATS heartbeat intervals.
+        """The ids of workers that no controller has heard for HEARTBEATS_UNTIL_SILENT heartbeat intervals.
 
         Workers whose phase is GONE are left out.
         """
-        return self.registry.timed_out(now, MISSED_HEARTBEATS * self.runtime.settings.heartbeat_interval)
+        return self.registry.timed_out(
+            now, HEARTBEATS_UNTIL_SILENT * self.runtime.settings.heartbeat_interval
+        )
--- a/bramblewood/controller/server.py
+++ b/bramblewood/controller/server.py
@@ -16,12 +16,11 @@
 from ..common.worker_registry import WorkerRegistry
 from .chosen_values import ChosenValues
 from .consensus.effects import no_effects
-from .content_watch import ContentWatch
 from .controller_peers import KNOWN_CONTROLLERS_FACT, ControllerPeers
 from .coordinator_loop import CoordinatorLoop
 from .damage_response import DamageResponse
-from .damaged_storage import open_or_replace
-from .departures import Departures
+from .deregistration_store import DeregistrationStore
+from .divergence_monitor import DivergenceMonitor
 from .drain_progress import DrainProgress
 from .http_listener import HttpListener
 from .introspection import Introspection
@@ -32,6 +31,7 @@
 from .operator_api import OperatorApi
 from .outlier_detection import OutlierDetection
 from .peer_handlers import PeerHandlers
+from .peer_sessions import PeerSessions
 from .placement import PlacementPlanner
 from .proxy_feed import ProxyFeed
 from .proxy_heartbeats import ProxyHeartbeats
@@ -41,8 +41,8 @@
 from .read_replicas import ReadReplicas
 from .registry_exchange import RegistryExchange
 from .runtime import TICK_INTERVAL, Runtime
-from .sessions import Sessions
 from .storage import Storage
+from .storage_quarantine import open_or_quarantine
 from .storage_reader import StoredState
 from .voter_changes import VoterChanges
 from .worker_api import WorkerApi
@@ -59,12 +59,12 @@
     def __init__(self, settings: Settings) -> None:
         runtime = self.runtime = Runtime(settings)
         self.quorum_io = QuorumIO(runtime, Storage(settings.data_directory or DEFAULT_DATA_DIRECTORY))
-        self.sessions = Sessions(runtime.own_address)
+        self.sessions = PeerSessions(runtime.own_address)
         self.quorum_contact = QuorumContact(runtime, self.quorum_io, self.sessions)
         self.registry, self.proxy_sessions = WorkerRegistry(), ProxySessions()
         self.damage_response = DamageResponse(runtime, self.quorum_io)
-        self.content_watch = ContentWatch(runtime, self.quorum_io)
-        self.departures = Departures(runtime, self.quorum_io, self.registry)
+        self.divergence_monitor = DivergenceMonitor(runtime, self.quorum_io)
+        self.deregistration_store = DeregistrationStore(runtime, self.quorum_io, self.registry)
         self.registry_exchange = RegistryExchange(runtime, self.registry, self.proxy_sessions)
         self._build_peer_parts()
         self._build_coordinator()
@@ -99,7 +99,7 @@
         runtime, quorum_io = self.runtime, self.quorum_io
         self.key_leases = KeyLeases(runtime.settings.bounds.HoldMaxS)
         self.read_replicas, self.outlier_detection = ReadReplicas(), OutlierDetection()
-        self.drain_progress = DrainProgress(self.key_leases.expiry_wait)
+        self.drain_progress = DrainProgress(self.key_leases.lease_expiry_delay)
         self.chosen_values = ChosenValues(
             runtime, quorum_io, self.proxy_feed, self.read_replicas, self.outlier_detection
         )
@@ -130,7 +130,7 @@
     def _build_apis(self) -> None:
         runtime, quorum_io, quorum_contact = self.runtime, self.quorum_io, self.quorum_contact
         self.worker_api = WorkerApi(
-            runtime, quorum_io, quorum_contact, self.registry_exchange, self.departures
+            runtime, quorum_io, quorum_contact, self.registry_exchange, self.deregistration_store
         )
         self.operator_api = OperatorApi(runtime, quorum_io, quorum_contact, self.registry, self.voter_changes)
         self.introspection = Introspection(
@@ -154,8 +154,8 @@
             self.chosen_values,
             LoadReports(self.coordinator_loop, self.drain_progress, self.outlier_detection),
             self.worker_api,
-            self.content_watch,
-            self.departures,
+            self.divergence_monitor,
+            self.deregistration_store,
         )
         self.http_listener = HttpListener(
             runtime, self.peer_handlers, self.worker_api, self.operator_api, self.introspection
@@ -171,13 +171,13 @@
             runtime.settings.bind_ip,
         )
         runtime.peer_connections.on_malformed = handlers.log_malformed
-        self.content_watch.on_divergence = self.damage_response.begin
-        self.quorum_io.on_progress = self.chosen_values.refresh
+        self.divergence_monitor.on_divergence = self.damage_response.report_damage
+        self.quorum_io.on_consensus_step = self.chosen_values.refresh
         self.quorum_io.on_epoch_changed = self.handle_epoch_change
         self.proxy_feed.on_configuration_announced = lambda: self.proxy_heartbeats.send(runtime.now())
         self.registry_exchange.on_departure = self.coordinator_loop.step
-        self.key_releases.on_progress = self.chosen_values.refresh
-        self.key_releases.on_all_finished = lambda: self.coordinator_loop.step(runtime.now())
+        self.key_releases.on_proposal_finished = self.chosen_values.refresh
+        self.key_releases.on_all_released = lambda: self.coordinator_loop.step(runtime.now())
 
     def set_planner(self, planner: PlacementPlanner) -> None:
         """Gives the placement planner to the parts that use it.
@@ -196,7 +196,7 @@
         runtime, loop = self.runtime, asyncio.get_running_loop()
         runtime.loop = loop
         storage = self.quorum_io.storage
-        opened = await asyncio.to_thread(open_or_replace, storage, runtime.log)
+        opened = await asyncio.to_thread(open_or_quarantine, storage, runtime.log)
         if isinstance(opened, Err):
             runtime.log.error("storage unusable", step="open", problem=str(opened.err_value))
             return STORAGE_UNUSABLE
@@ -214,20 +214,22 @@
             # vote has passed, or its disk is damaged.
             self.quorum_io.consensus.stop_voting()
             runtime.log.info("stopped", step="end")
-        return 0 if self.damage_response.reason is None else await self.damage_response.finish()
+        return 0 if self.damage_response.reason is None else await self.damage_response.mark_for_quarantine()
 
     def _restore(self, stored_state: StoredState) -> None:
         """Restores the state of the parts from the disk, and starts the writer thread of the storage."""
         runtime, settings, loop = self.runtime, self.runtime.settings, self.runtime.loop
         storage = self.quorum_io.storage
-        storage.on_damage = lambda problem: loop.call_soon_threadsafe(self.damage_response.begin, problem)
-        self.quorum_io.restore(stored_state.facts, stored_state.registers, storage.replaces_damaged)
-        self.departures.restore(stored_state.facts)
+        storage.on_damage = lambda problem: loop.call_soon_threadsafe(
+            self.damage_response.report_damage, problem
+        )
+        self.quorum_io.restore(stored_state.facts, stored_state.registers, storage.has_quarantined_database)
+        self.deregistration_store.restore(stored_state.facts)
         self.set_planner(
             PlacementPlanner(runtime.now(), settings.heartbeat_interval, settings.detect_hot_keys)
         )
         storage.start(lambda on_finished, problem: loop.call_soon_threadsafe(on_finished, problem))
-        self.quorum_io.execute(no_effects())
+        self.quorum_io.apply_effects(no_effects())
         known_controllers = stored_state.facts.get(KNOWN_CONTROLLERS_FACT, ())
         for peer in {*settings.seed_hosts(), *self.quorum_io.consensus.voters, *known_controllers}:
             self.controller_peers.add(peer)
@@ -271,7 +273,7 @@
 
     def tick(self, now: float) -> None:
         """Runs all periodic work that is due. `run` calls it every TICK_INTERVAL."""
-        self.quorum_io.execute(self.quorum_io.consensus.tick(now))
+        self.quorum_io.apply_effects(self.quorum_io.consensus.tick(now))
         self.quorum_io.probe_failing_disk(now)
         self.voter_changes.propose_due_change(now)
         self.controller_peers.reread_seeds_if_isolated(now)
@@ -281,8 +283,8 @@
         if now >= self.next_housekeeping_at:
             self.next_housekeeping_at = now + HOUSEKEEPING_INTERVAL
             self.registry.remove_expired(now)
-            self.content_watch.check()
-            self.departures.remove_expired(now)
+            self.divergence_monitor.check()
+            self.deregistration_store.remove_expired(now)
             proxies = self.sessions.all_proxies(now, list(self.proxy_sessions.connected))
             self.drain_progress.record_connected_proxies(now, proxies)
         self.coordinator_loop.step(now)
--- a/bramblewood/controller/voter_changes.py
+++ b/bramblewood/controller/voter_changes.py
@@ -6,18 +6,18 @@
 
 from typing import Any
 
-from .consensus.membership import Membership, may_shut_down
+from .consensus.membership import Membership, is_vote_dispensable
 from .consensus.peer_status import PeerStatus
 from .consensus.registers import VOTER_SET
-from .consensus.voter_set import next_voter_set
+from .consensus.voter_set import voter_set_change
 from .controller_peers import ControllerPeers
+from .peer_sessions import PeerSessions
 from .quorum_contact import QuorumContact
 from .quorum_io import PROPOSAL_TIMEOUT, QuorumIO
 from .runtime import Runtime
-from .sessions import Sessions
 
 FOUNDING_TIMEOUT = 3.0  # s that a first boot waits for controllers that start at about the same time
-UNKNOWN_VOTERS_PATIENCE = 10.0  # s after the start of the process until an unknown voter set is logged
+UNKNOWN_VOTERS_LOG_DELAY = 10.0  # s after the start of the process until an unknown voter set is logged
 UNKNOWN_VOTERS_LOG_INTERVAL = 30.0  # s between two log lines about an unknown voter set
 UNKNOWN_VOTERS_REMEDY = (
     "start a controller whose disk is intact; if none is left, start the seeds on empty folders"
@@ -38,14 +38,14 @@
         runtime: Runtime,
         quorum_io: QuorumIO,
         quorum_contact: QuorumContact,
-        sessions: Sessions,
+        sessions: PeerSessions,
         controller_peers: ControllerPeers,
     ) -> None:
         settings = runtime.settings
         self.runtime, self.quorum_io, self.quorum_contact = runtime, quorum_io, quorum_contact
         self.sessions, self.controller_peers = sessions, controller_peers
         self.membership = Membership(settings.tolerance, settings.region_of_zone, settings.bounds.CatchUpS)
-        self.is_changing = False  # whether a proposal of this controller is in flight
+        self.is_proposal_in_flight = False  # whether a proposal of this controller is in flight
         self.shutdown_began_at: float | None = None
         self.next_unknown_voters_log_at = 0.0
 
@@ -69,16 +69,16 @@
             self.quorum_io.versions(),
             self.quorum_io.disk_failing_for(now),
         )
-        all_known = dict.fromkeys({*self.controller_peers.known, *consensus.voters}, never_heard)
+        all_known = dict.fromkeys({*self.controller_peers.known_addresses, *consensus.voters}, never_heard)
         return {**all_known, **self.sessions.peer_statuses(now), self.runtime.own_address: own}
 
     def propose_due_change(self, now: float) -> None:
         """Propose the voter set change that is due, if any, unless a proposal is in flight."""
         consensus = self.quorum_io.consensus
-        if consensus.epoch == 0 and not consensus.is_member:
+        if consensus.epoch == 0 and not consensus.matches_seat:
             self._log_unknown_voters(now)
             return
-        if self.is_changing:
+        if self.is_proposal_in_flight:
             return
         change = None
         if consensus.epoch == 0:
@@ -91,7 +91,7 @@
             )
         if change is None:
             return
-        self.is_changing = True
+        self.is_proposal_in_flight = True
         self.runtime.log.info(
             "voter set change",
             step="epoch",
@@ -99,15 +99,15 @@
             reason=change.reason,
             voters=change.voters,
         )
-        register_change = next_voter_set(consensus.voter_set, change.voters)
+        register_change = voter_set_change(consensus.voter_set, change.voters)
         self.quorum_io.propose(VOTER_SET, register_change, self.change_finished, PROPOSAL_TIMEOUT)
 
     def _log_unknown_voters(self, now: float) -> None:
         """Log an error with its remedy, as neither this disk nor a reachable controller holds a voter set."""
-        due_at = max(self.runtime.started_at + UNKNOWN_VOTERS_PATIENCE, self.next_unknown_voters_log_at)
+        due_at = max(self.runtime.started_at + UNKNOWN_VOTERS_LOG_DELAY, self.next_unknown_voters_log_at)
         if now >= due_at:
             self.next_unknown_voters_log_at = now + UNKNOWN_VOTERS_LOG_INTERVAL
-            peers = sorted(self.controller_peers.known)
+            peers = sorted(self.controller_peers.known_addresses)
             self.runtime.log.error("voters unknown", step="epoch", peer=peers, way_out=UNKNOWN_VOTERS_REMEDY)
 
     def change_finished(self, outcome: Any) -> None:
@@ -115,7 +115,7 @@
 
         The outcome is ignored, because `propose_due_change` reads the voter set that is actually chosen.
         """
-        self.is_changing = False
+        self.is_proposal_in_flight = False
 
     def may_shut_down(self, now: float) -> bool:
         """Whether a shutdown is requested and may proceed.
@@ -136,7 +136,7 @@
         if now >= self.shutdown_began_at + vote_retention or consensus.active_epoch < 0:
             return True
         peers = self.peer_statuses(now)
-        return may_shut_down(
+        return is_vote_dispensable(
             self.runtime.own_address,
             consensus.disk,
             consensus.voter_set,
--- a/bramblewood/controller/worker_api.py
+++ b/bramblewood/controller/worker_api.py
@@ -6,8 +6,8 @@
 
 from ..common.worker_registry import GONE, WorkerRegistration
 from .commands import DeregisterWorker, RegisterWorker
-from .departures import Departures
 from .deregistration import CONFIRMATION_TIMEOUT, Deregistrations
+from .deregistration_store import DeregistrationStore
 from .http_responses import NO_QUORUM, make_response
 from .quorum_contact import QuorumContact
 from .quorum_io import QuorumIO
@@ -34,16 +34,16 @@
         quorum_io: QuorumIO,
         quorum_contact: QuorumContact,
         registry_exchange: RegistryExchange,
-        departures: Departures,
+        deregistration_store: DeregistrationStore,
     ) -> None:
         self.runtime, self.quorum_io, self.quorum_contact = runtime, quorum_io, quorum_contact
-        self.registry_exchange, self.departures = registry_exchange, departures
+        self.registry_exchange, self.deregistration_store = registry_exchange, deregistration_store
         self.deregistrations = Deregistrations(runtime.own_address)
         self.confirmations: dict[int, asyncio.Future] = {}  # by request id
 
     async def register(self, call: RegisterWorker) -> web.Response:
         """Records the heartbeat of a worker. One with the phase `draining` is also a deregistration."""
-        if call.is_leaving:
+        if call.is_draining:
             return await self._deregister(call.instance_id, call.registration)
         self.registry_exchange.record(call.instance_id, call.registration)
         has_contact = self.quorum_contact.has_quorum_contact(self.runtime.now())
@@ -60,7 +60,7 @@
         request_id = self.deregistrations.begin(self.runtime.now())
         confirmation = self.confirmations[request_id] = self.runtime.loop.create_future()
         self.registry_exchange.record(instance_id, registration, request_id)
-        self.departures.keep([instance_id], lambda: self._record_stored_locally(request_id))
+        self.deregistration_store.persist([instance_id], lambda: self._record_stored_locally(request_id))
         try:
             async with asyncio.timeout(CONFIRMATION_TIMEOUT):
                 await confirmation
@@ -73,7 +73,7 @@
         return web.json_response({}) if is_confirmed else make_response(503, "no majority holds it in time")
 
     def _record_stored_locally(self, request_id: int) -> None:
-        self.deregistrations.record_held_here(request_id)
+        self.deregistrations.record_stored_locally(request_id)
         self.check_confirmations()
 
     def check_confirmations(self) -> None:
--- a/bramblewood/controller/worker_client.py
+++ b/bramblewood/controller/worker_client.py
@@ -67,12 +67,12 @@
             encode_request(address, path, headers, body),
             headers["X-Attempt-Id"],
             loop.time() + ANSWER_TIMEOUT,
-            accepts_unnamed=True,
+            accepts_missing_id=True,
         )
         self._keep_or_close(address, connection)
-        if result.answer is None:
+        if result.response is None:
             return None
-        return WorkerAnswer(result.answer.status, result.answer.headers_by_name, is_first)
+        return WorkerAnswer(result.response.status, result.response.headers_by_name, is_first)
 
     def _take_idle(self, address: str, now: float) -> WorkerConnection | None:
         connections = self.idle_connections.get(address, [])
--- a/bramblewood/events.py
+++ b/bramblewood/events.py
@@ -111,7 +111,7 @@
 
     proxy: int
     zone: str
-    rate: float
+    weight: float
     fresh: bool = False
 
 
@@ -249,7 +249,7 @@
     worker: str
 
 
-class TellPeer(NamedTuple):
+class SendPeerMessage(NamedTuple):
     """Send a message to one manager, or to all managers if `manager` is None."""
 
     manager: int | None
@@ -260,7 +260,7 @@
     """Request the complete worker list once."""
 
 
-class WatchWorkerList(NamedTuple):
+class SubscribeWorkerList(NamedTuple):
     """Subscribe to the changes of the worker list, or unsubscribe."""
 
     on: bool = True
@@ -292,9 +292,9 @@
     RequestAcknowledgement,
     SetTimer,
     CheckHealth,
-    TellPeer,
+    SendPeerMessage,
     RequestWorkerList,
-    WatchWorkerList,
+    SubscribeWorkerList,
     WorkerEjected,
     Log,
 ]
--- a/bramblewood/net/program/service.py
+++ b/bramblewood/net/program/service.py
@@ -323,13 +323,13 @@
                     self.loop.after(after, lambda token=token: self.inbox.append(events.TimerFired(token)))
                 case events.Log(text):
                     self.log.info(text)
-                case events.WatchWorkerList(on):
+                case events.SubscribeWorkerList(on):
                     self.discovery.watch(on)
                 case events.RequestWorkerList():
                     self.discovery.request_list()
                 case events.CheckHealth():
                     self.health_checks.send(order)
-                case events.TellPeer():
+                case events.SendPeerMessage():
                     if self.peers:
                         self.peers.send(order)
                     else:
--- a/bramblewood/policy/load_accounting.py
+++ b/bramblewood/policy/load_accounting.py
@@ -14,7 +14,7 @@
     def __init__(self, manager):
         self.manager = manager
         self.loads, self.own_loads = Counter(), Counter()  # heat by worker: from all managers, from this one
-        self.standby_counts, self.over_limit_cycles, self.by_primary = Counter(), Counter(), {}
+        self.standby_counts, self.over_limit_cycles, self.primary_slices = Counter(), Counter(), {}
         self.recent_moves, self.answered_rates = deque(), deque(maxlen=parameters.REPORTS_AVERAGED)
         self.own_heat = self.total_heat = self.total_load = self.median_load = self.throttled_count = 0.0
         self.total_weight, self.usual_total_load, self.typical_heat = 1.0, 1.0, 1.0
@@ -25,18 +25,18 @@
         manager, slices = self.manager, self.manager.own_slices()
         ready = manager.ready_workers()
         self.typical_heat = mean([s.estimate() for s in slices if s.estimates]) or self.typical_heat
-        self.own_loads, self.by_primary = Counter(), {}
+        self.own_loads, self.primary_slices = Counter(), {}
         for slice in slices:
             self.own_loads[slice.primary] += slice.estimate()
-            self.by_primary.setdefault(slice.primary, []).append(slice)
+            self.primary_slices.setdefault(slice.primary, []).append(slice)
         self.own_heat = sum(slice.estimate() for slice in slices)
         self.total_heat = self.own_heat * max(manager.settings.slices, len(slices)) / max(len(slices), 1)
         self.total_weight = sum(worker.weight for worker in ready) or 1.0
         usual_load = min(max(self.median_load, parameters.WORKING_POINT), parameters.MAX_LOAD_FACTOR)
         self.usual_total_load = usual_load * sum(worker.weight * worker.warmth() for worker in ready) or 1.0
-        self.total_load = sum(mean(worker.loads) * worker.weight for worker in ready)
+        self.total_load = sum(mean(worker.recent_loads) * worker.weight for worker in ready)
         scale = self.total_heat / (self.total_load or 1.0)
-        self.loads = Counter({w: scale * w.weight * mean(w.loads) for w in manager.workers.values()})
+        self.loads = Counter({w: scale * w.weight * mean(w.recent_loads) for w in manager.workers.values()})
         self.add_recent_moves()
 
     def add_recent_moves(self) -> None:
@@ -98,7 +98,7 @@
         self.loads[target] += heat
         self.recent_moves.append((self.manager.now, source, target, heat))
         target.last_slice_at = self.manager.now
-        known = sum(rate > 0 for rate in self.answered_rates) >= parameters.REPORTS_HELD
+        known = sum(rate > 0 for rate in self.answered_rates) >= parameters.REPORTS_NEEDED
         if urgent and known:  # directly after a start no capacity is known yet
             self.manager.schedule(target.cut_early, self.loads[target] / (self.safe_capacity(target) or 1.0))
         keeps = slice.standby and slice.standby is not target and slice.standby.usable
--- a/bramblewood/proxy/replica_invalidation_calls.py
+++ b/bramblewood/proxy/replica_invalidation_calls.py
@@ -11,7 +11,7 @@
 from .controller_sessions import ControllerSessions
 from .load_balancing import LoadBalancer
 from .replica_invalidation import (
-    ALL_CLEAR,
+    INVALIDATION_COMPLETE,
     ConfirmTable,
     DropReplicas,
     RemoveReaders,
@@ -47,7 +47,7 @@
         while (now := loop.time()) < deadline:
             confirmed_at = self.sessions.selection.table_confirmed_at
             step = invalidation.next_step(now, confirmed_at, slices.replica_holders(service, key))
-            if step == ALL_CLEAR:
+            if step == INVALIDATION_COMPLETE:
                 return True
             if isinstance(step, ConfirmTable):
                 await self.sessions.confirm_table(deadline)
@@ -57,7 +57,7 @@
                 if await self.sessions.remove_readers(service, key, step.instance_ids, deadline):
                     invalidation.readers_removed(loop.time(), step.instance_ids)
             else:
-                await asyncio.sleep(min(step.until, deadline) - now)
+                await asyncio.sleep(min(step.deadline, deadline) - now)
         return False
 
     async def _drop_replicas(
@@ -97,4 +97,4 @@
             return False
         result = await connection.exchange(request, request_id, loop.time() + DROP_TIMEOUT)
         connection.close()
-        return result.outcome is AttemptOutcome.ANSWERED and result.answer.status == 200
+        return result.outcome is AttemptOutcome.ANSWERED and result.response.status == 200
--- a/bramblewood/proxy/request_attempts.py
+++ b/bramblewood/proxy/request_attempts.py
@@ -33,7 +33,7 @@
 # s: upper bound of `Retry-After`, unless no worker is available or a hot key gets too many requests
 MAX_SHORT_RETRY_AFTER = 0.25
 # Clients take these statuses as a guarantee that the request has not run and never will run.
-STATUSES_PROMISING_NOT_RUN = (408, 429, 503)
+STATUSES_GUARANTEEING_NOT_RUN = (408, 429, 503)
 MAX_UNSENT_ATTEMPTS = 4  # limit on attempts that send no byte, as each one opens a connection
 FULL_WORKER_POLL_INTERVAL = 0.04  # s between checks of a full worker: a fraction of its response time
 DEADLINE_MARGIN = 0.012  # s reserved before the client's deadline for the transit of the response
@@ -48,7 +48,7 @@
 class WaitUntil(NamedTuple):
     """Wait until this time, or until an update from a controller arrives, and call `next_step` again."""
 
-    until: float
+    deadline: float
 
 
 class FinalReply(NamedTuple):
@@ -65,9 +65,9 @@
 
     deadline: the time at which the request fails. It is the client's deadline less DEADLINE_MARGIN, or the
     end of the route's time-out if that is earlier. affinity_key: the client's key on a route with session
-    affinity, otherwise "". tried: workers that are excluded from further attempts. used_connections: numbers
-    of the connections on which the request was sent. may_have_run: whether a worker may have run the request
-    without a usable response.
+    affinity, otherwise "". excluded_workers: workers that are excluded from further attempts.
+    used_connections: numbers of the connections on which the request was sent. may_have_run: whether a worker
+    may have run the request without a usable response.
     """
 
     def __init__(
@@ -79,7 +79,7 @@
         self.affinity_key = ""
         self.deadline = now + min(time_left - DEADLINE_MARGIN, route.timeout)
         self.no_worker_wait_until = now + NO_WORKER_WAIT_FRACTION * route.latency_target
-        self.tried: set[str] = set()
+        self.excluded_workers: set[str] = set()
         self.used_connections: set[int] = set()
         self.sent_count = self.unsent_count = 0
         self.last_response: WorkerResponse | None = None  # newest error response of a worker
@@ -91,7 +91,7 @@
     @property
     def non_idempotent(self) -> bool:
         """Whether the request must not run twice."""
-        return not self.route.pure
+        return not self.route.is_idempotent
 
     def next_step(
         self, now: float, load_balancer: LoadBalancer, retry_budget: RetryBudget
@@ -127,7 +127,7 @@
             if instance_id:
                 return instance_id
         return load_balancer.choose_worker(
-            now, self.service, self.key, self.request_id, self.tried, self.route.pure
+            now, self.service, self.key, self.request_id, self.excluded_workers, self.route.is_idempotent
         )
 
     def _wait_for_worker(self, now: float, load_balancer: LoadBalancer) -> WaitUntil | FinalReply:
@@ -160,14 +160,14 @@
                 queue.record_arrival(now)
         if queue is None:
             return None
-        if self.route.pure:
+        if self.route.is_idempotent:
             latest = min(self.started_at + HOT_KEY_WAIT_FRACTION * self.route.latency_target, self.deadline)
-            send_at = queue.turn_at(now, self.request_id, (self.route.priority, self.started_at), latest)
+            send_at = queue.send_time(now, self.request_id, (self.route.priority, self.started_at), latest)
             if send_at is None:
                 return self.fail(now, "a crowd at its record", long_retry_after=True)
             if send_at > now:
                 return WaitUntil(send_at)
-        queue.record_passage(now)
+        queue.record_sent(now)
         return None
 
     def leave_queue(self) -> None:
@@ -207,7 +207,7 @@
             return self._record_not_sent(now, instance_id, outcome)
         self.sent_count += 1
         if self.key is None:
-            self.tried.add(instance_id)
+            self.excluded_workers.add(instance_id)
         if outcome is AttemptOutcome.ANSWERED:
             return self._handle_response(now, instance_id, response, from_replica)
         self.may_have_run = True
@@ -222,7 +222,7 @@
         if outcome is AttemptOutcome.CONNECTION_REJECTED and self.key is not None:
             self._back_off(now, instance_id, CONNECTION_REJECTED_BACKOFF_FRACTION)
         else:
-            self.tried.add(instance_id)
+            self.excluded_workers.add(instance_id)
         if self.unsent_count >= MAX_UNSENT_ATTEMPTS:
             return self.fail(now, "no worker could be reached")
         return None
@@ -232,17 +232,17 @@
     ) -> FinalReply | None:
         if indicates_not_run(response):
             if from_replica:
-                self.tried.add(instance_id)  # its replica is gone, but the owner has the record
+                self.excluded_workers.add(instance_id)  # its replica is gone, but the owner has the record
             else:
                 self._back_off(now, instance_id, SAME_WORKER_BACKOFF_FRACTION)
             return None
         if 200 <= response.status < 300 and not is_valid_success_response(response):
             self.may_have_run = True  # an intermediary may have generated or changed the response
-            return None if self.route.pure else self.fail(now, "the worker's answer is not whole")
-        if response.status >= 500 and self.route.pure:
+            return None if self.route.is_idempotent else self.fail(now, "the worker's answer is not whole")
+        if response.status >= 500 and self.route.is_idempotent:
             self.last_response = response
             return None
-        if response.status in STATUSES_PROMISING_NOT_RUN and self.non_idempotent:
+        if response.status in STATUSES_GUARANTEEING_NOT_RUN and self.non_idempotent:
             self.may_have_run = True  # the response has no `X-Not-Run`
             return self.fail(now, "the worker did not say whether it ran")
         return FinalReply(response.status, response.reason, None, response)
--- a/bramblewood/proxy/slice_lookup.py
+++ b/bramblewood/proxy/slice_lookup.py
@@ -6,7 +6,7 @@
 from bisect import bisect_right
 
 from ..common.messages import TableUpdate
-from ..common.slice_table import FENCING_TOKEN, all_readers, sorted_starts
+from ..common.slice_table import FENCING_TOKEN, readers_with_versions, sorted_first_keys
 
 
 class SliceLookup:
@@ -33,15 +33,15 @@
             return True
         if update.base is None:
             self.table = update.services
-            self.starts = {service: sorted_starts(entries) for service, entries in self.table.items()}
+            self.starts = {service: sorted_first_keys(entries) for service, entries in self.table.items()}
         elif update.base > self.version:
             return False
         else:
             for service, changes in update.services.items():
                 self._update_entries(service, changes)
         self.version = update.version
-        if update.leaving is not None:
-            self.drain_steps = update.leaving
+        if update.drain_steps is not None:
+            self.drain_steps = update.drain_steps
         return True
 
     def _update_entries(self, service: str, changes: dict[str, list]) -> None:
@@ -49,7 +49,7 @@
         new_slices = changes.keys() - entries.keys()
         entries.update(changes)
         if new_slices:
-            self.starts[service] = sorted_starts(entries)
+            self.starts[service] = sorted_first_keys(entries)
 
     def entry(self, service: str, key: int) -> list | None:
         """Return the entry of the slice that contains a key, or None if the service has no slices yet."""
@@ -64,4 +64,4 @@
     def replica_holders(self, service: str, key: int) -> set[str]:
         """Return the workers that may hold read replicas of a key according to this table."""
         entry = self.entry(service, key)
-        return set(all_readers(entry)) if entry else set()
+        return set(readers_with_versions(entry)) if entry else set()
--- a/features/steps/configuration_changes.py
+++ b/features/steps/configuration_changes.py
@@ -11,22 +11,22 @@
 from bramblewood.controller.configuration_succession import apply_configuration
 from bramblewood.controller.consensus.replica import ConsensusReplica
 from tests.simulation import configuration_change_guards
-from tests.simulation.configuration_change_guards import short_memory
+from tests.simulation.configuration_change_guards import apply_with_few_digests
 from tests.simulation.configuration_changes import (
     ConfigurationChangeSimulation,
-    Site,
+    SimulatedSite,
     build_replica,
-    concurrent_orders,
-    long_day,
-    readers,
+    concurrent_requests,
+    random_concurrent_requests,
+    reads_at_distant_controller,
     start_simulation,
-    storm,
+    successive_changes,
 )
 from tests.simulation.consensus import RuleViolation, configuration
 
-# fields of Site, in s
+# fields of SimulatedSite, in s
 DISTANT_CONTROLLERS = {"delays": (0.055, 0.06)}
-LINKS = {"distant controllers": DISTANT_CONTROLLERS, "one slow link": {"slow": 0.25}}
+LINKS = {"distant controllers": DISTANT_CONTROLLERS, "one slow link": {"slow_link_delay": 0.25}}
 REPLICAS_WITHOUT_GUARD = {
     "a quorum is a majority": configuration_change_guards.QuorumBelowMajority,
     "a value accepted by a minority is not chosen": configuration_change_guards.TreatsAcceptedAsChosen,
@@ -56,7 +56,9 @@
 @then("{count:d} random runs with {voters:d} voters keep the invariants")
 def assert_random_runs_keep_invariants(context, count, voters):
     requests = [
-        request for seed in range(count) for request in storm(seed, voters, decide=short_memory).requests
+        request
+        for seed in range(count)
+        for request in random_concurrent_requests(seed, voters, decide=apply_with_few_digests).requests
     ]
     for status in (200, 412):
         assert sum(request.status == status for request in requests) > 5 * count, "too few of these answers"
@@ -68,8 +70,11 @@
         guard = row["guard"]
         assert guard in {**REPLICAS_WITHOUT_GUARD, **DECISIONS_WITHOUT_GUARD}, guard
         make_replica = replica_builder(REPLICAS_WITHOUT_GUARD.get(guard, ConsensusReplica))
-        decide = DECISIONS_WITHOUT_GUARD.get(guard, short_memory)
-        assert_violation_found(lambda seed: storm(seed, voters, make_replica, decide), count)  # noqa: B023
+        decide = DECISIONS_WITHOUT_GUARD.get(guard, apply_with_few_digests)
+        assert_violation_found(
+            lambda seed: random_concurrent_requests(seed, voters, make_replica, decide),  # noqa: B023
+            count,
+        )
 
 
 @given("the register value of an older release that holds r9 after r7")
@@ -104,19 +109,21 @@
 def assert_reads_keep_invariants(context, count, voters):
     context.count, context.voters = count, voters
     for seed in range(count):
-        readers(seed, voters)
+        reads_at_distant_controller(seed, voters)
 
 
 @then("the same runs without proposer backoff keep the invariants")
 def assert_reads_without_backoff_keep_invariants(context):
     for seed in range(context.count):
-        readers(seed, context.voters, replica_builder(configuration_change_guards.NoBackoff))
+        reads_at_distant_controller(
+            seed, context.voters, replica_builder(configuration_change_guards.NoBackoff)
+        )
 
 
 @then("adding changes to a started round violates an invariant within {count:d} of these runs")
 def assert_late_additions_violate_invariant(context, count):
     assert_violation_found(
-        lambda seed: readers(
+        lambda seed: reads_at_distant_controller(
             seed, context.voters, replica_builder(configuration_change_guards.AddsChangesToStartedRound)
         ),
         count,
@@ -126,21 +133,21 @@
 @then("{count:d} successive changes and their repeats are all acknowledged")
 def assert_successive_changes_acknowledged(context, count):
     context.changes = count
-    simulation = long_day(1, 3, count)
+    simulation = successive_changes(1, 3, count)
     assert len(simulation.acknowledged) == count + 1
     assert {request.status for request in simulation.requests} == {200}
 
 
 @then("with {digests:d} kept digests older repeats get no definite answer and no request is rejected")
 def assert_older_repeats_get_no_definite_answer(context, digests):
-    simulation = long_day(2, 5, context.changes, partial(apply_configuration, max_digests=digests))
+    simulation = successive_changes(2, 5, context.changes, partial(apply_configuration, max_digests=digests))
     assert len(simulation.acknowledged) == context.changes + 1 and not simulation.rejected
     assert {request.status for request in simulation.requests} == {200, 0}
 
 
 @given("all controllers hold r2 as the successor of r1")
 def put_two_revisions(context):
-    simulation = context.simulation = start_simulation(1, Site(3))
+    simulation = context.simulation = start_simulation(1, SimulatedSite(3))
     context.first, context.second = simulation.requests[0].requested, configuration(2, 1, "second")
     request = simulation.put(context.second, simulation.names[1])
     simulation.run(simulation.now + 5.0, lambda: request.status)
@@ -181,15 +188,15 @@
 @then("eight requests with {voters:d} voters and {links} are answered within half of AckS in {count:d} seeds")
 def assert_answers_in_time(context, voters, links, count):
     for seed in range(count):
-        longest = max(concurrent_orders(seed, Site(voters, **LINKS[links])))
+        longest = max(concurrent_requests(seed, SimulatedSite(voters, **LINKS[links])))
         assert longest < Bounds.AckS / 2, (seed, longest)
 
 
 @then("without proposer backoff an answer takes more than half of AckS within {count:d} seeds")
 def assert_backoff_is_needed(context, count):
     make_replica = replica_builder(configuration_change_guards.NoBackoff)
-    site = Site(5, **DISTANT_CONTROLLERS)
-    longest = max(max(concurrent_orders(seed, site, make_replica=make_replica)) for seed in range(count))
+    site = SimulatedSite(5, **DISTANT_CONTROLLERS)
+    longest = max(max(concurrent_requests(seed, site, make_replica=make_replica)) for seed in range(count))
     assert longest > Bounds.AckS / 2, longest
 
 
@@ -198,12 +205,12 @@
 
     The concurrent requests are all sent to the same controller.
     """
-    single = start_simulation(seed, Site(3, **DISTANT_CONTROLLERS)).requests[0].duration
+    single = start_simulation(seed, SimulatedSite(3, **DISTANT_CONTROLLERS)).requests[0].duration
     return (
         max(
-            concurrent_orders(
+            concurrent_requests(
                 seed,
-                Site(3, **DISTANT_CONTROLLERS),
+                SimulatedSite(3, **DISTANT_CONTROLLERS),
                 spread=False,
                 make_replica=replica_builder(replica_class),
             )
--- a/features/steps/quorum_contact.py
+++ b/features/steps/quorum_contact.py
@@ -12,15 +12,15 @@
 from bramblewood.common.worker_registry import GONE, WorkerRegistration, WorkerRegistry
 from bramblewood.controller.consensus.proposal_number import NO_PROPOSAL
 from bramblewood.controller.consensus.registers import TABLE
-from bramblewood.controller.departures import Departures
 from bramblewood.controller.deregistration import Deregistrations
+from bramblewood.controller.deregistration_store import DeregistrationStore
 from bramblewood.controller.http_responses import make_response
 from bramblewood.controller.key_leases import KeyLeases
 from bramblewood.controller.lease_calls import LeaseCalls
+from bramblewood.controller.peer_sessions import PeerSessions
 from bramblewood.controller.quorum_contact import QuorumContact
 from bramblewood.controller.quorum_io import QuorumIO
 from bramblewood.controller.registry_exchange import RegistryExchange
-from bramblewood.controller.sessions import Sessions
 from bramblewood.controller.worker_api import WorkerApi
 from bramblewood.proxy.controller_selection import ControllerSelection
 from bramblewood.proxy.registry_freshness import RegistryFreshness
@@ -29,7 +29,7 @@
 from tests.simulation.quorum_contact import DIRECTED_RUNS
 
 # the original methods, which replacements of guards call
-quorum_contact_until, deregister = Sessions.quorum_contact_until, WorkerApi.deregister
+quorum_contact_until, deregister = PeerSessions.quorum_contact_until, WorkerApi.deregister
 grant_or_release = LeaseCalls.grant_or_release
 heartbeat_received = ControllerSelection.heartbeat_received
 
@@ -50,7 +50,7 @@
     return await deregister(self, call)
 
 
-async def agree_without_clock_check(self, register, change):
+async def propose_without_clock_check(self, register, change):
     outcome_future = self.runtime.loop.create_future()
     self.propose(
         register,
@@ -78,7 +78,7 @@
     return heartbeat_received(self, now, peer, heartbeat, known_versions)
 
 
-NO_STORED_DEPARTURES = (Departures, "restore", lambda self, facts: None)
+NO_STORED_DEREGISTRATIONS = (DeregistrationStore, "restore", lambda self, facts: None)
 # by guard: one or more sequences of owner, attribute and replacement
 GUARDS = {
     "the majority check for deregistrations": (Deregistrations, "is_confirmed", confirm_with_one_holder),
@@ -98,12 +98,12 @@
         record_without_forwarding,
     ),
     "deregistration of unknown workers": (WorkerApi, "deregister", deregister_known_workers_only),
-    "deregistrations on disk": NO_STORED_DEPARTURES,
+    "deregistrations on disk": NO_STORED_DEREGISTRATIONS,
     "deregistrations on disk and from proxies": (
-        *NO_STORED_DEPARTURES,
+        *NO_STORED_DEREGISTRATIONS,
         *(WorkerRegistry, "departing_registrations", lambda self, since=0.0: {}),
     ),
-    "the clock check after a proposal": (QuorumIO, "agree", agree_without_clock_check),
+    "the clock check after a proposal": (QuorumIO, "propose_and_wait", propose_without_clock_check),
     "the check for workers unknown to all controllers": (
         RegistryFreshness,
         "registrations_received",
@@ -115,7 +115,7 @@
         grant_or_release_with_expired_contact,
     ),
     "the check of the controller's own acceptances": (
-        Sessions,
+        PeerSessions,
         "quorum_contact_until",
         contact_without_own_acceptances,
     ),
@@ -260,7 +260,7 @@
 def deregistration_in_flight(context):
     context.deregistrations = Deregistrations("a")
     context.request_id = context.deregistrations.begin(10.0)
-    context.deregistrations.record_held_here(context.request_id)
+    context.deregistrations.record_stored_locally(context.request_id)
 
 
 @when("b acknowledges it as a voter of epoch 3, and c as a non-voter")
--- a/features/steps/sessions.py
+++ b/features/steps/sessions.py
@@ -4,14 +4,14 @@
 from bramblewood.common.worker_registry import GONE, READY, WorkerRegistration, WorkerRegistry
 from bramblewood.controller.consensus.proposal_number import NO_PROPOSAL
 from bramblewood.controller.consensus.registers import TABLE
-from bramblewood.controller.sessions import PeerDetails, Sessions
+from bramblewood.controller.peer_sessions import PeerDetails, PeerSessions
 
 DETAILS = PeerDetails({"n": 1}, "z", True, ["a", "b", "c"], ["d1"])
 
 
 @given("one of three controllers")
 def controller_among_three(context):
-    context.sessions = Sessions("a")
+    context.sessions = PeerSessions("a")
 
 
 @when("it has sent {peer} its details")
@@ -80,7 +80,7 @@
     sent = {}
     for name, registry in (("partitioned", partitioned), ("connected", connected)):
         rows = {instance_id: [*row] for instance_id, row in registry.registrations.items()}
-        sent[name] = (rows, registry.seconds_since_heard(12.0, 60.0))
+        sent[name] = (rows, registry.contact_ages(12.0, 60.0))
     changed_rows, _ = connected.record_all(12.0, *sent["partitioned"])
     partitioned.record_all(12.0, *sent["connected"])
     for registry in (partitioned, connected):
--- a/tests/simulation/configuration_changes.py
+++ b/tests/simulation/configuration_changes.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True)
-class Site:
+class SimulatedSite:
     """The number of controllers, the delays of the links between them, and the faults that occur.
 
     Fields without a unit are probabilities for each message or answer.
@@ -47,7 +47,7 @@
     voters: int = 3
     spares: int = 2  # controllers that take calls but do not vote
     delays: tuple[float, float] = (0.0005, 0.06)  # s, shortest and longest one-way delay of a link
-    slow: float = 0.0  # s, one-way delay of one slow link between two voters; 0 for no such link
+    slow_link_delay: float = 0.0  # s, one-way delay of one slow link between two voters; 0 for no such link
     distant_delay: float = 0.0  # s, one-way delay of all links of the last controller; 0 for the usual delays
     lost: float = 0.0
     # For a duplicated message and for a late copy, a second copy arrives up to 1 s after the first one,
@@ -84,7 +84,7 @@
     def __init__(
         self,
         seed: int,
-        site: Site = Site(),
+        site: SimulatedSite = SimulatedSite(),
         make_replica: Callable = build_replica,
         decide: Callable = apply_configuration,
     ) -> None:
@@ -94,8 +94,8 @@
         self.voters = self.names[: site.voters]
         pairs = [(a, b) for a in self.names for b in self.names if a < b]
         self.link_delays = {pair: self.rng.uniform(*site.delays) for pair in pairs}
-        if site.slow:
-            self.link_delays[tuple(sorted(self.rng.sample(self.voters, 2)))] = site.slow
+        if site.slow_link_delay:
+            self.link_delays[tuple(sorted(self.rng.sample(self.voters, 2)))] = site.slow_link_delay
         if site.distant_delay:
             self.link_delays |= dict.fromkeys(
                 [(a, b) for a, b in pairs if b == self.names[-1]], site.distant_delay
@@ -185,7 +185,7 @@
     def dispatch(self, name: str, replica: ConsensusReplica, effects: Effects) -> None:
         for peer, message in effects.sends:
             self.send(name, peer, message)
-        for tag, outcome in effects.answers:
+        for tag, outcome in effects.outcomes:
             if callable(tag):
                 tag(outcome)
         self.check_invariants(name, replica)
@@ -341,7 +341,7 @@
         Each request must have a definite answer, unless the digest of its revision may have been discarded. A
         read at each controller must succeed.
         """
-        self.site = Site(self.site.voters, self.site.spares, self.site.delays)
+        self.site = SimulatedSite(self.site.voters, self.site.spares, self.site.delays)
         self.not_receiving, self.not_sending = set(), set()
         for name in self.names:
             if name not in self.replicas:
@@ -361,7 +361,10 @@
 
 
 def start_simulation(
-    seed: int, site: Site, make_replica: Callable = build_replica, decide: Callable = apply_configuration
+    seed: int,
+    site: SimulatedSite,
+    make_replica: Callable = build_replica,
+    decide: Callable = apply_configuration,
 ) -> ConfigurationChangeSimulation:
     """Returns a simulation in which the configuration "first" is in force as r1."""
     simulation = ConfigurationChangeSimulation(seed, site, make_replica, decide)
@@ -372,7 +375,7 @@
     return simulation
 
 
-def storm(
+def random_concurrent_requests(
     seed: int, voters: int, make_replica: Callable = build_replica, decide: Callable = apply_configuration
 ) -> ConfigurationChangeSimulation:
     """Runs random concurrent requests under faults.
@@ -387,7 +390,7 @@
         "answers_lost": 0.2,
         "mean_stop_interval": 1.5,
     }
-    simulation = start_simulation(seed, Site(voters, **faults), make_replica, decide)
+    simulation = start_simulation(seed, SimulatedSite(voters, **faults), make_replica, decide)
     rng = simulation.rng
     for turn in range(10):
         newest = simulation.newest_revision()
@@ -416,11 +419,11 @@
     return simulation
 
 
-def long_day(
+def successive_changes(
     seed: int, voters: int, changes: int, decide: Callable = apply_configuration
 ) -> ConfigurationChangeSimulation:
     """Runs many changes, each on the one before, with lost answers and repeats of random earlier requests."""
-    site = Site(voters, delays=(0.0005, 0.005), answers_lost=0.1)
+    site = SimulatedSite(voters, delays=(0.0005, 0.005), answers_lost=0.1)
     simulation = start_simulation(seed, site, decide=decide)
     for revision in range(2, changes + 2):
         request = simulation.put(configuration(revision, revision - 1, f"m{revision}"))
@@ -431,13 +434,17 @@
     return simulation
 
 
-def readers(seed: int, voters: int, make_replica: Callable = build_replica) -> ConfigurationChangeSimulation:
+def reads_at_distant_controller(
+    seed: int, voters: int, make_replica: Callable = build_replica
+) -> ConfigurationChangeSimulation:
     """Runs changes at controllers that are close to each other, and continuous reads at a distant one.
 
     A change may be acknowledged while the round of an earlier read is in flight. A read that starts after the
     acknowledgement must return the change.
     """
-    simulation = start_simulation(seed, Site(voters, delays=(0.0005, 0.005), distant_delay=0.1), make_replica)
+    simulation = start_simulation(
+        seed, SimulatedSite(voters, delays=(0.0005, 0.005), distant_delay=0.1), make_replica
+    )
     for revision in range(2, 22):
         request = simulation.put(configuration(revision, revision - 1, f"m{revision}"), simulation.names[0])
         # After the answer there is a pause, in which rounds of the distant reader succeed.
@@ -449,8 +456,12 @@
     return simulation
 
 
-def concurrent_orders(
-    seed: int, site: Site, turns: int = 4, spread: bool = True, make_replica: Callable = build_replica
+def concurrent_requests(
+    seed: int,
+    site: SimulatedSite,
+    turns: int = 4,
+    spread: bool = True,
+    make_replica: Callable = build_replica,
 ) -> list[float]:
     """Returns the time in s from the first call to the definite answer of every request.
 
--- a/tests/simulation/consensus.py
+++ b/tests/simulation/consensus.py
@@ -16,7 +16,7 @@
 from bramblewood.controller.consensus.proposal_number import NO_PROPOSAL
 from bramblewood.controller.consensus.registers import ALL_REGISTERS, CONFIG, VOTER_SET
 from bramblewood.controller.consensus.replica import ConsensusReplica
-from bramblewood.controller.consensus.voter_set import next_voter_set
+from bramblewood.controller.consensus.voter_set import voter_set_change
 from tests.simulation.digests import record_event
 
 MACHINE_NAMES = ("a", "b", "c")
@@ -57,7 +57,7 @@
     class member_class(LocalMember):
         @property
         def holds_seat(self) -> bool:
-            return self.is_member
+            return self.matches_seat
 
 
 class ReplicaCluster:
@@ -150,7 +150,7 @@
         self.in_flight += [(name, peer, message) for peer, message in effects.sends]
         for peer, message in effects.sends:
             record_event("message", self.now, name, peer, message)
-        for tag, outcome in effects.answers:
+        for tag, outcome in effects.outcomes:
             record_event("answer", self.now, name, outcome)
             if isinstance(tag, Configuration) and outcome is not None:
                 (self.acknowledged if outcome[0] == 200 else self.rejected)[tag.digest] = tag
@@ -194,7 +194,7 @@
             if not replica.is_active_voter or peer not in self.replicas or replica.proposer.rounds[VOTER_SET]:
                 continue
             if (new_disk := self.replicas[peer].disk) != disk and self.replicas[peer].epoch == replica.epoch:
-                change = next_voter_set(replica.voter_set, {**replica.voters, peer: new_disk})
+                change = voter_set_change(replica.voter_set, {**replica.voters, peer: new_disk})
                 self.apply(name, replica.propose(self.now, VOTER_SET, change, "members", 2.0))
 
     def run(self, steps: int, loss: float = 0.0, duplication: float = 0.0) -> None:
@@ -319,7 +319,7 @@
     return any(sender == "b" and message["k"] == "join" for sender, _, message in cluster.in_flight)
 
 
-def storm(seed: int, **options: Any) -> ReplicaCluster:
+def run_random_faults(seed: int, **options: Any) -> ReplicaCluster:
     """Simulates operators that put conflicting configurations while messages and disks are lost.
 
     One machine at a time stops, and starts again before the next one stops. Raises RuleViolation if a rule is
--- a/tests/simulation/fleet/machine.py
+++ b/tests/simulation/fleet/machine.py
@@ -77,7 +77,7 @@
             self.handlers = ProxyHandlers(server)
         for peer in fleet.controllers:
             if peer != self.name:
-                self.peer_connections.maintain(peer, 1)
+                self.peer_connections.keep_connected(peer, 1)
         self.server = server
         self.loop.start(self.run_ticks(server))
 
@@ -110,8 +110,8 @@
         controller.quorum_io.incarnation = 1000 * self.start_count + ord(self.name)
         controller.quorum_io.storage = self
         controller.quorum_io.restore(dict(self.facts), dict(self.registers))
-        controller.departures.restore(self.facts)
-        controller.controller_peers.known = set(self.fleet.controllers) - {self.name}
+        controller.deregistration_store.restore(self.facts)
+        controller.controller_peers.known_addresses = set(self.fleet.controllers) - {self.name}
         controller.controller_peers.next_seed_reread_at = 1e9
         controller.lease_calls.client = SimulatedWorkerClient(self)
         controller.set_planner(PlacementPlanner(now, WORKER_HEARTBEAT, False))
--- a/tests/simulation/key_leases.py
+++ b/tests/simulation/key_leases.py
@@ -24,9 +24,9 @@
     LeaseCall,
     ReleasedKeys,
 )
+from bramblewood.controller.peer_sessions import QUORUM_CONTACT_VALIDITY
 from bramblewood.controller.placement import SliceChanges, apply_slice_changes, clear_previous_owner
 from bramblewood.controller.placement.slice_changes import Assignment
-from bramblewood.controller.sessions import QUORUM_CONTACT_VALIDITY
 from tests.simulation.digests import record_event
 
 STEP = 0.05  # s
@@ -72,7 +72,7 @@
         return 200
 
 
-class Play:
+class KeyLeaseSimulation:
     def __init__(self, seed: int, missing_guard: str = "") -> None:
         """missing_guard: the guard that is removed, or "" for none.
 
@@ -206,7 +206,7 @@
             return
         is_late = call.kind == RELEASE and self.occurs(0.2)
         self.late_answers += is_late
-        max_delay = self.controllers[name].expiry_wait if is_late else 2 * STEP
+        max_delay = self.controllers[name].lease_expiry_delay if is_late else 2 * STEP
         self.schedule(max_delay, self.deliver_answer, name, call, sent_at, status)
 
     def deliver_answer(self, name: str, call: LeaseCall, sent_at: float, status: int) -> None:
@@ -228,7 +228,7 @@
             if len(holders) > 1:
                 raise ConflictingLeases(f"slice {index} is leased to {' and '.join(holders)}")
 
-    def run(self, seconds: float) -> "Play":
+    def run(self, seconds: float) -> "KeyLeaseSimulation":
         for _ in range(int(seconds / STEP)):
             self.step()
         return self
--- a/tests/simulation/membership_commands.py
+++ b/tests/simulation/membership_commands.py
@@ -19,12 +19,12 @@
 from bramblewood.cli.gateway import gateway
 from bramblewood.common.settings import Bounds
 from bramblewood.controller.consensus.membership import LOST_AFTER_FRACTION
-from bramblewood.controller.sessions import HEARTBEAT_INTERVAL
+from bramblewood.controller.peer_sessions import HEARTBEAT_INTERVAL
 from bramblewood.emulator.operator import configuration
 from bramblewood.emulator.processes import start
 from bramblewood.emulator.processes import write_settings as write_settings_file
 
-INNER, CONTROL = 17640, 18644  # ports for peers and for operators
+PEER_PORT, CONTROL_PORT = 17640, 18644  # ports for peers and for operators
 WAIT_TIMEOUT = 20.0  # s for each wait
 POLL_INTERVAL = 0.05  # s
 RESPONSE_TIMEOUT = 2.0  # s for each HTTP call
@@ -34,7 +34,7 @@
 MAX_SAFE_ABSENCE = SEAT_KEPT_FOR - 2 * HEARTBEAT_INTERVAL
 # The database schema of the releases without epochs. It has one row for each register. A proposal number
 # consists of a counter, the address of a controller and its incarnation.
-SCHEMA_VERSION_1 = (
+SCHEMA_1_STATEMENTS = (
     "create table facts (name text primary key, value text not null)",
     "create table registers (name text primary key, promised text not null, accepted text not null,"
     " value text not null)",
@@ -42,7 +42,7 @@
 )
 
 
-class ControllerFleet:
+class ControllerProcesses:
     """Controller processes, identified by numbers from 1.
 
     Each has an address of its own. Test processes that run at the same time use different network prefixes.
@@ -76,14 +76,14 @@
 
         The seeds form the first voter set at their first boot.
         """
-        seeds = [f"{self.address_of(n)}:{CONTROL}" for n in range(1, voters + 1)]
+        seeds = [f"{self.address_of(n)}:{CONTROL_PORT}" for n in range(1, voters + 1)]
         for n in range(1, controllers + 1):
             path, listeners = (
                 f"{self.folder.name}/archive-{n}.toml",
-                {"Control": f"{self.address_of(n)}:{CONTROL}"},
+                {"Control": f"{self.address_of(n)}:{CONTROL_PORT}"},
             )
             self.paths[n] = write_settings_file(
-                path, self.address_of(n), seeds, INNER, listeners, first=n <= voters
+                path, self.address_of(n), seeds, PEER_PORT, listeners, first=n <= voters
             )
 
     def start(self, n: int) -> None:
@@ -132,7 +132,7 @@
         """
         os.makedirs(self.data_folder(n))
         database = sqlite3.connect(f"{self.data_folder(n)}/shelf.db")
-        for sql in SCHEMA_VERSION_1:
+        for sql in SCHEMA_1_STATEMENTS:
             database.execute(sql)
         voter_addresses = [self.address_of(voter) for voter in range(1, voters + 1)]
         proposal_number, value = [4, self.address_of(1), 7], {"n": 1, "config": config, "past": {"1": "0"}}
@@ -173,7 +173,7 @@
         the addresses of the controllers that have not reported the newest versions. Without a response,
         "epoch" is 0 and the others are empty.
         """
-        _, view = self.call(n, INNER, "/view/members")
+        _, view = self.call(n, PEER_PORT, "/view/members")
         members = view.get("members", {}) | view.get("others", {})
         number_of = lambda address: int(address.rpartition(".")[2])  # noqa: E731
         return {
@@ -251,7 +251,9 @@
     def replace_voter(self, old: int, new: int) -> None:
         """Gives the seat of one controller to another with an operator's command."""
         command = ["members", "replace", self.address_of(old), self.address_of(new)]
-        result = self.cli_runner.invoke(gateway, [*command, "--controller", f"{self.address_of(1)}:{INNER}"])
+        result = self.cli_runner.invoke(
+            gateway, [*command, "--controller", f"{self.address_of(1)}:{PEER_PORT}"]
+        )
         assert result.exit_code == 0, result.output
 
     def wait_until_settled(self) -> None:
@@ -273,13 +275,13 @@
         """Puts the next configuration, and repeats the call until a controller acknowledges it."""
         self.revision += 1
         body = self.configuration(self.revision)
-        put = lambda n: self.call(n, CONTROL, "/bramblewood/config", body)[0]  # noqa: E731
+        put = lambda n: self.call(n, CONTROL_PORT, "/bramblewood/config", body)[0]  # noqa: E731
         self.wait_until(f"r{self.revision} is acknowledged", lambda: any(put(n) == 200 for n in self.running))
 
     def wait_until_read_back(self) -> None:
         """Waits until each controller that runs returns the newest configuration."""
         expected = (200, self.configuration(self.revision))
-        get = lambda n: self.call(n, CONTROL, "/bramblewood/config")  # noqa: E731
+        get = lambda n: self.call(n, CONTROL_PORT, "/bramblewood/config")  # noqa: E731
         self.wait_until(
             f"r{self.revision} is returned by every controller",
             lambda: all(get(n) == expected for n in self.running),
@@ -304,7 +306,7 @@
         self.epoch = self.epoch or self.membership_at(n)["epoch"]
         command = re.sub(r"\barchive-(\d)", lambda match: self.address_of(int(match[1])), command)
         result = self.cli_runner.invoke(
-            gateway, [*command.split(), "--controller", f"{self.address_of(n)}:{INNER}"]
+            gateway, [*command.split(), "--controller", f"{self.address_of(n)}:{PEER_PORT}"]
         )
         text = f"$ {command}\n{result.output}exit code {result.exit_code}\n"
         for pattern, mask in (
--- a/tests/simulation/membership_epoch_guards.py
+++ b/tests/simulation/membership_epoch_guards.py
@@ -52,7 +52,7 @@
     try_activate = EpochTransition.try_activate
 
     def unguarded(self: EpochTransition, now: float, effects: Any) -> bool:
-        with mock.patch.object(epochs, "majority", lambda voters: max(1, len(voters) // 2)):
+        with mock.patch.object(epochs, "majority_size", lambda voters: max(1, len(voters) // 2)):
             return try_activate(self, now, effects)
 
     return mock.patch.object(EpochTransition, "try_activate", unguarded)
@@ -96,7 +96,7 @@
 
 def vote_before_active(_unused: Any) -> Any:
     """Lets a member vote before it holds the state with which the epoch began."""
-    return mock.patch.object(LocalMember, "is_active_voter", property(lambda self: self.is_member))
+    return mock.patch.object(LocalMember, "is_active_voter", property(lambda self: self.matches_seat))
 
 
 def count_reachable_as_active(_unused: Any) -> Any:
@@ -114,7 +114,7 @@
 
 def shut_down_at_once(_unused: Any) -> Any:
     """Lets a controller shut down at once, even if no other voter has on disk what it has accepted."""
-    return mock.patch.object(voter_changes, "may_shut_down", lambda *_: True)
+    return mock.patch.object(voter_changes, "is_vote_dispensable", lambda *_: True)
 
 
 def forget_rows_of_refused_write(_unused: Any) -> Any:
--- a/tests/simulation/membership_epochs.py
+++ b/tests/simulation/membership_epochs.py
@@ -40,7 +40,7 @@
     def __init__(self, fleet: "ControllerFleet", controller: "SimulatedController") -> None:
         self.fleet, self.controller, self.connected, self.next_dial_at = fleet, controller, {}, {}
 
-    def maintain(self, peer: str, port: int) -> None:
+    def keep_connected(self, peer: str, port: int) -> None:
         self.next_dial_at.setdefault(peer, 0.0)
 
     def send(self, peer: str, message: dict) -> None:
@@ -93,9 +93,9 @@
         self.runtime.shutdown_requested = SimpleNamespace(is_set=lambda: self.shutdown_requested)
         self.runtime.started_at = fleet.now
         self.quorum_io.storage = self
-        self.chosen_values.refresh = self.quorum_io.on_progress = lambda: fleet.check_invariants(self)
+        self.chosen_values.refresh = self.quorum_io.on_consensus_step = lambda: fleet.check_invariants(self)
         self.proxy_heartbeats.send = lambda now: None  # there are no proxies
-        self.quorum_io.execute(no_effects())
+        self.quorum_io.apply_effects(no_effects())
         for peer in sorted(
             {*settings.seed_hosts(), *self.consensus.voters, *self.disk["facts"].get("archives", ())}
         ):
@@ -121,7 +121,7 @@
 
     def finish_write(self, on_finished: Any) -> None:
         write = self.writes_in_flight.pop(0)
-        if self.name in self.fleet.dead_disks:
+        if self.name in self.fleet.failing_disks:
             on_finished("refused")
             return
         is_refused = self.name in self.fleet.refusing_disks and self.fleet.rng.random() < 0.4
@@ -132,7 +132,7 @@
     def tick(self) -> None:
         now = self.fleet.now
         self.runtime.peer_connections.dial()
-        self.quorum_io.execute(self.consensus.tick(now))
+        self.quorum_io.apply_effects(self.consensus.tick(now))
         self.quorum_io.probe_failing_disk(now)
         self.voter_changes.propose_due_change(now)
         self.controller_peers.send_due_heartbeats(now)
@@ -171,13 +171,13 @@
             set(),
             {},
         )
-        # Writes to `refusing_disks` are refused at random, those to `dead_disks` always.
-        self.dead_disks: set[str] = set()
+        # Writes to `refusing_disks` are refused at random, those to `failing_disks` always.
+        self.failing_disks: set[str] = set()
         self.loss = self.duplication = self.lateness = 0.0  # probabilities for each message
         # configurations by digest, voter sets by epoch, and the digests of chosen configurations by revision
         self.acknowledged, self.rejected, self.voter_sets, self.versions_seen = {}, {}, {}, {}
-        # `away` has the names of controllers that count as lost, from which no answer is expected
-        self.last_revision, self.reads, self.next_number, self.away = 0, 0, len(names), {}
+        # `lost_machines` has the names of controllers that count as lost, from which no answer is expected
+        self.last_revision, self.reads, self.next_number, self.lost_machines = 0, 0, len(names), {}
         voter_set = {"n": 1, "voters": {name: f"{name}.0" for name in names[:voters]}, "before": {}}
         for name in names:
             facts = {
@@ -356,17 +356,17 @@
         return answers
 
     def check_reader_answered(self, situation: str) -> None:
-        """Checks that a controller outside `away` answers a read within `READ_TIMEOUT`.
+        """Checks that a controller outside `lost_machines` answers a read within `READ_TIMEOUT`.
 
         situation: when the check takes place, for the message of the RuleViolation.
         """
-        names = [name for name in self.machines if name not in self.away]
+        names = [name for name in self.machines if name not in self.lost_machines]
         self.reads += 1
         deadline, answers = self.now + READ_TIMEOUT, []
         while not answers:
             if self.now >= deadline:
                 raise RuleViolation(
-                    f"no majority answers {situation}; away {sorted(self.away)}; {self.summary()}"
+                    f"no majority answers {situation}; away {sorted(self.lost_machines)}; {self.summary()}"
                 )
             if names := [name for name in names if name in self.machines]:
                 answers = self.read(self.rng.choice(names))
--- a/tests/simulation/membership_seat_cases.py
+++ b/tests/simulation/membership_seat_cases.py
@@ -10,19 +10,21 @@
 from bramblewood.common.messages import ControllerHeartbeat
 from bramblewood.common.settings import Tolerance
 from bramblewood.controller.consensus.effects import Effects, PendingWrites
-from bramblewood.controller.consensus.membership import Membership, may_shut_down
+from bramblewood.controller.consensus.membership import Membership, is_vote_dispensable
 from bramblewood.controller.consensus.peer_status import PeerStatus
 from bramblewood.controller.consensus.proposal_number import NO_PROPOSAL
 from bramblewood.controller.consensus.registers import CONFIG, TABLE, VOTER_SET
 from bramblewood.controller.consensus.voter_set import VoterSet
-from bramblewood.controller.sessions import Sessions
+from bramblewood.controller.peer_sessions import PeerSessions
 from tests.simulation.consensus import RuleViolation
 from tests.simulation.membership_epochs import ControllerFleet
 
 
-def peer_status(disk: str, epoch: int = 1, is_active_voter: bool = True, leaving: bool = False) -> PeerStatus:
+def peer_status(
+    disk: str, epoch: int = 1, is_active_voter: bool = True, is_leaving: bool = False
+) -> PeerStatus:
     """Returns the status of a reachable controller with this disk."""
-    return PeerStatus(disk, "z", True, epoch, is_active_voter, leaving, 0.0, 9.0, {})
+    return PeerStatus(disk, "z", True, epoch, is_active_voter, is_leaving, 0.0, 9.0, {})
 
 
 def heartbeat_of_previous_epoch() -> None:
@@ -34,7 +36,7 @@
         "d": peer_status("d0", 2),
         "e": peer_status("e0", 2, False),
     }
-    peers["a"] = peers["a"]._replace(leaving=True)
+    peers["a"] = peers["a"]._replace(is_leaving=True)
     change = Membership(Tolerance(1), {}, 4.0).due_change(voter_set, peers, {})
     if change is not None:
         raise RuleViolation(f"{change} is due although b has not reported that it is active")
@@ -49,16 +51,16 @@
     """
     voter_set: VoterSet = {"n": 2, "voters": {"a": "a0", "b": "b0", "d": "d0"}, "before": {}}
     peers = {"a": peer_status("a0", 1), "b": peer_status("b0", 1), "d": peer_status("d0", 2, False)}
-    if may_shut_down("c", "c0", voter_set, peers, {}, {}, False):
+    if is_vote_dispensable("c", "c0", voter_set, peers, {}, {}, False):
         raise RuleViolation("the replaced controller shuts down on heartbeats of the previous epoch")
-    if not may_shut_down(
+    if not is_vote_dispensable(
         "c", "c0", voter_set, peers | {"a": peer_status("a0", 2), "b": peer_status("b0", 2)}, {}, {}, False
     ):
         raise RuleViolation("the replaced controller does not shut down although a majority is active")
     accepted = {CONFIG: (2, 5, "a", 1)}
     durable = {"b": accepted, "d": accepted}
     peers = {"b": peer_status("b9", 2, False), "d": peer_status("d0", 2)}
-    if may_shut_down("a", "a0", voter_set, peers, accepted, durable, False):
+    if is_vote_dispensable("a", "a0", voter_set, peers, accepted, durable, False):
         raise RuleViolation("a voter shuts down although only a lost disk held what it has accepted")
 
 
@@ -94,14 +96,14 @@
     """A voter set change whose write is refused ends with an unclear outcome, so another can be proposed."""
     fleet = ControllerFleet(1)
     machine = next(iter(fleet.machines.values()))
-    machine.voter_changes.is_changing = True
+    machine.voter_changes.is_proposal_in_flight = True
     effects = Effects(
         [], [], [(machine.voter_changes.change_finished, True)], {"members": machine.consensus.voter_set}
     )
     machine.quorum_io.storage = SimpleNamespace(write=lambda rows, facts, on_finished: on_finished("refused"))
-    machine.quorum_io.execute(effects)
+    machine.quorum_io.apply_effects(effects)
     fleet.advance(0.01)
-    if machine.voter_changes.is_changing:
+    if machine.voter_changes.is_proposal_in_flight:
         raise RuleViolation("the controller still counts the change as in progress, and proposes no other")
 
 
@@ -163,7 +165,7 @@
         "t": 0.0,
     }
     for disk, epoch in (("b0", 2), ("b9", 1)):
-        sessions = Sessions("a")
+        sessions = PeerSessions("a")
         wire = {**heartbeat, "ep": epoch, "disk": disk}
         sessions.record_heartbeat(10.0, "b", ControllerHeartbeat.from_wire(wire))
         if sessions.quorum_contact_until(10.0, voters, 2, {TABLE: (1, 1, "a", 1)}, {TABLE: NO_PROPOSAL}):
--- a/tests/simulation/read_replicas.py
+++ b/tests/simulation/read_replicas.py
@@ -8,17 +8,17 @@
 
 import random
 
-from bramblewood.common.slice_table import all_readers, with_readers
+from bramblewood.common.slice_table import readers_with_versions, with_readers
 from bramblewood.common.worker_registry import WorkerRegistration, WorkerRegistry
+from bramblewood.controller.peer_sessions import QUORUM_CONTACT_VALIDITY
 from bramblewood.controller.read_replicas import ReadReplicas, without_expired_readers, without_readers
-from bramblewood.controller.sessions import QUORUM_CONTACT_VALIDITY
 from bramblewood.proxy import replica_invalidation
 from bramblewood.proxy.replica_invalidation import (
     ConfirmTable,
     DropReplicas,
     RemoveReaders,
     ReplicaInvalidation,
-    WaitUntil,
+    WaitForLeaseExpiry,
 )
 from tests.simulation.digests import record_event
 
@@ -45,7 +45,7 @@
         self.invalidations = []  # (invalidation, value that the request wrote, deadline of the client)
 
 
-class Play:
+class ReadReplicaSimulation:
     def __init__(self, seed, missing_guard=""):
         """missing_guard: the guard that is removed, or "" for none.
 
@@ -85,7 +85,7 @@
         if not self.partitioned[name] and rng.random() < 0.5:
             if self.known_table[name] != len(self.tables) - 1:
                 self.known_table[name] = len(self.tables) - 1
-                read_replicas.learn_table(self.now, self.tables[-1])
+                read_replicas.record_table(self.now, self.tables[-1])
             self.contact_at[name] = self.now
         if self.now >= self.contact_at[name] + QUORUM_CONTACT_VALIDITY:
             return
@@ -137,12 +137,13 @@
     def apply_table(self, proxy, table_index):
         table = self.tables[max(table_index, 0)]
         if table["n"] >= proxy.table_version:
-            proxy.table_version, proxy.readers = table["n"], set(all_readers(table["s"]["s"][str(KEY)]))
+            proxy.table_version = table["n"]
+            proxy.readers = set(readers_with_versions(table["s"]["s"][str(KEY)]))
 
     def advance_invalidation(self, name, proxy, invalidation, value, client_deadline):
         confirmed_at = self.now if self.missing_guard == "confirmation" else proxy.confirmed_at
         match invalidation.next_step(self.now, confirmed_at, proxy.readers):
-            case replica_invalidation.ALL_CLEAR:
+            case replica_invalidation.INVALIDATION_COMPLETE:
                 record_event("answer", self.now, name, value)
                 self.newest_answered_value = max(self.newest_answered_value, value)
                 self.answered_requests += 1
@@ -168,7 +169,7 @@
                 if not self.partitioned[name]:
                     self.apply_proposal(without_readers(self.tables[-1], "s", KEY, set(instance_ids))[0])
                     invalidation.readers_removed(self.now, instance_ids)
-            case WaitUntil():
+            case WaitForLeaseExpiry():
                 pass
 
     def apply_confirmation(self, proxy, requested_at, table_index):
--- a/tests/simulation/recorded_runs.py
+++ b/tests/simulation/recorded_runs.py
@@ -31,13 +31,13 @@
 
 
 def random_configuration_changes(seed: int) -> Any:
-    return configuration_changes.storm(
-        seed, voters=3 + 2 * (seed % 2), decide=configuration_change_guards.short_memory
+    return configuration_changes.random_concurrent_requests(
+        seed, voters=3 + 2 * (seed % 2), decide=configuration_change_guards.apply_with_few_digests
     )
 
 
 def many_configuration_changes(seed: int) -> Any:
-    return configuration_changes.long_day(seed, voters=3, changes=150)
+    return configuration_changes.successive_changes(seed, voters=3, changes=150)
 
 
 def isolated_minority(seed: int) -> Any:
@@ -47,21 +47,21 @@
 # by name in play_digests.json: the function that runs one seed, and the recorded seeds. The names are those
 # under which the digests were first recorded, and some of them use earlier terms.
 RUNS: dict[str, tuple[Callable[[int], Any], Iterable[int]]] = {
-    "core": (consensus.storm, range(6)),
+    "core": (consensus.run_random_faults, range(6)),
     "epochs": (partial(membership_epoch_days.day, rounds=1), range(6)),
     "epochs, older disks": (partial(membership_epoch_days.day, rounds=1, older=3), range(6, 8)),
     "orders": (random_configuration_changes, range(4)),
     "orders, long": (many_configuration_changes, range(1)),
-    "orders, far reader": (partial(configuration_changes.readers, voters=3), range(2)),
+    "orders, far reader": (partial(configuration_changes.reads_at_distant_controller, voters=3), range(2)),
     "contact": (partial(quorum_contact.random_faults, seconds=10.0), range(2)),
     "contact, five and a spare": (isolated_minority, range(4)),
     "contact, frozen scribe": (quorum_contact.freeze_before_grants, range(1)),
     "contact, forgotten leave": (quorum_contact.restart_of_all_after_deregistration, range(1)),
-    "holds": (lambda seed: key_leases.Play(seed).run(300.0), range(4)),
-    "copies": (lambda seed: read_replicas.Play(seed).run(120.0), range(4)),
-    "withdrawal": (lambda seed: drain_plans.Play(seed).run(300.0), range(4)),
-    "lines, keyed": (lambda seed: worker_connections.play_random(seed, 300, True), range(12)),
-    "lines, unkeyed": (lambda seed: worker_connections.play_random(seed, 300, False), range(12)),
+    "holds": (lambda seed: key_leases.KeyLeaseSimulation(seed).run(300.0), range(4)),
+    "copies": (lambda seed: read_replicas.ReadReplicaSimulation(seed).run(120.0), range(4)),
+    "withdrawal": (lambda seed: drain_plans.DrainPlanSimulation(seed).run(300.0), range(4)),
+    "lines, keyed": (lambda seed: worker_connections.run_random_events(seed, 300, True), range(12)),
+    "lines, unkeyed": (lambda seed: worker_connections.run_random_events(seed, 300, False), range(12)),
 }
 
 
--- a/tests/simulation/scripted_cluster.py
+++ b/tests/simulation/scripted_cluster.py
@@ -4,9 +4,9 @@
 from bramblewood.controller.consensus.proposal_number import NO_PROPOSAL
 from bramblewood.controller.consensus.registers import CONFIG, VOTER_SET
 from bramblewood.controller.consensus.replica import ConsensusReplica
-from bramblewood.controller.consensus.voter_set import VoterSet, next_voter_set
+from bramblewood.controller.consensus.voter_set import VoterSet, voter_set_change
 from tests.simulation.consensus import RuleViolation
-from tests.simulation.replica_snapshot import order
+from tests.simulation.replica_snapshot import propose_configuration
 
 
 class ScriptedCluster:
@@ -22,18 +22,20 @@
             for position, name in enumerate(voters + spares)
         }
         self.in_flight: list[tuple[str, str, dict]] = []
-        self.answers: list[tuple] = []
+        self.outcomes: list[tuple] = []
 
     def apply(self, name: str, effects: Effects) -> None:
         """Carries out the effects of a step at this replica at once."""
         for register, _, accepted, _ in effects.writes:
             self.replicas[name].mark_durable(register, accepted)
         self.in_flight += [(name, peer, message) for peer, message in effects.sends]
-        self.answers += effects.answers
+        self.outcomes += effects.outcomes
 
     def put(self, name: str, digest: str) -> None:
         """Proposes the configuration with this digest at this replica."""
-        self.apply(name, self.replicas[name].propose(0.0, CONFIG, order(digest), digest, 99.0))
+        self.apply(
+            name, self.replicas[name].propose(0.0, CONFIG, propose_configuration(digest), digest, 99.0)
+        )
 
     def deliver(self, names: str, kinds: str = "", rounds: int = 12) -> None:
         """Delivers the messages in flight between the replicas in `names`, and the replies to them.
@@ -57,7 +59,7 @@
     def change(self, proposer: str, names: str, voters: dict[str, str]) -> None:
         """Proposes `voters` as the next voter set, and delivers the messages between those in `names`."""
         replica = self.replicas[proposer]
-        change = next_voter_set(replica.voter_set, voters)
+        change = voter_set_change(replica.voter_set, voters)
         self.apply(proposer, replica.propose(0.0, VOTER_SET, change, "members", 99.0))
         self.deliver(names)
 
@@ -74,7 +76,7 @@
     def check_invariants(self) -> None:
         """Raises RuleViolation if more than one configuration was acknowledged or learned as chosen."""
         acknowledged = {
-            outcome[1] for _, outcome in self.answers if isinstance(outcome, tuple) and outcome[0] == 200
+            outcome[1] for _, outcome in self.outcomes if isinstance(outcome, tuple) and outcome[0] == 200
         }
         learned = {
             replica.chosen[CONFIG][1]
--- a/tests/simulation/worker_connections.py
+++ b/tests/simulation/worker_connections.py
@@ -116,7 +116,7 @@
             attempts = self.request_attempts[name]
             step = attempts.next_step(self.now[name], self.load_balancer, self.retry_budget)
             if isinstance(step, WaitUntil):
-                self.now[name] = step.until
+                self.now[name] = step.deadline
             elif isinstance(step, SendToWorker):
                 self.send_attempt(name, step.instance_id)
             else:
@@ -170,9 +170,9 @@
             self.removed_guard == "non-idempotent requests not retried"
             and result.outcome is AttemptOutcome.CONNECTION_BROKEN
         ):
-            attempts.route = attempts.route._replace(pure=True)
+            attempts.route = attempts.route._replace(is_idempotent=True)
         reply = attempts.attempt_finished(
-            self.now[name], connection.instance_id, result.outcome, result.answer
+            self.now[name], connection.instance_id, result.outcome, result.response
         )
         recorded_reply = reply and (reply.status, reply.response and reply.response.body)
         record_event("reply", self.now[name], name, connection.number, recorded_reply)
@@ -316,7 +316,7 @@
         attempt_states = [
             (
                 attempts.sent_count,
-                sorted(attempts.tried),
+                sorted(attempts.excluded_workers),
                 sorted(attempts.used_connections),
                 attempts.may_have_run,
             )
@@ -381,7 +381,7 @@
 def without_guard(removed_guard: str):
     """Return a context in which a guard that depends on a module's constant is removed."""
     if removed_guard == "unconfirmed not-run statuses replaced":
-        return patch.object(request_attempts, "STATUSES_PROMISING_NOT_RUN", ())
+        return patch.object(request_attempts, "STATUSES_GUARANTEEING_NOT_RUN", ())
     if removed_guard == "embedded status lines rejected":
         return patch.object(response_parser, "EMBEDDED_STATUS_LINE", NEVER_MATCHES)
     return contextlib.nullcontext()
@@ -425,7 +425,7 @@
     return len(seen_states), event_count
 
 
-def play_random(seed: int, steps: int, keyed: bool, removed_guard: str = "") -> int:
+def run_random_events(seed: int, steps: int, keyed: bool, removed_guard: str = "") -> int:
     """Run up to `steps` random events, with MANY_REQUESTS as the requests.
 
     Returns the number of events. Raises RuleViolation.
@@ -444,14 +444,14 @@
 
 
 def receive_response(
-    data: bytes, cuts: tuple[int, ...] = (), head_request: bool = False
+    data: bytes, cuts: tuple[int, ...] = (), is_head_request: bool = False
 ) -> tuple[WorkerConnectionState, ExchangeResult | None]:
     """Receive these bytes, in pieces that begin at the indexes `cuts`, as the response to the request "r".
 
     Returns the state of the connection, and the result of the exchange or None.
     """
     connection, result = WorkerConnectionState(), None
-    connection.begin_request("r", head_request)
+    connection.begin_request("r", is_head_request)
     for start, end in zip((0, *cuts), (*cuts, len(data)), strict=True):
         result = connection.on_data(data[start:end]) or result
     return connection, result
--- a/tests/test_malformed_messages.py
+++ b/tests/test_malformed_messages.py
@@ -22,10 +22,10 @@
     malformed_texts,
     mutations,
 )
-from tests.simulation.membership_commands import INNER, ControllerFleet
+from tests.simulation.membership_commands import PEER_PORT, ControllerProcesses
 from tests.test_consensus_messages import WIRE_FORMS as CONSENSUS_TEXTS
 from tests.test_messages import WIRE_FORMS
-from tests.test_peer_connections import HOST, Acceptor, listening
+from tests.test_peer_connections import HOST, RecordingServer, serving
 
 COMMON_FORMS = [wire for _, wire in WIRE_FORMS]
 CONSENSUS_FORMS = [json.loads(text) for text in CONSENSUS_TEXTS]
@@ -69,7 +69,7 @@
     balancer.slices.drain_steps = {"w1": "told", "w3": "closing"}
     for number, load in enumerate(("", "1,0,4", "7,12,4", "9" * 30 + ",1,1", "none")):
         observation = balancer.observation(f"w{number}")
-        observation.record_answer(0.5)
+        observation.record_response(0.5)
         observation.record_failure(1.0, number == 1)
         observation.record_load(1.5, load)
         observation.request_started(1.5, number == 3)
@@ -105,15 +105,15 @@
 
 def test_peer_that_sends_malformed_messages_is_dialled_again_with_backoff() -> None:
     async def run() -> None:
-        acceptor, errors = Acceptor(), []
-        async with asyncio.timeout(5), listening(acceptor) as port:
+        acceptor, errors = RecordingServer(), []
+        async with asyncio.timeout(5), serving(acceptor) as port:
 
             def handle(connection: object, message: dict) -> None:
                 raise KeyError("missing")
 
             connections = PeerConnections(lambda peer: {"k": "hello"}, handle, lambda *_: None, None)
             connections.on_malformed = errors.append
-            connections.maintain(HOST, port)
+            connections.keep_connected(HOST, port)
             started_at, connected_after = asyncio.get_running_loop().time(), []
             for text in ('{"k":"pulse"}', "[]", "{no JSON", '{"k":"roll"}'):
                 connection, _ = await acceptor.first_messages.get()
@@ -136,8 +136,8 @@
 
 
 @pytest.fixture
-def fleet() -> Iterator[ControllerFleet]:
-    fleet = ControllerFleet()
+def fleet() -> Iterator[ControllerProcesses]:
+    fleet = ControllerProcesses()
     fleet.write_settings(3, 3)
     for number in range(1, 4):
         fleet.start(number)
@@ -171,13 +171,13 @@
 
 @pytest.mark.parametrize("role", ["archive", "desk"])
 def test_controllers_close_connections_with_malformed_messages_and_keep_running(
-    role: str, fleet: ControllerFleet
+    role: str, fleet: ControllerProcesses
 ) -> None:
     hello = {"k": kinds.HELLO, "role": role, "from": fleet.address_of(2), "rows": {}}
     common_forms = [wire for wire in COMMON_FORMS if wire["k"] in controller_kinds(role)]
     forms = [*common_forms, *(CONSENSUS_FORMS if role == "archive" else [])]
     texts, closed = [*malformed_texts(forms), *UNUSABLE_TEXTS], []
-    url = f"http://{fleet.address_of(1)}:{INNER}/link"
+    url = f"http://{fleet.address_of(1)}:{PEER_PORT}/link"
     fleet.loop.run_until_complete(send_each(url, hello, texts, closed))
     left_open = [text[:200] for text, was_closed in zip(texts, closed, strict=True) if not was_closed]
     assert len(texts) > 100 and not left_open
