--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 ENTRY_START = "test: "
-PASSED = ("passed", "skipped", "untested")
+PASSED = ("passed", "skipped")
 TEST_FAILED = 1  # exit code of both runners when tests failed; a higher one is an error of the run itself
 
 
@@ -46,7 +46,7 @@
             errors = []
             for step in element["steps"]:
                 result = step.get("result", {"status": "untested"})
-                if result["status"] not in PASSED:
+                if result["status"] not in (*PASSED, "untested"):
                     lines = result.get("error_message", [result["status"]])
                     errors.append(lines if isinstance(lines, str) else "\n".join(lines))
             if element["status"] not in PASSED and not errors:
@@ -61,7 +61,9 @@
     results = {}
     for case in ElementTree.parse(path).iter("testcase"):
         errors = [
-            child.text or child.get("message", "") for child in case if child.tag in ("failure", "error")
+            child.text or child.get("message") or child.tag
+            for child in case
+            if child.tag in ("failure", "error")
         ]
         results[f"{case.get('classname', '').replace('.', '/')}.py::{case.get('name')}"] = "\n".join(errors)
     return results
--- a/tests/simulation/membership_commands.py
+++ b/tests/simulation/membership_commands.py
@@ -236,13 +236,17 @@
         operator's command then gives the seat back, so that the next steps begin with the same voters.
         """
 
+        spares = None
+
         def is_met() -> bool:
+            nonlocal spares
             self.record_absences()
-            return self.spares() is not None
+            spares = self.spares()
+            return spares is not None
 
         self.wait_until(f"{spare} is a spare and the others are voters", is_met)
-        if self.spares() != {spare}:
-            (late_voter,) = self.spares()
+        if spares != {spare}:
+            (late_voter,) = spares
             assert self.absences.get(late_voter, 0.0) > MAX_SAFE_ABSENCE, (late_voter, self.absences)
             self.wait_until_settled()
             self.replace_voter(spare, late_voter)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -85,3 +85,21 @@
     result = judge(tmp_path, "seen: 2 != 3\n", "passed", "passed")
 
     assert result.returncode == 1 and "expected an entry that begins with 'test: '" in result.stderr
+
+
+def test_a_failure_without_a_text_still_counts_as_failed(tmp_path):
+    result = judge(tmp_path, RED_SCENARIO, "not within 20 s", "")
+
+    assert result.returncode == 1 and f"FAILED {TEST}" in result.stdout
+
+
+def test_a_scenario_that_was_not_run_counts_as_failed(tmp_path):
+    judge(tmp_path, "", "passed", "passed")
+    features = json.loads((tmp_path / "behave.json").read_text())
+    features[0]["elements"][0] |= {"status": "untested", "steps": [{"name": "a step"}]}
+    (tmp_path / "behave.json").write_text(json.dumps(features))
+    files = ("KNOWN-RED.txt", "behave.json", 1, "pytest.xml", 0)
+    arguments = [str(tmp_path / name) if isinstance(name, str) else str(name) for name in files]
+    result = subprocess.run([sys.executable, SCRIPT, *arguments], capture_output=True, text=True)
+
+    assert result.returncode == 1 and f"FAILED {SCENARIO}" in result.stdout
